--- a/tests/test_counted_runs.py
+++ b/tests/test_counted_runs.py
@@ -4,8 +4,8 @@
 import unittest
 
 from tests.utils.paused_clock import now, on_paused_clock
+from tests.utils.scheduling_replay import FakeCaller, caller_request, make_entry
 from tests.utils.steward_fakes import engine
-from tests.utils.stewardship_replay import FakeCaller, caller_request, make_entry
 from wagtailtrestle.contracts.declaration import LANGUAGE, Declaration, Service
 from wagtailtrestle.contracts.exchange import AnswerRefusal, AnswerWhole, RunEnded
 from wagtailtrestle.contracts.messages import Granted, GrantRequest
--- a/tests/test_run_counts.py
+++ b/tests/test_run_counts.py
@@ -6,7 +6,7 @@
 
 from tests.test_counted_runs import OneRequest
 from tests.utils.paused_clock import on_paused_clock
-from tests.utils.stewardship_replay import QuietCrashes
+from tests.utils.scheduling_replay import QuietCrashes
 from wagtailtrestle.contracts.messages import EngineNotice, Refused
 from wagtailtrestle.contracts.outcomes import Reason, RunCut, RunNotSent
 from wagtailtrestle.entry.poison import CRASH_LIMIT
--- a/tests/test_spec_replay.py
+++ b/tests/test_spec_replay.py
@@ -20,12 +20,12 @@
 from tests.utils.freshness_replay import FreshnessReplay
 from tests.utils.ledger_replay import LedgerReplay
 from tests.utils.resumption_replay import ResumptionReplay
+from tests.utils.scheduling_replay import EntryReplay, StewardReplay
 from tests.utils.steward_fakes import Cell, ask, register, running
-from tests.utils.stewardship_replay import EntryReplay, StewardReplay
 from wagtailtrestle.capacity.admission import MAX_ASKS
 from wagtailtrestle.contracts.messages import Preempt, Refused
 from wagtailtrestle.entry.request_task import MAX_NOT_SENT
-from wagtailtrestle.spec import claims, configuring, draining, freshness, resumption, stewardship
+from wagtailtrestle.spec import claims, configuring, draining, freshness, resumption, scheduling
 from wagtailtrestle.spec.checker import Step, Trace, covering_traces, shortest_trace
 from wagtailtrestle.spec.checks import MOST_STEPS, mutant
 
@@ -137,12 +137,12 @@
         self.assertEqual(answers, {"nothing", "no", "unknown", "answer"})
 
 
-class StewardshipReplayTest(unittest.TestCase):
+class SchedulingReplayTest(unittest.TestCase):
     def test_a_steward_does_only_what_the_specification_allows(self):
         followed = set()
-        for name, trace, _ in guides(stewardship):
+        for name, trace, _ in guides(scheduling):
             with self.subTest(guide=name):
-                replay = StewardReplay(specification=stewardship.specification(), trace=trace)
+                replay = StewardReplay(specification=scheduling.specification(), trace=trace)
                 for _ in replay.run():
                     self.assertEqual(replay.held(), replay.expected())
                 self.assertEqual(replay.monitor.violations, [])
@@ -153,12 +153,12 @@
 
     def test_an_entry_does_only_what_the_specification_allows(self):
         followed = set()
-        for name, trace, _ in guides(stewardship):
+        for name, trace, _ in guides(scheduling):
             with self.subTest(guide=name):
                 # Where the mutant's fault is the steward's, the entry must follow it all the same.
                 without = name.removeprefix("without ") if name.startswith("without ") else ""
                 without = "" if without in ENTRY_SAFEGUARDS else without
-                replay = EntryReplay(specification=stewardship.specification(without=without), trace=trace)
+                replay = EntryReplay(specification=scheduling.specification(without=without), trace=trace)
                 self.assertEqual(on_paused_clock(replay.run()), [])
                 self.assertEqual(replay.monitor.violations, [])
                 followed |= {action.partition("(")[0] for action in replay.monitor.taken}
@@ -249,7 +249,7 @@
 
 
 class TierOrderTest(unittest.TestCase):
-    """Rules of the stewardship's specification that no trace of three requests shows."""
+    """Rules of the scheduling specification that no trace of three requests shows."""
 
     def test_a_middle_tier_is_not_refused_while_a_lower_tier_runs(self):
         # A report that was cancelled several times for questions asks again while tagging runs
--- a/tests/utils/configuring_replay.py
+++ b/tests/utils/configuring_replay.py
@@ -4,7 +4,7 @@
 import random
 
 from tests.utils.memory_store import MemoryStore
-from tests.utils.stewardship_replay import small_declaration
+from tests.utils.scheduling_replay import small_declaration
 from wagtailtrestle.configuration.applying import (
     DECLARATION_KIND,
     DECLARATION_NAME,
--- a/tests/utils/dispatch_replay.py
+++ b/tests/utils/dispatch_replay.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from tests.utils.stewardship_replay import FakeCaller, caller_request, make_entry
+from tests.utils.scheduling_replay import FakeCaller, caller_request, make_entry
 from wagtailtrestle.contracts.exchange import AnswerWhole, RunEnded
 from wagtailtrestle.contracts.messages import Granted
 from wagtailtrestle.contracts.outcomes import (
--- a/tests/utils/draining_replay.py
+++ b/tests/utils/draining_replay.py
@@ -2,8 +2,8 @@
 
 import asyncio
 
+from tests.utils.scheduling_replay import FakeCaller, caller_request, make_entry
 from tests.utils.steward_fakes import FakeEntries, ask, engine, finished
-from tests.utils.stewardship_replay import FakeCaller, caller_request, make_entry
 from wagtailtrestle.capacity.steward_set import StewardSet
 from wagtailtrestle.contracts.declaration import LANGUAGE, Declaration, Route, Service
 from wagtailtrestle.contracts.exchange import RunEnded
--- a/tests/utils/retry_fleet.py
+++ b/tests/utils/retry_fleet.py
@@ -7,8 +7,8 @@
 
 from tests.utils.fake_routers import FakeNet
 from tests.utils.paused_clock import now
+from tests.utils.scheduling_replay import QuietCrashes, caller_request
 from tests.utils.steward_fakes import engine
-from tests.utils.stewardship_replay import QuietCrashes, caller_request
 from wagtailtrestle.capacity.retry_budget import RetryLimits
 from wagtailtrestle.capacity.steward_set import StewardSet
 from wagtailtrestle.contracts.declaration import PLAIN, Declaration, Service
--- a/tests/utils/stewardship_replay.py
+++ b/tests/utils/scheduling_replay.py
@@ -1,4 +1,4 @@
-"""Runs a real steward, or a real entry, along traces of the stewardship specification."""
+"""Runs a real steward, or a real entry, along traces of the scheduling specification."""
 
 import asyncio
 
@@ -9,7 +9,7 @@
 from wagtailtrestle.contracts.outcomes import Reason, RunCancelled, RunDone
 from wagtailtrestle.entry.entry import Entry
 from wagtailtrestle.spec.monitor import Monitor
-from wagtailtrestle.spec.stewardship import HIGH, REPEATABLE, REQUESTS, TIER_BY_REQUEST
+from wagtailtrestle.spec.scheduling import HIGH, REPEATABLE, REQUESTS, TIER_BY_REQUEST
 
 STEWARD = "s0"
 NEVER_SENT = "a0"
--- a/wagtailtrestle/spec/checks.py
+++ b/wagtailtrestle/spec/checks.py
@@ -5,10 +5,10 @@
 import z3
 
 from wagtailtrestle.record import record
-from wagtailtrestle.spec import claims, configuring, draining, freshness, resumption, stewardship
+from wagtailtrestle.spec import claims, configuring, draining, freshness, resumption, scheduling
 from wagtailtrestle.spec.checker import Bounded, Inductive, Trace, shortest_trace
 
-MODULES = (claims, stewardship, configuring, draining, freshness, resumption)
+MODULES = (claims, scheduling, configuring, draining, freshness, resumption)
 SIZES_BY_MODULE = {claims: {"sends": 4}, configuring: {"generations": 6}, draining: {"requests": 5}}
 """Larger instances of the deep run."""
 
--- a/wagtailtrestle/spec/stewardship.py
+++ b/wagtailtrestle/spec/scheduling.py
@@ -1,4 +1,4 @@
-"""Stewardship: two routers that both may act as steward of one cell with one place.
+"""Scheduling: two routers that both may act as steward of one cell with one place.
 
 Three requests: one of a high tier, one of a low tier that may be repeated, one of the low
 tier that may not. Each entry has its own view of who is steward and may change it at any
@@ -20,8 +20,8 @@
     at_most_one,
     variable_name,
 )
-from wagtailtrestle.spec.stewardship_proof import lemmas
-from wagtailtrestle.spec.stewardship_terms import (
+from wagtailtrestle.spec.scheduling_proof import lemmas
+from wagtailtrestle.spec.scheduling_terms import (
     ATTEMPT,
     COUNT,
     FIXED,
@@ -66,10 +66,10 @@
 
 def specification(*, without=""):
     """Build the specification, for a mutant ``without`` one safeguard."""
-    return _Stewardship(without=without).specification()
+    return _Scheduling(without=without).specification()
 
 
-class _Stewardship(Builder):
+class _Scheduling(Builder):
     """Builder of one specification."""
 
     def __init__(self, *, without):
@@ -110,7 +110,7 @@
         for steward in STEWARDS:
             self._restart(steward)
         return Specification(
-            name="stewardship and tier order",
+            name="scheduling and tier order",
             domains_by_variable=self.domains_by_variable,
             actions=self.actions,
             initial=self.initial,
--- a/wagtailtrestle/spec/stewardship_proof.py
+++ b/wagtailtrestle/spec/scheduling_proof.py
@@ -1,4 +1,4 @@
-"""What makes the properties of :mod:`wagtailtrestle.spec.stewardship` inductive.
+"""What makes the properties of :mod:`wagtailtrestle.spec.scheduling` inductive.
 
 In words: while views agree, the one steward's account follows each request through its phases,
 and what is on its way between them is for the present attempt or the one before.
@@ -7,7 +7,7 @@
 import z3
 
 from wagtailtrestle.spec.language import all_of, at_most_one
-from wagtailtrestle.spec.stewardship_terms import ATTEMPT, COUNT, FIXED, HELD, REQUESTS, STATE, VIEW
+from wagtailtrestle.spec.scheduling_terms import ATTEMPT, COUNT, FIXED, HELD, REQUESTS, STATE, VIEW
 
 
 def lemmas(spec):
--- a/wagtailtrestle/spec/stewardship_terms.py
+++ b/wagtailtrestle/spec/scheduling_terms.py
@@ -1,4 +1,4 @@
-"""Domains and names of the specification of stewardship."""
+"""Domains and names of the specification of scheduling."""
 
 from wagtailtrestle.spec.language import Domain
 
