--- a/tests/test_begin_soon.py
+++ b/tests/test_begin_soon.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from tests.utils.steward_fakes import Cell, ask, finished
+from tests.utils.scheduler_fakes import Cell, ask, finished
 from wagtailtrestle.capacity.admission import LEAST_QUICK_RETRY_S, GrantRate
 from wagtailtrestle.capacity.grants import START_SHARE
 from wagtailtrestle.contracts.messages import EngineNotice, Granted, Refused
--- a/tests/test_caller_gone.py
+++ b/tests/test_caller_gone.py
@@ -28,8 +28,8 @@
     def running_on_engines(self):
         return sum(load["load"]["running"] for load in self.loads())
 
-    def held_by_steward(self):
-        return self.running.state(self.running.steward_of())["stewards"]["asistente"]["running"]
+    def held_by_scheduler(self):
+        return self.running.state(self.running.scheduler_of())["stewards"]["asistente"]["running"]
 
     def held_by_callers(self):
         return sum(self.running.state(name)["callers"]["limits"]["held"] for name in self.running.routers)
@@ -45,12 +45,12 @@
         return connection
 
     def check_freed(self, connection):
-        self.assertTrue(self.held_by_steward())
+        self.assertTrue(self.held_by_scheduler())
         connection.close()
         left_at = time.monotonic()
         wait_until(lambda: self.running_on_engines() == 0, "the run to be cancelled", timeout_s=4)
         print(f"caller gone: its run was cancelled after {time.monotonic() - left_at:.2f} s")
-        wait_until(lambda: not self.held_by_steward(), "the place to be free", timeout_s=4)
+        wait_until(lambda: not self.held_by_scheduler(), "the place to be free", timeout_s=4)
         wait_until(lambda: self.held_by_callers() == 0, "the caller's thread to be free", timeout_s=4)
 
     def test_caller_of_a_stream_goes_away(self):
--- a/tests/test_counted_runs.py
+++ b/tests/test_counted_runs.py
@@ -4,8 +4,8 @@
 import unittest
 
 from tests.utils.paused_clock import now, on_paused_clock
+from tests.utils.scheduler_fakes import engine
 from tests.utils.scheduling_replay import FakeCaller, caller_request, make_entry
-from tests.utils.steward_fakes import engine
 from wagtailtrestle.contracts.declaration import LANGUAGE, Declaration, Service
 from wagtailtrestle.contracts.exchange import AnswerRefusal, AnswerWhole, RunEnded
 from wagtailtrestle.contracts.messages import Granted, GrantRequest
@@ -44,7 +44,7 @@
     """One request, granted places and ended as the test says."""
 
     def __init__(self, *, leaving=(), parts=None, **fields):
-        self.entry, self.stewards = make_entry(
+        self.entry, self.schedulers = make_entry(
             loop=asyncio.get_running_loop(), declaration=declaration(leaving=leaving), **(parts or {})
         )
         self.caller = FakeCaller()
@@ -54,7 +54,7 @@
         await asyncio.sleep(STEP_S)
         task = self.entry.tasks_by_id["r1"]
         limits = {"progress_deadline_s": GRANTED_SILENCE_S, "first_token_deadline_s": GRANTED_SILENCE_S}
-        self.entry.on_steward_message(Granted(request_id="r1", attempt=task.attempt, engine=name, **limits, **fields))
+        self.entry.on_scheduler_message(Granted(request_id="r1", attempt=task.attempt, engine=name, **limits, **fields))
         await asyncio.sleep(STEP_S)
 
     async def end(self, outcome):
@@ -64,7 +64,7 @@
 
     @property
     def asks(self):
-        return [message for message in self.stewards.sent if isinstance(message, GrantRequest)]
+        return [message for message in self.schedulers.sent if isinstance(message, GrantRequest)]
 
 
 class SilenceTest(unittest.TestCase):
@@ -91,7 +91,7 @@
 class LeavingEngineTest(unittest.TestCase):
     @on_paused_clock
     async def test_a_grant_on_an_engine_known_to_leave_is_given_back(self):
-        # The steward is cut off from the platform and grants an engine that this router knows to
+        # The scheduler is cut off from the platform and grants an engine that this router knows to
         # leave. Sent there, the request would be lost when the engine goes.
         request = OneRequest(leaving=["e1"], max_runs=1)
         await request.grant("e1")
--- a/tests/test_crash_signs.py
+++ b/tests/test_crash_signs.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from tests.utils.steward_fakes import Cell, Clock, ask, finished, register
+from tests.utils.scheduler_fakes import Cell, Clock, ask, finished, register
 from wagtailtrestle.capacity.crash_signs import DOWN_WINDOW_S
 from wagtailtrestle.contracts.messages import EngineDown
 from wagtailtrestle.contracts.outcomes import RunCut, RunDone
@@ -10,7 +10,7 @@
 from wagtailtrestle.entry.poison import CRASH_LIMIT, SAME_CRASH_S, TOLD_WINDOW_S, CrashBook, CrashDetector
 
 
-class StewardTest(unittest.TestCase):
+class SchedulerTest(unittest.TestCase):
     def setUp(self):
         self.cell = Cell(engines=("e1",), slots=4, members=("r1", "r2"))
         self.cell.receive(register("r1"), register("r2"), ask("a"), ask("b", entry="r2"))
@@ -21,15 +21,15 @@
     # Guards against a crash that is taken for a broken connection, since each router had one run on the engine.
     def test_entries_whose_runs_an_engine_cut_hear_once_that_it_is_down(self):
         self.cell.receive(finished("a", result="RunCut"))
-        self.cell.steward.on_unreachable("e1")
-        self.cell.steward.on_unreachable("e1")
+        self.cell.scheduler.on_unreachable("e1")
+        self.cell.scheduler.on_unreachable("e1")
         self.assertEqual(self.told(), ["e1"])
 
     # Guards against runs that are blamed for an engine which went down long after it had cut them, or beside them.
     def test_who_lost_no_run_lately_hears_nothing(self):
         self.cell.receive(finished("a", result="RunCut"), finished("b"))
         self.cell.advance(DOWN_WINDOW_S + 0.1)
-        self.cell.steward.on_unreachable("e1")
+        self.cell.scheduler.on_unreachable("e1")
         self.assertEqual(self.told(), [])
 
 
--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -58,13 +58,13 @@
 class DirectoryTest(unittest.IsolatedAsyncioTestCase):
     def make(self, *members, **more):
         self.peers, self.membership = FakePeers(), FakeMembership(*members)
-        self.to_steward, self.members_told = [], []
+        self.to_scheduler, self.members_told = [], []
         self.directory = Directory(
             name="a",
             membership=self.membership,
             peers=self.peers,
             loop=asyncio.get_running_loop(),
-            deliver_to_steward=lambda cell, message: self.to_steward.append((cell, message)),
+            deliver_to_scheduler=lambda cell, message: self.to_scheduler.append((cell, message)),
             deliver_to_entry=lambda message: None,
             register=lambda cell: HELD,
             cells=lambda: ["c1"],
@@ -73,25 +73,25 @@
         )
 
     def send(self):
-        return self.directory.steward_link.send(cell="c1", message=Withdraw(request_id="x"))
+        return self.directory.scheduler_link.send(cell="c1", message=Withdraw(request_id="x"))
 
-    async def test_steward_goes(self):
-        # The steward of a cell goes out of the view. The entry's waiting requests must be known to the next
-        # steward without any request being sent again by hand, or they would wait for ever.
+    async def test_scheduler_goes(self):
+        # The scheduler of a cell goes out of the view. The entry's waiting requests must be known to the next
+        # scheduler without any request being sent again by hand, or they would wait for ever.
         self.make("b")
         self.send()
         self.membership.change("c")
         self.assertEqual(self.peers.sent[2:], [("c", "c1", HELD)])
 
-    async def test_steward_changes_but_lives(self):
-        # Another router joins and becomes steward. The former one must let this entry's places go.
+    async def test_scheduler_changes_but_lives(self):
+        # Another router joins and becomes scheduler. The former one must let this entry's places go.
         self.make("b")
         self.send()
         self.membership.change("c", draining=["b"])
         self.assertEqual(self.peers.sent[2:], [("b", "c1", NOTHING), ("c", "c1", HELD)])
 
-    async def test_a_router_that_becomes_steward_again_begins_anew(self):
-        # What a steward of before holds says nothing of what the one between granted.
+    async def test_a_router_that_becomes_scheduler_again_begins_anew(self):
+        # What a scheduler of before holds says nothing of what the one between granted.
         begun = []
         self.make("a", begin_cell=begun.append)
         self.directory.refresh()
@@ -104,11 +104,11 @@
         self.make("a")
         self.send()
         await asyncio.sleep(0)
-        self.assertEqual(self.to_steward, [("c1", HELD), ("c1", Withdraw(request_id="x"))])
+        self.assertEqual(self.to_scheduler, [("c1", HELD), ("c1", Withdraw(request_id="x"))])
         self.assertEqual(self.peers.sent, [])
 
     async def test_reconnect(self):
-        # The connection to the steward broke and came back; grants on it may be lost, so the entry tells all.
+        # The connection to the scheduler broke and came back; grants on it may be lost, so the entry tells all.
         self.make("b")
         self.send()
         self.peers.sent.clear()
@@ -116,11 +116,11 @@
         self.assertEqual(self.peers.sent, [("b", "c1", HELD)])
 
     async def test_views_differ(self):
-        # A peer takes this router for the steward, this router takes another. It serves the request all the
+        # A peer takes this router for the scheduler, this router takes another. It serves the request all the
         # same: bounced or passed on, it could go round until its deadline.
         self.make("b")
         self.peers.receive("c", grant_request())
-        self.assertEqual(self.to_steward, [("c1", grant_request())])
+        self.assertEqual(self.to_scheduler, [("c1", grant_request())])
         self.assertEqual(self.peers.sent, [])
 
     async def test_draining_router_passes_on(self):
@@ -129,10 +129,10 @@
         self.membership.draining = True
         self.peers.receive("c", grant_request())
         self.assertEqual(self.peers.sent, [("b", "c1", grant_request())])
-        self.assertEqual(self.to_steward, [])
+        self.assertEqual(self.to_scheduler, [])
 
     async def test_paused_router_waits_for_the_present_view(self):
-        # The process was stopped for long. What it sends by its old view would reach a former steward, so it
+        # The process was stopped for long. What it sends by its old view would reach a former scheduler, so it
         # sends nothing until a peer told the view, and then registers everything.
         self.make("b")
         self.membership.trusted = False
@@ -151,14 +151,14 @@
         self.membership.change("a", "b", incarnations_by_name={"a": 1, "b": 2})
         self.assertEqual(self.members_told, [("a",), ("a", "b")])
 
-    async def test_asked_to_register_by_another_than_the_steward(self):
+    async def test_asked_to_register_by_another_than_the_scheduler(self):
         self.make("b")
         self.peers.receive("b", RegisterAsk())
         self.peers.receive("c", RegisterAsk())
         self.assertEqual(self.peers.sent, [("b", "c1", HELD), ("c", "c1", NOTHING)])
 
     async def test_direct_way_is_cut(self):
-        # Only this router can't reach the steward. Its messages go through a third one, and so do answers.
+        # Only this router can't reach the scheduler. Its messages go through a third one, and so do answers.
         self.make("b")
         self.membership.view.everyone = ("a", "b", "c")
         self.peers.unreachable_s_by_peer["b"] = 2.0
--- a/tests/test_drain.py
+++ b/tests/test_drain.py
@@ -62,7 +62,7 @@
 
     def test_language_engine_stopped_gracefully(self):
         # Callers notice nothing. The engine gets SIGTERM: it finishes the runs it has and refuses
-        # new ones. Until the steward has read that it leaves, a grant may still send a request
+        # new ones. Until the scheduler has read that it leaves, a grant may still send a request
         # there; the engine refuses it without running it, and it runs elsewhere.
         self.stop_engine("asistente-1", (QUESTION, PLAN, TAGGING))
 
--- a/tests/test_engine_faults.py
+++ b/tests/test_engine_faults.py
@@ -27,11 +27,11 @@
         wait_until(lambda: all(self.running.engine(name).is_ready() for name in ENGINES), "engines that listen")
         for name in ENGINES:
             self.running.faults(name, **HEALTHY)
-        wait_until(self.engines_in_use, "the steward to use every engine again", timeout_s=30)
+        wait_until(self.engines_in_use, "the scheduler to use every engine again", timeout_s=30)
 
     def engines_in_use(self):
-        steward = self.running.steward_of()
-        engines = self.running.state(steward)["stewards"]["asistente"]["engines"]
+        scheduler = self.running.scheduler_of()
+        engines = self.running.state(scheduler)["stewards"]["asistente"]["engines"]
         return all(engine["limit"] and not engine["phantom"] for engine in engines.values())
 
     def send_together(self, kinds, **fields):
--- a/tests/test_engine_leaving.py
+++ b/tests/test_engine_leaving.py
@@ -48,13 +48,13 @@
         self.leaving.leaving = True
         self.check_nothing_arrives()
 
-    # Guards against a word that dies with the steward, while the store can't be asked.
-    def test_the_next_steward_knows_it(self):
+    # Guards against a word that dies with the scheduler, while the store can't be asked.
+    def test_the_next_scheduler_knows_it(self):
         self.world.store.down = True
         self.leaving.leaving = True
         time.sleep(TOLD_S)
-        steward = self.world.steward_of(self.SERVICE)
-        self.world.routers[steward].kill()
+        scheduler = self.world.scheduler_of(self.SERVICE)
+        self.world.routers[scheduler].kill()
         killed_at = time.monotonic()
         time.sleep(DRAIN_S + WATCHED_S)
         self.assertEqual([at for at in self.leaving.arrivals if at > killed_at + DRAIN_S], [])
--- a/tests/test_engine_limits.py
+++ b/tests/test_engine_limits.py
@@ -129,16 +129,16 @@
         return sum("last-event-id" in seen for engine in (self.limited, self.other) for seen in engine.seen)
 
 
-class StewardLostTest(LimitCase):
-    # Guards against a limit that is known to the steward alone and dies with it.
-    def test_the_next_steward_keeps_the_limit(self):
-        steward = self.world.steward_of(self.SERVICE)
-        callers = self.call(routers=[number for number in range(self.ROUTERS) if number != steward])
+class SchedulerLostTest(LimitCase):
+    # Guards against a limit that is known to the scheduler alone and dies with it.
+    def test_the_next_scheduler_keeps_the_limit(self):
+        scheduler = self.world.scheduler_of(self.SERVICE)
+        callers = self.call(routers=[number for number in range(self.ROUTERS) if number != scheduler])
         time.sleep(1.0)
         self.limited.limit = "2.3"
         named_at = time.monotonic()
         time.sleep(3.0)
-        self.world.routers[steward].kill()
+        self.world.routers[scheduler].kill()
         time.sleep(HELD_S)
         self.check_limit(self.limited, named_at + HEARD_S, 2.3)
         callers.close()
--- a/tests/test_engine_restart.py
+++ b/tests/test_engine_restart.py
@@ -1,6 +1,6 @@
 """An engine that starts again under the name that it had.
 
-It crashed and is back before its entry lapsed. What a steward still counts on it is gone: places look
+It crashed and is back before its entry lapsed. What a scheduler still counts on it is gone: places look
 taken until silent connections are noticed, a cache looks warm that is empty, a speed and a
 health are believed that were another process's. Its time of start tells, in its entry or its report.
 """
@@ -8,7 +8,7 @@
 import dataclasses
 import unittest
 
-from tests.utils.steward_fakes import Cell, ask, engine, report
+from tests.utils.scheduler_fakes import Cell, ask, engine, report
 from wagtailtrestle.contracts.messages import Granted
 
 BORN = 1_781_425_589_000
@@ -30,16 +30,16 @@
         self.assertEqual(self.granted(), ["a", "b"])
 
     def put(self, declared_engine):
-        self.cell.steward.set_engines({"e1": declared_engine})
+        self.cell.scheduler.set_engines({"e1": declared_engine})
 
     def granted(self):
         return self.cell.entries.ids(Granted)
 
     def state(self):
-        return self.cell.steward._runs.engines_by_name["e1"]
+        return self.cell.scheduler._runs.engines_by_name["e1"]
 
     def report(self, start_ms, **changes):
-        self.cell.steward.on_load_report(dataclasses.replace(report(**changes), start_ms=start_ms))
+        self.cell.scheduler.on_load_report(dataclasses.replace(report(**changes), start_ms=start_ms))
 
     def test_its_places_are_free_once_its_entry_tells(self):
         self.cell.receive(ask("c"), ask("d"))
--- a/tests/test_foreign_runs.py
+++ b/tests/test_foreign_runs.py
@@ -1,4 +1,4 @@
-"""Runs that no steward granted fill the engines' queues, and questions are sent behind them."""
+"""Runs that no scheduler granted fill the engines' queues, and questions are sent behind them."""
 
 import collections
 import http.client
@@ -61,7 +61,7 @@
         return seen
 
     def check(self, *, count, output_tokens):
-        # The caller of a question sees 502, engine_lost, executed yes, after 6.12 s. Runs that its steward
+        # The caller of a question sees 502, engine_lost, executed yes, after 6.12 s. Runs that its scheduler
         # did not grant fill an engine; until the engine's report tells of them, questions are sent there
         # and wait in its queue. That they wait shows as silence; after three times 2 s of it (two of
         # them after attaching again to the very run, which the engine confirmed each time) the entry gave
--- a/tests/test_isolation.py
+++ b/tests/test_isolation.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from tests.utils.steward_fakes import Cell, ask, finished, register, report, running
+from tests.utils.scheduler_fakes import Cell, ask, finished, register, report, running
 from wagtailtrestle.capacity.isolation import MAX_SUSPECTS
 from wagtailtrestle.contracts.messages import Granted, Refused, Withdraw
 from wagtailtrestle.contracts.outcomes import Reason
@@ -23,17 +23,17 @@
         self.assertEqual(granted_on(cell), {"a": "e1", "b": "e2", "c": "e2"})
         cell.receive(finished("a"), ask("e"))
         self.assertEqual(granted_on(cell)["s"], "e1")
-        self.assertEqual(cell.steward.digest().waiting_by_tier, {1: 2})
+        self.assertEqual(cell.scheduler.digest().waiting_by_tier, {1: 2})
         cell.receive(finished("s"))
         self.assertEqual({granted_on(cell)[name] for name in ("d", "e")}, {"e1"})
 
     def test_load_that_only_a_report_shows_counts(self):
         cell = Cell()
-        cell.steward.on_load_report(report(running=1))
+        cell.scheduler.on_load_report(report(running=1))
         cell.receive(ask("s", alone=True))
         self.assertEqual(cell.entries.ids(Granted), [])
         cell.advance(0.5)
-        cell.steward.on_load_report(report(running=0))
+        cell.scheduler.on_load_report(report(running=0))
         self.assertEqual(cell.entries.ids(Granted), ["s"])
 
     def test_one_engine_at_a_time(self):
@@ -90,15 +90,15 @@
         cell = Cell()
         cell.receive(ask("run"), ask("s", alone=True), Withdraw(request_id="s"))
         cell.advance(0.1)
-        self.assertEqual(cell.steward.digest().free, 1)
+        self.assertEqual(cell.scheduler.digest().free, 1)
 
-    def test_a_new_steward_keeps_a_registered_suspect_alone(self):
+    def test_a_new_scheduler_keeps_a_registered_suspect_alone(self):
         cell = Cell(members=("r1",))
         cell.receive(register("r1", running=[running(ask("s", alone=True))]), ask("other"))
         self.assertEqual(cell.entries.ids(Granted), [])
 
     def test_nothing_is_known_empty_until_every_entry_registered(self):
-        # A new steward has not heard of r2 yet, whose run on the engine the suspect could take along.
+        # A new scheduler has not heard of r2 yet, whose run on the engine the suspect could take along.
         cell = Cell(members=("r1", "r2"))
         cell.receive(register("r1"), ask("s", alone=True))
         self.assertEqual(cell.entries.ids(Granted), [])
@@ -123,7 +123,7 @@
             bodies = [body for body in ("poison", "innocent") if not book.blocked(body)]
             cell.receive(*[ask(f"{body}{sending}", alone=book.runs_alone(body)) for body in bodies])
             for _ in bodies:
-                on_engine = list(cell.steward._runs.grants_by_request_id)
+                on_engine = list(cell.scheduler._runs.grants_by_request_id)
                 crashed = f"poison{sending}" in on_engine
                 if crashed:
                     crashes += 1
--- a/tests/test_kill_and_freeze.py
+++ b/tests/test_kill_and_freeze.py
@@ -1,4 +1,4 @@
-"""The steward is killed or paused under load: the others go on, and nothing runs twice."""
+"""The scheduler is killed or paused under load: the others go on, and nothing runs twice."""
 
 import time
 import unittest
@@ -14,7 +14,7 @@
 NOISY_MACHINE_S = 2.0
 
 
-class StewardLostTest(PromiseChecks, unittest.TestCase):
+class SchedulerLostTest(PromiseChecks, unittest.TestCase):
     @classmethod
     def setUpClass(cls):
         cls.running = Running(routers=3).start()
@@ -28,47 +28,47 @@
         print(f"{what}: longest time without a first token {gap_s:.2f} s (promised {PROMISED_GAP_S:.0f} s)")
         self.assertLess(gap_s, PROMISED_GAP_S + NOISY_MACHINE_S)
 
-    def test_killed_steward(self):
-        # Callers of the other routers see a short wait and then their answers. The steward dies
-        # with its queue; the others miss its heartbeats, choose a new steward, and register with
+    def test_killed_scheduler(self):
+        # Callers of the other routers see a short wait and then their answers. The scheduler dies
+        # with its queue; the others miss its heartbeats, choose a new scheduler, and register with
         # it what they hold. Only what the dead process had taken itself is lost.
-        steward = self.running.steward_of()
+        scheduler = self.running.scheduler_of()
         load = self.running.load(kinds=(QUESTION, PLAN, TAGGING), rate=RATE).start()
         time.sleep(BEFORE_S)
         killed_at = time.monotonic()
-        self.running.router(steward).kill()
+        self.running.router(scheduler).kill()
         time.sleep(AFTER_S)
         seen = load.stop()
-        others = [each for each in seen if each.router != steward]
-        self.check_gap(others, killed_at, "steward killed")
-        self.assertNotEqual(self.running.steward_of(), steward)
+        others = [each for each in seen if each.router != scheduler]
+        self.check_gap(others, killed_at, "scheduler killed")
+        self.assertNotEqual(self.running.scheduler_of(), scheduler)
         self.assert_promises(self.running, seen)
         self.assert_all_whole(others)
         self.assert_all_whole([each for each in seen if each.ended_at < killed_at])
-        self.running.restart(steward)
+        self.running.restart(scheduler)
 
-    def test_paused_steward(self):
-        # As above, but the steward is stopped like a paused VM and wakes after the others have
+    def test_paused_scheduler(self):
+        # As above, but the scheduler is stopped like a paused VM and wakes after the others have
         # replaced it. It then still holds its old queue and view: it must find out that it was
         # away before it grants or dispatches anything by them.
-        steward = self.running.steward_of()
-        others = [name for name in self.running.routers if name != steward]
+        scheduler = self.running.scheduler_of()
+        others = [name for name in self.running.routers if name != scheduler]
         load = self.running.load(kinds=(QUESTION, PLAN, TAGGING), rate=RATE).start()
         time.sleep(BEFORE_S)
         frozen_at = time.monotonic()
-        self.running.router(steward).freeze()
+        self.running.router(scheduler).freeze()
         time.sleep(FROZEN_S)
-        self.assertNotEqual(self.running.steward_of(asked=others[0]), steward)
-        self.running.router(steward).resume()
+        self.assertNotEqual(self.running.scheduler_of(asked=others[0]), scheduler)
+        self.running.router(scheduler).resume()
         woken_at = time.monotonic()
         time.sleep(SETTLED_S)
         seen = load.stop()
-        of_others = [each for each in seen if each.router != steward]
-        self.check_gap(of_others, frozen_at, "steward paused")
+        of_others = [each for each in seen if each.router != scheduler]
+        self.check_gap(of_others, frozen_at, "scheduler paused")
         self.assert_promises(self.running, seen)
         self.assert_all_whole(of_others)
         self.assert_all_whole([each for each in seen if each.sent_at > woken_at])
-        wait_until(self.running.agree, "all routers to agree on one steward again")
+        wait_until(self.running.agree, "all routers to agree on one scheduler again")
 
 
 if __name__ == "__main__":
--- a/tests/test_large_cell.py
+++ b/tests/test_large_cell.py
@@ -1,15 +1,15 @@
-"""A cell of 78 engines under one steward: what is decided stays the same, what it costs stays flat.
+"""A cell of 78 engines under one scheduler: what is decided stays the same, what it costs stays flat.
 
-The pattern is a language service at full size, 270 requests a second and twice that in a flood, whose steward may have
-half of a core: two thousandths of a second for each request, all messages included. So a request is compared
+The pattern is a language service at full size, 270 requests a second and twice that in a flood, whose scheduler may
+have half of a core: two thousandths of a second for each request, all messages included. So a request is compared
 with a few likely engines, not with all; these tests hold that no place, and no engine that holds its
 conversation, is lost by it.
 """
 
 import unittest
 
-from tests.utils.steward_fakes import Cell, ask, engine, finished
-from wagtailtrestle.capacity.steward import MOST_COMPARED
+from tests.utils.scheduler_fakes import Cell, ask, engine, finished
+from wagtailtrestle.capacity.scheduler import MOST_COMPARED
 from wagtailtrestle.contracts.messages import Granted
 
 ENGINES = 78
@@ -26,8 +26,8 @@
         for number, declared in enumerate(by_name.values()):
             declared.step_ms = 4.0 + number % 4 * 4.0
             declared.prefill_tokens_per_s = 60_000.0
-        self.cell.steward.set_engines(by_name)
-        self.cell.steward.tick()
+        self.cell.scheduler.set_engines(by_name)
+        self.cell.scheduler.tick()
 
     def ask(self, request_id, **changes):
         settings = {"prompt_tokens": 6000, "remaining_s": 12.0, "first_token_within_s": HOPED_FOR_S} | changes
@@ -46,8 +46,8 @@
     def test_a_conversation_goes_back_to_its_engine_wherever_that_stands(self):
         # The engine that holds it is among the slower ones, past all that are compared first.
         holder = "e03"
-        self.cell.steward._runs.engines_by_name[holder].cache.stored(CONVERSATION, PART_TOKENS)
-        ordered = list(self.cell.steward._runs.engines_by_name)
+        self.cell.scheduler._runs.engines_by_name[holder].cache.stored(CONVERSATION, PART_TOKENS)
+        ordered = list(self.cell.scheduler._runs.engines_by_name)
         self.assertGreater(ordered.index(holder), MOST_COMPARED)
         self.ask("r", prefix_blocks=CONVERSATION, block_tokens=PART_TOKENS, output_tokens=5)
         self.assertEqual(self.engine_of("r"), holder)
@@ -62,7 +62,7 @@
 
     def test_a_request_is_compared_with_few_engines(self):
         compared = []
-        admission = self.cell.steward._admission
+        admission = self.cell.scheduler._admission
         can_finish_now = admission.can_finish_now
 
         class Counting:
@@ -73,7 +73,7 @@
                 compared.append(engine.name)
                 return can_finish_now(waiting, engine)
 
-        self.cell.steward._admission = Counting()
+        self.cell.scheduler._admission = Counting()
         for number in range(50):
             self.ask(f"r{number}")
             self.cell.receive(finished(f"r{number}", on=self.engine_of(f"r{number}")))
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -64,23 +64,23 @@
         # As above, but only the platform's list says so. The list's own lag is not counted.
         self.check_no_new_work(lambda: self.publish((LEAVING,)), lambda: self.publish(()), "list")
 
-    def test_marked_by_the_list_right_after_the_steward_changed(self):
-        # The mark is in force, then the steward is killed. A new steward that knew the mark only
+    def test_marked_by_the_list_right_after_the_scheduler_changed(self):
+        # The mark is in force, then the scheduler is killed. A new scheduler that knew the mark only
         # from its predecessor would send the engine new work.
         running = self.running
         self.publish((LEAVING,))
         time.sleep(PROMISED_S)
         starts = self.starts_on(LEAVING)
-        steward = running.steward_of()
-        running.router(steward).kill()
-        others = [name for name in running.routers if name != steward]
+        scheduler = running.scheduler_of()
+        running.router(scheduler).kill()
+        others = [name for name in running.routers if name != scheduler]
         seen = [running.send(QUESTION, router=others[number % 2]) for number in range(10)]
         self.assertEqual(self.starts_on(LEAVING), starts)
         self.assert_promises(running, seen)
         self.assert_all_whole(seen)
-        running.restart(steward)
+        running.restart(scheduler)
         self.publish(())
-        wait_until(running.agree, "all routers to agree on one steward")
+        wait_until(running.agree, "all routers to agree on one scheduler")
 
 
 if __name__ == "__main__":
--- a/tests/test_leaving_notices.py
+++ b/tests/test_leaving_notices.py
@@ -1,11 +1,11 @@
-"""Decisions on an engine that says in an answer that it leaves: entries, stewards, and whom it doesn't bind."""
+"""Decisions on an engine that says in an answer that it leaves: entries, schedulers, and whom it doesn't bind."""
 
 import asyncio
 import unittest
 
 from tests.test_counted_runs import OneRequest
 from tests.utils.paused_clock import on_paused_clock
-from tests.utils.steward_fakes import Cell, ask, engine, register
+from tests.utils.scheduler_fakes import Cell, ask, engine, register
 from wagtailtrestle.contracts.messages import EngineNotice, Granted
 from wagtailtrestle.engines.notices import LEAVING_KEPT_S
 
@@ -17,15 +17,15 @@
 
 
 class EntryTest(unittest.TestCase):
-    # Guards against a steward that the word hasn't reached: its grant goes back, the next ask leaves the engine out.
+    # Guards against a scheduler that the word hasn't reached: its grant goes back, the next ask leaves the engine out.
     @on_paused_clock
-    async def test_a_grant_on_an_engine_that_leaves_goes_back_and_the_steward_is_told(self):
+    async def test_a_grant_on_an_engine_that_leaves_goes_back_and_the_scheduler_is_told(self):
         request = OneRequest()
         request.entry.post("r1", leaves())
-        request.stewards.sent.clear()
+        request.schedulers.sent.clear()
         await request.grant("e1")
         self.assertEqual(request.caller.starts, [])
-        self.assertTrue(any(isinstance(sent, EngineNotice) and sent.leaving for sent in request.stewards.sent))
+        self.assertTrue(any(isinstance(sent, EngineNotice) and sent.leaving for sent in request.schedulers.sent))
         self.assertEqual(request.asks[-1].excluded_engines, ("e1",))
         await request.grant("e2")
         self.assertEqual(len(request.caller.starts), 1)
@@ -40,7 +40,7 @@
         self.assertEqual(request.entry.register("asistente").notices, ())
 
 
-class StewardTest(unittest.TestCase):
+class SchedulerTest(unittest.TestCase):
     def setUp(self):
         self.cell = Cell(engines=("e1", "e2"), members=("r1",))
 
@@ -57,13 +57,13 @@
         self.cell.receive(register("r1"), leaves())
         self.assertEqual(self.ask_four(), {"e2"})
         # The list takes a mark of its own back, not the engine's word.
-        self.cell.steward.mark_leaving("e1", False)
-        self.cell.steward.set_engines({name: engine(name) for name in ("e1", "e2")})
+        self.cell.scheduler.mark_leaving("e1", False)
+        self.cell.scheduler.set_engines({name: engine(name) for name in ("e1", "e2")})
         self.cell.advance(0.2)
         self.assertEqual(self.granted(), {"e2"})
 
-    # Guards against a new steward, or one that comes back, that knows only what the store says.
-    def test_entries_tell_a_new_steward(self):
+    # Guards against a new scheduler, or one that comes back, that knows only what the store says.
+    def test_entries_tell_a_new_scheduler(self):
         self.cell.receive(register("r1", notices=(leaves(age_s=8.0),)))
         self.assertEqual(self.ask_four(), {"e2"})
 
@@ -71,10 +71,10 @@
     def test_an_engine_that_started_again_is_not_leaving(self):
         former, later = engine("e1"), engine("e1")
         former.start_ms, later.start_ms = FORMER_MS, LATER_MS
-        self.cell.steward.set_engines({"e1": former, "e2": engine("e2")})
+        self.cell.scheduler.set_engines({"e1": former, "e2": engine("e2")})
         self.cell.receive(register("r1"), leaves(start_ms=FORMER_MS))
         self.assertEqual(self.ask_four(), {"e2"})
-        self.cell.steward.set_engines({"e1": later})
+        self.cell.scheduler.set_engines({"e1": later})
         self.cell.receive(leaves(start_ms=FORMER_MS))
         self.cell.advance(0.2)
         self.assertEqual(self.granted(), {"e1", "e2"})
--- a/tests/test_measure.py
+++ b/tests/test_measure.py
@@ -2,7 +2,7 @@
 import unittest
 
 from wagtailtrestle.measure import virtual_time
-from wagtailtrestle.measure.one_run import KEYED, KILLED_STEWARD, OURS, PLATFORM_OUT, RunSpec, measure
+from wagtailtrestle.measure.one_run import KEYED, KILLED_SCHEDULER, OURS, PLATFORM_OUT, RunSpec, measure
 
 
 def run(policy, *, scenario="none", load=1.5):
@@ -32,11 +32,11 @@
             figures.pop("processor_s")
         self.assertEqual(first, second)
 
-    def test_nothing_runs_twice_and_refusals_are_true_when_the_steward_dies(self):
-        # The steward's router dies under overload: its own callers are cut off, the others
-        # register with the new steward. By the engines' record no request that may not
+    def test_nothing_runs_twice_and_refusals_are_true_when_the_scheduler_dies(self):
+        # The scheduler's router dies under overload: its own callers are cut off, the others
+        # register with the new scheduler. By the engines' record no request that may not
         # be repeated ran twice, and none that was told `no` ran at all.
-        figures = run(OURS, scenario=KILLED_STEWARD, load=2.5)
+        figures = run(OURS, scenario=KILLED_SCHEDULER, load=2.5)
         self.assertEqual((figures["duplicates"], figures["lies"], figures["unsettled"]), (0, 0, 0))
         self.assertGreater(figures["prefill_tokens"], 0)
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -73,7 +73,7 @@
 
     @on_fast_loop
     async def test_killed_router(self):
-        # A steward is killed. Its peers see their connections end and new ones refused; within half a second
+        # A scheduler is killed. Its peers see their connections end and new ones refused; within half a second
         # all have it out of their views, so that its cells move and callers wait no longer than that.
         names = await self.net.add_all(6)
         self.net.kill("r002")
@@ -82,7 +82,7 @@
 
     @on_fast_loop
     async def test_frozen_router(self):
-        # A steward freezes: connections stay open, nothing comes. Peers open new connections, get no answer,
+        # A scheduler freezes: connections stay open, nothing comes. Peers open new connections, get no answer,
         # and drop it within about 1.2 s. When it wakes it must not believe that all others died.
         names = await self.net.add_all(6)
         others = [name for name in names if name != "r002"]
@@ -120,7 +120,7 @@
     async def test_a_router_started_again_is_in_the_view_before_its_next_message(self):
         # A router is killed and started again within a tenth of a second, before anybody missed it. Its first
         # message after the hello is a registration that it holds nothing. Were the view still that of its
-        # predecessor, the steward would take it for the same process's word, and free places whose runs go on.
+        # predecessor, the scheduler would take it for the same process's word, and free places whose runs go on.
         names = await self.net.add_all(3)
         again = Hello(name=names[1], incarnation=2, zone="z1", address=names[1])
         self.net.peers_by_name[names[0]].handlers_by_type[Hello](names[1], again, "")
@@ -276,7 +276,7 @@
 
     def test_coming_back_again_and_again(self):
         # A router behind a bad link is lost and comes back three times. Each time it is alive at once, but
-        # steward only after a longer while, so that its cells do not move to and fro with the link.
+        # scheduler only after a longer while, so that its cells do not move to and fro with the link.
         held_s = []
         for version in (1, 2, 3):
             now = 10.0 * version
--- a/tests/test_new_steward.py
+++ b/tests/test_new_scheduler.py
@@ -1,10 +1,10 @@
-"""What a router does that becomes steward, by what it may know of runs that nobody registers."""
+"""What a router does that becomes scheduler, by what it may know of runs that nobody registers."""
 
 import unittest
 
-from tests.utils.steward_fakes import Clock, FakeEntries, ask, engine, register, report
+from tests.utils.scheduler_fakes import Clock, FakeEntries, ask, engine, register, report
 from wagtailtrestle.capacity.registration import CAUTION_S
-from wagtailtrestle.capacity.steward_set import ORPHANS_S, StewardSet
+from wagtailtrestle.capacity.scheduler_set import ORPHANS_S, SchedulerSet
 from wagtailtrestle.contracts.declaration import LANGUAGE, PLAIN, Declaration, Service
 from wagtailtrestle.contracts.messages import Granted
 
@@ -21,43 +21,43 @@
     )
 
 
-class NewStewardTest(unittest.TestCase):
+class NewSchedulerTest(unittest.TestCase):
     def setUp(self):
         self.clock = Clock()
         self.entries = FakeEntries()
-        self.stewards = StewardSet(clock=self.clock, entries=self.entries, runs_outlive_routers=True)
-        self.stewards.set_members({"r1"})
+        self.schedulers = SchedulerSet(clock=self.clock, entries=self.entries, runs_outlive_routers=True)
+        self.schedulers.set_members({"r1"})
 
     def receive(self, message):
-        self.stewards.deliver("asistente", message)
+        self.schedulers.deliver("asistente", message)
 
     def advance(self, seconds):
         until = self.clock.now + seconds
         while self.clock.now < until:
             self.clock.now += 0.05
-            self.stewards.tick()
+            self.schedulers.tick()
 
     def granted(self):
         return self.entries.ids(Granted)
 
     def test_a_router_that_has_just_started_reckons_with_runs_of_its_predecessor(self):
-        # A question of another entry waits in the engine's queue. The steward was killed and started again under
+        # A question of another entry waits in the engine's queue. The scheduler was killed and started again under
         # its name; its engine goes on with what it had sent there. Nobody registers these runs, and the new process
         # has seen nobody die: it granted as soon as all who live had registered, on top of them.
-        self.stewards.set_declaration(declaration())
+        self.schedulers.set_declaration(declaration())
         self.receive(register("r1", waiting=[ask("r"), ask("s")]))
         self.assertEqual(self.granted(), [])
-        self.stewards.on_load_report(report(running=1))
+        self.schedulers.on_load_report(report(running=1))
         self.assertEqual(self.granted(), ["r"])
 
     def test_a_router_that_has_seen_nobody_die_for_long_grants_at_once(self):
-        self.stewards.set_declaration(declaration())
+        self.schedulers.set_declaration(declaration())
         self.advance(ORPHANS_S + 0.1)
         self.receive(register("r1", waiting=[ask("r"), ask("s")]))
         self.assertEqual(self.granted(), ["r", "s"])
 
     def test_an_engine_that_does_not_report_is_used_after_the_wait(self):
-        self.stewards.set_declaration(declaration())
+        self.schedulers.set_declaration(declaration())
         self.receive(register("r1", waiting=[ask("r")]))
         self.advance(CAUTION_S + 0.1)
         self.assertEqual(self.granted(), ["r"])
@@ -65,24 +65,24 @@
     def test_a_plain_service_does_not_wait_for_reports_that_never_come(self):
         # A booking waits for 1.5 s, for nothing: engines of a plain service report nothing, so that what a router
         # which died had sent there is not known after that wait either.
-        self.stewards.set_declaration(declaration(kind=PLAIN))
+        self.schedulers.set_declaration(declaration(kind=PLAIN))
         self.receive(register("r1", waiting=[ask("r")]))
         self.assertEqual(self.granted(), ["r"])
 
     def test_runs_of_a_router_that_was_started_again_keep_their_places(self):
-        # A question of another entry waits in the engine's queue, up to its deadline. A router that is not the steward
-        # dies and is started again at once. Its predecessor's runs go on; the new process registers that it holds
-        # nothing, and the steward, which had kept their places until a report, grants them.
-        self.stewards.set_members({"r1", "r2"})
-        self.stewards.set_declaration(declaration())
+        # A question of another entry waits in the engine's queue, up to its deadline. A router that is not the
+        # scheduler dies and is started again at once. Its predecessor's runs go on; the new process registers that it
+        # holds nothing, and the scheduler, which had kept their places until a report, grants them.
+        self.schedulers.set_members({"r1", "r2"})
+        self.schedulers.set_declaration(declaration())
         self.advance(ORPHANS_S + 0.1)
         self.receive(register("r1"))
         self.receive(register("r2"))
         self.receive(ask("x", entry="r2"))
         self.receive(ask("y", entry="r2"))
         self.receive(ask("r"))
-        self.stewards.set_members({"r1"})
-        self.stewards.set_members({"r1", "r2"})
+        self.schedulers.set_members({"r1"})
+        self.schedulers.set_members({"r1", "r2"})
         self.receive(register("r2"))
         self.assertEqual(self.granted(), ["x", "y"])
 
--- a/tests/test_output_lengths.py
+++ b/tests/test_output_lengths.py
@@ -9,7 +9,7 @@
 import random
 import unittest
 
-from tests.utils.steward_fakes import ask
+from tests.utils.scheduler_fakes import ask
 from wagtailtrestle.engines.output_lengths import OutputLengths
 
 CAP = 1710
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -121,7 +121,7 @@
         self.assertEqual((forwarder.connections, unreachable), (2, []))
 
     async def test_end_of_a_run_is_lost_on_a_silent_connection(self):
-        # The steward never hears that a place is free, and nothing else is said on that connection. The end of a
+        # The scheduler never hears that a place is free, and nothing else is said on that connection. The end of a
         # run waits longer than others for a sign, but not for ever: then a new connection makes the entry register.
         a, b = await self.make("a"), await self.make("b")
         forwarder = TcpForwarder(target=b.address)
@@ -327,7 +327,7 @@
 
     def test_news_waits_for_company_for_a_bounded_time(self):
         # Nothing else goes to that peer: the first token is told within 0.1 s all the same, the progress
-        # within 8 s. Were either held for company alone, the steward would never hear of it.
+        # within 8 s. Were either held for company alone, the scheduler would never hear of it.
         async def test(outbox):
             began = asyncio.get_running_loop().time()
             self.put(outbox, RunStarted(request_id="a", engine="e", first_token_s=0.1))
--- a/tests/test_platform_outage.py
+++ b/tests/test_platform_outage.py
@@ -86,18 +86,18 @@
         self.assertEqual(running.state(name)["configuration"]["generation"], before)
         self.assert_all_whole([running.send(kind, router=name) for kind in (QUESTION, TAGGING)])
 
-    def test_killed_steward_during_the_outage(self):
-        # As without the outage: who lives is told by heartbeats, so a new steward is found
+    def test_killed_scheduler_during_the_outage(self):
+        # As without the outage: who lives is told by heartbeats, so a new scheduler is found
         # although nobody can ask the platform.
         running = self.running
         running.platform_faults(down="cut")
-        steward = running.steward_of()
-        others = [name for name in running.routers if name != steward]
-        running.router(steward).kill()
+        scheduler = running.scheduler_of()
+        others = [name for name in running.routers if name != scheduler]
+        running.router(scheduler).kill()
         seen = [running.send(QUESTION, router=others[number % 2]) for number in range(6)]
         self.assert_promises(running, seen)
         self.assert_all_whole(seen)
-        running.restart(steward)
+        running.restart(scheduler)
 
     def apply(self, name, share):
         """Apply and return the seconds until it is in force everywhere."""
--- a/tests/test_poison.py
+++ b/tests/test_poison.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from tests.utils.steward_fakes import Clock
+from tests.utils.scheduler_fakes import Clock
 from wagtailtrestle.contracts.outcomes import RunCut, RunDone
 from wagtailtrestle.entry.crash_watch import CrashWatch
 from wagtailtrestle.entry.poison import (
--- a/tests/test_preemption.py
+++ b/tests/test_preemption.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from tests.utils.steward_fakes import Cell, ask, finished, register, running
+from tests.utils.scheduler_fakes import Cell, ask, finished, register, running
 from wagtailtrestle.capacity.admission import MAX_ASKS
 from wagtailtrestle.capacity.preemption import PREEMPT_TIMEOUT_S
 from wagtailtrestle.contracts.messages import Granted, Preempt, Refused, RunProgress, RunStarted
@@ -36,8 +36,8 @@
         cell.receive(finished(victim[0], result="RunCancelled"))
         self.assertEqual(cell.entries.ids(Granted), ["d0", "d1", "q"])
 
-    def test_a_woken_steward_cancels_nothing_by_what_it_held_before(self):
-        # A steward was paused for 10 s. Others served the cell meanwhile, so the drafts that it
+    def test_a_woken_scheduler_cancels_nothing_by_what_it_held_before(self):
+        # A scheduler was paused for 10 s. Others served the cell meanwhile, so the drafts that it
         # holds may have ended; until their entry says so again, none is cancelled for a question.
         cell = Cell(members=("r1", "r2"))
         cell.receive(register("r1"), register("r2"), draft("d0"), draft("d1"))
--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -6,7 +6,7 @@
 from types import SimpleNamespace
 from unittest import mock
 
-from tests.utils.steward_fakes import Clock
+from tests.utils.scheduler_fakes import Clock
 from wagtailtrestle.contracts.declaration import TokenQuota
 from wagtailtrestle.contracts.outcomes import Executed, Reason
 from wagtailtrestle.contracts.quota_messages import QuotaAsk
--- a/tests/test_rate_limit.py
+++ b/tests/test_rate_limit.py
@@ -1,4 +1,4 @@
-"""Decisions under a rate limit that an engine names: pace, changes, a new steward, entries that heard it first."""
+"""Decisions under a rate limit that an engine names: pace, changes, a new scheduler, entries that heard it first."""
 
 import asyncio
 import itertools
@@ -8,8 +8,8 @@
 
 from tests.test_counted_runs import OneRequest
 from tests.utils.paused_clock import on_paused_clock
+from tests.utils.scheduler_fakes import Cell, Clock, ask, finished, register
 from tests.utils.steady_callers import most_within
-from tests.utils.steward_fakes import Cell, Clock, ask, finished, register
 from wagtailtrestle.contracts.messages import EngineNotice, Granted, GrantRequest, Refused
 from wagtailtrestle.engines.rate_limit import KEPT_S, RateLimit
 
@@ -39,7 +39,7 @@
         until = self.clock.now + seconds
         while self.clock.now < until:
             self.clock.now += STEP_S
-            self.steward.tick()
+            self.scheduler.tick()
             self._end_runs(each_answer)
             self._ask_again()
             self._take_grants()
@@ -48,7 +48,7 @@
         return [at for at, name, _ in self.granted if name == engine and at >= since]
 
     def _ask_again(self):
-        while len(self.steward._queue) < self.waiting:
+        while len(self.scheduler._queue) < self.waiting:
             self.asked += 1
             tier = self.tiers[self.asked % len(self.tiers)]
             self.receive(ask(f"q{self.asked}", tier=tier, remaining_s=60.0, output_tokens=5, prompt_tokens=5))
@@ -165,9 +165,9 @@
         self.assertEqual(limit.per_s(), 2.0)
 
 
-class NewStewardTest(unittest.TestCase):
-    # Guards against a steward that takes over while a limit holds, and fills the engine.
-    def test_entries_tell_a_new_steward_what_they_heard(self):
+class NewSchedulerTest(unittest.TestCase):
+    # Guards against a scheduler that takes over while a limit holds, and fills the engine.
+    def test_entries_tell_a_new_scheduler_what_they_heard(self):
         cell = LoadedCell()
         cell.receive(register("r1", notices=(notice(2.0, age_s=1.0),)))
         cell.play(8.0, each_answer=lambda engine: notice(2.0))
@@ -175,26 +175,26 @@
 
 
 class HeardFirstTest(unittest.TestCase):
-    # Guards against a place granted by a steward that the word hasn't reached: the entry that heard it is bound.
+    # Guards against a place granted by a scheduler that the word hasn't reached: the entry that heard it is bound.
     @on_paused_clock
-    async def test_an_uninformed_grant_goes_back_and_the_steward_is_told(self):
+    async def test_an_uninformed_grant_goes_back_and_the_scheduler_is_told(self):
         request = OneRequest()
         await asyncio.sleep(0.0)
-        request.stewards.sent.clear()
+        request.schedulers.sent.clear()
         request.entry.post("r1", notice(2.0))
-        (told,) = [message for message in request.stewards.sent if isinstance(message, EngineNotice)]
+        (told,) = [message for message in request.schedulers.sent if isinstance(message, EngineNotice)]
         self.assertEqual((told.engine, told.limit_per_s), ("e1", 2.0))
-        request.stewards.sent.clear()
+        request.schedulers.sent.clear()
         await request.grant("e1")
         self.assertEqual(request.caller.starts, [])
-        kinds = [type(message) for message in request.stewards.sent]
+        kinds = [type(message) for message in request.schedulers.sent]
         self.assertEqual(kinds[0], EngineNotice)
         self.assertEqual(kinds[-1], GrantRequest)
         self.assertEqual(request.asks[-1].excluded_engines, ())
         await request.grant("e1", limit_age_s=0.01)
         self.assertEqual(len(request.caller.starts), 1)
 
-    # Guards against a limit that ended unheard by this entry: an old word must not give back what the steward grants.
+    # Guards against a limit that ended unheard by this entry: an old word must not give back what the scheduler grants.
     @on_paused_clock
     async def test_an_old_word_binds_nobody(self):
         request = OneRequest()
@@ -219,7 +219,7 @@
     def test_places_for_a_roll_out_keep_to_the_limit(self):
         cell = Cell(members=("r1",))
         cell.receive(register("r1"), notice(1.0))
-        (engine,) = cell.steward._runs.engines
+        (engine,) = cell.scheduler._runs.engines
         self.assertEqual(engine.spare, 0)
         cell.advance(1.1)
         self.assertEqual(engine.spare, 1)
--- a/tests/test_rest_notices.py
+++ b/tests/test_rest_notices.py
@@ -5,7 +5,7 @@
 
 from tests.test_counted_runs import OneRequest
 from tests.utils.paused_clock import on_paused_clock
-from tests.utils.steward_fakes import Cell, ask, register
+from tests.utils.scheduler_fakes import Cell, ask, register
 from wagtailtrestle.contracts.exchange import StartRun
 from wagtailtrestle.contracts.messages import EngineNotice, Granted, GrantRequest, Refused
 from wagtailtrestle.contracts.outcomes import RunNotSent
@@ -18,7 +18,7 @@
     return EngineNotice(engine=on, rest_s=rest_s, entry=entry)
 
 
-class StewardTest(unittest.TestCase):
+class SchedulerTest(unittest.TestCase):
     def setUp(self):
         self.cell = Cell(engines=("e1", "e2"), members=("r1", "r2"))
         self.cell.receive(register("r1"), register("r2"))
@@ -45,7 +45,7 @@
         self.assertGreaterEqual(refused.retry_after_s, REST_S)
         self.assertLess(refused.retry_after_s, 2 * REST_S)
 
-    # Guards against a steward that is new and grants what its entries must give back.
+    # Guards against a scheduler that is new and grants what its entries must give back.
     def test_a_registration_tells_of_rests(self):
         self.cell.receive(register("r1", notices=(rests(),)), ask("a1"), ask("a2"), ask("a3"))
         self.assertEqual(self.granted(), {("a", "e2")})
@@ -56,7 +56,7 @@
         self.cell.advance(2.0)
         self.cell.receive(*[register("r1", notices=(rests(),)) for _ in range(9)])
         self.cell.advance(3.0)
-        self.assertEqual(self.cell.steward._runs.engines_by_name["e1"].rate_limit.per_s(), 2.0)
+        self.assertEqual(self.cell.scheduler._runs.engines_by_name["e1"].rate_limit.per_s(), 2.0)
 
     # Guards against a suspect that runs alone on an engine that wants a rest.
     def test_a_suspect_leaves_the_engine_out(self):
@@ -66,16 +66,17 @@
 
 
 class EntryTest(unittest.TestCase):
-    # Guards against a place granted by a steward that doesn't know; the engine is left out for the rest, not for good.
+    # Guards against a place granted by a scheduler that doesn't know; the engine is left out for the rest, not for
+    # good.
     @on_paused_clock
     async def test_a_grant_within_a_rest_goes_back_and_one_after_it_is_used(self):
         request = OneRequest()
         await asyncio.sleep(0.0)
         request.entry.post("r1", rests(entry=""))
-        request.stewards.sent.clear()
+        request.schedulers.sent.clear()
         await request.grant("e1")
         self.assertEqual(request.caller.starts, [])
-        told, *_, again = request.stewards.sent
+        told, *_, again = request.schedulers.sent
         self.assertEqual((told.engine, told.entry), ("e1", request.entry.name))
         self.assertIsInstance(again, GrantRequest)
         self.assertEqual(again.excluded_engines, ())
@@ -83,7 +84,7 @@
         await request.grant("e1")
         self.assertEqual(len(request.caller.starts), 1)
 
-    # Guards against a place given back without end: the steward may know a later start of the engine than this entry.
+    # Guards against a place given back without end: the scheduler may know a later start of the engine than this entry.
     @on_paused_clock
     async def test_a_second_grant_within_the_rest_leaves_the_engine_out(self):
         request = OneRequest()
--- a/tests/test_retry_budget.py
+++ b/tests/test_retry_budget.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from tests.utils.steward_fakes import Cell, Clock, ask, finished, register
+from tests.utils.scheduler_fakes import Cell, Clock, ask, finished, register
 from wagtailtrestle.capacity.retry_budget import (
     ARRIVAL_SPREAD_S,
     LEAST_KNOWN_SHARE,
@@ -29,7 +29,7 @@
         return RetryBudget(clock=self.clock, limits=lambda: self.LIMITS)
 
     def settle(self):
-        """Let the steward serve for so long that it knows all of the window."""
+        """Let the scheduler serve for so long that it knows all of the window."""
         self.clock.now += 2 * RETRY_WINDOW_S
 
     def allowed(self, tries, *, entry="r1", entries=ENTRIES, budget=None):
@@ -117,8 +117,8 @@
     def history(self, *, up_s=100.0, retries=(), successes=()):
         return RetryHistory(up_s=up_s, retries_by_age_s=tuple(retries), successes_by_age_s=tuple(successes))
 
-    # Guards against a new steward that gives out again what the former one gave out.
-    def test_a_new_steward_goes_on_from_what_entries_tell(self):
+    # Guards against a new scheduler that gives out again what the former one gave out.
+    def test_a_new_scheduler_goes_on_from_what_entries_tell(self):
         new = self.make()
         new.take_history("r1", self.history(retries=(0, 3), successes=(50,)))
         new.take_history("r2", self.history(retries=(0, 0, 4), successes=(0, 50)))
@@ -130,7 +130,7 @@
             self.budget.take_history("r1", self.history(retries=(5,), successes=(100,)))
         self.assertEqual(self.allowed(1000), 20 + 10 - 5)
 
-    # Guards against a router that is started again and whose steward takes its empty record for all that was spent.
+    # Guards against a router that is started again and whose scheduler takes its empty record for all that was spent.
     def test_what_a_former_process_spent_is_kept(self):
         self.allowed(15)
         self.clock.now += 1.0
@@ -152,7 +152,7 @@
         self.clock.now += RETRY_WINDOW_S / 2
         self.assertEqual(self.allowed(1000, budget=new), 10 - LEAST_KNOWN_SHARE * 20)
 
-    # Guards against what routers forgot that were started again together with the steward.
+    # Guards against what routers forgot that were started again together with the scheduler.
     def test_what_nobody_knows_is_taken_for_as_much_as_what_is_known(self):
         new = self.make()
         new.take_history("r1", self.history(retries=(0, 8)))
@@ -160,7 +160,7 @@
         self.assertEqual(self.allowed(1000, budget=new), 2)
 
 
-class StewardTest(unittest.TestCase):
+class SchedulerTest(unittest.TestCase):
     def setUp(self):
         self.cell = Cell(engines=("e1", "e2"), slots=20, members=("r1",))
         self.cell.receive(register("r1"))
@@ -187,8 +187,8 @@
         self.cell.receive(finished("c", on=engine, result="RunNotSent", never_sent=True))
         self.assertEqual(self.ask("d")[0][-1], "d")
 
-    # Guards against a retry in use that is taken back as another steward granted the same request elsewhere.
-    def test_a_place_of_another_steward_gives_no_retry_back(self):
+    # Guards against a retry in use that is taken back as another scheduler granted the same request elsewhere.
+    def test_a_place_of_another_scheduler_gives_no_retry_back(self):
         self.ask("a", "b", "c")
         engine = self.cell.entries.of(Granted)[-1].engine
         other = "e2" if engine == "e1" else "e1"
--- a/tests/test_retry_fleet.py
+++ b/tests/test_retry_fleet.py
@@ -90,8 +90,8 @@
             with self.subTest(seed=seed):
                 self.check(seed)
 
-    # Guards against what a steward and most other routers take with them when they die at once.
-    def test_most_routers_die_with_the_steward(self):
+    # Guards against what a scheduler and most other routers take with them when they die at once.
+    def test_most_routers_die_with_the_scheduler(self):
         self.check(14)
 
 
--- a/tests/test_rollout_decisions.py
+++ b/tests/test_rollout_decisions.py
@@ -5,7 +5,7 @@
 import unittest
 
 from tests.utils.paused_clock import on_paused_clock
-from tests.utils.steward_fakes import Cell, ask, engine, finished, report
+from tests.utils.scheduler_fakes import Cell, ask, engine, finished, report
 from wagtailtrestle.contracts.messages import Granted, Preempt, Refused
 from wagtailtrestle.contracts.outcomes import StoreDone
 from wagtailtrestle.contracts.rollout_messages import RolloutOrder, RolloutState, RolloutWord
@@ -179,7 +179,7 @@
         self.assertFalse(self.rollout.wants(ask("a", alone=True)))
 
     def test_next_coordinator_completes_nothing_of_which_it_knows_nothing(self):
-        # The steward dies in the ramp, shortly before the end. Its successor has seen no run on the target, and the
+        # The scheduler dies in the ramp, shortly before the end. Its successor has seen no run on the target, and the
         # last word it heard is old: everything would move to a version that nobody judged.
         word = RolloutWord(service="s", target="v2", state=RolloutState.RUNNING, elapsed_s=7.5, granted=400, exposed=5)
         rollout = Rollout(order=self.rollout.order, share=SHARE, slack=SLACK, clock=lambda: self.now, word=word)
@@ -268,14 +268,14 @@
         self.full_by_request_id[request.request_id] = was_full
 
 
-class StewardTest(unittest.TestCase):
+class SchedulerTest(unittest.TestCase):
     def setUp(self):
         self.cell = Cell(engines=("e1", "e2"), slots=2)
         new = engine("e2")
         new.version = "v2"
-        self.cell.steward.set_engines({"e1": engine("e1"), "e2": new})
+        self.cell.scheduler.set_engines({"e1": engine("e1"), "e2": new})
         self.rollout = Wanting()
-        self.cell.steward.set_rollout(self.rollout, frozenset({"e2"}))
+        self.cell.scheduler.set_rollout(self.rollout, frozenset({"e2"}))
 
     def engines_granted(self):
         return [granted.engine for granted in self.cell.entries.of(Granted)]
@@ -302,7 +302,7 @@
     def test_request_is_not_refused_nor_another_cancelled_for_engines_held_back(self):
         self.rollout.is_open = False
         self.cell.receive(ask("a"), ask("b"), ask("c"))
-        self.cell.steward.on_load_report(report(on="e2"))
+        self.cell.scheduler.on_load_report(report(on="e2"))
         self.cell.advance(0.2)
         self.assertEqual(self.engines_granted(), ["e1", "e1"])
         self.assertEqual(self.cell.entries.ids(Refused) + self.cell.entries.ids(Preempt), [])
@@ -329,7 +329,7 @@
         return StoreDone(version=6)
 
 
-class Stewards:
+class Schedulers:
     """Keeps what each service is told of its roll-out."""
 
     def __init__(self):
@@ -354,14 +354,14 @@
 
 class CoordinatorTest(unittest.TestCase):
     def start(self, store):
-        self.stewards, self.broadcast = Stewards(), Silent()
+        self.schedulers, self.broadcast = Schedulers(), Silent()
         old, new = engine("e1"), engine("e2")
         old.service = new.service = "s"
         old.version, new.version = "v1", "v2"
         coordinator = Coordinator(
             store=store,
             adapter=PlatformAdapter(),
-            stewards=self.stewards,
+            schedulers=self.schedulers,
             broadcast=self.broadcast,
             own_services=lambda: {"s"},
             engines=lambda: {"e1": old, "e2": new},
@@ -381,9 +381,9 @@
     @on_paused_clock
     async def test_target_gets_nothing_before_its_order_is_read_nor_after(self):
         coordinator = self.start(OrderStore())
-        self.assertEqual(self.stewards.held_by_service["s"], {"e2"})
+        self.assertEqual(self.schedulers.held_by_service["s"], {"e2"})
         await self.pass_time(coordinator, 1.0)
-        self.assertEqual(self.stewards.held_by_service["s"], {"e2"})
+        self.assertEqual(self.schedulers.held_by_service["s"], {"e2"})
         await coordinator.close()
 
     @on_paused_clock
@@ -395,7 +395,7 @@
         self.broadcast.hear(RolloutWord(service="s", target="v2", state=RolloutState.ROLLED_BACK))
         await self.pass_time(coordinator, 1.0)
         self.assertEqual(store.told, ["rolled_back"])
-        self.assertEqual(self.stewards.held_by_service["s"], {"e2"})
+        self.assertEqual(self.schedulers.held_by_service["s"], {"e2"})
         await coordinator.close()
 
     @on_paused_clock
@@ -419,14 +419,14 @@
 
     @on_paused_clock
     async def test_final_state_in_the_store_is_never_replaced(self):
-        # Another steward, of which this one has not heard, has written that the version is completed.
+        # Another scheduler, of which this one has not heard, has written that the version is completed.
         store = OrderStore(status={"state": "completed", "target": "v2"})
         coordinator = self.start(store)
         await self.pass_time(coordinator, 1.0)
         self.broadcast.hear(RolloutWord(service="s", target="v2", state=RolloutState.ROLLED_BACK))
         await self.pass_time(coordinator, 1.0)
         self.assertEqual(store.told, [])
-        self.assertEqual(self.stewards.held_by_service["s"], {"e1"})
+        self.assertEqual(self.schedulers.held_by_service["s"], {"e1"})
         await coordinator.close()
 
 
--- a/tests/test_rollouts.py
+++ b/tests/test_rollouts.py
@@ -84,16 +84,16 @@
             world, _ = self.play(slow_by=lambda engine, path: 4.0, end="rolled_back")
             self.assert_exposed_little(world)
 
-    def test_bad_version_is_rolled_back_though_the_steward_dies(self):
+    def test_bad_version_is_rolled_back_though_the_scheduler_dies(self):
         # The router that counts the exposure and judges the version is killed two seconds after the order. The next
         # one goes on from what all were told, and neither begins to expose anew nor forgets the order.
-        def kill_steward(world):
+        def kill_scheduler(world):
             time.sleep(2.0)
             coordinators = [router for router in world.routers if world.coordinates(router)]
             self.assertEqual(len(coordinators), 1)
             coordinators[0].kill()
 
-        world, _ = self.play(is_bad=fails(0.3), after_order=kill_steward, end="rolled_back")
+        world, _ = self.play(is_bad=fails(0.3), after_order=kill_scheduler, end="rolled_back")
         self.assert_exposed_little(world)
 
     def test_store_that_comes_back_from_a_copy_does_not_turn_the_verdict(self):
--- a/tests/test_routers_in_series.py
+++ b/tests/test_routers_in_series.py
@@ -5,7 +5,7 @@
 import unittest
 
 from tests.test_tier_order import SLOW, Flood
-from tests.utils.disturbances import KILL, PAUSE, RESTART, STEWARD, Disturbance, Event, ask_steadily, random_plan
+from tests.utils.disturbances import KILL, PAUSE, RESTART, SCHEDULER, Disturbance, Event, ask_steadily, random_plan
 from tests.utils.running import PromiseChecks, Running
 
 CALLERS = 60
@@ -17,7 +17,7 @@
 
 class RoutersInSeriesTest(PromiseChecks, unittest.TestCase):
     # A flood of tagging fills every engine. Questions and plans come through one router that nothing happens to,
-    # while others are killed, started again or paused, the steward more often than others. Each new steward knows
+    # while others are killed, started again or paused, the scheduler more often than others. Each new scheduler knows
     # only what the entries and the engines tell it; whatever it grants too much waits in an engine's queue, in
     # order of arrival. All questions and plans are to be answered whole.
 
@@ -39,24 +39,24 @@
         lost = [each for each in asked if not each.result.whole]
         self.assertEqual(lost, [], f"{len(lost)} of {len(asked)}: {disturbance.notes}")
 
-    def test_steward_started_again_and_another_router_killed(self):
+    def test_scheduler_started_again_and_another_router_killed(self):
         events = [
-            Event(at_s=0.57, kind=RESTART, on=STEWARD, for_s=0.5),
+            Event(at_s=0.57, kind=RESTART, on=SCHEDULER, for_s=0.5),
             Event(at_s=4.83, kind=KILL, on="other"),
         ]
         self.play(4, events)
 
-    def test_steward_paused_and_then_the_next_one(self):
+    def test_scheduler_paused_and_then_the_next_one(self):
         events = [
-            Event(at_s=1.76, kind=PAUSE, on=STEWARD, for_s=4.0),
-            Event(at_s=4.45, kind=PAUSE, on=STEWARD, for_s=3.0),
+            Event(at_s=1.76, kind=PAUSE, on=SCHEDULER, for_s=4.0),
+            Event(at_s=4.45, kind=PAUSE, on=SCHEDULER, for_s=3.0),
         ]
         self.play(5, events)
 
-    def test_steward_paused_twice(self):
+    def test_scheduler_paused_twice(self):
         events = [
-            Event(at_s=1.53, kind=PAUSE, on=STEWARD, for_s=3.0),
-            Event(at_s=8.00, kind=PAUSE, on=STEWARD, for_s=3.0),
+            Event(at_s=1.53, kind=PAUSE, on=SCHEDULER, for_s=3.0),
+            Event(at_s=8.00, kind=PAUSE, on=SCHEDULER, for_s=3.0),
         ]
         self.play(3, events)
 
--- a/tests/test_run_book.py
+++ b/tests/test_run_book.py
@@ -1,6 +1,6 @@
 import unittest
 
-from tests.utils.steward_fakes import Cell, ask, finished
+from tests.utils.scheduler_fakes import Cell, ask, finished
 from wagtailtrestle.contracts.messages import Granted, Refused, RunStarted
 
 
@@ -9,7 +9,7 @@
         # An engine tells how much of a prompt its cache held only with the end of its answer.
         # By the first token alone nothing is known of what it computed.
         cell = Cell()
-        (engine,) = cell.steward._runs.engines
+        (engine,) = cell.scheduler._runs.engines
         declared_s = engine.model.prefill_s(1000)
         for number in range(20):
             request_id = f"r{number}"
--- a/tests/test_run_counts.py
+++ b/tests/test_run_counts.py
@@ -61,7 +61,7 @@
         asked = request.asks[-1]
         self.assertTrue(asked.is_retry)
         refused = {"reason": Reason.RETRY_BUDGET, "retry_after_s": 1.0}
-        request.entry.on_steward_message(Refused(request_id="r1", attempt=asked.attempt, **refused))
+        request.entry.on_scheduler_message(Refused(request_id="r1", attempt=asked.attempt, **refused))
         await asyncio.sleep(0.0)
         self.assertEqual(request.caller.answer.refusal.reason, Reason.RETRY_BUDGET)
         self.assertEqual(self.counts[("retries_refused", "asistente")], 1)
--- a/tests/test_run_reports.py
+++ b/tests/test_run_reports.py
@@ -1,8 +1,8 @@
-"""What a steward is told of an engine by the end of a run there."""
+"""What a scheduler is told of an engine by the end of a run there."""
 
 import unittest
 
-from tests.utils.steward_fakes import Cell, ask
+from tests.utils.scheduler_fakes import Cell, ask
 from wagtailtrestle.contracts.exchange import RunEnded
 from wagtailtrestle.contracts.messages import Granted
 from wagtailtrestle.contracts.outcomes import RunSilent
@@ -28,7 +28,7 @@
         self.cell.advance(0.1)
 
     def is_used(self):
-        return self.cell.steward.dump()["engines"][ENGINES[0]]["limit"] > 0
+        return self.cell.scheduler.dump()["engines"][ENGINES[0]]["limit"] > 0
 
     def test_an_engine_that_held_the_runs_in_its_queue_stays_in_use(self):
         # Questions that come later are refused as overloaded after 7.9 s. Three runs reached their deadline in the
--- a/tests/test_steward.py
+++ b/tests/test_scheduler.py
@@ -1,8 +1,8 @@
-"""One cell's steward: grants, its account of engines, refusals, registration, pauses."""
+"""One cell's scheduler: grants, its account of engines, refusals, registration, pauses."""
 
 import unittest
 
-from tests.utils.steward_fakes import Cell, ask, engine, finished, register, report, running
+from tests.utils.scheduler_fakes import Cell, ask, engine, finished, register, report, running
 from wagtailtrestle.capacity.admission import MOST_WAITING, MOST_WORK_S
 from wagtailtrestle.capacity.registration import CAUTION_S
 from wagtailtrestle.contracts.messages import Granted, Preempt, Refused, RunProgress, Withdraw
@@ -20,7 +20,7 @@
         cell = Cell(engines=("e1", "e2"), slots=3)
         cell.receive(*[ask(f"r{number}") for number in range(10)])
         self.assertEqual(len(cell.entries.of(Granted)), 6)
-        self.assertEqual(cell.steward.digest().waiting_by_tier, {1: 4})
+        self.assertEqual(cell.scheduler.digest().waiting_by_tier, {1: 4})
 
     def test_granted_carries_limits_on_silence(self):
         # A limit below the engine's normal pace would take a slow run for a dead one.
@@ -32,7 +32,7 @@
 
     def test_excluded_and_leaving_engines_get_nothing(self):
         cell = Cell(engines=("e1", "e2", "e3"))
-        cell.steward.mark_leaving("e2")
+        cell.scheduler.mark_leaving("e2")
         cell.receive(ask("r", excluded_engines=("e1",)))
         self.assertEqual(cell.entries.of(Granted)[0].engine, "e3")
         cell.receive(ask("s", excluded_engines=("e1", "e3")))
@@ -42,29 +42,29 @@
         # The platform's list marks an engine; then a declaration that says nothing of it
         # is applied. New work on it would be cut when its VM goes.
         cell = Cell()
-        cell.steward.mark_leaving("e1")
-        cell.steward.set_engines({"e1": engine("e1"), "e2": engine("e2")})
+        cell.scheduler.mark_leaving("e1")
+        cell.scheduler.set_engines({"e1": engine("e1"), "e2": engine("e2")})
         cell.receive(ask("r0"), ask("r1"), ask("r2"))
         self.assertEqual({granted.engine for granted in cell.entries.of(Granted)}, {"e2"})
 
     def test_an_engine_that_says_it_is_leaving_gets_nothing(self):
         cell = Cell()
-        cell.steward.on_load_report(report(leaving=True))
+        cell.scheduler.on_load_report(report(leaving=True))
         cell.receive(ask("r"))
         self.assertEqual(cell.entries.ids(Granted), [])
 
-    def test_draining_steward_grants_nothing(self):
+    def test_draining_scheduler_grants_nothing(self):
         cell = Cell()
-        cell.steward.stop_granting()
+        cell.scheduler.stop_granting()
         cell.receive(ask("r"))
         self.assertEqual(cell.entries.sent, [])
 
     def test_unreachable_engine_gets_nothing_until_it_reports(self):
         cell = Cell()
-        cell.steward.on_unreachable("e1")
+        cell.scheduler.on_unreachable("e1")
         cell.receive(ask("r"))
         self.assertEqual(cell.entries.ids(Granted), [])
-        cell.steward.on_load_report(report())
+        cell.scheduler.on_load_report(report())
         self.assertEqual(cell.entries.ids(Granted), ["r"])
 
 
@@ -77,7 +77,7 @@
         cell.receive(*[ask(f"low{number}", tier=3, remaining_s=900.0) for number in range(MOST_WAITING)])
         cell.receive(*[ask(f"high{number}", tier=0, remaining_s=900.0) for number in range(MOST_WAITING // 2)])
         refused = cell.entries.of(Refused)
-        self.assertEqual(sum(cell.steward.digest().waiting_by_tier.values()), MOST_WAITING)
+        self.assertEqual(sum(cell.scheduler.digest().waiting_by_tier.values()), MOST_WAITING)
         self.assertEqual({each.request_id[:3] for each in refused}, {"low"})
         self.assertEqual({each.reason for each in refused}, {Reason.OVERLOADED})
         self.assertGreater(refused[-1].retry_after_s, 10.0)
@@ -85,8 +85,8 @@
     def test_few_very_long_requests_are_bounded_by_their_work(self):
         cell = Cell(slots=1)
         cell.receive(*[ask(f"r{number}", output_tokens=20_000, remaining_s=9000.0) for number in range(9)])
-        self.assertLessEqual(cell.steward._queue.work_s, MOST_WORK_S)
-        self.assertEqual(len(cell.entries.of(Refused)) + cell.steward.digest().waiting_by_tier[1], 8)
+        self.assertLessEqual(cell.scheduler._queue.work_s, MOST_WORK_S)
+        self.assertEqual(len(cell.entries.of(Refused)) + cell.scheduler.digest().waiting_by_tier[1], 8)
 
 
 class MessagesTest(unittest.TestCase):
@@ -96,37 +96,37 @@
         cell = Cell(slots=1)
         cell.receive(ask("r"), ask("w", tier=0, repeatable=False), ask("r"))
         self.assertEqual(cell.entries.ids(Granted), ["r", "r"])
-        self.assertEqual(cell.steward.digest().waiting_by_tier, {0: 1})
+        self.assertEqual(cell.scheduler.digest().waiting_by_tier, {0: 1})
 
     def test_a_late_copy_of_a_settled_ask_takes_no_place(self):
         # A copy arrives after its run ended. Granted, it would hold a place for ever,
         # for no entry would ever finish it.
         cell = Cell()
         cell.receive(ask("r"), finished("r"), ask("r"))
-        self.assertEqual(cell.steward.digest().free, 2)
+        self.assertEqual(cell.scheduler.digest().free, 2)
         cell.receive(ask("w", attempt=2), Withdraw(request_id="w"), ask("w", attempt=1))
-        self.assertEqual(cell.steward.digest().free, 2)
+        self.assertEqual(cell.scheduler.digest().free, 2)
 
     def test_a_newer_ask_replaces_the_older(self):
         cell = Cell()
         cell.receive(ask("r"), ask("r", attempt=2))
         self.assertEqual([granted.attempt for granted in cell.entries.of(Granted)], [1, 2])
-        self.assertEqual(cell.steward.digest().free, 1)
+        self.assertEqual(cell.scheduler.digest().free, 1)
 
     def test_a_finish_of_an_unknown_run_is_ignored(self):
         cell = Cell()
         cell.receive(ask("r"), finished("other"), finished("r", on="e9"))
-        self.assertEqual(cell.steward.digest().free, 1)
+        self.assertEqual(cell.scheduler.digest().free, 1)
 
     def test_a_place_given_back_unused_says_nothing_about_the_engine(self):
-        # Two stewards for a moment: every grant of one comes back unused. Counted as
+        # Two schedulers for a moment: every grant of one comes back unused. Counted as
         # failures, they would eject a healthy engine.
         cell = Cell(engines=("e1", "e2", "e3"))
         for number in range(20):
             request = ask(f"r{number}", excluded_engines=("e2", "e3"))
             cell.receive(request, finished(f"r{number}", result="RunNotSent", duration_s=0.0))
         cell.advance(0.1)
-        self.assertEqual(cell.steward.digest().free, 6)
+        self.assertEqual(cell.scheduler.digest().free, 6)
 
 
 class LoadReportTest(unittest.TestCase):
@@ -138,23 +138,23 @@
         cell.advance(1.0)
         cell.receive(finished("a"), finished("b"))
         cell.advance(0.2)
-        cell.steward.on_load_report(report(age_s=0.5, running=2))
-        self.assertEqual(cell.steward.digest().free, 2)
+        cell.scheduler.on_load_report(report(age_s=0.5, running=2))
+        self.assertEqual(cell.scheduler.digest().free, 2)
 
     def test_a_late_report_does_not_hide_what_was_granted_since(self):
         cell = Cell()
         cell.receive(ask("a"), ask("b"))
-        cell.steward.on_load_report(report(age_s=0.5, running=0))
-        self.assertEqual(cell.steward.digest().free, 0)
+        cell.scheduler.on_load_report(report(age_s=0.5, running=0))
+        self.assertEqual(cell.scheduler.digest().free, 0)
 
     def test_load_of_unknown_entries_counts(self):
-        # Another steward granted two runs here while the view was split. Places that look
+        # Another scheduler granted two runs here while the view was split. Places that look
         # free to us are not.
         cell = Cell()
-        cell.steward.on_load_report(report(running=1, waiting=1))
+        cell.scheduler.on_load_report(report(running=1, waiting=1))
         cell.receive(ask("r"))
         self.assertEqual(cell.entries.ids(Granted), [])
-        cell.steward.on_load_report(report(running=1))
+        cell.scheduler.on_load_report(report(running=1))
         self.assertEqual(cell.entries.ids(Granted), ["r"])
 
 
@@ -164,12 +164,12 @@
         # it holds nothing, and believing otherwise would send the prompt there for nothing.
         blocks = tuple(range(1, 9))
         cell = Cell(engines=("e1", "e2"))
-        cell.steward.on_cache_events(CacheEvents(engine="e2", stored=blocks, removed=()))
+        cell.scheduler.on_cache_events(CacheEvents(engine="e2", stored=blocks, removed=()))
         cell.receive(ask("r", prompt_tokens=600, prefix_blocks=blocks))
         self.assertEqual(cell.entries.of(Granted)[0].engine, "e2")
         cell.receive(finished("r", on="e2"))
-        cell.steward.on_cache_events(CacheEvents(engine="e2", stored=(), removed=(), restarted=True))
-        held = cell.steward._runs.engines_by_name["e2"].cache
+        cell.scheduler.on_cache_events(CacheEvents(engine="e2", stored=(), removed=(), restarted=True))
+        held = cell.scheduler._runs.engines_by_name["e2"].cache
         self.assertEqual(held.cached_tokens(blocks), 0)
 
 
@@ -193,7 +193,7 @@
         # would be late at that pace, but not once no more of them is prefilled beside it.
         cell = Cell()
         cell.measure()
-        for state in cell.steward._runs.engines:
+        for state in cell.scheduler._runs.engines:
             for _ in range(20):
                 state.model.observe_finish(output_tokens=100, decode_s=4.0, mean_concurrency=1)
         cell.receive(ask("q", tier=0, remaining_s=2.5))
@@ -218,7 +218,7 @@
         refused = cell.entries.of(Refused)
         self.assertEqual({message.reason for message in refused}, {Reason.OVERLOADED})
         self.assertGreater(len(refused), 15)
-        self.assertGreater(cell.steward.digest().waiting_by_tier[1], 3)
+        self.assertGreater(cell.scheduler.digest().waiting_by_tier[1], 3)
 
     def test_no_higher_tier_is_refused_while_a_lower_waits(self):
         # The queue of the higher tier is too long for its deadline, but a lower tier
@@ -251,8 +251,8 @@
 
 
 class RegistrationTest(unittest.TestCase):
-    def test_a_new_steward_waits_for_every_member(self):
-        # A steward takes over: what the others run is not known yet. Granting at once
+    def test_a_new_scheduler_waits_for_every_member(self):
+        # A scheduler takes over: what the others run is not known yet. Granting at once
         # would fill engines twice over.
         cell = Cell(members=("r1", "r2"))
         cell.receive(register("r1", waiting=[ask("r")]))
@@ -262,62 +262,62 @@
         cell.receive(finished("x"))
         self.assertEqual(cell.entries.ids(Granted), ["r"])
 
-    def test_an_entry_that_still_goes_by_another_steward_is_awaited(self):
-        # The steward died, and r1 is the next one by its own view. It asks r2, which has not heard of the
-        # death yet and answers that its steward is another. Taken for "r2 runs nothing", that
+    def test_an_entry_that_still_goes_by_another_scheduler_is_awaited(self):
+        # The scheduler died, and r1 is the next one by its own view. It asks r2, which has not heard of the
+        # death yet and answers that its scheduler is another. Taken for "r2 runs nothing", that
         # answer filled the engine twice over: what was granted too much waited in the engine's queue, was
         # given up as silent after two seconds, and a question lost its last run.
         cell = Cell(members=("r1", "r2"))
         cell.receive(register("r1", waiting=[ask("r")]), register("r2", elsewhere=True))
         self.assertEqual(cell.entries.ids(Granted), [])
-        self.assertEqual(cell.steward.awaited_entries, {"r2"})
+        self.assertEqual(cell.scheduler.awaited_entries, {"r2"})
         cell.receive(register("r2", running=[running(ask("x", entry="r2")), running(ask("y", entry="r2"))]))
         self.assertEqual(cell.entries.ids(Granted), [])
 
-    def test_a_steward_that_takes_over_again_waits_anew(self):
-        # This router was steward when the fleet started, then another one was, and now that one has died. That
+    def test_a_scheduler_that_takes_over_again_waits_anew(self):
+        # This router was scheduler when the fleet started, then another one was, and now that one has died. That
         # everybody registered long ago says nothing of what the other granted since: the engine is full.
         cell = Cell(slots=2, members=("r1", "r2"))
         cell.receive(register("r1"), register("r2"))
         cell.advance(10.0)
-        cell.steward.take_over()
+        cell.scheduler.take_over()
         cell.receive(register("r1", waiting=[ask("r")]))
         self.assertEqual(cell.entries.ids(Granted), [])
         cell.receive(register("r2", running=[running(ask("x", entry="r2")), running(ask("y", entry="r2"))]))
         self.assertEqual(cell.entries.ids(Granted), [])
 
-    def test_who_registered_just_before_the_steward_knew_is_not_awaited(self):
+    def test_who_registered_just_before_the_scheduler_knew_is_not_awaited(self):
         cell = Cell(slots=2, members=("r1", "r2"))
         cell.receive(register("r1"), register("r2"))
         cell.advance(10.0)
         cell.receive(register("r2", running=[running(ask("x", entry="r2"))]))
-        cell.steward.take_over()
-        self.assertEqual(cell.steward.awaited_entries, {"r1"})
+        cell.scheduler.take_over()
+        self.assertEqual(cell.scheduler.awaited_entries, {"r1"})
         cell.receive(register("r1", waiting=[ask("r")]))
         self.assertEqual(cell.entries.ids(Granted), ["r"])
 
     def test_runs_of_a_router_that_died_are_reckoned_with_before_they_are_reported(self):
-        # The steward died, and with it the entry whose runs the engine still goes on with. All who live have
+        # The scheduler died, and with it the entry whose runs the engine still goes on with. All who live have
         # registered, and nobody speaks for these runs: granting at once filled the engine twice over, and a
         # question in the engine's queue was given up as silent.
         cell = Cell(slots=2)
-        cell.steward.expect_orphans()
-        cell.steward.set_members(frozenset({"r1"}))
+        cell.scheduler.expect_orphans()
+        cell.scheduler.set_members(frozenset({"r1"}))
         cell.receive(register("r1", waiting=[ask("r"), ask("s")]))
         self.assertEqual(cell.entries.ids(Granted), [])
-        cell.steward.on_load_report(report(running=1))
+        cell.scheduler.on_load_report(report(running=1))
         self.assertEqual(cell.entries.ids(Granted), ["r"])
 
     def test_an_engine_that_never_reports_is_used_after_the_wait(self):
         cell = Cell(slots=2)
-        cell.steward.expect_orphans()
-        cell.steward.set_members(frozenset({"r1"}))
+        cell.scheduler.expect_orphans()
+        cell.scheduler.set_members(frozenset({"r1"}))
         cell.receive(register("r1", waiting=[ask("r")]))
         cell.advance(CAUTION_S + 0.1)
         self.assertEqual(cell.entries.ids(Granted), ["r"])
 
-    def test_runs_of_an_entry_that_turned_to_another_steward_keep_their_places(self):
-        # A question of r1 waits in the engine's queue until its deadline. A steward that was started again takes
+    def test_runs_of_an_entry_that_turned_to_another_scheduler_keep_their_places(self):
+        # A question of r1 waits in the engine's queue until its deadline. A scheduler that was started again takes
         # the cell back; r2 hears of it first and tells this one that it goes by another. Its run goes on all
         # the same: were its place free now, r1, which has not heard yet, got a second run on it.
         cell = Cell(slots=1, members=("r1", "r2"))
@@ -326,13 +326,13 @@
         cell.receive(register("r2", elsewhere=True))
         self.assertEqual(cell.entries.ids(Granted), ["x"])
         cell.advance(0.1)
-        cell.steward.on_load_report(report(running=1))
+        cell.scheduler.on_load_report(report(running=1))
         self.assertEqual(cell.entries.ids(Granted), ["x"])
         cell.advance(0.1)
-        cell.steward.on_load_report(report(running=0))
+        cell.scheduler.on_load_report(report(running=0))
         self.assertEqual(cell.entries.ids(Granted), ["x", "r"])
 
-    def test_asks_of_an_entry_that_turned_to_another_steward_are_dropped(self):
+    def test_asks_of_an_entry_that_turned_to_another_scheduler_are_dropped(self):
         # The entry asks there now; granted here too, its request would take two places.
         cell = Cell(slots=1, members=("r1", "r2"))
         cell.receive(register("r1"), register("r2"), ask("x"), ask("y", entry="r2"), ask("r"))
@@ -355,22 +355,22 @@
     def test_meanwhile_it_grants_what_the_engines_report_free(self):
         cell = Cell(engines=("e1", "e2"), members=("r1", "silent"))
         cell.receive(register("r1", waiting=[ask(f"r{number}") for number in range(4)]))
-        cell.steward.on_load_report(report(on="e1", running=1))
+        cell.scheduler.on_load_report(report(on="e1", running=1))
         self.assertEqual([granted.engine for granted in cell.entries.of(Granted)], ["e1"])
 
     def test_a_registered_run_is_not_counted_twice(self):
         # The engine's report shows a run before its entry has registered it.
         cell = Cell(members=("r1", "r2"))
-        cell.steward.on_load_report(report(running=1))
+        cell.scheduler.on_load_report(report(running=1))
         cell.receive(register("r2", running=[running(ask("x", entry="r2"))]))
-        self.assertEqual(cell.steward.digest().free, 1)
+        self.assertEqual(cell.scheduler.digest().free, 1)
 
     def test_registering_replaces_what_was_known(self):
         cell = Cell()
         cell.receive(ask("gone"), ask("kept"), ask("waits"), ask("dropped"))
         cell.receive(register("r1", waiting=[ask("waits")], running=[running(ask("kept"))]))
         self.assertEqual(cell.entries.ids(Granted), ["gone", "kept", "waits"])
-        self.assertEqual(cell.steward.digest().waiting_by_tier, {})
+        self.assertEqual(cell.scheduler.digest().waiting_by_tier, {})
 
     def test_a_grant_that_crossed_the_registration_is_sent_again(self):
         # The entry registered before our grant reached it. A second place for the same
@@ -378,7 +378,7 @@
         cell = Cell(slots=1)
         cell.receive(ask("r"), ask("w", tier=0, entry="r2"), register("r1", waiting=[ask("r")]))
         self.assertEqual(cell.entries.ids(Granted), ["r", "r"])
-        self.assertEqual(cell.steward.digest().waiting_by_tier, {0: 1})
+        self.assertEqual(cell.scheduler.digest().waiting_by_tier, {0: 1})
 
     def test_an_entry_that_died_frees_its_places_only_when_the_engine_shows_it(self):
         # Router r2 dies. Its waiting requests are gone with it, but the engine still runs
@@ -386,35 +386,35 @@
         cell = Cell(members=("r1", "r2"))
         cell.receive(register("r1"), register("r2"))
         cell.receive(ask("x", entry="r2"), ask("y", entry="r2"), ask("z", entry="r2"), ask("r"))
-        cell.steward.set_members(frozenset({"r1"}))
+        cell.scheduler.set_members(frozenset({"r1"}))
         cell.advance(0.5)
         self.assertEqual(cell.entries.ids(Granted), ["x", "y"])
-        cell.steward.on_load_report(report(running=1))
+        cell.scheduler.on_load_report(report(running=1))
         self.assertEqual(cell.entries.ids(Granted), ["x", "y", "r"])
 
     def test_a_place_whose_end_nobody_tells_comes_back_after_its_deadline(self):
         cell = Cell(members=("r1", "r2"))
         cell.receive(register("r1"), register("r2"), ask("x", entry="r2"))
-        cell.steward.set_members(frozenset({"r1"}))
+        cell.scheduler.set_members(frozenset({"r1"}))
         cell.advance(14.0)
-        self.assertEqual(cell.steward.digest().free, 1)
+        self.assertEqual(cell.scheduler.digest().free, 1)
         cell.advance(2.0)
-        self.assertEqual(cell.steward.digest().free, 2)
+        self.assertEqual(cell.scheduler.digest().free, 2)
 
-    def test_a_steward_that_wakes_trusts_nothing_it_knew(self):
+    def test_a_scheduler_that_wakes_trusts_nothing_it_knew(self):
         # The process is stopped for 30 s; others served the cell meanwhile and filled the
         # engine. On waking, its own account shows both places free.
         cell = Cell(members=("r1",))
         cell.receive(register("r1"))
-        cell.steward.on_load_report(report())
+        cell.scheduler.on_load_report(report())
         cell.clock.now += 30.0
         cell.receive(ask("r"))
         self.assertEqual(cell.entries.ids(Granted), [])
-        self.assertEqual(cell.steward.awaited_entries, {"r1"})
-        cell.steward.on_load_report(report(running=2))
+        self.assertEqual(cell.scheduler.awaited_entries, {"r1"})
+        cell.scheduler.on_load_report(report(running=2))
         self.assertEqual(cell.entries.ids(Granted), [])
         cell.receive(register("r1", waiting=[ask("r")]))
-        cell.steward.on_load_report(report(running=1))
+        cell.scheduler.on_load_report(report(running=1))
         self.assertEqual(cell.entries.ids(Granted), ["r"])
 
     def test_a_lost_preemption_is_told_again_on_registering(self):
--- a/tests/test_spec_replay.py
+++ b/tests/test_spec_replay.py
@@ -20,8 +20,8 @@
 from tests.utils.freshness_replay import FreshnessReplay
 from tests.utils.ledger_replay import LedgerReplay
 from tests.utils.resumption_replay import ResumptionReplay
-from tests.utils.scheduling_replay import EntryReplay, StewardReplay
-from tests.utils.steward_fakes import Cell, ask, register, running
+from tests.utils.scheduler_fakes import Cell, ask, register, running
+from tests.utils.scheduling_replay import EntryReplay, SchedulerReplay
 from wagtailtrestle.capacity.admission import MAX_ASKS
 from wagtailtrestle.contracts.messages import Preempt, Refused
 from wagtailtrestle.entry.request_task import MAX_NOT_SENT
@@ -138,16 +138,16 @@
 
 
 class SchedulingReplayTest(unittest.TestCase):
-    def test_a_steward_does_only_what_the_specification_allows(self):
+    def test_a_scheduler_does_only_what_the_specification_allows(self):
         followed = set()
         for name, trace, _ in guides(scheduling):
             with self.subTest(guide=name):
-                replay = StewardReplay(specification=scheduling.specification(), trace=trace)
+                replay = SchedulerReplay(specification=scheduling.specification(), trace=trace)
                 for _ in replay.run():
                     self.assertEqual(replay.held(), replay.expected())
                 self.assertEqual(replay.monitor.violations, [])
                 self.assertEqual(replay.monitor.broken(), [])
-                followed |= {action for action in replay.monitor.taken if "steward=s0" in action}
+                followed |= {action for action in replay.monitor.taken if "scheduler=s0" in action}
         done = {action.partition("(")[0] for action in followed}
         self.assertLessEqual({"hold_ask", "grant", "grant_again", "preempt", "refuse", "expire", "free_place"}, done)
 
@@ -155,7 +155,7 @@
         followed = set()
         for name, trace, _ in guides(scheduling):
             with self.subTest(guide=name):
-                # Where the mutant's fault is the steward's, the entry must follow it all the same.
+                # Where the mutant's fault is the scheduler's, the entry must follow it all the same.
                 without = name.removeprefix("without ") if name.startswith("without ") else ""
                 without = "" if without in ENTRY_SAFEGUARDS else without
                 replay = EntryReplay(specification=scheduling.specification(without=without), trace=trace)
@@ -195,7 +195,7 @@
 
 
 class DrainingReplayTest(unittest.TestCase):
-    def test_stewards_and_entry_do_only_what_the_specification_allows(self):
+    def test_schedulers_and_entry_do_only_what_the_specification_allows(self):
         followed = set()
         for name, trace, _ in guides(draining):
             with self.subTest(guide=name):
@@ -254,14 +254,14 @@
     def test_a_middle_tier_is_not_refused_while_a_lower_tier_runs(self):
         # A report that was cancelled several times for questions asks again while tagging runs
         # and waits. Refusing it ("preempted") sheds a higher tier while lower repeatable work,
-        # which should yield, goes on: `refuse` is not allowed while the steward knows lower work.
+        # which should yield, goes on: `refuse` is not allowed while the scheduler knows lower work.
         cell = Cell(slots=1)
         cell.receive(ask("tag1", tier=2, remaining_s=600.0), ask("tag2", tier=2, remaining_s=600.0))
         cell.receive(ask("report", tier=1, attempt=MAX_ASKS + 1, done_tokens=50))
         self.assertEqual(cell.entries.ids(Refused), [])
 
-    def test_a_new_steward_tells_lower_runs_to_yield(self):
-        # A steward takes a cell over; one entry registered a long tagging run, another is still
+    def test_a_new_scheduler_tells_lower_runs_to_yield(self):
+        # A scheduler takes a cell over; one entry registered a long tagging run, another is still
         # silent. A question arrives and can only be finished if the tagging yields. It must not wait
         # in vain until it expires: `expire` is not allowed before the run was told to yield.
         cell = Cell(slots=1, members=("r1", "r2"))
--- a/tests/test_suited_engine.py
+++ b/tests/test_suited_engine.py
@@ -9,7 +9,7 @@
 
 import unittest
 
-from tests.utils.steward_fakes import Cell, ask, engine, finished
+from tests.utils.scheduler_fakes import Cell, ask, engine, finished
 from wagtailtrestle.capacity.grants import CHOOSY_SHARE
 from wagtailtrestle.contracts.messages import Granted, Refused
 
@@ -32,7 +32,7 @@
 class SuitedEngineTest(unittest.TestCase):
     def cell(self, *engines):
         cell = Cell(engines=())
-        cell.steward.set_engines({each.name: each for each in engines})
+        cell.scheduler.set_engines({each.name: each for each in engines})
         return cell
 
     def ask(self, cell, request_id, *, prompt_tokens):
--- a/tests/test_tier_order.py
+++ b/tests/test_tier_order.py
@@ -86,7 +86,7 @@
     SETTINGS = {"routers": 3}
 
     def is_full(self):
-        state = self.running.state(self.running.steward_of())["stewards"].get("asistente")
+        state = self.running.state(self.running.scheduler_of())["stewards"].get("asistente")
         if state is None:
             return False
         running = sum(engine["running"] for engine in state["engines"].values())
@@ -101,7 +101,7 @@
     def test_questions_while_tagging_fills_every_engine(self):
         # Tagging fills every engine with runs longer than a question can wait, and more of it waits.
         # Questions that come then at any router are all answered, for runs of tagging are cancelled.
-        # Then the steward dies, so that for a moment the routers disagree on who decides: none of
+        # Then the scheduler dies, so that for a moment the routers disagree on who decides: none of
         # the others may refuse a question on a guess.
         running = self.running
         wait_until(self.is_full, "engines full of tagging")
@@ -109,10 +109,10 @@
         questions = self.ask_questions(running.routers)
         self.assertGreater(self.cancelled(), 0)
         self.check(questions, f"flooded engines ({self.cancelled()} runs of tagging cancelled)")
-        steward = running.steward_of()
-        running.router(steward).kill()
-        questions = self.ask_questions([name for name in running.routers if name != steward])
-        self.check(questions, "flooded engines, steward killed")
+        scheduler = running.scheduler_of()
+        running.router(scheduler).kill()
+        questions = self.ask_questions([name for name in running.routers if name != scheduler])
+        self.check(questions, "flooded engines, scheduler killed")
 
 
 class FewThreadsTest(FloodCase):
--- a/tests/test_tier_queue.py
+++ b/tests/test_tier_queue.py
@@ -3,7 +3,7 @@
 import unittest
 from collections import Counter
 
-from tests.utils.steward_fakes import ask
+from tests.utils.scheduler_fakes import ask
 from wagtailtrestle.capacity.grants import WaitingRequest
 from wagtailtrestle.capacity.team_queue import AGEING, COMPACT_ABOVE
 from wagtailtrestle.capacity.tier_queue import TierQueue
--- a/tests/utils/dispatch_replay.py
+++ b/tests/utils/dispatch_replay.py
@@ -91,7 +91,7 @@
         task = entry.tasks_by_id.get("n0")
         if task is not None and str(task.state) == "queued":
             limits = {"progress_deadline_s": LONG_S, "first_token_deadline_s": LONG_S}
-            entry.on_steward_message(Granted(request_id="n0", attempt=task.attempt, engine="e1", **limits))
+            entry.on_scheduler_message(Granted(request_id="n0", attempt=task.attempt, engine="e1", **limits))
 
     def _end_run(self, entry, outcome):
         start = self._caller.starts[-1]
--- a/tests/utils/disturbances.py
+++ b/tests/utils/disturbances.py
@@ -8,14 +8,14 @@
 from tests.utils.running import PLAN, QUESTION
 
 KILL, RESTART, PAUSE = "kill", "restart", "pause"
-STEWARD = "steward"
+SCHEDULER = "scheduler"
 ASK_EVERY_S = 0.15
 ASK_FOR_S = 8.0
 FIRST_EVENT_S, LAST_EVENT_S = 0.5, 6.0
 LONGEST_DOWN_S = 1.5
 SHORTEST_PAUSE_S, LONGEST_PAUSE_S = 0.3, 6.0
-STEWARD_SHARE = 0.6
-"""Of the events, those that hit whoever is steward at that moment: its loss disturbs all others most."""
+SCHEDULER_SHARE = 0.6
+"""Of the events, those that hit whoever is scheduler at that moment: its loss disturbs all others most."""
 
 
 class Event:
@@ -28,7 +28,7 @@
     kind : str
         ``kill``; ``restart``, a kill and a start after ``for_s``; ``pause``, for ``for_s``.
     on : str
-        ``steward``, the router that is steward at that moment, or any ``other``.
+        ``scheduler``, the router that is scheduler at that moment, or any ``other``.
     for_s : float
     """
 
@@ -58,7 +58,7 @@
     return Event(
         at_s=chance.uniform(FIRST_EVENT_S, LAST_EVENT_S),
         kind=kind,
-        on=STEWARD if chance.random() < STEWARD_SHARE else "other",
+        on=SCHEDULER if chance.random() < SCHEDULER_SHARE else "other",
         for_s=chance.uniform(*lengths[kind]),
     )
 
@@ -117,11 +117,11 @@
         self._hit.discard(name)
 
     def _target(self, event):
-        steward = self._running.steward_of(asked=self._spared)
+        scheduler = self._running.scheduler_of(asked=self._spared)
         live = [name for name in self._running.routers if self._running.router(name).is_running()]
         left = [name for name in live if name not in self._hit and name != self._spared]
-        if event.on == STEWARD and steward in left:
-            left = [steward]
+        if event.on == SCHEDULER and scheduler in left:
+            left = [scheduler]
         if not left:
             return None
         self._hit.add(left[0])
--- a/tests/utils/draining_replay.py
+++ b/tests/utils/draining_replay.py
@@ -1,10 +1,10 @@
-"""Runs real stewards and a real entry along traces of the drain's specification."""
+"""Runs real schedulers and a real entry along traces of the drain's specification."""
 
 import asyncio
 
+from tests.utils.scheduler_fakes import FakeEntries, ask, engine, finished
 from tests.utils.scheduling_replay import FakeCaller, caller_request, make_entry
-from tests.utils.steward_fakes import FakeEntries, ask, engine, finished
-from wagtailtrestle.capacity.steward_set import StewardSet
+from wagtailtrestle.capacity.scheduler_set import SchedulerSet
 from wagtailtrestle.contracts.declaration import LANGUAGE, Declaration, Route, Service
 from wagtailtrestle.contracts.exchange import RunEnded
 from wagtailtrestle.contracts.messages import Granted
@@ -34,7 +34,7 @@
 
 
 class DrainReplay:
-    """The steward of the draining router, then that of another, and the draining entry.
+    """The scheduler of the draining router, then that of another, and the draining entry.
 
     Parameters
     ----------
@@ -49,7 +49,7 @@
         self._entries = FakeEntries()
         self._declaration = declaration(leaving=False)
         self._listed = frozenset()
-        self._stewards = None
+        self._schedulers = None
         self._draining = False
         self._entry = None
         self._callers = {}
@@ -60,11 +60,11 @@
         """Follow the trace; grants and the end of the drain are the real modules' own."""
         loop = asyncio.get_running_loop()
         self._entry, _ = make_entry(loop=loop, declaration=self._declaration)
-        self._stewards = self._new_stewards()
+        self._schedulers = self._new_schedulers()
         for step in self._trace.steps[1:]:
             self._follow(step)
             await asyncio.sleep(STEP_S)
-            self._stewards.tick()
+            self._schedulers.tick()
             self._tell_grants()
             await asyncio.sleep(STEP_S)
             self._tell_drained()
@@ -73,21 +73,21 @@
     async def toggle(self, tellers):
         """Let tellers mark the engine or take it back in turn; returns what should be and is believed."""
         self._entry, _ = make_entry(loop=asyncio.get_running_loop(), declaration=self._declaration)
-        self._stewards = self._new_stewards()
-        self._stewards.deliver(CELL, ask("first"))
+        self._schedulers = self._new_schedulers()
+        self._schedulers.deliver(CELL, ask("first"))
         expected, believed = [], []
         for teller in tellers:
             verb = "unmark" if self.monitor.read(f"{teller}_leaving") else "mark"
             self._follow(Step(action=f"{teller}_{verb}()", state={}))
             expected.append(self.monitor.read("believed_leaving"))
-            believed.append(self._stewards.dump()[CELL]["engines"][LEAVER]["leaving"])
+            believed.append(self._schedulers.dump()[CELL]["engines"][LEAVER]["leaving"])
         return expected, believed
 
-    def _new_stewards(self):
-        stewards = StewardSet(clock=asyncio.get_running_loop().time, entries=self._entries)
-        stewards.set_declaration(self._declaration)
-        stewards.set_leaving(self._listed)
-        return stewards
+    def _new_schedulers(self):
+        schedulers = SchedulerSet(clock=asyncio.get_running_loop().time, entries=self._entries)
+        schedulers.set_declaration(self._declaration)
+        schedulers.set_leaving(self._listed)
+        return schedulers
 
     def _follow(self, step):
         request = step.parameters.get("request")
@@ -97,12 +97,12 @@
         match step.verb:
             case "declared_mark" | "declared_unmark":
                 self._declaration = declaration(leaving=step.verb == "declared_mark")
-                self._stewards.set_declaration(self._declaration)
+                self._schedulers.set_declaration(self._declaration)
             case "listed_mark" | "listed_unmark":
                 self._listed = frozenset({LEAVER} if step.verb == "listed_mark" else ())
-                self._stewards.set_leaving(self._listed)
+                self._schedulers.set_leaving(self._listed)
             case "drain":
-                self._stewards.stop_granting()
+                self._schedulers.stop_granting()
             case "hand_over":
                 self._hand_over()
             case "shut_intake":
@@ -115,23 +115,23 @@
                 self.ended_with_work = bool(self._entry.tasks_by_id)
 
     def _hand_over(self):
-        """Another router's steward takes the cell; the entries register what waits."""
-        self._stewards = self._new_stewards()
+        """Another router's scheduler takes the cell; the entries register what waits."""
+        self._schedulers = self._new_schedulers()
         for number in range(len(self.monitor.specification.domains_by_variable)):
             if f"request[{number}]" not in self.monitor.specification.domains_by_variable:
                 return
             if self.monitor.read(f"request[{number}]") == "queued":
-                self._stewards.deliver(CELL, ask(f"q{number}", entry="r1"))
+                self._schedulers.deliver(CELL, ask(f"q{number}", entry="r1"))
 
     def _arrive(self, request):
         if request % 2 == 0:
             caller = self._callers[request] = FakeCaller()
             deadline = asyncio.get_running_loop().time() + 600.0
             self._entry.submit(caller_request(f"q{request}", deadline=deadline), caller)
-        self._stewards.deliver(CELL, ask(f"q{request}", entry="r1"))
+        self._schedulers.deliver(CELL, ask(f"q{request}", entry="r1"))
 
     def _finish(self, request):
-        self._stewards.deliver(CELL, finished(f"q{request}", on=self._granted[request].engine))
+        self._schedulers.deliver(CELL, finished(f"q{request}", on=self._granted[request].engine))
         if request in self._callers:
             run_id = self._callers[request].starts[-1].run_id
             self._entry.post(f"q{request}", RunEnded(run_id=run_id, outcome=RunDone(), duration_s=0.1))
@@ -142,7 +142,7 @@
             if request not in self._granted:
                 self._granted[request] = message
                 self.monitor.take(f"grant(request={request}, engine={message.engine})")
-                self._entry.on_steward_message(message)
+                self._entry.on_scheduler_message(message)
 
     def _tell_drained(self):
         if self._drained is not None and self._drained.done():
--- a/tests/utils/retry_fleet.py
+++ b/tests/utils/retry_fleet.py
@@ -1,4 +1,4 @@
-"""Routers whose engines fail: real entries, stewards and views, joined by fakes on one loop whose time jumps."""
+"""Routers whose engines fail: real entries, schedulers and views, joined by fakes on one loop whose time jumps."""
 
 import asyncio
 import itertools
@@ -7,10 +7,10 @@
 
 from tests.utils.fake_routers import FakeNet
 from tests.utils.paused_clock import now
+from tests.utils.scheduler_fakes import engine
 from tests.utils.scheduling_replay import QuietCrashes, caller_request
-from tests.utils.steward_fakes import engine
 from wagtailtrestle.capacity.retry_budget import RetryLimits
-from wagtailtrestle.capacity.steward_set import StewardSet
+from wagtailtrestle.capacity.scheduler_set import SchedulerSet
 from wagtailtrestle.contracts.declaration import PLAIN, Declaration, Service
 from wagtailtrestle.contracts.exchange import AnswerWhole, RunEnded, StartRun
 from wagtailtrestle.contracts.outcomes import RunCut, RunDone, RunNotSent
@@ -48,7 +48,7 @@
 
 
 class FleetRouter:
-    """One router: its entry, its stewards and its directory."""
+    """One router: its entry, its schedulers and its directory."""
 
     def __init__(self, *, fleet, name):
         loop = asyncio.get_running_loop()
@@ -60,19 +60,21 @@
             membership=membership,
             peers=fleet.net.peers_by_name[name],
             loop=loop,
-            deliver_to_steward=lambda cell, message: self.stewards.deliver(cell, message),
-            deliver_to_entry=lambda message: self.entry.on_steward_message(message),
+            deliver_to_scheduler=lambda cell, message: self.schedulers.deliver(cell, message),
+            deliver_to_entry=lambda message: self.entry.on_scheduler_message(message),
             register=lambda cell: self.entry.register(cell),
             cells=lambda: (SERVICE,),
-            set_members=lambda names: self.stewards.set_members(names),
-            begin_cell=lambda cell: self.stewards.begin(cell),
+            set_members=lambda names: self.schedulers.set_members(names),
+            begin_cell=lambda cell: self.schedulers.begin(cell),
         )
-        self.stewards = StewardSet(clock=loop.time, entries=self.directory.entry_link, retry_limits=self._retry_limits)
-        self.stewards.set_members(membership.view.everyone)
-        self.stewards.set_declaration(fleet.declaration)
+        self.schedulers = SchedulerSet(
+            clock=loop.time, entries=self.directory.entry_link, retry_limits=self._retry_limits
+        )
+        self.schedulers.set_members(membership.view.everyone)
+        self.schedulers.set_declaration(fleet.declaration)
         self.entry = Entry(
             name=name,
-            stewards=self.directory.steward_link,
+            schedulers=self.directory.scheduler_link,
             claims=None,
             crashes=QuietCrashes(),
             declaration=lambda: fleet.declaration,
@@ -88,9 +90,9 @@
     async def _tick(self):
         while True:
             await asyncio.sleep(TICK_S)
-            self.stewards.tick()
-            for cell, steward in self.stewards.by_cell.items():
-                self.directory.ask_to_register(cell=cell, entries=steward.awaited_entries)
+            self.schedulers.tick()
+            for cell, scheduler in self.schedulers.by_cell.items():
+                self.directory.ask_to_register(cell=cell, entries=scheduler.awaited_entries)
 
     async def close(self):
         self.ticking.cancel()
--- a/tests/utils/running.py
+++ b/tests/utils/running.py
@@ -144,7 +144,7 @@
             self.deployment.start()
             self.deployment.apply()
             self.deployment.wait_routers_ready()
-            wait_until(self.agree, "one steward on which all routers agree")
+            wait_until(self.agree, "one scheduler on which all routers agree")
         except BaseException:
             self.close()
             raise
@@ -176,13 +176,13 @@
         """A router's own state dump."""
         return self.deployment.get(f"{self.deployment.admin_url_by_router[router]}/state")
 
-    def steward_of(self, cell="asistente", *, asked=None):
-        """Name of the router that is steward, as ``asked`` (any live one) sees it."""
+    def scheduler_of(self, cell="asistente", *, asked=None):
+        """Name of the router that is scheduler, as ``asked`` (any live one) sees it."""
         return self.state(asked or self._live()[0])["stewards_by_cell"][cell]
 
     def agree(self):
-        """Whether all live routers name the same steward."""
-        return len({self.steward_of(asked=name) for name in self._live()}) == 1
+        """Whether all live routers name the same scheduler."""
+        return len({self.scheduler_of(asked=name) for name in self._live()}) == 1
 
     def faults(self, engine, **values):
         """Set faults of an engine or a service."""
--- a/tests/utils/steward_fakes.py
+++ b/tests/utils/scheduler_fakes.py
@@ -1,6 +1,6 @@
-"""A steward with a clock that tests move and entries that keep what they are sent."""
+"""A scheduler with a clock that tests move and entries that keep what they are sent."""
 
-from wagtailtrestle.capacity.steward import Steward
+from wagtailtrestle.capacity.scheduler import Scheduler
 from wagtailtrestle.contracts.declaration import DeclaredEngine
 from wagtailtrestle.contracts.messages import GrantRequest, Register, RunFinished, RunningRecord
 from wagtailtrestle.contracts.report_messages import LoadReport
@@ -18,7 +18,7 @@
 
 
 class FakeEntries:
-    """Keeps what the steward sent."""
+    """Keeps what the scheduler sent."""
 
     def __init__(self):
         self.sent = []
@@ -88,35 +88,35 @@
 
 
 class Cell:
-    """A steward, its clock and its entries."""
+    """A scheduler, its clock and its entries."""
 
     def __init__(self, *, engines=("e1",), slots=2, members=(), prefill_weight=0.5):
         self.clock = Clock()
         self.entries = FakeEntries()
-        self.steward = Steward(
+        self.scheduler = Scheduler(
             cell="asistente",
             policy=PredictedFinish(prefill_weight=prefill_weight),
             clock=self.clock,
             entries=self.entries,
             prefill_weight=prefill_weight,
         )
-        self.steward.set_members(frozenset(members))
-        self.steward.set_engines({name: engine(name, slots=slots) for name in engines})
+        self.scheduler.set_members(frozenset(members))
+        self.scheduler.set_engines({name: engine(name, slots=slots) for name in engines})
 
     def receive(self, *messages):
         for message in messages:
-            self.steward.receive(message)
+            self.scheduler.receive(message)
 
     def advance(self, seconds):
-        """Move the clock in the steps in which the steward is really driven."""
+        """Move the clock in the steps in which the scheduler is really driven."""
         until = self.clock.now + seconds
         while self.clock.now < until - 1e-9:
             self.clock.now = min(until, self.clock.now + 0.05)
-            self.steward.tick()
+            self.scheduler.tick()
 
     def measure(self, count=60, *, output_tokens=100):
         """Let the engines' models learn from this many runs that they are as declared."""
-        for state in self.steward._runs.engines:
+        for state in self.scheduler._runs.engines:
             for _ in range(count):
                 state.model.observe_finish(
                     output_tokens=output_tokens, decode_s=output_tokens * 0.01, mean_concurrency=1
--- a/tests/utils/scheduling_replay.py
+++ b/tests/utils/scheduling_replay.py
@@ -1,8 +1,8 @@
-"""Runs a real steward, or a real entry, along traces of the scheduling specification."""
+"""Runs a real scheduler, or a real entry, along traces of the scheduling specification."""
 
 import asyncio
 
-from tests.utils.steward_fakes import Cell, ask, engine, finished, register
+from tests.utils.scheduler_fakes import Cell, ask, engine, finished, register
 from wagtailtrestle.contracts.declaration import LANGUAGE, Declaration, Route, Service
 from wagtailtrestle.contracts.exchange import AnswerRefusal, AnswerWhole, CallerRequest, RunEnded, StartRun
 from wagtailtrestle.contracts.messages import Granted, Preempt, Refused
@@ -11,7 +11,7 @@
 from wagtailtrestle.spec.monitor import Monitor
 from wagtailtrestle.spec.scheduling import HIGH, REPEATABLE, REQUESTS, TIER_BY_REQUEST
 
-STEWARD = "s0"
+SCHEDULER = "s0"
 NEVER_SENT = "a0"
 LONG_S = 600.0
 MIDDLE_S = 4.0
@@ -26,8 +26,8 @@
     return int(name[1:])
 
 
-class StewardReplay:
-    """A real steward as ``s0``; the entries and ``s1`` are the specification's own.
+class SchedulerReplay:
+    """A real scheduler as ``s0``; the entries and ``s1`` are the specification's own.
 
     Parameters
     ----------
@@ -47,20 +47,20 @@
         self._seen = 0
 
     def run(self):
-        """Follow the trace as far as the real steward allows."""
+        """Follow the trace as far as the real scheduler allows."""
         for step in self._trace.steps[1:]:
             self._follow(step)
             self._tell()
             yield
 
     def held(self):
-        """What the real steward holds: requests running, and number waiting by tier."""
-        dump = self.cell.steward.dump()
+        """What the real scheduler holds: requests running, and number waiting by tier."""
+        dump = self.cell.scheduler.dump()
         return set(dump["running"]), {tier: count for tier, count in dump["waiting_by_tier"].items() if count}
 
     def expected(self):
         """What the specification's ``s0`` holds, in the same form."""
-        held = {request: self.monitor.read(f"held[{STEWARD},{request}]") for request in REQUESTS}
+        held = {request: self.monitor.read(f"held[{SCHEDULER},{request}]") for request in REQUESTS}
         waiting = {}
         for request, state in held.items():
             if state == "waiting":
@@ -68,8 +68,8 @@
         return {request for request, state in held.items() if state == "granted"}, waiting
 
     def _follow(self, step):
-        steward, request = step.parameters.get("steward"), step.parameters.get("request")
-        if step.verb in ENTRY_VERBS or steward not in (None, STEWARD):
+        scheduler, request = step.parameters.get("scheduler"), step.parameters.get("request")
+        if step.verb in ENTRY_VERBS or scheduler not in (None, SCHEDULER):
             if self.monitor.allows(step.action):
                 self.monitor.take(step.action)
             return
@@ -90,7 +90,7 @@
         # One link carries both, in order: what gave a place back comes first.
         self._deliver_returned(request)
         self._tell()
-        attempt = self.monitor.read(f"ask[{STEWARD},{request}]")
+        attempt = self.monitor.read(f"ask[{SCHEDULER},{request}]")
         if attempt == NEVER_SENT:
             return
         self.cell.receive(
@@ -104,22 +104,22 @@
                 output_tokens=SHORT_TOKENS if request == HIGH else LONG_TOKENS,
             )
         )
-        hold = f"hold_ask(steward={STEWARD}, request={request})"
+        hold = f"hold_ask(scheduler={SCHEDULER}, request={request})"
         if self.monitor.allows(hold) and not self._refused_now(request):
             self.monitor.take(hold)
 
     def _remaining_s(self, request):
-        """Deadlines that let the real steward come to what the trace shows, if it may."""
+        """Deadlines that let the real scheduler come to what the trace shows, if it may."""
         if f"refuse:{request}" in self._steps or f"expire:{request}" in self._steps:
             return SHORT_S
         preempts = any(step.startswith(("preempt:", "stray_preempt:")) for step in self._steps)
         return MIDDLE_S if request == HIGH and preempts else LONG_S
 
     def _deliver_returned(self, request):
-        if self.monitor.read(f"returned[{STEWARD},{request}]") == NEVER_SENT:
+        if self.monitor.read(f"returned[{SCHEDULER},{request}]") == NEVER_SENT:
             return
-        self.monitor.take(f"free_place(steward={STEWARD}, request={request})")
-        if self.monitor.read(f"view[{request}]") == STEWARD:
+        self.monitor.take(f"free_place(scheduler={SCHEDULER}, request={request})")
+        if self.monitor.read(f"view[{request}]") == SCHEDULER:
             self.cell.receive(finished(request, result="RunCancelled"))
         else:
             self.cell.receive(register(request))
@@ -131,14 +131,14 @@
         return self.cell.entries.sent[self._seen :]
 
     def _tell(self):
-        """Tell the monitor what the real steward sent since the last time."""
+        """Tell the monitor what the real scheduler sent since the last time."""
         new = self._new()
         self._seen += len(new)
         for message in new:
             self._tell_one(message)
 
     def _tell_one(self, message):
-        pair = f"(steward={STEWARD}, request={message.request_id})"
+        pair = f"(scheduler={SCHEDULER}, request={message.request_id})"
         match message:
             case Granted():
                 self.monitor.take_first(f"grant{pair}", f"grant_again{pair}")
@@ -173,7 +173,7 @@
         return next((command for command in self.commands if isinstance(command, AnswerWhole | AnswerRefusal)), None)
 
 
-class QuietStewards:
+class QuietSchedulers:
     """Takes what the entry sends and answers nothing."""
 
     def __init__(self):
@@ -218,12 +218,12 @@
 
 
 def make_entry(*, loop, claims=None, declaration=None, **parts):
-    """Make a real entry whose stewards and callers are fakes; ``parts`` go to the entry."""
-    stewards = QuietStewards()
+    """Make a real entry whose schedulers and callers are fakes; ``parts`` go to the entry."""
+    schedulers = QuietSchedulers()
     declaration = declaration or small_declaration()
     parts = {"crashes": QuietCrashes()} | parts
-    entry = Entry(name="r1", stewards=stewards, claims=claims, declaration=lambda: declaration, loop=loop, **parts)
-    return entry, stewards
+    entry = Entry(name="r1", schedulers=schedulers, claims=claims, declaration=lambda: declaration, loop=loop, **parts)
+    return entry, schedulers
 
 
 def caller_request(request_id, *, tier=0, repeatable=True, deadline, **changes):
@@ -245,7 +245,7 @@
 
 
 class EntryReplay:
-    """Real request tasks as the entries; both stewards are the specification's own.
+    """Real request tasks as the entries; both schedulers are the specification's own.
 
     A message of a trace is delivered also where the specification says that the entry does
     not take it: then the entry must not change.
@@ -275,24 +275,24 @@
         return differences
 
     async def _follow(self, step):
-        steward, request = step.parameters.get("steward"), step.parameters.get("request")
+        scheduler, request = step.parameters.get("scheduler"), step.parameters.get("request")
         allowed = self.monitor.allows(step.action)
         match step.verb:
             case "take_grant":
-                self._deliver_grant(steward, request)
+                self._deliver_grant(scheduler, request)
             case "take_refusal":
-                self._deliver_refusal(steward, request)
+                self._deliver_refusal(scheduler, request)
             case "take_preempt":
-                await self._deliver_preempt(steward, request)
+                await self._deliver_preempt(scheduler, request)
             case "finish" if allowed:
                 self._end_run(request, RunDone())
         if allowed:
             self.monitor.take(step.action)
 
-    def _deliver_grant(self, steward, request):
-        attempt = self.monitor.read(f"granted[{steward},{request}]")
+    def _deliver_grant(self, scheduler, request):
+        attempt = self.monitor.read(f"granted[{scheduler},{request}]")
         if attempt != NEVER_SENT:
-            self._entry.on_steward_message(
+            self._entry.on_scheduler_message(
                 Granted(
                     request_id=request,
                     attempt=_attempt(attempt),
@@ -302,19 +302,19 @@
                 )
             )
 
-    def _deliver_refusal(self, steward, request):
-        attempt = self.monitor.read(f"refused[{steward},{request}]")
+    def _deliver_refusal(self, scheduler, request):
+        attempt = self.monitor.read(f"refused[{scheduler},{request}]")
         if attempt != NEVER_SENT:
-            self._entry.on_steward_message(
+            self._entry.on_scheduler_message(
                 Refused(request_id=request, attempt=_attempt(attempt), reason=Reason.OVERLOADED, retry_after_s=1.0)
             )
 
-    async def _deliver_preempt(self, steward, request):
-        if self.monitor.read(f"preempt[{steward},{request}]") == NEVER_SENT:
+    async def _deliver_preempt(self, scheduler, request):
+        if self.monitor.read(f"preempt[{scheduler},{request}]") == NEVER_SENT:
             return
         caller = self._callers[request]
         before = len(caller.cancelled)
-        self._entry.on_steward_message(Preempt(request_id=request, engine="e1"))
+        self._entry.on_scheduler_message(Preempt(request_id=request, engine="e1"))
         await asyncio.sleep(STEP_S)
         if len(caller.cancelled) > before:
             self._end_run(request, RunCancelled(output_tokens=1))
--- a/wagtailtrestle/callers/prompt_shape.py
+++ b/wagtailtrestle/callers/prompt_shape.py
@@ -12,7 +12,7 @@
 BLOCK_TOKENS = 64
 BLOCK_BYTES = BLOCK_TOKENS * BYTES_PER_TOKEN
 HASH_BYTES = 8
-# Blocks told to a steward: 16 × 64 tokens of common prefix tell engines apart as well as four
+# Blocks told to a scheduler: 16 × 64 tokens of common prefix tell engines apart as well as four
 # times that (docs/design/membership.md), and an ask stays under 300 bytes on the link between routers.
 MAX_BLOCKS = 16
 
--- a/wagtailtrestle/capacity/admission.py
+++ b/wagtailtrestle/capacity/admission.py
@@ -469,7 +469,7 @@
 def shielded_run_s(request, engine, concurrency, pending_prefill_tokens):
     """Predicted seconds to the last token if no further prompt is prefilled beside it.
 
-    The steward keeps it so where it must: see :meth:`EngineState.would_delay`.
+    The scheduler keeps it so where it must: see :meth:`EngineState.would_delay`.
     """
     prefill_s = engine.model.prefill_s(uncached_tokens(request, engine) + pending_prefill_tokens)
     return prefill_s + request.output_tokens * engine.model.step_s(concurrency)
--- a/wagtailtrestle/capacity/crash_signs.py
+++ b/wagtailtrestle/capacity/crash_signs.py
@@ -1,4 +1,4 @@
-"""Engines that cut runs and then answer nobody, as only a steward sees it.
+"""Engines that cut runs and then answer nobody, as only a scheduler sees it.
 
 A router with one run on an engine can't tell a crash from a broken connection, and on a quiet service it sends the
 engine nothing more that would tell.
--- a/wagtailtrestle/capacity/grants.py
+++ b/wagtailtrestle/capacity/grants.py
@@ -1,4 +1,4 @@
-"""What a steward holds for one request: its wait in the queue, then its grant."""
+"""What a scheduler holds for one request: its wait in the queue, then its grant."""
 
 from collections import Counter, OrderedDict
 
@@ -28,7 +28,7 @@
     asked_tokens : int
         Upper limit of the output as the entry asked.
     arrived_at, deadline : float
-        Times on the steward's clock.
+        Times on the scheduler's clock.
     work_s : float
         Predicted engine-seconds: the share of one full engine that the run uses up.
     shortest_run_s : float
@@ -92,7 +92,7 @@
         Upper limit of the output as the entry asked.
     engine : str
     granted_at, deadline : float
-        Times on the steward's clock.
+        Times on the scheduler's clock.
     prefill_tokens : int
         Tokens the engine is expected to prefill for it (not in its cache).
     ahead_tokens : int
--- a/wagtailtrestle/capacity/registration.py
+++ b/wagtailtrestle/capacity/registration.py
@@ -1,12 +1,12 @@
-"""Whom a steward still has to hear from before it trusts its account of the cell."""
+"""Whom a scheduler still has to hear from before it trusts its account of the cell."""
 
 import math
 
 CAUTION_S = 1.5
-"""Longest time a steward waits for the registration of every member."""
+"""Longest time a scheduler waits for the registration of every member."""
 
 JUST_NOW_S = 0.5
-"""Members hear of a steward's death within so long of each other; who hears first registers with the next one before
+"""Members hear of a scheduler's death within so long of each other; who hears first registers with the next one before
 that one knows that it is."""
 
 FREEZE_GAP_S = 1.0
@@ -14,7 +14,7 @@
 
 
 class Registration:
-    """The cautious time of a steward that is new, or that woke from a pause.
+    """The cautious time of a scheduler that is new, or that woke from a pause.
 
     Parameters
     ----------
@@ -41,7 +41,7 @@
     def expect_orphans(self):
         """Take it that engines still run what a router that died had sent them.
 
-        Nobody registers these runs. A steward that grants as soon as all who live have registered puts its
+        Nobody registers these runs. A scheduler that grants as soon as all who live have registered puts its
         grants on top of them; what waits in an engine's queue for two seconds is given up as silent.
         """
         self._orphans_until = self._clock() + CAUTION_S
@@ -62,7 +62,7 @@
         self._until = self._clock() + CAUTION_S
 
     def take_over(self):
-        """Wait for every member that has not registered just now: another router was steward meanwhile.
+        """Wait for every member that has not registered just now: another router was scheduler meanwhile.
 
         What was registered before says nothing of what that router granted.
         """
@@ -78,7 +78,7 @@
     def woke(self):
         """Whether the process was paused since the last look, as the gap in its clock shows.
 
-        A paused steward still believes what it held before. Others may have served the
+        A paused scheduler still believes what it held before. Others may have served the
         cell meanwhile, so granting by that account would overfill the engines.
         """
         now = self._clock()
--- a/wagtailtrestle/capacity/retry_budget.py
+++ b/wagtailtrestle/capacity/retry_budget.py
@@ -1,8 +1,8 @@
 """Budget of retries of one cell, over all routers: a share of what succeeded lately, and some beyond it.
 
 When engines fail, every retry is more load on those that are left, and the failure feeds itself. Each run needs a
-place, so the steward that grants places sees every retry of every router, and counts it when it is sent. Entries
-keep their own record and tell it to a new steward, as they tell what they hold.
+place, so the scheduler that grants places sees every retry of every router, and counts it when it is sent. Entries
+keep their own record and tell it to a new scheduler, as they tell what they hold.
 """
 
 from wagtailtrestle.capacity.recent_times import RecentTimes
@@ -77,7 +77,7 @@
         self.begin()
 
     def begin(self):
-        """Take the cell over from another steward, whose grants only the entries know."""
+        """Take the cell over from another scheduler, whose grants only the entries know."""
         self._began_at = self._clock()
         self._known_from_by_entry = {}
 
@@ -89,7 +89,7 @@
         waiting : int
             Retries that wait for a place.
         entries : collection of str
-            Routers that go by this steward. Those that are cut off go by another, which has their part of the extra.
+            Routers that go by this scheduler. Those that are cut off go by another, which has their part of the extra.
         """
         limits = self._limits()
         self._forget_old(limits.window_s)
@@ -132,7 +132,7 @@
         self._known_from_by_entry[entry] = min(known_from, started_at)
 
     def keep(self, entries):
-        """Let go of what other entries earned: they may be cut off, and spend it at another steward."""
+        """Let go of what other entries earned: they may be cut off, and spend it at another scheduler."""
         for entry in self._successes_by_entry.keys() - set(entries):
             del self._successes_by_entry[entry]
 
@@ -147,9 +147,9 @@
         }
 
     def _known_share(self, window_s, entries):
-        """Part of the entries' last window of which this steward knows what was sent.
+        """Part of the entries' last window of which this scheduler knows what was sent.
 
-        A router that was started again has forgotten what its predecessor sent, and a steward that was started with
+        A router that was started again has forgotten what its predecessor sent, and a scheduler that was started with
         it never knew. What nobody knows is taken for as much as what is known.
         """
         since = self._clock() - window_s
--- a/wagtailtrestle/capacity/steward.py
+++ b/wagtailtrestle/capacity/scheduler.py
@@ -1,7 +1,7 @@
 """Capacity of one cell: grants places on its engines in order of tier, refuses, preempts.
 
 All state is soft: it is the sum of what entries hold. A grant is capacity, never identity,
-so a steward that is wrong, late or doubled can fill an engine too far or too little but
+so a scheduler that is wrong, late or doubled can fill an engine too far or too little but
 can't make a request run twice.
 """
 
@@ -15,7 +15,7 @@
 from wagtailtrestle.capacity.registration import Registration
 from wagtailtrestle.capacity.retry_budget import RetryBudget, RetryLimits
 from wagtailtrestle.capacity.run_book import RunBook
-from wagtailtrestle.capacity.steward_notes import StewardNotes
+from wagtailtrestle.capacity.scheduler_notes import SchedulerNotes
 from wagtailtrestle.capacity.tier_queue import TierQueue
 from wagtailtrestle.contracts.messages import (
     EngineDown,
@@ -38,14 +38,14 @@
 
 MOST_COMPARED = 12
 """Engines compared for one request, and as many more that hold half of its prompt's parts: those with room, in order
-of their pace. Comparing all of 78 took most of the steward's processor time, four fifths of 2.4 ms a request, and
+of their pace. Comparing all of 78 took most of the scheduler's processor time, four fifths of 2.4 ms a request, and
 served callers no better on days of load."""
 
 UNPARK_IN_A_ROW = 32
 """Parked requests tried again at each tick, as predictions change with time."""
 
 
-class Steward:
+class Scheduler:
     """Admission of one cell.
 
     Parameters
@@ -122,7 +122,7 @@
         self._retries = RetryBudget(clock=clock, limits=retry_limits)
         self._retries_used_up = False
         self._elsewhere = set()
-        self._notes = StewardNotes(cell=cell, runs=self._runs, registration=self._registration)
+        self._notes = SchedulerNotes(cell=cell, runs=self._runs, registration=self._registration)
         self._members = frozenset()
         self._granting = True
         self._handlers_by_type = {
@@ -180,7 +180,7 @@
         self._registration.expect_orphans()
 
     def take_over(self):
-        """Begin anew: this router is steward again, after another one was."""
+        """Begin anew: this router is scheduler again, after another one was."""
         self._registration.take_over()
         self._retries.begin()
         self._runs.distrust()
@@ -235,7 +235,7 @@
             state.mark_leaving(leaving)
 
     def stop_granting(self):
-        """Grant nothing more: the router is draining and another will be steward."""
+        """Grant nothing more: the router is draining and another will be scheduler."""
         self._granting = False
 
     # What drives it.
@@ -340,10 +340,10 @@
             self._runs.end(grant)
 
     def _on_register(self, message):
-        # An entry that has not heard of the former steward's death yet says that it holds nothing here.
+        # An entry that has not heard of the former scheduler's death yet says that it holds nothing here.
         # Were it no longer awaited, engines would be filled beside the runs that it tells of a moment later.
         if message.elsewhere:
-            # Its runs go on, though another steward counts them now. Were their places free here, entries that
+            # Its runs go on, though another scheduler counts them now. Were their places free here, entries that
             # have not heard of the change yet got second runs on them: 29 on an engine of 16 places were seen, and
             # what waits in an engine's queue can't be moved. A report shows when they are gone.
             self._elsewhere.add(message.entry)
@@ -560,7 +560,7 @@
                 grant.preempted_at = self._clock()
 
     def _holds_unconfirmed(self):
-        # A steward that woke from a pause may hold runs that ended long ago; by them it would
+        # A scheduler that woke from a pause may hold runs that ended long ago; by them it would
         # cancel others. A new one holds only what entries registered, and acts on it at once:
         # waiting for the last entry could let a higher tier expire while a lower one runs.
         awaited = self.awaited_entries
--- a/wagtailtrestle/capacity/steward_notes.py
+++ b/wagtailtrestle/capacity/scheduler_notes.py
@@ -1,10 +1,10 @@
-"""Log lines by which a wait in an engine's queue is traced to the steward that granted it."""
+"""Log lines by which a wait in an engine's queue is traced to the scheduler that granted it."""
 
 from loguru import logger
 
 
-class StewardNotes:
-    """Tells when a steward is cautious, and when an engine becomes overfull or names a rate limit: a line a change.
+class SchedulerNotes:
+    """Tells when a scheduler is cautious, and when an engine becomes overfull or names a rate limit: a line a change.
 
     Parameters
     ----------
@@ -24,7 +24,7 @@
         self._limited = frozenset()
 
     def note_caution(self):
-        """Tell of a change, with what the steward knows then."""
+        """Tell of a change, with what the scheduler knows then."""
         cautious = self._registration.cautious
         if cautious == self._was_cautious:
             return
@@ -34,7 +34,7 @@
             held=len(self._runs.grants_by_request_id),
             unknown={engine.name: engine.phantom for engine in self._runs.engines if engine.phantom},
             unreported=[engine.name for engine in self._runs.engines if not engine.reported],
-        ).info("the steward of {} {}", self._cell, "is cautious" if cautious else "is cautious no more")
+        ).info("the scheduler of {} {}", self._cell, "is cautious" if cautious else "is cautious no more")
 
     def note_overfull(self):
         """Tell of engines that have come to hold more runs than they have places."""
--- a/wagtailtrestle/capacity/steward_set.py
+++ b/wagtailtrestle/capacity/scheduler_set.py
@@ -1,9 +1,9 @@
-"""The stewards that this router holds, one for each cell whose messages reach it."""
+"""The schedulers that this router holds, one for each cell whose messages reach it."""
 
 import dataclasses
 
 from wagtailtrestle.capacity.retry_budget import RetryLimits
-from wagtailtrestle.capacity.steward import Steward
+from wagtailtrestle.capacity.scheduler import Scheduler
 from wagtailtrestle.contracts.declaration import LANGUAGE
 from wagtailtrestle.engines.policies import PredictedFinish
 from wagtailtrestle.entry.cells import cells_of
@@ -12,8 +12,8 @@
 """How long after the loss of a router its runs may still be on engines: they cancel what nobody follows, or end it."""
 
 
-class StewardSet:
-    """Creates stewards when their first message comes and keeps them up to date.
+class SchedulerSet:
+    """Creates schedulers when their first message comes and keeps them up to date.
 
     Parameters
     ----------
@@ -48,7 +48,7 @@
         self._retry_limits = retry_limits
         self._runs_outlive_routers = runs_outlive_routers
         # What died before this process began it can't know, and the likeliest is the one whose name it has: what
-        # that one had sent to engines goes on. Taken for nothing, a new steward granted one to three of an
+        # that one had sent to engines goes on. Taken for nothing, a new scheduler granted one to three of an
         # engine's eight places twice, and what waits in an engine's queue can't be moved. It costs the wait for a
         # first report.
         self._lost_at = clock()
@@ -60,96 +60,96 @@
         self._granting = True
 
     def deliver(self, cell, message):
-        """Give an entry's message to the cell's steward."""
-        steward = self.by_cell.get(cell) or self._create(cell)
-        if steward is not None:
-            steward.receive(message)
+        """Give an entry's message to the cell's scheduler."""
+        scheduler = self.by_cell.get(cell) or self._create(cell)
+        if scheduler is not None:
+            scheduler.receive(message)
 
     def begin(self, cell):
-        """Take over a cell of which another router was steward; one never held begins with its first message."""
-        steward = self.by_cell.get(cell)
-        if steward is not None:
-            self._expect_orphans(steward)
-            steward.take_over()
+        """Take over a cell of which another router was scheduler; one never held begins with its first message."""
+        scheduler = self.by_cell.get(cell)
+        if scheduler is not None:
+            self._expect_orphans(scheduler)
+            scheduler.take_over()
 
     def set_declaration(self, declaration):
-        """Put a newly accepted declaration in force for every steward."""
+        """Put a newly accepted declaration in force for every scheduler."""
         self._declaration = declaration
         services = {engine.service for engine in declaration.engines_by_name.values()}
         self._cells_by_service = {service: len(cells_of(declaration, service)) for service in services}
         for cell in list(self.by_cell):
             if not self._engines_of(cell):
                 del self.by_cell[cell]
-        for steward in self.by_cell.values():
-            self._update(steward)
+        for scheduler in self.by_cell.values():
+            self._update(scheduler)
 
     def set_members(self, names):
-        """Tell every steward which entries live."""
+        """Tell every scheduler which entries live."""
         if not self._members <= frozenset(names):
             self._lost_at = self._clock()
         self._members = frozenset(names)
-        for steward in self.by_cell.values():
-            steward.set_members(self._members)
+        for scheduler in self.by_cell.values():
+            scheduler.set_members(self._members)
 
     def set_leaving(self, engines):
         """Engines that the platform's list marks as leaving; they get no new work."""
         came_back = self._leaving - engines
         self._leaving = engines
-        for steward in self.by_cell.values():
+        for scheduler in self.by_cell.values():
             for engine in engines:
-                steward.mark_leaving(engine)
+                scheduler.mark_leaving(engine)
             for engine in came_back:
                 # The declaration's own mark is kept apart from the list's. Passed on here, it
                 # would stand as the list's for ever, also once the declaration takes it back.
-                steward.mark_leaving(engine, False)
+                scheduler.mark_leaving(engine, False)
 
     def set_rollout(self, cell, rollout, held_back):
-        """Tell a cell's steward of the roll-out in its service; see :meth:`Steward.set_rollout`."""
+        """Tell a cell's scheduler of the roll-out in its service; see :meth:`Scheduler.set_rollout`."""
         self._rollouts_by_cell[cell] = (rollout, held_back)
         if cell in self.by_cell:
             self.by_cell[cell].set_rollout(rollout, held_back)
 
     def runs_by_version(self, cell):
-        """Runs that the engines of each version in a cell hold, as far as its steward here knows."""
-        steward = self.by_cell.get(cell)
-        return {} if steward is None else steward.runs_by_version()
+        """Runs that the engines of each version in a cell hold, as far as its scheduler here knows."""
+        scheduler = self.by_cell.get(cell)
+        return {} if scheduler is None else scheduler.runs_by_version()
 
     def on_load_report(self, report):
-        """Give an engine's load report to the steward that holds the engine."""
-        steward = self._steward_of(report.engine)
-        if steward is not None:
-            steward.on_load_report(report)
+        """Give an engine's load report to the scheduler that holds the engine."""
+        scheduler = self._scheduler_of(report.engine)
+        if scheduler is not None:
+            scheduler.on_load_report(report)
 
     def on_unreachable(self, engine):
-        """Tell the steward that an engine did not answer."""
-        steward = self._steward_of(engine)
-        if steward is not None:
-            steward.on_unreachable(engine)
+        """Tell the scheduler that an engine did not answer."""
+        scheduler = self._scheduler_of(engine)
+        if scheduler is not None:
+            scheduler.on_unreachable(engine)
 
     def on_cache_events(self, events):
-        """Give what an engine stored and removed to the steward that holds it."""
-        steward = self._steward_of(events.engine)
-        if steward is not None:
-            steward.on_cache_events(events)
+        """Give what an engine stored and removed to the scheduler that holds it."""
+        scheduler = self._scheduler_of(events.engine)
+        if scheduler is not None:
+            scheduler.on_cache_events(events)
 
     def tick(self):
-        """Let every steward sweep its deadlines."""
-        for steward in self.by_cell.values():
-            steward.tick()
+        """Let every scheduler sweep its deadlines."""
+        for scheduler in self.by_cell.values():
+            scheduler.tick()
 
     def stop_granting(self):
         """Grant nothing more here; other routers take the cells over."""
         self._granting = False
-        for steward in self.by_cell.values():
-            steward.stop_granting()
+        for scheduler in self.by_cell.values():
+            scheduler.stop_granting()
 
     def dump(self):
         """Plain data for the state dump."""
-        return {cell: steward.dump() for cell, steward in self.by_cell.items()}
+        return {cell: scheduler.dump() for cell, scheduler in self.by_cell.items()}
 
-    def _expect_orphans(self, steward):
-        if self._reports_orphans(steward.cell) and self._clock() - self._lost_at < ORPHANS_S:
-            steward.expect_orphans()
+    def _expect_orphans(self, scheduler):
+        if self._reports_orphans(scheduler.cell) and self._clock() - self._lost_at < ORPHANS_S:
+            scheduler.expect_orphans()
 
     def _reports_orphans(self, cell):
         # Engines of a plain service report nothing: whoever waits for their word waits in vain.
@@ -160,7 +160,7 @@
         if not engines:
             return None
         service = self._service_of(cell)
-        steward = Steward(
+        scheduler = Scheduler(
             cell=cell,
             policy=PredictedFinish(prefill_weight=service.prefill_weight),
             clock=self._clock,
@@ -169,21 +169,21 @@
             runs_outlive_routers=self._reports_orphans(cell),
             retry_limits=lambda: self._retry_limits_of(service.name),
         )
-        self.by_cell[cell] = steward
-        self._expect_orphans(steward)
-        steward.set_rollout(*self._rollouts_by_cell.get(cell, (None, frozenset())))
-        steward.set_members(self._members)
-        self._update(steward)
+        self.by_cell[cell] = scheduler
+        self._expect_orphans(scheduler)
+        scheduler.set_rollout(*self._rollouts_by_cell.get(cell, (None, frozenset())))
+        scheduler.set_members(self._members)
+        self._update(scheduler)
         if not self._granting:
-            steward.stop_granting()
-        return steward
+            scheduler.stop_granting()
+        return scheduler
 
-    def _update(self, steward):
+    def _update(self, scheduler):
         teams = self._declaration.teams_by_name.values()
-        steward.set_teams({team.name: team.share for team in teams})
-        steward.set_engines(self._engines_of(steward.cell))
+        scheduler.set_teams({team.name: team.share for team in teams})
+        scheduler.set_engines(self._engines_of(scheduler.cell))
         for engine in self._leaving:
-            steward.mark_leaving(engine)
+            scheduler.mark_leaving(engine)
 
     def _retry_limits_of(self, service):
         """Limits of one cell: the extra retries of a service are for all of its cells together."""
@@ -200,6 +200,6 @@
         engines = self._declaration.engines_by_name
         return {name: engine for name, engine in engines.items() if engine.cell == cell}
 
-    def _steward_of(self, engine):
+    def _scheduler_of(self, engine):
         declared = self._declaration.engines_by_name.get(engine) if self._declaration else None
         return self.by_cell.get(declared.cell) if declared else None
--- a/wagtailtrestle/contracts/declaration.py
+++ b/wagtailtrestle/contracts/declaration.py
@@ -252,7 +252,7 @@
     ----------
     name, service, zone, hardware : str
     cell : str
-        Group of engines of one service whose admission one steward decides.
+        Group of engines of one service whose admission one scheduler decides.
     address : str
         ``host:port`` of its HTTP interface.
     slots : int
--- a/wagtailtrestle/contracts/messages.py
+++ b/wagtailtrestle/contracts/messages.py
@@ -1,4 +1,4 @@
-"""Messages between entries (which own requests) and stewards (which own capacity).
+"""Messages between entries (which own requests) and schedulers (which own capacity).
 
 The same classes are delivered in one process or, through
 :mod:`wagtailtrestle.peers.codec`, between two. Times are remaining or elapsed seconds,
@@ -13,7 +13,7 @@
 
 @record
 class GrantRequest:
-    """An entry asks the steward of ``cell`` for a place on one of its engines.
+    """An entry asks the scheduler of ``cell`` for a place on one of its engines.
 
     Parameters
     ----------
@@ -173,7 +173,7 @@
 
 @record
 class RunningRecord:
-    """One run an entry holds, told to a new steward."""
+    """One run an entry holds, told to a new scheduler."""
 
     request: GrantRequest
     engine: str
@@ -205,12 +205,12 @@
 
 @record
 class Register:
-    """Everything one entry holds for ``cell``; replaces what the steward knew of it.
+    """Everything one entry holds for ``cell``; replaces what the scheduler knew of it.
 
     Parameters
     ----------
     elsewhere : bool
-        Whether the entry goes by another steward. Then it holds nothing here, but the engines may well
+        Whether the entry goes by another scheduler. Then it holds nothing here, but the engines may well
         run what it was granted there.
     notices : tuple of EngineNotice
         What engines of the cell said of themselves to this entry lately.
@@ -234,7 +234,7 @@
     Parameters
     ----------
     limit_age_s : float
-        How long ago the engine named a rate limit, as far as the steward heard; infinite if it didn't lately.
+        How long ago the engine named a rate limit, as far as the scheduler heard; infinite if it didn't lately.
     retries_used_up : bool
         Whether the cell's budget has no retry left.
     """
@@ -260,7 +260,7 @@
 
 @record
 class Preempt:
-    """The steward takes the place back; the entry cancels the run and asks again."""
+    """The scheduler takes the place back; the entry cancels the run and asks again."""
 
     request_id: str
     engine: str
@@ -274,4 +274,4 @@
 
 
 EntryMessage = GrantRequest | Withdraw | RunStarted | RunProgress | RunFinished | Register | EngineNotice
-StewardMessage = Granted | Refused | Preempt | EngineDown
+SchedulerMessage = Granted | Refused | Preempt | EngineDown
--- a/wagtailtrestle/contracts/peer_messages.py
+++ b/wagtailtrestle/contracts/peer_messages.py
@@ -1,4 +1,4 @@
-"""Messages between routers that concern neither entries nor stewards."""
+"""Messages between routers that concern neither entries nor schedulers."""
 
 from enum import StrEnum
 
@@ -101,7 +101,7 @@
 
 @record
 class RegisterAsk:
-    """A steward that starts or woke from a pause asks an entry to register for the cell of the item."""
+    """A scheduler that starts or woke from a pause asks an entry to register for the cell of the item."""
 
 
 @record
--- a/wagtailtrestle/contracts/ports.py
+++ b/wagtailtrestle/contracts/ports.py
@@ -2,7 +2,7 @@
 
 from typing import Protocol
 
-from wagtailtrestle.contracts.messages import EntryMessage, StewardMessage
+from wagtailtrestle.contracts.messages import EntryMessage, SchedulerMessage
 from wagtailtrestle.contracts.outcomes import ClaimOutcome, StoreOutcome
 from wagtailtrestle.contracts.report_messages import LoadReport
 
@@ -60,17 +60,17 @@
         """The ``Accepted`` declaration that an object's value holds, or ``None``."""
 
 
-class StewardLink(Protocol):
-    """Carries an entry's messages to whichever router is steward of a cell."""
+class SchedulerLink(Protocol):
+    """Carries an entry's messages to whichever router is scheduler of a cell."""
 
     def send(self, *, cell: str, message: EntryMessage) -> bool:
-        """Queue a message; ``False`` if no steward can be reached now."""
+        """Queue a message; ``False`` if no scheduler can be reached now."""
 
 
 class EntryLink(Protocol):
-    """Carries a steward's messages to the entry that owns a request."""
+    """Carries a scheduler's messages to the entry that owns a request."""
 
-    def send(self, *, entry: str, message: StewardMessage) -> bool:
+    def send(self, *, entry: str, message: SchedulerMessage) -> bool:
         """Queue a message; ``False`` if that entry can't be reached now."""
 
 
--- a/wagtailtrestle/declarations/engine_check.py
+++ b/wagtailtrestle/declarations/engine_check.py
@@ -94,7 +94,7 @@
     def _read_cell(self, reader, *, service):
         """Return the engine's cell.
 
-        One steward decides a cell's admission in one queue; two services in it would be given
+        One scheduler decides a cell's admission in one queue; two services in it would be given
         each other's engines.
         """
         cell = reader.value("cell", Name(), default=service)
--- a/wagtailtrestle/declarations/settings.py
+++ b/wagtailtrestle/declarations/settings.py
@@ -95,7 +95,7 @@
     engine_leaving_ms : float
         Time within which every router has to know that an engine leaves.
     report_interval_s : float
-        Time between two looks at an engine's load report, by the steward of its cell.
+        Time between two looks at an engine's load report, by the scheduler of its cell.
     balancer_grace_s : float
         How long a leaving router still serves what the balancer sends it.
     start_hold_s : float
--- a/wagtailtrestle/engines/model.py
+++ b/wagtailtrestle/engines/model.py
@@ -72,7 +72,7 @@
 
 
 class EngineModel:
-    """What one steward believes of the speed of one engine.
+    """What one scheduler believes of the speed of one engine.
 
     Parameters
     ----------
--- a/wagtailtrestle/engines/notices.py
+++ b/wagtailtrestle/engines/notices.py
@@ -9,7 +9,7 @@
 from wagtailtrestle.engines.rate_limit import KEPT_S
 
 HEARD_SLACK_S = 0.5
-"""How much older than this router's own notice a steward's may be: grants that were on their way are used."""
+"""How much older than this router's own notice a scheduler's may be: grants that were on their way are used."""
 
 MOST_REST_S = 3600.0
 """Longest rest that an engine is granted."""
@@ -121,7 +121,7 @@
         return self._clock() - self._heard_by_engine[engine.name].rest_from
 
     def are_unknown_to(self, granted: Granted) -> bool:
-        """Whether a steward granted a place on an engine without having heard of the limit that it names."""
+        """Whether a scheduler granted a place on an engine without having heard of the limit that it names."""
         age_s = self._limit_age_s(granted.engine)
         return age_s < KEPT_S and granted.limit_age_s > age_s + HEARD_SLACK_S
 
@@ -131,7 +131,7 @@
         return tuple(self._heard_by_engine)
 
     def of(self, engines):
-        """Notices of these engines to tell a steward, with their age."""
+        """Notices of these engines to tell a scheduler, with their age."""
         now = self._clock()
         notices = []
         for engine in engines:
--- a/wagtailtrestle/engines/output_lengths.py
+++ b/wagtailtrestle/engines/output_lengths.py
@@ -15,7 +15,7 @@
 
 PRIOR_WEIGHT = 2.0
 """Answers that the prior counts for: that answers reach their caps, that estimates are right, or for
-one team in a tier what is known of the tier. A steward sees some ten answers of a tier in a second."""
+one team in a tier what is known of the tier. A scheduler sees some ten answers of a tier in a second."""
 
 CAUTION = 0.5
 """Standard deviations added to the mean share of a cap: a run cut short by its deadline wastes its prefill."""
--- a/wagtailtrestle/engines/policies.py
+++ b/wagtailtrestle/engines/policies.py
@@ -15,7 +15,7 @@
     Attributes
     ----------
     running : int
-        Runs the steward granted there and that have not ended.
+        Runs the scheduler granted there and that have not ended.
     pending_prefill_tokens : int
         Uncached prompt tokens of granted runs that gave no first token yet.
     reported_running : int
--- a/wagtailtrestle/engines/reports.py
+++ b/wagtailtrestle/engines/reports.py
@@ -1,7 +1,7 @@
 """Polls language engines for their load and cache events, and hands the reports to the loop.
 
 Each engine has a thread and a connection of its own: a router polls just the few engines
-of the cells it is steward of, and one that does not answer can't hold up reports of others.
+of the cells it is scheduler of, and one that does not answer can't hold up reports of others.
 """
 
 import http.client
--- a/wagtailtrestle/engines/state.py
+++ b/wagtailtrestle/engines/state.py
@@ -1,4 +1,4 @@
-"""What a steward knows of one engine: its grants exactly, its own reports as a correction."""
+"""What a scheduler knows of one engine: its grants exactly, its own reports as a correction."""
 
 import math
 from collections import deque
@@ -23,7 +23,7 @@
 
 
 class EngineState:
-    """One engine of the cell, as the steward and its policy see it.
+    """One engine of the cell, as the scheduler and its policy see it.
 
     Parameters
     ----------
@@ -36,7 +36,7 @@
     limit : int
         Runs that keep it just full; fewer while its health is in doubt, none if it leaves.
     phantom : int
-        Runs the engine reported that this steward granted to nobody it knows.
+        Runs the engine reported that this scheduler granted to nobody it knows.
     health_share : float
         Share of its concurrency that its health allows.
     start_ms : int
@@ -51,7 +51,7 @@
         Request that needs the engine to itself; until it runs there, nothing more is granted.
     room : int
         Places free now; none beside a suspect, whose crash would take its neighbours along. Kept up to date by what
-        changes it: each message of a steward asks all of its engines for it.
+        changes it: each message of a scheduler asks all of its engines for it.
     """
 
     __slots__ = (
--- a/wagtailtrestle/entry/cells.py
+++ b/wagtailtrestle/entry/cells.py
@@ -1,4 +1,4 @@
-"""Choice of the cell, a group of engines under one steward, that a request asks."""
+"""Choice of the cell, a group of engines under one scheduler, that a request asks."""
 
 import hashlib
 
--- a/wagtailtrestle/entry/crash_watch.py
+++ b/wagtailtrestle/entry/crash_watch.py
@@ -54,7 +54,7 @@
                 self._report(engine, self._detector.on_gone(engine, fingerprint if was_sent else None))
 
     def note_down(self, engine):
-        """Take in that an engine went down, as the steward or the engines' list tells."""
+        """Take in that an engine went down, as the scheduler or the engines' list tells."""
         self._report(engine, self._detector.on_gone(engine, within_s=TOLD_WINDOW_S))
 
     def merge(self, report):
--- a/wagtailtrestle/entry/entry.py
+++ b/wagtailtrestle/entry/entry.py
@@ -1,7 +1,7 @@
 """The entry: owns every request that callers gave to this router.
 
 Runs one :class:`wagtailtrestle.entry.request_task.RequestTask` per request and routes the
-messages of callers and stewards to them.
+messages of callers and schedulers to them.
 """
 
 import asyncio
@@ -28,7 +28,7 @@
     ----------
     name : str
         This router's name.
-    stewards : StewardLink
+    schedulers : SchedulerLink
     claims : Claims
     crashes : CrashWatch
     retries : RetryRecord
@@ -48,25 +48,25 @@
         "retries",
         "run_counts",
         "now",
-        "_stewards",
+        "_schedulers",
         "_declaration",
         "_notices",
     )
 
-    def __init__(self, *, name, stewards, claims, crashes, retries, declaration, notices, run_counts, now):
+    def __init__(self, *, name, schedulers, claims, crashes, retries, declaration, notices, run_counts, now):
         self.name = name
         self.claims = claims
         self.crashes = crashes
         self.retries = retries
         self.run_counts = run_counts
         self.now = now
-        self._stewards = stewards
+        self._schedulers = schedulers
         self._declaration = declaration
         self._notices = notices
 
     def send(self, cell, message):
-        """Send to the cell's steward; a lost message is made good by registering."""
-        self._stewards.send(cell=cell, message=message)
+        """Send to the cell's scheduler; a lost message is made good by registering."""
+        self._schedulers.send(cell=cell, message=message)
 
     def address_of(self, engine):
         """Address of a declared engine, or ``None``."""
@@ -88,11 +88,11 @@
         return declared is not None and not declared.leaving and not self._notices.is_leaving(declared)
 
     def was_limited(self, granted):
-        """Whether an engine named a rate limit lately, as this router or the steward heard."""
+        """Whether an engine named a rate limit lately, as this router or the scheduler heard."""
         return self._notices.is_limited(granted.engine) or granted.limit_age_s != math.inf
 
     def is_informed(self, granted):
-        """Whether the steward that granted a place has heard of the limit or rest that the engine told this router."""
+        """Whether the scheduler that granted a place has heard of the limit or rest that this router was told."""
         declared = self._declaration().engines_by_name[granted.engine]
         return self._notices.rest_s(declared) <= 0.0 and not self._notices.are_unknown_to(granted)
 
@@ -103,12 +103,12 @@
         return max(DEFAULT_RETRY_AFTER_S, min(rests, default=0.0))
 
     def tell_again(self, engine):
-        """Tell the steward what an engine said lately, so that its next grant can be used."""
+        """Tell the scheduler what an engine said lately, so that its next grant can be used."""
         for notice in self._notices.of((engine,)):
             self.tell(notice)
 
     def tell(self, notice):
-        """Tell the steward what one of its engines said."""
+        """Tell the scheduler what one of its engines said."""
         engine = self._declaration().engines_by_name.get(notice.engine)
         if engine is not None:
             self.send(engine.cell, notice)
@@ -125,7 +125,7 @@
     ----------
     name : str
         This router's name.
-    stewards, claims, crashes, declaration
+    schedulers, claims, crashes, declaration
         See :class:`RequestContext`.
     loop : asyncio.AbstractEventLoop
     retry_window_s : callable, optional
@@ -151,7 +151,7 @@
         self,
         *,
         name,
-        stewards,
+        schedulers,
         claims,
         crashes,
         declaration,
@@ -171,7 +171,7 @@
         self._idle.set()
         self._context = RequestContext(
             name=name,
-            stewards=stewards,
+            schedulers=schedulers,
             claims=claims,
             crashes=crashes,
             retries=self._retries,
@@ -219,8 +219,8 @@
         """Give up a waiting request, for a higher tier needs its room in the router."""
         self.post(request_id, Displaced())
 
-    def on_steward_message(self, message):
-        """Give a steward's message to its request; what it says of an engine is for all requests."""
+    def on_scheduler_message(self, message):
+        """Give a scheduler's message to its request; what it says of an engine is for all requests."""
         if isinstance(message, EngineDown):
             self._context.crashes.note_down(message.engine)
             return
@@ -232,7 +232,7 @@
             task.post(message)
 
     def register(self, cell):
-        """Everything this entry holds for ``cell``, for a new steward."""
+        """Everything this entry holds for ``cell``, for a new scheduler."""
         tasks = [task for task in self.tasks_by_id.values() if task.cell == cell]
         waiting = [task.grant_request() for task in tasks if task.state is RequestState.QUEUED and task.attempt]
         running = [task.running_record() for task in tasks if task.state is RequestState.DISPATCHED]
@@ -289,7 +289,7 @@
         }
 
     def _return_grant(self, task, granted):
-        # Two stewards may serve one cell for a moment, or a grant may cross a
+        # Two schedulers may serve one cell for a moment, or a grant may cross a
         # withdrawal. The place must go back or its engine looks busy for ever; a
         # running request's true place is told again so that its account stays exact.
         if task is None:
--- a/wagtailtrestle/entry/request_task.py
+++ b/wagtailtrestle/entry/request_task.py
@@ -62,7 +62,7 @@
 
 
 RETRIES = frozenset({RunKind.AFTER_LOSS, RunKind.AFTER_REFUSAL})
-"""Runs that count against the budget of retries; a run after a preemption was asked for by the steward."""
+"""Runs that count against the budget of retries; a run after a preemption was asked for by the scheduler."""
 
 
 class RequestState(StrEnum):
@@ -91,7 +91,7 @@
     request : CallerRequest
     caller : CallerLink
     context : RequestContext
-        What the owning entry offers: stewards, claims, budgets, addresses.
+        What the owning entry offers: schedulers, claims, budgets, addresses.
     """
 
     __slots__ = (
@@ -204,7 +204,7 @@
         )
 
     def running_record(self):
-        """Build the record of the present run for a new steward."""
+        """Build the record of the present run for a new scheduler."""
         return RunningRecord(
             request=self.grant_request(),
             engine=self.engine,
@@ -263,13 +263,13 @@
                         self.state = RequestState.GRANTED
                         self._retries_used_up = message.retries_used_up
                         return message
-                    # The steward may be cut off from the platform, and not know yet that an
+                    # The scheduler may be cut off from the platform, and not know yet that an
                     # engine leaves, or know one that this router does not. Sent there, the
                     # request would be lost with the engine: the place goes back, and the next
                     # ask leaves the engine out.
                     self.context.tell_again(message.engine)
                     self._reports.gave_back(message.engine)
-                    # A steward that grants it again after it was told may know a later start of the engine.
+                    # A scheduler that grants it again after it was told may know a later start of the engine.
                     if not is_in_use or message.engine in self._given_back:
                         self._excluded.add(message.engine)
                     self._given_back.add(message.engine)
@@ -378,7 +378,7 @@
                     self.run_tokens = output_tokens
                     self._reports.advanced(output_tokens)
                 case Granted(engine=engine) if engine != self.engine:
-                    # A second steward granted the same ask; the place is not needed.
+                    # A second scheduler granted the same ask; the place is not needed.
                     self._reports.gave_back(engine)
                 case RunEnded():
                     self._reach.note(message.outcome)
@@ -409,7 +409,7 @@
     # What follows a run.
 
     def _settled(self, ended):
-        """Tell the steward, then answer the caller or return ``False`` to ask again."""
+        """Tell the scheduler, then answer the caller or return ``False`` to ask again."""
         self._reports.finished(self.engine, ended)
         outcome = ended.outcome
         if not isinstance(outcome, RunDone):
--- a/wagtailtrestle/entry/retry_record.py
+++ b/wagtailtrestle/entry/retry_record.py
@@ -1,4 +1,4 @@
-"""What one router sent a second time and what it got answered, for a steward that is new."""
+"""What one router sent a second time and what it got answered, for a scheduler that is new."""
 
 from collections import defaultdict
 
@@ -41,7 +41,7 @@
         self._forget_old(self._successes_by_cell[cell])
 
     def history(self, cell):
-        """What a steward is told."""
+        """What a scheduler is told."""
         return RetryHistory(
             up_s=self._clock() - self._began_at,
             retries_by_age_s=self._by_age_s(self._retries_by_cell[cell]),
--- a/wagtailtrestle/entry/run_reports.py
+++ b/wagtailtrestle/entry/run_reports.py
@@ -1,17 +1,17 @@
-"""What a steward is told of one request's runs."""
+"""What a scheduler is told of one request's runs."""
 
 from wagtailtrestle.contracts.messages import RunFinished, RunProgress, RunStarted
 from wagtailtrestle.contracts.outcomes import RunCancelled, RunNotSent, RunSilent
 
 
 class RunReports:
-    """Tells the steward of a request's cell how its runs go; a lost message is made good by registering.
+    """Tells the scheduler of a request's cell how its runs go; a lost message is made good by registering.
 
     Parameters
     ----------
     request_id : str
     send : callable
-        ``send(message)`` carries a message to the steward.
+        ``send(message)`` carries a message to the scheduler.
     """
 
     __slots__ = ("_request_id", "_send")
--- a/wagtailtrestle/measure/cluster.py
+++ b/wagtailtrestle/measure/cluster.py
@@ -1,6 +1,6 @@
-"""The routers of a measured run: real entries and the real steward, joined by delayed messages."""
+"""The routers of a measured run: real entries and the real scheduler, joined by delayed messages."""
 
-from wagtailtrestle.capacity.steward import Steward
+from wagtailtrestle.capacity.scheduler import Scheduler
 from wagtailtrestle.contracts.exchange import CallerRequest
 from wagtailtrestle.contracts.report_messages import LoadReport
 from wagtailtrestle.entry.crash_watch import CrashWatch
@@ -16,7 +16,7 @@
 """How long it takes until the others know that a router is dead."""
 
 
-class StewardRouters:
+class SchedulerRouters:
     """Routers under the product's own decisions.
 
     Parameters
@@ -39,12 +39,12 @@
         self._callers_by_router = {name: {} for name in setting.routers}
         self._entry_by_name = {name: self._entry(name) for name in setting.routers}
         self._host = setting.routers[0]
-        self._steward = self._new_steward()
+        self._scheduler = self._new_scheduler()
 
     @property
-    def steward(self):
-        """The present steward."""
-        return self._steward
+    def scheduler(self):
+        """The present scheduler."""
+        return self._scheduler
 
     def start(self):
         """Start the periodic work."""
@@ -70,23 +70,23 @@
         return caller
 
     def kill(self, router):
-        """End a router's process: its requests are lost, and its steward if it had one."""
+        """End a router's process: its requests are lost, and its scheduler if it had one."""
         entry = self._entry_by_name.pop(router)
         for caller in self._callers_by_router.pop(router).values():
             caller.die()
         self._loop.create_task(entry.close())
         if router == self._host:
-            self._steward.stop_granting()
-            self._steward = None
+            self._scheduler.stop_granting()
+            self._scheduler = None
         self._loop.call_later(DETECTION_S, self._note_death, router)
 
-    def _send_to_steward(self, router, message):
+    def _send_to_scheduler(self, router, message):
         delay_s = 0.0 if router == self._host else NETWORK_S
         self._loop.call_later(delay_s, self._receive, message)
 
     def _receive(self, message):
-        if self._steward is not None:
-            self._steward.receive(message)
+        if self._scheduler is not None:
+            self._scheduler.receive(message)
 
     def _send_to_entry(self, entry_name, message):
         if entry_name not in self._entry_by_name:
@@ -98,16 +98,16 @@
     def _give(self, entry_name, message):
         entry = self._entry_by_name.get(entry_name)
         if entry is not None:
-            entry.on_steward_message(message)
+            entry.on_scheduler_message(message)
 
     def _note_death(self, router):
         if router == self._host:
             self._host = next(iter(self._entry_by_name))
-            self._steward = self._new_steward()
+            self._scheduler = self._new_scheduler()
             for entry in self._entry_by_name.values():
                 self._loop.call_later(NETWORK_S, self._receive, entry.register(self._setting.cell))
         else:
-            self._steward.set_members(frozenset(self._entry_by_name))
+            self._scheduler.set_members(frozenset(self._entry_by_name))
 
     def _entry(self, name):
         clock = self._loop.time
@@ -118,30 +118,30 @@
         )
         return Entry(
             name=name,
-            stewards=SentBy(router=name, send=self._send_to_steward),
+            schedulers=SentBy(router=name, send=self._send_to_scheduler),
             claims=self._claims_by_router.get(name),
             crashes=crashes,
             declaration=lambda: self._setting.declaration,
             loop=self._loop,
         )
 
-    def _new_steward(self):
+    def _new_scheduler(self):
         setting = self._setting
-        steward = Steward(
+        scheduler = Scheduler(
             cell=setting.cell,
             policy=self._make_policy(),
             clock=self._loop.time,
             entries=SentTo(send=self._send_to_entry),
             prefill_weight=setting.prefill_weight,
         )
-        steward.set_members(frozenset(self._entry_by_name))
-        steward.set_teams({name: team.share for name, team in setting.declaration.teams_by_name.items()})
-        steward.set_engines({engine.name: engine for engine in setting.declared_engines})
-        return steward
+        scheduler.set_members(frozenset(self._entry_by_name))
+        scheduler.set_teams({name: team.share for name, team in setting.declaration.teams_by_name.items()})
+        scheduler.set_engines({engine.name: engine for engine in setting.declared_engines})
+        return scheduler
 
     def _tick(self):
-        if self._steward is not None:
-            self._steward.tick()
+        if self._scheduler is not None:
+            self._scheduler.tick()
         self._loop.call_later(TICK_S, self._tick)
 
     def _report(self):
@@ -159,8 +159,8 @@
         self._loop.call_later(REPORT_EVERY_S, self._report)
 
     def _take_report(self, report):
-        if self._steward is not None:
-            self._steward.on_load_report(report)
+        if self._scheduler is not None:
+            self._scheduler.on_load_report(report)
 
 
 def caller_request(*, arrival, request_id, service, tier, repeatable, now, key=""):
--- a/wagtailtrestle/measure/one_run.py
+++ b/wagtailtrestle/measure/one_run.py
@@ -10,7 +10,7 @@
 from wagtailtrestle.engines.policies import LeastReportedLoad, PredictedFinish, RoundRobin, TwoChoices
 from wagtailtrestle.measure import virtual_time
 from wagtailtrestle.measure.baseline_routers import BaselineRouters
-from wagtailtrestle.measure.cluster import StewardRouters, caller_request
+from wagtailtrestle.measure.cluster import SchedulerRouters, caller_request
 from wagtailtrestle.measure.fake_engine import FakeEngine
 from wagtailtrestle.measure.fleet import capacity_left, fleet_cost_s, true_speeds
 from wagtailtrestle.measure.platform_store import MeasuredLedgers, MeasuredStore, is_keyed
@@ -29,7 +29,7 @@
 NO_FAULT = "none"
 STRAGGLER = "straggler"
 KILLED_ENTRY = "killed-entry"
-KILLED_STEWARD = "killed-steward"
+KILLED_SCHEDULER = "killed-scheduler"
 KEYED = "keyed"
 PLATFORM_OUT = "platform-out"
 KEYED_SCENARIOS = (KEYED, PLATFORM_OUT)
@@ -37,7 +37,7 @@
 
 OURS = "ours"
 BASELINES = ("round-robin", "least-reported", "two-choices")
-ABLATIONS = ("steward-round-robin", "steward-least-reported", "steward-two-choices")
+ABLATIONS = ("scheduler-round-robin", "scheduler-least-reported", "scheduler-two-choices")
 
 EXAMPLE_BY_SERVICE = {"asistente": "cometas", "naamkosh": "nagarchinha"}
 EXAMPLES = Path(__file__).resolve().parents[2] / "examples"
@@ -120,8 +120,8 @@
     def _routers(self, engines_by_name, loop, claims_by_router):
         policy = self._spec.policy
         seed = self._spec.seed
-        steward = policy == OURS or policy in ABLATIONS
-        name = policy.removeprefix("steward-")
+        scheduler = policy == OURS or policy in ABLATIONS
+        name = policy.removeprefix("scheduler-")
 
         def make_policy(number=0):
             match name:
@@ -135,7 +135,7 @@
                     return PredictedFinish(prefill_weight=self.setting.prefill_weight)
 
         parts = dict(setting=self.setting, engines_by_name=engines_by_name, make_policy=make_policy, loop=loop)
-        return StewardRouters(**parts, claims_by_router=claims_by_router) if steward else BaselineRouters(**parts)
+        return SchedulerRouters(**parts, claims_by_router=claims_by_router) if scheduler else BaselineRouters(**parts)
 
     async def _arrive(self, routers, loop):
         spec = self._spec
@@ -173,7 +173,7 @@
                 engines_by_name[self.setting.declared_engines[0].name].straggle(STRAGGLE_FACTOR)
             case "killed-entry":
                 routers.kill(ROUTERS[-1])
-            case "killed-steward":
+            case "killed-scheduler":
                 routers.kill(ROUTERS[0])
 
     def _figures(self, engines_by_name):
--- a/wagtailtrestle/measure/plan_of_runs.py
+++ b/wagtailtrestle/measure/plan_of_runs.py
@@ -5,7 +5,7 @@
     BASELINES,
     KEYED_SCENARIOS,
     KILLED_ENTRY,
-    KILLED_STEWARD,
+    KILLED_SCHEDULER,
     NO_FAULT,
     OURS,
     STRAGGLER,
@@ -15,7 +15,7 @@
 SERVICES = ("asistente", "naamkosh")
 LOADS = (0.7, 1.0, 1.5, 2.5)
 FAULT_LOADS = (1.0, 2.5)
-FAULTS = (STRAGGLER, KILLED_ENTRY, KILLED_STEWARD, *KEYED_SCENARIOS)
+FAULTS = (STRAGGLER, KILLED_ENTRY, KILLED_SCHEDULER, *KEYED_SCENARIOS)
 BASELINE_FAULTS = (STRAGGLER, KILLED_ENTRY)
 SEEDS = (1, 2, 3)
 WEIGHTS = (0.0, 0.5, 1.0)
--- a/wagtailtrestle/measure/real_processes.py
+++ b/wagtailtrestle/measure/real_processes.py
@@ -142,7 +142,7 @@
             deployment.start()
             deployment.apply()
             deployment.wait_routers_ready()
-            # One round of load reports, so that the stewards know the engines.
+            # One round of load reports, so that the schedulers know the engines.
             time.sleep(1.0)
             yield deployment
         finally:
--- a/wagtailtrestle/measure/run_parts.py
+++ b/wagtailtrestle/measure/run_parts.py
@@ -26,7 +26,7 @@
 
 
 class SentBy:
-    """One entry's ``StewardLink``.
+    """One entry's ``SchedulerLink``.
 
     Parameters
     ----------
@@ -42,13 +42,13 @@
         self._send = send
 
     def send(self, *, cell, message):
-        """Carry a message to the steward."""
+        """Carry a message to the scheduler."""
         self._send(self._router, message)
         return True
 
 
 class SentTo:
-    """The steward's ``EntryLink``.
+    """The scheduler's ``EntryLink``.
 
     Parameters
     ----------
--- a/wagtailtrestle/membership/member.py
+++ b/wagtailtrestle/membership/member.py
@@ -65,7 +65,7 @@
         return (self.incarnation, self.version, RANKS_BY_STATE[state])
 
     def eligible(self, now):
-        """Whether it may be steward or shard owner."""
+        """Whether it may be scheduler or shard owner."""
         return self.present and not self.draining and not self.listed_leaving and now >= self.held_until
 
     def set_state(self, state, now):
@@ -82,7 +82,7 @@
         self.state_since = now
 
     def _hold(self, now):
-        # A router behind a bad link would go in and out of the view, and each time the cells it is steward
+        # A router behind a bad link would go in and out of the view, and each time the cells it is scheduler
         # of move twice and every entry re-registers. Who comes back is alive at once but eligible only after
         # it stayed for a while, longer each time.
         if now - self.state_since > STEADY_S:
--- a/wagtailtrestle/membership/membership.py
+++ b/wagtailtrestle/membership/membership.py
@@ -185,7 +185,7 @@
             self._peers.send(peer, self._heartbeat())
 
     def set_draining(self):
-        """Leave the set of routers that may be steward, and tell everybody."""
+        """Leave the set of routers that may be scheduler, and tell everybody."""
         own = self._table.own
         own.draining = True
         own.version += 1
@@ -308,7 +308,7 @@
         own = self._table.own
         if event.incarnation > own.incarnation and not own.draining:
             # A later process of the same name runs. This one was paused or forgotten; were it to go on as
-            # steward, two processes would answer to one name.
+            # scheduler, two processes would answer to one name.
             logger.error("another process took the name {}; this one gives up its cells", self.name)
             own.draining = True
             self._refresh_soon()
@@ -348,7 +348,7 @@
         """Whether this process ran lately; if not, its view is taken as stale first.
 
         A process that was stopped wakes with timers that all seem due and with everybody
-        silent. Without this it would declare all others dead and make itself steward of
+        silent. Without this it would declare all others dead and make itself scheduler of
         every cell, although it is the one that was away.
         """
         now = self._loop.time()
--- a/wagtailtrestle/membership/view.py
+++ b/wagtailtrestle/membership/view.py
@@ -9,7 +9,7 @@
     Parameters
     ----------
     members : iterable of str
-        Routers that may be steward or shard owner.
+        Routers that may be scheduler or shard owner.
     draining : iterable of str
         Routers that are alive but may not be: they leave, or came back too lately.
     incarnations_by_name : dict of str to int, optional
--- a/wagtailtrestle/peers/codec.py
+++ b/wagtailtrestle/peers/codec.py
@@ -157,7 +157,7 @@
     message : dataclass instance
         Its type is a key of ``BODIES``.
     cell : str
-        Cell it concerns, for steward messages.
+        Cell it concerns, for scheduler messages.
     question, answer_to : int
         Number that pairs a question with its answer on one connection; 0 for none.
     """
--- a/wagtailtrestle/peers/delays.py
+++ b/wagtailtrestle/peers/delays.py
@@ -1,7 +1,7 @@
 """How long a message to a peer may wait for company, and for a sign that it arrived.
 
-What takes or frees a place leaves at once. What only informs the steward waits for a batch
-that leaves anyway: at full size a router asks some thirty stewards, half a request a second
+What takes or frees a place leaves at once. What only informs the scheduler waits for a batch
+that leaves anyway: at full size a router asks some thirty schedulers, half a request a second
 each, and a batch of its own costs far more than an item in one.
 """
 
@@ -35,9 +35,9 @@
 AT_ONCE = Delay()
 
 DELAY_BY_TYPE = {
-    # The steward counts a prompt as still to be prefilled until this comes: soon, not at once.
+    # The scheduler counts a prompt as still to be prefilled until this comes: soon, not at once.
     RunStarted: Delay(leave_within_s=0.1, patience_s=None),
-    # The steward goes on by the clock from the last one; only preemption's price, tokens thrown away, lags.
+    # The scheduler goes on by the clock from the last one; only preemption's price, tokens thrown away, lags.
     RunProgress: Delay(ride_after_s=4.0, leave_within_s=8.0, is_replaceable=True, patience_s=None),
     # The first token answers it, mostly before this. An ask just made is watched by the entry itself.
     Granted: Delay(patience_s=0.5),
