--- a/wagtailtrestle/peers/directory.py
+++ b/wagtailtrestle/peers/directory.py
@@ -1,21 +1,21 @@
-"""Finds the steward of a cell and the entry of a request, and carries messages to them.
+"""Finds the scheduler of a cell and the entry of a request, and carries messages to them.
 
-Implements ``ports.StewardLink`` and ``ports.EntryLink`` over membership and peers, with a
+Implements ``ports.SchedulerLink`` and ``ports.EntryLink`` over membership and peers, with a
 local short cut. Nothing depends on a single message getting through: all that an entry
-holds for a cell is registered anew when the cell's steward changes, after each reconnect,
+holds for a cell is registered anew when the cell's scheduler changes, after each reconnect,
 after a pause of this process, and each second while messages take a detour.
 
-A message for a cell whose steward is, in this router's own view, someone else
+A message for a cell whose scheduler is, in this router's own view, someone else
 -------------------------------------------------------------------------------
 Views may differ for a moment. Ways weighed: (1) bounce it: the sender, whose view still
 names this router, would send it here again, and the request hangs until views agree;
-(2) pass it on: two routers that each believe the other to be steward would pass it in
-circles; (3) act as steward anyway. We do (3): a grant is capacity, not identity, so two
-stewards may overfill an engine for the second or so that views differ, but only the entry
+(2) pass it on: two routers that each believe the other to be scheduler would pass it in
+circles; (3) act as scheduler anyway. We do (3): a grant is capacity, not identity, so two
+schedulers may overfill an engine for the second or so that views differ, but only the entry
 dispatches, once per request. When the sender's view changes, it registers with the new
-steward and sends the old one an empty registration, which frees what was held here. A
+scheduler and sends the old one an empty registration, which frees what was held here. A
 draining router alone does (2), since it grants nothing more: it passes the message to the
-steward in its own view, which is never itself.
+scheduler in its own view, which is never itself.
 """
 
 from wagtailtrestle.contracts.messages import (
@@ -36,18 +36,18 @@
 from wagtailtrestle.peers.routes import PeerRoutes
 
 ENTRY_MESSAGES = (GrantRequest, Withdraw, RunStarted, RunProgress, RunFinished, Register, EngineNotice)
-STEWARD_MESSAGES = (Granted, Refused, Preempt, EngineDown)
+SCHEDULER_MESSAGES = (Granted, Refused, Preempt, EngineDown)
 
-# Up to so many routers each entry registers also for the cells it holds nothing for, so that a new steward
-# soon knows it has heard everybody. Beyond, that would be a connection from every router to every steward;
-# a steward there waits out its bounded time of caution.
+# Up to so many routers each entry registers also for the cells it holds nothing for, so that a new scheduler
+# soon knows it has heard everybody. Beyond, that would be a connection from every router to every scheduler;
+# a scheduler there waits out its bounded time of caution.
 ANNOUNCE_LIMIT = 32
 DETOUR_REGISTER_S = 1.0
 ASK_PAUSE_S = 0.3
 
 
 class Directory:
-    """Routes messages between entries and stewards.
+    """Routes messages between entries and schedulers.
 
     Parameters
     ----------
@@ -56,18 +56,18 @@
     membership : Membership
     peers : Peers
     loop : asyncio event loop
-    deliver_to_steward : callable
-        ``(cell, EntryMessage)``: to the steward part of this router.
+    deliver_to_scheduler : callable
+        ``(cell, EntryMessage)``: to the scheduler part of this router.
     deliver_to_entry : callable
-        ``(StewardMessage)``: to the entry part of this router.
+        ``(SchedulerMessage)``: to the entry part of this router.
     register : callable
         ``(cell) -> Register``: all that this router's entry holds for a cell.
     cells : callable
         ``() -> iterable of str``: the cells of the configuration in force.
     set_members : callable, optional
-        ``(tuple of str)``: names of all entries alive, told to the local stewards.
+        ``(tuple of str)``: names of all entries alive, told to the local schedulers.
     begin_cell : callable, optional
-        ``(cell)``: this router has become steward of the cell.
+        ``(cell)``: this router has become scheduler of the cell.
     """
 
     def __init__(
@@ -77,7 +77,7 @@
         membership,
         peers,
         loop,
-        deliver_to_steward,
+        deliver_to_scheduler,
         deliver_to_entry,
         register,
         cells,
@@ -89,72 +89,72 @@
         self._peers = peers
         self._routes = PeerRoutes(name=name, peers=peers, members=lambda: membership.view.everyone, loop=loop)
         self._loop = loop
-        self._deliver_to_steward = deliver_to_steward
+        self._deliver_to_scheduler = deliver_to_scheduler
         self._deliver_to_entry = deliver_to_entry
         self._register = register
         self._cells = cells
         self._set_members = set_members or (lambda members: None)
         self._begin_cell = begin_cell or (lambda cell: None)
         self._rendezvous = Rendezvous()
-        self._steward_by_cell = {}
+        self._scheduler_by_cell = {}
         self._incarnations_by_name = dict(membership.view.incarnations_by_name)
         self._detours = set()
         self._asked_at = {}
-        self.steward_link = _StewardSide(directory=self)
+        self.scheduler_link = _SchedulerSide(directory=self)
         self.entry_link = _EntrySide(directory=self)
         for message_type in ENTRY_MESSAGES:
             peers.on(message_type, self._from_entry)
-        for message_type in STEWARD_MESSAGES:
-            peers.on(message_type, self._from_steward)
+        for message_type in SCHEDULER_MESSAGES:
+            peers.on(message_type, self._from_scheduler)
         peers.on(RegisterAsk, self._on_register_ask)
         peers.on_reconnect(self._reconnected)
         peers.on_unreachable(self._unreachable)
         membership.on_view_change(self._view_changed)
         membership.on_trusted(self._trusted_again)
 
-    def steward_of(self, cell):
-        """Name of the router that is steward of a cell in the present view, or ``None``."""
+    def scheduler_of(self, cell):
+        """Name of the router that is scheduler of a cell in the present view, or ``None``."""
         return self._rendezvous.choose(key=cell, members=self._membership.view.members)
 
     def refresh(self):
-        """Register the cells whose steward changed; also call it when the configuration changed."""
+        """Register the cells whose scheduler changed; also call it when the configuration changed."""
         if not self._membership.trusted:
             return
         cells = set(self._cells())
-        for cell in set(self._steward_by_cell) - cells:
-            del self._steward_by_cell[cell]
+        for cell in set(self._scheduler_by_cell) - cells:
+            del self._scheduler_by_cell[cell]
         for cell in cells:
-            self._check_steward(cell)
+            self._check_scheduler(cell)
 
     def ask_to_register(self, *, cell, entries):
-        """Ask entries that a local steward waits for to register, at a bounded rate."""
+        """Ask entries that a local scheduler waits for to register, at a bounded rate."""
         now = self._loop.time()
         for entry in entries:
             if now < self._asked_at.get((cell, entry), 0.0):
                 continue
             self._asked_at[cell, entry] = now + ASK_PAUSE_S
             if entry == self.name:
-                self._loop.call_soon(self._deliver_to_steward, cell, self._registration(cell, self.name))
+                self._loop.call_soon(self._deliver_to_scheduler, cell, self._registration(cell, self.name))
             else:
                 self._routes.send(entry, RegisterAsk(), cell=cell)
 
     def dump(self):
-        """State for the dump: the steward of each cell."""
-        return {cell: self.steward_of(cell) for cell in sorted(self._cells())}
+        """State for the dump: the scheduler of each cell."""
+        return {cell: self.scheduler_of(cell) for cell in sorted(self._cells())}
 
-    def send_to_steward(self, *, cell, message):
-        """Carry an entry's message; ``False`` if there is no steward now."""
+    def send_to_scheduler(self, *, cell, message):
+        """Carry an entry's message; ``False`` if there is no scheduler now."""
         if not self._membership.trusted:
-            # This process starts or was paused, so its view may name a steward of long ago. What is not sent
+            # This process starts or was paused, so its view may name a scheduler of long ago. What is not sent
             # now is in the registration that follows as soon as a peer has told the present view.
             return True
-        steward = self._check_steward(cell)
-        if steward is None:
+        scheduler = self._check_scheduler(cell)
+        if scheduler is None:
             return False
-        return self._send(steward, cell, message)
+        return self._send(scheduler, cell, message)
 
     def send_to_entry(self, *, entry, message):
-        """Carry a steward's message; ``False`` if the entry can't be reached now."""
+        """Carry a scheduler's message; ``False`` if the entry can't be reached now."""
         if entry == self.name:
             self._loop.call_soon(self._deliver_to_entry, message)
             return True
@@ -162,47 +162,47 @@
 
     # Registration.
 
-    def _check_steward(self, cell):
-        steward = self.steward_of(cell)
-        before = self._steward_by_cell.get(cell)
-        if steward != before:
-            self._change_steward(cell, before, steward)
-        return steward
-
-    def _change_steward(self, cell, before, steward):
-        self._steward_by_cell[cell] = steward
-        if steward == self.name:
-            # A steward of before still holds that everybody has registered, and would grant at once beside
+    def _check_scheduler(self, cell):
+        scheduler = self.scheduler_of(cell)
+        before = self._scheduler_by_cell.get(cell)
+        if scheduler != before:
+            self._change_scheduler(cell, before, scheduler)
+        return scheduler
+
+    def _change_scheduler(self, cell, before, scheduler):
+        self._scheduler_by_cell[cell] = scheduler
+        if scheduler == self.name:
+            # A scheduler of before still holds that everybody has registered, and would grant at once beside
             # all that was granted since: engines filled twice over.
             self._begin_cell(cell)
         if before in self._membership.view.everyone:
-            # Without this a former steward that lives would hold this entry's places until told otherwise.
+            # Without this a former scheduler that lives would hold this entry's places until told otherwise.
             self._send(before, cell, Register(entry=self.name, cell=cell, elsewhere=True))
-        if steward is not None:
-            self._announce(steward, cell)
+        if scheduler is not None:
+            self._announce(scheduler, cell)
 
-    def _announce(self, steward, cell):
+    def _announce(self, scheduler, cell):
         registration = self._register(cell)
         holds_nothing = not registration.waiting and not registration.running and not registration.notices
         is_empty = holds_nothing and registration.retries.is_empty
-        is_stranger = steward != self.name and not self._peers.connected(steward)
+        is_stranger = scheduler != self.name and not self._peers.connected(scheduler)
         if is_empty and is_stranger and len(self._membership.view.everyone) > ANNOUNCE_LIMIT:
             return
-        self._send(steward, cell, registration)
+        self._send(scheduler, cell, registration)
 
     def _registration(self, cell, asker):
-        """What this entry holds at ``asker``: nothing, if it has another steward for the cell."""
-        if self.steward_of(cell) == asker:
+        """What this entry holds at ``asker``: nothing, if it has another scheduler for the cell."""
+        if self.scheduler_of(cell) == asker:
             return self._register(cell)
         return Register(entry=self.name, cell=cell, elsewhere=True)
 
-    def _send(self, steward, cell, message):
-        if steward == self.name:
-            self._loop.call_soon(self._deliver_to_steward, cell, message)
+    def _send(self, scheduler, cell, message):
+        if scheduler == self.name:
+            self._loop.call_soon(self._deliver_to_scheduler, cell, message)
             return True
-        if self._routes.is_cut(steward):
+        if self._routes.is_cut(scheduler):
             self._register_during_detour(cell)
-        return self._routes.send(steward, message, cell=cell)
+        return self._routes.send(scheduler, message, cell=cell)
 
     def _register_during_detour(self, cell):
         if cell not in self._detours:
@@ -211,9 +211,9 @@
 
     def _register_again(self, cell):
         self._detours.discard(cell)
-        steward = self._steward_by_cell.get(cell)
-        if steward not in (None, self.name) and self._routes.is_cut(steward):
-            self._send(steward, cell, self._register(cell))
+        scheduler = self._scheduler_by_cell.get(cell)
+        if scheduler not in (None, self.name) and self._routes.is_cut(scheduler):
+            self._send(scheduler, cell, self._register(cell))
 
     # Changes.
 
@@ -233,35 +233,35 @@
 
     def _trusted_again(self):
         self._view_changed(self._membership.view)
-        for cell, steward in self._steward_by_cell.items():
-            if steward is not None:
-                self._announce(steward, cell)
+        for cell, scheduler in self._scheduler_by_cell.items():
+            if scheduler is not None:
+                self._announce(scheduler, cell)
 
     def _reconnected(self, peer):
         # What was written to the old connection may be lost, in both directions.
         if not self._membership.trusted:
             return
-        for cell, steward in self._steward_by_cell.items():
-            if steward == peer:
+        for cell, scheduler in self._scheduler_by_cell.items():
+            if scheduler == peer:
                 self._announce(peer, cell)
 
     def _unreachable(self, peer, detail):
         # If the peer stays in the view all the same, the way to it is cut: what it didn't get goes round.
-        for cell, steward in self._steward_by_cell.items():
-            if steward == peer:
+        for cell, scheduler in self._scheduler_by_cell.items():
+            if scheduler == peer:
                 self._register_during_detour(cell)
 
     # Receiving.
 
     def _from_entry(self, peer, message, cell):
         if self._membership.draining:
-            steward = self.steward_of(cell)
-            if steward not in (None, self.name):
-                self._routes.send(steward, message, cell=cell)
+            scheduler = self.scheduler_of(cell)
+            if scheduler not in (None, self.name):
+                self._routes.send(scheduler, message, cell=cell)
                 return
-        self._deliver_to_steward(cell, message)
+        self._deliver_to_scheduler(cell, message)
 
-    def _from_steward(self, peer, message, cell):
+    def _from_scheduler(self, peer, message, cell):
         self._deliver_to_entry(message)
 
     def _on_register_ask(self, peer, message, cell):
@@ -269,8 +269,8 @@
             self._routes.send(peer, self._registration(cell, peer), cell=cell)
 
 
-class _StewardSide:
-    """``ports.StewardLink``."""
+class _SchedulerSide:
+    """``ports.SchedulerLink``."""
 
     __slots__ = ("_directory",)
 
@@ -278,8 +278,8 @@
         self._directory = directory
 
     def send(self, *, cell, message):
-        """Queue a message for the steward of a cell."""
-        return self._directory.send_to_steward(cell=cell, message=message)
+        """Queue a message for the scheduler of a cell."""
+        return self._directory.send_to_scheduler(cell=cell, message=message)
 
 
 class _EntrySide:
--- a/wagtailtrestle/peers/peers_grpc.py
+++ b/wagtailtrestle/peers/peers_grpc.py
@@ -7,8 +7,8 @@
 ---------------------------------
 Items that were written but not read when a connection ends are lost, and a whole queue is
 dropped when it overflows. Grants, finishes and everything else between entries and
-stewards are covered by the re-registration that ``on_reconnect`` triggers at both ends: a
-``Register`` replaces all that the steward knew of that entry. Questions in flight end in
+schedulers are covered by the re-registration that ``on_reconnect`` triggers at both ends: a
+``Register`` replaces all that the scheduler knew of that entry. Questions in flight end in
 ``PeerUnreachable``. View events and generations are repeated by later heartbeats.
 """
 
--- a/wagtailtrestle/peers/routes.py
+++ b/wagtailtrestle/peers/routes.py
@@ -1,8 +1,8 @@
 """Sends to a peer directly, or through a third router while only the direct way is cut.
 
 The failure: one router can't reach another that all others reach (a lost route, a firewall's
-state). It stays in every view, so it stays steward of its cells, and this router's requests
-for them would wait until their deadlines. Choosing another steward for this router alone
+state). It stays in every view, so it stays scheduler of its cells, and this router's requests
+for them would wait until their deadlines. Choosing another scheduler for this router alone
 would give the cell two accounts for as long as the cut lasts, so the messages take a detour
 of one hop instead. The detour promises nothing; who uses it repeats itself (``Directory``
 registers again each second).
--- a/wagtailtrestle/platform/callers.py
+++ b/wagtailtrestle/platform/callers.py
@@ -29,7 +29,7 @@
 MOST_HINT_DIGITS = 9
 """Longer estimates are no number of tokens, and would not fit where they are passed on."""
 MOST_PARTS = 16
-"""Parts told to a steward, as many as blocks of a prompt given as text; see ``callers.prompt_shape``."""
+"""Parts told to a scheduler, as many as blocks of a prompt given as text; see ``callers.prompt_shape``."""
 
 
 class PlatformCallers:
--- a/wagtailtrestle/rollouts/coordinator.py
+++ b/wagtailtrestle/rollouts/coordinator.py
@@ -1,7 +1,7 @@
-"""The roll-outs of the services of which this router is steward: orders in, verdicts out.
+"""The roll-outs of the services of which this router is scheduler: orders in, verdicts out.
 
-The steward of a service decides its roll-out, since it grants nearly all of its runs and hears how each ended. It
-tells all routers how the roll-out stands each second, so that whoever is steward next goes on from there, and at
+The scheduler of a service decides its roll-out, since it grants nearly all of its runs and hears how each ended. It
+tells all routers how the roll-out stands each second, so that whoever is scheduler next goes on from there, and at
 once when it has ended. The state in the store is written on condition that the order is as it was read; a final
 state there is never replaced.
 """
@@ -26,10 +26,10 @@
     store : StatusStore
     adapter : Adapter
         Its ``rollout_kind`` and how its objects read.
-    stewards : StewardSet
+    schedulers : SchedulerSet
     broadcast : Broadcast
     own_services : callable
-        ``own_services()`` gives the services of which this router is steward.
+        ``own_services()`` gives the services of which this router is scheduler.
     engines : callable
         ``engines()`` gives the engines by name, as they are listed.
     share : float
@@ -48,7 +48,7 @@
         "rollout_by_service",
         "_orders",
         "_own",
-        "_stewards",
+        "_schedulers",
         "_broadcast",
         "_own_services",
         "_engines",
@@ -62,7 +62,7 @@
         "_told_at_by_service",
     )
 
-    def __init__(self, *, store, adapter, stewards, broadcast, own_services, engines, share, slack, clock):
+    def __init__(self, *, store, adapter, schedulers, broadcast, own_services, engines, share, slack, clock):
         self.rollout_by_service = {}
         self._own = frozenset()
         self._orders = Orders(
@@ -72,7 +72,7 @@
             on_change=self._take_orders,
             clock=clock,
         )
-        self._stewards = stewards
+        self._schedulers = schedulers
         self._broadcast = broadcast
         self._own_services = own_services
         self._engines = engines
@@ -144,7 +144,7 @@
         for service in self._own:
             engines = engines_by_service.get(service, [])
             rollout = self._rollout_of(service)
-            self._stewards.set_rollout(service, rollout, self._held(service, engines, rollout))
+            self._schedulers.set_rollout(service, rollout, self._held(service, engines, rollout))
 
     def _note_versions(self, engines_by_service):
         now = self._clock()
@@ -277,7 +277,7 @@
         for engine in self._engines().values():
             if engine.service == service and not engine.leaving:
                 places[rollout.is_target(engine.version)] += engine.slots
-        runs = self._stewards.runs_by_version(service)
+        runs = self._schedulers.runs_by_version(service)
         old_runs = sum(count for version, count in runs.items() if not rollout.is_target(version))
         rollout.step(old_places=places[False], target_places=places[True], old_runs=old_runs)
 
--- a/wagtailtrestle/rollouts/exposure.py
+++ b/wagtailtrestle/rollouts/exposure.py
@@ -3,7 +3,7 @@
 from collections import Counter
 
 TRIAL_SHARE = 0.85
-"""Part of the operator's share that is spent while the version is judged; the rest is for what two stewards of one
+"""Part of the operator's share that is spent while the version is judged; the rest is for what two schedulers of one
 service may grant beside each other for a moment."""
 
 TRIAL_SLACK = 0.5
--- a/wagtailtrestle/rollouts/orders.py
+++ b/wagtailtrestle/rollouts/orders.py
@@ -167,6 +167,6 @@
             log.info("roll-out told to the store")
         else:
             log.bind(outcome=type(outcome).__name__).warning("the store could not be told of a roll-out")
-        # Whatever came of it, what stands there now is read: an answer may be lost, another steward may have written.
+        # Whatever came of it, what stands there now is read: an answer may be lost, another scheduler may have written.
         self.read_again()
         await asyncio.sleep(RETRY_S * self._jitter.uniform(0.5, 1.0))
--- a/wagtailtrestle/rollouts/rollout.py
+++ b/wagtailtrestle/rollouts/rollout.py
@@ -1,4 +1,4 @@
-"""One roll-out at its coordinator, the steward of the service: trial, ramp, shift, verdict.
+"""One roll-out at its coordinator, the scheduler of the service: trial, ramp, shift, verdict.
 
 Trial: the old version serves; the target gets a small share and is judged by it. Ramp: judged good so far, it gets
 the rest of what an untested version may get, in a row. Shift: it gets everything, while what runs on the old engines
--- a/wagtailtrestle/router.py
+++ b/wagtailtrestle/router.py
@@ -13,7 +13,7 @@
 from wagtailtrestle.callers.limits import DEFAULT_BODY_BYTES, CallerLimits, held_for
 from wagtailtrestle.callers.server import CallersServer
 from wagtailtrestle.capacity.retry_budget import RetryLimits
-from wagtailtrestle.capacity.steward_set import StewardSet
+from wagtailtrestle.capacity.scheduler_set import SchedulerSet
 from wagtailtrestle.configuration.configuration import Configuration, InForce
 from wagtailtrestle.configuration.engine_list import EngineList
 from wagtailtrestle.configuration.engine_relay import EngineRelay, RelayLimits
@@ -184,20 +184,20 @@
             membership=self._membership,
             peers=self._peers,
             loop=self._loop,
-            deliver_to_steward=lambda cell, message: self._stewards.deliver(cell, message),
-            deliver_to_entry=lambda message: self._entry.on_steward_message(message),
+            deliver_to_scheduler=lambda cell, message: self._schedulers.deliver(cell, message),
+            deliver_to_entry=lambda message: self._entry.on_scheduler_message(message),
             register=lambda cell: self._entry.register(cell),
             cells=self._cells,
-            set_members=lambda names: self._stewards.set_members(names),
-            begin_cell=lambda cell: self._stewards.begin(cell),
+            set_members=lambda names: self._schedulers.set_members(names),
+            begin_cell=lambda cell: self._schedulers.begin(cell),
         )
-        self._stewards = StewardSet(
+        self._schedulers = SchedulerSet(
             clock=self._loop.time,
             entries=self._directory.entry_link,
             runs_outlive_routers=self._adapter.ended_call is not None,
             retry_limits=self._retry_limits,
         )
-        self._stewards.set_members(self._membership.view.everyone)
+        self._schedulers.set_members(self._membership.view.everyone)
         self._crashes = CrashWatch(
             book=CrashBook(clock=self._loop.time, reporter=name),
             detector=CrashDetector(clock=self._loop.time),
@@ -210,7 +210,7 @@
         self._make_rollouts()
         self._entry = Entry(
             name=name,
-            stewards=self._directory.steward_link,
+            schedulers=self._directory.scheduler_link,
             claims=self._ledger,
             crashes=self._crashes,
             declaration=self._declaration,
@@ -239,7 +239,7 @@
         self._rollouts = Coordinator(
             store=self._store,
             adapter=self._adapter,
-            stewards=self._stewards,
+            schedulers=self._schedulers,
             broadcast=self._broadcast,
             own_services=self._own_cells,
             engines=lambda: self._engine_list.by_name,
@@ -344,7 +344,7 @@
         self._reports.start()
         self._started.push_async_callback(self._in_thread, self._reports.close)
         self._ticking = self._loop.create_task(self._tick())
-        self._ticking.add_done_callback(lambda ended: report_broken(ended, "the stewards' clock ended"))
+        self._ticking.add_done_callback(lambda ended: report_broken(ended, "the schedulers' clock ended"))
         self._started.push_async_callback(_stopped, self._ticking)
         self._started.push_async_callback(self._entry.close)
         self._callers.start()
@@ -375,7 +375,7 @@
         """Leave: take no new work, hand the cells over, finish what is in flight."""
         self._draining = True
         self._membership.set_draining()
-        self._stewards.stop_granting()
+        self._schedulers.stop_granting()
         try:
             async with asyncio.timeout(self._settings.longest_drain_s):
                 await self._callers.drain(
@@ -428,7 +428,7 @@
             "quotas": self._quotas.dump(),
             "peers": self._peers.dump(),
             "stewards_by_cell": self._directory.dump(),
-            "stewards": self._stewards.dump(),
+            "stewards": self._schedulers.dump(),
             "entry": self._entry.dump(),
             "callers": self._callers.dump(),
             "ledger": self._ledger.dump(),
@@ -472,7 +472,7 @@
         if self._rollouts is not None:
             # First, so that no engine is used before it is known whether its version may be.
             self._rollouts.refresh()
-        self._stewards.set_declaration(declaration)
+        self._schedulers.set_declaration(declaration)
         self._directory.refresh()
         self._watch_engines()
         self._has_begun()
@@ -490,10 +490,10 @@
     def _take_vms(self, by_id):
         vms = tuple(by_id.values())
         self._membership.observe_vms(vms)
-        self._stewards.set_leaving(frozenset(vm.id for vm in vms if vm.role == ENGINE_ROLE and vm.leaving))
+        self._schedulers.set_leaving(frozenset(vm.id for vm in vms if vm.role == ENGINE_ROLE and vm.leaving))
 
     def _watch_engines(self):
-        """Poll the language engines of the cells that this router is steward of.
+        """Poll the language engines of the cells that this router is scheduler of.
 
         A plain service has no load report: a call to it could be taken for work.
         """
@@ -509,17 +509,17 @@
         self._reports.set_engines(polled)
 
     def _own_cells(self):
-        """Cells that this router is steward of."""
-        return {cell for cell in self._cells() if self._directory.steward_of(cell) == self._settings.name}
+        """Cells that this router is scheduler of."""
+        return {cell for cell in self._cells() if self._directory.scheduler_of(cell) == self._settings.name}
 
     def _take_report(self, report):
         match report:
             case LoadReport():
-                self._stewards.on_load_report(report)
+                self._schedulers.on_load_report(report)
             case LoadUnreachable(engine=engine):
-                self._stewards.on_unreachable(engine)
+                self._schedulers.on_unreachable(engine)
             case CacheEvents():
-                self._stewards.on_cache_events(report)
+                self._schedulers.on_cache_events(report)
 
     def _retry_limits(self):
         settings = self._settings
@@ -540,7 +540,7 @@
             self._peers.send(peer, report)
 
     def _tell_rollouts(self, peer):
-        # A router that starts may be steward next, and would send an untested version its full part.
+        # A router that starts may be scheduler next, and would send an untested version its full part.
         for word in self._rollouts.words():
             self._peers.send(peer, word)
 
@@ -563,9 +563,9 @@
     async def _tick(self):
         while True:
             await asyncio.sleep(TICK_S)
-            self._stewards.tick()
-            for cell, steward in self._stewards.by_cell.items():
-                self._directory.ask_to_register(cell=cell, entries=steward.awaited_entries)
+            self._schedulers.tick()
+            for cell, scheduler in self._schedulers.by_cell.items():
+                self._directory.ask_to_register(cell=cell, entries=scheduler.awaited_entries)
             if self._in_force is not None:
                 self._quotas.tick()
             if self._rollouts is not None:
--- a/wagtailtrestle/slopes/__main__.py
+++ b/wagtailtrestle/slopes/__main__.py
@@ -1,7 +1,7 @@
 """``make slopes``: every slope, as JSON lines."""
 
-from wagtailtrestle.slopes import admin, configuration, control, data_path, entry, ledger, peers, steward, streams
+from wagtailtrestle.slopes import admin, configuration, control, data_path, entry, ledger, peers, scheduler, streams
 
 if __name__ == "__main__":
-    for module in (steward, entry, admin, ledger, configuration, peers, control, data_path, streams):
+    for module in (scheduler, entry, admin, ledger, configuration, peers, control, data_path, streams):
         module.main()
--- a/wagtailtrestle/slopes/admin.py
+++ b/wagtailtrestle/slopes/admin.py
@@ -16,8 +16,8 @@
 
 async def _dump_ms(held):
     loop = asyncio.get_running_loop()
-    entry, steward = make_entry(loop)
-    await hold(entry, steward, loop, held)
+    entry, scheduler = make_entry(loop)
+    await hold(entry, scheduler, loop, held)
     began = time.process_time()
     for _ in range(REPEATS):
         json.dumps(plain(entry.dump()))
--- a/wagtailtrestle/slopes/control.py
+++ b/wagtailtrestle/slopes/control.py
@@ -1,4 +1,4 @@
-"""Cost of the control traffic of requests: an entry and the stewards it asks, as processes.
+"""Cost of the control traffic of requests: an entry and the schedulers it asks, as processes.
 
 No data path and no heartbeats: what is measured is asking for a place, getting it, and
 telling of the run. Bytes are counted by relays between the two processes.
@@ -13,7 +13,7 @@
 
 ROLE = "control"
 RATES = (0, 5, 15, 30)
-STEWARDS = 30
+SCHEDULERS = 30
 # Letter 1's 1.9 million tokens a second over 5,800 requests a second, 37 ms each.
 RUN_S = 12.0
 SETTLE_S = 3.0
@@ -25,13 +25,13 @@
 class Cost:
     """What one rate of requests cost."""
 
-    __slots__ = ("entry_ms", "steward_ms", "bytes_per_s", "segments_per_s", "batches", "items", "wait_ms")
+    __slots__ = ("entry_ms", "scheduler_ms", "bytes_per_s", "segments_per_s", "batches", "items", "wait_ms")
 
     def __init__(self, *, before, after, requests, taken_s, payload, segments):
-        entry_before, stewards_before = before
-        entry_after, stewards_after = after
+        entry_before, schedulers_before = before
+        entry_after, schedulers_after = after
         self.entry_ms = _grown(entry_before, entry_after, "processor_s") / taken_s * 1e3
-        self.steward_ms = _grown(stewards_before, stewards_after, "processor_s") / taken_s * 1e3
+        self.scheduler_ms = _grown(schedulers_before, schedulers_after, "processor_s") / taken_s * 1e3
         self.bytes_per_s = payload / taken_s
         self.segments_per_s = segments / taken_s
         each = max(requests, 1)
@@ -77,10 +77,10 @@
         await self._process.wait()
 
 
-async def cost(*, rate, stewards=STEWARDS, run_s=RUN_S, watched_s=WATCHED_S):
-    """Cost of ``rate`` requests a second, each with a run of ``run_s``, over so many stewards."""
+async def cost(*, rate, schedulers=SCHEDULERS, run_s=RUN_S, watched_s=WATCHED_S):
+    """Cost of ``rate`` requests a second, each with a run of ``run_s``, over so many schedulers."""
     far, entry = ControlNode(), ControlNode()
-    await far.start("stewards", stewards=stewards)
+    await far.start("schedulers", schedulers=schedulers)
     addresses_by_name = await far.hear()
     relays_by_name = {name: CountingRelay(target=address) for name, address in addresses_by_name.items()}
     for relay in relays_by_name.values():
@@ -124,7 +124,7 @@
 async def _measure(rates):
     costs = [(rate, await cost(rate=rate)) for rate in rates]
     _print("processor time of the entry's side, ms a second", costs, lambda cost: cost.entry_ms)
-    _print("processor time of the stewards' side, ms a second", costs, lambda cost: cost.steward_ms)
+    _print("processor time of the schedulers' side, ms a second", costs, lambda cost: cost.scheduler_ms)
     _print("bytes a second both ways, without TCP/IP headers", costs, lambda cost: cost.bytes_per_s)
     _print(
         "bytes a second both ways, TCP/IP headers and acknowledgements added",
--- a/wagtailtrestle/slopes/control_node.py
+++ b/wagtailtrestle/slopes/control_node.py
@@ -1,6 +1,6 @@
-"""One end of the control traffic as a process: an entry with fake callers, or stewards.
+"""One end of the control traffic as a process: an entry with fake callers, or schedulers.
 
-``stewards`` hosts several stewards, each with peers and a directory of its own, as an entry
+``schedulers`` hosts several schedulers, each with peers and a directory of its own, as an entry
 at full size talks to about thirty. The view is fixed, so there are no heartbeats. Told by
 lines of JSON on its standard input; each further line asks for the figures so far.
 """
@@ -13,7 +13,7 @@
 import uuid
 
 from wagtailtrestle.callers.prompt_shape import shape_of
-from wagtailtrestle.capacity.steward_set import StewardSet
+from wagtailtrestle.capacity.scheduler_set import SchedulerSet
 from wagtailtrestle.contracts.declaration import LANGUAGE, Declaration, DeclaredEngine, Service
 from wagtailtrestle.contracts.exchange import CallerRequest, RunAdvanced, RunBegan, RunEnded, StartRun
 from wagtailtrestle.contracts.outcomes import RunDone
@@ -26,22 +26,22 @@
 from wagtailtrestle.peers.peers_grpc import Peers
 
 ENTRY = "router-entry"
-CELLS_PER_STEWARD = 2
+CELLS_PER_SCHEDULER = 2
 ENGINES_PER_CELL = 4
 PROMPT_BYTES = 8192
 PROMPTS = 40
 FIRST_TOKEN_S = 0.5
-# Slower than a router, as so many stewards share the process; a steward takes a second without one for a pause.
+# Slower than a router, as so many schedulers share the process; a scheduler takes a second without one for a pause.
 TICK_S = 0.4
 
 
 class FixedMembership:
-    """A view that never changes: the stewards, and one router that is entry only."""
+    """A view that never changes: the schedulers, and one router that is entry only."""
 
     __slots__ = ("draining", "trusted", "view")
 
-    def __init__(self, *, stewards):
-        self.view = View(members=stewards, draining=(ENTRY,))
+    def __init__(self, *, schedulers):
+        self.view = View(members=schedulers, draining=(ENTRY,))
         self.trusted = True
         self.draining = False
 
@@ -92,9 +92,9 @@
 class Node:
     """What both kinds of process have in common: declaration and figures."""
 
-    def __init__(self, *, loop, stewards):
+    def __init__(self, *, loop, schedulers):
         self.loop = loop
-        self.cells = tuple(f"asistente-cell-{number}" for number in range(stewards * CELLS_PER_STEWARD))
+        self.cells = tuple(f"asistente-cell-{number}" for number in range(schedulers * CELLS_PER_SCHEDULER))
         self.declaration = _declaration(self.cells)
         self.peers = []
         self.waits_s = []
@@ -118,7 +118,7 @@
     """The entry: submits requests at a rate."""
 
     def __init__(self, *, loop, addresses_by_name, rate, run_s):
-        super().__init__(loop=loop, stewards=len(addresses_by_name))
+        super().__init__(loop=loop, schedulers=len(addresses_by_name))
         self.run_s = run_s
         self._rate = rate
         self._addresses_by_name = addresses_by_name
@@ -126,27 +126,27 @@
         self._shapes = [shape_of(f"{number:04}" * (PROMPT_BYTES // 4)) for number in range(PROMPTS)]
 
     async def start(self):
-        """Link to the stewards and begin to submit."""
+        """Link to the schedulers and begin to submit."""
         peers = Peers(name=ENTRY, incarnation=1, listen_address="127.0.0.1:0", loop=self.loop)
         self.peers.append(peers)
         directory = Directory(
             name=ENTRY,
-            membership=FixedMembership(stewards=self._addresses_by_name),
+            membership=FixedMembership(schedulers=self._addresses_by_name),
             peers=peers,
             loop=self.loop,
-            deliver_to_steward=lambda cell, message: None,
-            deliver_to_entry=lambda message: self.entry.on_steward_message(message),
+            deliver_to_scheduler=lambda cell, message: None,
+            deliver_to_entry=lambda message: self.entry.on_scheduler_message(message),
             register=lambda cell: self.entry.register(cell),
             cells=lambda: self.cells,
         )
-        self.entry = self._entry(directory.steward_link)
+        self.entry = self._entry(directory.scheduler_link)
         await peers.start()
         peers.set_addresses(self._addresses_by_name)
         peers.keep(set(self._addresses_by_name))
         directory.refresh()
         self._next()
 
-    def _entry(self, stewards):
+    def _entry(self, schedulers):
         crashes = CrashWatch(
             book=CrashBook(clock=self.loop.time),
             detector=CrashDetector(clock=self.loop.time),
@@ -154,7 +154,7 @@
         )
         return Entry(
             name=ENTRY,
-            stewards=stewards,
+            schedulers=schedulers,
             claims=None,
             crashes=crashes,
             declaration=lambda: self.declaration,
@@ -187,17 +187,17 @@
         self.entry.submit(request, FakeCaller(node=self, request_id=request_id))
 
 
-class StewardsNode(Node):
-    """Stewards that the entry asks."""
+class SchedulersNode(Node):
+    """Schedulers that the entry asks."""
 
-    def __init__(self, *, loop, stewards):
-        super().__init__(loop=loop, stewards=stewards)
-        self._names = [f"router-{number}" for number in range(stewards)]
+    def __init__(self, *, loop, schedulers):
+        super().__init__(loop=loop, schedulers=schedulers)
+        self._names = [f"router-{number}" for number in range(schedulers)]
         self._sets = []
 
     async def start(self):
         """Listen; the result maps names to addresses."""
-        membership = FixedMembership(stewards=self._names)
+        membership = FixedMembership(schedulers=self._names)
         for name in self._names:
             peers = Peers(name=name, incarnation=1, listen_address="127.0.0.1:0", loop=self.loop)
             self._add(peers, membership)
@@ -217,20 +217,20 @@
             membership=membership,
             peers=peers,
             loop=self.loop,
-            deliver_to_steward=lambda cell, message: stewards.deliver(cell, message),
+            deliver_to_scheduler=lambda cell, message: schedulers.deliver(cell, message),
             deliver_to_entry=lambda message: None,
             register=lambda cell: None,
             cells=lambda: self.cells,
         )
-        stewards = StewardSet(clock=self.loop.time, entries=directory.entry_link)
-        stewards.set_declaration(self.declaration)
-        stewards.set_members((ENTRY,))
-        self._sets.append(stewards)
+        schedulers = SchedulerSet(clock=self.loop.time, entries=directory.entry_link)
+        schedulers.set_declaration(self.declaration)
+        schedulers.set_members((ENTRY,))
+        self._sets.append(schedulers)
 
     def _tick(self):
         self.loop.call_later(TICK_S, self._tick)
-        for stewards in self._sets:
-            stewards.tick()
+        for schedulers in self._sets:
+            schedulers.tick()
 
 
 def _declaration(cells):
@@ -283,7 +283,7 @@
         node = EntryNode(loop=loop, **told)
         await node.start()
     else:
-        node = StewardsNode(loop=loop, stewards=told["stewards"])
+        node = SchedulersNode(loop=loop, schedulers=told["schedulers"])
         _tell(await node.start())
         node.advertise(await _read(reader))
     while await _read(reader) is not None:
--- a/wagtailtrestle/slopes/entry.py
+++ b/wagtailtrestle/slopes/entry.py
@@ -18,7 +18,7 @@
 ADVANCES = 4
 
 
-class InstantSteward:
+class InstantScheduler:
     """Grants every ask at once, unless told to hold; the link's other end."""
 
     __slots__ = ("entry", "granting", "loop")
@@ -38,7 +38,7 @@
                 progress_deadline_s=1.0,
                 first_token_deadline_s=2.0,
             )
-            self.loop.call_soon(self.entry.on_steward_message, granted)
+            self.loop.call_soon(self.entry.on_scheduler_message, granted)
         return True
 
 
@@ -69,12 +69,12 @@
 
 
 def make_entry(loop, *, kind=LANGUAGE):
-    """Build an entry whose steward grants at once, before one service of that kind."""
-    steward = InstantSteward(loop=loop)
+    """Build an entry whose scheduler grants at once, before one service of that kind."""
+    scheduler = InstantScheduler(loop=loop)
     declaration = _declaration(kind)
     entry = Entry(
         name="router-1",
-        stewards=steward,
+        schedulers=scheduler,
         claims=None,
         crashes=CrashWatch(
             book=CrashBook(clock=loop.time),
@@ -84,14 +84,14 @@
         declaration=lambda: declaration,
         loop=loop,
     )
-    steward.entry = entry
-    return entry, steward
+    scheduler.entry = entry
+    return entry, scheduler
 
 
 async def _cycle_us(held):
     loop = asyncio.get_running_loop()
-    entry, steward = make_entry(loop)
-    await hold(entry, steward, loop, held)
+    entry, scheduler = make_entry(loop)
+    await hold(entry, scheduler, loop, held)
     began = time.process_time()
     for number in range(CYCLES):
         _submit(entry, loop, f"cycle-{number}")
@@ -104,23 +104,23 @@
 
 async def _memory_bytes(held):
     loop = asyncio.get_running_loop()
-    entry, steward = make_entry(loop)
+    entry, scheduler = make_entry(loop)
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
-    await hold(entry, steward, loop, held)
+    await hold(entry, scheduler, loop, held)
     bytes_held = tracemalloc.get_traced_memory()[0] - before
     tracemalloc.stop()
     await entry.close()
     return bytes_held
 
 
-async def hold(entry, steward, loop, held):
+async def hold(entry, scheduler, loop, held):
     """Have the entry hold so many waiting requests."""
-    steward.granting = False
+    scheduler.granting = False
     for number in range(held):
         _submit(entry, loop, f"held-{number}")
     await asyncio.sleep(0.05)
-    steward.granting = True
+    scheduler.granting = True
 
 
 def _submit(entry, loop, request_id):
--- a/wagtailtrestle/slopes/steward.py
+++ b/wagtailtrestle/slopes/scheduler.py
@@ -1,9 +1,9 @@
-"""Cost of the steward: processor time of one request's messages, memory of what it holds."""
+"""Cost of the scheduler: processor time of one request's messages, memory of what it holds."""
 
 import time
 import tracemalloc
 
-from wagtailtrestle.capacity.steward import Steward
+from wagtailtrestle.capacity.scheduler import Scheduler
 from wagtailtrestle.contracts.declaration import DeclaredEngine
 from wagtailtrestle.contracts.messages import Granted, GrantRequest, Register, RunFinished, RunProgress, RunStarted
 from wagtailtrestle.engines.policies import PredictedFinish
@@ -30,7 +30,7 @@
 
 
 class Inbox:
-    """Collects what a steward sends."""
+    """Collects what a scheduler sends."""
 
     __slots__ = ("messages",)
 
@@ -43,17 +43,17 @@
         return True
 
 
-def make_steward(*, engines, slots=16):
-    """Build a steward of a cell with ``engines`` engines, registered and ready to grant."""
+def make_scheduler(*, engines, slots=16):
+    """Build a scheduler of a cell with ``engines`` engines, registered and ready to grant."""
     clock, inbox = ManualClock(), Inbox()
-    steward = Steward(cell="cell", policy=PredictedFinish(prefill_weight=0.5), clock=clock, entries=inbox)
-    steward.set_teams({f"team-{number}": 1.0 for number in range(5)})
-    steward.set_engines({f"engine-{number}": _engine(number, slots) for number in range(engines)})
-    steward.set_members({ENTRY})
-    steward.receive(Register(entry=ENTRY, cell="cell"))
+    scheduler = Scheduler(cell="cell", policy=PredictedFinish(prefill_weight=0.5), clock=clock, entries=inbox)
+    scheduler.set_teams({f"team-{number}": 1.0 for number in range(5)})
+    scheduler.set_engines({f"engine-{number}": _engine(number, slots) for number in range(engines)})
+    scheduler.set_members({ENTRY})
+    scheduler.receive(Register(entry=ENTRY, cell="cell"))
     clock.now += 5.0
-    steward.tick()
-    return steward, clock, inbox
+    scheduler.tick()
+    return scheduler, clock, inbox
 
 
 def make_request(number, *, tier=1, repeatable=False, remaining_s=3600.0):
@@ -76,24 +76,24 @@
 
 def cycle_us(*, engines, waiting=0):
     """Processor time, µs, of one whole request: ask, grant, start, progress, end."""
-    steward, clock, inbox = make_steward(engines=engines)
+    scheduler, clock, inbox = make_scheduler(engines=engines)
     if waiting:
-        _fill(steward, engines, waiting)
+        _fill(scheduler, engines, waiting)
     inbox.messages.clear()
     began = time.process_time()
     for number in range(CYCLES):
         clock.now += 0.01
-        steward.receive(make_request(1_000_000 + number, tier=0))
-        _run_granted(steward, inbox)
+        scheduler.receive(make_request(1_000_000 + number, tier=0))
+        _run_granted(scheduler, inbox)
     return (time.process_time() - began) / CYCLES * 1e6
 
 
 def memory_bytes(waiting):
-    """Bytes a steward holds for so many waiting requests."""
-    steward, _, _ = make_steward(engines=2)
+    """Bytes a scheduler holds for so many waiting requests."""
+    scheduler, _, _ = make_scheduler(engines=2)
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
-    _fill(steward, 2, waiting)
+    _fill(scheduler, 2, waiting)
     held = tracemalloc.get_traced_memory()[0] - before
     tracemalloc.stop()
     return held
@@ -101,31 +101,31 @@
 
 def tick_us(waiting):
     """Processor time, µs, of one tick with so many waiting requests."""
-    steward, clock, _ = make_steward(engines=4)
-    _fill(steward, 4, waiting)
+    scheduler, clock, _ = make_scheduler(engines=4)
+    _fill(scheduler, 4, waiting)
     began = time.process_time()
     for _ in range(200):
         clock.now += 0.05
-        steward.tick()
+        scheduler.tick()
     return (time.process_time() - began) / 200 * 1e6
 
 
-def _fill(steward, engines, waiting):
+def _fill(scheduler, engines, waiting):
     # Every place is taken by runs that may not be cancelled, so the rest waits.
     for number in range(engines * 16 + waiting):
-        steward.receive(make_request(number, tier=1 if number < engines * 16 else 3))
+        scheduler.receive(make_request(number, tier=1 if number < engines * 16 else 3))
 
 
-def _run_granted(steward, inbox):
+def _run_granted(scheduler, inbox):
     messages, inbox.messages = inbox.messages, []
     for granted in messages:
         if not isinstance(granted, Granted):
             continue
         request_id, engine = granted.request_id, granted.engine
-        steward.receive(RunStarted(request_id=request_id, engine=engine, first_token_s=0.05, prompt_tokens=500))
+        scheduler.receive(RunStarted(request_id=request_id, engine=engine, first_token_s=0.05, prompt_tokens=500))
         for tokens in range(PROGRESS_MESSAGES):
-            steward.receive(RunProgress(request_id=request_id, output_tokens=25 * (tokens + 1)))
-        steward.receive(
+            scheduler.receive(RunProgress(request_id=request_id, output_tokens=25 * (tokens + 1)))
+        scheduler.receive(
             RunFinished(
                 request_id=request_id,
                 engine=engine,
@@ -153,21 +153,21 @@
 
 
 def main():
-    """Print the steward's slopes."""
+    """Print the scheduler's slopes."""
     Slope(
-        role="steward",
+        role="scheduler",
         quantity="processor time of one request's messages, µs",
         against="engines in the cell",
         points=[(engines, cycle_us(engines=engines)) for engines in ENGINE_COUNTS],
     ).print()
     Slope(
-        role="steward",
+        role="scheduler",
         quantity="processor time of one tick, µs",
         against="requests waiting",
         points=[(waiting, tick_us(waiting)) for waiting in WAITING_COUNTS],
     ).print()
     Slope(
-        role="steward",
+        role="scheduler",
         quantity="memory, bytes",
         against="requests waiting",
         points=[(waiting, memory_bytes(waiting)) for waiting in WAITING_COUNTS],
--- a/wagtailtrestle/spec/draining.py
+++ b/wagtailtrestle/spec/draining.py
@@ -39,7 +39,7 @@
     "intake_closed_first": Safeguard(
         rule="intake is shut before the router looks whether it is empty", breaks=NOTHING_CUT
     ),
-    "stops_granting": Safeguard(rule="a draining router's steward stops granting", breaks=NO_GRANT_AFTER_HANDOVER),
+    "stops_granting": Safeguard(rule="a draining router's scheduler stops granting", breaks=NO_GRANT_AFTER_HANDOVER),
     "refused_unrun": Safeguard(rule="a closing router refuses only what it has not taken in", breaks=TOLD_TRULY),
 }
 
@@ -56,7 +56,7 @@
         super().__init__(safeguards=SAFEGUARDS, without=without)
         self.requests = range(requests)
         self.declare(ROUTER, "router", initial=ROUTER["serving"])
-        self.declare(TRUTH, "steward_here", initial=TRUE)
+        self.declare(TRUTH, "scheduler_here", initial=TRUE)
         self.declare(TRUTH, "declared_leaving", initial=FALSE)
         self.declare(TRUTH, "listed_leaving", initial=FALSE)
         self.declare(TRUTH, "believed_leaving", initial=FALSE)
@@ -102,7 +102,7 @@
         self.act("drain", [is_in["serving"]], {"router": ROUTER["draining"]})
         self.act("shut_intake", [is_in["draining"]], {"router": ROUTER["closing"]})
         # The others learn of the drain a little later and take the cell over.
-        self.act("hand_over", [z3.Not(is_in["serving"]), v("steward_here")], {"steward_here": FALSE})
+        self.act("hand_over", [z3.Not(is_in["serving"]), v("scheduler_here")], {"scheduler_here": FALSE})
         empty = all_of(z3.Not(self._in_flight(request)) for request in self.requests if self.entered_here(request))
         when = is_in["closing"] if self.keeps("intake_closed_first") else z3.Or(is_in["closing"], is_in["draining"])
         seen_empty = empty if self.keeps("waits_for_flight") else TRUE
@@ -141,7 +141,7 @@
         return z3.Or(open_, router == ROUTER["drained"]), closing
 
     def _grant(self, request, place):
-        """The steward grants and the entry dispatches; a draining entry's request is granted by others."""
+        """The scheduler grants and the entry dispatches; a draining entry's request is granted by others."""
         v = self.v
         state = v("request", request)
         on_leaver = place == LEAVER
@@ -149,7 +149,7 @@
         if on_leaver and self.keeps("leaving_checked"):
             guards.append(z3.Not(v("believed_leaving")))
         drains = v("router") != ROUTER["serving"]
-        here = z3.And(v("steward_here"), drains)
+        here = z3.And(v("scheduler_here"), drains)
         if self.keeps("stops_granting"):
             guards.append(z3.Not(here))
         marked = z3.Or(v("declared_leaving"), v("listed_leaving")) if on_leaver else FALSE
--- a/wagtailtrestle/spec/scheduling.py
+++ b/wagtailtrestle/spec/scheduling.py
@@ -1,8 +1,8 @@
-"""Scheduling: two routers that both may act as steward of one cell with one place.
+"""Scheduling: two routers that both may act as scheduler of one cell with one place.
 
 Three requests: one of a high tier, one of a low tier that may be repeated, one of the low
-tier that may not. Each entry has its own view of who is steward and may change it at any
-moment. Messages to and from stewards may come late, twice, or never; only those that give
+tier that may not. Each entry has its own view of who is scheduler and may change it at any
+moment. Messages to and from schedulers may come late, twice, or never; only those that give
 a place back come in order after what they follow, as one link carries them.
 """
 
@@ -31,15 +31,15 @@
     LOW,
     REPEATABLE,
     REQUESTS,
+    SCHEDULERS,
     STATE,
-    STEWARDS,
     TIER_BY_REQUEST,
     VIEW,
 )
 
 ONE_RUN = "a request has one run at a time, and none once it is refused"
 NOT_REPEATED = "a request that may not be repeated is dispatched once"
-TIER_ORDER = "a higher tier is not refused while the steward knows lower repeatable work"
+TIER_ORDER = "a higher tier is not refused while the scheduler knows lower repeatable work"
 EXPIRY = "no wait ends while known lower repeatable work runs that was not told to yield"
 GRANT_ORDER = "a place goes to the highest tier that waits"
 RETURNED = "while views agree no place is kept for a request that is over"
@@ -56,7 +56,7 @@
         rule="a wait is given up only after lower repeatable runs were told to yield", breaks=EXPIRY
     ),
     "highest_first": Safeguard(rule="of those that wait the highest tier is granted first", breaks=GRANT_ORDER),
-    "exact_account": Safeguard(rule="a steward grants only places that its account shows free", breaks=CAPACITY),
+    "exact_account": Safeguard(rule="a scheduler grants only places that its account shows free", breaks=CAPACITY),
     "place_until_ended": Safeguard(
         rule="a place is free when its run ended, not when it was taken back", breaks=CAPACITY
     ),
@@ -85,30 +85,30 @@
             self.declare(COUNT, "runs", request, initial=COUNT["none"])
             self.declare(COUNT, "dispatches", request, initial=COUNT["none"])
             self.declare(VIEW, "view", request, initial=VIEW["s0"])
-        for steward in STEWARDS:
+        for scheduler in SCHEDULERS:
             for request in REQUESTS:
-                self._declare_pair(steward, request)
+                self._declare_pair(scheduler, request)
 
-    def _declare_pair(self, steward, request):
-        """What a steward holds of a request, and the last message of each kind between them."""
+    def _declare_pair(self, scheduler, request):
+        """What a scheduler holds of a request, and the last message of each kind between them."""
         none = ATTEMPT["a0"]
-        self.declare(HELD, "held", steward, request, initial=HELD["none"])
-        self.declare(ATTEMPT, "held_attempt", steward, request, initial=none)
-        self.declare(ATTEMPT, "ended", steward, request, initial=none)
+        self.declare(HELD, "held", scheduler, request, initial=HELD["none"])
+        self.declare(ATTEMPT, "held_attempt", scheduler, request, initial=none)
+        self.declare(ATTEMPT, "ended", scheduler, request, initial=none)
         for message in ("ask", "granted", "refused", "returned"):
-            self.declare(ATTEMPT, message, steward, request, initial=none)
-        self.declare(ATTEMPT, "preempt", steward, request, initial=none)
+            self.declare(ATTEMPT, message, scheduler, request, initial=none)
+        self.declare(ATTEMPT, "preempt", scheduler, request, initial=none)
 
     def specification(self):
         for request in REQUESTS:
             self._change_view(request)
             self._finish(request)
-            for steward in STEWARDS:
-                self._entry_receives(steward, request)
-                self._steward_receives(steward, request)
-                self._steward_decides(steward, request)
-        for steward in STEWARDS:
-            self._restart(steward)
+            for scheduler in SCHEDULERS:
+                self._entry_receives(scheduler, request)
+                self._scheduler_receives(scheduler, request)
+                self._scheduler_decides(scheduler, request)
+        for scheduler in SCHEDULERS:
+            self._restart(scheduler)
         return Specification(
             name="scheduling and tier order",
             domains_by_variable=self.domains_by_variable,
@@ -123,9 +123,9 @@
     # The entry.
 
     def _change_view(self, request):
-        """The entry sees another steward: it frees what the old one holds and asks the new one."""
+        """The entry sees another scheduler: it frees what the old one holds and asks the new one."""
         v = self.v
-        for before, after in (STEWARDS, STEWARDS[::-1]):
+        for before, after in (SCHEDULERS, SCHEDULERS[::-1]):
             changes = {
                 variable_name("view", request): VIEW[after],
                 "views_differed": TRUE,
@@ -143,35 +143,35 @@
         self.act("finish", [v("state", request) == STATE["dispatched"]], changes, request=request)
 
     def _give_back(self, request):
-        """Tell the steward of the present view that the run of this attempt ended."""
+        """Tell the scheduler of the present view that the run of this attempt ended."""
         v = self.v
         changes = {}
-        for steward in STEWARDS:
-            mine = v("view", request) == VIEW[steward]
-            old = v("returned", steward, request)
-            changes[variable_name("returned", steward, request)] = z3.If(mine, v("attempt", request), old)
+        for scheduler in SCHEDULERS:
+            mine = v("view", request) == VIEW[scheduler]
+            old = v("returned", scheduler, request)
+            changes[variable_name("returned", scheduler, request)] = z3.If(mine, v("attempt", request), old)
         return changes
 
-    def _entry_receives(self, steward, request):
+    def _entry_receives(self, scheduler, request):
         v = self.v
         state, attempt = v("state", request), v("attempt", request)
         queued = state == STATE["queued"]
-        asks = [queued, v("view", request) == VIEW[steward]]
-        ask = {variable_name("ask", steward, request): attempt}
-        self.act("ask", asks, ask, steward=steward, request=request)
-        came = v("granted", steward, request) != ATTEMPT["a0"]
-        fits = v("granted", steward, request) == attempt if self.keeps("attempt") else TRUE
+        asks = [queued, v("view", request) == VIEW[scheduler]]
+        ask = {variable_name("ask", scheduler, request): attempt}
+        self.act("ask", asks, ask, scheduler=scheduler, request=request)
+        came = v("granted", scheduler, request) != ATTEMPT["a0"]
+        fits = v("granted", scheduler, request) == attempt if self.keeps("attempt") else TRUE
         takes = queued if self.keeps("queued_only") else TRUE
         dispatched = {
             variable_name("state", request): STATE["dispatched"],
             variable_name("runs", request): _more(v("runs", request)),
             variable_name("dispatches", request): _more(v("dispatches", request)),
         }
-        self.act("take_grant", [came, fits, takes], dispatched, steward=steward, request=request)
-        answers = [queued, v("refused", steward, request) == attempt]
+        self.act("take_grant", [came, fits, takes], dispatched, scheduler=scheduler, request=request)
+        answers = [queued, v("refused", scheduler, request) == attempt]
         refused = {variable_name("state", request): STATE["refused"]}
-        self.act("take_refusal", answers, refused, steward=steward, request=request)
-        told = [state == STATE["dispatched"], v("preempt", steward, request) == attempt]
+        self.act("take_refusal", answers, refused, scheduler=scheduler, request=request)
+        told = [state == STATE["dispatched"], v("preempt", scheduler, request) == attempt]
         room = attempt != ATTEMPT[LAST_ATTEMPT]
         may_yield = request in REPEATABLE or not self.keeps("preempt_repeatable_only")
         again = {
@@ -181,116 +181,118 @@
             **self._give_back(request),
         }
         if may_yield:
-            self.act("take_preempt", [*told, room], again, steward=steward, request=request)
+            self.act("take_preempt", [*told, room], again, scheduler=scheduler, request=request)
 
-    # The steward.
+    # The scheduler.
 
-    def _steward_receives(self, steward, request):
+    def _scheduler_receives(self, scheduler, request):
         v = self.v
-        held, ask = variable_name("held", steward, request), v("ask", steward, request)
-        ended = v("ended", steward, request)
+        held, ask = variable_name("held", scheduler, request), v("ask", scheduler, request)
+        ended = v("ended", scheduler, request)
         # What gave a place back was sent before the next ask on the same link.
-        first = v("returned", steward, request) == ATTEMPT["a0"]
-        new = [ask != ATTEMPT["a0"], first, v("held", steward, request) == HELD["none"]]
+        first = v("returned", scheduler, request) == ATTEMPT["a0"]
+        new = [ask != ATTEMPT["a0"], first, v("held", scheduler, request) == HELD["none"]]
         if self.keeps("ended_asks"):
             new.append(z3.ULT(ended, ask))
-        wait = {held: HELD["waiting"], variable_name("held_attempt", steward, request): ask}
-        self.act("hold_ask", new, wait, steward=steward, request=request)
-        again = [v("held", steward, request) == HELD["granted"], ask == v("held_attempt", steward, request)]
-        repeat = {variable_name("granted", steward, request): ask}
-        self.act("grant_again", again, repeat, steward=steward, request=request)
-        lower = [z3.Not(self._knows_lower(steward, request))] if self.keeps("lower_first") else []
+        wait = {held: HELD["waiting"], variable_name("held_attempt", scheduler, request): ask}
+        self.act("hold_ask", new, wait, scheduler=scheduler, request=request)
+        again = [v("held", scheduler, request) == HELD["granted"], ask == v("held_attempt", scheduler, request)]
+        repeat = {variable_name("granted", scheduler, request): ask}
+        self.act("grant_again", again, repeat, scheduler=scheduler, request=request)
+        lower = [z3.Not(self._knows_lower(scheduler, request))] if self.keeps("lower_first") else []
         settled = {
-            variable_name("refused", steward, request): ask,
-            variable_name("ended", steward, request): ask,
-            "shed": z3.Or(v("shed"), self._knows_lower(steward, request)),
+            variable_name("refused", scheduler, request): ask,
+            variable_name("ended", scheduler, request): ask,
+            "shed": z3.Or(v("shed"), self._knows_lower(scheduler, request)),
             "shed_unseen": z3.Or(v("shed_unseen"), self._lower_runs(request)),
         }
-        self.act("refuse", [*new, *lower], settled, steward=steward, request=request)
-        returned = v("returned", steward, request)
+        self.act("refuse", [*new, *lower], settled, scheduler=scheduler, request=request)
+        returned = v("returned", scheduler, request)
         freed = {
             held: HELD["none"],
-            variable_name("ended", steward, request): z3.If(z3.ULT(ended, returned), returned, ended),
-            variable_name("returned", steward, request): ATTEMPT["a0"],
+            variable_name("ended", scheduler, request): z3.If(z3.ULT(ended, returned), returned, ended),
+            variable_name("returned", scheduler, request): ATTEMPT["a0"],
         }
-        self.act("free_place", [returned != ATTEMPT["a0"]], freed, steward=steward, request=request)
+        self.act("free_place", [returned != ATTEMPT["a0"]], freed, scheduler=scheduler, request=request)
 
-    def _steward_decides(self, steward, request):
+    def _scheduler_decides(self, scheduler, request):
         v = self.v
-        waiting = v("held", steward, request) == HELD["waiting"]
-        free = all_of(v("held", steward, other) != HELD["granted"] for other in REQUESTS)
+        waiting = v("held", scheduler, request) == HELD["waiting"]
+        free = all_of(v("held", scheduler, other) != HELD["granted"] for other in REQUESTS)
         higher = [other for other in REQUESTS if TIER_BY_REQUEST[other] < TIER_BY_REQUEST[request]]
-        higher_waits = any_of(v("held", steward, other) == HELD["waiting"] for other in higher)
+        higher_waits = any_of(v("held", scheduler, other) == HELD["waiting"] for other in higher)
         guards = [waiting]
         if self.keeps("exact_account"):
             guards.append(free)
         if self.keeps("highest_first"):
             guards.append(z3.Not(higher_waits))
         grant = {
-            variable_name("held", steward, request): HELD["granted"],
-            variable_name("granted", steward, request): v("held_attempt", steward, request),
+            variable_name("held", scheduler, request): HELD["granted"],
+            variable_name("granted", scheduler, request): v("held_attempt", scheduler, request),
             "passed_over": z3.Or(v("passed_over"), higher_waits),
         }
-        self.act("grant", guards, grant, steward=steward, request=request)
-        self._expire(steward, request)
+        self.act("grant", guards, grant, scheduler=scheduler, request=request)
+        self._expire(scheduler, request)
         if request in REPEATABLE:
-            self._preempt(steward, request, higher_waits)
+            self._preempt(scheduler, request, higher_waits)
         else:
-            # The steward may hold an older declaration, by which the run could be repeated.
-            stray = {variable_name("preempt", steward, request): v("attempt", request)}
+            # The scheduler may hold an older declaration, by which the run could be repeated.
+            stray = {variable_name("preempt", scheduler, request): v("attempt", request)}
             dispatched = v("state", request) == STATE["dispatched"]
-            self.act("stray_preempt", [dispatched], {**stray, "views_differed": TRUE}, steward=steward, request=request)
+            self.act(
+                "stray_preempt", [dispatched], {**stray, "views_differed": TRUE}, scheduler=scheduler, request=request
+            )
 
-    def _expire(self, steward, request):
+    def _expire(self, scheduler, request):
         """The request can no longer be finished in time, so its wait ends."""
         v = self.v
         unasked = any_of(
             z3.And(
-                v("held", steward, other) == HELD["granted"],
-                v("preempt", steward, other) != v("held_attempt", steward, other),
+                v("held", scheduler, other) == HELD["granted"],
+                v("preempt", scheduler, other) != v("held_attempt", scheduler, other),
             )
             for other in REPEATABLE
             if TIER_BY_REQUEST[other] > TIER_BY_REQUEST[request]
         )
-        guards = [v("held", steward, request) == HELD["waiting"]]
+        guards = [v("held", scheduler, request) == HELD["waiting"]]
         if self.keeps("yield_first"):
             guards.append(z3.Not(unasked))
-        attempt = v("held_attempt", steward, request)
+        attempt = v("held_attempt", scheduler, request)
         changes = {
-            variable_name("held", steward, request): HELD["none"],
-            variable_name("refused", steward, request): attempt,
-            variable_name("ended", steward, request): attempt,
+            variable_name("held", scheduler, request): HELD["none"],
+            variable_name("refused", scheduler, request): attempt,
+            variable_name("ended", scheduler, request): attempt,
             "expired_early": z3.Or(v("expired_early"), unasked),
         }
-        self.act("expire", guards, changes, steward=steward, request=request)
+        self.act("expire", guards, changes, scheduler=scheduler, request=request)
 
-    def _preempt(self, steward, request, higher_waits):
+    def _preempt(self, scheduler, request, higher_waits):
         v = self.v
-        granted = v("held", steward, request) == HELD["granted"]
-        preempt = {variable_name("preempt", steward, request): v("held_attempt", steward, request)}
+        granted = v("held", scheduler, request) == HELD["granted"]
+        preempt = {variable_name("preempt", scheduler, request): v("held_attempt", scheduler, request)}
         if not self.keeps("place_until_ended"):
-            preempt[variable_name("held", steward, request)] = HELD["none"]
-        self.act("preempt", [granted, higher_waits], preempt, steward=steward, request=request)
+            preempt[variable_name("held", scheduler, request)] = HELD["none"]
+        self.act("preempt", [granted, higher_waits], preempt, scheduler=scheduler, request=request)
 
-    def _knows_lower(self, steward, request):
-        """Whether lower work that may be repeated waits or runs, as known to the steward."""
+    def _knows_lower(self, scheduler, request):
+        """Whether lower work that may be repeated waits or runs, as known to the scheduler."""
         lower = [other for other in REPEATABLE if TIER_BY_REQUEST[other] > TIER_BY_REQUEST[request]]
-        return any_of(self.v("held", steward, other) != HELD["none"] for other in lower)
+        return any_of(self.v("held", scheduler, other) != HELD["none"] for other in lower)
 
     def _lower_runs(self, request):
         """Whether lower work that may be repeated truly runs, known or not."""
         lower = [other for other in REPEATABLE if TIER_BY_REQUEST[other] > TIER_BY_REQUEST[request]]
         return any_of(self.v("state", other) == STATE["dispatched"] for other in lower)
 
-    def _restart(self, steward):
-        """The steward's router dies and another life of it knows nothing."""
+    def _restart(self, scheduler):
+        """The scheduler's router dies and another life of it knows nothing."""
         changes = {"views_differed": TRUE}
         for request in REQUESTS:
-            changes[variable_name("held", steward, request)] = HELD["none"]
-            changes[variable_name("ended", steward, request)] = ATTEMPT["a0"]
+            changes[variable_name("held", scheduler, request)] = HELD["none"]
+            changes[variable_name("ended", scheduler, request)] = ATTEMPT["a0"]
             for message in ("ask", "granted", "refused", "returned", "preempt"):
-                changes[variable_name(message, steward, request)] = ATTEMPT["a0"]
-        self.act("restart", [], changes, steward=steward)
+                changes[variable_name(message, scheduler, request)] = ATTEMPT["a0"]
+        self.act("restart", [], changes, scheduler=scheduler)
 
     # What must hold.
 
@@ -323,7 +325,7 @@
         shed = v("state", LOW) == STATE["refused"]
         return {
             "a low run is taken back for a high tier and runs again": preempted,
-            "two stewards grant the same request": doubled,
+            "two schedulers grant the same request": doubled,
             "a low tier is refused": shed,
         }
 
@@ -332,7 +334,7 @@
         running = [v("runs", request) != COUNT["none"] for request in REQUESTS]
         return {
             "the place holds one run also while views differ": at_most_one(running),
-            "a higher tier is not refused while lower work runs that the steward does not know": z3.Not(
+            "a higher tier is not refused while lower work runs that the scheduler does not know": z3.Not(
                 v("shed_unseen")
             ),
         }
--- a/wagtailtrestle/spec/scheduling_proof.py
+++ b/wagtailtrestle/spec/scheduling_proof.py
@@ -1,6 +1,6 @@
 """What makes the properties of :mod:`wagtailtrestle.spec.scheduling` inductive.
 
-In words: while views agree, the one steward's account follows each request through its phases,
+In words: while views agree, the one scheduler's account follows each request through its phases,
 and what is on its way between them is for the present attempt or the one before.
 """
 
@@ -27,7 +27,7 @@
 
 
 def _lemmas_while_views_agree(spec, request):
-    """Say, for each phase of a request, what the one steward and the link hold of it."""
+    """Say, for each phase of a request, what the one scheduler and the link hold of it."""
     v = spec.v
     attempt, state = v("attempt", request), v("state", request)
     held, held_attempt = v("held", "s0", request), v("held_attempt", "s0", request)
--- a/wagtailtrestle/spec/scheduling_terms.py
+++ b/wagtailtrestle/spec/scheduling_terms.py
@@ -2,7 +2,7 @@
 
 from wagtailtrestle.spec.language import Domain
 
-STEWARDS = ("s0", "s1")
+SCHEDULERS = ("s0", "s1")
 HIGH, LOW, FIXED = "high", "low", "fixed"
 REQUESTS = (HIGH, LOW, FIXED)
 TIER_BY_REQUEST = {HIGH: 0, LOW: 1, FIXED: 1}
@@ -13,4 +13,4 @@
 ATTEMPT = Domain("a0", "a1", "a2", "a3")
 LAST_ATTEMPT = "a3"
 COUNT = Domain("none", "one", "more")
-VIEW = Domain(*STEWARDS)
+VIEW = Domain(*SCHEDULERS)
