--- a/tests/test_crashing_request.py
+++ b/tests/test_crashing_request.py
@@ -12,8 +12,8 @@
 """Longer than reports on one engine are taken for one crash, as a real engine's restart is."""
 
 PAUSE_S = 0.7
-MOST_SENDINGS = 20
-MOST_RUNS = 5
+MAX_SENDINGS = 20
+MAX_RUNS = 5
 
 
 class CrashingRequestTest(PromiseChecks, unittest.TestCase):
@@ -27,7 +27,7 @@
 
     def send_until_refused(self):
         sent = []
-        while len(sent) < MOST_SENDINGS and not (sent and sent[-1].result.reason == "poisoned"):
+        while len(sent) < MAX_SENDINGS and not (sent and sent[-1].result.reason == "poisoned"):
             sent.append(self.running.send(PLAN, router=self.running.routers[len(sent) % 2], prompt=POISON))
             time.sleep(PAUSE_S)
         return sent
@@ -49,7 +49,7 @@
         runs = sum(running.starts(each.caller_request_id) for each in sent)
         print(f"crashing request: refused for good after {runs} runs")
         self.assertEqual([each.result.reason for each in sent[-2:]], ["poisoned"] * 2, sent)
-        self.assertLessEqual(runs, MOST_RUNS)
+        self.assertLessEqual(runs, MAX_RUNS)
         self.assert_promises(running, [*seen, *after, *sent])
         self.assertEqual([each for each in seen if each.result.reason == "poisoned"], [])
         self.assert_all_whole(after)
--- a/tests/test_large_cell.py
+++ b/tests/test_large_cell.py
@@ -9,7 +9,7 @@
 import unittest
 
 from tests.utils.scheduler_fakes import Cell, ask, engine, finished
-from wagtailtrestle.capacity.scheduler import MOST_COMPARED
+from wagtailtrestle.capacity.scheduler import MAX_COMPARED
 from wagtailtrestle.contracts.messages import Granted
 
 ENGINES = 78
@@ -48,13 +48,13 @@
         holder = "e03"
         self.cell.scheduler._runs.engines_by_name[holder].cache.stored(CONVERSATION, PART_TOKENS)
         ordered = list(self.cell.scheduler._runs.engines_by_name)
-        self.assertGreater(ordered.index(holder), MOST_COMPARED)
+        self.assertGreater(ordered.index(holder), MAX_COMPARED)
         self.ask("r", prefix_blocks=CONVERSATION, block_tokens=PART_TOKENS, output_tokens=5)
         self.assertEqual(self.engine_of("r"), holder)
 
     def test_where_no_likely_engine_suits_another_one_is_found(self):
         # The likeliest ones are reading long prompts, so that a first token there would come late.
-        for number in range(MOST_COMPARED):
+        for number in range(MAX_COMPARED):
             self.ask(f"long-{number}", prompt_tokens=50_000, first_token_within_s=4.0)
         busy = {granted.engine for granted in self.cell.entries.of(Granted)}
         self.ask("r", first_token_within_s=0.4)
@@ -77,7 +77,7 @@
         for number in range(50):
             self.ask(f"r{number}")
             self.cell.receive(finished(f"r{number}", on=self.engine_of(f"r{number}")))
-        self.assertLessEqual(len(compared) / 50, MOST_COMPARED)
+        self.assertLessEqual(len(compared) / 50, MAX_COMPARED)
 
 
 if __name__ == "__main__":
--- a/tests/test_quiet_crashes.py
+++ b/tests/test_quiet_crashes.py
@@ -14,7 +14,7 @@
 CRASHES = 3
 CONTACT_S = 4.0
 """Time after the third crash in which the fleet learns which request it is."""
-MOST_AFTER = 3
+MAX_AFTER = 3
 
 
 class QuietCrashesTest(unittest.TestCase):
@@ -50,7 +50,7 @@
         crashes = sorted(at for engine in world.engines.values() for at in engine.crashes)
         arrivals = sorted(at for engine in world.engines.values() for at in engine.arrivals_of_poison)
         after = [at for at in arrivals if at > crashes[CRASHES - 1] + CONTACT_S]
-        self.assertLessEqual(len(after), MOST_AFTER)
+        self.assertLessEqual(len(after), MAX_AFTER)
 
     # Guards against a crash that no router tells from a broken connection, as each has one run on the engine.
     def test_a_stream_that_crashes_engines(self):
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -3,7 +3,7 @@
 import unittest
 
 from tests.utils.scheduler_fakes import Cell, ask, engine, finished, register, report, running
-from wagtailtrestle.capacity.admission import MOST_WAITING, MOST_WORK_S
+from wagtailtrestle.capacity.admission import MAX_WAITING, MAX_WORK_S
 from wagtailtrestle.capacity.registration import CAUTION_S
 from wagtailtrestle.contracts.messages import Granted, Preempt, Refused, RunProgress, Withdraw
 from wagtailtrestle.contracts.outcomes import Reason
@@ -74,10 +74,10 @@
         # any, so the queue would grow as long as the flood lasts. The lowest tier goes first, is
         # told so at once, and is told to come back when what waits has been served.
         cell = Cell(engines=tuple(f"e{number}" for number in range(9)), slots=16)
-        cell.receive(*[ask(f"low{number}", tier=3, remaining_s=900.0) for number in range(MOST_WAITING)])
-        cell.receive(*[ask(f"high{number}", tier=0, remaining_s=900.0) for number in range(MOST_WAITING // 2)])
+        cell.receive(*[ask(f"low{number}", tier=3, remaining_s=900.0) for number in range(MAX_WAITING)])
+        cell.receive(*[ask(f"high{number}", tier=0, remaining_s=900.0) for number in range(MAX_WAITING // 2)])
         refused = cell.entries.of(Refused)
-        self.assertEqual(sum(cell.scheduler.digest().waiting_by_tier.values()), MOST_WAITING)
+        self.assertEqual(sum(cell.scheduler.digest().waiting_by_tier.values()), MAX_WAITING)
         self.assertEqual({each.request_id[:3] for each in refused}, {"low"})
         self.assertEqual({each.reason for each in refused}, {Reason.OVERLOADED})
         self.assertGreater(refused[-1].retry_after_s, 10.0)
@@ -85,7 +85,7 @@
     def test_few_very_long_requests_are_bounded_by_their_work(self):
         cell = Cell(slots=1)
         cell.receive(*[ask(f"r{number}", output_tokens=20_000, remaining_s=9000.0) for number in range(9)])
-        self.assertLessEqual(cell.scheduler._queue.work_s, MOST_WORK_S)
+        self.assertLessEqual(cell.scheduler._queue.work_s, MAX_WORK_S)
         self.assertEqual(len(cell.entries.of(Refused)) + cell.scheduler.digest().waiting_by_tier[1], 8)
 
 
--- a/tests/test_spec_replay.py
+++ b/tests/test_spec_replay.py
@@ -27,7 +27,7 @@
 from wagtailtrestle.entry.request_task import MAX_NOT_SENT
 from wagtailtrestle.spec import claims, configuring, draining, freshness, resumption, scheduling
 from wagtailtrestle.spec.checker import Step, Trace, covering_traces, shortest_trace
-from wagtailtrestle.spec.checks import MOST_STEPS, mutant
+from wagtailtrestle.spec.checks import MAX_STEPS, mutant
 
 COVER_STEPS = 12
 NOT_SENT = OUTCOMES[0]
@@ -82,9 +82,9 @@
     for action, trace in covering_traces(whole, most_steps=COVER_STEPS).items():
         yield action, trace, {}
     for name, wanted in whole.witnesses_by_name.items():
-        yield name, shortest_trace(whole, wanted, most_steps=MOST_STEPS), {}
+        yield name, shortest_trace(whole, wanted, most_steps=MAX_STEPS), {}
     for name, expected in whole.limits_by_name.items():
-        yield name, shortest_trace(whole, z3.Not(expected), most_steps=MOST_STEPS), {}
+        yield name, shortest_trace(whole, z3.Not(expected), most_steps=MAX_STEPS), {}
     for name, safeguard in module.SAFEGUARDS.items():
         yield f"without {name}", mutant(module, name).trace, safeguard.size
 
--- a/wagtailtrestle/callers/server.py
+++ b/wagtailtrestle/callers/server.py
@@ -28,7 +28,7 @@
 DEFAULT_MAX_HEADER_BYTES = 16_384
 DEFAULT_MAX_CONNECTIONS = 4096
 DEFAULT_RECEIVE_TIMEOUT_S = 15.0
-DEFAULT_MOST_DEADLINE_S = 3600.0
+DEFAULT_MAX_DEADLINE_S = 3600.0
 CANCEL_THREADS = 8
 RETRY_AFTER_S = 1.0
 DRAIN_POLL_S = 0.02
@@ -89,7 +89,7 @@
         max_header_bytes=DEFAULT_MAX_HEADER_BYTES,
         max_connections=DEFAULT_MAX_CONNECTIONS,
         receive_timeout_s=DEFAULT_RECEIVE_TIMEOUT_S,
-        most_deadline_s=DEFAULT_MOST_DEADLINE_S,
+        most_deadline_s=DEFAULT_MAX_DEADLINE_S,
         start_hold_s=0.0,
         listener=None,
         make_dialect=Intake,
--- a/wagtailtrestle/capacity/admission.py
+++ b/wagtailtrestle/capacity/admission.py
@@ -69,10 +69,10 @@
 """Asks after which a request that was preempted again and again is refused for good."""
 
 
-MOST_WAITING = 4096
+MAX_WAITING = 4096
 """Requests that may wait in one cell, so that a flood costs bounded memory and time."""
 
-MOST_WORK_S = 600.0
+MAX_WORK_S = 600.0
 """Engine-seconds that may wait for each engine of the cell: more than any deadline waits for."""
 
 
@@ -264,9 +264,9 @@
         A flood could then fill the process's memory, and each tick would take longer
         than the time between two, so that engines stand idle beside a full queue.
         """
-        most_work_s = MOST_WORK_S * max(1, len(self._engines))
+        most_work_s = MAX_WORK_S * max(1, len(self._engines))
         too_much_work = self._queue.work_s > most_work_s and len(self._queue) > 1
-        if len(self._queue) > MOST_WAITING or too_much_work:
+        if len(self._queue) > MAX_WAITING or too_much_work:
             return self._queue.last()
         return None
 
--- a/wagtailtrestle/capacity/scheduler.py
+++ b/wagtailtrestle/capacity/scheduler.py
@@ -36,7 +36,7 @@
 TRIES_IN_A_ROW = 128
 """Waiting requests tried in one round, so that no message costs unbounded time."""
 
-MOST_COMPARED = 12
+MAX_COMPARED = 12
 """Engines compared for one request, and as many more that hold half of its prompt's parts: those with room, in order
 of their pace. Comparing all of 78 took most of the scheduler's processor time, four fifths of 2.4 ms a request, and
 served callers no better on days of load."""
@@ -502,15 +502,15 @@
         return [engine for engine in open_engines if self._admission.can_finish_now(waiting, engine)]
 
     def _likely(self, request, open_engines):
-        if len(open_engines) <= MOST_COMPARED:
+        if len(open_engines) <= MAX_COMPARED:
             return open_engines
-        first = open_engines[:MOST_COMPARED]
+        first = open_engines[:MAX_COMPARED]
         blocks = request.prefix_blocks
         if not blocks:
             return first
         middle = blocks[len(blocks) // 2]
-        holders = (engine for engine in open_engines[MOST_COMPARED:] if middle in engine.cache)
-        return first + list(itertools.islice(holders, MOST_COMPARED))
+        holders = (engine for engine in open_engines[MAX_COMPARED:] if middle in engine.cache)
+        return first + list(itertools.islice(holders, MAX_COMPARED))
 
     def _grant(self, waiting, engine):
         self._admission.granted(waiting)
--- a/wagtailtrestle/configuration/engine_list.py
+++ b/wagtailtrestle/configuration/engine_list.py
@@ -21,7 +21,7 @@
 RELIST_S = 8.0
 """Between two whole reads: finds what a watch that heard nothing missed."""
 RETRY_S = 0.1
-MOST_RETRY_S = 1.0
+MAX_RETRY_S = 1.0
 GONE_AGAIN_S = 0.5
 """Age of a whole read up to which a history that is gone again is retried with a pause: a store that keeps none would
 be asked a hundred times a second by each reader."""
@@ -117,7 +117,7 @@
                 retry_s = RETRY_S
             else:
                 await asyncio.sleep(retry_s * self._jitter.uniform(0.5, 1.0))
-                retry_s = min(MOST_RETRY_S, 2 * retry_s)
+                retry_s = min(MAX_RETRY_S, 2 * retry_s)
 
     async def _step(self):
         """Take one answer of a router or of the store; whether there was one."""
--- a/wagtailtrestle/configuration/engine_relay.py
+++ b/wagtailtrestle/configuration/engine_relay.py
@@ -19,16 +19,16 @@
 from wagtailtrestle.contracts.peer_messages import EngineEntry, EnginesAnswer, EnginesAsk
 
 DEFAULT_KNOWN_WITHIN_S = 2.0
-MOST_KNOWN_WITHIN_S = 6.0
+MAX_KNOWN_WITHIN_S = 6.0
 """Above this an engine that was cut off would be asked for longer than callers wait."""
 WATCH_SHARE = 0.35
 WAIT_SHARE = 0.2
-MOST_AGE_SHARE = 0.5
+MAX_AGE_SHARE = 0.5
 ANSWER_WITHIN_S = 0.2
 """Beyond the wait: a hundred times the way between two zones."""
-MOST_HISTORY = 512
+MAX_HISTORY = 512
 """Changes kept for those who ask: minutes of them, while a question comes each half second."""
-MOST_ASKED_WAIT_S = 5.0
+MAX_ASKED_WAIT_S = 5.0
 """Longest wait that an asker may demand, so that a faulty one can't keep questions open without end."""
 
 
@@ -87,10 +87,10 @@
     __slots__ = ("watch_s", "wait_s", "most_age_s")
 
     def __init__(self, *, known_within_s=DEFAULT_KNOWN_WITHIN_S):
-        within_s = min(known_within_s, MOST_KNOWN_WITHIN_S)
+        within_s = min(known_within_s, MAX_KNOWN_WITHIN_S)
         self.watch_s = WATCH_SHARE * within_s
         self.wait_s = WAIT_SHARE * within_s
-        self.most_age_s = MOST_AGE_SHARE * within_s
+        self.most_age_s = MAX_AGE_SHARE * within_s
 
 
 class EngineRelay:
@@ -219,7 +219,7 @@
         else:
             self._text_by_name.pop(name, None)
         self._history.append((self._version, EngineEntry(name=name, value=text)))
-        while len(self._history) > MOST_HISTORY:
+        while len(self._history) > MAX_HISTORY:
             self._history_from, _ = self._history.popleft()
 
     async def _answer(self, ask):
@@ -228,7 +228,7 @@
             return EnginesAnswer(version=0, age_s=-1.0, waited_s=0.0, is_whole=False, entries=())
         is_old = asked_at - self._proved_at > self.limits.most_age_s
         if not is_old and not self._entries_after(ask.version):
-            await self._wait_for_change(min(ask.wait_s, MOST_ASKED_WAIT_S))
+            await self._wait_for_change(min(ask.wait_s, MAX_ASKED_WAIT_S))
         is_whole = ask.version < self._history_from
         return EnginesAnswer(
             version=self._version,
--- a/wagtailtrestle/engines/fading_line.py
+++ b/wagtailtrestle/engines/fading_line.py
@@ -2,7 +2,7 @@
 
 RIDGE = 1e-9
 
-MOST_SLOPE_SHARE = 0.75
+MAX_SLOPE_SHARE = 0.75
 """Largest part of the mean that the slope may explain: extrapolating a steeper line below
 the range of its points would soon give negative values."""
 
@@ -66,7 +66,7 @@
             n, sx, sy, sxx, sxy = n + half, sx + half * x, sy + half * y, sxx + half * x * x, sxy + half * x * y
         spread = n * sxx - sx * sx
         slope = (n * sxy - sx * sy) / max(spread, RIDGE)
-        slope = max(0.0, min(slope, MOST_SLOPE_SHARE * sy / sx))
+        slope = max(0.0, min(slope, MAX_SLOPE_SHARE * sy / sx))
         return (sy - slope * sx) / n, slope
 
     def _level(self):
--- a/wagtailtrestle/engines/health.py
+++ b/wagtailtrestle/engines/health.py
@@ -14,12 +14,12 @@
 EJECT_S = 2.0
 """First time out of service; doubled at each probe that fails."""
 
-MOST_EJECT_S = 30.0
+MAX_EJECT_S = 30.0
 
 PROBE_SHARE = 0.01
 """Share of a probed engine: its concurrency limit rounds this up to one run."""
 
-MOST_EJECTED_SHARE = 0.34
+MAX_EJECTED_SHARE = 0.34
 
 FAILED_RESULTS = frozenset({"RunNotSent", "RunSilent", "RunCut", "RunLost", "RunFailed"})
 NEUTRAL_RESULTS = frozenset({"RunCancelled"})
@@ -70,7 +70,7 @@
 
     __slots__ = ("_judged_by_name", "_max_ejected_share")
 
-    def __init__(self, *, engines=(), max_ejected_share=MOST_EJECTED_SHARE):
+    def __init__(self, *, engines=(), max_ejected_share=MAX_EJECTED_SHARE):
         self._judged_by_name = {}
         self._max_ejected_share = max_ejected_share
         self.set_engines(engines)
@@ -189,7 +189,7 @@
         self.failures += 1
         if self.probing:
             longer = 2.0 ** (self.failures - FAILURES_TO_EJECT)
-            self.ejected_until = now + min(MOST_EJECT_S, EJECT_S * longer)
+            self.ejected_until = now + min(MAX_EJECT_S, EJECT_S * longer)
 
     def succeed(self):
         """Believe the engine sound again."""
--- a/wagtailtrestle/engines/model.py
+++ b/wagtailtrestle/engines/model.py
@@ -57,7 +57,7 @@
 PACE_MEMORY_S = 150.0
 """Seconds of decoding over which old evidence on interference fades."""
 
-MOST_INTERFERENCE = 20.0
+MAX_INTERFERENCE = 20.0
 
 CHUNK_TOKENS = 512
 """Prompt tokens an engine is assumed to prefill between two decode steps."""
@@ -141,7 +141,7 @@
         if output_tokens < 1 or decode_s <= 0.0:
             return
         pace_s = decode_s / output_tokens
-        ratio = min(MOST_INTERFERENCE, max(1.0, pace_s / self.step_s(mean_concurrency)))
+        ratio = min(MAX_INTERFERENCE, max(1.0, pace_s / self.step_s(mean_concurrency)))
         kept = self._paced_s * max(0.0, 1.0 - decode_s / PACE_MEMORY_S)
         self._interference = (self._interference * kept + ratio * decode_s) / (kept + decode_s)
         self._paced_s = kept + decode_s
--- a/wagtailtrestle/engines/output_lengths.py
+++ b/wagtailtrestle/engines/output_lengths.py
@@ -20,7 +20,7 @@
 CAUTION = 0.5
 """Standard deviations added to the mean share of a cap: a run cut short by its deadline wastes its prefill."""
 
-MOST_RATIO = 5.0
+MAX_RATIO = 5.0
 """Most that one answer teaches of its caller's estimate: single ones are off by far more."""
 
 
@@ -81,7 +81,7 @@
             return
         if request.hinted_tokens:
             of_hints = self._of_hints_by_tier.setdefault(request.tier, _Ratio())
-            of_hints.observe(min(MOST_RATIO, output_tokens / request.hinted_tokens))
+            of_hints.observe(min(MAX_RATIO, output_tokens / request.hinted_tokens))
         ratio = min(1.0, output_tokens / asked_tokens)
         of_tier = self._of_caps_by_tier.setdefault(request.tier, _Ratio())
         kind = _kind(request)
--- a/wagtailtrestle/engines/own_call.py
+++ b/wagtailtrestle/engines/own_call.py
@@ -8,7 +8,7 @@
 from wagtailtrestle.engines.answer_check import AnswerCheck
 from wagtailtrestle.engines.dialect import CallHead
 from wagtailtrestle.engines.notices import read_notice
-from wagtailtrestle.engines.run_exchange import MOST_ERROR_BYTES, MOST_PLAIN_BYTES
+from wagtailtrestle.engines.run_exchange import MAX_ERROR_BYTES, MAX_PLAIN_BYTES
 
 NO_CONTENT = 204
 NOT_MODIFIED = 304
@@ -137,8 +137,8 @@
         length = self._plain_length(response)
         if length is None:
             return exchange.cut("the answer tells no length, so nobody can tell whether it is whole")
-        if length > MOST_PLAIN_BYTES:
-            return exchange.cut(f"the answer is longer than {MOST_PLAIN_BYTES} bytes")
+        if length > MAX_PLAIN_BYTES:
+            return exchange.cut(f"the answer is longer than {MAX_PLAIN_BYTES} bytes")
         exchange.progress.begin()
         exchange.keep(exchange.read_body(length))
         if response.status >= FIRST_ERROR_STATUS:
@@ -198,5 +198,5 @@
 
 def _rejected(exchange):
     exchange.wait_at_most(exchange.progress.left_s(exchange.command.first_token_deadline_s))
-    exchange.keep(exchange.response.read(MOST_ERROR_BYTES, decode_content=False))
+    exchange.keep(exchange.response.read(MAX_ERROR_BYTES, decode_content=False))
     return RunRejected(status=exchange.response.status)
--- a/wagtailtrestle/engines/run_exchange.py
+++ b/wagtailtrestle/engines/run_exchange.py
@@ -23,9 +23,9 @@
 from wagtailtrestle.engines.run_progress import RunProgress
 
 READ_BYTES = 65536
-MOST_ERROR_BYTES = 65536
-MOST_PLAIN_BYTES = 32 * 1024 * 1024
-MOST_RECORDED_BYTES = 65536
+MAX_ERROR_BYTES = 65536
+MAX_PLAIN_BYTES = 32 * 1024 * 1024
+MAX_RECORDED_BYTES = 65536
 SHORTEST_TIMEOUT_S = 0.001
 OK = 200
 LATE_SEND_S = 0.25
@@ -272,7 +272,7 @@
         if not whole_plain and not isinstance(outcome, RunRejected | RunFailed):
             return RunEnded(**ended)
         received = self.received
-        body = received.body if len(received.body) <= MOST_RECORDED_BYTES else b""
+        body = received.body if len(received.body) <= MAX_RECORDED_BYTES else b""
         content_type = received.headers.get("Content-Type", "")
         return RunEnded(**ended, status=received.status or OK, content_type=content_type, body=body)
 
--- a/wagtailtrestle/entry/attaches.py
+++ b/wagtailtrestle/entry/attaches.py
@@ -2,10 +2,10 @@
 
 from wagtailtrestle.contracts.outcomes import RunCut, RunLost, RunSilent
 
-MOST_ATTACHES = 2
+MAX_ATTACHES = 2
 """Attaches in a row that bring no token, after which a run is given up where another engine may go on with it."""
 
-MOST_UNREAD = 2
+MAX_UNREAD = 2
 """Times an engine that doesn't know a run, of which it never gave a sign, is asked again."""
 
 UNREAD_PAUSE_S = 0.2
@@ -34,14 +34,14 @@
         run itself, whose caller then heard that it was lost while the engine began it. An engine that gave a sign of
         the run and knows it no more has started again.
         """
-        if not (is_last and isinstance(outcome, RunLost)) or self._is_confirmed or self._unread >= MOST_UNREAD:
+        if not (is_last and isinstance(outcome, RunLost)) or self._is_confirmed or self._unread >= MAX_UNREAD:
             return False
         self._unread += 1
         return True
 
     def may_try(self, outcome) -> bool:
         """Whether a run that ended so may be attached to once more."""
-        return self._count < MOST_ATTACHES and isinstance(outcome, RunCut | RunSilent)
+        return self._count < MAX_ATTACHES and isinstance(outcome, RunCut | RunSilent)
 
     def note(self, outcome, *, is_last):
         """Count the attach that follows an outcome; ``is_last`` if no other engine may go on with the run."""
--- a/wagtailtrestle/measure/__main__.py
+++ b/wagtailtrestle/measure/__main__.py
@@ -13,7 +13,7 @@
 from wagtailtrestle.measure.plan_of_runs import full_plan, quick_plan
 from wagtailtrestle.measure.report import platform_table, rows_of, table, targets
 
-MOST_WORKERS = 8
+MAX_WORKERS = 8
 
 
 def run(quick=False, output="var/measure.jsonl", workers=0, only=""):
@@ -35,7 +35,7 @@
     path = Path(output)
     path.parent.mkdir(parents=True, exist_ok=True)
     results = []
-    with path.open("w") as lines, ProcessPoolExecutor(workers or min(MOST_WORKERS, os.cpu_count() or 1)) as pool:
+    with path.open("w") as lines, ProcessPoolExecutor(workers or min(MAX_WORKERS, os.cpu_count() or 1)) as pool:
         for future in as_completed([pool.submit(measure, spec) for spec in specs]):
             results.append(future.result())
             lines.write(json.dumps(results[-1]) + "\n")
--- a/wagtailtrestle/measure/workload.py
+++ b/wagtailtrestle/measure/workload.py
@@ -14,7 +14,7 @@
 MIN_OUTPUT_TOKENS = 4
 FOLLOW_UP_WINDOW_S = 15.0
 FOLLOW_UP_EXTRA_TOKENS = 128
-MOST_CAP_RATIO = 2.0
+MAX_CAP_RATIO = 2.0
 BLOCK_BITS = 63
 MEAN_SAMPLE = 20_000
 
@@ -230,7 +230,7 @@
             team=team,
             prompt_tokens=prompt_tokens,
             output_tokens=output,
-            output_cap=math.ceil(output * self._random.uniform(1.0, MOST_CAP_RATIO)),
+            output_cap=math.ceil(output * self._random.uniform(1.0, MAX_CAP_RATIO)),
             prefix_blocks=blocks,
             reusable_tokens=reusable,
         )
--- a/wagtailtrestle/membership/announcement.py
+++ b/wagtailtrestle/membership/announcement.py
@@ -8,7 +8,7 @@
 from wagtailtrestle.contracts.outcomes import StoreConflict, StoreDone
 
 RETRY_S = 0.3
-MOST_RETRY_S = 2.0
+MAX_RETRY_S = 2.0
 SPREAD_S = 0.6
 """Time over which routers write their entries again when the store came back from a copy, so that hundreds don't do so
 in the same moment."""
@@ -76,7 +76,7 @@
         retry_s = RETRY_S
         while not await self._write():
             await asyncio.sleep(retry_s * self._jitter.uniform(0.5, 1.0))
-            retry_s = min(MOST_RETRY_S, 2 * retry_s)
+            retry_s = min(MAX_RETRY_S, 2 * retry_s)
 
     async def _write(self):
         """Write once; whether the entry is known to stand as it should."""
--- a/wagtailtrestle/platform/callers.py
+++ b/wagtailtrestle/platform/callers.py
@@ -26,9 +26,9 @@
 GATEWAY_TIMEOUT = 504
 LEAST_RETRY_AFTER_S = 0.05
 KEY_HINT = "The key is missing or not known."
-MOST_HINT_DIGITS = 9
+MAX_HINT_DIGITS = 9
 """Longer estimates are no number of tokens, and would not fit where they are passed on."""
-MOST_PARTS = 16
+MAX_PARTS = 16
 """Parts told to a scheduler, as many as blocks of a prompt given as text; see ``callers.prompt_shape``."""
 
 
@@ -269,7 +269,7 @@
 def _length_hint(text):
     """The caller's estimate of its output in tokens; 0 without a sound one."""
     text = text.strip()
-    return int(text) if text.isdecimal() and len(text) <= MOST_HINT_DIGITS else 0
+    return int(text) if text.isdecimal() and len(text) <= MAX_HINT_DIGITS else 0
 
 
 def _prefix(text):
@@ -281,9 +281,9 @@
     """
     blocks, sizes = [], []
     previous = b""
-    for part in text.split(",")[:MOST_PARTS]:
+    for part in text.split(",")[:MAX_PARTS]:
         part_id, _, tokens = part.strip().rpartition(":")
-        if not part_id or not tokens.isdecimal() or len(tokens) > MOST_HINT_DIGITS:
+        if not part_id or not tokens.isdecimal() or len(tokens) > MAX_HINT_DIGITS:
             break
         previous = hashlib.sha256(previous + f"{part_id}:{tokens}".encode()).digest()[:8]
         blocks.append(int.from_bytes(previous, "big"))
--- a/wagtailtrestle/platform/engine_entries.py
+++ b/wagtailtrestle/platform/engine_entries.py
@@ -12,15 +12,15 @@
 READY = "ready"
 DRAINING = "draining"
 STATES = (READY, DRAINING)
-MOST_TEXT = 256
+MAX_TEXT = 256
 """Longest name or version believed: ours have under 64 characters."""
-MOST_SLOTS = 4096
+MAX_SLOTS = 4096
 """Most requests at once believed: a few hundred times what engines have today."""
 PRIOR_STEP_MS = 6.0
 """Decode step assumed of an engine that nobody measured yet; entries say nothing of speed."""
 PRIOR_PREFILL_TOKENS_PER_S = 30_000.0
 """Prefill rate assumed likewise; both are replaced by what runs show within seconds."""
-MOST_SHOWN = 80
+MAX_SHOWN = 80
 
 
 class Unfit(ValueError):
@@ -76,7 +76,7 @@
         # The version of an engine's software: engines of one version are taken to be alike at first.
         hardware=_text(value, "version"),
         address=_address(value),
-        slots=whole(value, "slots", least=1, most=MOST_SLOTS),
+        slots=whole(value, "slots", least=1, most=MAX_SLOTS),
         step_ms=PRIOR_STEP_MS,
         prefill_tokens_per_s=PRIOR_PREFILL_TOKENS_PER_S,
         leaving=_state(value) == DRAINING,
@@ -93,7 +93,7 @@
 
 def _text(value, name):
     text = _field(value, name)
-    if not isinstance(text, str) or not 0 < len(text) <= MOST_TEXT:
+    if not isinstance(text, str) or not 0 < len(text) <= MAX_TEXT:
         raise Unfit(f"{name} is {_shown(text)}, no name")
     return text
 
@@ -131,4 +131,4 @@
 
 
 def _shown(value):
-    return repr(value)[:MOST_SHOWN]
+    return repr(value)[:MAX_SHOWN]
--- a/wagtailtrestle/platform/engines.py
+++ b/wagtailtrestle/platform/engines.py
@@ -4,7 +4,7 @@
 from wagtailtrestle.contracts.report_messages import LoadReport
 from wagtailtrestle.engines.dialect import CallHead
 from wagtailtrestle.engines.notices import read_notice
-from wagtailtrestle.engines.run_exchange import MOST_PLAIN_BYTES
+from wagtailtrestle.engines.run_exchange import MAX_PLAIN_BYTES
 from wagtailtrestle.platform import headers as names
 from wagtailtrestle.platform.engine_entries import DRAINING, Unfit, start_ms, whole
 from wagtailtrestle.platform.events import EventFault, EventSplitter
@@ -167,8 +167,8 @@
             exchange.wait_at_most(exchange.progress.left_for_token_s())
             parts.append(data)
             size += len(data)
-            if size > MOST_PLAIN_BYTES:
-                raise ConnectionError(f"the answer is longer than {MOST_PLAIN_BYTES} bytes")
+            if size > MAX_PLAIN_BYTES:
+                raise ConnectionError(f"the answer is longer than {MAX_PLAIN_BYTES} bytes")
         return b"".join(parts)
 
     def _read_stream(self, exchange):
--- a/wagtailtrestle/platform/rollouts.py
+++ b/wagtailtrestle/platform/rollouts.py
@@ -4,8 +4,8 @@
 
 from wagtailtrestle.contracts.rollout_messages import RolloutOrder, RolloutState
 
-MOST_TEXT = 256
-MOST_DURATION_S = 86_400.0
+MAX_TEXT = 256
+MAX_DURATION_S = 86_400.0
 WORD_BY_STATE = {
     RolloutState.RUNNING: "running",
     RolloutState.COMPLETED: "completed",
@@ -20,9 +20,9 @@
     if not isinstance(order, dict) or order.get("service") != name:
         return _unread(name, "its service is not its name")
     target, duration_s = order.get("target"), order.get("duration_s")
-    if not isinstance(target, str) or not 0 < len(target) <= MOST_TEXT:
+    if not isinstance(target, str) or not 0 < len(target) <= MAX_TEXT:
         return _unread(name, "its target is no version")
-    if not isinstance(duration_s, int | float) or isinstance(duration_s, bool) or not 0 < duration_s <= MOST_DURATION_S:
+    if not isinstance(duration_s, int | float) or isinstance(duration_s, bool) or not 0 < duration_s <= MAX_DURATION_S:
         return _unread(name, "its duration is no time")
     return RolloutOrder(
         service=name,
--- a/wagtailtrestle/platform/store.py
+++ b/wagtailtrestle/platform/store.py
@@ -31,7 +31,7 @@
 MS_PER_S = 1000.0
 VM_FIELDS = ("role", "address", "zone", "admin")
 """What a router's announcement holds as text."""
-MOST_PAGES = 100
+MAX_PAGES = 100
 """Pages read of one list, so that a store that never ends a list can't hold its reader."""
 NOT_TAKEN_UP = (HTTPStatus.TOO_MANY_REQUESTS, HTTPStatus.SERVICE_UNAVAILABLE, HTTPStatus.BAD_REQUEST)
 """Statuses by which the store says that nothing was done."""
@@ -122,7 +122,7 @@
         by_name = {}
         after = ""
         epoch = None
-        for _ in range(MOST_PAGES):
+        for _ in range(MAX_PAGES):
             answer = await self._call("GET", _path(kind) + _query(after=after, is_stale_enough=is_stale_enough))
             if answer.status != HTTPStatus.OK or not _is_list(answer.body, "items"):
                 return _unread(answer)
@@ -136,7 +136,7 @@
                 return _told(answer, StoreDone(version=answer.body["store_revision"], value=by_name))
             # Named a revision on the wire, but it takes the name of the last object read.
             after = _name(items[-1])
-        return RevisionAnswer(outcome=StoreUnavailable(detail=f"the list of {kind} has over {MOST_PAGES} pages"))
+        return RevisionAnswer(outcome=StoreUnavailable(detail=f"the list of {kind} has over {MAX_PAGES} pages"))
 
     async def _call(self, method, path, *, body=None):
         encoded = None if body is None else json.dumps(body).encode()
--- a/wagtailtrestle/rollouts/exposure.py
+++ b/wagtailtrestle/rollouts/exposure.py
@@ -15,8 +15,8 @@
 
 COMMON_PART = 0.05
 """Part of a service's runs from which on a route is waited for, so that it gets its exposures as others do."""
-MOST_TIMES = 1.5
-MOST_AHEAD = 3
+MAX_TIMES = 1.5
+MAX_AHEAD = 3
 """Exposures that one route may have of each of another's, and besides."""
 
 COLLECT_S = 1.2
@@ -90,7 +90,7 @@
         least_granted = COMMON_PART * self.granted
         common = [other for other, count in self._granted_by_route.items() if count >= least_granted]
         least = min((self._exposed_by_route[other] for other in common), default=0)
-        return self._exposed_by_route[route] >= MOST_TIMES * least + MOST_AHEAD
+        return self._exposed_by_route[route] >= MAX_TIMES * least + MAX_AHEAD
 
     def _most(self):
         if self._is_wide:
--- a/wagtailtrestle/standins/http_serving.py
+++ b/wagtailtrestle/standins/http_serving.py
@@ -25,7 +25,7 @@
 SILENT_LIMIT_S = 120.0
 REBIND_LIMIT_S = 10.0
 # The library's own limit of ten would close connections that routers keep for their polls.
-MOST_IDLE_CONNECTIONS = 512
+MAX_IDLE_CONNECTIONS = 512
 
 
 class StreamCutError(Exception):
@@ -183,7 +183,7 @@
         server.stopping = threading.Event()
         server.error_log = _discard
         server.expiration_interval = POLL_S
-        server.keep_alive_conn_limit = MOST_IDLE_CONNECTIONS
+        server.keep_alive_conn_limit = MAX_IDLE_CONNECTIONS
         server.prepare()
         self._server = server
         self._thread = threading.Thread(target=server.serve, name=f"http-{self.port}", daemon=True)
--- a/wagtailtrestle/standins/local_ports.py
+++ b/wagtailtrestle/standins/local_ports.py
@@ -8,7 +8,7 @@
 LAST_PORT = 31_999
 """Below the ports that the kernel gives to outgoing connections. A port picked from those and released
 may be taken by any connection before its process listens, which then ends as its address is in use."""
-MOST_TRIES = 1000
+MAX_TRIES = 1000
 
 
 class PortReservation:
@@ -52,7 +52,7 @@
         If so many can't be found.
     """
     sockets = []
-    for _ in range(MOST_TRIES):
+    for _ in range(MAX_TRIES):
         if len(sockets) == count:
             return PortReservation(sockets=sockets)
         bound = _bind(random.randint(FIRST_PORT, LAST_PORT))
--- a/wagtailtrestle/standins/runs.py
+++ b/wagtailtrestle/standins/runs.py
@@ -12,7 +12,7 @@
 UNKNOWN = "unknown"
 
 RETAIN_ENDED_S = 30.0
-MOST_LATE_S = 0.05
+MAX_LATE_S = 0.05
 ORPHAN_CHECK_S = 0.25
 
 
@@ -264,7 +264,7 @@
                 result = self._engine.step()
             # A step begins where the last one ended, so that a late wake-up of this thread
             # doesn't slow the modelled engine; after a pause it begins now.
-            ends_at = max(ends_at, time.monotonic() - MOST_LATE_S) + result.duration_s
+            ends_at = max(ends_at, time.monotonic() - MAX_LATE_S) + result.duration_s
             time.sleep(max(ends_at - time.monotonic(), 0.0))
             if self._publish(result):
                 self._on_poison()
