--- a/tests/test_engine_health.py
+++ b/tests/test_engine_health.py
@@ -1,6 +1,6 @@
 import unittest
 
-from wagtailtrestle.engines.health import LEAST_SHARE, EngineHealth
+from wagtailtrestle.engines.health import MIN_SHARE, EngineHealth
 
 NAMES = tuple(f"engine-{number}" for number in range(9))
 
@@ -71,7 +71,7 @@
         changes = steady(health, start_s=10.0, end_s=14.0, slow=NAMES[0])
         self.assertLessEqual(health.share(NAMES[0], 14.0), 0.25)
         changes += steady(health, start_s=14.0, end_s=30.0, slow=NAMES[0])
-        self.assertGreaterEqual(health.share(NAMES[0], 30.0), LEAST_SHARE)
+        self.assertGreaterEqual(health.share(NAMES[0], 30.0), MIN_SHARE)
         self.assertLessEqual(changes, 4)
         steady(health, start_s=30.0, end_s=50.0)
         self.assertEqual(health.share(NAMES[0], 50.0), 1.0)
--- a/tests/test_engine_relay.py
+++ b/tests/test_engine_relay.py
@@ -7,7 +7,7 @@
 from tests.utils.paused_clock import on_paused_clock
 from wagtailtrestle.configuration.engine_list import EngineList
 from wagtailtrestle.configuration.engine_relay import EngineRelay, RelayLimits
-from wagtailtrestle.configuration.store_readers import LEAST_READERS, READERS_KEY, StoreReaders
+from wagtailtrestle.configuration.store_readers import MIN_READERS, READERS_KEY, StoreReaders
 from wagtailtrestle.contracts.outcomes import StoreDone
 from wagtailtrestle.contracts.peer_messages import PeerUnreachable
 from wagtailtrestle.peers.rendezvous import Rendezvous
@@ -141,7 +141,7 @@
         before = fleet.calls()
         await asyncio.sleep(20.0)
         asking = {name for name, calls in fleet.calls().items() if calls > before[name]}
-        self.assertEqual(len(fleet.readers()), LEAST_READERS)
+        self.assertEqual(len(fleet.readers()), MIN_READERS)
         self.assertEqual(asking, fleet.readers())
         await fleet.close()
 
@@ -209,7 +209,7 @@
         # place; the store gets no call for each of them.
         fleet = await self.started()
         refused, sound = sorted(fleet.readers())
-        replacement = fleet.ranked()[LEAST_READERS]
+        replacement = fleet.ranked()[MIN_READERS]
         fleet.store_by_router[refused].down = True
         await asyncio.sleep(READ_WATCH_S)
         before = fleet.calls()
--- a/tests/test_retry_budget.py
+++ b/tests/test_retry_budget.py
@@ -5,7 +5,7 @@
 from tests.utils.scheduler_fakes import Cell, Clock, ask, finished, register
 from wagtailtrestle.capacity.retry_budget import (
     ARRIVAL_SPREAD_S,
-    LEAST_KNOWN_SHARE,
+    MIN_KNOWN_SHARE,
     RETRY_EXTRA,
     RETRY_WINDOW_S,
     RetryBudget,
@@ -148,9 +148,9 @@
         new = self.make()
         for entry in ENTRIES:
             new.take_history(entry, self.history(up_s=0.1))
-        self.assertEqual(self.allowed(1000, budget=new), LEAST_KNOWN_SHARE * 20)
+        self.assertEqual(self.allowed(1000, budget=new), MIN_KNOWN_SHARE * 20)
         self.clock.now += RETRY_WINDOW_S / 2
-        self.assertEqual(self.allowed(1000, budget=new), 10 - LEAST_KNOWN_SHARE * 20)
+        self.assertEqual(self.allowed(1000, budget=new), 10 - MIN_KNOWN_SHARE * 20)
 
     # Guards against what routers forgot that were started again together with the scheduler.
     def test_what_nobody_knows_is_taken_for_as_much_as_what_is_known(self):
--- a/tests/test_store_readers.py
+++ b/tests/test_store_readers.py
@@ -15,7 +15,7 @@
 from wagtailtrestle.configuration.boot_clock import boot_time_s
 from wagtailtrestle.configuration.peer_configuration import PeerConfiguration
 from wagtailtrestle.configuration.sources import PlatformSource
-from wagtailtrestle.configuration.store_readers import LEAST_READERS, PAUSE_S, ROUTERS_A_READER, StoreReaders
+from wagtailtrestle.configuration.store_readers import MIN_READERS, PAUSE_S, ROUTERS_A_READER, StoreReaders
 from wagtailtrestle.contracts.peer_messages import PeerUnreachable
 from wagtailtrestle.standins.object_table import ObjectTable
 
@@ -135,7 +135,7 @@
                 fleet = await self.started(size)
                 calls = await fleet.calls_of(SECONDS)
                 asking = {name for name, count in calls.items() if count}
-                readers = max(LEAST_READERS, -(-size // ROUTERS_A_READER))
+                readers = max(MIN_READERS, -(-size // ROUTERS_A_READER))
                 self.assertEqual(asking, set(fleet.readers()))
                 self.assertEqual(len(asking), readers)
                 # Two reads in three seconds, and the watch that ends each half minute.
@@ -154,7 +154,7 @@
         calls = await fleet.calls_of(SECONDS)
         self.assertLess(fleet.oldest_s, KEY_LIMIT_S)
         others = {name for name, count in calls.items() if count > SECONDS / 10} - {frozen}
-        self.assertLessEqual(len(others), LEAST_READERS)
+        self.assertLessEqual(len(others), MIN_READERS)
         await fleet.close()
 
     @on_paused_clock
@@ -168,7 +168,7 @@
         calls = await fleet.calls_of(SECONDS)
         self.assertLess(fleet.oldest_s, KEY_LIMIT_S)
         often = {name for name, count in calls.items() if count > SECONDS / 3}
-        self.assertLessEqual(len(often), 2 * LEAST_READERS)
+        self.assertLessEqual(len(often), 2 * MIN_READERS)
         # Beyond what readers ask: doubts of the others while a pause ends and the refused are tried again.
         self.assertLessEqual(sum(calls.values()) / SECONDS, 24 / (2 * PAUSE_S))
         await fleet.close()
--- a/tests/utils/retry_fleet.py
+++ b/tests/utils/retry_fleet.py
@@ -29,7 +29,7 @@
 TICK_S = 0.1
 LOST = RunCut(detail="cut", reached=True)
 REFUSED = RunNotSent(detail="full", arrived=True)
-LEAST_RUNNING = 2
+MIN_RUNNING = 2
 """Routers that are never killed together, so that callers have somebody to ask."""
 NOT_CONNECTED = RunNotSent(detail="no connection")
 
@@ -261,9 +261,9 @@
 
     async def _kill(self):
         names = sorted(self._fleet.routers_by_name)
-        if len(names) <= LEAST_RUNNING:
+        if len(names) <= MIN_RUNNING:
             return
-        some = self._chance.sample(names, self._chance.randint(1, len(names) - LEAST_RUNNING))
+        some = self._chance.sample(names, self._chance.randint(1, len(names) - MIN_RUNNING))
         self._tell(f"killed: {some}")
         await self._fleet.kill(*some)
         self._tasks.append(asyncio.create_task(self._restart(some, self._chance.uniform(0.0, self.LONGEST_S))))
--- a/wagtailtrestle/capacity/admission.py
+++ b/wagtailtrestle/capacity/admission.py
@@ -10,7 +10,7 @@
 from wagtailtrestle.capacity.grants import WaitingRequest
 from wagtailtrestle.contracts.outcomes import Reason
 
-LEAST_FINISH_MARGIN = 1.0
+MIN_FINISH_MARGIN = 1.0
 FINISH_MARGIN_SPAN = 0.5
 """A finish is promised only if it would still hold so many times later than predicted: the
 least margin where goodput alone counts, and the span more where thrown-away prefill does."""
@@ -44,15 +44,15 @@
 START_WAIT_SHARE = 0.5
 """Part of the time to its start that a request may be predicted to wait. The prediction leaves out what
 arrives above it meanwhile; and whoever will be refused in the end is better off told at once."""
-LEAST_RATE_EVIDENCE_S = 0.5
-LEAST_RATE_REQUESTS = 10
+MIN_RATE_EVIDENCE_S = 0.5
+MIN_RATE_REQUESTS = 10
 """An early rate needs so many requests, and is taken over no shorter a time: a first arrival tells of none."""
 
-LEAST_SERVICE_SHARE = 0.05
+MIN_SERVICE_SHARE = 0.05
 """Least share of the cell assumed to be left for a tier by those above it."""
 
-LEAST_RETRY_AFTER_S = 1.0
-LEAST_QUICK_RETRY_S = 0.3
+MIN_RETRY_AFTER_S = 1.0
+MIN_QUICK_RETRY_S = 0.3
 """The same where a first token is hoped for within about a second: told a second, nobody could come back in time."""
 
 FIRST_TOKEN_MARGIN = 1.5
@@ -107,9 +107,9 @@
 
     def early_rate_above(self, tier):
         """Present rate above, in the first seconds too, when the window is not full yet."""
-        if self._noted < LEAST_RATE_REQUESTS:
+        if self._noted < MIN_RATE_REQUESTS:
             return 0.0
-        seen_s = max(LEAST_RATE_EVIDENCE_S, self._clock() - self._began_at)
+        seen_s = max(MIN_RATE_EVIDENCE_S, self._clock() - self._began_at)
         return self.rate_above(tier) / (1.0 - math.exp(-seen_s / RATE_WINDOW_S))
 
 
@@ -315,7 +315,7 @@
         granted_per_s = min(granted_per_s, self._capacity()) if self._is_limited() else granted_per_s
         tier = waiting.request.tier
         left_per_s = granted_per_s - self._rates.rate_above(tier)
-        left_per_s = max(left_per_s, LEAST_SERVICE_SHARE * granted_per_s, MIN_RATE)
+        left_per_s = max(left_per_s, MIN_SERVICE_SHARE * granted_per_s, MIN_RATE)
         # While runs of lower tiers end, their places go to this tier first: refused now, it would see
         # the next of them go to a lower one that came after it.
         share = 1.0 if self._held.any_below(tier) else START_WAIT_SHARE
@@ -364,7 +364,7 @@
     def retry_after_s(self, request):
         """Time until what waits now in this tier and above would be served."""
         ahead = sum(work for tier, work in self._queue.work_by_tier().items() if tier <= request.tier)
-        least_s = LEAST_RETRY_AFTER_S if not request.first_token_within_s else LEAST_QUICK_RETRY_S
+        least_s = MIN_RETRY_AFTER_S if not request.first_token_within_s else MIN_QUICK_RETRY_S
         wait_s = max(least_s, ahead / self._service_rate(request.tier), self._rest_s(request))
         spread = zlib.crc32(request.request_id.encode()) / 2**32
         return wait_s * (1.0 + RETRY_SPREAD * spread)
@@ -372,7 +372,7 @@
     def _service_rate(self, tier):
         capacity = self._capacity()
         left = capacity - self._rates.rate_above(tier)
-        return max(left, LEAST_SERVICE_SHARE * max(1.0, capacity))
+        return max(left, MIN_SERVICE_SHARE * max(1.0, capacity))
 
     def _crowded(self, tier):
         # A cell that starts under overload has idle engines for a second. Long prompts of the
@@ -477,7 +477,7 @@
 
 def finish_margin(prefill_weight):
     """Factor on a predicted finish, by how much thrown-away prefill weighs."""
-    return LEAST_FINISH_MARGIN + FINISH_MARGIN_SPAN * prefill_weight
+    return MIN_FINISH_MARGIN + FINISH_MARGIN_SPAN * prefill_weight
 
 
 def promised_s(waiting, engine, concurrency, pending_prefill_tokens, margin):
--- a/wagtailtrestle/capacity/retry_budget.py
+++ b/wagtailtrestle/capacity/retry_budget.py
@@ -20,7 +20,7 @@
 """Retries count for so much longer than the window: one that was granted may take as long to connect, and reach its
 engine in the same window as those that are granted after it."""
 
-LEAST_KNOWN_SHARE = 0.25
+MIN_KNOWN_SHARE = 0.25
 """Part of the budget that is given out at once where all routers have just started."""
 
 ROUNDING = 1e-9
@@ -156,7 +156,7 @@
         known_s = [
             window_s - max(0.0, self._known_from_by_entry.get(entry, self._began_at) - since) for entry in entries
         ]
-        return max(LEAST_KNOWN_SHARE, sum(known_s) / (window_s * len(known_s))) if known_s else 1.0
+        return max(MIN_KNOWN_SHARE, sum(known_s) / (window_s * len(known_s))) if known_s else 1.0
 
     def _forget_old(self, window_s):
         now = self._clock()
--- a/wagtailtrestle/configuration/store_readers.py
+++ b/wagtailtrestle/configuration/store_readers.py
@@ -12,7 +12,7 @@
 ROUTERS_A_READER = 48
 """At some 3.5 questions a second each, about 170 a second for one reader: five hundredths of a core. Each
 reader costs two or three calls to the store a second, whatever the size of the fleet."""
-LEAST_READERS = 2
+MIN_READERS = 2
 """The second one answers while the first is being replaced, so that the store is not read by all."""
 READERS_KEY = "engine-readers"
 """Key of the ranking by which all routers choose the same readers."""
@@ -54,7 +54,7 @@
         """The readers, the first of the ranking first."""
         now = self._clock()
         members = self._members()
-        count = max(LEAST_READERS, math.ceil(len(members) / ROUTERS_A_READER))
+        count = max(MIN_READERS, math.ceil(len(members) / ROUTERS_A_READER))
         ranked = self._ranking.ranked(key=READERS_KEY, members=members)
         if not self._paused_until_by_name:
             return ranked[:count]
--- a/wagtailtrestle/engines/health.py
+++ b/wagtailtrestle/engines/health.py
@@ -30,7 +30,7 @@
 RATE_AGE_S = 4.0
 """Older rates say nothing of the present."""
 
-LEAST_SPAN_S = 2.0
+MIN_SPAN_S = 2.0
 """Time that the rates must span: one long prompt slows every run of its engine for a second
 or two, and a batch of runs that end then would look like a straggler's."""
 
@@ -51,7 +51,7 @@
 SHARE_STEP_S = 1.0
 """Least time between two changes of an engine's share."""
 
-LEAST_SHARE = 0.1
+MIN_SHARE = 0.1
 """A straggler keeps this much work, or nobody would see it recover."""
 
 SHARE_STEP = 2.0
@@ -160,7 +160,7 @@
             return
         ratio = own / max(1.0, statistics.median(others))
         if ratio > SLOW_RATIO:
-            judged.set_share(max(LEAST_SHARE, min(judged.share / SHARE_STEP, 1.0 / ratio)), now)
+            judged.set_share(max(MIN_SHARE, min(judged.share / SHARE_STEP, 1.0 / ratio)), now)
         elif ratio < SOUND_RATIO and judged.share < 1.0:
             judged.set_share(min(1.0, judged.share * SHARE_STEP), now)
 
@@ -200,7 +200,7 @@
         """Low end of the recent rates, or ``None`` if they are too few or too close together."""
         while self.rates and now - self.rates[0][0] > RATE_AGE_S:
             self.rates.popleft()
-        if len(self.rates) < RATES_NEEDED or self.rates[-1][0] - self.rates[0][0] < LEAST_SPAN_S:
+        if len(self.rates) < RATES_NEEDED or self.rates[-1][0] - self.rates[0][0] < MIN_SPAN_S:
             return None
         rates = sorted(rate for _, rate in self.rates)
         return rates[int(PACE_QUANTILE * len(rates))]
--- a/wagtailtrestle/engines/rate_limit.py
+++ b/wagtailtrestle/engines/rate_limit.py
@@ -9,17 +9,17 @@
 """Requests given at once are at most what the limit allows in this time: an engine in need gains nothing by
 a second without requests that is made up for in the next."""
 
-LEAST_PER_S = 0.1
+MIN_PER_S = 0.1
 """Rate kept up under any limit, 0 included: only an engine that answers can tell that its limit is lifted."""
 
-LEAST_TO_LIFT = 2
+MIN_TO_LIFT = 2
 """Least number of answers in a row without a limit before it is raised."""
 
 CHANCE = 0.01
 """Likelihood of so many in a row, had the engine named it as often as before, at which the limit is raised: an
 engine may name it in some answers only."""
 
-LEAST_TO_LIFT_S = 1.0
+MIN_TO_LIFT_S = 1.0
 """Least time from the last answer that names a limit until it is raised."""
 
 DOUBLED_EACH_S = 0.5
@@ -93,7 +93,7 @@
             self._filled_at = self._clock()
             self._answers = self._namings = 0
         self._fill()
-        self._per_s = max(LEAST_PER_S, per_s)
+        self._per_s = max(MIN_PER_S, per_s)
         self._tokens = min(self._tokens, self._burst())
         self._named_at = at
         self._answers += 1
@@ -138,14 +138,14 @@
             return
         self._answers += 1
         self._unnamed += 1
-        if self._raised_since == math.inf and at - self._named_at > LEAST_TO_LIFT_S and self._seems_lifted():
+        if self._raised_since == math.inf and at - self._named_at > MIN_TO_LIFT_S and self._seems_lifted():
             self._fill()
             self._raised_since = self._clock()
 
     def _seems_lifted(self):
         answers_before = self._answers - self._unnamed
         share = (self._namings + 0.5) / (answers_before + 2.0)
-        return self._unnamed >= LEAST_TO_LIFT and (1.0 - share) ** self._unnamed <= CHANCE
+        return self._unnamed >= MIN_TO_LIFT and (1.0 - share) ** self._unnamed <= CHANCE
 
     def _rate(self):
         raised_s = max(0.0, self._clock() - self._raised_since)
--- a/wagtailtrestle/measure/fleet.py
+++ b/wagtailtrestle/measure/fleet.py
@@ -2,7 +2,7 @@
 
 import random
 
-LEAST_SPEED = 0.8
+MIN_SPEED = 0.8
 MAX_SPEED = 1.2
 STEP_GROWTH = 0.03
 CACHE_TOKENS = 65_536
@@ -39,7 +39,7 @@
     draw = random.Random(f"speeds {seed}")
     speed_by_name = {}
     for engine in declared_engines:
-        slower = 1.0 / draw.uniform(LEAST_SPEED, MAX_SPEED)
+        slower = 1.0 / draw.uniform(MIN_SPEED, MAX_SPEED)
         step_s = engine.step_ms / 1000.0 * slower
         speed_by_name[engine.name] = TrueSpeed(
             slots=engine.slots,
--- a/wagtailtrestle/platform/callers.py
+++ b/wagtailtrestle/platform/callers.py
@@ -24,7 +24,7 @@
 UNAVAILABLE = 503
 BAD_GATEWAY = 502
 GATEWAY_TIMEOUT = 504
-LEAST_RETRY_AFTER_S = 0.05
+MIN_RETRY_AFTER_S = 0.05
 KEY_HINT = "The key is missing or not known."
 MAX_HINT_DIGITS = 9
 """Longer estimates are no number of tokens, and would not fit where they are passed on."""
@@ -87,7 +87,7 @@
             (names.REQUEST_ID, request_id),
         ]
         if status in PROMISES:
-            wait_s = max(LEAST_RETRY_AFTER_S, refusal.retry_after_s or 0.0)
+            wait_s = max(MIN_RETRY_AFTER_S, refusal.retry_after_s or 0.0)
             pairs.append((names.RETRY_AFTER, f"{wait_s:.2f}"))
         return status, pairs, body
 
--- a/wagtailtrestle/rollouts/judgement.py
+++ b/wagtailtrestle/rollouts/judgement.py
@@ -19,7 +19,7 @@
 SHIFT_THRESHOLD = 12.0
 """The same once it gets everything: ten times the runs give chance ten times the occasions."""
 
-LEAST_BAD = 3
+MIN_BAD = 3
 """A single crash or a slow moment is not a version's fault."""
 
 PRIOR_RUNS = 20.0
@@ -138,7 +138,7 @@
     @property
     def suspicion(self):
         """The largest of the sums; 0 while too few runs were bad."""
-        if self.target_bad < LEAST_BAD:
+        if self.target_bad < MIN_BAD:
             return 0.0
         return max(seen.total for seen in (self._all, self._full, *self._route_by_name.values()))
 
--- a/wagtailtrestle/rollouts/rollout.py
+++ b/wagtailtrestle/rollouts/rollout.py
@@ -20,11 +20,11 @@
 LONGEST_TRIAL_PART = 0.7
 ENOUGH_RUNS = 30
 """Runs on the target by which one that fails a fifth of them is found."""
-LEAST_RUNS = 15
-LEAST_RUNS_PART = 0.25
+MIN_RUNS = 15
+MIN_RUNS_PART = 0.25
 """Runs on the target, and part of all runs; either is enough for everything to move there. A coordinator that took over
 late never completes a roll-out of which it has seen nothing."""
-LEAST_RAMP_END, MAX_RAMP_END = 0.55, 0.8
+MIN_RAMP_END, MAX_RAMP_END = 0.55, 0.8
 """Parts of the time between which the ramp ends, the sooner the longer the service's runs are: what the old engines
 hold then has to end before they stop."""
 LONG_RUN_QUANTILE = 0.95
@@ -34,7 +34,7 @@
 END_ROOM_S = 1.0
 """Time before the end of the roll-out at which it is told as completed, whatever still runs."""
 PACED_TOKENS = 8
-LEAST_CAPACITY = 0.5
+MIN_CAPACITY = 0.5
 """Part of the old engines' places that the target's must have to take over."""
 
 
@@ -137,7 +137,7 @@
             Runs that the old engines hold.
         """
         part = self.elapsed_s / self.order.duration_s
-        can_bear = target_places > 0 and target_places >= LEAST_CAPACITY * old_places
+        can_bear = target_places > 0 and target_places >= MIN_CAPACITY * old_places
         if self.phase is Phase.TRIAL and can_bear and self._trial_is_over(part):
             self._ramp()
         elif self.phase is Phase.RAMP and self._ramp_is_over(part):
@@ -191,10 +191,10 @@
         self._log("nothing speaks against the target; it gets as much as it may untested")
 
     def _ramp_is_over(self, part):
-        if self.judgement.target_runs < min(LEAST_RUNS, LEAST_RUNS_PART * self.exposure.granted):
+        if self.judgement.target_runs < min(MIN_RUNS, MIN_RUNS_PART * self.exposure.granted):
             return False
         needed_s = END_ROOM_S + LONG_RUN_TIMES * self._long_run_s()
-        return part >= min(MAX_RAMP_END, max(LEAST_RAMP_END, 1.0 - needed_s / self.order.duration_s))
+        return part >= min(MAX_RAMP_END, max(MIN_RAMP_END, 1.0 - needed_s / self.order.duration_s))
 
     def _long_run_s(self):
         durations = sorted(self._durations)
