--- a/wagtailtrestle/entry/reach.py
+++ b/wagtailtrestle/entry/reach.py
@@ -3,7 +3,7 @@
 from wagtailtrestle.contracts.outcomes import Executed, RunCut, RunLost, RunNotSent, RunRejected, RunSilent
 
 
-class Reach:
+class ExecutionEvidence:
     """Whether some run of a request may have, or is known to have, reached an engine."""
 
     __slots__ = ("maybe", "known")
--- a/wagtailtrestle/entry/request_task.py
+++ b/wagtailtrestle/entry/request_task.py
@@ -44,7 +44,7 @@
 from wagtailtrestle.entry.attaches import UNREAD_PAUSE_S, Attaches
 from wagtailtrestle.entry.final_answers import DEFAULT_RETRY_AFTER_S, refusal_of, rejected_status
 from wagtailtrestle.entry.poison import CRASH_LIMIT
-from wagtailtrestle.entry.reach import Reach
+from wagtailtrestle.entry.reach import ExecutionEvidence
 from wagtailtrestle.entry.request_claim import RequestClaim
 from wagtailtrestle.entry.run_counts import RunKind
 from wagtailtrestle.entry.run_reports import RunReports
@@ -146,7 +146,7 @@
         self._losses = 0
         self._retries_used_up = False
         self._given_back = set()
-        self._reach = Reach()
+        self._reach = ExecutionEvidence()
         self._not_sent = 0
         self._attaches = Attaches()
         self._preempted = False
