--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -9,7 +9,7 @@
     "entry.entry",
     "entry.request_task",
     "entry.request_claim",
-    "entry.reach",
+    "entry.execution_evidence",
     "entry.cells",
     "capacity.retry_budget",
     "capacity.crash_signs",
--- a/wagtailtrestle/entry/request_task.py
+++ b/wagtailtrestle/entry/request_task.py
@@ -42,9 +42,9 @@
     RunRejected,
 )
 from wagtailtrestle.entry.attaches import UNREAD_PAUSE_S, Attaches
+from wagtailtrestle.entry.execution_evidence import ExecutionEvidence
 from wagtailtrestle.entry.final_answers import DEFAULT_RETRY_AFTER_S, refusal_of, rejected_status
 from wagtailtrestle.entry.poison import CRASH_LIMIT
-from wagtailtrestle.entry.reach import ExecutionEvidence
 from wagtailtrestle.entry.request_claim import RequestClaim
 from wagtailtrestle.entry.run_counts import RunKind
 from wagtailtrestle.entry.run_reports import RunReports
