--- a/tests/test_store_epoch.py
+++ b/tests/test_store_epoch.py
@@ -9,7 +9,7 @@
 
 from tests.utils.paused_clock import on_paused_clock
 from wagtailtrestle.configuration import sources
-from wagtailtrestle.configuration.earlier_word import BELIEVED_S, EarlierWord
+from wagtailtrestle.configuration.earlier_word import BELIEVED_S, PreRestoreEngines
 from wagtailtrestle.configuration.engine_list import GONE_AGAIN_S, RETRY_S, EngineList
 from wagtailtrestle.configuration.epoch_store import EpochStore
 from wagtailtrestle.configuration.proof import CARRIED_S, Proof
@@ -92,7 +92,7 @@
 class EarlierWordTest(unittest.TestCase):
     def setUp(self):
         self.clock = Clock()
-        self.earlier = EarlierWord(clock=self.clock)
+        self.earlier = PreRestoreEngines(clock=self.clock)
 
     def corrected(self, *listed):
         return self.earlier.corrected({engine.name: engine for engine in listed})
--- a/wagtailtrestle/configuration/earlier_word.py
+++ b/wagtailtrestle/configuration/earlier_word.py
@@ -14,7 +14,7 @@
 heartbeats, some four seconds, and those that live have written theirs again."""
 
 
-class EarlierWord:
+class PreRestoreEngines:
     """Engines as they were known before the store's return, and those that had left.
 
     Parameters
--- a/wagtailtrestle/configuration/engine_list.py
+++ b/wagtailtrestle/configuration/engine_list.py
@@ -10,7 +10,7 @@
 
 from loguru import logger
 
-from wagtailtrestle.configuration.earlier_word import EarlierWord
+from wagtailtrestle.configuration.earlier_word import PreRestoreEngines
 from wagtailtrestle.configuration.engine_relay import EngineNews
 from wagtailtrestle.configuration.store_epoch import epoch_of
 from wagtailtrestle.contracts.outcomes import StoreDone, StoreHistoryGone
@@ -78,7 +78,7 @@
         self._clock = clock
         self._return_grace_s = return_grace_s
         self._jitter = jitter or random.Random()
-        self._earlier = EarlierWord(clock=clock)
+        self._earlier = PreRestoreEngines(clock=clock)
         self._version = 0
         self._first_version = 0
         self._listed_at = None
