--- a/tests/test_store_epoch.py
+++ b/tests/test_store_epoch.py
@@ -9,9 +9,9 @@
 
 from tests.utils.paused_clock import on_paused_clock
 from wagtailtrestle.configuration import sources
-from wagtailtrestle.configuration.earlier_word import BELIEVED_S, PreRestoreEngines
 from wagtailtrestle.configuration.engine_list import GONE_AGAIN_S, RETRY_S, EngineList
 from wagtailtrestle.configuration.epoch_store import EpochStore
+from wagtailtrestle.configuration.pre_restore_engines import BELIEVED_S, PreRestoreEngines
 from wagtailtrestle.configuration.proof import CARRIED_S, Proof
 from wagtailtrestle.configuration.sources import PlatformSource
 from wagtailtrestle.configuration.store_epoch import RESTORED_S, StoreEpoch, epoch_of, revision_of, version_in
--- a/wagtailtrestle/configuration/engine_list.py
+++ b/wagtailtrestle/configuration/engine_list.py
@@ -10,8 +10,8 @@
 
 from loguru import logger
 
-from wagtailtrestle.configuration.earlier_word import PreRestoreEngines
 from wagtailtrestle.configuration.engine_relay import EngineNews
+from wagtailtrestle.configuration.pre_restore_engines import PreRestoreEngines
 from wagtailtrestle.configuration.store_epoch import epoch_of
 from wagtailtrestle.contracts.outcomes import StoreDone, StoreHistoryGone
 
