--- a/wagtailtrestle/engines/fading_line.py
+++ b/wagtailtrestle/engines/fading_line.py
@@ -7,7 +7,7 @@
 the range of its points would soon give negative values."""
 
 
-class FadingLine:
+class DecayingLinearFit:
     """Fit ``y = base + slope * x`` with forgetting; the prior never fades.
 
     Parameters
--- a/wagtailtrestle/engines/model.py
+++ b/wagtailtrestle/engines/model.py
@@ -12,7 +12,7 @@
 
 from collections import deque
 
-from wagtailtrestle.engines.fading_line import FadingLine
+from wagtailtrestle.engines.fading_line import DecayingLinearFit
 
 PRIOR_SLOPE_SHARE = 0.03
 """Assumed growth of a step for each further run, as a share of the declared step."""
@@ -100,7 +100,7 @@
 
     def __init__(self, *, slots, step_s, prefill_tokens_per_s):
         self.slots = max(1, int(slots))
-        self._step = FadingLine(
+        self._step = DecayingLinearFit(
             base=step_s * (1.0 - PRIOR_SLOPE_SHARE),
             slope=step_s * PRIOR_SLOPE_SHARE,
             weight=PRIOR_WEIGHT,
