--- a/wagtailtrestle/engines/model.py
+++ b/wagtailtrestle/engines/model.py
@@ -12,7 +12,7 @@
 
 from collections import deque
 
-from wagtailtrestle.engines.fading_line import DecayingLinearFit
+from wagtailtrestle.engines.decaying_linear_fit import DecayingLinearFit
 
 PRIOR_SLOPE_SHARE = 0.03
 """Assumed growth of a step for each further run, as a share of the declared step."""
