--- a/tests/utils/engines.py
+++ b/tests/utils/engines.py
@@ -5,7 +5,7 @@
 from wagtailtrestle.contracts.exchange import StartRun
 from wagtailtrestle.engines.answer_check import ReceivedAnswer
 from wagtailtrestle.engines.client import EngineClient
-from wagtailtrestle.engines.own_call import CANCELLABLE, EngineCall
+from wagtailtrestle.engines.native_call import CANCELLABLE, EngineCall
 from wagtailtrestle.standins.engine import EngineStandin
 from wagtailtrestle.standins.service import ServiceStandin
 from wagtailtrestle.standins.standin_settings import ENGINE_DEFAULTS, SERVICE_DEFAULTS, StandinSettings
--- a/wagtailtrestle/adapters.py
+++ b/wagtailtrestle/adapters.py
@@ -6,7 +6,7 @@
 from wagtailtrestle.configuration.sources import OwnDeclarations
 from wagtailtrestle.declarations.check import parse_declaration
 from wagtailtrestle.declarations.settings import PLATFORM_ADAPTER
-from wagtailtrestle.engines.own_call import CANCELLABLE
+from wagtailtrestle.engines.native_call import CANCELLABLE
 from wagtailtrestle.engines.reports import OwnReports
 from wagtailtrestle.store.object_store_http import HttpObjectStore
 
--- a/wagtailtrestle/callers/intake.py
+++ b/wagtailtrestle/callers/intake.py
@@ -27,7 +27,7 @@
 from wagtailtrestle.contracts.declaration import LANGUAGE, PLAIN
 from wagtailtrestle.contracts.exchange import CallerRequest
 from wagtailtrestle.contracts.outcomes import Executed, Reason, Refusal
-from wagtailtrestle.engines.own_call import EngineCall
+from wagtailtrestle.engines.native_call import EngineCall
 
 NO_PROMPT = PromptShape(tokens=0)
 ELSEWHERE_S = 0.1
