--- a/tests/test_store_epoch.py
+++ b/tests/test_store_epoch.py
@@ -89,7 +89,7 @@
         self.assertEqual(self.epoch.number, 5)
 
 
-class EarlierWordTest(unittest.TestCase):
+class PreRestoreEnginesTest(unittest.TestCase):
     def setUp(self):
         self.clock = Clock()
         self.earlier = PreRestoreEngines(clock=self.clock)
