--- a/wagtailtrestle/capacity/run_book.py
+++ b/wagtailtrestle/capacity/run_book.py
@@ -12,7 +12,7 @@
 """Time after a run's deadline at which its place is free even if nobody said so."""
 
 
-class RunBook:
+class RunTable:
     """The grants of a cell, counted against its engines.
 
     Parameters
--- a/wagtailtrestle/capacity/scheduler.py
+++ b/wagtailtrestle/capacity/scheduler.py
@@ -14,7 +14,7 @@
 from wagtailtrestle.capacity.preemption import LOOK_AHEAD, PreemptionPlanner
 from wagtailtrestle.capacity.registration import Registration
 from wagtailtrestle.capacity.retry_budget import RetryBudget, RetryLimits
-from wagtailtrestle.capacity.run_book import RunBook
+from wagtailtrestle.capacity.run_book import RunTable
 from wagtailtrestle.capacity.scheduler_notes import SchedulerNotes
 from wagtailtrestle.capacity.tier_queue import TierQueue
 from wagtailtrestle.contracts.messages import (
@@ -106,7 +106,7 @@
         self._policy = policy
         self._clock = clock
         self._entries = entries
-        self._runs = RunBook(clock=clock)
+        self._runs = RunTable(clock=clock)
         self._queue = TierQueue()
         self._admission = Admission(
             clock=clock,
--- a/wagtailtrestle/capacity/scheduler_notes.py
+++ b/wagtailtrestle/capacity/scheduler_notes.py
@@ -9,7 +9,7 @@
     Parameters
     ----------
     cell : str
-    runs : RunBook
+    runs : RunTable
     registration : Registration
     """
 
