--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -24,7 +24,7 @@
     "capacity.preemption",
     "capacity.isolation",
     "capacity.registration",
-    "capacity.run_book",
+    "capacity.run_table",
     "engines.state",
     "engines.model",
     "engines.prefix_cache",
--- a/wagtailtrestle/capacity/scheduler.py
+++ b/wagtailtrestle/capacity/scheduler.py
@@ -14,7 +14,7 @@
 from wagtailtrestle.capacity.preemption import LOOK_AHEAD, PreemptionPlanner
 from wagtailtrestle.capacity.registration import Registration
 from wagtailtrestle.capacity.retry_budget import RetryBudget, RetryLimits
-from wagtailtrestle.capacity.run_book import RunTable
+from wagtailtrestle.capacity.run_table import RunTable
 from wagtailtrestle.capacity.scheduler_notes import SchedulerNotes
 from wagtailtrestle.capacity.tier_queue import TierQueue
 from wagtailtrestle.contracts.messages import (
