--- a/wagtailtrestle/capacity/scheduler.py
+++ b/wagtailtrestle/capacity/scheduler.py
@@ -15,7 +15,7 @@
 from wagtailtrestle.capacity.registration import Registration
 from wagtailtrestle.capacity.retry_budget import RetryBudget, RetryLimits
 from wagtailtrestle.capacity.run_table import RunTable
-from wagtailtrestle.capacity.scheduler_notes import SchedulerNotes
+from wagtailtrestle.capacity.scheduler_notes import SchedulerLog
 from wagtailtrestle.capacity.tier_queue import TierQueue
 from wagtailtrestle.contracts.messages import (
     EngineDown,
@@ -122,7 +122,7 @@
         self._retries = RetryBudget(clock=clock, limits=retry_limits)
         self._retries_used_up = False
         self._elsewhere = set()
-        self._notes = SchedulerNotes(cell=cell, runs=self._runs, registration=self._registration)
+        self._notes = SchedulerLog(cell=cell, runs=self._runs, registration=self._registration)
         self._members = frozenset()
         self._granting = True
         self._handlers_by_type = {
--- a/wagtailtrestle/capacity/scheduler_notes.py
+++ b/wagtailtrestle/capacity/scheduler_notes.py
@@ -3,7 +3,7 @@
 from loguru import logger
 
 
-class SchedulerNotes:
+class SchedulerLog:
     """Tells when a scheduler is cautious, and when an engine becomes overfull or names a rate limit: a line a change.
 
     Parameters
