--- a/wagtailtrestle/capacity/scheduler.py
+++ b/wagtailtrestle/capacity/scheduler.py
@@ -15,7 +15,7 @@
 from wagtailtrestle.capacity.registration import Registration
 from wagtailtrestle.capacity.retry_budget import RetryBudget, RetryLimits
 from wagtailtrestle.capacity.run_table import RunTable
-from wagtailtrestle.capacity.scheduler_notes import SchedulerLog
+from wagtailtrestle.capacity.scheduler_log import SchedulerLog
 from wagtailtrestle.capacity.tier_queue import TierQueue
 from wagtailtrestle.contracts.messages import (
     EngineDown,
