--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -11,7 +11,7 @@
 from wagtailtrestle.contracts.outcomes import Executed, Reason
 from wagtailtrestle.contracts.quota_messages import QuotaAsk
 from wagtailtrestle.quotas import book as book_module
-from wagtailtrestle.quotas.book import SILENT_S, QuotaBook, QuotaCharge, QuotaRefused
+from wagtailtrestle.quotas.book import SILENT_S, QuotaAccounts, QuotaCharge, QuotaRefused
 from wagtailtrestle.quotas.charging import charge_team
 from wagtailtrestle.quotas.owner import ABSENT_KEPT_S, TAKEOVER_SHARE, QuotaOwner, Tolerance
 
@@ -53,7 +53,7 @@
             self.threads.append(threading.Thread(target=run))
             self.threads[-1].start()
 
-        return QuotaBook(clock=self.clock, call_soon=soon, send_ask=send, members=lambda: len(self.books))
+        return QuotaAccounts(clock=self.clock, call_soon=soon, send_ask=send, members=lambda: len(self.books))
 
     def pass_time(self, seconds):
         """Let the clock go on once all that was asked is answered."""
--- a/wagtailtrestle/platform/callers.py
+++ b/wagtailtrestle/platform/callers.py
@@ -46,7 +46,7 @@
     most_deadline_s : float
     key_proof : callable
         Whether a key that was revoked would be known here by now.
-    quotas : QuotaBook
+    quotas : QuotaAccounts
     """
 
     __slots__ = (
--- a/wagtailtrestle/quotas/book.py
+++ b/wagtailtrestle/quotas/book.py
@@ -144,7 +144,7 @@
         return tuple(sizes)
 
 
-class QuotaBook:
+class QuotaAccounts:
     """Credits of every team with a quota.
 
     ``take`` and ``give_back`` are called from callers' threads, everything else on the loop.
--- a/wagtailtrestle/quotas/shared.py
+++ b/wagtailtrestle/quotas/shared.py
@@ -4,7 +4,7 @@
 
 from wagtailtrestle.contracts.quota_messages import QuotaAsk, QuotaGrant
 from wagtailtrestle.peers.rendezvous import Rendezvous
-from wagtailtrestle.quotas.book import QuotaBook
+from wagtailtrestle.quotas.book import QuotaAccounts
 from wagtailtrestle.quotas.owner import QuotaOwner
 
 
@@ -23,7 +23,7 @@
 
     Attributes
     ----------
-    book : QuotaBook
+    book : QuotaAccounts
         What requests are charged to.
     """
 
@@ -38,7 +38,7 @@
         self._owner = QuotaOwner(
             clock=loop.time, members=self._count_members, fleet_size=membership.fleet_size, tolerance=tolerance
         )
-        self.book = QuotaBook(
+        self.book = QuotaAccounts(
             clock=loop.time,
             call_soon=loop.call_soon_threadsafe,
             send_ask=self._send_ask,
