--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -10,8 +10,8 @@
 from wagtailtrestle.contracts.declaration import TokenQuota
 from wagtailtrestle.contracts.outcomes import Executed, Reason
 from wagtailtrestle.contracts.quota_messages import QuotaAsk
-from wagtailtrestle.quotas import book as book_module
-from wagtailtrestle.quotas.book import SILENT_S, QuotaAccounts, QuotaCharge, QuotaRefused
+from wagtailtrestle.quotas import accounts as accounts_module
+from wagtailtrestle.quotas.accounts import SILENT_S, QuotaAccounts, QuotaCharge, QuotaRefused
 from wagtailtrestle.quotas.charging import charge_team
 from wagtailtrestle.quotas.owner import ABSENT_KEPT_S, TAKEOVER_SHARE, QuotaOwner, Tolerance
 
@@ -132,7 +132,7 @@
         fleet.cut = {3}
         fleet.clock.now += SILENT_S
         # No answer comes, so that a shorter real wait changes nothing but the time that the test takes.
-        with mock.patch.object(book_module, "WAIT_S", 0.05):
+        with mock.patch.object(accounts_module, "WAIT_S", 0.05):
             used = fleet.spend(10.0, books=[3])
         self.assertGreater(used, 0.5 * 10.0 * QUOTA.rate_per_s / 4)
         self.assertLess(used, 1.3 * 10.0 * QUOTA.rate_per_s / 4)
--- a/wagtailtrestle/quotas/charging.py
+++ b/wagtailtrestle/quotas/charging.py
@@ -2,7 +2,7 @@
 
 from wagtailtrestle.contracts.outcomes import Executed, Reason, Refusal
 from wagtailtrestle.entry.final_answers import refusal_of
-from wagtailtrestle.quotas.book import QuotaCharge, QuotaRefused
+from wagtailtrestle.quotas.accounts import QuotaCharge, QuotaRefused
 
 
 def charge_team(*, book, team, tokens) -> QuotaCharge | Refusal | None:
--- a/wagtailtrestle/quotas/shared.py
+++ b/wagtailtrestle/quotas/shared.py
@@ -4,7 +4,7 @@
 
 from wagtailtrestle.contracts.quota_messages import QuotaAsk, QuotaGrant
 from wagtailtrestle.peers.rendezvous import Rendezvous
-from wagtailtrestle.quotas.book import QuotaAccounts
+from wagtailtrestle.quotas.accounts import QuotaAccounts
 from wagtailtrestle.quotas.owner import QuotaOwner
 
 
