--- a/wagtailtrestle/ledger/ledger.py
+++ b/wagtailtrestle/ledger/ledger.py
@@ -29,7 +29,7 @@
     StoreAbsent,
     StoreDone,
 )
-from wagtailtrestle.ledger.nonces import NonceBook
+from wagtailtrestle.ledger.nonces import NonceTable
 from wagtailtrestle.ledger.record import LEDGER_KIND, MAX_BODY_BYTES, ShardContents, key_hash, shard_name
 from wagtailtrestle.ledger.shard import ShardWriter, WritePacer, bounded
 
@@ -96,7 +96,7 @@
         self._wall_clock = wall_clock
         self._pacer = WritePacer(writes_per_s=lambda: LEDGER_WRITES_PER_S / max(live_routers(), 1))
         self._writers_by_shard = {}
-        self._book = NonceBook(keep_s=retention_s, now=lambda: asyncio.get_running_loop().time())
+        self._book = NonceTable(keep_s=retention_s, now=lambda: asyncio.get_running_loop().time())
         self._settling_by_nonce = {}
         self._layout = None
         self._layout_detail = ""
--- a/wagtailtrestle/ledger/nonces.py
+++ b/wagtailtrestle/ledger/nonces.py
@@ -37,7 +37,7 @@
         )
 
 
-class NonceBook:
+class NonceTable:
     """Nonces made here, until their end is in the store or too old to matter.
 
     Parameters
