--- a/tests/test_crash_signs.py
+++ b/tests/test_crash_signs.py
@@ -7,7 +7,7 @@
 from wagtailtrestle.contracts.messages import EngineDown
 from wagtailtrestle.contracts.outcomes import RunCut, RunDone
 from wagtailtrestle.entry.crash_watch import CrashWatch
-from wagtailtrestle.entry.poison import CRASH_LIMIT, SAME_CRASH_S, TOLD_WINDOW_S, CrashBook, CrashDetector
+from wagtailtrestle.entry.poison import CRASH_LIMIT, SAME_CRASH_S, TOLD_WINDOW_S, CrashDetector, CrashTable
 
 
 class SchedulerTest(unittest.TestCase):
@@ -37,7 +37,7 @@
     def setUp(self):
         self.clock = Clock()
         self.crashes = CrashWatch(
-            book=CrashBook(clock=self.clock), detector=CrashDetector(clock=self.clock), broadcast=lambda report: None
+            book=CrashTable(clock=self.clock), detector=CrashDetector(clock=self.clock), broadcast=lambda report: None
         )
 
     def cut(self, engine, body="poison", *, told_after_s=1.0):
--- a/tests/test_isolation.py
+++ b/tests/test_isolation.py
@@ -6,7 +6,7 @@
 from wagtailtrestle.capacity.isolation import MAX_SUSPECTS
 from wagtailtrestle.contracts.messages import Granted, Refused, Withdraw
 from wagtailtrestle.contracts.outcomes import Reason
-from wagtailtrestle.entry.poison import ALONE_AFTER, SAME_CRASH_S, CrashBook
+from wagtailtrestle.entry.poison import ALONE_AFTER, SAME_CRASH_S, CrashTable
 
 
 def granted_on(cell):
@@ -117,7 +117,7 @@
         # engine. Placed together each time they would share the blame for ever, and the engine
         # would crash for ever. After the second crash each runs alone: one crashes it, one ends.
         cell = Cell(slots=4)
-        book = CrashBook(clock=cell.clock, reporter="r1")
+        book = CrashTable(clock=cell.clock, reporter="r1")
         crashes, answered = 0, False
         for sending in range(2 * ALONE_AFTER + 2):
             bodies = [body for body in ("poison", "innocent") if not book.blocked(body)]
--- a/tests/test_poison.py
+++ b/tests/test_poison.py
@@ -11,10 +11,10 @@
     CUT_WINDOW_S,
     RESTART_WINDOW_S,
     SAME_CRASH_S,
-    CrashBook,
     CrashClearance,
     CrashDetector,
     CrashReport,
+    CrashTable,
     fingerprint_of,
 )
 
@@ -22,7 +22,7 @@
 class BlameTest(unittest.TestCase):
     def setUp(self):
         self.clock = Clock()
-        self.book = CrashBook(clock=self.clock, reporter="r1")
+        self.book = CrashTable(clock=self.clock, reporter="r1")
 
     def crash(self, engine, *running):
         self.clock.now += SAME_CRASH_S + 1.0
@@ -82,7 +82,7 @@
         # The caller sends it again through another router each time, so no router sees
         # more than one crash. Told of the others', each refuses the fourth.
         clock = Clock()
-        books = [CrashBook(clock=clock, reporter=f"r{number}") for number in range(CRASH_LIMIT)]
+        books = [CrashTable(clock=clock, reporter=f"r{number}") for number in range(CRASH_LIMIT)]
         for number, book in enumerate(books):
             clock.now += SAME_CRASH_S + 1.0
             told = book.note_crash(f"e{number}", {"poison": 1})
@@ -92,7 +92,7 @@
 
     def test_one_crash_told_by_three_routers_is_one(self):
         clock = Clock()
-        book = CrashBook(clock=clock, reporter="r1")
+        book = CrashTable(clock=clock, reporter="r1")
         book.note_crash("e1", {"a": 1})
         for number in range(2, 2 + CRASH_LIMIT):
             clock.now += 0.1
@@ -102,7 +102,7 @@
     def test_one_crash_told_again_by_its_router_is_one(self):
         # A cut, then two attempts to attach that find the engine down: one crash.
         clock = Clock()
-        book = CrashBook(clock=clock)
+        book = CrashTable(clock=clock)
         for _ in range(CRASH_LIMIT):
             clock.now += 0.5
             book.note_crash("e1", {"a": 1})
@@ -110,14 +110,14 @@
 
     def test_merging_again_changes_nothing_and_does_not_undo_a_clearance(self):
         clock = Clock()
-        book = CrashBook(clock=clock)
+        book = CrashTable(clock=clock)
         told = book.note_crash("e1", {"a": 1, "b": 1})
         book.note_success("a")
         for _ in range(CRASH_LIMIT):
             clock.now += 2 * SAME_CRASH_S
             book.merge(told)
         self.assertFalse(book.is_suspect("a") or book.blocked("b"))
-        other = CrashBook(clock=clock)
+        other = CrashTable(clock=clock)
         for known in book.reports():
             other.merge(known)
         self.assertEqual(other.dump(), book.dump())
@@ -127,7 +127,7 @@
         # the word of r1, r2 would go on suspecting it, and refuse it after the next two crashes
         # beside which it happens to run. The word may overtake a report, and come twice.
         clock = Clock()
-        here, there = (CrashBook(clock=clock, reporter=name) for name in ("r1", "r2"))
+        here, there = (CrashTable(clock=clock, reporter=name) for name in ("r1", "r2"))
         told = []
         for engine in ("e1", "e2"):
             clock.now += 2 * SAME_CRASH_S
@@ -146,7 +146,7 @@
 
     def test_whole_answers_are_told_to_the_others(self):
         sent = []
-        book = CrashBook(clock=Clock())
+        book = CrashTable(clock=Clock())
         watch = CrashWatch(book=book, detector=CrashDetector(clock=Clock()), broadcast=sent.append)
         for body_digest in ("a", "b"):
             watch.note(engine="e1", body_digest=body_digest, outcome=RunCut(detail="cut"), was_sent=True)
--- a/wagtailtrestle/entry/crash_watch.py
+++ b/wagtailtrestle/entry/crash_watch.py
@@ -9,7 +9,7 @@
 
     Parameters
     ----------
-    book : CrashBook
+    book : CrashTable
     detector : CrashDetector
     broadcast : Callable
         Sends a ``CrashReport`` or ``CrashClearance`` to every other router.
--- a/wagtailtrestle/entry/poison.py
+++ b/wagtailtrestle/entry/poison.py
@@ -102,7 +102,7 @@
         return set().union(*self.suspects_by_report.values()) - self.cleared
 
 
-class CrashBook:
+class CrashTable:
     """Crashes of engines and who is to blame for them.
 
     Parameters
--- a/wagtailtrestle/measure/cluster.py
+++ b/wagtailtrestle/measure/cluster.py
@@ -5,7 +5,7 @@
 from wagtailtrestle.contracts.report_messages import LoadReport
 from wagtailtrestle.entry.crash_watch import CrashWatch
 from wagtailtrestle.entry.entry import Entry
-from wagtailtrestle.entry.poison import CrashBook, CrashDetector
+from wagtailtrestle.entry.poison import CrashDetector, CrashTable
 from wagtailtrestle.measure.fake_caller import NETWORK_S, FakeCaller
 from wagtailtrestle.measure.run_parts import SentBy, SentTo
 
@@ -112,7 +112,7 @@
     def _entry(self, name):
         clock = self._loop.time
         crashes = CrashWatch(
-            book=CrashBook(clock=clock, reporter=name),
+            book=CrashTable(clock=clock, reporter=name),
             detector=CrashDetector(clock=clock),
             broadcast=lambda report: None,
         )
--- a/wagtailtrestle/router.py
+++ b/wagtailtrestle/router.py
@@ -32,7 +32,7 @@
 from wagtailtrestle.entry.cells import cells_of
 from wagtailtrestle.entry.crash_watch import CrashWatch
 from wagtailtrestle.entry.entry import Entry
-from wagtailtrestle.entry.poison import CrashBook, CrashClearance, CrashDetector, CrashReport
+from wagtailtrestle.entry.poison import CrashClearance, CrashDetector, CrashReport, CrashTable
 from wagtailtrestle.ledger.ledger import Ledger
 from wagtailtrestle.membership.announcement import Announcement
 from wagtailtrestle.membership.membership import Membership
@@ -199,7 +199,7 @@
         )
         self._schedulers.set_members(self._membership.view.everyone)
         self._crashes = CrashWatch(
-            book=CrashBook(clock=self._loop.time, reporter=name),
+            book=CrashTable(clock=self._loop.time, reporter=name),
             detector=CrashDetector(clock=self._loop.time),
             broadcast=self._broadcast.send,
         )
--- a/wagtailtrestle/slopes/control_node.py
+++ b/wagtailtrestle/slopes/control_node.py
@@ -20,7 +20,7 @@
 from wagtailtrestle.engines.run_progress import ADVANCE_INTERVAL_S
 from wagtailtrestle.entry.crash_watch import CrashWatch
 from wagtailtrestle.entry.entry import Entry
-from wagtailtrestle.entry.poison import CrashBook, CrashDetector
+from wagtailtrestle.entry.poison import CrashDetector, CrashTable
 from wagtailtrestle.membership.view import View
 from wagtailtrestle.peers.directory import Directory
 from wagtailtrestle.peers.peers_grpc import Peers
@@ -148,7 +148,7 @@
 
     def _entry(self, schedulers):
         crashes = CrashWatch(
-            book=CrashBook(clock=self.loop.time),
+            book=CrashTable(clock=self.loop.time),
             detector=CrashDetector(clock=self.loop.time),
             broadcast=lambda report: None,
         )
--- a/wagtailtrestle/slopes/entry.py
+++ b/wagtailtrestle/slopes/entry.py
@@ -10,7 +10,7 @@
 from wagtailtrestle.contracts.outcomes import RunDone
 from wagtailtrestle.entry.crash_watch import CrashWatch
 from wagtailtrestle.entry.entry import Entry
-from wagtailtrestle.entry.poison import CrashBook, CrashDetector
+from wagtailtrestle.entry.poison import CrashDetector, CrashTable
 from wagtailtrestle.slopes.line import Slope
 
 HELD_COUNTS = (0, 200, 1_000, 3_000)
@@ -77,7 +77,7 @@
         schedulers=scheduler,
         claims=None,
         crashes=CrashWatch(
-            book=CrashBook(clock=loop.time),
+            book=CrashTable(clock=loop.time),
             detector=CrashDetector(clock=loop.time),
             broadcast=lambda report: None,
         ),
