--- a/wagtailtrestle/capacity/scheduler.py
+++ b/wagtailtrestle/capacity/scheduler.py
@@ -81,7 +81,7 @@
         "_elsewhere",
         "_members",
         "_granting",
-        "_notes",
+        "_log",
         "_runs_outlive_routers",
         "_rollout",
         "_held_back",
@@ -122,7 +122,7 @@
         self._retries = RetryBudget(clock=clock, limits=retry_limits)
         self._retries_used_up = False
         self._elsewhere = set()
-        self._notes = SchedulerLog(cell=cell, runs=self._runs, registration=self._registration)
+        self._log = SchedulerLog(cell=cell, runs=self._runs, registration=self._registration)
         self._members = frozenset()
         self._granting = True
         self._handlers_by_type = {
@@ -250,10 +250,10 @@
     def tick(self):
         """Sweep deadlines, preempt, and grant what has become possible; about every 50 ms."""
         self._notice_pause()
-        self._notes.note_caution()
+        self._log.note_caution()
         self._runs.tick()
-        self._notes.note_overfull()
-        self._notes.note_limited()
+        self._log.note_overfull()
+        self._log.note_limited()
         self._runs.order_by_pace()
         self._admission.measure_speed()
         self._retries_used_up = not self._may_retry()
@@ -396,7 +396,7 @@
 
     def _consider(self, request):
         if request.is_retry and not self._may_retry():
-            self._notes.note_no_retry(request, self._retries)
+            self._log.note_no_retry(request, self._retries)
             self._refuse(request, Reason.RETRY_BUDGET)
             return
         waiting = self._admission.waiting(request)
