--- a/wagtailtrestle/configuration/engine_list.py
+++ b/wagtailtrestle/configuration/engine_list.py
@@ -78,7 +78,7 @@
         self._clock = clock
         self._return_grace_s = return_grace_s
         self._jitter = jitter or random.Random()
-        self._earlier = PreRestoreEngines(clock=clock)
+        self._pre_restore = PreRestoreEngines(clock=clock)
         self._version = 0
         self._first_version = 0
         self._listed_at = None
@@ -211,8 +211,8 @@
         read = {name: self._read_entry(name, value) for name, value in news.value_by_name.items() if value is not None}
         listed = {name: engine for name, engine in read.items() if engine is not None}
         unfit = read.keys() - listed.keys()
-        self._earlier.note_written(news.written_names if news.is_whole else listed.keys())
-        listed = self._earlier.corrected(listed)
+        self._pre_restore.note_written(news.written_names if news.is_whole else listed.keys())
+        listed = self._pre_restore.corrected(listed)
         by_name = self._from_whole(listed) if news.is_whole else self._from_changes(listed, gone)
         # Whatever wrote over an engine's entry, the engine does not vouch for it any more. Its next
         # word of itself brings it back.
@@ -225,7 +225,7 @@
         self._first_version = news.version
         if not self.is_known:
             return
-        self._earlier.begin(self.by_name)
+        self._pre_restore.begin(self.by_name)
         if not news.is_relayed:
             # Who reads the store waits for them; to the others it tells what it keeps.
             self._kept_until = self._clock() + self._return_grace_s
@@ -246,7 +246,7 @@
         return by_name
 
     def _put(self, by_name, news):
-        self._earlier.note_gone(self.by_name.keys() - by_name.keys())
+        self._pre_restore.note_gone(self.by_name.keys() - by_name.keys())
         known, facts = _facts(self.by_name), _facts(by_name)
         changed = {name for name in known.keys() | facts.keys() if known.get(name) != facts.get(name)}
         if self._relay is not None:
