--- a/tests/test_store_epoch.py
+++ b/tests/test_store_epoch.py
@@ -92,46 +92,46 @@
 class PreRestoreEnginesTest(unittest.TestCase):
     def setUp(self):
         self.clock = Clock()
-        self.earlier = PreRestoreEngines(clock=self.clock)
+        self.pre_restore = PreRestoreEngines(clock=self.clock)
 
     def corrected(self, *listed):
-        return self.earlier.corrected({engine.name: engine for engine in listed})
+        return self.pre_restore.corrected({engine.name: engine for engine in listed})
 
     def test_before_a_return_the_list_is_taken_as_it_is(self):
-        self.earlier.note_gone(["i-1"])
+        self.pre_restore.note_gone(["i-1"])
         self.assertEqual(set(self.corrected(engine("i-1"))), {"i-1"})
 
     def test_engine_that_had_left_stays_gone(self):
-        self.earlier.note_gone(["i-1"])
-        self.earlier.begin({"i-2": engine("i-2")})
+        self.pre_restore.note_gone(["i-1"])
+        self.pre_restore.begin({"i-2": engine("i-2")})
         self.assertEqual(set(self.corrected(engine("i-1"), engine("i-2"))), {"i-2"})
 
     def test_engine_that_drained_drains_on(self):
-        self.earlier.begin({"i-1": engine("i-1", leaving=True)})
+        self.pre_restore.begin({"i-1": engine("i-1", leaving=True)})
         self.assertTrue(self.corrected(engine("i-1"))["i-1"].leaving)
 
     def test_engine_that_began_to_drain_while_the_store_was_away_drains(self):
-        self.earlier.begin({"i-1": engine("i-1")})
+        self.pre_restore.begin({"i-1": engine("i-1")})
         self.assertTrue(self.corrected(engine("i-1", leaving=True))["i-1"].leaving)
 
     def test_engine_that_started_again_since_the_copy_is_not_known_by_its_former_start(self):
-        self.earlier.begin({"i-1": engine("i-1", start_ms=2000)})
+        self.pre_restore.begin({"i-1": engine("i-1", start_ms=2000)})
         self.assertEqual(self.corrected(engine("i-1", start_ms=1000))["i-1"].start_ms, 2000)
 
     def test_entry_written_since_the_return_counts(self):
-        self.earlier.note_gone(["i-1"])
-        self.earlier.begin({})
-        self.earlier.note_written(["i-1"])
+        self.pre_restore.note_gone(["i-1"])
+        self.pre_restore.begin({})
+        self.pre_restore.note_written(["i-1"])
         self.assertEqual(set(self.corrected(engine("i-1"))), {"i-1"})
 
     def test_after_a_while_the_list_counts_alone(self):
-        self.earlier.begin({"i-1": engine("i-1", leaving=True)})
+        self.pre_restore.begin({"i-1": engine("i-1", leaving=True)})
         self.clock.now += BELIEVED_S
         self.assertFalse(self.corrected(engine("i-1"))["i-1"].leaving)
 
     def test_second_return_keeps_what_was_known_before_the_first(self):
-        self.earlier.begin({"i-1": engine("i-1", leaving=True)})
-        self.earlier.begin({})
+        self.pre_restore.begin({"i-1": engine("i-1", leaving=True)})
+        self.pre_restore.begin({})
         self.assertTrue(self.corrected(engine("i-1"))["i-1"].leaving)
 
 
