--- a/wagtailtrestle/entry/request_task.py
+++ b/wagtailtrestle/entry/request_task.py
@@ -114,7 +114,7 @@
         "_losses",
         "_retries_used_up",
         "_given_back",
-        "_reach",
+        "_evidence",
         "_not_sent",
         "_attaches",
         "_preempted",
@@ -146,7 +146,7 @@
         self._losses = 0
         self._retries_used_up = False
         self._given_back = set()
-        self._reach = ExecutionEvidence()
+        self._evidence = ExecutionEvidence()
         self._not_sent = 0
         self._attaches = Attaches()
         self._preempted = False
@@ -372,7 +372,7 @@
                     self._cancel()
                 case RunBegan():
                     self._attaches.confirm()
-                    self._reach.maybe = self._reach.known = True
+                    self._evidence.maybe = self._evidence.known = True
                     self._reports.began(self.engine, message)
                 case RunAdvanced(output_tokens=output_tokens):
                     self.run_tokens = output_tokens
@@ -381,7 +381,7 @@
                     # A second scheduler granted the same ask; the place is not needed.
                     self._reports.gave_back(engine)
                 case RunEnded():
-                    self._reach.note(message.outcome)
+                    self._evidence.note(message.outcome)
                     return message
 
     def _cancel(self):
@@ -459,7 +459,7 @@
             self.runs_begun -= 1
             if self._next_kind in RETRIES:
                 self.context.retries.take_back(self.cell)
-        if self._reach.maybe and not self.request.repeatable:
+        if self._evidence.maybe and not self.request.repeatable:
             return self._lost()
         if self._not_sent >= MAX_NOT_SENT:
             return self._refuse(Reason.NO_ENGINE, retry_after_s=self.context.retry_after_s(self.request.service))
@@ -517,7 +517,7 @@
 
     def _refuse(self, reason, *, executed=None, retry_after_s=None, status=None):
         """Give the final answer at once; returns ``True`` as the request is settled."""
-        executed = executed or self._reach.executed()
+        executed = executed or self._evidence.executed()
         self._key.give_up(executed)
         self.state = RequestState.UNKNOWN if executed is Executed.UNKNOWN else RequestState.REFUSED
         refusal = refusal_of(reason, executed=executed, retry_after_s=retry_after_s, status=status)
