--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -182,7 +182,7 @@
         # Router b holds a claim that it has forgotten by now. It can't tell whether the request
         # ran; were it to say "refused", a re-send would take the key over and run again.
         await routers.claim("b", "n1")
-        routers.ledger_by_name["b"]._book.drop("n1")
+        routers.ledger_by_name["b"]._nonces.drop("n1")
         self.assertIsInstance(await routers.claim("c", "n2"), ClaimTaken)
 
     @on_paused_clock
@@ -261,7 +261,7 @@
     async def test_refused_nonce_stays_refused(self, routers):
         # A re-send was told that this nonce is never dispatched. A late answer of the ledger
         # that names it as the winner must not let it run after all.
-        book = routers.ledger_by_name["b"]._book
+        book = routers.ledger_by_name["b"]._nonces
         book.begin("n1")
         book.refuse("n1")
         self.assertFalse(book.win("n1"))
@@ -306,17 +306,17 @@
         # Router b's claim is in the store but b has not heard of it yet. A re-send on c must
         # wait: were it to take the key over now, b would win as well.
         await routers.claim("a", "seed", key="other")
-        routers.ledger_by_name["b"]._book.begin("n1")
+        routers.ledger_by_name["b"]._nonces.begin("n1")
         await routers.ledger_by_name["a"].handle(_ask("n1", _key(), entry="b"))
         self.assertIsInstance(await routers.claim("c", "n2", wait_s=3), ClaimTaken)
-        self.assertTrue(routers.ledger_by_name["b"]._book.win("n1"))
+        self.assertTrue(routers.ledger_by_name["b"]._nonces.win("n1"))
 
     @on_paused_clock
     async def test_takeover_names_the_nonce_it_replaces(self, routers):
         # Two re-sends learn at the same time that the first was never dispatched. Both ask to
         # replace its nonce; only one finds it still there, the other waits for that one.
         await routers.claim("b", "n1")
-        routers.ledger_by_name["b"]._book.refuse("n1")
+        routers.ledger_by_name["b"]._nonces.refuse("n1")
         outcomes = await asyncio.gather(routers.claim("a", "n2", wait_s=3), routers.claim("c", "n3", wait_s=3))
         self.assertEqual(sorted(type(outcome).__name__ for outcome in outcomes), ["ClaimTaken", "ClaimWon"])
 
--- a/wagtailtrestle/ledger/ledger.py
+++ b/wagtailtrestle/ledger/ledger.py
@@ -96,7 +96,7 @@
         self._wall_clock = wall_clock
         self._pacer = WritePacer(writes_per_s=lambda: LEDGER_WRITES_PER_S / max(live_routers(), 1))
         self._writers_by_shard = {}
-        self._book = NonceTable(keep_s=retention_s, now=lambda: asyncio.get_running_loop().time())
+        self._nonces = NonceTable(keep_s=retention_s, now=lambda: asyncio.get_running_loop().time())
         self._settling_by_nonce = {}
         self._layout = None
         self._layout_detail = ""
@@ -105,7 +105,7 @@
 
     async def claim(self, *, team, key, body_digest, nonce, wait_s=CLAIM_WAIT_S):
         """Claim a key; see :class:`wagtailtrestle.contracts.ports.Claims`."""
-        self._book.begin(nonce)
+        self._nonces.begin(nonce)
         outcome = ClaimUnavailable(detail="the claim was abandoned")
         try:
             outcome = await self._claim(key_hash(team=team, key=key), body_digest, nonce, wait_s)
@@ -115,26 +115,26 @@
             if isinstance(outcome, ClaimUnavailable):
                 self.release(team=team, key=key, nonce=nonce)
         if not isinstance(outcome, ClaimWon):
-            self._book.refuse(nonce)
-        elif not self._book.win(nonce):
+            self._nonces.refuse(nonce)
+        elif not self._nonces.win(nonce):
             return ClaimUnavailable(detail="the claim was given up meanwhile")
         return outcome
 
     def release(self, *, team, key, nonce):
         """Give back a claim whose request was never dispatched."""
-        self._book.refuse(nonce)
+        self._nonces.refuse(nonce)
         self._settle(team, key, nonce, state=NonceState.REFUSED, tries=RELEASE_TRIES)
 
     def finish(self, *, team, key, nonce, status, content_type, body):
         """Record the answer; a body over ``MAX_BODY_BYTES`` is not kept."""
         body_kept = len(body) <= MAX_BODY_BYTES
         answer = dict(status=status, content_type=content_type, body=body if body_kept else b"", body_kept=body_kept)
-        self._book.finish(nonce, **answer)
+        self._nonces.finish(nonce, **answer)
         self._settle(team, key, nonce, state=NonceState.FINISHED, **answer)
 
     def finish_unknown(self, *, team, key, nonce):
         """Record that the request was dispatched and its outcome can't be told."""
-        self._book.lose(nonce)
+        self._nonces.lose(nonce)
         self._settle(team, key, nonce, state=NonceState.UNKNOWN)
 
     # The owner's and the holder's side.
@@ -147,7 +147,7 @@
             case SettleAsk():
                 return SettleAnswer(stored=await self._writer(message.shard).settle(message))
             case NonceAsk(incarnation=self.incarnation):
-                return await self._book.wait(message.nonce, wait_s=message.wait_s)
+                return await self._nonces.wait(message.nonce, wait_s=message.wait_s)
             case NonceAsk():
                 return NonceAnswer(state=str(NonceState.UNKNOWN))
 
@@ -171,7 +171,7 @@
         return {
             "shards_in_force": self._layout,
             "shards_declared": self._shards(),
-            "nonces": len(self._book.entries_by_nonce),
+            "nonces": len(self._nonces.entries_by_nonce),
             "settling": len(self._settling_by_nonce),
             "writers": [writer.dump() for writer in self._writers_by_shard.values()],
         }
@@ -290,7 +290,7 @@
             shard = await self._shard_of(hashed)
             if shard and await self._store_once(SettleAsk(shard=shard, key=hashed, nonce=nonce, state=state, **answer)):
                 if state != NonceState.REFUSED:
-                    self._book.drop(nonce)
+                    self._nonces.drop(nonce)
                 return
             tries = None if tries is None else tries - 1
             await asyncio.sleep(pause_s)
