--- a/tests/test_crash_signs.py
+++ b/tests/test_crash_signs.py
@@ -37,7 +37,7 @@
     def setUp(self):
         self.clock = Clock()
         self.crashes = CrashWatch(
-            book=CrashTable(clock=self.clock), detector=CrashDetector(clock=self.clock), broadcast=lambda report: None
+            table=CrashTable(clock=self.clock), detector=CrashDetector(clock=self.clock), broadcast=lambda report: None
         )
 
     def cut(self, engine, body="poison", *, told_after_s=1.0):
--- a/tests/test_isolation.py
+++ b/tests/test_isolation.py
@@ -117,24 +117,24 @@
         # engine. Placed together each time they would share the blame for ever, and the engine
         # would crash for ever. After the second crash each runs alone: one crashes it, one ends.
         cell = Cell(slots=4)
-        book = CrashTable(clock=cell.clock, reporter="r1")
+        table = CrashTable(clock=cell.clock, reporter="r1")
         crashes, answered = 0, False
         for sending in range(2 * ALONE_AFTER + 2):
-            bodies = [body for body in ("poison", "innocent") if not book.blocked(body)]
-            cell.receive(*[ask(f"{body}{sending}", alone=book.runs_alone(body)) for body in bodies])
+            bodies = [body for body in ("poison", "innocent") if not table.blocked(body)]
+            cell.receive(*[ask(f"{body}{sending}", alone=table.runs_alone(body)) for body in bodies])
             for _ in bodies:
                 on_engine = list(cell.scheduler._runs.grants_by_request_id)
                 crashed = f"poison{sending}" in on_engine
                 if crashed:
                     crashes += 1
-                    book.note_crash("e1", [name.rstrip("0123456789") for name in on_engine])
+                    table.note_crash("e1", [name.rstrip("0123456789") for name in on_engine])
                 elif on_engine:
                     answered = True
-                    book.note_success("innocent")
+                    table.note_success("innocent")
                 cell.receive(*[finished(name, result="RunCut" if crashed else "RunDone") for name in on_engine])
                 cell.advance(2 * SAME_CRASH_S)
-        self.assertTrue(book.blocked("poison") and answered)
-        self.assertFalse(book.blocked("innocent"))
+        self.assertTrue(table.blocked("poison") and answered)
+        self.assertFalse(table.blocked("innocent"))
         self.assertEqual(crashes, ALONE_AFTER + 1)
 
 
--- a/tests/test_poison.py
+++ b/tests/test_poison.py
@@ -22,17 +22,17 @@
 class BlameTest(unittest.TestCase):
     def setUp(self):
         self.clock = Clock()
-        self.book = CrashTable(clock=self.clock, reporter="r1")
+        self.table = CrashTable(clock=self.clock, reporter="r1")
 
     def crash(self, engine, *running):
         self.clock.now += SAME_CRASH_S + 1.0
-        return self.book.note_crash(engine, dict.fromkeys(running, 1))
+        return self.table.note_crash(engine, dict.fromkeys(running, 1))
 
     def test_what_crashes_alone_is_refused_after_the_limit(self):
         for number in range(CRASH_LIMIT):
-            self.assertFalse(self.book.blocked("poison"))
+            self.assertFalse(self.table.blocked("poison"))
             self.crash(f"e{number}", "poison")
-        self.assertTrue(self.book.blocked("poison"))
+        self.assertTrue(self.table.blocked("poison"))
 
     def test_those_that_died_beside_it_are_not_blamed(self):
         # The poisoned request crashes three engines; other requests die each time, one of
@@ -40,41 +40,41 @@
         self.crash("e1", "poison", "a", "unlucky")
         self.crash("e2", "poison", "b", "unlucky")
         self.crash("e3", "poison", "c")
-        self.assertTrue(self.book.blocked("poison"))
+        self.assertTrue(self.table.blocked("poison"))
         for innocent in ("a", "b", "c", "unlucky"):
-            self.assertFalse(self.book.blocked(innocent), innocent)
+            self.assertFalse(self.table.blocked(innocent), innocent)
 
     def test_two_that_always_died_together_are_told_apart_by_running_alone(self):
         for number in range(CRASH_LIMIT):
             self.crash(f"e{number}", "poison", "innocent")
-        self.assertFalse(self.book.blocked("poison") or self.book.blocked("innocent"))
-        self.assertTrue(self.book.is_suspect("poison") and self.book.is_suspect("innocent"))
+        self.assertFalse(self.table.blocked("poison") or self.table.blocked("innocent"))
+        self.assertTrue(self.table.is_suspect("poison") and self.table.is_suspect("innocent"))
         self.crash("e9", "poison")
-        self.assertTrue(self.book.blocked("poison"))
-        self.assertFalse(self.book.blocked("innocent"))
+        self.assertTrue(self.table.blocked("poison"))
+        self.assertFalse(self.table.blocked("innocent"))
 
     def test_a_whole_answer_clears(self):
         self.crash("e1", "poison", "innocent")
-        self.book.note_success("innocent")
-        self.assertFalse(self.book.is_suspect("innocent"))
-        self.assertTrue(self.book.is_suspect("poison"))
+        self.table.note_success("innocent")
+        self.assertFalse(self.table.is_suspect("innocent"))
+        self.assertTrue(self.table.is_suspect("poison"))
 
     def test_suspects_run_alone_only_after_a_second_crash_that_nothing_else_explains(self):
         # After one crash everything that ran there is suspected. Run alone, each would need an
         # engine to itself because of a crash that has most often nothing to do with it.
         self.crash("e1", "poison", "neighbour", "unlucky")
-        self.assertFalse(self.book.runs_alone("poison"))
+        self.assertFalse(self.table.runs_alone("poison"))
         self.crash("e2", "poison", "unlucky")
-        alone = [name for name in ("poison", "neighbour", "unlucky") if self.book.runs_alone(name)]
+        alone = [name for name in ("poison", "neighbour", "unlucky") if self.table.runs_alone(name)]
         self.assertEqual(alone, ["poison", "unlucky"])
         self.crash("e3", "poison")
-        self.assertFalse(self.book.runs_alone("unlucky") or self.book.runs_alone("poison"))
+        self.assertFalse(self.table.runs_alone("unlucky") or self.table.runs_alone("poison"))
 
     def test_crashes_are_forgotten(self):
         for number in range(CRASH_LIMIT):
             self.crash(f"e{number}", "poison")
         self.clock.now += CRASH_WINDOW_S + 1.0
-        self.assertFalse(self.book.blocked("poison") or self.book.is_suspect("poison"))
+        self.assertFalse(self.table.blocked("poison") or self.table.is_suspect("poison"))
 
 
 class SharedTest(unittest.TestCase):
@@ -83,44 +83,44 @@
         # more than one crash. Told of the others', each refuses the fourth.
         clock = Clock()
         books = [CrashTable(clock=clock, reporter=f"r{number}") for number in range(CRASH_LIMIT)]
-        for number, book in enumerate(books):
+        for number, table in enumerate(books):
             clock.now += SAME_CRASH_S + 1.0
-            told = book.note_crash(f"e{number}", {"poison": 1})
+            told = table.note_crash(f"e{number}", {"poison": 1})
             for other in books:
                 other.merge(told)
-        self.assertTrue(all(book.blocked("poison") for book in books))
+        self.assertTrue(all(table.blocked("poison") for table in books))
 
     def test_one_crash_told_by_three_routers_is_one(self):
         clock = Clock()
-        book = CrashTable(clock=clock, reporter="r1")
-        book.note_crash("e1", {"a": 1})
+        table = CrashTable(clock=clock, reporter="r1")
+        table.note_crash("e1", {"a": 1})
         for number in range(2, 2 + CRASH_LIMIT):
             clock.now += 0.1
-            book.merge(CrashReport(engine="e1", incident=f"r{number}/x/1", suspects=("a",)))
-        self.assertFalse(book.blocked("a"))
+            table.merge(CrashReport(engine="e1", incident=f"r{number}/x/1", suspects=("a",)))
+        self.assertFalse(table.blocked("a"))
 
     def test_one_crash_told_again_by_its_router_is_one(self):
         # A cut, then two attempts to attach that find the engine down: one crash.
         clock = Clock()
-        book = CrashTable(clock=clock)
+        table = CrashTable(clock=clock)
         for _ in range(CRASH_LIMIT):
             clock.now += 0.5
-            book.note_crash("e1", {"a": 1})
-        self.assertFalse(book.blocked("a"))
+            table.note_crash("e1", {"a": 1})
+        self.assertFalse(table.blocked("a"))
 
     def test_merging_again_changes_nothing_and_does_not_undo_a_clearance(self):
         clock = Clock()
-        book = CrashTable(clock=clock)
-        told = book.note_crash("e1", {"a": 1, "b": 1})
-        book.note_success("a")
+        table = CrashTable(clock=clock)
+        told = table.note_crash("e1", {"a": 1, "b": 1})
+        table.note_success("a")
         for _ in range(CRASH_LIMIT):
             clock.now += 2 * SAME_CRASH_S
-            book.merge(told)
-        self.assertFalse(book.is_suspect("a") or book.blocked("b"))
+            table.merge(told)
+        self.assertFalse(table.is_suspect("a") or table.blocked("b"))
         other = CrashTable(clock=clock)
-        for known in book.reports():
+        for known in table.reports():
             other.merge(known)
-        self.assertEqual(other.dump(), book.dump())
+        self.assertEqual(other.dump(), table.dump())
 
     def test_a_clearance_on_one_router_is_one_on_all(self):
         # An innocent request dies beside the poison twice, then runs whole through r1. Without
@@ -146,8 +146,8 @@
 
     def test_whole_answers_are_told_to_the_others(self):
         sent = []
-        book = CrashTable(clock=Clock())
-        watch = CrashWatch(book=book, detector=CrashDetector(clock=Clock()), broadcast=sent.append)
+        table = CrashTable(clock=Clock())
+        watch = CrashWatch(table=table, detector=CrashDetector(clock=Clock()), broadcast=sent.append)
         for body_digest in ("a", "b"):
             watch.note(engine="e1", body_digest=body_digest, outcome=RunCut(detail="cut"), was_sent=True)
         done = RunDone(prompt_tokens=1, cached_tokens=0, output_tokens=1)
--- a/wagtailtrestle/entry/crash_watch.py
+++ b/wagtailtrestle/entry/crash_watch.py
@@ -9,30 +9,30 @@
 
     Parameters
     ----------
-    book : CrashTable
+    table : CrashTable
     detector : CrashDetector
     broadcast : Callable
         Sends a ``CrashReport`` or ``CrashClearance`` to every other router.
     """
 
-    __slots__ = ("_book", "_detector", "_broadcast")
+    __slots__ = ("_table", "_detector", "_broadcast")
 
-    def __init__(self, *, book, detector, broadcast):
-        self._book = book
+    def __init__(self, *, table, detector, broadcast):
+        self._table = table
         self._detector = detector
         self._broadcast = broadcast
 
     def blocked(self, body_digest):
         """Whether a request with this body must not run again."""
-        return self._book.blocked(fingerprint_of(body_digest))
+        return self._table.blocked(fingerprint_of(body_digest))
 
     def runs_alone(self, body_digest):
         """Whether a request with this body must run beside no other."""
-        return self._book.runs_alone(fingerprint_of(body_digest))
+        return self._table.runs_alone(fingerprint_of(body_digest))
 
     def crashes_of(self, body_digest):
         """Crashes in which a request with this body ran, and of which it was not cleared."""
-        return self._book.crashes_of(fingerprint_of(body_digest))
+        return self._table.crashes_of(fingerprint_of(body_digest))
 
     def note(self, *, engine, body_digest, outcome, was_sent):
         """Take in the end of one run, or of one try to attach to it.
@@ -59,25 +59,25 @@
 
     def merge(self, report):
         """Take in another router's report."""
-        self._book.merge(report)
+        self._table.merge(report)
 
     def merge_clearance(self, clearance):
         """Take in another router's clearance."""
-        self._book.merge_clearance(clearance)
+        self._table.merge_clearance(clearance)
 
     def reports(self):
         """Everything known, for a router that starts."""
-        return self._book.reports()
+        return self._table.reports()
 
     def dump(self):
         """Plain data for the state dump."""
-        return self._book.dump()
+        return self._table.dump()
 
     def _clear(self, fingerprint):
-        clearance = self._book.note_success(fingerprint)
+        clearance = self._table.note_success(fingerprint)
         if clearance is not None:
             self._broadcast(clearance)
 
     def _report(self, engine, suspects):
         if suspects:
-            self._broadcast(self._book.note_crash(engine, suspects))
+            self._broadcast(self._table.note_crash(engine, suspects))
--- a/wagtailtrestle/measure/cluster.py
+++ b/wagtailtrestle/measure/cluster.py
@@ -112,7 +112,7 @@
     def _entry(self, name):
         clock = self._loop.time
         crashes = CrashWatch(
-            book=CrashTable(clock=clock, reporter=name),
+            table=CrashTable(clock=clock, reporter=name),
             detector=CrashDetector(clock=clock),
             broadcast=lambda report: None,
         )
--- a/wagtailtrestle/router.py
+++ b/wagtailtrestle/router.py
@@ -199,7 +199,7 @@
         )
         self._schedulers.set_members(self._membership.view.everyone)
         self._crashes = CrashWatch(
-            book=CrashTable(clock=self._loop.time, reporter=name),
+            table=CrashTable(clock=self._loop.time, reporter=name),
             detector=CrashDetector(clock=self._loop.time),
             broadcast=self._broadcast.send,
         )
--- a/wagtailtrestle/slopes/control_node.py
+++ b/wagtailtrestle/slopes/control_node.py
@@ -148,7 +148,7 @@
 
     def _entry(self, schedulers):
         crashes = CrashWatch(
-            book=CrashTable(clock=self.loop.time),
+            table=CrashTable(clock=self.loop.time),
             detector=CrashDetector(clock=self.loop.time),
             broadcast=lambda report: None,
         )
--- a/wagtailtrestle/slopes/entry.py
+++ b/wagtailtrestle/slopes/entry.py
@@ -77,7 +77,7 @@
         schedulers=scheduler,
         claims=None,
         crashes=CrashWatch(
-            book=CrashTable(clock=loop.time),
+            table=CrashTable(clock=loop.time),
             detector=CrashDetector(clock=loop.time),
             broadcast=lambda report: None,
         ),
