--- a/wagtailtrestle/quotas/accounts.py
+++ b/wagtailtrestle/quotas/accounts.py
@@ -58,16 +58,16 @@
 class QuotaCharge:
     """What one request took."""
 
-    __slots__ = ("_book", "_team", "_units")
+    __slots__ = ("_accounts", "_team", "_units")
 
     def __init__(self, *, book, team, units):
-        self._book = book
+        self._accounts = book
         self._team = team
         self._units = units
 
     def refund(self):
         """Give it back, since the request was not run."""
-        self._book.give_back(self._team, self._units)
+        self._accounts.give_back(self._team, self._units)
         self._units = 0
 
 
--- a/wagtailtrestle/quotas/charging.py
+++ b/wagtailtrestle/quotas/charging.py
@@ -10,7 +10,7 @@
 
     Parameters
     ----------
-    book : QuotaAccounts
+    accounts : QuotaAccounts
     team : Team or None
     tokens : int or None
         Prompt and expected output together; ``None`` where the caller told no sizes.
--- a/wagtailtrestle/quotas/shared.py
+++ b/wagtailtrestle/quotas/shared.py
@@ -1,4 +1,4 @@
-"""One router's part in quotas that hold over all routers: its book, and the buckets that it owns."""
+"""One router's part in quotas that hold over all routers: its accounts, and the buckets that it owns."""
 
 from loguru import logger
 
@@ -9,7 +9,7 @@
 
 
 class SharedQuotas:
-    """Joins the book of credits with the owners of the teams' buckets, here and at peers.
+    """Joins the accounts of credits with the owners of the teams' buckets, here and at peers.
 
     Parameters
     ----------
@@ -23,7 +23,7 @@
 
     Attributes
     ----------
-    book : QuotaAccounts
+    accounts : QuotaAccounts
         What requests are charged to.
     """
 
