--- a/wagtailtrestle/entry/entry.py
+++ b/wagtailtrestle/entry/entry.py
@@ -92,7 +92,7 @@
         return self._notices.is_limited(granted.engine) or granted.limit_age_s != math.inf
 
     def is_informed(self, granted):
-        """Whether the scheduler that granted a place has heard of the limit or rest that this router was told."""
+        """Whether the scheduler that granted a place knew of the limit or rest that the engine told this router."""
         declared = self._declaration().engines_by_name[granted.engine]
         return self._notices.rest_s(declared) <= 0.0 and not self._notices.are_unknown_to(granted)
 
