--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -295,7 +295,7 @@
     def test_a_request_beyond_the_quota_is_refused_as_not_run_with_its_cause(self):
         fleet = Fleet()
         team = SimpleNamespace(name="club", quota=QUOTA)
-        refusal = charge_team(book=fleet.books[0], team=team, tokens=50_000)
+        refusal = charge_team(accounts=fleet.books[0], team=team, tokens=50_000)
         self.assertEqual((refusal.reason, refusal.executed), (Reason.QUOTA, Executed.NO))
         self.assertGreater(refusal.retry_after_s, 0.0)
         self.assertEqual(
@@ -307,9 +307,9 @@
     def test_what_fits_is_charged_and_no_quota_charges_nothing(self):
         fleet = Fleet()
         team = SimpleNamespace(name="club", quota=QUOTA)
-        self.assertIsInstance(charge_team(book=fleet.books[0], team=team, tokens=100), QuotaCharge)
+        self.assertIsInstance(charge_team(accounts=fleet.books[0], team=team, tokens=100), QuotaCharge)
         for free in (None, SimpleNamespace(name="club", quota=None)):
-            self.assertIsNone(charge_team(book=fleet.books[0], team=free, tokens=100))
+            self.assertIsNone(charge_team(accounts=fleet.books[0], team=free, tokens=100))
 
 
 if __name__ == "__main__":
--- a/wagtailtrestle/platform/callers.py
+++ b/wagtailtrestle/platform/callers.py
@@ -131,7 +131,7 @@
     def _prepared(self, arrival, in_force, route, team, pairs, body):
         environ = arrival.environ
         sizes = _token_counts(environ.get("HTTP_TOKEN_COUNTS"))
-        charge = charge_team(book=self._quotas, team=team, tokens=None if sizes is None else sum(sizes))
+        charge = charge_team(accounts=self._quotas, team=team, tokens=None if sizes is None else sum(sizes))
         if isinstance(charge, Refusal):
             return charge
         declaration = in_force.declaration
--- a/wagtailtrestle/quotas/accounts.py
+++ b/wagtailtrestle/quotas/accounts.py
@@ -60,8 +60,8 @@
 
     __slots__ = ("_accounts", "_team", "_units")
 
-    def __init__(self, *, book, team, units):
-        self._accounts = book
+    def __init__(self, *, accounts, team, units):
+        self._accounts = accounts
         self._team = team
         self._units = units
 
@@ -214,7 +214,7 @@
             credit.balance -= units
             if credit.balance < credit.ahead(now) / 2:
                 self._call_soon(self.ask)
-        return QuotaCharge(book=self, team=team, units=units)
+        return QuotaCharge(accounts=self, team=team, units=units)
 
     def give_back(self, team, units):
         """Take back what a request did not use."""
--- a/wagtailtrestle/quotas/charging.py
+++ b/wagtailtrestle/quotas/charging.py
@@ -5,7 +5,7 @@
 from wagtailtrestle.quotas.accounts import QuotaCharge, QuotaRefused
 
 
-def charge_team(*, book, team, tokens) -> QuotaCharge | Refusal | None:
+def charge_team(*, accounts, team, tokens) -> QuotaCharge | Refusal | None:
     """Take a request's units from its team's quota.
 
     Parameters
@@ -23,7 +23,7 @@
     if team is None or team.quota is None:
         return None
     units = team.quota.cost(tokens=tokens)
-    charge = book.take(team.name, units)
+    charge = accounts.take(team.name, units)
     if not isinstance(charge, QuotaRefused):
         return charge
     return refusal_of(
--- a/wagtailtrestle/quotas/shared.py
+++ b/wagtailtrestle/quotas/shared.py
@@ -27,7 +27,7 @@
         What requests are charged to.
     """
 
-    __slots__ = ("book", "_name", "_peers", "_membership", "_loop", "_owner", "_rendezvous")
+    __slots__ = ("accounts", "_name", "_peers", "_membership", "_loop", "_owner", "_rendezvous")
 
     def __init__(self, *, name, peers, membership, loop, tolerance):
         self._name = name
@@ -38,7 +38,7 @@
         self._owner = QuotaOwner(
             clock=loop.time, members=self._count_members, fleet_size=membership.fleet_size, tolerance=tolerance
         )
-        self.book = QuotaAccounts(
+        self.accounts = QuotaAccounts(
             clock=loop.time,
             call_soon=loop.call_soon_threadsafe,
             send_ask=self._send_ask,
@@ -47,7 +47,7 @@
         membership.on_view_change(lambda view: self._owner.keep(self._is_owner))
         membership.on_trusted(self._trusted_again)
         peers.on(QuotaAsk, self._on_ask)
-        peers.on(QuotaGrant, lambda peer, grant, cell: self.book.on_grant(grant))
+        peers.on(QuotaGrant, lambda peer, grant, cell: self.accounts.on_grant(grant))
 
     def set_declaration(self, declaration):
         """Go by the quotas of a declaration."""
@@ -55,15 +55,15 @@
         for team, quota in sorted(quotas.items()):
             logger.bind(team=team, rate_per_s=quota.rate_per_s, burst=quota.burst).info("quota in force")
         self._owner.set_quotas(quotas)
-        self.book.set_quotas(quotas)
+        self.accounts.set_quotas(quotas)
 
     def tick(self):
         """Ask owners for what will soon be needed."""
-        self.book.tick()
+        self.accounts.tick()
 
     def dump(self):
         """Return the state as a plain dict."""
-        return self.book.dump()
+        return self.accounts.dump()
 
     def _count_members(self):
         return len(self._membership.view.everyone)
@@ -86,7 +86,7 @@
         """Ask the team's owner; whether there is one that can be asked."""
         owner = self._owner_of(ask.team)
         if owner == self._name:
-            self._loop.call_soon(lambda: self.book.on_grant(self._owner.grant(ask)))
+            self._loop.call_soon(lambda: self.accounts.on_grant(self._owner.grant(ask)))
             return True
         self._owner.note_other_owner(ask.team)
         return owner is not None and self._peers.send(owner, ask)
--- a/wagtailtrestle/router.py
+++ b/wagtailtrestle/router.py
@@ -284,7 +284,7 @@
             start_hold_s=settings.start_hold_s,
             listener=self._listener,
             make_dialect=lambda **parts: self._adapter.make_dialect(
-                key_proof=self._key_proof, quotas=self._quotas.book, **parts
+                key_proof=self._key_proof, quotas=self._quotas.accounts, **parts
             ),
         )
         addresses = [settings.admin_address, settings.metrics_address]
