--- a/wagtailtrestle/capacity/scheduler.py
+++ b/wagtailtrestle/capacity/scheduler.py
@@ -33,7 +33,7 @@
 from wagtailtrestle.engines.silence_limits import granted_message
 from wagtailtrestle.entry.cells import CellDigest
 
-TRIES_IN_A_ROW = 128
+MAX_TRIES_PER_ROUND = 128
 """Waiting requests tried in one round, so that no message costs unbounded time."""
 
 MAX_COMPARED = 12
@@ -433,7 +433,7 @@
         self._serve_suspects()
         open_engines = self._open_engines()
         self._queue.unpark({engine.name for engine in open_engines})
-        for _ in range(TRIES_IN_A_ROW):
+        for _ in range(MAX_TRIES_PER_ROUND):
             if not open_engines and self._rollout is None:
                 return
             waiting = self._queue.pop()
