--- a/wagtailtrestle/capacity/scheduler.py
+++ b/wagtailtrestle/capacity/scheduler.py
@@ -41,7 +41,7 @@
 of their pace. Comparing all of 78 took most of the scheduler's processor time, four fifths of 2.4 ms a request, and
 served callers no better on days of load."""
 
-UNPARK_IN_A_ROW = 32
+MAX_UNPARKED_PER_TICK = 32
 """Parked requests tried again at each tick, as predictions change with time."""
 
 
@@ -259,7 +259,7 @@
         self._retries_used_up = not self._may_retry()
         for waiting in self._queue.pop_expired(self._clock()):
             self._refuse(waiting.request, Reason.OVERLOADED)
-        self._queue.unpark_some(UNPARK_IN_A_ROW)
+        self._queue.unpark_some(MAX_UNPARKED_PER_TICK)
         self._isolation.yield_to_urgent(self._runs.engines)
         self._grant_ready()
         self._admission.note_places()
