--- a/wagtailtrestle/capacity/scheduler.py
+++ b/wagtailtrestle/capacity/scheduler.py
@@ -78,7 +78,7 @@
         "_crash_signs",
         "_retries",
         "_retries_used_up",
-        "_elsewhere",
+        "_entries_using_other_scheduler",
         "_members",
         "_granting",
         "_log",
@@ -121,7 +121,7 @@
         self._crash_signs = CrashSigns(clock=clock)
         self._retries = RetryBudget(clock=clock, limits=retry_limits)
         self._retries_used_up = False
-        self._elsewhere = set()
+        self._entries_using_other_scheduler = set()
         self._log = SchedulerLog(cell=cell, runs=self._runs, registration=self._registration)
         self._members = frozenset()
         self._granting = True
@@ -189,7 +189,7 @@
         """Take in the live view of routers; what those that left hold is let go."""
         gone = self._members - frozenset(entries)
         self._members = frozenset(entries)
-        self._elsewhere &= self._members
+        self._entries_using_other_scheduler &= self._members
         self._retries.keep(self._members)
         self._registration.set_members(self._members)
         if self._registration.cautious:
@@ -346,11 +346,11 @@
             # Its runs go on, though another scheduler counts them now. Were their places free here, entries that
             # have not heard of the change yet got second runs on them: 29 on an engine of 16 places were seen, and
             # what waits in an engine's queue can't be moved. A report shows when they are gone.
-            self._elsewhere.add(message.entry)
-            self._retries.keep(self._members - self._elsewhere)
+            self._entries_using_other_scheduler.add(message.entry)
+            self._retries.keep(self._members - self._entries_using_other_scheduler)
             self._drop_entry(message.entry)
             return
-        self._elsewhere.discard(message.entry)
+        self._entries_using_other_scheduler.discard(message.entry)
         self._registration.registered(message.entry)
         self._retries.take_history(message.entry, message.retries)
         for notice in message.notices:
@@ -415,7 +415,7 @@
 
     def _may_retry(self):
         queued = self._queue.waiting_by_request_id.values()
-        entries = self._members - self._elsewhere - self.awaited_entries
+        entries = self._members - self._entries_using_other_scheduler - self.awaited_entries
         return self._retries.has_room(waiting=sum(waiting.request.is_retry for waiting in queued), entries=entries)
 
     def _set_aside(self, waiting):
