--- a/wagtailtrestle/capacity/run_table.py
+++ b/wagtailtrestle/capacity/run_table.py
@@ -59,7 +59,7 @@
         """Those that no roll-out holds back."""
         return [engine for engine in self.engines if not engine.held_back]
 
-    def hold_back(self, names):
+    def reserve(self, names):
         """Keep these engines, and no others, from being chosen."""
         for engine in self.engines:
             if engine.held_back != (engine.name in names):
--- a/wagtailtrestle/capacity/scheduler.py
+++ b/wagtailtrestle/capacity/scheduler.py
@@ -141,7 +141,7 @@
         """Put the declared engines of this cell in force; what is known of kept ones stays."""
         self._runs.declare(by_name)
         self._crash_signs.keep(by_name)
-        self._runs.hold_back(self._held_back)
+        self._runs.reserve(self._held_back)
         self._admission.set_engines(self._runs.usable_engines)
         if self._registration.cautious:
             self._runs.distrust()
@@ -160,7 +160,7 @@
         if held_back == self._held_back:
             return
         self._held_back = held_back
-        self._runs.hold_back(held_back)
+        self._runs.reserve(held_back)
         self._admission.set_engines(self._runs.usable_engines)
         self._grant_ready()
 
@@ -206,7 +206,7 @@
     def on_load_report(self, report):
         """Correct an engine's account by its own report."""
         if self._runs.on_load_report(report):
-            self._runs.hold_back(self._held_back)
+            self._runs.reserve(self._held_back)
             self._admission.set_engines(self._runs.usable_engines)
         self._grant_ready()
 
