--- a/wagtailtrestle/capacity/scheduler.py
+++ b/wagtailtrestle/capacity/scheduler.py
@@ -147,7 +147,7 @@
             self._runs.distrust()
         self._grant_ready()
 
-    def set_rollout(self, rollout, held_back):
+    def set_rollout(self, rollout, reserved):
         """Have a roll-out, or ``None``, send requests to engines that are held back from all others.
 
         Parameters
@@ -157,10 +157,10 @@
             Names of engines.
         """
         self._rollout = rollout
-        if held_back == self._held_back:
+        if reserved == self._held_back:
             return
-        self._held_back = held_back
-        self._runs.reserve(held_back)
+        self._held_back = reserved
+        self._runs.reserve(reserved)
         self._admission.set_engines(self._runs.usable_engines)
         self._grant_ready()
 
--- a/wagtailtrestle/capacity/scheduler_set.py
+++ b/wagtailtrestle/capacity/scheduler_set.py
@@ -103,11 +103,11 @@
                 # would stand as the list's for ever, also once the declaration takes it back.
                 scheduler.mark_leaving(engine, False)
 
-    def set_rollout(self, cell, rollout, held_back):
+    def set_rollout(self, cell, rollout, reserved):
         """Tell a cell's scheduler of the roll-out in its service; see :meth:`Scheduler.set_rollout`."""
-        self._rollouts_by_cell[cell] = (rollout, held_back)
+        self._rollouts_by_cell[cell] = (rollout, reserved)
         if cell in self.by_cell:
-            self.by_cell[cell].set_rollout(rollout, held_back)
+            self.by_cell[cell].set_rollout(rollout, reserved)
 
     def runs_by_version(self, cell):
         """Runs that the engines of each version in a cell hold, as far as its scheduler here knows."""
