--- a/wagtailtrestle/capacity/scheduler.py
+++ b/wagtailtrestle/capacity/scheduler.py
@@ -84,7 +84,7 @@
         "_log",
         "_runs_outlive_routers",
         "_rollout",
-        "_held_back",
+        "_reserved",
         "_handlers_by_type",
     )
 
@@ -102,7 +102,7 @@
         self.cell = cell
         self._runs_outlive_routers = runs_outlive_routers
         self._rollout = None
-        self._held_back = frozenset()
+        self._reserved = frozenset()
         self._policy = policy
         self._clock = clock
         self._entries = entries
@@ -141,7 +141,7 @@
         """Put the declared engines of this cell in force; what is known of kept ones stays."""
         self._runs.declare(by_name)
         self._crash_signs.keep(by_name)
-        self._runs.reserve(self._held_back)
+        self._runs.reserve(self._reserved)
         self._admission.set_engines(self._runs.usable_engines)
         if self._registration.cautious:
             self._runs.distrust()
@@ -157,9 +157,9 @@
             Names of engines.
         """
         self._rollout = rollout
-        if reserved == self._held_back:
+        if reserved == self._reserved:
             return
-        self._held_back = reserved
+        self._reserved = reserved
         self._runs.reserve(reserved)
         self._admission.set_engines(self._runs.usable_engines)
         self._grant_ready()
@@ -206,7 +206,7 @@
     def on_load_report(self, report):
         """Correct an engine's account by its own report."""
         if self._runs.on_load_report(report):
-            self._runs.reserve(self._held_back)
+            self._runs.reserve(self._reserved)
             self._admission.set_engines(self._runs.usable_engines)
         self._grant_ready()
 
