--- a/wagtailtrestle/capacity/run_table.py
+++ b/wagtailtrestle/capacity/run_table.py
@@ -175,7 +175,7 @@
         if engine is not None:
             engine.hear(notice)
 
-    def distrust(self):
+    def discard_reports(self):
         """Believe no engine's report from before now."""
         for engine in self.engines:
             engine.distrust()
--- a/wagtailtrestle/capacity/scheduler.py
+++ b/wagtailtrestle/capacity/scheduler.py
@@ -144,7 +144,7 @@
         self._runs.reserve(self._reserved)
         self._admission.set_engines(self._runs.usable_engines)
         if self._registration.cautious:
-            self._runs.distrust()
+            self._runs.discard_reports()
         self._grant_ready()
 
     def set_rollout(self, rollout, reserved):
@@ -183,7 +183,7 @@
         """Begin anew: this router is scheduler again, after another one was."""
         self._registration.take_over()
         self._retries.begin()
-        self._runs.distrust()
+        self._runs.discard_reports()
 
     def set_members(self, entries):
         """Take in the live view of routers; what those that left hold is let go."""
@@ -193,7 +193,7 @@
         self._retries.keep(self._members)
         self._registration.set_members(self._members)
         if self._registration.cautious:
-            self._runs.distrust()
+            self._runs.discard_reports()
         for entry in gone:
             self._drop_entry(entry)
         self._grant_ready()
@@ -581,4 +581,4 @@
     def _notice_pause(self):
         if self._registration.woke():
             self._registration.begin()
-            self._runs.distrust()
+            self._runs.discard_reports()
