--- a/wagtailtrestle/capacity/run_table.py
+++ b/wagtailtrestle/capacity/run_table.py
@@ -65,7 +65,7 @@
             if engine.held_back != (engine.name in names):
                 engine.hold_back(engine.name in names)
 
-    def order_by_pace(self):
+    def sort_by_speed(self):
         """Put the engines on which the next run would get its tokens soonest first."""
         ordered = sorted(self.engines, key=lambda engine: engine.model.pace_s(engine.running + 1))
         self.engines_by_name = {engine.name: engine for engine in ordered}
--- a/wagtailtrestle/capacity/scheduler.py
+++ b/wagtailtrestle/capacity/scheduler.py
@@ -254,7 +254,7 @@
         self._runs.tick()
         self._log.note_overfull()
         self._log.note_limited()
-        self._runs.order_by_pace()
+        self._runs.sort_by_speed()
         self._admission.measure_speed()
         self._retries_used_up = not self._may_retry()
         for waiting in self._queue.pop_expired(self._clock()):
