--- a/wagtailtrestle/capacity/registration.py
+++ b/wagtailtrestle/capacity/registration.py
@@ -61,7 +61,7 @@
         self.awaited = self._members
         self._until = self._clock() + CAUTION_S
 
-    def take_over(self):
+    def resume(self):
         """Wait for every member that has not registered just now: another router was scheduler meanwhile.
 
         What was registered before says nothing of what that router granted.
--- a/wagtailtrestle/capacity/scheduler.py
+++ b/wagtailtrestle/capacity/scheduler.py
@@ -179,9 +179,9 @@
         """Begin with what the engines themselves report: a router died lately, whose runs nobody registers."""
         self._registration.expect_orphans()
 
-    def take_over(self):
+    def resume(self):
         """Begin anew: this router is scheduler again, after another one was."""
-        self._registration.take_over()
+        self._registration.resume()
         self._retries.begin()
         self._runs.discard_reports()
 
--- a/wagtailtrestle/capacity/scheduler_set.py
+++ b/wagtailtrestle/capacity/scheduler_set.py
@@ -70,7 +70,7 @@
         scheduler = self.by_cell.get(cell)
         if scheduler is not None:
             self._expect_orphans(scheduler)
-            scheduler.take_over()
+            scheduler.resume()
 
     def set_declaration(self, declaration):
         """Put a newly accepted declaration in force for every scheduler."""
