--- a/wagtailtrestle/capacity/scheduler.py
+++ b/wagtailtrestle/capacity/scheduler.py
@@ -242,14 +242,14 @@
 
     def receive(self, message):
         """Act on one message of an entry."""
-        self._notice_pause()
+        self._recover_after_pause()
         self._handlers_by_type[type(message)](message)
         if not isinstance(message, RunStarted | RunProgress):
             self._grant_ready()
 
     def tick(self):
         """Sweep deadlines, preempt, and grant what has become possible; about every 50 ms."""
-        self._notice_pause()
+        self._recover_after_pause()
         self._log.note_caution()
         self._runs.tick()
         self._log.note_overfull()
@@ -578,7 +578,7 @@
             self._queue.remove(waiting.request_id)
         self._runs.orphan(entry)
 
-    def _notice_pause(self):
+    def _recover_after_pause(self):
         if self._registration.woke():
             self._registration.begin()
             self._runs.discard_reports()
