--- a/wagtailtrestle/capacity/registration.py
+++ b/wagtailtrestle/capacity/registration.py
@@ -75,7 +75,7 @@
         self.awaited -= {entry}
         self._registered_at_by_entry[entry] = self._clock()
 
-    def woke(self):
+    def detect_pause(self):
         """Whether the process was paused since the last look, as the gap in its clock shows.
 
         A paused scheduler still believes what it held before. Others may have served the
--- a/wagtailtrestle/capacity/scheduler.py
+++ b/wagtailtrestle/capacity/scheduler.py
@@ -579,6 +579,6 @@
         self._runs.orphan(entry)
 
     def _recover_after_pause(self):
-        if self._registration.woke():
+        if self._registration.detect_pause():
             self._registration.begin()
             self._runs.discard_reports()
