--- a/wagtailtrestle/capacity/scheduler.py
+++ b/wagtailtrestle/capacity/scheduler.py
@@ -321,10 +321,10 @@
                     was_full=grant.filled,
                 )
         if grant is not None and grant.engine == message.engine:
-            self._note_end(grant.request, message)
+            self._record_end(grant.request, message)
         self._runs.on_finished(message)
 
-    def _note_end(self, request, finished):
+    def _record_end(self, request, finished):
         if finished.never_sent:
             self._retries.take_back(request.request_id)
         elif finished.result == RunDone.__name__:
