--- a/wagtailtrestle/capacity/crash_signs.py
+++ b/wagtailtrestle/capacity/crash_signs.py
@@ -25,7 +25,7 @@
         self._clock = clock
         self._cut_at_by_entry_by_engine = {}
 
-    def note_end(self, *, engine, entry, result):
+    def record_end(self, *, engine, entry, result):
         """Take in how a run ended."""
         if result in CUT_RESULTS:
             self._cut_at_by_entry_by_engine.setdefault(engine, {})[entry] = self._clock()
--- a/wagtailtrestle/capacity/scheduler.py
+++ b/wagtailtrestle/capacity/scheduler.py
@@ -329,7 +329,7 @@
             self._retries.take_back(request.request_id)
         elif finished.result == RunDone.__name__:
             self._retries.note_success(request.entry)
-        self._crash_signs.note_end(engine=finished.engine, entry=request.entry, result=finished.result)
+        self._crash_signs.record_end(engine=finished.engine, entry=request.entry, result=finished.result)
 
     def _on_withdraw(self, message):
         waiting = self._queue.remove(message.request_id)
