--- a/wagtailtrestle/capacity/scheduler.py
+++ b/wagtailtrestle/capacity/scheduler.py
@@ -296,7 +296,7 @@
     def _on_grant_request(self, request):
         grant = self._runs.grants_by_request_id.get(request.request_id)
         if grant is not None and request.attempt == grant.request.attempt:
-            self._tell_granted(grant)
+            self._send_granted(grant)
             return
         waiting = self._queue.waiting_by_request_id.get(request.request_id)
         if waiting is not None and request.attempt <= waiting.request.attempt:
@@ -524,9 +524,9 @@
             self._retries.spend(entry=waiting.request.entry, request_id=waiting.request_id)
         if self._rollout is not None:
             self._rollout.note_grant(waiting.request, engine.version)
-        self._tell_granted(grant)
+        self._send_granted(grant)
 
-    def _tell_granted(self, grant):
+    def _send_granted(self, grant):
         engine = self._runs.engines_by_name.get(grant.engine)
         if engine is None:
             return
