--- a/wagtailtrestle/capacity/scheduler.py
+++ b/wagtailtrestle/capacity/scheduler.py
@@ -390,7 +390,7 @@
         self._queue.remove(record.request.request_id)
         grant = self._runs.hold_registered(record)
         if grant.preempted_at is not None:
-            self._tell_preempt(grant)
+            self._send_preempt(grant)
 
     # Queue, grants, refusals.
 
@@ -556,7 +556,7 @@
             engine for engine in self._runs.engines if engine.kept_for is None and not engine.rate_limit.in_force
         ]
         for grant in self._planner.victims(waiting=first, engines=engines):
-            if self._tell_preempt(grant):
+            if self._send_preempt(grant):
                 grant.preempted_at = self._clock()
 
     def _holds_unconfirmed(self):
@@ -566,7 +566,7 @@
         awaited = self.awaited_entries
         return any(grant.request.entry in awaited for grant in self._runs.grants_by_request_id.values())
 
-    def _tell_preempt(self, grant):
+    def _send_preempt(self, grant):
         message = Preempt(request_id=grant.request_id, engine=grant.engine)
         return self._entries.send(entry=grant.request.entry, message=message)
 
