--- a/wagtailtrestle/capacity/scheduler.py
+++ b/wagtailtrestle/capacity/scheduler.py
@@ -363,7 +363,7 @@
             record = running_by_id.get(grant.request_id)
             held = record is not None and record.engine == grant.engine
             if not in_flight and not held:
-                self._let_go(grant)
+                self._end_unless_orphaned(grant)
         for waiting in self._waiting_of(message.entry):
             if waiting.request_id not in asked_by_id:
                 self._queue.remove(waiting.request_id)
@@ -372,7 +372,7 @@
         for request in message.waiting:
             self._on_registered_ask(request)
 
-    def _let_go(self, grant):
+    def _end_unless_orphaned(self, grant):
         # A router that was started again registers without what its predecessor had sent to engines, and these go on
         # with it. Were the places free at once, runs granted there would wait in the engine's queue, up to their
         # deadline. A report shows when the runs are gone; where engines report nothing, the router's word decides.
