--- a/wagtailtrestle/capacity/scheduler.py
+++ b/wagtailtrestle/capacity/scheduler.py
@@ -370,7 +370,7 @@
         for record in message.running:
             self._hold_registered(record)
         for request in message.waiting:
-            self._on_registered_ask(request)
+            self._on_registered_request(request)
 
     def _end_unless_orphaned(self, grant):
         # A router that was started again registers without what its predecessor had sent to engines, and these go on
@@ -379,7 +379,7 @@
         if grant.orphaned_at is None or not self._runs_outlive_routers:
             self._runs.end(grant)
 
-    def _on_registered_ask(self, request):
+    def _on_registered_request(self, request):
         # The entry says it still waits, so an answer to this ask was lost on the way.
         if self._runs.ended.holds(request):
             self._consider(request)
