--- a/wagtailtrestle/capacity/isolation.py
+++ b/wagtailtrestle/capacity/isolation.py
@@ -47,7 +47,7 @@
 
     def has_room(self):
         """Whether one more suspect may wait."""
-        return len(self._queue.aside_by_request_id) < MAX_SUSPECTS
+        return len(self._queue.isolated_by_request_id) < MAX_SUSPECTS
 
     def possible(self, waiting: WaitingRequest, engines):
         """Whether some engine would be empty in time for the suspect."""
@@ -56,7 +56,7 @@
     def next(self, engines) -> Isolated | None:
         """Return the step to take now, if any; ``engines`` are those that may be granted at all."""
         self._release_if_over()
-        if not self._queue.aside_by_request_id or any(engine.runs_alone for engine in engines):
+        if not self._queue.isolated_by_request_id or any(engine.runs_alone for engine in engines):
             return None
         waiting = self._suspect()
         if waiting is None:
@@ -76,7 +76,7 @@
         self._release_if_over()
         if self._kept is None:
             return
-        waiting = self._queue.aside_by_request_id[self._kept.kept_for]
+        waiting = self._queue.isolated_by_request_id[self._kept.kept_for]
         first = self._queue.first(1)
         if not first or first[0].request.tier >= waiting.request.tier:
             return
@@ -93,12 +93,12 @@
             self._kept = None
 
     def _release_if_over(self):
-        if self._kept is not None and self._kept.kept_for not in self._queue.aside_by_request_id:
+        if self._kept is not None and self._kept.kept_for not in self._queue.isolated_by_request_id:
             self.release()
 
     def _suspect(self):
         """Return the suspect whose engine is kept, or the first one if its turn has come."""
-        aside_by_id = self._queue.aside_by_request_id
+        aside_by_id = self._queue.isolated_by_request_id
         if self._kept is not None:
             return aside_by_id[self._kept.kept_for]
         waiting = min(aside_by_id.values(), key=lambda each: (each.request.tier, due(each)))
--- a/wagtailtrestle/capacity/tier_queue.py
+++ b/wagtailtrestle/capacity/tier_queue.py
@@ -30,7 +30,7 @@
 
     __slots__ = (
         "waiting_by_request_id",
-        "aside_by_request_id",
+        "isolated_by_request_id",
         "_parked_by_request_id",
         "_parked_by_tried",
         "_tiers_by_rank",
@@ -42,7 +42,7 @@
 
     def __init__(self, *, share_by_team=None):
         self.waiting_by_request_id = {}
-        self.aside_by_request_id = {}
+        self.isolated_by_request_id = {}
         self._parked_by_request_id = {}
         self._parked_by_tried = {}
         self._tiers_by_rank = {}
@@ -62,7 +62,7 @@
     @property
     def ready(self):
         """Requests that any free place might serve: neither parked nor set aside."""
-        return len(self.waiting_by_request_id) - len(self._parked_by_request_id) - len(self.aside_by_request_id)
+        return len(self.waiting_by_request_id) - len(self._parked_by_request_id) - len(self.isolated_by_request_id)
 
     def set_shares(self, share_by_team):
         """Put declared shares in force for what is served from now on."""
@@ -79,7 +79,7 @@
         """Add a request that only :meth:`take` serves, as it needs more than a place."""
         self._hold(waiting)
         self._watch_latest_start(waiting)
-        self.aside_by_request_id[waiting.request_id] = waiting
+        self.isolated_by_request_id[waiting.request_id] = waiting
 
     def take(self, waiting: WaitingRequest):
         """Take out a request set aside and charge its team for it."""
@@ -94,7 +94,7 @@
         waiting = self.waiting_by_request_id.pop(request_id, None)
         if waiting is not None:
             self._forget_parked(request_id)
-            self.aside_by_request_id.pop(request_id, None)
+            self.isolated_by_request_id.pop(request_id, None)
             team = self._team(waiting)
             team.discount(waiting)
             team.compact(is_ready=self._is_ready, is_waiting=self._is_waiting)
