--- a/wagtailtrestle/capacity/isolation.py
+++ b/wagtailtrestle/capacity/isolation.py
@@ -98,10 +98,10 @@
 
     def _suspect(self):
         """Return the suspect whose engine is kept, or the first one if its turn has come."""
-        aside_by_id = self._queue.isolated_by_request_id
+        isolated_by_id = self._queue.isolated_by_request_id
         if self._kept is not None:
-            return aside_by_id[self._kept.kept_for]
-        waiting = min(aside_by_id.values(), key=lambda each: (each.request.tier, due(each)))
+            return isolated_by_id[self._kept.kept_for]
+        waiting = min(isolated_by_id.values(), key=lambda each: (each.request.tier, due(each)))
         return None if self._queue.waits_above(waiting.request.tier) else waiting
 
     def _engine_for(self, waiting, engines):
