--- a/wagtailtrestle/capacity/scheduler.py
+++ b/wagtailtrestle/capacity/scheduler.py
@@ -405,7 +405,7 @@
             self._refuse(request, reason)
             return
         if request.alone:
-            self._set_aside(waiting)
+            self._queue_isolated(waiting)
             return
         self._admission.admit(waiting)
         self._queue.push(waiting)
@@ -418,7 +418,7 @@
         entries = self._members - self._entries_using_other_scheduler - self.awaited_entries
         return self._retries.has_room(waiting=sum(waiting.request.is_retry for waiting in queued), entries=entries)
 
-    def _set_aside(self, waiting):
+    def _queue_isolated(self, waiting):
         if not self._isolation.has_room():
             self._refuse(waiting.request, Reason.OVERLOADED)
         elif not self._isolation.possible(waiting, self._runs.engines):
