--- a/wagtailtrestle/capacity/scheduler.py
+++ b/wagtailtrestle/capacity/scheduler.py
@@ -425,7 +425,7 @@
             self._refuse(waiting.request, Reason.DEADLINE_UNREACHABLE)
         else:
             self._admission.admit(waiting)
-            self._queue.set_aside(waiting)
+            self._queue.push_isolated(waiting)
 
     def _grant_ready(self):
         if not self._granting or not len(self._queue):
--- a/wagtailtrestle/capacity/tier_queue.py
+++ b/wagtailtrestle/capacity/tier_queue.py
@@ -75,7 +75,7 @@
         heapq.heappush(self._team(waiting).tail, (-due(waiting), -next(self._sequence), waiting))
         self._order(waiting)
 
-    def set_aside(self, waiting: WaitingRequest):
+    def push_isolated(self, waiting: WaitingRequest):
         """Add a request that only :meth:`take` serves, as it needs more than a place."""
         self._hold(waiting)
         self._watch_latest_start(waiting)
