--- a/wagtailtrestle/capacity/scheduler.py
+++ b/wagtailtrestle/capacity/scheduler.py
@@ -451,7 +451,7 @@
                 self._queue.remove(step.waiting.request_id)
                 self._refuse(step.waiting.request, Reason.DEADLINE_UNREACHABLE)
             else:
-                self._queue.take(step.waiting)
+                self._queue.pop_isolated(step.waiting)
                 self._grant(step.waiting, step.engine)
 
     def _open_engines(self):
--- a/wagtailtrestle/capacity/tier_queue.py
+++ b/wagtailtrestle/capacity/tier_queue.py
@@ -81,7 +81,7 @@
         self._watch_latest_start(waiting)
         self.isolated_by_request_id[waiting.request_id] = waiting
 
-    def take(self, waiting: WaitingRequest):
+    def pop_isolated(self, waiting: WaitingRequest):
         """Take out a request set aside and charge its team for it."""
         self.remove(waiting.request_id)
         team = self._team(waiting)
