--- a/wagtailtrestle/capacity/isolation.py
+++ b/wagtailtrestle/capacity/isolation.py
@@ -21,7 +21,7 @@
 
 
 @record
-class Isolated:
+class IsolationStep:
     """The next step for a suspect: its empty engine, or ``None`` if none comes in time."""
 
     waiting: WaitingRequest
@@ -53,7 +53,7 @@
         """Whether some engine would be empty in time for the suspect."""
         return any(self._in_time(waiting, engine) for engine in _usable(waiting, engines))
 
-    def next(self, engines) -> Isolated | None:
+    def next(self, engines) -> IsolationStep | None:
         """Return the step to take now, if any; ``engines`` are those that may be granted at all."""
         self._release_if_over()
         if not self._queue.isolated_by_request_id or any(engine.runs_alone for engine in engines):
@@ -64,10 +64,10 @@
         engine = self._engine_for(waiting, engines)
         if engine is None:
             self.release()
-            return Isolated(waiting=waiting, engine=None)
+            return IsolationStep(waiting=waiting, engine=None)
         if engine.running == 0 and engine.may_begin:
             self.release()
-            return Isolated(waiting=waiting, engine=engine)
+            return IsolationStep(waiting=waiting, engine=engine)
         self._keep(engine, waiting)
         return None
 
