--- a/wagtailtrestle/capacity/scheduler.py
+++ b/wagtailtrestle/capacity/scheduler.py
@@ -431,16 +431,16 @@
         if not self._granting or not len(self._queue):
             return
         self._serve_suspects()
-        open_engines = self._open_engines()
-        self._queue.unpark({engine.name for engine in open_engines})
+        available_engines = self._open_engines()
+        self._queue.unpark({engine.name for engine in available_engines})
         for _ in range(MAX_TRIES_PER_ROUND):
-            if not open_engines and self._rollout is None:
+            if not available_engines and self._rollout is None:
                 return
             waiting = self._queue.pop()
             if waiting is None:
                 return
-            self._try(waiting, open_engines)
-            open_engines = self._open_engines()
+            self._try(waiting, available_engines)
+            available_engines = self._open_engines()
 
     def _serve_suspects(self):
         # Until every entry registered, what runs on an engine is not known, so none is known empty.
@@ -459,23 +459,23 @@
         engines = self._runs.engines
         return [engine for engine in engines if engine.room and (engine.reported or not cautious)]
 
-    def _try(self, waiting, open_engines):
+    def _try(self, waiting, available_engines):
         """Grant the request on one of the engines with room, park it, or refuse it."""
-        open_engines = [engine for engine in open_engines if not engine.rest_s(waiting.request.entry)]
+        available_engines = [engine for engine in available_engines if not engine.rest_s(waiting.request.entry)]
         exposed = self._exposed_engine(waiting.request)
         if exposed is not None:
             self._grant(waiting, exposed)
             return
-        suited = self._suited(waiting, open_engines)
+        suited = self._suited(waiting, available_engines)
         if not suited and waiting.request.first_token_within_s and not self._admission.waits_for_better(waiting):
-            suited = open_engines
+            suited = available_engines
         engine = self._policy.choose(request=waiting.request, engines=suited, now=self._clock()) if suited else None
         if engine is not None:
             self._grant(waiting, engine)
             return
         others = [engine for engine in self._runs.usable_engines if not engine.leaving]
         if any(self._admission.could_finish(waiting, engine) for engine in others):
-            self._queue.park(waiting, tried_engines=frozenset(engine.name for engine in open_engines))
+            self._queue.park(waiting, tried_engines=frozenset(engine.name for engine in available_engines))
         else:
             self._refuse(waiting.request, Reason.DEADLINE_UNREACHABLE)
 
@@ -493,23 +493,23 @@
         ]
         return max(tried, key=lambda engine: (engine.running, engine.name), default=None)
 
-    def _suited(self, waiting, open_engines):
+    def _suited(self, waiting, available_engines):
         """The engines among which to choose: of many, a few that are the likeliest, unless none of these suits."""
-        likely = self._likely(waiting.request, open_engines)
+        likely = self._likely(waiting.request, available_engines)
         suited = [engine for engine in likely if self._admission.can_finish_now(waiting, engine)]
-        if suited or len(likely) == len(open_engines):
+        if suited or len(likely) == len(available_engines):
             return suited
-        return [engine for engine in open_engines if self._admission.can_finish_now(waiting, engine)]
+        return [engine for engine in available_engines if self._admission.can_finish_now(waiting, engine)]
 
-    def _likely(self, request, open_engines):
-        if len(open_engines) <= MAX_COMPARED:
-            return open_engines
-        first = open_engines[:MAX_COMPARED]
+    def _likely(self, request, available_engines):
+        if len(available_engines) <= MAX_COMPARED:
+            return available_engines
+        first = available_engines[:MAX_COMPARED]
         blocks = request.prefix_blocks
         if not blocks:
             return first
         middle = blocks[len(blocks) // 2]
-        holders = (engine for engine in open_engines[MAX_COMPARED:] if middle in engine.cache)
+        holders = (engine for engine in available_engines[MAX_COMPARED:] if middle in engine.cache)
         return first + list(itertools.islice(holders, MAX_COMPARED))
 
     def _grant(self, waiting, engine):
