--- a/wagtailtrestle/capacity/scheduler.py
+++ b/wagtailtrestle/capacity/scheduler.py
@@ -431,7 +431,7 @@
         if not self._granting or not len(self._queue):
             return
         self._serve_suspects()
-        available_engines = self._open_engines()
+        available_engines = self._available_engines()
         self._queue.unpark({engine.name for engine in available_engines})
         for _ in range(MAX_TRIES_PER_ROUND):
             if not available_engines and self._rollout is None:
@@ -440,7 +440,7 @@
             if waiting is None:
                 return
             self._try(waiting, available_engines)
-            available_engines = self._open_engines()
+            available_engines = self._available_engines()
 
     def _serve_suspects(self):
         # Until every entry registered, what runs on an engine is not known, so none is known empty.
@@ -454,7 +454,7 @@
                 self._queue.pop_isolated(step.waiting)
                 self._grant(step.waiting, step.engine)
 
-    def _open_engines(self):
+    def _available_engines(self):
         cautious = self._registration.cautious
         engines = self._runs.engines
         return [engine for engine in engines if engine.room and (engine.reported or not cautious)]
