--- a/wagtailtrestle/capacity/scheduler.py
+++ b/wagtailtrestle/capacity/scheduler.py
@@ -495,9 +495,9 @@
 
     def _suited(self, waiting, available_engines):
         """The engines among which to choose: of many, a few that are the likeliest, unless none of these suits."""
-        likely = self._shortlist(waiting.request, available_engines)
-        suited = [engine for engine in likely if self._admission.can_finish_now(waiting, engine)]
-        if suited or len(likely) == len(available_engines):
+        shortlist = self._shortlist(waiting.request, available_engines)
+        suited = [engine for engine in shortlist if self._admission.can_finish_now(waiting, engine)]
+        if suited or len(shortlist) == len(available_engines):
             return suited
         return [engine for engine in available_engines if self._admission.can_finish_now(waiting, engine)]
 
