--- a/wagtailtrestle/capacity/scheduler.py
+++ b/wagtailtrestle/capacity/scheduler.py
@@ -466,7 +466,7 @@
         if exposed is not None:
             self._grant(waiting, exposed)
             return
-        suited = self._suited(waiting, available_engines)
+        suited = self._suitable(waiting, available_engines)
         if not suited and waiting.request.first_token_within_s and not self._admission.waits_for_better(waiting):
             suited = available_engines
         engine = self._policy.choose(request=waiting.request, engines=suited, now=self._clock()) if suited else None
@@ -493,7 +493,7 @@
         ]
         return max(tried, key=lambda engine: (engine.running, engine.name), default=None)
 
-    def _suited(self, waiting, available_engines):
+    def _suitable(self, waiting, available_engines):
         """The engines among which to choose: of many, a few that are the likeliest, unless none of these suits."""
         shortlist = self._shortlist(waiting.request, available_engines)
         suited = [engine for engine in shortlist if self._admission.can_finish_now(waiting, engine)]
