--- a/wagtailtrestle/capacity/scheduler.py
+++ b/wagtailtrestle/capacity/scheduler.py
@@ -466,10 +466,10 @@
         if exposed is not None:
             self._grant(waiting, exposed)
             return
-        suited = self._suitable(waiting, available_engines)
-        if not suited and waiting.request.first_token_within_s and not self._admission.waits_for_better(waiting):
-            suited = available_engines
-        engine = self._policy.choose(request=waiting.request, engines=suited, now=self._clock()) if suited else None
+        suitable = self._suitable(waiting, available_engines)
+        if not suitable and waiting.request.first_token_within_s and not self._admission.waits_for_better(waiting):
+            suitable = available_engines
+        engine = self._policy.choose(request=waiting.request, engines=suitable, now=self._clock()) if suitable else None
         if engine is not None:
             self._grant(waiting, engine)
             return
@@ -496,9 +496,9 @@
     def _suitable(self, waiting, available_engines):
         """The engines among which to choose: of many, a few that are the likeliest, unless none of these suits."""
         shortlist = self._shortlist(waiting.request, available_engines)
-        suited = [engine for engine in shortlist if self._admission.can_finish_now(waiting, engine)]
-        if suited or len(shortlist) == len(available_engines):
-            return suited
+        suitable = [engine for engine in shortlist if self._admission.can_finish_now(waiting, engine)]
+        if suitable or len(shortlist) == len(available_engines):
+            return suitable
         return [engine for engine in available_engines if self._admission.can_finish_now(waiting, engine)]
 
     def _shortlist(self, request, available_engines):
