--- a/wagtailtrestle/capacity/scheduler.py
+++ b/wagtailtrestle/capacity/scheduler.py
@@ -409,9 +409,9 @@
             return
         self._admission.admit(waiting)
         self._queue.push(waiting)
-        while (given_up := self._admission.overflow()) is not None:
-            self._queue.remove(given_up.request_id)
-            self._refuse(given_up.request, Reason.OVERLOADED)
+        while (excess := self._admission.overflow()) is not None:
+            self._queue.remove(excess.request_id)
+            self._refuse(excess.request, Reason.OVERLOADED)
 
     def _may_retry(self):
         queued = self._queue.waiting_by_request_id.values()
