--- a/wagtailtrestle/capacity/scheduler.py
+++ b/wagtailtrestle/capacity/scheduler.py
@@ -187,14 +187,14 @@
 
     def set_members(self, entries):
         """Take in the live view of routers; what those that left hold is let go."""
-        gone = self._members - frozenset(entries)
+        departed = self._members - frozenset(entries)
         self._members = frozenset(entries)
         self._entries_using_other_scheduler &= self._members
         self._retries.keep(self._members)
         self._registration.set_members(self._members)
         if self._registration.cautious:
             self._runs.discard_reports()
-        for entry in gone:
+        for entry in departed:
             self._drop_entry(entry)
         self._grant_ready()
 
