--- a/wagtailtrestle/capacity/scheduler.py
+++ b/wagtailtrestle/capacity/scheduler.py
@@ -356,16 +356,16 @@
         for notice in message.notices:
             self._runs.on_notice(notice)
         running_by_id = {record.request.request_id: record for record in message.running}
-        asked_by_id = {request.request_id: request for request in message.waiting}
+        waiting_by_id = {request.request_id: request for request in message.waiting}
         for grant in self._runs.of_entry(message.entry):
-            asked = asked_by_id.get(grant.request_id)
+            asked = waiting_by_id.get(grant.request_id)
             in_flight = asked is not None and asked.attempt == grant.request.attempt
             record = running_by_id.get(grant.request_id)
             held = record is not None and record.engine == grant.engine
             if not in_flight and not held:
                 self._end_unless_orphaned(grant)
         for waiting in self._waiting_of(message.entry):
-            if waiting.request_id not in asked_by_id:
+            if waiting.request_id not in waiting_by_id:
                 self._queue.remove(waiting.request_id)
         for record in message.running:
             self._hold_registered(record)
