--- a/wagtailtrestle/capacity/crash_signs.py
+++ b/wagtailtrestle/capacity/crash_signs.py
@@ -36,7 +36,7 @@
         cut_at_by_entry = self._cut_at_by_entry_by_engine.pop(engine, {})
         return sorted(entry for entry, at in cut_at_by_entry.items() if at > since)
 
-    def keep(self, engines):
+    def retain_engines(self, engines):
         """Forget engines that are declared no more."""
         for engine in self._cut_at_by_entry_by_engine.keys() - set(engines):
             del self._cut_at_by_entry_by_engine[engine]
--- a/wagtailtrestle/capacity/scheduler.py
+++ b/wagtailtrestle/capacity/scheduler.py
@@ -140,7 +140,7 @@
     def set_engines(self, by_name):
         """Put the declared engines of this cell in force; what is known of kept ones stays."""
         self._runs.declare(by_name)
-        self._crash_signs.keep(by_name)
+        self._crash_signs.retain_engines(by_name)
         self._runs.reserve(self._reserved)
         self._admission.set_engines(self._runs.usable_engines)
         if self._registration.cautious:
