--- a/tests/test_retry_budget.py
+++ b/tests/test_retry_budget.py
@@ -101,13 +101,13 @@
     def test_successes_of_others_are_let_go(self):
         for _ in range(100):
             self.budget.note_success("r2")
-        self.budget.keep({"r1"})
+        self.budget.retain_successes({"r1"})
         self.assertEqual(self.allowed(1000, entries=("r1",)), 4)
 
     # Guards against a router that dies and takes what it spent out of the account.
     def test_what_a_router_spent_is_kept_when_it_dies(self):
         self.allowed(1000, entry="r2")
-        self.budget.keep({"r1"})
+        self.budget.retain_successes({"r1"})
         self.assertEqual(self.allowed(1000, entries=("r1",)), 0)
 
 
--- a/wagtailtrestle/capacity/retry_budget.py
+++ b/wagtailtrestle/capacity/retry_budget.py
@@ -131,7 +131,7 @@
         known_from = self._known_from_by_entry.get(entry, self._began_at)
         self._known_from_by_entry[entry] = min(known_from, started_at)
 
-    def keep(self, entries):
+    def retain_successes(self, entries):
         """Let go of what other entries earned: they may be cut off, and spend it at another scheduler."""
         for entry in self._successes_by_entry.keys() - set(entries):
             del self._successes_by_entry[entry]
--- a/wagtailtrestle/capacity/scheduler.py
+++ b/wagtailtrestle/capacity/scheduler.py
@@ -190,7 +190,7 @@
         departed = self._members - frozenset(entries)
         self._members = frozenset(entries)
         self._entries_using_other_scheduler &= self._members
-        self._retries.keep(self._members)
+        self._retries.retain_successes(self._members)
         self._registration.set_members(self._members)
         if self._registration.cautious:
             self._runs.discard_reports()
@@ -347,7 +347,7 @@
             # have not heard of the change yet got second runs on them: 29 on an engine of 16 places were seen, and
             # what waits in an engine's queue can't be moved. A report shows when they are gone.
             self._entries_using_other_scheduler.add(message.entry)
-            self._retries.keep(self._members - self._entries_using_other_scheduler)
+            self._retries.retain_successes(self._members - self._entries_using_other_scheduler)
             self._drop_entry(message.entry)
             return
         self._entries_using_other_scheduler.discard(message.entry)
