--- a/tests/test_retry_budget.py
+++ b/tests/test_retry_budget.py
@@ -120,34 +120,34 @@
     # Guards against a new scheduler that gives out again what the former one gave out.
     def test_a_new_scheduler_goes_on_from_what_entries_tell(self):
         new = self.make()
-        new.take_history("r1", self.history(retries=(0, 3), successes=(50,)))
-        new.take_history("r2", self.history(retries=(0, 0, 4), successes=(0, 50)))
+        new.apply_history("r1", self.history(retries=(0, 3), successes=(50,)))
+        new.apply_history("r2", self.history(retries=(0, 0, 4), successes=(0, 50)))
         self.assertEqual(self.allowed(1000, budget=new), 20 + 10 - 7)
 
     def test_what_is_told_twice_counts_once(self):
         self.allowed(5)
         for _ in range(3):
-            self.budget.take_history("r1", self.history(retries=(5,), successes=(100,)))
+            self.budget.apply_history("r1", self.history(retries=(5,), successes=(100,)))
         self.assertEqual(self.allowed(1000), 20 + 10 - 5)
 
     # Guards against a router that is started again and whose scheduler takes its empty record for all that was spent.
     def test_what_a_former_process_spent_is_kept(self):
         self.allowed(15)
         self.clock.now += 1.0
-        self.budget.take_history("r1", self.history(up_s=0.5))
+        self.budget.apply_history("r1", self.history(up_s=0.5))
         self.assertEqual(self.allowed(1000), 5)
 
     # Guards against a grant that is on its way while its router registers, and is forgotten.
     def test_a_grant_on_its_way_counts(self):
         self.allowed(3)
-        self.budget.take_history("r1", self.history(retries=(2,)))
+        self.budget.apply_history("r1", self.history(retries=(2,)))
         self.assertEqual(self.allowed(1000), 20 - 3)
 
     # Guards against a fleet that starts again as a whole and gives out its whole budget each time.
     def test_routers_that_have_all_just_started_begin_with_a_part(self):
         new = self.make()
         for entry in ENTRIES:
-            new.take_history(entry, self.history(up_s=0.1))
+            new.apply_history(entry, self.history(up_s=0.1))
         self.assertEqual(self.allowed(1000, budget=new), MIN_KNOWN_SHARE * 20)
         self.clock.now += RETRY_WINDOW_S / 2
         self.assertEqual(self.allowed(1000, budget=new), 10 - MIN_KNOWN_SHARE * 20)
@@ -155,8 +155,8 @@
     # Guards against what routers forgot that were started again together with the scheduler.
     def test_what_nobody_knows_is_taken_for_as_much_as_what_is_known(self):
         new = self.make()
-        new.take_history("r1", self.history(retries=(0, 8)))
-        new.take_history("r2", self.history(up_s=0.0))
+        new.apply_history("r1", self.history(retries=(0, 8)))
+        new.apply_history("r2", self.history(up_s=0.0))
         self.assertEqual(self.allowed(1000, budget=new), 2)
 
 
--- a/wagtailtrestle/capacity/retry_budget.py
+++ b/wagtailtrestle/capacity/retry_budget.py
@@ -116,7 +116,7 @@
         """Count a request that was answered whole."""
         self._successes_by_entry.setdefault(entry, RecentTimes()).note(self._clock())
 
-    def take_history(self, entry, history):
+    def apply_history(self, entry, history):
         """Take what an entry sent and got answered since its process started; what its predecessor spent is kept."""
         now = self._clock()
         started_at = now - history.up_s
--- a/wagtailtrestle/capacity/scheduler.py
+++ b/wagtailtrestle/capacity/scheduler.py
@@ -352,7 +352,7 @@
             return
         self._entries_using_other_scheduler.discard(message.entry)
         self._registration.registered(message.entry)
-        self._retries.take_history(message.entry, message.retries)
+        self._retries.apply_history(message.entry, message.retries)
         for notice in message.notices:
             self._runs.on_notice(notice)
         running_by_id = {record.request.request_id: record for record in message.running}
