--- a/tests/test_retry_budget.py
+++ b/tests/test_retry_budget.py
@@ -81,11 +81,11 @@
     def test_a_retry_that_was_never_sent_is_taken_back(self):
         self.allowed(10)
         self.budget.spend(entry="r2", request_id="never-sent")
-        self.budget.take_back("never-sent")
-        self.budget.take_back("unknown")
+        self.budget.refund("never-sent")
+        self.budget.refund("unknown")
         self.clock.now += RETRY_WINDOW_S + ARRIVAL_SPREAD_S + 0.1
         self.budget.spend(entry="r2", request_id="again")
-        self.budget.take_back("again")
+        self.budget.refund("again")
         self.assertEqual(self.allowed(10), RETRY_EXTRA)
 
 
--- a/wagtailtrestle/capacity/retry_budget.py
+++ b/wagtailtrestle/capacity/retry_budget.py
@@ -105,7 +105,7 @@
         self._retries_by_entry.setdefault(entry, RecentTimes()).note(now)
         self._spent_by_id[request_id] = (entry, now)
 
-    def take_back(self, request_id):
+    def refund(self, request_id):
         """Forget the last retry of a request: it was never sent."""
         entry, at = self._spent_by_id.pop(request_id, (None, 0.0))
         times = self._retries_by_entry.get(entry, ())
--- a/wagtailtrestle/capacity/scheduler.py
+++ b/wagtailtrestle/capacity/scheduler.py
@@ -326,7 +326,7 @@
 
     def _record_end(self, request, finished):
         if finished.never_sent:
-            self._retries.take_back(request.request_id)
+            self._retries.refund(request.request_id)
         elif finished.result == RunDone.__name__:
             self._retries.note_success(request.entry)
         self._crash_signs.record_end(engine=finished.engine, entry=request.entry, result=finished.result)
