--- a/tests/test_retry_budget.py
+++ b/tests/test_retry_budget.py
@@ -49,12 +49,12 @@
 
     def test_successes_earn_a_tenth(self):
         for _ in range(100):
-            self.budget.note_success("r1")
+            self.budget.record_success("r1")
         self.assertEqual(self.allowed(1000), RETRY_EXTRA + 10)
 
     def test_old_successes_earn_nothing(self):
         for _ in range(1000):
-            self.budget.note_success("r1")
+            self.budget.record_success("r1")
         self.clock.now += RETRY_WINDOW_S + 0.1
         self.assertEqual(self.allowed(1000), RETRY_EXTRA)
 
@@ -66,7 +66,7 @@
     # Guards against a share that fades, so that it is spent once more within the same window.
     def test_nothing_comes_back_within_the_window(self):
         for _ in range(100):
-            self.budget.note_success("r1")
+            self.budget.record_success("r1")
         self.assertEqual(self.allowed(1000), RETRY_EXTRA + 10)
         for _ in range(int(RETRY_WINDOW_S)):
             self.clock.now += RETRY_WINDOW_S / 10 - 0.01
@@ -100,7 +100,7 @@
     # Guards against what a router that is cut off earned, spent on both sides of the cut.
     def test_successes_of_others_are_let_go(self):
         for _ in range(100):
-            self.budget.note_success("r2")
+            self.budget.record_success("r2")
         self.budget.retain_successes({"r1"})
         self.assertEqual(self.allowed(1000, entries=("r1",)), 4)
 
--- a/wagtailtrestle/capacity/retry_budget.py
+++ b/wagtailtrestle/capacity/retry_budget.py
@@ -112,7 +112,7 @@
         if at in times:
             self._retries_by_entry[entry] = RecentTimes(_without(times, at))
 
-    def note_success(self, entry):
+    def record_success(self, entry):
         """Count a request that was answered whole."""
         self._successes_by_entry.setdefault(entry, RecentTimes()).note(self._clock())
 
--- a/wagtailtrestle/capacity/scheduler.py
+++ b/wagtailtrestle/capacity/scheduler.py
@@ -328,7 +328,7 @@
         if finished.never_sent:
             self._retries.refund(request.request_id)
         elif finished.result == RunDone.__name__:
-            self._retries.note_success(request.entry)
+            self._retries.record_success(request.entry)
         self._crash_signs.record_end(engine=finished.engine, entry=request.entry, result=finished.result)
 
     def _on_withdraw(self, message):
