--- a/tests/test_retry_budget.py
+++ b/tests/test_retry_budget.py
@@ -36,7 +36,7 @@
         budget = budget or self.budget
         granted = 0
         for number in range(tries):
-            if budget.has_room(waiting=0, entries=entries):
+            if budget.has_budget(waiting=0, entries=entries):
                 budget.spend(entry=entry, request_id=f"{entry}-{self.clock.now}-{number}")
                 granted += 1
         return granted
@@ -74,8 +74,8 @@
 
     # Guards against retries that wait for a place and are sent together, beyond what may be sent.
     def test_retries_that_wait_count(self):
-        self.assertTrue(self.budget.has_room(waiting=RETRY_EXTRA - 1, entries=ENTRIES))
-        self.assertFalse(self.budget.has_room(waiting=RETRY_EXTRA, entries=ENTRIES))
+        self.assertTrue(self.budget.has_budget(waiting=RETRY_EXTRA - 1, entries=ENTRIES))
+        self.assertFalse(self.budget.has_budget(waiting=RETRY_EXTRA, entries=ENTRIES))
 
     # Guards against retries that are lost to callers though no engine ever got them.
     def test_a_retry_that_was_never_sent_is_taken_back(self):
--- a/wagtailtrestle/capacity/retry_budget.py
+++ b/wagtailtrestle/capacity/retry_budget.py
@@ -81,7 +81,7 @@
         self._began_at = self._clock()
         self._known_from_by_entry = {}
 
-    def has_room(self, *, waiting, entries):
+    def has_budget(self, *, waiting, entries):
         """Whether one more retry may be granted.
 
         Parameters
--- a/wagtailtrestle/capacity/scheduler.py
+++ b/wagtailtrestle/capacity/scheduler.py
@@ -416,7 +416,7 @@
     def _may_retry(self):
         queued = self._queue.waiting_by_request_id.values()
         entries = self._members - self._entries_using_other_scheduler - self.awaited_entries
-        return self._retries.has_room(waiting=sum(waiting.request.is_retry for waiting in queued), entries=entries)
+        return self._retries.has_budget(waiting=sum(waiting.request.is_retry for waiting in queued), entries=entries)
 
     def _queue_isolated(self, waiting):
         if not self._isolation.has_room():
