--- a/wagtailtrestle/capacity/retry_budget.py
+++ b/wagtailtrestle/capacity/retry_budget.py
@@ -122,10 +122,10 @@
         started_at = now - history.up_s
         counted = RecentTimes(at for at in self._retries_by_entry.get(entry, ()) if at >= started_at)
         earlier = [at for at in self._retries_by_entry.get(entry, ()) if at < started_at]
-        told = [now - age for age, count in enumerate(history.retries_by_age_s) for _ in range(count)]
+        reported = [now - age for age, count in enumerate(history.retries_by_age_s) for _ in range(count)]
         # A grant on its way to the entry is in no history yet.
         on_their_way = max(0, counted.since(now - 1.0) - sum(history.retries_by_age_s[:1]))
-        self._retries_by_entry[entry] = RecentTimes([*earlier, *told, *[now] * on_their_way])
+        self._retries_by_entry[entry] = RecentTimes([*earlier, *reported, *[now] * on_their_way])
         successes = (now - age - 1 for age, count in enumerate(history.successes_by_age_s) for _ in range(count))
         self._successes_by_entry[entry] = RecentTimes(successes)
         known_from = self._known_from_by_entry.get(entry, self._began_at)
