--- a/wagtailtrestle/capacity/retry_budget.py
+++ b/wagtailtrestle/capacity/retry_budget.py
@@ -23,7 +23,7 @@
 MIN_KNOWN_SHARE = 0.25
 """Part of the budget that is given out at once where all routers have just started."""
 
-ROUNDING = 1e-9
+ROUNDING_TOLERANCE = 1e-9
 
 
 @record
@@ -97,7 +97,7 @@
         successes = sum(len(times) for times in self._successes_by_entry.values())
         retries = sum(len(times) for times in self._retries_by_entry.values()) + waiting + 1
         allowed = limits.share * successes + limits.extra * part
-        return retries <= self._known_share(limits.window_s, entries) * allowed + ROUNDING
+        return retries <= self._known_share(limits.window_s, entries) * allowed + ROUNDING_TOLERANCE
 
     def spend(self, *, entry, request_id):
         """Count a retry that is granted."""
