--- a/wagtailtrestle/capacity/recent_times.py
+++ b/wagtailtrestle/capacity/recent_times.py
@@ -27,7 +27,7 @@
         """Add the latest event."""
         self._times.append(at)
 
-    def take_back(self):
+    def remove_latest(self):
         """Drop the latest event, which did not happen after all."""
         if self._times:
             self._times.pop()
--- a/wagtailtrestle/entry/retry_record.py
+++ b/wagtailtrestle/entry/retry_record.py
@@ -33,7 +33,7 @@
 
     def take_back(self, cell):
         """Forget the last retry: no connection was made for it."""
-        self._retries_by_cell[cell].take_back()
+        self._retries_by_cell[cell].remove_latest()
 
     def note_success(self, cell):
         """Count a request that was answered whole."""
