--- a/wagtailtrestle/capacity/recent_times.py
+++ b/wagtailtrestle/capacity/recent_times.py
@@ -32,7 +32,7 @@
         if self._times:
             self._times.pop()
 
-    def forget_before(self, at):
+    def discard_before(self, at):
         """Drop the events up to a time."""
         while self._times and self._times[0] <= at:
             self._times.popleft()
--- a/wagtailtrestle/capacity/retry_budget.py
+++ b/wagtailtrestle/capacity/retry_budget.py
@@ -161,11 +161,11 @@
     def _forget_old(self, window_s):
         now = self._clock()
         for entry, times in list(self._retries_by_entry.items()):
-            times.forget_before(now - window_s - ARRIVAL_SPREAD_S)
+            times.discard_before(now - window_s - ARRIVAL_SPREAD_S)
             if not times:
                 del self._retries_by_entry[entry]
         for times in self._successes_by_entry.values():
-            times.forget_before(now - window_s)
+            times.discard_before(now - window_s)
         self._spent_by_id = {
             request_id: (entry, at) for request_id, (entry, at) in self._spent_by_id.items() if at > now - window_s
         }
--- a/wagtailtrestle/entry/retry_record.py
+++ b/wagtailtrestle/entry/retry_record.py
@@ -53,4 +53,4 @@
         return times.by_age_s(self._clock())
 
     def _forget_old(self, times):
-        times.forget_before(self._clock() - self._window_s())
+        times.discard_before(self._clock() - self._window_s())
