--- a/wagtailtrestle/capacity/recent_times.py
+++ b/wagtailtrestle/capacity/recent_times.py
@@ -37,7 +37,7 @@
         while self._times and self._times[0] <= at:
             self._times.popleft()
 
-    def since(self, at):
+    def count_since(self, at):
         """How many came after a time."""
         return sum(time > at for time in self._times)
 
--- a/wagtailtrestle/capacity/retry_budget.py
+++ b/wagtailtrestle/capacity/retry_budget.py
@@ -124,7 +124,7 @@
         earlier = [at for at in self._retries_by_entry.get(entry, ()) if at < started_at]
         reported = [now - age for age, count in enumerate(history.retries_by_age_s) for _ in range(count)]
         # A grant on its way to the entry is in no history yet.
-        in_flight = max(0, counted.since(now - 1.0) - sum(history.retries_by_age_s[:1]))
+        in_flight = max(0, counted.count_since(now - 1.0) - sum(history.retries_by_age_s[:1]))
         self._retries_by_entry[entry] = RecentTimes([*earlier, *reported, *[now] * in_flight])
         successes = (now - age - 1 for age, count in enumerate(history.successes_by_age_s) for _ in range(count))
         self._successes_by_entry[entry] = RecentTimes(successes)
