--- a/wagtailtrestle/capacity/recent_times.py
+++ b/wagtailtrestle/capacity/recent_times.py
@@ -41,7 +41,7 @@
         """How many came after a time."""
         return sum(time > at for time in self._times)
 
-    def by_age_s(self, now):
+    def counts_by_age_s(self, now):
         """How many came in each whole second before now, the last one first."""
         counts = [0] * (int(now - self._times[0]) + 1 if self._times else 0)
         for at in self._times:
--- a/wagtailtrestle/entry/retry_record.py
+++ b/wagtailtrestle/entry/retry_record.py
@@ -50,7 +50,7 @@
 
     def _by_age_s(self, times):
         self._forget_old(times)
-        return times.by_age_s(self._clock())
+        return times.counts_by_age_s(self._clock())
 
     def _forget_old(self, times):
         times.discard_before(self._clock() - self._window_s())
