--- a/wagtailtrestle/capacity/isolation.py
+++ b/wagtailtrestle/capacity/isolation.py
@@ -45,7 +45,7 @@
         self._queue = queue
         self._kept = None
 
-    def has_room(self):
+    def has_capacity(self):
         """Whether one more suspect may wait."""
         return len(self._queue.isolated_by_request_id) < MAX_SUSPECTS
 
--- a/wagtailtrestle/capacity/scheduler.py
+++ b/wagtailtrestle/capacity/scheduler.py
@@ -419,7 +419,7 @@
         return self._retries.has_budget(waiting=sum(waiting.request.is_retry for waiting in queued), entries=entries)
 
     def _queue_isolated(self, waiting):
-        if not self._isolation.has_room():
+        if not self._isolation.has_capacity():
             self._refuse(waiting.request, Reason.OVERLOADED)
         elif not self._isolation.possible(waiting, self._runs.engines):
             self._refuse(waiting.request, Reason.DEADLINE_UNREACHABLE)
