--- a/wagtailtrestle/capacity/isolation.py
+++ b/wagtailtrestle/capacity/isolation.py
@@ -49,7 +49,7 @@
         """Whether one more suspect may wait."""
         return len(self._queue.isolated_by_request_id) < MAX_SUSPECTS
 
-    def possible(self, waiting: WaitingRequest, engines):
+    def is_possible(self, waiting: WaitingRequest, engines):
         """Whether some engine would be empty in time for the suspect."""
         return any(self._in_time(waiting, engine) for engine in _usable(waiting, engines))
 
--- a/wagtailtrestle/capacity/scheduler.py
+++ b/wagtailtrestle/capacity/scheduler.py
@@ -421,7 +421,7 @@
     def _queue_isolated(self, waiting):
         if not self._isolation.has_capacity():
             self._refuse(waiting.request, Reason.OVERLOADED)
-        elif not self._isolation.possible(waiting, self._runs.engines):
+        elif not self._isolation.is_possible(waiting, self._runs.engines):
             self._refuse(waiting.request, Reason.DEADLINE_UNREACHABLE)
         else:
             self._admission.admit(waiting)
