--- a/wagtailtrestle/capacity/isolation.py
+++ b/wagtailtrestle/capacity/isolation.py
@@ -38,12 +38,12 @@
         Its requests set aside are the suspects that wait.
     """
 
-    __slots__ = ("_clock", "_queue", "_kept")
+    __slots__ = ("_clock", "_queue", "_reserved")
 
     def __init__(self, *, clock, queue):
         self._clock = clock
         self._queue = queue
-        self._kept = None
+        self._reserved = None
 
     def has_capacity(self):
         """Whether one more suspect may wait."""
@@ -74,9 +74,9 @@
     def yield_to_urgent(self, engines):
         """Let the kept engine go if a request of a higher tier needs it, or the cell has no other."""
         self._release_if_over()
-        if self._kept is None:
+        if self._reserved is None:
             return
-        waiting = self._queue.isolated_by_request_id[self._kept.kept_for]
+        waiting = self._queue.isolated_by_request_id[self._reserved.kept_for]
         first = self._queue.first(1)
         if not first or first[0].request.tier >= waiting.request.tier:
             return
@@ -88,32 +88,32 @@
 
     def release(self):
         """Let the kept engine take other work again."""
-        if self._kept is not None:
-            self._kept.kept_for = None
-            self._kept = None
+        if self._reserved is not None:
+            self._reserved.kept_for = None
+            self._reserved = None
 
     def _release_if_over(self):
-        if self._kept is not None and self._kept.kept_for not in self._queue.isolated_by_request_id:
+        if self._reserved is not None and self._reserved.kept_for not in self._queue.isolated_by_request_id:
             self.release()
 
     def _suspect(self):
         """Return the suspect whose engine is kept, or the first one if its turn has come."""
         isolated_by_id = self._queue.isolated_by_request_id
-        if self._kept is not None:
-            return isolated_by_id[self._kept.kept_for]
+        if self._reserved is not None:
+            return isolated_by_id[self._reserved.kept_for]
         waiting = min(isolated_by_id.values(), key=lambda each: (each.request.tier, due(each)))
         return None if self._queue.waits_above(waiting.request.tier) else waiting
 
     def _engine_for(self, waiting, engines):
         usable = [engine for engine in _usable(waiting, engines) if self._in_time(waiting, engine)]
-        if self._kept in usable:
-            return self._kept
+        if self._reserved in usable:
+            return self._reserved
         return min(usable, key=lambda engine: self._end_s(waiting, engine), default=None)
 
     def _keep(self, engine, waiting):
-        if self._kept is not engine:
+        if self._reserved is not engine:
             self.release()
-        self._kept = engine
+        self._reserved = engine
         engine.kept_for = waiting.request_id
 
     def _in_time(self, waiting, engine):
