--- a/wagtailtrestle/capacity/isolation.py
+++ b/wagtailtrestle/capacity/isolation.py
@@ -68,7 +68,7 @@
         if engine.running == 0 and engine.may_begin:
             self.release()
             return IsolationStep(waiting=waiting, engine=engine)
-        self._keep(engine, waiting)
+        self._reserve(engine, waiting)
         return None
 
     def yield_to_urgent(self, engines):
@@ -110,7 +110,7 @@
             return self._reserved
         return min(usable, key=lambda engine: self._end_s(waiting, engine), default=None)
 
-    def _keep(self, engine, waiting):
+    def _reserve(self, engine, waiting):
         if self._reserved is not engine:
             self.release()
         self._reserved = engine
