--- a/wagtailtrestle/capacity/isolation.py
+++ b/wagtailtrestle/capacity/isolation.py
@@ -71,7 +71,7 @@
         self._reserve(engine, waiting)
         return None
 
-    def yield_to_urgent(self, engines):
+    def release_for_urgent(self, engines):
         """Let the kept engine go if a request of a higher tier needs it, or the cell has no other."""
         self._release_if_over()
         if self._reserved is None:
--- a/wagtailtrestle/capacity/scheduler.py
+++ b/wagtailtrestle/capacity/scheduler.py
@@ -260,7 +260,7 @@
         for waiting in self._queue.pop_expired(self._clock()):
             self._refuse(waiting.request, Reason.OVERLOADED)
         self._queue.unpark_some(MAX_UNPARKED_PER_TICK)
-        self._isolation.yield_to_urgent(self._runs.engines)
+        self._isolation.release_for_urgent(self._runs.engines)
         self._grant_ready()
         self._admission.note_places()
         self._preempt()
