--- a/wagtailtrestle/capacity/isolation.py
+++ b/wagtailtrestle/capacity/isolation.py
@@ -13,7 +13,7 @@
 MAX_SUSPECTS = 16
 """Suspects that may wait in one cell: they are served one by one."""
 
-UNKNOWN_END_S = 5.0
+UNKNOWN_LOAD_S = 5.0
 """Time that load which only a report showed is taken to last."""
 
 YIELD_S = 1.0
@@ -136,4 +136,4 @@
     """Predicted time until nothing runs there, if it takes nothing more."""
     grants = engine.grants_by_request_id.values()
     known_s = max((engine.remaining_s(grant) for grant in grants), default=0.0)
-    return max(known_s, UNKNOWN_END_S if engine.phantom else 0.0)
+    return max(known_s, UNKNOWN_LOAD_S if engine.phantom else 0.0)
