--- a/wagtailtrestle/capacity/isolation.py
+++ b/wagtailtrestle/capacity/isolation.py
@@ -16,7 +16,7 @@
 UNKNOWN_LOAD_S = 5.0
 """Time that load which only a report showed is taken to last."""
 
-YIELD_S = 1.0
+RELEASE_BEFORE_START_S = 1.0
 """A kept engine is let go for a higher tier that has this little left to its latest start."""
 
 
@@ -83,7 +83,7 @@
         # Kept on, the engine would stand empty for a suspect of a lower tier while a
         # request of a higher one expires.
         only_one = sum(1 for engine in engines if engine.limit) <= 1
-        if only_one or first[0].latest_start - self._clock() < YIELD_S:
+        if only_one or first[0].latest_start - self._clock() < RELEASE_BEFORE_START_S:
             self.release()
 
     def release(self):
