--- a/wagtailtrestle/capacity/registration.py
+++ b/wagtailtrestle/capacity/registration.py
@@ -70,7 +70,7 @@
         since = self._clock() - JUST_NOW_S
         self.awaited -= {entry for entry, at in self._registered_at_by_entry.items() if at >= since}
 
-    def registered(self, entry):
+    def record_registration(self, entry):
         """Note that this member registered."""
         self.awaited -= {entry}
         self._registered_at_by_entry[entry] = self._clock()
--- a/wagtailtrestle/capacity/scheduler.py
+++ b/wagtailtrestle/capacity/scheduler.py
@@ -351,7 +351,7 @@
             self._drop_entry(message.entry)
             return
         self._entries_using_other_scheduler.discard(message.entry)
-        self._registration.registered(message.entry)
+        self._registration.record_registration(message.entry)
         self._retries.apply_history(message.entry, message.retries)
         for notice in message.notices:
             self._runs.on_notice(notice)
