--- a/wagtailtrestle/capacity/registration.py
+++ b/wagtailtrestle/capacity/registration.py
@@ -33,7 +33,7 @@
         self._registered_at_by_entry = {}
 
     @property
-    def cautious(self):
+    def recovering(self):
         """Whether grants must stay within what engines' own reports show free."""
         now = self._clock()
         return now < self._orphans_until or (bool(self.awaited) and now < self._until)
--- a/wagtailtrestle/capacity/scheduler.py
+++ b/wagtailtrestle/capacity/scheduler.py
@@ -143,7 +143,7 @@
         self._crash_signs.retain_engines(by_name)
         self._runs.reserve(self._reserved)
         self._admission.set_engines(self._runs.usable_engines)
-        if self._registration.cautious:
+        if self._registration.recovering:
             self._runs.discard_reports()
         self._grant_ready()
 
@@ -192,7 +192,7 @@
         self._entries_using_other_scheduler &= self._members
         self._retries.retain_successes(self._members)
         self._registration.set_members(self._members)
-        if self._registration.cautious:
+        if self._registration.recovering:
             self._runs.discard_reports()
         for entry in departed:
             self._drop_entry(entry)
@@ -201,7 +201,7 @@
     @property
     def awaited_entries(self):
         """Members whose registration is awaited; whoever can ask them to register may do so."""
-        return self._registration.awaited if self._registration.cautious else frozenset()
+        return self._registration.awaited if self._registration.recovering else frozenset()
 
     def on_load_report(self, report):
         """Correct an engine's account by its own report."""
@@ -444,7 +444,7 @@
 
     def _serve_suspects(self):
         # Until every entry registered, what runs on an engine is not known, so none is known empty.
-        if self._registration.cautious:
+        if self._registration.recovering:
             return
         while (step := self._isolation.next(self._runs.engines)) is not None:
             if step.engine is None:
@@ -455,9 +455,9 @@
                 self._grant(step.waiting, step.engine)
 
     def _available_engines(self):
-        cautious = self._registration.cautious
+        recovering = self._registration.recovering
         engines = self._runs.engines
-        return [engine for engine in engines if engine.room and (engine.reported or not cautious)]
+        return [engine for engine in engines if engine.room and (engine.reported or not recovering)]
 
     def _try(self, waiting, available_engines):
         """Grant the request on one of the engines with room, park it, or refuse it."""
--- a/wagtailtrestle/capacity/scheduler_log.py
+++ b/wagtailtrestle/capacity/scheduler_log.py
@@ -25,16 +25,16 @@
 
     def note_caution(self):
         """Tell of a change, with what the scheduler knows then."""
-        cautious = self._registration.cautious
-        if cautious == self._was_cautious:
+        recovering = self._registration.recovering
+        if recovering == self._was_cautious:
             return
-        self._was_cautious = cautious
+        self._was_cautious = recovering
         logger.bind(
             awaited=sorted(self._registration.awaited),
             held=len(self._runs.grants_by_request_id),
             unknown={engine.name: engine.phantom for engine in self._runs.engines if engine.phantom},
             unreported=[engine.name for engine in self._runs.engines if not engine.reported],
-        ).info("the scheduler of {} {}", self._cell, "is cautious" if cautious else "is cautious no more")
+        ).info("the scheduler of {} {}", self._cell, "is cautious" if recovering else "is cautious no more")
 
     def note_overfull(self):
         """Tell of engines that have come to hold more runs than they have places."""
