--- a/wagtailtrestle/capacity/scheduler_log.py
+++ b/wagtailtrestle/capacity/scheduler_log.py
@@ -13,22 +13,22 @@
     registration : Registration
     """
 
-    __slots__ = ("_cell", "_runs", "_registration", "_was_cautious", "_overfull", "_limited")
+    __slots__ = ("_cell", "_runs", "_registration", "_was_recovering", "_overfull", "_limited")
 
     def __init__(self, *, cell, runs, registration):
         self._cell = cell
         self._runs = runs
         self._registration = registration
-        self._was_cautious = False
+        self._was_recovering = False
         self._overfull = frozenset()
         self._limited = frozenset()
 
     def note_caution(self):
         """Tell of a change, with what the scheduler knows then."""
         recovering = self._registration.recovering
-        if recovering == self._was_cautious:
+        if recovering == self._was_recovering:
             return
-        self._was_cautious = recovering
+        self._was_recovering = recovering
         logger.bind(
             awaited=sorted(self._registration.awaited),
             held=len(self._runs.grants_by_request_id),
