--- a/tests/test_new_scheduler.py
+++ b/tests/test_new_scheduler.py
@@ -3,7 +3,7 @@
 import unittest
 
 from tests.utils.scheduler_fakes import Clock, FakeEntries, ask, engine, register, report
-from wagtailtrestle.capacity.registration import CAUTION_S
+from wagtailtrestle.capacity.registration import RECOVERY_TIMEOUT_S
 from wagtailtrestle.capacity.scheduler_set import ORPHANS_S, SchedulerSet
 from wagtailtrestle.contracts.declaration import LANGUAGE, PLAIN, Declaration, Service
 from wagtailtrestle.contracts.messages import Granted
@@ -59,7 +59,7 @@
     def test_an_engine_that_does_not_report_is_used_after_the_wait(self):
         self.schedulers.set_declaration(declaration())
         self.receive(register("r1", waiting=[ask("r")]))
-        self.advance(CAUTION_S + 0.1)
+        self.advance(RECOVERY_TIMEOUT_S + 0.1)
         self.assertEqual(self.granted(), ["r"])
 
     def test_a_plain_service_does_not_wait_for_reports_that_never_come(self):
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -4,7 +4,7 @@
 
 from tests.utils.scheduler_fakes import Cell, ask, engine, finished, register, report, running
 from wagtailtrestle.capacity.admission import MAX_WAITING, MAX_WORK_S
-from wagtailtrestle.capacity.registration import CAUTION_S
+from wagtailtrestle.capacity.registration import RECOVERY_TIMEOUT_S
 from wagtailtrestle.contracts.messages import Granted, Preempt, Refused, RunProgress, Withdraw
 from wagtailtrestle.contracts.outcomes import Reason
 from wagtailtrestle.contracts.report_messages import CacheEvents
@@ -313,7 +313,7 @@
         cell.scheduler.expect_orphans()
         cell.scheduler.set_members(frozenset({"r1"}))
         cell.receive(register("r1", waiting=[ask("r")]))
-        cell.advance(CAUTION_S + 0.1)
+        cell.advance(RECOVERY_TIMEOUT_S + 0.1)
         self.assertEqual(cell.entries.ids(Granted), ["r"])
 
     def test_runs_of_an_entry_that_turned_to_another_scheduler_keep_their_places(self):
@@ -349,7 +349,7 @@
     def test_the_wait_is_bounded(self):
         cell = Cell(members=("r1", "silent"))
         cell.receive(register("r1", waiting=[ask("r")]))
-        cell.advance(CAUTION_S + 0.1)
+        cell.advance(RECOVERY_TIMEOUT_S + 0.1)
         self.assertEqual(cell.entries.ids(Granted), ["r"])
 
     def test_meanwhile_it_grants_what_the_engines_report_free(self):
--- a/wagtailtrestle/capacity/registration.py
+++ b/wagtailtrestle/capacity/registration.py
@@ -2,7 +2,7 @@
 
 import math
 
-CAUTION_S = 1.5
+RECOVERY_TIMEOUT_S = 1.5
 """Longest time a scheduler waits for the registration of every member."""
 
 JUST_NOW_S = 0.5
@@ -44,7 +44,7 @@
         Nobody registers these runs. A scheduler that grants as soon as all who live have registered puts its
         grants on top of them; what waits in an engine's queue for two seconds is given up as silent.
         """
-        self._orphans_until = self._clock() + CAUTION_S
+        self._orphans_until = self._clock() + RECOVERY_TIMEOUT_S
 
     def set_members(self, members):
         """Take in the live view; the first one begins the cautious time."""
@@ -59,7 +59,7 @@
     def begin(self):
         """Wait for every member's registration, for a bounded time."""
         self.awaited = self._members
-        self._until = self._clock() + CAUTION_S
+        self._until = self._clock() + RECOVERY_TIMEOUT_S
 
     def resume(self):
         """Wait for every member that has not registered just now: another router was scheduler meanwhile.
