--- a/wagtailtrestle/capacity/registration.py
+++ b/wagtailtrestle/capacity/registration.py
@@ -5,7 +5,7 @@
 RECOVERY_TIMEOUT_S = 1.5
 """Longest time a scheduler waits for the registration of every member."""
 
-JUST_NOW_S = 0.5
+RECENT_REGISTRATION_S = 0.5
 """Members hear of a scheduler's death within so long of each other; who hears first registers with the next one before
 that one knows that it is."""
 
@@ -67,7 +67,7 @@
         What was registered before says nothing of what that router granted.
         """
         self.begin()
-        since = self._clock() - JUST_NOW_S
+        since = self._clock() - RECENT_REGISTRATION_S
         self.awaited -= {entry for entry, at in self._registered_at_by_entry.items() if at >= since}
 
     def record_registration(self, entry):
