--- a/wagtailtrestle/capacity/registration.py
+++ b/wagtailtrestle/capacity/registration.py
@@ -9,7 +9,7 @@
 """Members hear of a scheduler's death within so long of each other; who hears first registers with the next one before
 that one knows that it is."""
 
-FREEZE_GAP_S = 1.0
+PAUSE_GAP_S = 1.0
 """A pause between two looks at the clock after which the process counts as frozen."""
 
 
@@ -82,6 +82,6 @@
         cell meanwhile, so granting by that account would overfill the engines.
         """
         now = self._clock()
-        paused = now - self._looked_at > FREEZE_GAP_S
+        paused = now - self._looked_at > PAUSE_GAP_S
         self._looked_at = now
         return paused
