--- a/wagtailtrestle/capacity/registration.py
+++ b/wagtailtrestle/capacity/registration.py
@@ -21,13 +21,13 @@
     clock : callable
     """
 
-    __slots__ = ("awaited", "_clock", "_until", "_looked_at", "_members", "_orphans_until", "_registered_at_by_entry")
+    __slots__ = ("awaited", "_clock", "_until", "_checked_at", "_members", "_orphans_until", "_registered_at_by_entry")
 
     def __init__(self, *, clock):
         self.awaited = frozenset()
         self._clock = clock
         self._until = -math.inf
-        self._looked_at = clock()
+        self._checked_at = clock()
         self._members = frozenset()
         self._orphans_until = -math.inf
         self._registered_at_by_entry = {}
@@ -82,6 +82,6 @@
         cell meanwhile, so granting by that account would overfill the engines.
         """
         now = self._clock()
-        paused = now - self._looked_at > PAUSE_GAP_S
-        self._looked_at = now
+        paused = now - self._checked_at > PAUSE_GAP_S
+        self._checked_at = now
         return paused
