--- a/wagtailtrestle/capacity/scheduler.py
+++ b/wagtailtrestle/capacity/scheduler.py
@@ -250,7 +250,7 @@
     def tick(self):
         """Sweep deadlines, preempt, and grant what has become possible; about every 50 ms."""
         self._recover_after_pause()
-        self._log.note_caution()
+        self._log.log_recovery()
         self._runs.tick()
         self._log.note_overfull()
         self._log.note_limited()
--- a/wagtailtrestle/capacity/scheduler_log.py
+++ b/wagtailtrestle/capacity/scheduler_log.py
@@ -23,7 +23,7 @@
         self._overfull = frozenset()
         self._limited = frozenset()
 
-    def note_caution(self):
+    def log_recovery(self):
         """Tell of a change, with what the scheduler knows then."""
         recovering = self._registration.recovering
         if recovering == self._was_recovering:
