--- a/wagtailtrestle/capacity/scheduler.py
+++ b/wagtailtrestle/capacity/scheduler.py
@@ -252,7 +252,7 @@
         self._recover_after_pause()
         self._log.log_recovery()
         self._runs.tick()
-        self._log.note_overfull()
+        self._log.log_overfull()
         self._log.note_limited()
         self._runs.sort_by_speed()
         self._admission.measure_speed()
--- a/wagtailtrestle/capacity/scheduler_log.py
+++ b/wagtailtrestle/capacity/scheduler_log.py
@@ -36,7 +36,7 @@
             unreported=[engine.name for engine in self._runs.engines if not engine.reported],
         ).info("the scheduler of {} {}", self._cell, "is cautious" if recovering else "is cautious no more")
 
-    def note_overfull(self):
+    def log_overfull(self):
         """Tell of engines that have come to hold more runs than they have places."""
         overfull = frozenset(engine.name for engine in self._runs.engines if engine.running > engine.slots)
         for name in sorted(overfull - self._overfull):
