--- a/wagtailtrestle/capacity/scheduler.py
+++ b/wagtailtrestle/capacity/scheduler.py
@@ -253,7 +253,7 @@
         self._log.log_recovery()
         self._runs.tick()
         self._log.log_overfull()
-        self._log.note_limited()
+        self._log.log_rate_limits()
         self._runs.sort_by_speed()
         self._admission.measure_speed()
         self._retries_used_up = not self._may_retry()
--- a/wagtailtrestle/capacity/scheduler_log.py
+++ b/wagtailtrestle/capacity/scheduler_log.py
@@ -43,7 +43,7 @@
             self._tell_overfull(self._runs.engines_by_name[name])
         self._overfull = overfull
 
-    def note_limited(self):
+    def log_rate_limits(self):
         """Tell of engines whose rate limit has come into force, or ended."""
         limited = frozenset(engine.name for engine in self._runs.engines if engine.rate_limit.in_force)
         for name in sorted(limited ^ self._limited):
