--- a/wagtailtrestle/capacity/scheduler.py
+++ b/wagtailtrestle/capacity/scheduler.py
@@ -396,7 +396,7 @@
 
     def _consider(self, request):
         if request.is_retry and not self._may_retry():
-            self._log.note_no_retry(request, self._retries)
+            self._log.log_refused_retry(request, self._retries)
             self._refuse(request, Reason.RETRY_BUDGET)
             return
         waiting = self._admission.waiting(request)
--- a/wagtailtrestle/capacity/scheduler_log.py
+++ b/wagtailtrestle/capacity/scheduler_log.py
@@ -51,7 +51,7 @@
             logger.bind(cell=self._cell, engine=name, rate_limit=limit).info("the rate limit of an engine changed")
         self._limited = limited
 
-    def note_no_retry(self, request, retries):
+    def log_refused_retry(self, request, retries):
         """Tell of a retry that the budget has no room for."""
         logger.bind(cell=self._cell, request_id=request.request_id, entry=request.entry, **retries.dump()).info(
             "no retry is left in a cell"
