--- a/wagtailtrestle/capacity/scheduler_log.py
+++ b/wagtailtrestle/capacity/scheduler_log.py
@@ -40,7 +40,7 @@
         """Tell of engines that have come to hold more runs than they have places."""
         overfull = frozenset(engine.name for engine in self._runs.engines if engine.running > engine.slots)
         for name in sorted(overfull - self._overfull):
-            self._tell_overfull(self._runs.engines_by_name[name])
+            self._warn_overfull(self._runs.engines_by_name[name])
         self._overfull = overfull
 
     def log_rate_limits(self):
@@ -57,7 +57,7 @@
             "no retry is left in a cell"
         )
 
-    def _tell_overfull(self, engine):
+    def _warn_overfull(self, engine):
         logger.bind(
             cell=self._cell,
             places=engine.slots,
