--- a/tests/test_new_scheduler.py
+++ b/tests/test_new_scheduler.py
@@ -4,7 +4,7 @@
 
 from tests.utils.scheduler_fakes import Clock, FakeEntries, ask, engine, register, report
 from wagtailtrestle.capacity.registration import RECOVERY_TIMEOUT_S
-from wagtailtrestle.capacity.scheduler_set import ORPHANS_S, SchedulerSet
+from wagtailtrestle.capacity.scheduler_set import ORPHAN_WINDOW_S, SchedulerSet
 from wagtailtrestle.contracts.declaration import LANGUAGE, PLAIN, Declaration, Service
 from wagtailtrestle.contracts.messages import Granted
 
@@ -52,7 +52,7 @@
 
     def test_a_router_that_has_seen_nobody_die_for_long_grants_at_once(self):
         self.schedulers.set_declaration(declaration())
-        self.advance(ORPHANS_S + 0.1)
+        self.advance(ORPHAN_WINDOW_S + 0.1)
         self.receive(register("r1", waiting=[ask("r"), ask("s")]))
         self.assertEqual(self.granted(), ["r", "s"])
 
@@ -75,7 +75,7 @@
         # holds nothing, and the scheduler, which had kept their places until a report, grants them.
         self.schedulers.set_members({"r1", "r2"})
         self.schedulers.set_declaration(declaration())
-        self.advance(ORPHANS_S + 0.1)
+        self.advance(ORPHAN_WINDOW_S + 0.1)
         self.receive(register("r1"))
         self.receive(register("r2"))
         self.receive(ask("x", entry="r2"))
--- a/wagtailtrestle/capacity/scheduler_set.py
+++ b/wagtailtrestle/capacity/scheduler_set.py
@@ -8,7 +8,7 @@
 from wagtailtrestle.engines.policies import PredictedFinish
 from wagtailtrestle.entry.cells import cells_of
 
-ORPHANS_S = 10.0
+ORPHAN_WINDOW_S = 10.0
 """How long after the loss of a router its runs may still be on engines: they cancel what nobody follows, or end it."""
 
 
@@ -148,7 +148,7 @@
         return {cell: scheduler.dump() for cell, scheduler in self.by_cell.items()}
 
     def _expect_orphans(self, scheduler):
-        if self._reports_orphans(scheduler.cell) and self._clock() - self._lost_at < ORPHANS_S:
+        if self._reports_orphans(scheduler.cell) and self._clock() - self._lost_at < ORPHAN_WINDOW_S:
             scheduler.expect_orphans()
 
     def _reports_orphans(self, cell):
