--- a/wagtailtrestle/capacity/scheduler_set.py
+++ b/wagtailtrestle/capacity/scheduler_set.py
@@ -35,7 +35,7 @@
         "_declaration",
         "_cells_by_service",
         "_members",
-        "_lost_at",
+        "_router_lost_at",
         "_rollouts_by_cell",
         "_leaving",
         "_granting",
@@ -51,7 +51,7 @@
         # that one had sent to engines goes on. Taken for nothing, a new scheduler granted one to three of an
         # engine's eight places twice, and what waits in an engine's queue can't be moved. It costs the wait for a
         # first report.
-        self._lost_at = clock()
+        self._router_lost_at = clock()
         self._declaration = None
         self._cells_by_service = {}
         self._rollouts_by_cell = {}
@@ -86,7 +86,7 @@
     def set_members(self, names):
         """Tell every scheduler which entries live."""
         if not self._members <= frozenset(names):
-            self._lost_at = self._clock()
+            self._router_lost_at = self._clock()
         self._members = frozenset(names)
         for scheduler in self.by_cell.values():
             scheduler.set_members(self._members)
@@ -148,7 +148,7 @@
         return {cell: scheduler.dump() for cell, scheduler in self.by_cell.items()}
 
     def _expect_orphans(self, scheduler):
-        if self._reports_orphans(scheduler.cell) and self._clock() - self._lost_at < ORPHAN_WINDOW_S:
+        if self._reports_orphans(scheduler.cell) and self._clock() - self._router_lost_at < ORPHAN_WINDOW_S:
             scheduler.expect_orphans()
 
     def _reports_orphans(self, cell):
