--- a/wagtailtrestle/capacity/scheduler_set.py
+++ b/wagtailtrestle/capacity/scheduler_set.py
@@ -93,12 +93,12 @@
 
     def set_leaving(self, engines):
         """Engines that the platform's list marks as leaving; they get no new work."""
-        came_back = self._leaving - engines
+        returned = self._leaving - engines
         self._leaving = engines
         for scheduler in self.by_cell.values():
             for engine in engines:
                 scheduler.mark_leaving(engine)
-            for engine in came_back:
+            for engine in returned:
                 # The declaration's own mark is kept apart from the list's. Passed on here, it
                 # would stand as the list's for ever, also once the declaration takes it back.
                 scheduler.mark_leaving(engine, False)
