--- a/wagtailtrestle/capacity/recent_times.py
+++ b/wagtailtrestle/capacity/recent_times.py
@@ -23,7 +23,7 @@
     def __iter__(self):
         return iter(self._times)
 
-    def note(self, at):
+    def record(self, at):
         """Add the latest event."""
         self._times.append(at)
 
--- a/wagtailtrestle/capacity/retry_budget.py
+++ b/wagtailtrestle/capacity/retry_budget.py
@@ -102,7 +102,7 @@
     def spend(self, *, entry, request_id):
         """Count a retry that is granted."""
         now = self._clock()
-        self._retries_by_entry.setdefault(entry, RecentTimes()).note(now)
+        self._retries_by_entry.setdefault(entry, RecentTimes()).record(now)
         self._spent_by_id[request_id] = (entry, now)
 
     def refund(self, request_id):
@@ -114,7 +114,7 @@
 
     def record_success(self, entry):
         """Count a request that was answered whole."""
-        self._successes_by_entry.setdefault(entry, RecentTimes()).note(self._clock())
+        self._successes_by_entry.setdefault(entry, RecentTimes()).record(self._clock())
 
     def apply_history(self, entry, history):
         """Take what an entry sent and got answered since its process started; what its predecessor spent is kept."""
--- a/wagtailtrestle/entry/retry_record.py
+++ b/wagtailtrestle/entry/retry_record.py
@@ -28,7 +28,7 @@
 
     def note_retry(self, cell):
         """Count a retry that is sent."""
-        self._retries_by_cell[cell].note(self._clock())
+        self._retries_by_cell[cell].record(self._clock())
         self._forget_old(self._retries_by_cell[cell])
 
     def take_back(self, cell):
@@ -37,7 +37,7 @@
 
     def note_success(self, cell):
         """Count a request that was answered whole."""
-        self._successes_by_cell[cell].note(self._clock())
+        self._successes_by_cell[cell].record(self._clock())
         self._forget_old(self._successes_by_cell[cell])
 
     def history(self, cell):
