--- a/tests/test_begin_soon.py
+++ b/tests/test_begin_soon.py
@@ -169,18 +169,18 @@
         rate.note_full(False)
         for _ in range(100):
             now[0] += 0.1
-            rate.note(0.3)
+            rate.record(0.3)
         self.assertIsNone(rate.per_s())
         rate.note_full(True)
         for _ in range(100):
             now[0] += 0.1
-            rate.note(0.3)
+            rate.record(0.3)
         self.assertAlmostEqual(rate.per_s(), 3.0, delta=0.3)
 
     def test_it_is_not_believed_before_its_window(self):
         now = [0.0]
         rate = GrantRate(clock=lambda: now[0])
-        rate.note(1.0)
+        rate.record(1.0)
         self.assertIsNone(rate.per_s())
 
     def test_it_follows_what_is_granted(self):
@@ -188,7 +188,7 @@
         rate = GrantRate(clock=lambda: now[0])
         for _ in range(100):
             now[0] += 0.1
-            rate.note(0.3)
+            rate.record(0.3)
         self.assertAlmostEqual(rate.per_s(), 3.0, delta=0.3)
         now[0] += 5.0
         self.assertLess(rate.per_s(), 0.3)
--- a/wagtailtrestle/capacity/admission.py
+++ b/wagtailtrestle/capacity/admission.py
@@ -88,7 +88,7 @@
         self._rate_by_tier = {}
         self._at_by_tier = {}
 
-    def note(self, tier, work_s):
+    def record(self, tier, work_s):
         """Count admitted work."""
         if self._began_at is None:
             self._began_at = self._clock()
@@ -131,7 +131,7 @@
         self._seconds = 0.0
         self._at = clock()
 
-    def note(self, work_s):
+    def record(self, work_s):
         """Count a grant."""
         self._fade()
         self._work_s += work_s
@@ -247,11 +247,11 @@
 
     def admit(self, waiting: WaitingRequest):
         """Count an admitted request's work as demand of its tier."""
-        self._rates.note(waiting.request.tier, waiting.work_s)
+        self._rates.record(waiting.request.tier, waiting.work_s)
 
     def granted(self, waiting: WaitingRequest):
         """Count a grant as work that the cell took up."""
-        self._granted.note(waiting.work_s)
+        self._granted.record(waiting.work_s)
 
     def note_places(self):
         """Take in whether the cell is full; a few times within ``GRANT_WINDOW_S``."""
