--- a/wagtailtrestle/capacity/grants.py
+++ b/wagtailtrestle/capacity/grants.py
@@ -212,7 +212,7 @@
     def __init__(self):
         self._attempt_by_request_id = OrderedDict()
 
-    def note(self, request: GrantRequest):
+    def record(self, request: GrantRequest):
         """Remember that this ask is settled."""
         self._attempt_by_request_id[request.request_id] = request.attempt
         self._attempt_by_request_id.move_to_end(request.request_id)
--- a/wagtailtrestle/capacity/run_table.py
+++ b/wagtailtrestle/capacity/run_table.py
@@ -129,7 +129,7 @@
         """Free a grant's place."""
         if self.grants_by_request_id.pop(grant.request_id, None) is not None:
             self.held.remove(grant.request)
-        self.ended.note(grant.request)
+        self.ended.record(grant.request)
         engine = self.engines_by_name.get(grant.engine)
         if engine is not None:
             engine.end(grant)
--- a/wagtailtrestle/capacity/scheduler.py
+++ b/wagtailtrestle/capacity/scheduler.py
@@ -334,7 +334,7 @@
     def _on_withdraw(self, message):
         waiting = self._queue.remove(message.request_id)
         if waiting is not None:
-            self._runs.ended.note(waiting.request)
+            self._runs.ended.record(waiting.request)
         grant = self._runs.grants_by_request_id.get(message.request_id)
         if grant is not None:
             self._runs.end(grant)
@@ -535,7 +535,7 @@
             self._runs.end(grant)
 
     def _refuse(self, request, reason):
-        self._runs.ended.note(request)
+        self._runs.ended.record(request)
         refused = Refused(
             request_id=request.request_id,
             attempt=request.attempt,
