--- a/wagtailtrestle/capacity/grants.py
+++ b/wagtailtrestle/capacity/grants.py
@@ -219,6 +219,6 @@
         while len(self._attempt_by_request_id) > ENDED_KEPT:
             self._attempt_by_request_id.popitem(last=False)
 
-    def holds(self, request: GrantRequest):
+    def covers(self, request: GrantRequest):
         """Whether this ask, or a later one of the same request, is settled."""
         return request.attempt <= self._attempt_by_request_id.get(request.request_id, 0)
--- a/wagtailtrestle/capacity/scheduler.py
+++ b/wagtailtrestle/capacity/scheduler.py
@@ -301,7 +301,7 @@
         waiting = self._queue.waiting_by_request_id.get(request.request_id)
         if waiting is not None and request.attempt <= waiting.request.attempt:
             return
-        if self._runs.ended.holds(request) or (grant is not None and request.attempt < grant.request.attempt):
+        if self._runs.ended.covers(request) or (grant is not None and request.attempt < grant.request.attempt):
             return
         if grant is not None:
             self._runs.end(grant)
@@ -381,7 +381,7 @@
 
     def _on_registered_request(self, request):
         # The entry says it still waits, so an answer to this ask was lost on the way.
-        if self._runs.ended.holds(request):
+        if self._runs.ended.covers(request):
             self._consider(request)
         else:
             self._on_grant_request(request)
