--- a/wagtailtrestle/capacity/grants.py
+++ b/wagtailtrestle/capacity/grants.py
@@ -200,7 +200,7 @@
         return any(count for other, count in self._yielding_by_tier.items() if other > tier)
 
 
-class EndedAsks:
+class EndedAttempts:
     """The last asks that were settled, so that a late copy of one is recognised.
 
     A copy that comes after its request was served would wait, be granted, and hold a
--- a/wagtailtrestle/capacity/run_table.py
+++ b/wagtailtrestle/capacity/run_table.py
@@ -2,7 +2,7 @@
 
 from loguru import logger
 
-from wagtailtrestle.capacity.grants import EndedAsks, Grant, HeldByTier
+from wagtailtrestle.capacity.grants import EndedAttempts, Grant, HeldByTier
 from wagtailtrestle.contracts.outcomes import RunDone, RunLost
 from wagtailtrestle.engines.health import EngineHealth
 from wagtailtrestle.engines.output_lengths import OutputLengths
@@ -44,7 +44,7 @@
         self._declared_by_name = {}
         self.grants_by_request_id = {}
         self.held = HeldByTier()
-        self.ended = EndedAsks()
+        self.ended = EndedAttempts()
         self.lengths = OutputLengths()
         self._clock = clock
         self._health = EngineHealth()
