--- a/wagtailtrestle/capacity/grants.py
+++ b/wagtailtrestle/capacity/grants.py
@@ -4,7 +4,7 @@
 
 from wagtailtrestle.contracts.messages import GrantRequest
 
-ENDED_KEPT = 8192
+MAX_ENDED_ATTEMPTS = 8192
 """Settled asks remembered: tens of seconds at the rates of one cell."""
 
 START_SHARE = 0.7
@@ -216,7 +216,7 @@
         """Remember that this ask is settled."""
         self._attempt_by_request_id[request.request_id] = request.attempt
         self._attempt_by_request_id.move_to_end(request.request_id)
-        while len(self._attempt_by_request_id) > ENDED_KEPT:
+        while len(self._attempt_by_request_id) > MAX_ENDED_ATTEMPTS:
             self._attempt_by_request_id.popitem(last=False)
 
     def covers(self, request: GrantRequest):
