--- a/wagtailtrestle/capacity/admission.py
+++ b/wagtailtrestle/capacity/admission.py
@@ -79,12 +79,12 @@
 class ArrivalRates:
     """Engine-seconds of admitted work arriving per second, by tier, over a fading window."""
 
-    __slots__ = ("_clock", "_rate_by_tier", "_at_by_tier", "_began_at", "_noted")
+    __slots__ = ("_clock", "_rate_by_tier", "_at_by_tier", "_began_at", "_recorded")
 
     def __init__(self, *, clock):
         self._clock = clock
         self._began_at = None
-        self._noted = 0
+        self._recorded = 0
         self._rate_by_tier = {}
         self._at_by_tier = {}
 
@@ -92,7 +92,7 @@
         """Count admitted work."""
         if self._began_at is None:
             self._began_at = self._clock()
-        self._noted += 1
+        self._recorded += 1
         self._rate_by_tier[tier] = self.rate(tier) + work_s / RATE_WINDOW_S
         self._at_by_tier[tier] = self._clock()
 
@@ -107,7 +107,7 @@
 
     def early_rate_above(self, tier):
         """Present rate above, in the first seconds too, when the window is not full yet."""
-        if self._noted < MIN_RATE_REQUESTS:
+        if self._recorded < MIN_RATE_REQUESTS:
             return 0.0
         seen_s = max(MIN_RATE_EVIDENCE_S, self._clock() - self._began_at)
         return self.rate_above(tier) / (1.0 - math.exp(-seen_s / RATE_WINDOW_S))
