--- a/tests/test_begin_soon.py
+++ b/tests/test_begin_soon.py
@@ -166,12 +166,12 @@
     def test_time_beside_free_places_tells_nothing(self):
         now = [0.0]
         rate = GrantRate(clock=lambda: now[0])
-        rate.note_full(False)
+        rate.set_full(False)
         for _ in range(100):
             now[0] += 0.1
             rate.record(0.3)
         self.assertIsNone(rate.per_s())
-        rate.note_full(True)
+        rate.set_full(True)
         for _ in range(100):
             now[0] += 0.1
             rate.record(0.3)
--- a/wagtailtrestle/capacity/admission.py
+++ b/wagtailtrestle/capacity/admission.py
@@ -137,7 +137,7 @@
         self._work_s += work_s
         self._grants += 1.0
 
-    def note_full(self, is_full):
+    def set_full(self, is_full):
         """Count the time from now on, or leave it out while places are free."""
         self._fade()
         self._is_full = is_full
@@ -255,7 +255,7 @@
 
     def note_places(self):
         """Take in whether the cell is full; a few times within ``GRANT_WINDOW_S``."""
-        self._granted.note_full(not any(engine.room and not engine.rests for engine in self._engines))
+        self._granted.set_full(not any(engine.room and not engine.rests for engine in self._engines))
 
     def overflow(self) -> WaitingRequest | None:
         """Return a waiting request to give up as too many wait, or ``None``.
