--- a/wagtailtrestle/capacity/admission.py
+++ b/wagtailtrestle/capacity/admission.py
@@ -133,13 +133,13 @@
 
     def record(self, work_s):
         """Count a grant."""
-        self._fade()
+        self._decay()
         self._work_s += work_s
         self._grants += 1.0
 
     def set_full(self, is_full):
         """Count the time from now on, or leave it out while places are free."""
-        self._fade()
+        self._decay()
         self._is_full = is_full
 
     def mean_work_s(self):
@@ -148,12 +148,12 @@
 
     def per_s(self):
         """Present rate; ``None`` until the cell was full for most of a window."""
-        self._fade()
+        self._decay()
         if self._seconds < GRANT_EVIDENCE * GRANT_WINDOW_S:
             return None
         return self._work_s / self._seconds
 
-    def _fade(self):
+    def _decay(self):
         now = self._clock()
         elapsed_s = now - self._at
         self._at = now
