--- a/wagtailtrestle/capacity/admission.py
+++ b/wagtailtrestle/capacity/admission.py
@@ -253,7 +253,7 @@
         """Count a grant as work that the cell took up."""
         self._granted.record(waiting.work_s)
 
-    def note_places(self):
+    def update_occupancy(self):
         """Take in whether the cell is full; a few times within ``GRANT_WINDOW_S``."""
         self._granted.set_full(not any(engine.room and not engine.rests for engine in self._engines))
 
--- a/wagtailtrestle/capacity/scheduler.py
+++ b/wagtailtrestle/capacity/scheduler.py
@@ -262,7 +262,7 @@
         self._queue.unpark_some(MAX_UNPARKED_PER_TICK)
         self._isolation.release_for_urgent(self._runs.engines)
         self._grant_ready()
-        self._admission.note_places()
+        self._admission.update_occupancy()
         self._preempt()
 
     # What is told.
