--- a/wagtailtrestle/capacity/admission.py
+++ b/wagtailtrestle/capacity/admission.py
@@ -209,7 +209,7 @@
         From 0 (start what may just finish) to 1 (start only what surely finishes).
     """
 
-    __slots__ = ("_clock", "_queue", "_lengths", "_held", "_margin", "_rates", "_granted", "_engines", "_speed")
+    __slots__ = ("_clock", "_queue", "_lengths", "_held", "_margin", "_rates", "_grant_rate", "_engines", "_speed")
 
     def __init__(self, *, clock, queue, lengths, held, prefill_weight):
         self._margin = finish_margin(prefill_weight)
@@ -219,7 +219,7 @@
         self._clock = clock
         self._queue = queue
         self._rates = ArrivalRates(clock=clock)
-        self._granted = GrantRate(clock=clock)
+        self._grant_rate = GrantRate(clock=clock)
         self._engines = ()
 
     def set_engines(self, engines):
@@ -251,11 +251,11 @@
 
     def granted(self, waiting: WaitingRequest):
         """Count a grant as work that the cell took up."""
-        self._granted.record(waiting.work_s)
+        self._grant_rate.record(waiting.work_s)
 
     def update_occupancy(self):
         """Take in whether the cell is full; a few times within ``GRANT_WINDOW_S``."""
-        self._granted.set_full(not any(engine.room and not engine.rests for engine in self._engines))
+        self._grant_rate.set_full(not any(engine.room and not engine.rests for engine in self._engines))
 
     def overflow(self) -> WaitingRequest | None:
         """Return a waiting request to give up as too many wait, or ``None``.
@@ -308,7 +308,7 @@
         # many times its run. What it can't do is wait, and told so at once its caller loses least.
         if self._places_free(waiting.request):
             return None
-        granted_per_s = self._granted.per_s()
+        granted_per_s = self._grant_rate.per_s()
         if granted_per_s is None:
             return None
         # Right after an engine names a limit the rate of grants still tells what it took before.
@@ -388,7 +388,7 @@
         # Counted as free, the places that a rate limit leaves empty would have requests queue for them in vain.
         if not engine.rate_limit.in_force:
             return engine.health_share
-        return min(engine.health_share, engine.rate_limit.per_s() * self._granted.mean_work_s())
+        return min(engine.health_share, engine.rate_limit.per_s() * self._grant_rate.mean_work_s())
 
     def _is_limited(self):
         return any(engine.rate_limit.in_force for engine in self._engines)
