--- a/wagtailtrestle/capacity/admission.py
+++ b/wagtailtrestle/capacity/admission.py
@@ -209,7 +209,17 @@
         From 0 (start what may just finish) to 1 (start only what surely finishes).
     """
 
-    __slots__ = ("_clock", "_queue", "_lengths", "_held", "_margin", "_rates", "_grant_rate", "_engines", "_speed")
+    __slots__ = (
+        "_clock",
+        "_queue",
+        "_lengths",
+        "_held",
+        "_margin",
+        "_arrival_rates",
+        "_grant_rate",
+        "_engines",
+        "_speed",
+    )
 
     def __init__(self, *, clock, queue, lengths, held, prefill_weight):
         self._margin = finish_margin(prefill_weight)
@@ -218,7 +228,7 @@
         self._speed = CellSpeed()
         self._clock = clock
         self._queue = queue
-        self._rates = ArrivalRates(clock=clock)
+        self._arrival_rates = ArrivalRates(clock=clock)
         self._grant_rate = GrantRate(clock=clock)
         self._engines = ()
 
@@ -247,7 +257,7 @@
 
     def admit(self, waiting: WaitingRequest):
         """Count an admitted request's work as demand of its tier."""
-        self._rates.record(waiting.request.tier, waiting.work_s)
+        self._arrival_rates.record(waiting.request.tier, waiting.work_s)
 
     def granted(self, waiting: WaitingRequest):
         """Count a grant as work that the cell took up."""
@@ -314,7 +324,7 @@
         # Right after an engine names a limit the rate of grants still tells what it took before.
         granted_per_s = min(granted_per_s, self._capacity()) if self._is_limited() else granted_per_s
         tier = waiting.request.tier
-        left_per_s = granted_per_s - self._rates.rate_above(tier)
+        left_per_s = granted_per_s - self._arrival_rates.rate_above(tier)
         left_per_s = max(left_per_s, MIN_SERVICE_SHARE * granted_per_s, MIN_RATE)
         # While runs of lower tiers end, their places go to this tier first: refused now, it would see
         # the next of them go to a lower one that came after it.
@@ -371,14 +381,14 @@
 
     def _service_rate(self, tier):
         capacity = self._capacity()
-        left = capacity - self._rates.rate_above(tier)
+        left = capacity - self._arrival_rates.rate_above(tier)
         return max(left, MIN_SERVICE_SHARE * max(1.0, capacity))
 
     def _crowded(self, tier):
         # A cell that starts under overload has idle engines for a second. Long prompts of the
         # lowest tier begun then are cancelled soon for those above, and their prefill is lost.
         capacity = self._capacity()
-        return self._rates.early_rate_above(tier) > CROWDED_LOAD * capacity
+        return self._arrival_rates.early_rate_above(tier) > CROWDED_LOAD * capacity
 
     def _capacity(self):
         """Engine-seconds of work that the cell can take up a second."""
