--- a/wagtailtrestle/capacity/admission.py
+++ b/wagtailtrestle/capacity/admission.py
@@ -299,7 +299,7 @@
             return Reason.DEADLINE_UNREACHABLE
         # Parked requests wait although places are free, as no engine with room suits them. What
         # arrives behind them takes nothing from them; refused, it would find engines idle.
-        if self._places_free(request) and not self._queue.ready:
+        if self._has_free_slot(request) and not self._queue.ready:
             return None
         if self._holds_lower(request.tier):
             return None
@@ -316,7 +316,7 @@
     def _refusal_by_start(self, waiting):
         # A request that only has to begin soon is not judged by its predicted finish: its deadline is
         # many times its run. What it can't do is wait, and told so at once its caller loses least.
-        if self._places_free(waiting.request):
+        if self._has_free_slot(waiting.request):
             return None
         granted_per_s = self._grant_rate.per_s()
         if granted_per_s is None:
@@ -403,7 +403,7 @@
     def _is_limited(self):
         return any(engine.rate_limit.in_force for engine in self._engines)
 
-    def _places_free(self, request):
+    def _has_free_slot(self, request):
         return any(engine.room and not engine.rest_s(request.entry) for engine in self._engines)
 
     def _rest_s(self, request):
