--- a/wagtailtrestle/capacity/admission.py
+++ b/wagtailtrestle/capacity/admission.py
@@ -289,7 +289,7 @@
         request = waiting.request
         if not any(self._is_possible(engine, request) for engine in self._engines):
             return Reason.NO_ENGINE
-        rest_s = self._rest_s(request)
+        rest_s = self._back_off_s(request)
         if rest_s and rest_s > waiting.latest_start - self._clock():
             return Reason.OVERLOADED
         if request.first_token_within_s:
@@ -375,7 +375,7 @@
         """Time until what waits now in this tier and above would be served."""
         ahead = sum(work for tier, work in self._queue.work_by_tier().items() if tier <= request.tier)
         least_s = MIN_RETRY_AFTER_S if not request.first_token_within_s else MIN_QUICK_RETRY_S
-        wait_s = max(least_s, ahead / self._service_rate(request.tier), self._rest_s(request))
+        wait_s = max(least_s, ahead / self._service_rate(request.tier), self._back_off_s(request))
         spread = zlib.crc32(request.request_id.encode()) / 2**32
         return wait_s * (1.0 + RETRY_SPREAD * spread)
 
@@ -406,7 +406,7 @@
     def _has_free_slot(self, request):
         return any(engine.room and not engine.rest_s(request.entry) for engine in self._engines)
 
-    def _rest_s(self, request):
+    def _back_off_s(self, request):
         """Time until some engine takes a request of this entry again; 0 if one does now."""
         least_s = math.inf
         for engine in self._engines:
