--- a/wagtailtrestle/capacity/admission.py
+++ b/wagtailtrestle/capacity/admission.py
@@ -341,7 +341,9 @@
         """Whether the engine could finish it if all that may be preempted for it were gone."""
         if waiting.request.first_token_within_s:
             return True
-        held = [grant for grant in engine.grants_by_request_id.values() if not _yields(grant, waiting.request.tier)]
+        held = [
+            grant for grant in engine.grants_by_request_id.values() if not _is_preemptable(grant, waiting.request.tier)
+        ]
         predicted_s = shielded_run_s(waiting.request, engine, len(held) + 1, 0)
         return predicted_s <= tolerance(engine) * (waiting.deadline - self._clock())
 
@@ -514,5 +516,5 @@
     return 1.0 + (COLD_TOLERANCE - 1.0) * (1.0 - engine.model.confidence())
 
 
-def _yields(grant, tier):
+def _is_preemptable(grant, tier):
     return grant.request.tier > tier and grant.request.repeatable
