--- a/wagtailtrestle/capacity/preemption.py
+++ b/wagtailtrestle/capacity/preemption.py
@@ -78,7 +78,7 @@
         """Return the grants to take back for the ``waiting`` requests, which are in order."""
         usable = [engine for engine in engines if engine.limit]
         candidates = [grant for engine in usable for grant in engine.grants_by_request_id.values()]
-        candidates = [grant for grant in candidates if self._may_yield(grant)]
+        candidates = [grant for grant in candidates if self._is_preemptable(grant)]
         lowest = max((grant.request.tier for grant in candidates), default=0)
         if not any(request.request.tier < lowest for request in waiting):
             return []
@@ -87,7 +87,7 @@
             round_.place(request)
         return round_.victims
 
-    def _may_yield(self, grant):
+    def _is_preemptable(self, grant):
         return grant.request.repeatable and grant.preempted_at is None and grant.orphaned_at is None
 
     def price(self, grant, engine, now):
