--- a/wagtailtrestle/capacity/admission.py
+++ b/wagtailtrestle/capacity/admission.py
@@ -421,7 +421,7 @@
     def _holds_lower(self, tier):
         if any(rank > tier for rank in self._queue.waiting_by_tier()):
             return True
-        return self._held.any_yielding_below(tier)
+        return self._held.any_preemptable_below(tier)
 
     def _models_trusted(self):
         confidences = [engine.model.confidence() for engine in self._engines]
--- a/wagtailtrestle/capacity/grants.py
+++ b/wagtailtrestle/capacity/grants.py
@@ -195,7 +195,7 @@
         """Whether a lower tier holds a place."""
         return any(count for other, count in self._count_by_tier.items() if other > tier)
 
-    def any_yielding_below(self, tier):
+    def any_preemptable_below(self, tier):
         """Whether a lower tier holds a place that may be taken back."""
         return any(count for other, count in self._yielding_by_tier.items() if other > tier)
 
