--- a/wagtailtrestle/capacity/grants.py
+++ b/wagtailtrestle/capacity/grants.py
@@ -175,21 +175,21 @@
 class HeldByTier:
     """How many places each tier holds in a cell, so that nobody has to look through all runs for it."""
 
-    __slots__ = ("_count_by_tier", "_yielding_by_tier")
+    __slots__ = ("_count_by_tier", "_preemptable_by_tier")
 
     def __init__(self):
         self._count_by_tier = Counter()
-        self._yielding_by_tier = Counter()
+        self._preemptable_by_tier = Counter()
 
     def add(self, request: GrantRequest):
         """Count a place."""
         self._count_by_tier[request.tier] += 1
-        self._yielding_by_tier[request.tier] += request.repeatable
+        self._preemptable_by_tier[request.tier] += request.repeatable
 
     def remove(self, request: GrantRequest):
         """Count a place no more."""
         self._count_by_tier[request.tier] -= 1
-        self._yielding_by_tier[request.tier] -= request.repeatable
+        self._preemptable_by_tier[request.tier] -= request.repeatable
 
     def any_below(self, tier):
         """Whether a lower tier holds a place."""
@@ -197,7 +197,7 @@
 
     def any_preemptable_below(self, tier):
         """Whether a lower tier holds a place that may be taken back."""
-        return any(count for other, count in self._yielding_by_tier.items() if other > tier)
+        return any(count for other, count in self._preemptable_by_tier.items() if other > tier)
 
 
 class EndedAttempts:
