--- a/wagtailtrestle/capacity/admission.py
+++ b/wagtailtrestle/capacity/admission.py
@@ -301,7 +301,7 @@
         # arrives behind them takes nothing from them; refused, it would find engines idle.
         if self._has_free_slot(request) and not self._queue.ready:
             return None
-        if self._holds_lower(request.tier):
+        if self._has_lower_tier(request.tier):
             return None
         if request.attempt > MAX_ASKS and request.done_tokens:
             return Reason.PREEMPTED
@@ -418,7 +418,7 @@
                 break
         return 0.0 if least_s == math.inf else least_s
 
-    def _holds_lower(self, tier):
+    def _has_lower_tier(self, tier):
         if any(rank > tier for rank in self._queue.waiting_by_tier()):
             return True
         return self._held.any_preemptable_below(tier)
