--- a/wagtailtrestle/capacity/admission.py
+++ b/wagtailtrestle/capacity/admission.py
@@ -352,7 +352,8 @@
         if self._clock() >= waiting.choosy_until:
             return False
         return any(
-            engine.limit and not engine.rate_limit.in_force and suits_empty(waiting, engine) for engine in self._engines
+            engine.limit and not engine.rate_limit.in_force and meets_targets_when_idle(waiting, engine)
+            for engine in self._engines
         )
 
     def can_finish_now(self, waiting: WaitingRequest, engine):
@@ -440,7 +441,7 @@
     return not engine.running or not stalls_others(waiting.request, engine)
 
 
-def suits_empty(waiting, engine):
+def meets_targets_when_idle(waiting, engine):
     """The same for the engine if it had nothing to do."""
     request = waiting.request
     first_token_s = engine.model.predict_first_token_s(
