--- a/wagtailtrestle/capacity/admission.py
+++ b/wagtailtrestle/capacity/admission.py
@@ -359,7 +359,7 @@
     def can_finish_now(self, waiting: WaitingRequest, engine):
         """Whether the engine would finish it in time if it were granted there now, and those there too."""
         if waiting.request.first_token_within_s:
-            return suits(waiting, engine, now=self._clock())
+            return meets_targets(waiting, engine, now=self._clock())
         uncached = uncached_tokens(waiting.request, engine)
         if uncached > CHEAP_PROMPT_TOKENS and self._crowded(waiting.request.tier):
             return False
@@ -429,7 +429,7 @@
         return sum(confidences) >= TRUSTED_CONFIDENCE * len(confidences)
 
 
-def suits(waiting, engine, *, now):
+def meets_targets(waiting, engine, *, now):
     """Whether a request that is to begin soon begins in time on the engine, and those there don't stall."""
     first_token_s = engine.model.predict_first_token_s(
         uncached_tokens=uncached_tokens(waiting.request, engine),
