--- a/wagtailtrestle/capacity/admission.py
+++ b/wagtailtrestle/capacity/admission.py
@@ -347,7 +347,7 @@
         predicted_s = shielded_run_s(waiting.request, engine, len(held) + 1, 0)
         return predicted_s <= tolerance(engine) * (waiting.deadline - self._clock())
 
-    def waits_for_better(self, waiting: WaitingRequest):
+    def should_wait_for_suitable(self, waiting: WaitingRequest):
         """Whether a request that no free place suits had better wait for one that does, for a moment."""
         if self._clock() >= waiting.choosy_until:
             return False
--- a/wagtailtrestle/capacity/scheduler.py
+++ b/wagtailtrestle/capacity/scheduler.py
@@ -467,7 +467,11 @@
             self._grant(waiting, exposed)
             return
         suitable = self._suitable(waiting, available_engines)
-        if not suitable and waiting.request.first_token_within_s and not self._admission.waits_for_better(waiting):
+        if (
+            not suitable
+            and waiting.request.first_token_within_s
+            and not self._admission.should_wait_for_suitable(waiting)
+        ):
             suitable = available_engines
         engine = self._policy.choose(request=waiting.request, engines=suitable, now=self._clock()) if suitable else None
         if engine is not None:
