--- a/wagtailtrestle/capacity/admission.py
+++ b/wagtailtrestle/capacity/admission.py
@@ -361,7 +361,7 @@
         if waiting.request.first_token_within_s:
             return meets_targets(waiting, engine, now=self._clock())
         uncached = uncached_tokens(waiting.request, engine)
-        if uncached > CHEAP_PROMPT_TOKENS and self._crowded(waiting.request.tier):
+        if uncached > CHEAP_PROMPT_TOKENS and self._is_overloaded_above(waiting.request.tier):
             return False
         prefill_s = engine.model.prefill_s(uncached)
         if engine.would_delay(prefill_s=prefill_s, tier=waiting.request.tier):
@@ -387,7 +387,7 @@
         left = capacity - self._arrival_rates.rate_above(tier)
         return max(left, MIN_SERVICE_SHARE * max(1.0, capacity))
 
-    def _crowded(self, tier):
+    def _is_overloaded_above(self, tier):
         # A cell that starts under overload has idle engines for a second. Long prompts of the
         # lowest tier begun then are cancelled soon for those above, and their prefill is lost.
         capacity = self._capacity()
