--- a/wagtailtrestle/capacity/admission.py
+++ b/wagtailtrestle/capacity/admission.py
@@ -34,7 +34,7 @@
 RATE_WINDOW_S = 5.0
 """Time over which the arrival of work is averaged."""
 
-CROWDED_LOAD = 1.2
+OVERLOAD_ABOVE = 1.2
 """Demand of the tiers above, in multiples of the cell's capacity, at which no long prompt is begun."""
 
 GRANT_WINDOW_S = 1.5
@@ -391,7 +391,7 @@
         # A cell that starts under overload has idle engines for a second. Long prompts of the
         # lowest tier begun then are cancelled soon for those above, and their prefill is lost.
         capacity = self._capacity()
-        return self._arrival_rates.early_rate_above(tier) > CROWDED_LOAD * capacity
+        return self._arrival_rates.early_rate_above(tier) > OVERLOAD_ABOVE * capacity
 
     def _capacity(self):
         """Engine-seconds of work that the cell can take up a second."""
