--- a/wagtailtrestle/capacity/admission.py
+++ b/wagtailtrestle/capacity/admission.py
@@ -367,7 +367,7 @@
         if engine.would_delay(prefill_s=prefill_s, tier=waiting.request.tier):
             return False
         concurrency = min(max(1, engine.limit), engine.running + 1 + len(self._queue))
-        predicted_s = promised_s(waiting, engine, concurrency, engine.pending_prefill_tokens, self._margin)
+        predicted_s = conservative_run_s(waiting, engine, concurrency, engine.pending_prefill_tokens, self._margin)
         return predicted_s <= tolerance(engine) * (waiting.deadline - self._clock())
 
     def wait_s(self, waiting: WaitingRequest):
@@ -493,7 +493,7 @@
     return MIN_FINISH_MARGIN + FINISH_MARGIN_SPAN * prefill_weight
 
 
-def promised_s(waiting, engine, concurrency, pending_prefill_tokens, margin):
+def conservative_run_s(waiting, engine, concurrency, pending_prefill_tokens, margin):
     """Time to the last token that is promised, with ``margin`` as its factor.
 
     A long prompt cut short by its deadline wastes its prefill, so it is started only if
--- a/wagtailtrestle/capacity/preemption.py
+++ b/wagtailtrestle/capacity/preemption.py
@@ -9,7 +9,14 @@
 import heapq
 import itertools
 
-from wagtailtrestle.capacity.admission import MAX_ASKS, finish_margin, promised_s, run_s, tolerance, uncached_tokens
+from wagtailtrestle.capacity.admission import (
+    MAX_ASKS,
+    conservative_run_s,
+    finish_margin,
+    run_s,
+    tolerance,
+    uncached_tokens,
+)
 from wagtailtrestle.capacity.grants import Grant, WaitingRequest
 from wagtailtrestle.record import record
 
@@ -206,7 +213,9 @@
         # given goes to another, and the next round would cancel another run for it.
         if engine.name in waiting.request.excluded_engines or engine.rest_s(waiting.request.entry):
             return False
-        duration_s = promised_s(waiting, engine, engine.limit, engine.pending_prefill_tokens, self._planner.margin)
+        duration_s = conservative_run_s(
+            waiting, engine, engine.limit, engine.pending_prefill_tokens, self._planner.margin
+        )
         return free_at + duration_s <= self._now + tolerance(engine) * (waiting.deadline - self._now)
 
     def _order(self, grant, needed_s):
