--- a/wagtailtrestle/capacity/admission.py
+++ b/wagtailtrestle/capacity/admission.py
@@ -344,7 +344,7 @@
         held = [
             grant for grant in engine.grants_by_request_id.values() if not _is_preemptable(grant, waiting.request.tier)
         ]
-        predicted_s = shielded_run_s(waiting.request, engine, len(held) + 1, 0)
+        predicted_s = undisturbed_run_s(waiting.request, engine, len(held) + 1, 0)
         return predicted_s <= tolerance(engine) * (waiting.deadline - self._clock())
 
     def should_wait_for_suitable(self, waiting: WaitingRequest):
@@ -479,7 +479,7 @@
     )
 
 
-def shielded_run_s(request, engine, concurrency, pending_prefill_tokens):
+def undisturbed_run_s(request, engine, concurrency, pending_prefill_tokens):
     """Predicted seconds to the last token if no further prompt is prefilled beside it.
 
     The scheduler keeps it so where it must: see :meth:`EngineState.would_delay`.
@@ -501,7 +501,7 @@
     """
     request = waiting.request
     if uncached_tokens(request, engine) <= CHEAP_PROMPT_TOKENS:
-        return shielded_run_s(request, engine, concurrency, pending_prefill_tokens)
+        return undisturbed_run_s(request, engine, concurrency, pending_prefill_tokens)
     predicted_s = run_s(request, engine, concurrency, pending_prefill_tokens)
     unexpected_tokens = LENGTH_CAUTION * (waiting.asked_tokens - request.output_tokens)
     return margin * (predicted_s + unexpected_tokens * engine.model.pace_s(concurrency))
--- a/wagtailtrestle/capacity/isolation.py
+++ b/wagtailtrestle/capacity/isolation.py
@@ -5,7 +5,7 @@
 ends. What the engine still runs is not cancelled: its prefill is worth more than a suspect's wait.
 """
 
-from wagtailtrestle.capacity.admission import shielded_run_s, tolerance
+from wagtailtrestle.capacity.admission import tolerance, undisturbed_run_s
 from wagtailtrestle.capacity.grants import WaitingRequest
 from wagtailtrestle.capacity.team_queue import due
 from wagtailtrestle.record import record
@@ -120,7 +120,7 @@
         return self._end_s(waiting, engine) <= tolerance(engine) * (waiting.deadline - self._clock())
 
     def _end_s(self, waiting, engine):
-        return _empty_s(engine) + shielded_run_s(waiting.request, engine, 1, 0)
+        return _empty_s(engine) + undisturbed_run_s(waiting.request, engine, 1, 0)
 
 
 def _usable(waiting, engines):
