--- a/wagtailtrestle/capacity/admission.py
+++ b/wagtailtrestle/capacity/admission.py
@@ -15,7 +15,7 @@
 """A finish is promised only if it would still hold so many times later than predicted: the
 least margin where goodput alone counts, and the span more where thrown-away prefill does."""
 
-LENGTH_CAUTION = 0.7
+LENGTH_MARGIN_SHARE = 0.7
 """Part of the gap between the expected and the greatest output that a promise allows for."""
 
 CHEAP_PROMPT_TOKENS = 512
@@ -503,7 +503,7 @@
     if uncached_tokens(request, engine) <= CHEAP_PROMPT_TOKENS:
         return undisturbed_run_s(request, engine, concurrency, pending_prefill_tokens)
     predicted_s = run_s(request, engine, concurrency, pending_prefill_tokens)
-    unexpected_tokens = LENGTH_CAUTION * (waiting.asked_tokens - request.output_tokens)
+    unexpected_tokens = LENGTH_MARGIN_SHARE * (waiting.asked_tokens - request.output_tokens)
     return margin * (predicted_s + unexpected_tokens * engine.model.pace_s(concurrency))
 
 
