--- a/wagtailtrestle/capacity/admission.py
+++ b/wagtailtrestle/capacity/admission.py
@@ -18,7 +18,7 @@
 LENGTH_MARGIN_SHARE = 0.7
 """Part of the gap between the expected and the greatest output that a promise allows for."""
 
-CHEAP_PROMPT_TOKENS = 512
+SHORT_PROMPT_TOKENS = 512
 """Prompts up to this length are started without a margin."""
 
 COLD_TOLERANCE = 3.0
@@ -361,7 +361,7 @@
         if waiting.request.first_token_within_s:
             return meets_targets(waiting, engine, now=self._clock())
         uncached = uncached_tokens(waiting.request, engine)
-        if uncached > CHEAP_PROMPT_TOKENS and self._is_overloaded_above(waiting.request.tier):
+        if uncached > SHORT_PROMPT_TOKENS and self._is_overloaded_above(waiting.request.tier):
             return False
         prefill_s = engine.model.prefill_s(uncached)
         if engine.would_delay(prefill_s=prefill_s, tier=waiting.request.tier):
@@ -500,7 +500,7 @@
     it would finish with a longer answer than expected too. A short one may be tried.
     """
     request = waiting.request
-    if uncached_tokens(request, engine) <= CHEAP_PROMPT_TOKENS:
+    if uncached_tokens(request, engine) <= SHORT_PROMPT_TOKENS:
         return undisturbed_run_s(request, engine, concurrency, pending_prefill_tokens)
     predicted_s = run_s(request, engine, concurrency, pending_prefill_tokens)
     unexpected_tokens = LENGTH_MARGIN_SHARE * (waiting.asked_tokens - request.output_tokens)
