--- a/wagtailtrestle/capacity/admission.py
+++ b/wagtailtrestle/capacity/admission.py
@@ -58,7 +58,7 @@
 FIRST_TOKEN_MARGIN = 1.5
 """How many times later than predicted a first token may come and still be in time: of 1,766 runs half came
 within 1.1 times the prediction and 90 of 100 within 2.3; with more, hardly any engine would suit."""
-PIECE_TOKENS = 1024
+PREFILL_CHUNK_TOKENS = 1024
 """Prompt tokens that an engine is taken to read between two tokens of other runs."""
 
 MIN_RATE = 1e-6
@@ -458,7 +458,7 @@
     """
     if not request.pause_within_s:
         return False
-    between_tokens = min(uncached_tokens(request, engine), request.event_tokens * PIECE_TOKENS)
+    between_tokens = min(uncached_tokens(request, engine), request.event_tokens * PREFILL_CHUNK_TOKENS)
     event_s = request.event_tokens * engine.model.step_s(engine.limit) + engine.model.prefill_s(between_tokens)
     return event_s > request.pause_within_s
 
