--- a/wagtailtrestle/capacity/admission.py
+++ b/wagtailtrestle/capacity/admission.py
@@ -39,7 +39,7 @@
 
 GRANT_WINDOW_S = 1.5
 """Time over which grants are averaged: a few runs' length, so that a burst or a loss of engines shows at once."""
-GRANT_EVIDENCE = 0.6
+MIN_FULL_SHARE = 0.6
 """Part of the window in which the cell must have been full before its rate is believed."""
 START_WAIT_SHARE = 0.5
 """Part of the time to its start that a request may be predicted to wait. The prediction leaves out what
@@ -149,7 +149,7 @@
     def per_s(self):
         """Present rate; ``None`` until the cell was full for most of a window."""
         self._decay()
-        if self._seconds < GRANT_EVIDENCE * GRANT_WINDOW_S:
+        if self._seconds < MIN_FULL_SHARE * GRANT_WINDOW_S:
             return None
         return self._work_s / self._seconds
 
