--- a/wagtailtrestle/capacity/admission.py
+++ b/wagtailtrestle/capacity/admission.py
@@ -62,7 +62,7 @@
 """Prompt tokens that an engine is taken to read between two tokens of other runs."""
 
 MIN_RATE = 1e-6
-RETRY_SPREAD = 0.25
+RETRY_JITTER = 0.25
 """Retry-After is longer by up to this share, so that callers refused together don't return together."""
 
 MAX_ASKS = 5
@@ -380,7 +380,7 @@
         least_s = MIN_RETRY_AFTER_S if not request.first_token_within_s else MIN_QUICK_RETRY_S
         wait_s = max(least_s, ahead / self._service_rate(request.tier), self._back_off_s(request))
         spread = zlib.crc32(request.request_id.encode()) / 2**32
-        return wait_s * (1.0 + RETRY_SPREAD * spread)
+        return wait_s * (1.0 + RETRY_JITTER * spread)
 
     def _service_rate(self, tier):
         capacity = self._capacity()
