--- a/tests/test_begin_soon.py
+++ b/tests/test_begin_soon.py
@@ -3,7 +3,7 @@
 import unittest
 
 from tests.utils.scheduler_fakes import Cell, ask, finished
-from wagtailtrestle.capacity.admission import MIN_QUICK_RETRY_S, GrantRate
+from wagtailtrestle.capacity.admission import MIN_INTERACTIVE_RETRY_AFTER_S, GrantRate
 from wagtailtrestle.capacity.grants import START_SHARE
 from wagtailtrestle.contracts.messages import EngineNotice, Granted, Refused
 from wagtailtrestle.contracts.outcomes import Reason
@@ -95,7 +95,7 @@
         self.assertGreater(len(refused), 0.6 * len(late))
         self.assertGreater(len(at_once), 0.6 * len(refused))
         self.assertEqual(overload.last_refusal.reason, Reason.OVERLOADED)
-        self.assertGreaterEqual(overload.last_refusal.retry_after_s, MIN_QUICK_RETRY_S)
+        self.assertGreaterEqual(overload.last_refusal.retry_after_s, MIN_INTERACTIVE_RETRY_AFTER_S)
 
     def test_a_higher_tier_is_not_refused_for_what_waits_below(self):
         overload = Overload()
--- a/wagtailtrestle/capacity/admission.py
+++ b/wagtailtrestle/capacity/admission.py
@@ -52,7 +52,7 @@
 """Least share of the cell assumed to be left for a tier by those above it."""
 
 MIN_RETRY_AFTER_S = 1.0
-MIN_QUICK_RETRY_S = 0.3
+MIN_INTERACTIVE_RETRY_AFTER_S = 0.3
 """The same where a first token is hoped for within about a second: told a second, nobody could come back in time."""
 
 FIRST_TOKEN_MARGIN = 1.5
@@ -377,7 +377,7 @@
     def retry_after_s(self, request):
         """Time until what waits now in this tier and above would be served."""
         ahead = sum(work for tier, work in self._queue.work_by_tier().items() if tier <= request.tier)
-        least_s = MIN_RETRY_AFTER_S if not request.first_token_within_s else MIN_QUICK_RETRY_S
+        least_s = MIN_RETRY_AFTER_S if not request.first_token_within_s else MIN_INTERACTIVE_RETRY_AFTER_S
         wait_s = max(least_s, ahead / self._service_rate(request.tier), self._back_off_s(request))
         spread = zlib.crc32(request.request_id.encode()) / 2**32
         return wait_s * (1.0 + RETRY_JITTER * spread)
