--- a/tests/test_preemption.py
+++ b/tests/test_preemption.py
@@ -3,7 +3,7 @@
 import unittest
 
 from tests.utils.scheduler_fakes import Cell, ask, finished, register, running
-from wagtailtrestle.capacity.admission import MAX_ASKS
+from wagtailtrestle.capacity.admission import MAX_PREEMPTED_ATTEMPTS
 from wagtailtrestle.capacity.preemption import PREEMPT_TIMEOUT_S
 from wagtailtrestle.contracts.messages import Granted, Preempt, Refused, RunProgress, RunStarted
 from wagtailtrestle.contracts.outcomes import Reason
@@ -154,7 +154,7 @@
         # run that is only ever begun wastes prefill each time; its caller hears so now.
         cell = Cell()
         cell.receive(ask("a", tier=0), ask("b", tier=0))
-        cell.receive(draft("d", attempt=MAX_ASKS + 1, done_tokens=50))
+        cell.receive(draft("d", attempt=MAX_PREEMPTED_ATTEMPTS + 1, done_tokens=50))
         refused = cell.entries.of(Refused)
         self.assertEqual([(message.request_id, message.reason) for message in refused], [("d", Reason.PREEMPTED)])
 
--- a/tests/test_spec_replay.py
+++ b/tests/test_spec_replay.py
@@ -22,7 +22,7 @@
 from tests.utils.resumption_replay import ResumptionReplay
 from tests.utils.scheduler_fakes import Cell, ask, register, running
 from tests.utils.scheduling_replay import EntryReplay, SchedulerReplay
-from wagtailtrestle.capacity.admission import MAX_ASKS
+from wagtailtrestle.capacity.admission import MAX_PREEMPTED_ATTEMPTS
 from wagtailtrestle.contracts.messages import Preempt, Refused
 from wagtailtrestle.entry.request_task import MAX_NOT_SENT
 from wagtailtrestle.spec import claims, configuring, draining, freshness, resumption, scheduling
@@ -257,7 +257,7 @@
         # which should yield, goes on: `refuse` is not allowed while the scheduler knows lower work.
         cell = Cell(slots=1)
         cell.receive(ask("tag1", tier=2, remaining_s=600.0), ask("tag2", tier=2, remaining_s=600.0))
-        cell.receive(ask("report", tier=1, attempt=MAX_ASKS + 1, done_tokens=50))
+        cell.receive(ask("report", tier=1, attempt=MAX_PREEMPTED_ATTEMPTS + 1, done_tokens=50))
         self.assertEqual(cell.entries.ids(Refused), [])
 
     def test_a_new_scheduler_tells_lower_runs_to_yield(self):
--- a/wagtailtrestle/capacity/admission.py
+++ b/wagtailtrestle/capacity/admission.py
@@ -65,7 +65,7 @@
 RETRY_JITTER = 0.25
 """Retry-After is longer by up to this share, so that callers refused together don't return together."""
 
-MAX_ASKS = 5
+MAX_PREEMPTED_ATTEMPTS = 5
 """Asks after which a request that was preempted again and again is refused for good."""
 
 
@@ -303,7 +303,7 @@
             return None
         if self._has_lower_tier(request.tier):
             return None
-        if request.attempt > MAX_ASKS and request.done_tokens:
+        if request.attempt > MAX_PREEMPTED_ATTEMPTS and request.done_tokens:
             return Reason.PREEMPTED
         if not self._models_trusted():
             return None
--- a/wagtailtrestle/capacity/preemption.py
+++ b/wagtailtrestle/capacity/preemption.py
@@ -10,7 +10,7 @@
 import itertools
 
 from wagtailtrestle.capacity.admission import (
-    MAX_ASKS,
+    MAX_PREEMPTED_ATTEMPTS,
     conservative_run_s,
     finish_margin,
     run_s,
@@ -225,7 +225,7 @@
         if self._would_be_lost(grant, engine):
             price *= LOST_FACTOR
         freed_s = max(SHORT_S, min(engine.remaining_s(grant), needed_s))
-        return (-grant.request.tier, grant.request.attempt >= MAX_ASKS, price / freed_s, grant.request_id)
+        return (-grant.request.tier, grant.request.attempt >= MAX_PREEMPTED_ATTEMPTS, price / freed_s, grant.request_id)
 
     def _would_be_lost(self, grant, engine):
         uncached = uncached_tokens(grant.request, engine) + grant.output_tokens
