--- a/wagtailtrestle/capacity/admission.py
+++ b/wagtailtrestle/capacity/admission.py
@@ -274,8 +274,8 @@
         A flood could then fill the process's memory, and each tick would take longer
         than the time between two, so that engines stand idle beside a full queue.
         """
-        most_work_s = MAX_WORK_S * max(1, len(self._engines))
-        too_much_work = self._queue.work_s > most_work_s and len(self._queue) > 1
+        max_work_s = MAX_WORK_S * max(1, len(self._engines))
+        too_much_work = self._queue.work_s > max_work_s and len(self._queue) > 1
         if len(self._queue) > MAX_WAITING or too_much_work:
             return self._queue.last()
         return None
