--- a/wagtailtrestle/capacity/admission.py
+++ b/wagtailtrestle/capacity/admission.py
@@ -173,7 +173,7 @@
     engines : iterable of EngineState
     """
 
-    __slots__ = ("_prefill_s", "_decode_s", "_min_prefill_s", "_least_step_s")
+    __slots__ = ("_prefill_s", "_decode_s", "_min_prefill_s", "_min_step_s")
 
     def __init__(self, *, engines=()):
         prefills, decodes, steps = [0.0], [0.0], [0.0]
@@ -184,7 +184,7 @@
         self._prefill_s = sum(prefills) / len(prefills)
         self._decode_s = sum(decodes) / len(decodes)
         self._min_prefill_s = min(prefills)
-        self._least_step_s = min(steps)
+        self._min_step_s = min(steps)
 
     def work_s(self, request):
         """Engine-seconds that a request takes up on an engine of mean speed that holds nothing of its prompt."""
@@ -193,7 +193,7 @@
     def shortest_run_s(self, request):
         """Least seconds to its last token on the fastest engine, alone there."""
         prompt_s = (request.prompt_tokens + request.done_tokens) * self._min_prefill_s
-        return prompt_s + request.output_tokens * self._least_step_s
+        return prompt_s + request.output_tokens * self._min_step_s
 
 
 class Admission:
