--- a/wagtailtrestle/capacity/admission.py
+++ b/wagtailtrestle/capacity/admission.py
@@ -377,8 +377,8 @@
     def retry_after_s(self, request):
         """Time until what waits now in this tier and above would be served."""
         ahead = sum(work for tier, work in self._queue.work_by_tier().items() if tier <= request.tier)
-        least_s = MIN_RETRY_AFTER_S if not request.first_token_within_s else MIN_INTERACTIVE_RETRY_AFTER_S
-        wait_s = max(least_s, ahead / self._service_rate(request.tier), self._back_off_s(request))
+        min_s = MIN_RETRY_AFTER_S if not request.first_token_within_s else MIN_INTERACTIVE_RETRY_AFTER_S
+        wait_s = max(min_s, ahead / self._service_rate(request.tier), self._back_off_s(request))
         spread = zlib.crc32(request.request_id.encode()) / 2**32
         return wait_s * (1.0 + RETRY_JITTER * spread)
 
@@ -411,13 +411,13 @@
 
     def _back_off_s(self, request):
         """Time until some engine takes a request of this entry again; 0 if one does now."""
-        least_s = math.inf
+        min_s = math.inf
         for engine in self._engines:
             if not engine.leaving:
-                least_s = min(least_s, engine.rest_s(request.entry))
-            if not least_s:
+                min_s = min(min_s, engine.rest_s(request.entry))
+            if not min_s:
                 break
-        return 0.0 if least_s == math.inf else least_s
+        return 0.0 if min_s == math.inf else min_s
 
     def _has_lower_tier(self, tier):
         if any(rank > tier for rank in self._queue.waiting_by_tier()):
