--- a/tests/test_suited_engine.py
+++ b/tests/test_suited_engine.py
@@ -10,7 +10,7 @@
 import unittest
 
 from tests.utils.scheduler_fakes import Cell, ask, engine, finished
-from wagtailtrestle.capacity.grants import CHOOSY_SHARE
+from wagtailtrestle.capacity.grants import SUITABLE_ENGINE_WAIT_SHARE
 from wagtailtrestle.contracts.messages import Granted, Refused
 
 HOPED_FOR_S = 0.8
@@ -70,7 +70,7 @@
         cell = self.cell(FAST, SLOW)
         self.fill_fast(cell)
         self.ask(cell, "long", prompt_tokens=12_000)
-        cell.advance(CHOOSY_SHARE * HOPED_FOR_S + 0.1)
+        cell.advance(SUITABLE_ENGINE_WAIT_SHARE * HOPED_FOR_S + 0.1)
         self.assertEqual(self.engine_of(cell, "long"), "slow")
 
     def test_a_prompt_that_would_stall_the_streams_beside_it_waits_too(self):
--- a/wagtailtrestle/capacity/grants.py
+++ b/wagtailtrestle/capacity/grants.py
@@ -12,7 +12,7 @@
 Begun later it would disappoint, and take its place from a request that can still be in time."""
 
 
-CHOOSY_SHARE = 0.25
+SUITABLE_ENGINE_WAIT_SHARE = 0.25
 """Part of the time to the hoped-for first token within which a request waits for an engine that suits it.
 A full cell of six engines began 25 to 47 runs a second, one each 20 to 40 ms; how much longer a wait would pay was
 not measured."""
@@ -78,7 +78,7 @@
     @property
     def choosy_until(self):
         """Time until which it may wait for an engine that suits it rather than take what is free."""
-        return self.arrived_at + CHOOSY_SHARE * self.request.first_token_within_s
+        return self.arrived_at + SUITABLE_ENGINE_WAIT_SHARE * self.request.first_token_within_s
 
 
 class Grant:
