--- a/wagtailtrestle/capacity/admission.py
+++ b/wagtailtrestle/capacity/admission.py
@@ -349,7 +349,7 @@
 
     def should_wait_for_suitable(self, waiting: WaitingRequest):
         """Whether a request that no free place suits had better wait for one that does, for a moment."""
-        if self._clock() >= waiting.choosy_until:
+        if self._clock() >= waiting.wait_for_suitable_until:
             return False
         return any(
             engine.limit and not engine.rate_limit.in_force and meets_targets_when_idle(waiting, engine)
--- a/wagtailtrestle/capacity/grants.py
+++ b/wagtailtrestle/capacity/grants.py
@@ -76,7 +76,7 @@
         return min(latest, self.arrived_at + START_SHARE * within_s) if within_s else latest
 
     @property
-    def choosy_until(self):
+    def wait_for_suitable_until(self):
         """Time until which it may wait for an engine that suits it rather than take what is free."""
         return self.arrived_at + SUITABLE_ENGINE_WAIT_SHARE * self.request.first_token_within_s
 
