--- a/wagtailtrestle/capacity/preemption.py
+++ b/wagtailtrestle/capacity/preemption.py
@@ -51,7 +51,7 @@
 
 
 @record
-class _Place:
+class _Slot:
     """One place and when it is free; ``grant`` is what holds it until then."""
 
     free_at: float
@@ -135,7 +135,7 @@
             place = self._take_victim(waiting, run_s_by_engine)
         if place is not None:
             end = place.free_at + run_s_by_engine[place.engine.name]
-            self._push(_Place(free_at=end, engine=place.engine))
+            self._push(_Slot(free_at=end, engine=place.engine))
 
     def _places_of(self, engine):
         ends = sorted(
@@ -144,8 +144,8 @@
             if not self._is_silent(grant)
         )
         over = max(0, engine.running - engine.limit)
-        places = [_Place(free_at=self._now, engine=engine) for _ in range(engine.room)]
-        return places + [_Place(free_at=end, engine=engine, grant=grant) for end, _, grant in ends[over:]]
+        places = [_Slot(free_at=self._now, engine=engine) for _ in range(engine.room)]
+        return places + [_Slot(free_at=end, engine=engine, grant=grant) for end, _, grant in ends[over:]]
 
     def _end(self, grant, engine):
         if grant.preempted_at is not None:
@@ -206,7 +206,7 @@
         self._candidates = [grant for grant in self._candidates if grant is not victim]
         self.victims.append(victim)
         waiting.victims += 1
-        return _Place(free_at=free_at, engine=self._engine_by_name[victim.engine])
+        return _Slot(free_at=free_at, engine=self._engine_by_name[victim.engine])
 
     def _would_save(self, waiting, engine, free_at):
         # The same promise as at the grant: a place that the request would then not be
