--- a/wagtailtrestle/capacity/preemption.py
+++ b/wagtailtrestle/capacity/preemption.py
@@ -91,7 +91,7 @@
             return []
         round_ = _Round(planner=self, usable=usable, candidates=candidates, now=self._clock(), risk_s=self._risk_s)
         for request in waiting:
-            round_.place(request)
+            round_.assign(request)
         return round_.victims
 
     def _is_preemptable(self, grant):
@@ -127,7 +127,7 @@
             for place in self._places_of(engine):
                 self._push(place)
 
-    def place(self, waiting: WaitingRequest):
+    def assign(self, waiting: WaitingRequest):
         """Give the request the first place that comes in time, or a victim's."""
         run_s_by_engine = {engine.name: self._run_s(waiting, engine) for engine in self._engine_by_name.values()}
         place = self._take_in_time(waiting, run_s_by_engine)
