--- a/wagtailtrestle/capacity/preemption.py
+++ b/wagtailtrestle/capacity/preemption.py
@@ -124,18 +124,18 @@
         self._engine_by_name = {engine.name: engine for engine in usable}
         self._places = []
         for engine in usable:
-            for place in self._places_of(engine):
-                self._push(place)
+            for slot in self._places_of(engine):
+                self._push(slot)
 
     def assign(self, waiting: WaitingRequest):
         """Give the request the first place that comes in time, or a victim's."""
         run_s_by_engine = {engine.name: self._run_s(waiting, engine) for engine in self._engine_by_name.values()}
-        place = self._take_in_time(waiting, run_s_by_engine)
-        if place is None:
-            place = self._take_victim(waiting, run_s_by_engine)
-        if place is not None:
-            end = place.free_at + run_s_by_engine[place.engine.name]
-            self._push(_Slot(free_at=end, engine=place.engine))
+        slot = self._take_in_time(waiting, run_s_by_engine)
+        if slot is None:
+            slot = self._take_victim(waiting, run_s_by_engine)
+        if slot is not None:
+            end = slot.free_at + run_s_by_engine[slot.engine.name]
+            self._push(_Slot(free_at=end, engine=slot.engine))
 
     def _places_of(self, engine):
         ends = sorted(
@@ -155,22 +155,22 @@
     def _is_silent(self, grant):
         return grant.preempted_at is not None and self._now - grant.preempted_at > PREEMPT_TIMEOUT_S
 
-    def _push(self, place):
-        heapq.heappush(self._places, (place.free_at, next(self._sequence), place))
+    def _push(self, slot):
+        heapq.heappush(self._places, (slot.free_at, next(self._sequence), slot))
 
     def _run_s(self, waiting, engine):
         if engine.name in waiting.request.excluded_engines or engine.rest_s(waiting.request.entry):
             return float("inf")
         return run_s(waiting.request, engine, engine.limit, 0)
 
-    def _in_time(self, waiting, place, duration_s):
+    def _in_time(self, waiting, slot, duration_s):
         # A cold model may be too optimistic by as much as admission takes it to be too
         # pessimistic. Waited for to the last moment by such a prediction, a request would
         # be given its place too late, while what it could have displaced went on running.
         # A place that was taken back already is as good as another victim's would be.
-        taken_back = place.grant is not None and place.grant.preempted_at is not None
-        caution = 1.0 if taken_back else tolerance(place.engine)
-        expected = self._now + RISK_FACTOR * (place.free_at - self._now) + caution * duration_s
+        taken_back = slot.grant is not None and slot.grant.preempted_at is not None
+        caution = 1.0 if taken_back else tolerance(slot.engine)
+        expected = self._now + RISK_FACTOR * (slot.free_at - self._now) + caution * duration_s
         risk_s = self._risk_s + RISK_SHARE * (waiting.deadline - waiting.arrived_at)
         return expected + risk_s <= waiting.deadline
 
@@ -179,11 +179,11 @@
         found = None
         while self._places and found is None:
             entry = heapq.heappop(self._places)
-            place = entry[2]
-            if place.grant is not None and place.grant in self.victims:
+            slot = entry[2]
+            if slot.grant is not None and slot.grant in self.victims:
                 continue
-            if self._in_time(waiting, place, run_s_by_engine[place.engine.name]):
-                found = place
+            if self._in_time(waiting, slot, run_s_by_engine[slot.engine.name]):
+                found = slot
             else:
                 passed_over.append(entry)
         for entry in passed_over:
