--- a/wagtailtrestle/capacity/preemption.py
+++ b/wagtailtrestle/capacity/preemption.py
@@ -112,7 +112,7 @@
 class _Round:
     """One look-ahead: places by the time they free, and the victims found so far."""
 
-    __slots__ = ("victims", "_planner", "_now", "_risk_s", "_places", "_sequence", "_candidates", "_engine_by_name")
+    __slots__ = ("victims", "_planner", "_now", "_risk_s", "_slots", "_sequence", "_candidates", "_engine_by_name")
 
     def __init__(self, *, planner, usable, candidates, now, risk_s):
         self.victims = []
@@ -122,7 +122,7 @@
         self._sequence = itertools.count()
         self._candidates = candidates
         self._engine_by_name = {engine.name: engine for engine in usable}
-        self._places = []
+        self._slots = []
         for engine in usable:
             for slot in self._places_of(engine):
                 self._push(slot)
@@ -156,7 +156,7 @@
         return grant.preempted_at is not None and self._now - grant.preempted_at > PREEMPT_TIMEOUT_S
 
     def _push(self, slot):
-        heapq.heappush(self._places, (slot.free_at, next(self._sequence), slot))
+        heapq.heappush(self._slots, (slot.free_at, next(self._sequence), slot))
 
     def _run_s(self, waiting, engine):
         if engine.name in waiting.request.excluded_engines or engine.rest_s(waiting.request.entry):
@@ -177,8 +177,8 @@
     def _take_in_time(self, waiting, run_s_by_engine):
         passed_over = []
         found = None
-        while self._places and found is None:
-            entry = heapq.heappop(self._places)
+        while self._slots and found is None:
+            entry = heapq.heappop(self._slots)
             slot = entry[2]
             if slot.grant is not None and slot.grant in self.victims:
                 continue
@@ -187,7 +187,7 @@
             else:
                 passed_over.append(entry)
         for entry in passed_over:
-            heapq.heappush(self._places, entry)
+            heapq.heappush(self._slots, entry)
         return found
 
     def _take_victim(self, waiting, run_s_by_engine):
