--- a/wagtailtrestle/capacity/preemption.py
+++ b/wagtailtrestle/capacity/preemption.py
@@ -124,7 +124,7 @@
         self._engine_by_name = {engine.name: engine for engine in usable}
         self._slots = []
         for engine in usable:
-            for slot in self._places_of(engine):
+            for slot in self._slots_of(engine):
                 self._push(slot)
 
     def assign(self, waiting: WaitingRequest):
@@ -137,7 +137,7 @@
             end = slot.free_at + run_s_by_engine[slot.engine.name]
             self._push(_Slot(free_at=end, engine=slot.engine))
 
-    def _places_of(self, engine):
+    def _slots_of(self, engine):
         ends = sorted(
             (self._end(grant, engine), index, grant)
             for index, grant in enumerate(engine.grants_by_request_id.values())
