--- a/wagtailtrestle/capacity/preemption.py
+++ b/wagtailtrestle/capacity/preemption.py
@@ -47,7 +47,7 @@
 MAX_VICTIMS = 2
 """Runs cancelled for one request. If their places did not help it, no further one will."""
 
-SHORT_S = 0.05
+MIN_DURATION_S = 0.05
 
 
 @record
@@ -101,7 +101,7 @@
         """Prompt tokens thrown away if the run is cancelled now."""
         if not grant.started:
             prefill_s = engine.model.prefill_s(grant.prefill_tokens + engine.pending_prefill_tokens)
-            done = min(1.0, (now - grant.granted_at) / max(prefill_s, SHORT_S))
+            done = min(1.0, (now - grant.granted_at) / max(prefill_s, MIN_DURATION_S))
             return grant.prefill_tokens * done
         # The prompt stays for a while in that engine's cache and the run may come back to
         # it, so half of what is cached there is taken as kept.
@@ -224,7 +224,7 @@
         price = self._planner.price(grant, engine, self._now)
         if self._would_be_lost(grant, engine):
             price *= LOST_FACTOR
-        freed_s = max(SHORT_S, min(engine.remaining_s(grant), needed_s))
+        freed_s = max(MIN_DURATION_S, min(engine.remaining_s(grant), needed_s))
         return (-grant.request.tier, grant.request.attempt >= MAX_PREEMPTED_ATTEMPTS, price / freed_s, grant.request_id)
 
     def _would_be_lost(self, grant, engine):
