--- a/wagtailtrestle/capacity/preemption.py
+++ b/wagtailtrestle/capacity/preemption.py
@@ -97,7 +97,7 @@
     def _is_preemptable(self, grant):
         return grant.request.repeatable and grant.preempted_at is None and grant.orphaned_at is None
 
-    def price(self, grant, engine, now):
+    def cost(self, grant, engine, now):
         """Prompt tokens thrown away if the run is cancelled now."""
         if not grant.started:
             prefill_s = engine.model.prefill_s(grant.prefill_tokens + engine.pending_prefill_tokens)
@@ -221,11 +221,11 @@
     def _order(self, grant, needed_s):
         """Lowest tier first, then those not preempted too often, then least price per second freed."""
         engine = self._engine_by_name[grant.engine]
-        price = self._planner.price(grant, engine, self._now)
+        cost = self._planner.cost(grant, engine, self._now)
         if self._would_be_lost(grant, engine):
-            price *= LOST_FACTOR
+            cost *= LOST_FACTOR
         freed_s = max(MIN_DURATION_S, min(engine.remaining_s(grant), needed_s))
-        return (-grant.request.tier, grant.request.attempt >= MAX_PREEMPTED_ATTEMPTS, price / freed_s, grant.request_id)
+        return (-grant.request.tier, grant.request.attempt >= MAX_PREEMPTED_ATTEMPTS, cost / freed_s, grant.request_id)
 
     def _would_be_lost(self, grant, engine):
         uncached = uncached_tokens(grant.request, engine) + grant.output_tokens
