--- a/wagtailtrestle/capacity/preemption.py
+++ b/wagtailtrestle/capacity/preemption.py
@@ -23,7 +23,7 @@
 LOOK_AHEAD = 32
 """Waiting requests considered in one round."""
 
-CANCEL_S = 0.1
+CANCEL_DELAY_S = 0.1
 """Time a cancelled run's place takes to come back."""
 
 PREEMPT_TIMEOUT_S = 1.0
@@ -149,7 +149,7 @@
 
     def _end(self, grant, engine):
         if grant.preempted_at is not None:
-            return max(self._now, grant.preempted_at + CANCEL_S)
+            return max(self._now, grant.preempted_at + CANCEL_DELAY_S)
         return self._now + engine.remaining_s(grant)
 
     def _is_silent(self, grant):
@@ -191,7 +191,7 @@
         return found
 
     def _take_victim(self, waiting, run_s_by_engine):
-        free_at = self._now + CANCEL_S
+        free_at = self._now + CANCEL_DELAY_S
         if waiting.victims >= MAX_VICTIMS:
             return None
         saved = {name for name, engine in self._engine_by_name.items() if self._would_save(waiting, engine, free_at)}
@@ -235,4 +235,4 @@
             concurrency=engine.limit,
             pending_prefill_tokens=0,
         )
-        return self._now + CANCEL_S + again_s > grant.deadline
+        return self._now + CANCEL_DELAY_S + again_s > grant.deadline
