--- a/wagtailtrestle/capacity/preemption.py
+++ b/wagtailtrestle/capacity/preemption.py
@@ -29,7 +29,7 @@
 PREEMPT_TIMEOUT_S = 1.0
 """After this a preempted run that did not end is no longer counted on: its entry or engine is silent."""
 
-RISK_FACTOR = 1.25
+FREE_SLOT_DELAY_FACTOR = 1.25
 """A predicted free place may come this much later than predicted."""
 
 RISK_S = 0.1
@@ -170,7 +170,7 @@
         # A place that was taken back already is as good as another victim's would be.
         taken_back = slot.grant is not None and slot.grant.preempted_at is not None
         caution = 1.0 if taken_back else tolerance(slot.engine)
-        expected = self._now + RISK_FACTOR * (slot.free_at - self._now) + caution * duration_s
+        expected = self._now + FREE_SLOT_DELAY_FACTOR * (slot.free_at - self._now) + caution * duration_s
         risk_s = self._risk_s + RISK_SHARE * (waiting.deadline - waiting.arrived_at)
         return expected + risk_s <= waiting.deadline
 
