--- a/wagtailtrestle/capacity/preemption.py
+++ b/wagtailtrestle/capacity/preemption.py
@@ -32,7 +32,7 @@
 FREE_SLOT_DELAY_FACTOR = 1.25
 """A predicted free place may come this much later than predicted."""
 
-RISK_S = 0.1
+SAFETY_MARGIN_S = 0.1
 """Time kept in hand before a deadline, whatever is predicted."""
 
 RISK_SHARE = 0.1
@@ -79,7 +79,7 @@
     def __init__(self, *, clock, prefill_weight):
         self.margin = finish_margin(prefill_weight)
         self._clock = clock
-        self._risk_s = RISK_S + EAGER_RISK_S * (1.0 - prefill_weight)
+        self._risk_s = SAFETY_MARGIN_S + EAGER_RISK_S * (1.0 - prefill_weight)
 
     def victims(self, *, waiting, engines):
         """Return the grants to take back for the ``waiting`` requests, which are in order."""
