--- a/wagtailtrestle/capacity/preemption.py
+++ b/wagtailtrestle/capacity/preemption.py
@@ -35,7 +35,7 @@
 SAFETY_MARGIN_S = 0.1
 """Time kept in hand before a deadline, whatever is predicted."""
 
-RISK_SHARE = 0.1
+SAFETY_MARGIN_SHARE = 0.1
 """Further time kept in hand, as a share of the time from the ask to the deadline."""
 
 EAGER_RISK_S = 0.4
@@ -171,7 +171,7 @@
         taken_back = slot.grant is not None and slot.grant.preempted_at is not None
         caution = 1.0 if taken_back else tolerance(slot.engine)
         expected = self._now + FREE_SLOT_DELAY_FACTOR * (slot.free_at - self._now) + caution * duration_s
-        risk_s = self._risk_s + RISK_SHARE * (waiting.deadline - waiting.arrived_at)
+        risk_s = self._risk_s + SAFETY_MARGIN_SHARE * (waiting.deadline - waiting.arrived_at)
         return expected + risk_s <= waiting.deadline
 
     def _take_in_time(self, waiting, run_s_by_engine):
