--- a/wagtailtrestle/capacity/preemption.py
+++ b/wagtailtrestle/capacity/preemption.py
@@ -38,7 +38,7 @@
 SAFETY_MARGIN_SHARE = 0.1
 """Further time kept in hand, as a share of the time from the ask to the deadline."""
 
-EAGER_RISK_S = 0.4
+EAGER_SAFETY_MARGIN_S = 0.4
 """Further time kept in hand when goodput counts most and thrown-away prefill least."""
 
 LOST_FACTOR = 3.0
@@ -79,7 +79,7 @@
     def __init__(self, *, clock, prefill_weight):
         self.margin = finish_margin(prefill_weight)
         self._clock = clock
-        self._risk_s = SAFETY_MARGIN_S + EAGER_RISK_S * (1.0 - prefill_weight)
+        self._risk_s = SAFETY_MARGIN_S + EAGER_SAFETY_MARGIN_S * (1.0 - prefill_weight)
 
     def victims(self, *, waiting, engines):
         """Return the grants to take back for the ``waiting`` requests, which are in order."""
