--- a/wagtailtrestle/capacity/preemption.py
+++ b/wagtailtrestle/capacity/preemption.py
@@ -74,12 +74,12 @@
         Factor on a predicted finish, the same as at the grant.
     """
 
-    __slots__ = ("margin", "_clock", "_risk_s")
+    __slots__ = ("margin", "_clock", "_safety_margin_s")
 
     def __init__(self, *, clock, prefill_weight):
         self.margin = finish_margin(prefill_weight)
         self._clock = clock
-        self._risk_s = SAFETY_MARGIN_S + EAGER_SAFETY_MARGIN_S * (1.0 - prefill_weight)
+        self._safety_margin_s = SAFETY_MARGIN_S + EAGER_SAFETY_MARGIN_S * (1.0 - prefill_weight)
 
     def victims(self, *, waiting, engines):
         """Return the grants to take back for the ``waiting`` requests, which are in order."""
@@ -89,7 +89,9 @@
         lowest = max((grant.request.tier for grant in candidates), default=0)
         if not any(request.request.tier < lowest for request in waiting):
             return []
-        round_ = _Round(planner=self, usable=usable, candidates=candidates, now=self._clock(), risk_s=self._risk_s)
+        round_ = _Round(
+            planner=self, usable=usable, candidates=candidates, now=self._clock(), risk_s=self._safety_margin_s
+        )
         for request in waiting:
             round_.assign(request)
         return round_.victims
@@ -112,13 +114,22 @@
 class _Round:
     """One look-ahead: places by the time they free, and the victims found so far."""
 
-    __slots__ = ("victims", "_planner", "_now", "_risk_s", "_slots", "_sequence", "_candidates", "_engine_by_name")
+    __slots__ = (
+        "victims",
+        "_planner",
+        "_now",
+        "_safety_margin_s",
+        "_slots",
+        "_sequence",
+        "_candidates",
+        "_engine_by_name",
+    )
 
     def __init__(self, *, planner, usable, candidates, now, risk_s):
         self.victims = []
         self._planner = planner
         self._now = now
-        self._risk_s = risk_s
+        self._safety_margin_s = risk_s
         self._sequence = itertools.count()
         self._candidates = candidates
         self._engine_by_name = {engine.name: engine for engine in usable}
@@ -171,7 +182,7 @@
         taken_back = slot.grant is not None and slot.grant.preempted_at is not None
         caution = 1.0 if taken_back else tolerance(slot.engine)
         expected = self._now + FREE_SLOT_DELAY_FACTOR * (slot.free_at - self._now) + caution * duration_s
-        risk_s = self._risk_s + SAFETY_MARGIN_SHARE * (waiting.deadline - waiting.arrived_at)
+        risk_s = self._safety_margin_s + SAFETY_MARGIN_SHARE * (waiting.deadline - waiting.arrived_at)
         return expected + risk_s <= waiting.deadline
 
     def _take_in_time(self, waiting, run_s_by_engine):
