--- a/wagtailtrestle/capacity/preemption.py
+++ b/wagtailtrestle/capacity/preemption.py
@@ -90,7 +90,7 @@
         if not any(request.request.tier < lowest for request in waiting):
             return []
         round_ = _Round(
-            planner=self, usable=usable, candidates=candidates, now=self._clock(), risk_s=self._safety_margin_s
+            planner=self, usable=usable, candidates=candidates, now=self._clock(), safety_margin_s=self._safety_margin_s
         )
         for request in waiting:
             round_.assign(request)
@@ -125,11 +125,11 @@
         "_engine_by_name",
     )
 
-    def __init__(self, *, planner, usable, candidates, now, risk_s):
+    def __init__(self, *, planner, usable, candidates, now, safety_margin_s):
         self.victims = []
         self._planner = planner
         self._now = now
-        self._safety_margin_s = risk_s
+        self._safety_margin_s = safety_margin_s
         self._sequence = itertools.count()
         self._candidates = candidates
         self._engine_by_name = {engine.name: engine for engine in usable}
@@ -182,8 +182,8 @@
         taken_back = slot.grant is not None and slot.grant.preempted_at is not None
         caution = 1.0 if taken_back else tolerance(slot.engine)
         expected = self._now + FREE_SLOT_DELAY_FACTOR * (slot.free_at - self._now) + caution * duration_s
-        risk_s = self._safety_margin_s + SAFETY_MARGIN_SHARE * (waiting.deadline - waiting.arrived_at)
-        return expected + risk_s <= waiting.deadline
+        safety_margin_s = self._safety_margin_s + SAFETY_MARGIN_SHARE * (waiting.deadline - waiting.arrived_at)
+        return expected + safety_margin_s <= waiting.deadline
 
     def _take_in_time(self, waiting, run_s_by_engine):
         passed_over = []
