--- a/wagtailtrestle/capacity/preemption.py
+++ b/wagtailtrestle/capacity/preemption.py
@@ -141,7 +141,7 @@
     def assign(self, waiting: WaitingRequest):
         """Give the request the first place that comes in time, or a victim's."""
         run_s_by_engine = {engine.name: self._run_s(waiting, engine) for engine in self._engine_by_name.values()}
-        slot = self._take_in_time(waiting, run_s_by_engine)
+        slot = self._pop_slot_in_time(waiting, run_s_by_engine)
         if slot is None:
             slot = self._take_victim(waiting, run_s_by_engine)
         if slot is not None:
@@ -185,7 +185,7 @@
         safety_margin_s = self._safety_margin_s + SAFETY_MARGIN_SHARE * (waiting.deadline - waiting.arrived_at)
         return expected + safety_margin_s <= waiting.deadline
 
-    def _take_in_time(self, waiting, run_s_by_engine):
+    def _pop_slot_in_time(self, waiting, run_s_by_engine):
         passed_over = []
         found = None
         while self._slots and found is None:
