--- a/wagtailtrestle/capacity/preemption.py
+++ b/wagtailtrestle/capacity/preemption.py
@@ -143,7 +143,7 @@
         run_s_by_engine = {engine.name: self._run_s(waiting, engine) for engine in self._engine_by_name.values()}
         slot = self._pop_slot_in_time(waiting, run_s_by_engine)
         if slot is None:
-            slot = self._take_victim(waiting, run_s_by_engine)
+            slot = self._choose_victim(waiting, run_s_by_engine)
         if slot is not None:
             end = slot.free_at + run_s_by_engine[slot.engine.name]
             self._push(_Slot(free_at=end, engine=slot.engine))
@@ -201,7 +201,7 @@
             heapq.heappush(self._slots, entry)
         return found
 
-    def _take_victim(self, waiting, run_s_by_engine):
+    def _choose_victim(self, waiting, run_s_by_engine):
         free_at = self._now + CANCEL_DELAY_S
         if waiting.victims >= MAX_VICTIMS:
             return None
