--- a/wagtailtrestle/capacity/preemption.py
+++ b/wagtailtrestle/capacity/preemption.py
@@ -207,7 +207,7 @@
             return None
         saved = {name for name, engine in self._engine_by_name.items() if self._would_save(waiting, engine, free_at)}
         suited = [
-            (self._order(grant, run_s_by_engine[grant.engine]), grant)
+            (self._victim_order(grant, run_s_by_engine[grant.engine]), grant)
             for grant in self._candidates
             if grant.request.tier > waiting.request.tier and grant.engine in saved
         ]
@@ -229,7 +229,7 @@
         )
         return free_at + duration_s <= self._now + tolerance(engine) * (waiting.deadline - self._now)
 
-    def _order(self, grant, needed_s):
+    def _victim_order(self, grant, needed_s):
         """Lowest tier first, then those not preempted too often, then least price per second freed."""
         engine = self._engine_by_name[grant.engine]
         cost = self._planner.cost(grant, engine, self._now)
