--- a/wagtailtrestle/capacity/preemption.py
+++ b/wagtailtrestle/capacity/preemption.py
@@ -233,12 +233,12 @@
         """Lowest tier first, then those not preempted too often, then least price per second freed."""
         engine = self._engine_by_name[grant.engine]
         cost = self._planner.cost(grant, engine, self._now)
-        if self._would_be_lost(grant, engine):
+        if self._would_miss_deadline(grant, engine):
             cost *= LOST_FACTOR
         freed_s = max(MIN_DURATION_S, min(engine.remaining_s(grant), needed_s))
         return (-grant.request.tier, grant.request.attempt >= MAX_PREEMPTED_ATTEMPTS, cost / freed_s, grant.request_id)
 
-    def _would_be_lost(self, grant, engine):
+    def _would_miss_deadline(self, grant, engine):
         uncached = uncached_tokens(grant.request, engine) + grant.output_tokens
         again_s = engine.model.predict_finish_s(
             uncached_tokens=uncached,
