--- a/wagtailtrestle/capacity/preemption.py
+++ b/wagtailtrestle/capacity/preemption.py
@@ -41,7 +41,7 @@
 EAGER_SAFETY_MARGIN_S = 0.4
 """Further time kept in hand when goodput counts most and thrown-away prefill least."""
 
-LOST_FACTOR = 3.0
+MISSED_DEADLINE_FACTOR = 3.0
 """How many times dearer a victim is that could not be resumed in time."""
 
 MAX_VICTIMS = 2
@@ -234,7 +234,7 @@
         engine = self._engine_by_name[grant.engine]
         cost = self._planner.cost(grant, engine, self._now)
         if self._would_miss_deadline(grant, engine):
-            cost *= LOST_FACTOR
+            cost *= MISSED_DEADLINE_FACTOR
         freed_s = max(MIN_DURATION_S, min(engine.remaining_s(grant), needed_s))
         return (-grant.request.tier, grant.request.attempt >= MAX_PREEMPTED_ATTEMPTS, cost / freed_s, grant.request_id)
 
