--- a/wagtailtrestle/capacity/preemption.py
+++ b/wagtailtrestle/capacity/preemption.py
@@ -180,8 +180,8 @@
         # be given its place too late, while what it could have displaced went on running.
         # A place that was taken back already is as good as another victim's would be.
         preempted = slot.grant is not None and slot.grant.preempted_at is not None
-        caution = 1.0 if preempted else tolerance(slot.engine)
-        expected = self._now + FREE_SLOT_DELAY_FACTOR * (slot.free_at - self._now) + caution * duration_s
+        uncertainty = 1.0 if preempted else tolerance(slot.engine)
+        expected = self._now + FREE_SLOT_DELAY_FACTOR * (slot.free_at - self._now) + uncertainty * duration_s
         safety_margin_s = self._safety_margin_s + SAFETY_MARGIN_SHARE * (waiting.deadline - waiting.arrived_at)
         return expected + safety_margin_s <= waiting.deadline
 
