--- a/wagtailtrestle/capacity/preemption.py
+++ b/wagtailtrestle/capacity/preemption.py
@@ -206,14 +206,14 @@
         if waiting.victims >= MAX_VICTIMS:
             return None
         saved = {name for name, engine in self._engine_by_name.items() if self._would_save(waiting, engine, free_at)}
-        suited = [
+        eligible = [
             (self._victim_order(grant, run_s_by_engine[grant.engine]), grant)
             for grant in self._candidates
             if grant.request.tier > waiting.request.tier and grant.engine in saved
         ]
-        if not suited:
+        if not eligible:
             return None
-        victim = min(suited, key=lambda entry: entry[0])[1]
+        victim = min(eligible, key=lambda entry: entry[0])[1]
         self._candidates = [grant for grant in self._candidates if grant is not victim]
         self.victims.append(victim)
         waiting.victims += 1
