--- a/wagtailtrestle/capacity/run_table.py
+++ b/wagtailtrestle/capacity/run_table.py
@@ -134,7 +134,7 @@
         if engine is not None:
             engine.end(grant)
 
-    def of_entry(self, entry):
+    def grants_of_entry(self, entry):
         """Grants of one entry."""
         return [grant for grant in self.grants_by_request_id.values() if grant.request.entry == entry]
 
@@ -144,7 +144,7 @@
         The engines may still run what the entry dispatched; freeing those places at once
         would overfill them.
         """
-        for grant in self.of_entry(entry):
+        for grant in self.grants_of_entry(entry):
             # Where the entry dies twice, a report from between still speaks of the first one's runs.
             if grant.orphaned_at is None:
                 grant.orphaned_at = self._clock()
--- a/wagtailtrestle/capacity/scheduler.py
+++ b/wagtailtrestle/capacity/scheduler.py
@@ -357,7 +357,7 @@
             self._runs.on_notice(notice)
         running_by_id = {record.request.request_id: record for record in message.running}
         waiting_by_id = {request.request_id: request for request in message.waiting}
-        for grant in self._runs.of_entry(message.entry):
+        for grant in self._runs.grants_of_entry(message.entry):
             asked_again = waiting_by_id.get(grant.request_id)
             in_flight = asked_again is not None and asked_again.attempt == grant.request.attempt
             record = running_by_id.get(grant.request_id)
