--- a/wagtailtrestle/capacity/run_table.py
+++ b/wagtailtrestle/capacity/run_table.py
@@ -138,7 +138,7 @@
         """Grants of one entry."""
         return [grant for grant in self.grants_by_request_id.values() if grant.request.entry == entry]
 
-    def orphan(self, entry):
+    def mark_orphaned(self, entry):
         """Keep what a dead entry's runs hold until a report shows them gone.
 
         The engines may still run what the entry dispatched; freeing those places at once
--- a/wagtailtrestle/capacity/scheduler.py
+++ b/wagtailtrestle/capacity/scheduler.py
@@ -580,7 +580,7 @@
     def _drop_entry(self, entry):
         for waiting in self._waiting_of(entry):
             self._queue.remove(waiting.request_id)
-        self._runs.orphan(entry)
+        self._runs.mark_orphaned(entry)
 
     def _recover_after_pause(self):
         if self._registration.detect_pause():
