--- a/wagtailtrestle/capacity/run_table.py
+++ b/wagtailtrestle/capacity/run_table.py
@@ -78,7 +78,7 @@
         states = {}
         for name, declared in by_name.items():
             state = self.engines_by_name.get(name)
-            if state is not None and self._tells_new_start(declared, state):
+            if state is not None and self._shows_restart(declared, state):
                 self._forget(state)
                 state = None
             states[name] = state or EngineState(declared=declared, clock=self._clock)
@@ -87,7 +87,7 @@
         self.engines_by_name = states
         self._health.set_engines(states)
 
-    def _tells_new_start(self, declared, state):
+    def _shows_restart(self, declared, state):
         # A list may be older than the report by which a start is known already.
         return declared.start_ms not in (state.start_ms, self._declared_by_name[state.name].start_ms)
 
