--- a/wagtailtrestle/capacity/run_table.py
+++ b/wagtailtrestle/capacity/run_table.py
@@ -79,7 +79,7 @@
         for name, declared in by_name.items():
             state = self.engines_by_name.get(name)
             if state is not None and self._shows_restart(declared, state):
-                self._forget(state)
+                self._discard_state(state)
                 state = None
             states[name] = state or EngineState(declared=declared, clock=self._clock)
             states[name].declare(declared)
@@ -91,7 +91,7 @@
         # A list may be older than the report by which a start is known already.
         return declared.start_ms not in (state.start_ms, self._declared_by_name[state.name].start_ms)
 
-    def _forget(self, state):
+    def _discard_state(self, state):
         # Runs of before would hold places that are free, for as long as their entries take to notice
         # silent connections. Runs begun since the start that are let go with them show as load that
         # nobody explains in the engine's next report.
@@ -163,7 +163,7 @@
 
     def _started_again(self, state, start_ms):
         """Begin anew with an engine whose report is the first to tell of its start."""
-        self._forget(state)
+        self._discard_state(state)
         fresh = EngineState(declared=self._declared_by_name[state.name], clock=self._clock)
         fresh.start_ms = start_ms
         self.engines_by_name[state.name] = fresh
