--- a/wagtailtrestle/capacity/run_table.py
+++ b/wagtailtrestle/capacity/run_table.py
@@ -156,12 +156,12 @@
             return False  # Unknown, or a word of before its last start that was late on its way.
         started_again = report.start_ms > engine.start_ms
         if started_again:
-            engine = self._started_again(engine, report.start_ms)
+            engine = self._replace_restarted(engine, report.start_ms)
         for grant in engine.report(report):
             self.end(grant)
         return started_again
 
-    def _started_again(self, state, start_ms):
+    def _replace_restarted(self, state, start_ms):
         """Begin anew with an engine whose report is the first to tell of its start."""
         self._discard_state(state)
         fresh = EngineState(declared=self._declared_by_name[state.name], clock=self._clock)
