--- a/wagtailtrestle/capacity/run_table.py
+++ b/wagtailtrestle/capacity/run_table.py
@@ -154,12 +154,12 @@
         engine = self.engines_by_name.get(report.engine)
         if engine is None or 0 < report.start_ms < engine.start_ms:
             return False  # Unknown, or a word of before its last start that was late on its way.
-        started_again = report.start_ms > engine.start_ms
-        if started_again:
+        restarted = report.start_ms > engine.start_ms
+        if restarted:
             engine = self._replace_restarted(engine, report.start_ms)
         for grant in engine.report(report):
             self.end(grant)
-        return started_again
+        return restarted
 
     def _replace_restarted(self, state, start_ms):
         """Begin anew with an engine whose report is the first to tell of its start."""
