--- a/wagtailtrestle/capacity/run_table.py
+++ b/wagtailtrestle/capacity/run_table.py
@@ -215,10 +215,10 @@
         # A place given back unused, told by no duration, says nothing about the engine.
         if message.duration_s > 0.0 and engine is not None:
             self._health.on_outcome(message.engine, message.result, self._clock())
-            self._learn(message, grant, engine)
+            self._update_models(message, grant, engine)
         self.end(grant)
 
-    def _learn(self, message, grant, engine):
+    def _update_models(self, message, grant, engine):
         if message.result == RunLost.__name__:
             engine.cache.clear()
         if message.result != RunDone.__name__:
