--- a/wagtailtrestle/capacity/tier_queue.py
+++ b/wagtailtrestle/capacity/tier_queue.py
@@ -70,14 +70,14 @@
 
     def push(self, waiting: WaitingRequest):
         """Add a request; it must not be waiting already."""
-        self._hold(waiting)
+        self._add(waiting)
         self._watch_latest_start(waiting)
         heapq.heappush(self._team(waiting).tail, (-due(waiting), -next(self._sequence), waiting))
         self._order(waiting)
 
     def push_isolated(self, waiting: WaitingRequest):
         """Add a request that only :meth:`take` serves, as it needs more than a place."""
-        self._hold(waiting)
+        self._add(waiting)
         self._watch_latest_start(waiting)
         self.isolated_by_request_id[waiting.request_id] = waiting
 
@@ -116,7 +116,7 @@
         team = self._team(waiting)
         self._set_virtual_start(team, waiting, team.virtual_start - waiting.work_s / self._share(team.name))
         waiting.tried_engines = tried_engines
-        self._hold(waiting)
+        self._add(waiting)
         self._parked_by_request_id[waiting.request_id] = waiting
         self._parked_by_tried.setdefault(tried_engines, {})[waiting.request_id] = waiting
 
@@ -227,7 +227,7 @@
     def _watch_latest_start(self, waiting):
         heapq.heappush(self._latest_start_heap, (waiting.latest_start, next(self._sequence), waiting))
 
-    def _hold(self, waiting):
+    def _add(self, waiting):
         self.waiting_by_request_id[waiting.request_id] = waiting
         self._team(waiting).count(waiting)
 
