--- a/wagtailtrestle/capacity/tier_queue.py
+++ b/wagtailtrestle/capacity/tier_queue.py
@@ -73,7 +73,7 @@
         self._add(waiting)
         self._watch_latest_start(waiting)
         heapq.heappush(self._team(waiting).tail, (-due(waiting), -next(self._sequence), waiting))
-        self._order(waiting)
+        self._enqueue(waiting)
 
     def push_isolated(self, waiting: WaitingRequest):
         """Add a request that only :meth:`take` serves, as it needs more than a place."""
@@ -231,7 +231,7 @@
         self.waiting_by_request_id[waiting.request_id] = waiting
         self._team(waiting).count(waiting)
 
-    def _order(self, waiting):
+    def _enqueue(self, waiting):
         team = self._team(waiting)
         heapq.heappush(team.heap, (due(waiting), next(self._sequence), waiting))
         if team.ticket is None:
@@ -244,7 +244,7 @@
     def _unpark(self, waiting):
         self._forget_parked(waiting.request_id)
         waiting.tried_engines = frozenset()
-        self._order(waiting)
+        self._enqueue(waiting)
 
     def _forget_parked(self, request_id):
         waiting = self._parked_by_request_id.pop(request_id, None)
