--- a/wagtailtrestle/capacity/tier_queue.py
+++ b/wagtailtrestle/capacity/tier_queue.py
@@ -239,7 +239,7 @@
             # it did not ask for, or its first burst would stop every other team.
             tier = self._tiers_by_rank[waiting.request.tier]
             team.virtual_start = max(team.virtual_start, tier.virtual_time)
-            self._enter(tier, team)
+            self._activate_team(tier, team)
 
     def _unpark(self, waiting):
         self._forget_parked(waiting.request_id)
@@ -255,14 +255,14 @@
         if not parked_by_id:
             del self._parked_by_tried[waiting.tried_engines]
 
-    def _enter(self, tier, team):
+    def _activate_team(self, tier, team):
         team.ticket = next(self._sequence)
         heapq.heappush(tier.heap, (team.virtual_start, team.ticket, team))
 
     def _set_virtual_start(self, team, waiting, virtual_start):
         team.virtual_start = virtual_start
         if team.ticket is not None:
-            self._enter(self._tiers_by_rank[waiting.request.tier], team)
+            self._activate_team(self._tiers_by_rank[waiting.request.tier], team)
 
     def _pop_tier(self, tier):
         while tier.heap:
@@ -276,7 +276,7 @@
             tier.virtual_time = max(tier.virtual_time, virtual_start)
             team.virtual_start = virtual_start + waiting.work_s / self._share(team.name)
             if team.heap:
-                self._enter(tier, team)
+                self._activate_team(tier, team)
             self.remove(waiting.request_id)
             return waiting
         return None
