--- a/wagtailtrestle/capacity/tier_queue.py
+++ b/wagtailtrestle/capacity/tier_queue.py
@@ -71,14 +71,14 @@
     def push(self, waiting: WaitingRequest):
         """Add a request; it must not be waiting already."""
         self._add(waiting)
-        self._watch_latest_start(waiting)
+        self._track_latest_start(waiting)
         heapq.heappush(self._team(waiting).tail, (-due(waiting), -next(self._sequence), waiting))
         self._enqueue(waiting)
 
     def push_isolated(self, waiting: WaitingRequest):
         """Add a request that only :meth:`take` serves, as it needs more than a place."""
         self._add(waiting)
-        self._watch_latest_start(waiting)
+        self._track_latest_start(waiting)
         self.isolated_by_request_id[waiting.request_id] = waiting
 
     def pop_isolated(self, waiting: WaitingRequest):
@@ -224,7 +224,7 @@
             team = tier.teams_by_name[name] = TeamQueue(name=name)
         return team
 
-    def _watch_latest_start(self, waiting):
+    def _track_latest_start(self, waiting):
         heapq.heappush(self._latest_start_heap, (waiting.latest_start, next(self._sequence), waiting))
 
     def _add(self, waiting):
