--- a/wagtailtrestle/capacity/isolation.py
+++ b/wagtailtrestle/capacity/isolation.py
@@ -102,7 +102,7 @@
         if self._reserved is not None:
             return isolated_by_id[self._reserved.kept_for]
         waiting = min(isolated_by_id.values(), key=lambda each: (each.request.tier, due(each)))
-        return None if self._queue.waits_above(waiting.request.tier) else waiting
+        return None if self._queue.any_waiting_above(waiting.request.tier) else waiting
 
     def _engine_for(self, waiting, engines):
         usable = [engine for engine in _usable(waiting, engines) if self._in_time(waiting, engine)]
--- a/wagtailtrestle/capacity/tier_queue.py
+++ b/wagtailtrestle/capacity/tier_queue.py
@@ -190,7 +190,7 @@
         fair = sum(min(other.work_s, own * self._share(other.name) / share) for other in others)
         return above + own + fair
 
-    def waits_above(self, rank):
+    def any_waiting_above(self, rank):
         """Whether something of a higher tier waits."""
         return any(self._tiers_by_rank[other].count() for other in self._ranks if other < rank)
 
