--- a/wagtailtrestle/capacity/tier_queue.py
+++ b/wagtailtrestle/capacity/tier_queue.py
@@ -93,7 +93,7 @@
         """Take a request out, wherever it stands; ``None`` if it is not waiting."""
         waiting = self.waiting_by_request_id.pop(request_id, None)
         if waiting is not None:
-            self._forget_parked(request_id)
+            self._remove_parked(request_id)
             self.isolated_by_request_id.pop(request_id, None)
             team = self._team(waiting)
             team.discount(waiting)
@@ -242,11 +242,11 @@
             self._activate_team(tier, team)
 
     def _unpark(self, waiting):
-        self._forget_parked(waiting.request_id)
+        self._remove_parked(waiting.request_id)
         waiting.tried_engines = frozenset()
         self._enqueue(waiting)
 
-    def _forget_parked(self, request_id):
+    def _remove_parked(self, request_id):
         waiting = self._parked_by_request_id.pop(request_id, None)
         if waiting is None:
             return
