--- a/wagtailtrestle/capacity/scheduler.py
+++ b/wagtailtrestle/capacity/scheduler.py
@@ -259,7 +259,7 @@
         self._retries_used_up = not self._may_retry()
         for waiting in self._queue.pop_expired(self._clock()):
             self._refuse(waiting.request, Reason.OVERLOADED)
-        self._queue.unpark_some(MAX_UNPARKED_PER_TICK)
+        self._queue.unpark_oldest(MAX_UNPARKED_PER_TICK)
         self._isolation.release_for_urgent(self._runs.engines)
         self._grant_ready()
         self._admission.update_occupancy()
--- a/wagtailtrestle/capacity/tier_queue.py
+++ b/wagtailtrestle/capacity/tier_queue.py
@@ -126,7 +126,7 @@
             for waiting in list(self._parked_by_tried[tried_engines].values()):
                 self._unpark(waiting)
 
-    def unpark_some(self, count):
+    def unpark_oldest(self, count):
         """Let the ``count`` requests parked longest be tried again on every engine."""
         for waiting in list(itertools.islice(self._parked_by_request_id.values(), count)):
             self._unpark(waiting)
