--- a/wagtailtrestle/capacity/team_queue.py
+++ b/wagtailtrestle/capacity/team_queue.py
@@ -89,7 +89,7 @@
         slot = _slot(waiting)
         self.work_by_slot[slot] = self.work_by_slot.get(slot, 0.0) + waiting.work_s
 
-    def discount(self, waiting):
+    def remove_from_totals(self, waiting):
         """Take a request out of the sums."""
         self.waiting -= 1
         self.work_s -= waiting.work_s
--- a/wagtailtrestle/capacity/tier_queue.py
+++ b/wagtailtrestle/capacity/tier_queue.py
@@ -96,7 +96,7 @@
             self._remove_parked(request_id)
             self.isolated_by_request_id.pop(request_id, None)
             team = self._team(waiting)
-            team.discount(waiting)
+            team.remove_from_totals(waiting)
             team.compact(is_ready=self._is_ready, is_waiting=self._is_waiting)
         return waiting
 
