--- a/tests/test_tier_queue.py
+++ b/tests/test_tier_queue.py
@@ -5,7 +5,7 @@
 
 from tests.utils.scheduler_fakes import ask
 from wagtailtrestle.capacity.grants import WaitingRequest
-from wagtailtrestle.capacity.team_queue import AGEING, COMPACT_ABOVE
+from wagtailtrestle.capacity.team_queue import AGEING_FACTOR, COMPACT_ABOVE
 from wagtailtrestle.capacity.tier_queue import TierQueue
 
 
@@ -129,7 +129,7 @@
         for arrived_at in range(0, 100, 10):
             queue.push(waiting(f"q{arrived_at}", arrived_at=float(arrived_at), work_s=0.1))
         order = pop_all(queue, 11)
-        self.assertEqual(order.index("report"), 10.0 * AGEING / 10.0)
+        self.assertEqual(order.index("report"), 10.0 * AGEING_FACTOR / 10.0)
 
     def test_urgent_goes_first(self):
         queue = TierQueue()
