--- a/wagtailtrestle/capacity/team_queue.py
+++ b/wagtailtrestle/capacity/team_queue.py
@@ -6,7 +6,7 @@
 AGEING_FACTOR = 4.0
 """Seconds of later arrivals that may overtake a request, for each second of its work."""
 
-URGENT_S = 0.5
+URGENT_MARGIN_S = 0.5
 """A request goes first once this little is left to its latest start."""
 
 COMPACT_ABOVE = 64
@@ -18,7 +18,7 @@
 
 def due(waiting):
     """Time by which a waiting request is to be served, as its order among its team's."""
-    return min(waiting.arrived_at + AGEING_FACTOR * waiting.work_s, waiting.latest_start - URGENT_S)
+    return min(waiting.arrived_at + AGEING_FACTOR * waiting.work_s, waiting.latest_start - URGENT_MARGIN_S)
 
 
 def _slot(waiting):
