--- a/wagtailtrestle/capacity/isolation.py
+++ b/wagtailtrestle/capacity/isolation.py
@@ -7,7 +7,7 @@
 
 from wagtailtrestle.capacity.admission import tolerance, undisturbed_run_s
 from wagtailtrestle.capacity.grants import WaitingRequest
-from wagtailtrestle.capacity.team_queue import due
+from wagtailtrestle.capacity.team_queue import due_time
 from wagtailtrestle.record import record
 
 MAX_SUSPECTS = 16
@@ -101,7 +101,7 @@
         isolated_by_id = self._queue.isolated_by_request_id
         if self._reserved is not None:
             return isolated_by_id[self._reserved.kept_for]
-        waiting = min(isolated_by_id.values(), key=lambda each: (each.request.tier, due(each)))
+        waiting = min(isolated_by_id.values(), key=lambda each: (each.request.tier, due_time(each)))
         return None if self._queue.any_waiting_above(waiting.request.tier) else waiting
 
     def _engine_for(self, waiting, engines):
--- a/wagtailtrestle/capacity/team_queue.py
+++ b/wagtailtrestle/capacity/team_queue.py
@@ -16,13 +16,13 @@
 """Width of the slots of due time over which waiting work is summed."""
 
 
-def due(waiting):
+def due_time(waiting):
     """Time by which a waiting request is to be served, as its order among its team's."""
     return min(waiting.arrived_at + AGEING_FACTOR * waiting.work_s, waiting.latest_start - URGENT_MARGIN_S)
 
 
 def _slot(waiting):
-    return math.floor(due(waiting) / SLOT_S)
+    return math.floor(due_time(waiting) / SLOT_S)
 
 
 class TeamQueue:
--- a/wagtailtrestle/capacity/tier_queue.py
+++ b/wagtailtrestle/capacity/tier_queue.py
@@ -12,7 +12,7 @@
 import itertools
 
 from wagtailtrestle.capacity.grants import WaitingRequest
-from wagtailtrestle.capacity.team_queue import TeamQueue, Tier, due
+from wagtailtrestle.capacity.team_queue import TeamQueue, Tier, due_time
 
 DEFAULT_SHARE = 1.0
 
@@ -72,7 +72,7 @@
         """Add a request; it must not be waiting already."""
         self._add(waiting)
         self._track_latest_start(waiting)
-        heapq.heappush(self._team(waiting).tail, (-due(waiting), -next(self._sequence), waiting))
+        heapq.heappush(self._team(waiting).tail, (-due_time(waiting), -next(self._sequence), waiting))
         self._enqueue(waiting)
 
     def push_isolated(self, waiting: WaitingRequest):
@@ -160,7 +160,7 @@
         for rank in self._ranks:
             tier = self._tiers_by_rank[rank]
             parked = sorted(
-                (due(waiting), index, waiting)
+                (due_time(waiting), index, waiting)
                 for index, waiting in enumerate(self._parked_by_request_id.values())
                 if waiting.request.tier == rank
             )
@@ -233,7 +233,7 @@
 
     def _enqueue(self, waiting):
         team = self._team(waiting)
-        heapq.heappush(team.heap, (due(waiting), next(self._sequence), waiting))
+        heapq.heappush(team.heap, (due_time(waiting), next(self._sequence), waiting))
         if team.ticket is None:
             # A team that was idle starts at the tier's present: it has no claim on what
             # it did not ask for, or its first burst would stop every other team.
