--- a/tests/test_tier_queue.py
+++ b/tests/test_tier_queue.py
@@ -50,7 +50,7 @@
             queue.push(waiting(f"r{number}", deadline=number + 2.0))
             queue.pop_expired(float(number))
         team = queue._tiers_by_rank[1].teams_by_name["socios"]
-        self.assertLess(max(len(team.heap), len(team.tail)), 3 * COMPACT_ABOVE)
+        self.assertLess(max(len(team.heap), len(team.eviction_heap)), 3 * COMPACT_ABOVE)
 
     def test_the_lowest_tier_and_the_team_that_floods_it_are_given_up_first(self):
         queue = TierQueue(share_by_team={"bitacora": 4.0})
--- a/wagtailtrestle/capacity/team_queue.py
+++ b/wagtailtrestle/capacity/team_queue.py
@@ -42,12 +42,12 @@
         Requests that wait, parked ones included, and their engine-seconds.
     """
 
-    __slots__ = ("name", "heap", "tail", "virtual_start", "ticket", "waiting", "work_s", "work_by_slot")
+    __slots__ = ("name", "heap", "eviction_heap", "virtual_start", "ticket", "waiting", "work_s", "work_by_slot")
 
     def __init__(self, *, name):
         self.name = name
         self.heap = []
-        self.tail = []
+        self.eviction_heap = []
         self.virtual_start = 0.0
         self.ticket = None
         self.waiting = 0
@@ -64,9 +64,9 @@
 
     def last(self, is_waiting):
         """Look at the request due last, parked or not; ``None`` if none waits."""
-        while self.tail and not is_waiting(self.tail[0][2]):
-            heapq.heappop(self.tail)
-        return self.tail[0][2] if self.tail else None
+        while self.eviction_heap and not is_waiting(self.eviction_heap[0][2]):
+            heapq.heappop(self.eviction_heap)
+        return self.eviction_heap[0][2] if self.eviction_heap else None
 
     def compact(self, *, is_ready, is_waiting):
         """Drop the entries of removed requests once they are the greater part.
@@ -78,9 +78,9 @@
         if len(self.heap) > most:
             self.heap = [entry for entry in self.heap if is_ready(entry[2])]
             heapq.heapify(self.heap)
-        if len(self.tail) > most:
-            self.tail = [entry for entry in self.tail if is_waiting(entry[2])]
-            heapq.heapify(self.tail)
+        if len(self.eviction_heap) > most:
+            self.eviction_heap = [entry for entry in self.eviction_heap if is_waiting(entry[2])]
+            heapq.heapify(self.eviction_heap)
 
     def count(self, waiting):
         """Add a request to the sums."""
--- a/wagtailtrestle/capacity/tier_queue.py
+++ b/wagtailtrestle/capacity/tier_queue.py
@@ -72,7 +72,7 @@
         """Add a request; it must not be waiting already."""
         self._add(waiting)
         self._track_latest_start(waiting)
-        heapq.heappush(self._team(waiting).tail, (-due_time(waiting), -next(self._sequence), waiting))
+        heapq.heappush(self._team(waiting).eviction_heap, (-due_time(waiting), -next(self._sequence), waiting))
         self._enqueue(waiting)
 
     def push_isolated(self, waiting: WaitingRequest):
