--- a/tests/test_tier_queue.py
+++ b/tests/test_tier_queue.py
@@ -60,7 +60,7 @@
             queue.push(waiting(f"large{number}", team="bitacora", work_s=2.0))
         queue.park(queue.pop(), tried_engines=frozenset({"e1"}))
         given_up = []
-        while (last := queue.last()) is not None:
+        while (peek_last := queue.peek_last()) is not None:
             given_up.append(last.request_id)
             queue.remove(last.request_id)
         self.assertEqual(given_up[:2], ["flood2", "flood1"])
--- a/wagtailtrestle/capacity/admission.py
+++ b/wagtailtrestle/capacity/admission.py
@@ -277,7 +277,7 @@
         max_work_s = MAX_WORK_S * max(1, len(self._engines))
         too_much_work = self._queue.work_s > max_work_s and len(self._queue) > 1
         if len(self._queue) > MAX_WAITING or too_much_work:
-            return self._queue.last()
+            return self._queue.peek_last()
         return None
 
     def refusal(self, waiting: WaitingRequest):
--- a/wagtailtrestle/capacity/team_queue.py
+++ b/wagtailtrestle/capacity/team_queue.py
@@ -62,7 +62,7 @@
                 return waiting
         return None
 
-    def last(self, is_waiting):
+    def peek_last(self, is_waiting):
         """Look at the request due last, parked or not; ``None`` if none waits."""
         while self.eviction_heap and not is_waiting(self.eviction_heap[0][2]):
             heapq.heappop(self.eviction_heap)
--- a/wagtailtrestle/capacity/tier_queue.py
+++ b/wagtailtrestle/capacity/tier_queue.py
@@ -131,7 +131,7 @@
         for waiting in list(itertools.islice(self._parked_by_request_id.values(), count)):
             self._unpark(waiting)
 
-    def last(self):
+    def peek_last(self):
         """Look at the request to give up first: lowest tier, most work for its share, due last.
 
         The team that floods its tier pays for it, and requests set aside are left out.
@@ -139,7 +139,7 @@
         for rank in reversed(self._ranks):
             teams = [team for team in self._tiers_by_rank[rank].teams_by_name.values() if team.waiting]
             for team in sorted(teams, key=lambda team: -team.work_s / self._share(team.name)):
-                waiting = team.last(self._is_waiting)
+                waiting = team.peek_last(self._is_waiting)
                 if waiting is not None:
                     return waiting
         return None
