--- a/wagtailtrestle/capacity/team_queue.py
+++ b/wagtailtrestle/capacity/team_queue.py
@@ -12,7 +12,7 @@
 COMPACT_ABOVE = 64
 """Entries of removed requests that a heap may hold beyond as many as wait."""
 
-SLOT_S = 0.25
+BUCKET_S = 0.25
 """Width of the slots of due time over which waiting work is summed."""
 
 
@@ -22,7 +22,7 @@
 
 
 def _slot(waiting):
-    return math.floor(due_time(waiting) / SLOT_S)
+    return math.floor(due_time(waiting) / BUCKET_S)
 
 
 class TeamQueue:
