--- a/wagtailtrestle/capacity/team_queue.py
+++ b/wagtailtrestle/capacity/team_queue.py
@@ -21,7 +21,7 @@
     return min(waiting.arrived_at + AGEING_FACTOR * waiting.work_s, waiting.latest_start - URGENT_MARGIN_S)
 
 
-def _slot(waiting):
+def _bucket(waiting):
     return math.floor(due_time(waiting) / BUCKET_S)
 
 
@@ -86,14 +86,14 @@
         """Add a request to the sums."""
         self.waiting += 1
         self.work_s += waiting.work_s
-        slot = _slot(waiting)
+        slot = _bucket(waiting)
         self.work_by_slot[slot] = self.work_by_slot.get(slot, 0.0) + waiting.work_s
 
     def remove_from_totals(self, waiting):
         """Take a request out of the sums."""
         self.waiting -= 1
         self.work_s -= waiting.work_s
-        slot = _slot(waiting)
+        slot = _bucket(waiting)
         left = self.work_by_slot[slot] - waiting.work_s
         if not self.waiting:
             # What rounding left over would otherwise add up for ever.
@@ -106,7 +106,7 @@
 
     def work_ahead_s(self, waiting):
         """Engine-seconds of the team's requests that are due before this one, or with it."""
-        slot = _slot(waiting)
+        slot = _bucket(waiting)
         return sum(work for other, work in self.work_by_slot.items() if other <= slot)
 
 
