--- a/wagtailtrestle/capacity/team_queue.py
+++ b/wagtailtrestle/capacity/team_queue.py
@@ -86,28 +86,28 @@
         """Add a request to the sums."""
         self.waiting += 1
         self.work_s += waiting.work_s
-        slot = _bucket(waiting)
-        self.work_by_slot[slot] = self.work_by_slot.get(slot, 0.0) + waiting.work_s
+        bucket = _bucket(waiting)
+        self.work_by_slot[bucket] = self.work_by_slot.get(bucket, 0.0) + waiting.work_s
 
     def remove_from_totals(self, waiting):
         """Take a request out of the sums."""
         self.waiting -= 1
         self.work_s -= waiting.work_s
-        slot = _bucket(waiting)
-        left = self.work_by_slot[slot] - waiting.work_s
+        bucket = _bucket(waiting)
+        left = self.work_by_slot[bucket] - waiting.work_s
         if not self.waiting:
             # What rounding left over would otherwise add up for ever.
             self.work_s = 0.0
             self.work_by_slot.clear()
         elif left <= 0.0:
-            self.work_by_slot.pop(slot)
+            self.work_by_slot.pop(bucket)
         else:
-            self.work_by_slot[slot] = left
+            self.work_by_slot[bucket] = left
 
     def work_ahead_s(self, waiting):
         """Engine-seconds of the team's requests that are due before this one, or with it."""
-        slot = _bucket(waiting)
-        return sum(work for other, work in self.work_by_slot.items() if other <= slot)
+        bucket = _bucket(waiting)
+        return sum(work for other, work in self.work_by_slot.items() if other <= bucket)
 
 
 class Tier:
