--- a/wagtailtrestle/capacity/team_queue.py
+++ b/wagtailtrestle/capacity/team_queue.py
@@ -42,7 +42,7 @@
         Requests that wait, parked ones included, and their engine-seconds.
     """
 
-    __slots__ = ("name", "heap", "eviction_heap", "virtual_start", "ticket", "waiting", "work_s", "work_by_slot")
+    __slots__ = ("name", "heap", "eviction_heap", "virtual_start", "ticket", "waiting", "work_s", "work_by_bucket")
 
     def __init__(self, *, name):
         self.name = name
@@ -52,7 +52,7 @@
         self.ticket = None
         self.waiting = 0
         self.work_s = 0.0
-        self.work_by_slot = {}
+        self.work_by_bucket = {}
 
     def pop_first(self, is_ready):
         """Take the request due first; ``None`` if none is ready."""
@@ -87,27 +87,27 @@
         self.waiting += 1
         self.work_s += waiting.work_s
         bucket = _bucket(waiting)
-        self.work_by_slot[bucket] = self.work_by_slot.get(bucket, 0.0) + waiting.work_s
+        self.work_by_bucket[bucket] = self.work_by_bucket.get(bucket, 0.0) + waiting.work_s
 
     def remove_from_totals(self, waiting):
         """Take a request out of the sums."""
         self.waiting -= 1
         self.work_s -= waiting.work_s
         bucket = _bucket(waiting)
-        left = self.work_by_slot[bucket] - waiting.work_s
+        left = self.work_by_bucket[bucket] - waiting.work_s
         if not self.waiting:
             # What rounding left over would otherwise add up for ever.
             self.work_s = 0.0
-            self.work_by_slot.clear()
+            self.work_by_bucket.clear()
         elif left <= 0.0:
-            self.work_by_slot.pop(bucket)
+            self.work_by_bucket.pop(bucket)
         else:
-            self.work_by_slot[bucket] = left
+            self.work_by_bucket[bucket] = left
 
     def work_ahead_s(self, waiting):
         """Engine-seconds of the team's requests that are due before this one, or with it."""
         bucket = _bucket(waiting)
-        return sum(work for other, work in self.work_by_slot.items() if other <= bucket)
+        return sum(work for other, work in self.work_by_bucket.items() if other <= bucket)
 
 
 class Tier:
