--- a/wagtailtrestle/capacity/team_queue.py
+++ b/wagtailtrestle/capacity/team_queue.py
@@ -74,11 +74,11 @@
         A starved tier is never popped: without this, every request that expired in it
         would stay in the heaps for as long as the overload lasts, and memory would grow.
         """
-        most = COMPACT_ABOVE + 2 * self.waiting
-        if len(self.heap) > most:
+        limit = COMPACT_ABOVE + 2 * self.waiting
+        if len(self.heap) > limit:
             self.heap = [entry for entry in self.heap if is_ready(entry[2])]
             heapq.heapify(self.heap)
-        if len(self.eviction_heap) > most:
+        if len(self.eviction_heap) > limit:
             self.eviction_heap = [entry for entry in self.eviction_heap if is_waiting(entry[2])]
             heapq.heapify(self.eviction_heap)
 
