--- a/wagtailtrestle/capacity/scheduler.py
+++ b/wagtailtrestle/capacity/scheduler.py
@@ -358,8 +358,8 @@
         running_by_id = {record.request.request_id: record for record in message.running}
         waiting_by_id = {request.request_id: request for request in message.waiting}
         for grant in self._runs.grants_of_entry(message.entry):
-            asked_again = waiting_by_id.get(grant.request_id)
-            in_flight = asked_again is not None and asked_again.attempt == grant.request.attempt
+            waiting_request = waiting_by_id.get(grant.request_id)
+            in_flight = waiting_request is not None and waiting_request.attempt == grant.request.attempt
             record = running_by_id.get(grant.request_id)
             held = record is not None and record.engine == grant.engine
             if not in_flight and not held:
