--- a/tests/test_begin_soon.py
+++ b/tests/test_begin_soon.py
@@ -8,7 +8,7 @@
 from wagtailtrestle.contracts.messages import EngineNotice, Granted, Refused
 from wagtailtrestle.contracts.outcomes import Reason
 
-HOPED_FOR_S = 1.0
+TARGET_FIRST_TOKEN_S = 1.0
 RUN_S = 1.1
 TOKENS = 100
 
@@ -31,7 +31,9 @@
         request_id = f"q{self._number}"
         self.asked_at[request_id] = self.cell.clock.now
         tokens = {"prompt_tokens": self._tokens, "output_tokens": self._tokens}
-        self.cell.receive(ask(request_id, tier=tier, first_token_within_s=HOPED_FOR_S, remaining_s=15.0, **tokens))
+        self.cell.receive(
+            ask(request_id, tier=tier, first_token_within_s=TARGET_FIRST_TOKEN_S, remaining_s=15.0, **tokens)
+        )
         self._note()
         return request_id
 
@@ -69,8 +71,8 @@
         # Both places are taken for longer than the caller hopes to wait for its first token. Held to
         # its deadline it would get its answer late, in a place that another could have used in time.
         cell = Cell(slots=2)
-        cell.receive(ask("a"), ask("b"), ask("c", first_token_within_s=HOPED_FOR_S, remaining_s=15.0))
-        cell.advance(START_SHARE * HOPED_FOR_S - 0.1)
+        cell.receive(ask("a"), ask("b"), ask("c", first_token_within_s=TARGET_FIRST_TOKEN_S, remaining_s=15.0))
+        cell.advance(START_SHARE * TARGET_FIRST_TOKEN_S - 0.1)
         self.assertEqual(cell.entries.ids(Refused), [])
         cell.advance(0.3)
         self.assertEqual(cell.entries.ids(Refused), ["c"])
--- a/tests/test_large_cell.py
+++ b/tests/test_large_cell.py
@@ -14,7 +14,7 @@
 
 ENGINES = 78
 SLOTS = 2
-HOPED_FOR_S = 0.8
+TARGET_FIRST_TOKEN_S = 0.8
 CONVERSATION = (11, 12)
 PART_TOKENS = (500, 5000)
 
@@ -30,7 +30,7 @@
         self.cell.scheduler.tick()
 
     def ask(self, request_id, **changes):
-        settings = {"prompt_tokens": 6000, "remaining_s": 12.0, "first_token_within_s": HOPED_FOR_S} | changes
+        settings = {"prompt_tokens": 6000, "remaining_s": 12.0, "first_token_within_s": TARGET_FIRST_TOKEN_S} | changes
         self.cell.receive(ask(request_id, **settings))
 
     def engine_of(self, request_id):
--- a/tests/test_suited_engine.py
+++ b/tests/test_suited_engine.py
@@ -13,7 +13,7 @@
 from wagtailtrestle.capacity.grants import SUITABLE_ENGINE_WAIT_SHARE
 from wagtailtrestle.contracts.messages import Granted, Refused
 
-HOPED_FOR_S = 0.8
+TARGET_FIRST_TOKEN_S = 0.8
 PAUSE_S = 0.2
 EVENT_TOKENS = 3
 
@@ -41,7 +41,7 @@
                 request_id,
                 prompt_tokens=prompt_tokens,
                 remaining_s=12.0,
-                first_token_within_s=HOPED_FOR_S,
+                first_token_within_s=TARGET_FIRST_TOKEN_S,
                 pause_within_s=PAUSE_S,
                 event_tokens=EVENT_TOKENS,
             )
@@ -70,7 +70,7 @@
         cell = self.cell(FAST, SLOW)
         self.fill_fast(cell)
         self.ask(cell, "long", prompt_tokens=12_000)
-        cell.advance(SUITABLE_ENGINE_WAIT_SHARE * HOPED_FOR_S + 0.1)
+        cell.advance(SUITABLE_ENGINE_WAIT_SHARE * TARGET_FIRST_TOKEN_S + 0.1)
         self.assertEqual(self.engine_of(cell, "long"), "slow")
 
     def test_a_prompt_that_would_stall_the_streams_beside_it_waits_too(self):
