--- a/tests/test_begin_soon.py
+++ b/tests/test_begin_soon.py
@@ -34,7 +34,7 @@
         self.cell.receive(
             ask(request_id, tier=tier, first_token_within_s=TARGET_FIRST_TOKEN_S, remaining_s=15.0, **tokens)
         )
-        self._note()
+        self._apply_messages()
         return request_id
 
     def run(self, seconds, *, per_s, tier=1):
@@ -50,9 +50,9 @@
                 del self._ends[request_id]
                 message = finished(request_id, on=engine, duration_s=self._run_s, output_tokens=self._tokens)
                 self.cell.receive(message)
-        self._note()
+        self._apply_messages()
 
-    def _note(self):
+    def _apply_messages(self):
         now = self.cell.clock.now
         for message in self.cell.entries.sent:
             if isinstance(message, Granted):
