--- a/tests/test_crash_signs.py
+++ b/tests/test_crash_signs.py
@@ -15,7 +15,7 @@
         self.cell = Cell(engines=("e1",), slots=4, members=("r1", "r2"))
         self.cell.receive(register("r1"), register("r2"), ask("a"), ask("b", entry="r2"))
 
-    def told(self):
+    def notified_engines(self):
         return [message.engine for message in self.cell.entries.of(EngineDown)]
 
     # Guards against a crash that is taken for a broken connection, since each router had one run on the engine.
@@ -23,14 +23,14 @@
         self.cell.receive(finished("a", result="RunCut"))
         self.cell.scheduler.on_unreachable("e1")
         self.cell.scheduler.on_unreachable("e1")
-        self.assertEqual(self.told(), ["e1"])
+        self.assertEqual(self.notified_engines(), ["e1"])
 
     # Guards against runs that are blamed for an engine which went down long after it had cut them, or beside them.
     def test_who_lost_no_run_lately_hears_nothing(self):
         self.cell.receive(finished("a", result="RunCut"), finished("b"))
         self.cell.advance(DOWN_WINDOW_S + 0.1)
         self.cell.scheduler.on_unreachable("e1")
-        self.assertEqual(self.told(), [])
+        self.assertEqual(self.notified_engines(), [])
 
 
 class EntryTest(unittest.TestCase):
