--- a/tests/test_crash_signs.py
+++ b/tests/test_crash_signs.py
@@ -40,9 +40,9 @@
             table=CrashTable(clock=self.clock), detector=CrashDetector(clock=self.clock), broadcast=lambda report: None
         )
 
-    def cut(self, engine, body="poison", *, told_after_s=1.0):
+    def cut(self, engine, body="poison", *, notified_after_s=1.0):
         self.crashes.note(engine=engine, body_digest=body, outcome=RunCut(detail="cut", reached=True), was_sent=False)
-        self.clock.now += told_after_s
+        self.clock.now += notified_after_s
         self.crashes.note_down(engine)
         self.clock.now += SAME_CRASH_S
 
@@ -57,7 +57,7 @@
         for number in range(CRASH_LIMIT):
             self.crashes.note_down(f"e{number}")
             self.crashes.note(engine=f"e{number}", body_digest="sound", outcome=RunDone(), was_sent=False)
-            self.cut(f"e{number}", "sound", told_after_s=TOLD_WINDOW_S + 1.0)
+            self.cut(f"e{number}", "sound", notified_after_s=TOLD_WINDOW_S + 1.0)
         self.assertFalse(self.crashes.blocked("sound"))
 
 
