--- a/tests/test_tier_queue.py
+++ b/tests/test_tier_queue.py
@@ -59,12 +59,12 @@
             queue.push(waiting(f"flood{number}", team="socios", work_s=1.0 + number))
             queue.push(waiting(f"large{number}", team="bitacora", work_s=2.0))
         queue.park(queue.pop(), tried_engines=frozenset({"e1"}))
-        given_up = []
+        evicted = []
         while (peek_last := queue.peek_last()) is not None:
-            given_up.append(last.request_id)
+            evicted.append(last.request_id)
             queue.remove(last.request_id)
-        self.assertEqual(given_up[:2], ["flood2", "flood1"])
-        self.assertEqual((len(given_up), given_up[-1]), (7, "high"))
+        self.assertEqual(evicted[:2], ["flood2", "flood1"])
+        self.assertEqual((len(evicted), evicted[-1]), (7, "high"))
 
 
 class FairSharesTest(unittest.TestCase):
