--- a/tests/test_engine_restart.py
+++ b/tests/test_engine_restart.py
@@ -11,8 +11,8 @@
 from tests.utils.scheduler_fakes import Cell, ask, engine, report
 from wagtailtrestle.contracts.messages import Granted
 
-BORN = 1_781_425_589_000
-LATER = BORN + 5_000
+FIRST_START_MS = 1_781_425_589_000
+LATER = FIRST_START_MS + 5_000
 
 
 def declared(start_ms, *, leaving=False):
@@ -25,7 +25,7 @@
 class EngineRestartTest(unittest.TestCase):
     def setUp(self):
         self.cell = Cell(engines=())
-        self.put(declared(BORN))
+        self.put(declared(FIRST_START_MS))
         self.cell.receive(ask("a", prefix_blocks=(1, 2, 3)), ask("b"))
         self.assertEqual(self.granted(), ["a", "b"])
 
@@ -52,13 +52,13 @@
         self.report(LATER)
         self.assertEqual(self.granted(), ["a", "b", "c"])
         # The list that follows tells of the same start, and of one before while it lags.
-        self.put(declared(BORN))
+        self.put(declared(FIRST_START_MS))
         self.put(declared(LATER))
         self.assertEqual(self.state().running, 1)
 
     def test_nothing_of_before_holds(self):
         self.cell.measure()
-        self.report(BORN, running=2, waiting=7, leaving=True)
+        self.report(FIRST_START_MS, running=2, waiting=7, leaving=True)
         self.assertTrue(self.state().leaving)
         self.assertGreater(self.state().cache.cached_tokens((1, 2, 3)), 0)
         self.put(declared(LATER))
@@ -69,7 +69,7 @@
 
     def test_a_late_report_of_before_is_not_believed(self):
         self.put(declared(LATER))
-        self.report(BORN, running=2, waiting=5)
+        self.report(FIRST_START_MS, running=2, waiting=5)
         self.assertEqual(self.state().phantom, 0)
         self.report(0, running=1)
         self.assertEqual(self.state().phantom, 1)
@@ -82,7 +82,7 @@
         self.assertEqual(self.granted(), ["a", "b"])
 
     def test_the_same_start_again_changes_nothing(self):
-        self.put(declared(BORN, leaving=True))
+        self.put(declared(FIRST_START_MS, leaving=True))
         self.assertEqual(self.state().running, 2)
 
 
