--- a/tests/test_engine_restart.py
+++ b/tests/test_engine_restart.py
@@ -25,11 +25,11 @@
 class EngineRestartTest(unittest.TestCase):
     def setUp(self):
         self.cell = Cell(engines=())
-        self.put(declared(FIRST_START_MS))
+        self.set_engine(declared(FIRST_START_MS))
         self.cell.receive(ask("a", prefix_blocks=(1, 2, 3)), ask("b"))
         self.assertEqual(self.granted(), ["a", "b"])
 
-    def put(self, declared_engine):
+    def set_engine(self, declared_engine):
         self.cell.scheduler.set_engines({"e1": declared_engine})
 
     def granted(self):
@@ -44,7 +44,7 @@
     def test_its_places_are_free_once_its_entry_tells(self):
         self.cell.receive(ask("c"), ask("d"))
         self.assertEqual(self.granted(), ["a", "b"])
-        self.put(declared(SECOND_START_MS))
+        self.set_engine(declared(SECOND_START_MS))
         self.assertEqual(self.granted(), ["a", "b", "c", "d"])
 
     def test_its_report_may_be_the_first_to_tell(self):
@@ -52,8 +52,8 @@
         self.report(SECOND_START_MS)
         self.assertEqual(self.granted(), ["a", "b", "c"])
         # The list that follows tells of the same start, and of one before while it lags.
-        self.put(declared(FIRST_START_MS))
-        self.put(declared(SECOND_START_MS))
+        self.set_engine(declared(FIRST_START_MS))
+        self.set_engine(declared(SECOND_START_MS))
         self.assertEqual(self.state().running, 1)
 
     def test_nothing_of_before_holds(self):
@@ -61,14 +61,14 @@
         self.report(FIRST_START_MS, running=2, waiting=7, leaving=True)
         self.assertTrue(self.state().leaving)
         self.assertGreater(self.state().cache.cached_tokens((1, 2, 3)), 0)
-        self.put(declared(SECOND_START_MS))
+        self.set_engine(declared(SECOND_START_MS))
         state = self.state()
         self.assertEqual((state.leaving, state.phantom, state.running), (False, 0, 0))
         self.assertEqual(state.cache.cached_tokens((1, 2, 3)), 0)
         self.assertEqual(state.model.confidence(), 0.0)
 
     def test_a_late_report_of_before_is_not_believed(self):
-        self.put(declared(SECOND_START_MS))
+        self.set_engine(declared(SECOND_START_MS))
         self.report(FIRST_START_MS, running=2, waiting=5)
         self.assertEqual(self.state().phantom, 0)
         self.report(0, running=1)
@@ -76,13 +76,13 @@
 
     def test_runs_begun_since_the_start_show_as_load(self):
         # They were let go with the rest; the engine's own count keeps it from being overfilled.
-        self.put(declared(SECOND_START_MS))
+        self.set_engine(declared(SECOND_START_MS))
         self.report(SECOND_START_MS, running=2)
         self.cell.receive(ask("c"))
         self.assertEqual(self.granted(), ["a", "b"])
 
     def test_the_same_start_again_changes_nothing(self):
-        self.put(declared(FIRST_START_MS, leaving=True))
+        self.set_engine(declared(FIRST_START_MS, leaving=True))
         self.assertEqual(self.state().running, 2)
 
 
