--- a/tests/test_retry_budget.py
+++ b/tests/test_retry_budget.py
@@ -23,12 +23,12 @@
     def setUp(self):
         self.clock = Clock()
         self.budget = self.make()
-        self.settle()
+        self.fill_window()
 
     def make(self):
         return RetryBudget(clock=self.clock, limits=lambda: self.LIMITS)
 
-    def settle(self):
+    def fill_window(self):
         """Let the scheduler serve for so long that it knows all of the window."""
         self.clock.now += 2 * RETRY_WINDOW_S
 
