--- a/wagtailtrestle/capacity/preemption.py
+++ b/wagtailtrestle/capacity/preemption.py
@@ -186,7 +186,7 @@
         return expected + safety_margin_s <= waiting.deadline
 
     def _pop_slot_in_time(self, waiting, run_s_by_engine):
-        skipped = []
+        passed_over = []
         found = None
         while self._slots and found is None:
             entry = heapq.heappop(self._slots)
@@ -196,8 +196,8 @@
             if self._in_time(waiting, slot, run_s_by_engine[slot.engine.name]):
                 found = slot
             else:
-                skipped.append(entry)
-        for entry in skipped:
+                passed_over.append(entry)
+        for entry in passed_over:
             heapq.heappush(self._slots, entry)
         return found
 
