--- a/wagtailtrestle/capacity/scheduler.py
+++ b/wagtailtrestle/capacity/scheduler.py
@@ -1,8 +1,8 @@
-"""Capacity of one cell: grants places on its engines in order of tier, refuses, preempts.
+"""Scheduler of one cell: grants slots on its engines in order of tier, refuses requests and preempts runs.
 
-All state is soft: it is the sum of what entries hold. A grant is capacity, never identity,
-so a scheduler that is wrong, late or doubled can fill an engine too far or too little but
-can't make a request run twice.
+All state is soft and can be rebuilt from what entries hold. A grant conveys capacity, not the right to run a
+request, so a scheduler that is wrong, late or duplicated can overfill or underfill an engine but can't make a
+request run twice.
 """
 
 import itertools
@@ -34,19 +34,19 @@
 from wagtailtrestle.entry.cells import CellDigest
 
 MAX_TRIES_PER_ROUND = 128
-"""Waiting requests tried in one round, so that no message costs unbounded time."""
+"""Limit of waiting requests tried in one round, so that handling a message takes bounded time."""
 
 MAX_COMPARED = 12
-"""Engines compared for one request, and as many more that hold half of its prompt's parts: those with room, in order
-of their pace. Comparing all of 78 took most of the scheduler's processor time, four fifths of 2.4 ms a request, and
-served callers no better on days of load."""
+"""Engines with free slots compared for one request, fastest first, and as many more that have half of its prompt in
+their cache. Comparing all of 78 engines took four fifths of the scheduler's 2.4 ms of processor time per request,
+without serving callers better under load."""
 
 MAX_UNPARKED_PER_TICK = 32
-"""Parked requests tried again at each tick, as predictions change with time."""
+"""Parked requests retried at each tick, because predictions change over time."""
 
 
 class Scheduler:
-    """Admission of one cell.
+    """Grants, refuses and preempts the requests of one cell.
 
     Parameters
     ----------
@@ -55,13 +55,13 @@
     clock : callable
         Returns the loop's time in seconds.
     entries : EntryLink
-        Carries answers back.
+        Carries the answers to entries.
     prefill_weight : float
-        From 0 (goodput by tier) to 1 (no prefill thrown away).
+        From 0 (maximise goodput by tier) to 1 (discard no prefill).
     runs_outlive_routers : bool
-        Whether engines go on with the runs of a router that died, and report them.
+        Whether engines continue the runs of a router that died, and report them.
     retry_limits : callable
-        Returns the present ``RetryLimits`` of this cell.
+        Returns the current ``RetryLimits`` of this cell.
     """
 
     __slots__ = (
@@ -135,10 +135,10 @@
             EngineNotice: self._runs.on_notice,
         }
 
-    # What is declared and seen.
+    # Declarations and observations.
 
     def set_engines(self, by_name):
-        """Put the declared engines of this cell in force; what is known of kept ones stays."""
+        """Apply the declared engines of this cell; the state of those already known is kept."""
         self._runs.declare(by_name)
         self._crash_signs.retain_engines(by_name)
         self._runs.reserve(self._reserved)
@@ -148,13 +148,13 @@
         self._grant_ready()
 
     def set_rollout(self, rollout, reserved):
-        """Have a roll-out, or ``None``, send requests to engines that are held back from all others.
+        """Apply a rollout, or ``None``, that sends requests to engines reserved for it.
 
         Parameters
         ----------
         rollout : Rollout or None
         held_back : frozenset of str
-            Names of engines.
+            Names of the reserved engines.
         """
         self._rollout = rollout
         if reserved == self._reserved:
@@ -165,28 +165,28 @@
         self._grant_ready()
 
     def runs_by_version(self):
-        """How many runs the engines of each version hold."""
+        """Count the runs on the engines of each version."""
         counts = Counter()
         for engine in self._runs.engines:
             counts[engine.version] += engine.running
         return counts
 
     def set_teams(self, share_by_name):
-        """Put the declared shares of teams in force."""
+        """Apply the declared shares of teams."""
         self._queue.set_shares(share_by_name)
 
     def expect_orphans(self):
-        """Begin with what the engines themselves report: a router died lately, whose runs nobody registers."""
+        """Grant by engines' own reports at first: a router died recently, and no entry registers its runs."""
         self._registration.expect_orphans()
 
     def resume(self):
-        """Begin anew: this router is scheduler again, after another one was."""
+        """Discard what was known: this router is scheduler again after another router was."""
         self._registration.resume()
         self._retries.begin()
         self._runs.discard_reports()
 
     def set_members(self, entries):
-        """Take in the live view of routers; what those that left hold is let go."""
+        """Apply the current view of routers; waiting requests of departed ones are dropped, their runs orphaned."""
         departed = self._members - frozenset(entries)
         self._members = frozenset(entries)
         self._entries_using_other_scheduler &= self._members
@@ -200,18 +200,18 @@
 
     @property
     def awaited_entries(self):
-        """Members whose registration is awaited; whoever can ask them to register may do so."""
+        """Members whose registration is awaited, so that they can be asked to register."""
         return self._registration.awaited if self._registration.recovering else frozenset()
 
     def on_load_report(self, report):
-        """Correct an engine's account by its own report."""
+        """Correct an engine's run counts by its own report."""
         if self._runs.on_load_report(report):
             self._runs.reserve(self._reserved)
             self._admission.set_engines(self._runs.usable_engines)
         self._grant_ready()
 
     def on_cache_events(self, events):
-        """Correct what an engine's prefix cache is believed to hold by its own, late, word."""
+        """Correct the assumed content of an engine's prefix cache by its own, delayed, events."""
         engine = self._runs.engines_by_name.get(events.engine)
         if engine is None:
             return
@@ -221,7 +221,10 @@
         engine.cache.stored(events.stored)
 
     def on_unreachable(self, engine):
-        """Grant nothing on an engine that does not answer, until it reports again."""
+        """Grant nothing on an engine that does not answer until it reports again.
+
+        Entries whose runs it cut recently are notified that it is down.
+        """
         state = self._runs.engines_by_name.get(engine)
         if state is not None:
             state.mark_unreachable()
@@ -229,26 +232,26 @@
             self._entries.send(entry=entry, message=EngineDown(engine=engine))
 
     def mark_leaving(self, engine, leaving=True):
-        """Grant nothing more on this engine, or again if the platform's list takes it back."""
+        """Grant nothing more on a draining engine, or again if the platform's list clears the mark."""
         state = self._runs.engines_by_name.get(engine)
         if state is not None:
             state.mark_leaving(leaving)
 
     def stop_granting(self):
-        """Grant nothing more: the router is draining and another will be scheduler."""
+        """Grant nothing more: this router is draining and another one becomes scheduler."""
         self._granting = False
 
-    # What drives it.
+    # Events.
 
     def receive(self, message):
-        """Act on one message of an entry."""
+        """Process one message of an entry."""
         self._recover_after_pause()
         self._handlers_by_type[type(message)](message)
         if not isinstance(message, RunStarted | RunProgress):
             self._grant_ready()
 
     def tick(self):
-        """Sweep deadlines, preempt, and grant what has become possible; about every 50 ms."""
+        """Expire requests, preempt, and grant what has become possible; called about every 50 ms."""
         self._recover_after_pause()
         self._log.log_recovery()
         self._runs.tick()
@@ -265,10 +268,10 @@
         self._admission.update_occupancy()
         self._preempt()
 
-    # What is told.
+    # Reporting.
 
     def digest(self):
-        """Summary by which entries choose between cells."""
+        """Return the summary by which entries choose between cells."""
         waiting_by_tier = self._queue.waiting_by_tier()
         tiers = [grant.request.tier for grant in self._runs.grants_by_request_id.values()] + list(waiting_by_tier)
         return CellDigest(
@@ -278,7 +281,7 @@
         )
 
     def dump(self):
-        """Return a plain view of everything held, for the state dump."""
+        """Return plain data for the state dump."""
         return {
             "cell": self.cell,
             "granting": self._granting,
@@ -340,12 +343,12 @@
             self._runs.end(grant)
 
     def _on_register(self, message):
-        # An entry that has not heard of the former scheduler's death yet says that it holds nothing here.
-        # Were it no longer awaited, engines would be filled beside the runs that it tells of a moment later.
+        # An entry that does not know yet that the previous scheduler died registers with no runs here. It is still
+        # awaited afterwards: otherwise engines would be overfilled beside the runs it registers a moment later.
         if message.elsewhere:
-            # Its runs go on, though another scheduler counts them now. Were their places free here, entries that
-            # have not heard of the change yet got second runs on them: 29 on an engine of 16 places were seen, and
-            # what waits in an engine's queue can't be moved. A report shows when they are gone.
+            # The entry's runs continue, but another scheduler counts them now. If their slots were freed here, entries
+            # that do not know of the change yet would get second runs on them: 29 runs on an engine of 16 slots were
+            # seen, and a run in an engine's queue can't be moved. A load report shows when the runs have ended.
             self._entries_using_other_scheduler.add(message.entry)
             self._retries.retain_successes(self._members - self._entries_using_other_scheduler)
             self._drop_entry(message.entry)
@@ -373,14 +376,14 @@
             self._on_registered_request(request)
 
     def _end_unless_orphaned(self, grant):
-        # A router that was started again registers without what its predecessor had sent to engines, and these go on
-        # with it. Were the places free at once, runs granted there would wait in the engine's queue, up to their
-        # deadline. A report shows when the runs are gone; where engines report nothing, the router's word decides.
+        # A restarted router registers without the runs of its previous process, which engines continue. If their slots
+        # were freed immediately, runs granted there would wait in the engine's queue, up to their deadline. A load
+        # report shows when the runs have ended; where engines report nothing, the router's registration decides.
         if grant.orphaned_at is None or not self._runs_outlive_routers:
             self._runs.end(grant)
 
     def _on_registered_request(self, request):
-        # The entry says it still waits, so an answer to this ask was lost on the way.
+        # The entry still waits, so the answer to this request was lost.
         if self._runs.ended.covers(request):
             self._consider(request)
         else:
@@ -443,7 +446,7 @@
             available_engines = self._available_engines()
 
     def _serve_suspects(self):
-        # Until every entry registered, what runs on an engine is not known, so none is known empty.
+        # Until every entry has registered, runs on an engine may be unknown, so no engine counts as empty.
         if self._registration.recovering:
             return
         while (step := self._isolation.next(self._runs.engines)) is not None:
@@ -460,7 +463,7 @@
         return [engine for engine in engines if engine.room and (engine.reported or not recovering)]
 
     def _try(self, waiting, available_engines):
-        """Grant the request on one of the engines with room, park it, or refuse it."""
+        """Grant the request on one of the engines with free slots, park it, or refuse it."""
         available_engines = [engine for engine in available_engines if not engine.rest_s(waiting.request.entry)]
         exposed = self._exposed_engine(waiting.request)
         if exposed is not None:
@@ -484,7 +487,10 @@
             self._refuse(waiting.request, Reason.DEADLINE_UNREACHABLE)
 
     def _exposed_engine(self, request):
-        """The engine on which a roll-out tries this request, or ``None``: the fullest, so that it is seen full."""
+        """Return the fullest engine on which the rollout tries this request, or ``None``.
+
+        The fullest one is used so that the new version is also observed on a full engine.
+        """
         if self._rollout is None or not self._rollout.wants(request):
             return None
         tried = [
@@ -498,7 +504,7 @@
         return max(tried, key=lambda engine: (engine.running, engine.name), default=None)
 
     def _suitable(self, waiting, available_engines):
-        """The engines among which to choose: of many, a few that are the likeliest, unless none of these suits."""
+        """Return the engines that can finish the request, from the shortlist or, failing that, from all."""
         shortlist = self._shortlist(waiting.request, available_engines)
         suitable = [engine for engine in shortlist if self._admission.can_finish_now(waiting, engine)]
         if suitable or len(shortlist) == len(available_engines):
@@ -548,14 +554,14 @@
         )
         self._entries.send(entry=request.entry, message=refused)
 
-    # Preemption, members that left, pauses.
+    # Preemption, departed members, process pauses.
 
     def _preempt(self):
         if not self._granting or not len(self._queue) or self._holds_unconfirmed():
             return
         first = self._queue.first(LOOK_AHEAD)
-        # Places that free on an engine kept for a suspect are not for those who wait, and a run that yields
-        # on an engine with a rate limit makes no room for another.
+        # A slot freed on an engine reserved for a suspect does not go to waiting requests, and preempting a run on
+        # an engine with a rate limit makes no room for another.
         engines = [
             engine for engine in self._runs.engines if engine.kept_for is None and not engine.rate_limit.in_force
         ]
@@ -564,9 +570,9 @@
                 grant.preempted_at = self._clock()
 
     def _holds_unconfirmed(self):
-        # A scheduler that woke from a pause may hold runs that ended long ago; by them it would
-        # cancel others. A new one holds only what entries registered, and acts on it at once:
-        # waiting for the last entry could let a higher tier expire while a lower one runs.
+        # After a pause a scheduler may hold runs that ended long ago, and would cancel others because of them. A new
+        # scheduler holds only what entries registered and acts on it immediately: waiting for the last entry could
+        # let a request of a higher tier expire while a lower tier runs.
         awaited = self.awaited_entries
         return any(grant.request.entry in awaited for grant in self._runs.grants_by_request_id.values())
 
