--- a/wagtailtrestle/capacity/scheduler_log.py
+++ b/wagtailtrestle/capacity/scheduler_log.py
@@ -1,10 +1,10 @@
-"""Log lines by which a wait in an engine's queue is traced to the scheduler that granted it."""
+"""Log lines that allow a wait in an engine's queue to be traced to the scheduler that granted the run."""
 
 from loguru import logger
 
 
 class SchedulerLog:
-    """Tells when a scheduler is cautious, and when an engine becomes overfull or names a rate limit: a line a change.
+    """Logs changes of a scheduler's recovery state, and of engines that become overfull or rate-limited.
 
     Parameters
     ----------
@@ -24,7 +24,7 @@
         self._limited = frozenset()
 
     def log_recovery(self):
-        """Tell of a change, with what the scheduler knows then."""
+        """Log that recovery began or ended, with the scheduler's knowledge at that time."""
         recovering = self._registration.recovering
         if recovering == self._was_recovering:
             return
@@ -34,27 +34,27 @@
             held=len(self._runs.grants_by_request_id),
             unknown={engine.name: engine.phantom for engine in self._runs.engines if engine.phantom},
             unreported=[engine.name for engine in self._runs.engines if not engine.reported],
-        ).info("the scheduler of {} {}", self._cell, "is cautious" if recovering else "is cautious no more")
+        ).info("the scheduler of {} {}", self._cell, "is recovering" if recovering else "has recovered")
 
     def log_overfull(self):
-        """Tell of engines that have come to hold more runs than they have places."""
+        """Log engines that have come to hold more runs than they have slots."""
         overfull = frozenset(engine.name for engine in self._runs.engines if engine.running > engine.slots)
         for name in sorted(overfull - self._overfull):
             self._warn_overfull(self._runs.engines_by_name[name])
         self._overfull = overfull
 
     def log_rate_limits(self):
-        """Tell of engines whose rate limit has come into force, or ended."""
+        """Log engines whose rate limit came into force or ended."""
         limited = frozenset(engine.name for engine in self._runs.engines if engine.rate_limit.in_force)
         for name in sorted(limited ^ self._limited):
             limit = self._runs.engines_by_name[name].rate_limit.dump() if name in limited else None
-            logger.bind(cell=self._cell, engine=name, rate_limit=limit).info("the rate limit of an engine changed")
+            logger.bind(cell=self._cell, engine=name, rate_limit=limit).info("engine rate limit changed")
         self._limited = limited
 
     def log_refused_retry(self, request, retries):
-        """Tell of a retry that the budget has no room for."""
+        """Log a retry refused because the retry budget is exhausted."""
         logger.bind(cell=self._cell, request_id=request.request_id, entry=request.entry, **retries.dump()).info(
-            "no retry is left in a cell"
+            "retry refused: the cell's retry budget is exhausted"
         )
 
     def _warn_overfull(self, engine):
@@ -65,4 +65,4 @@
             unknown=engine.phantom,
             reported=engine.reported_running,
             report_age_s=round(engine.report_age_s, 3),
-        ).warning("engine {} holds more runs than it has places", engine.name)
+        ).warning("engine {} holds more runs than it has slots", engine.name)
