--- a/tests/test_tier_queue.py
+++ b/tests/test_tier_queue.py
@@ -60,7 +60,7 @@
             queue.push(waiting(f"large{number}", team="bitacora", work_s=2.0))
         queue.park(queue.pop(), tried_engines=frozenset({"e1"}))
         evicted = []
-        while (peek_last := queue.peek_last()) is not None:
+        while (last := queue.peek_last()) is not None:
             evicted.append(last.request_id)
             queue.remove(last.request_id)
         self.assertEqual(evicted[:2], ["flood2", "flood1"])
