--- a/wagtailtrestle/capacity/scheduler_set.py
+++ b/wagtailtrestle/capacity/scheduler_set.py
@@ -1,4 +1,4 @@
-"""The schedulers that this router holds, one for each cell whose messages reach it."""
+"""The schedulers of this router, one for each cell whose messages reach it."""
 
 import dataclasses
 
@@ -9,21 +9,22 @@
 from wagtailtrestle.entry.cells import cells_of
 
 ORPHAN_WINDOW_S = 10.0
-"""How long after the loss of a router its runs may still be on engines: they cancel what nobody follows, or end it."""
+"""Time after the loss of a router during which its runs may still be on engines, which complete them or cancel
+those that nobody follows."""
 
 
 class SchedulerSet:
-    """Creates schedulers when their first message comes and keeps them up to date.
+    """Creates a scheduler at the first message for its cell and keeps the schedulers up to date.
 
     Parameters
     ----------
     clock : Callable
-        The loop's time, seconds.
+        Returns the loop's time in seconds.
     entries : EntryLink
     runs_outlive_routers : bool
-        Whether engines go on with the runs of a router that died.
+        Whether engines continue the runs of a router that died.
     retry_limits : callable
-        Returns the present ``RetryLimits`` of each service.
+        Returns the current ``RetryLimits`` of each service.
     """
 
     __slots__ = (
@@ -47,10 +48,9 @@
         self._entries = entries
         self._retry_limits = retry_limits
         self._runs_outlive_routers = runs_outlive_routers
-        # What died before this process began it can't know, and the likeliest is the one whose name it has: what
-        # that one had sent to engines goes on. Taken for nothing, a new scheduler granted one to three of an
-        # engine's eight places twice, and what waits in an engine's queue can't be moved. It costs the wait for a
-        # first report.
+        # This process can't know which routers died before it started; the likeliest is its own previous process, whose
+        # runs engines continue. Without counting on them, a new scheduler granted one to three of an engine's eight
+        # slots twice, and a run in an engine's queue can't be moved. The cost is a wait for the first load report.
         self._router_lost_at = clock()
         self._declaration = None
         self._cells_by_service = {}
@@ -60,20 +60,20 @@
         self._granting = True
 
     def deliver(self, cell, message):
-        """Give an entry's message to the cell's scheduler."""
+        """Pass an entry's message to the cell's scheduler."""
         scheduler = self.by_cell.get(cell) or self._create(cell)
         if scheduler is not None:
             scheduler.receive(message)
 
     def begin(self, cell):
-        """Take over a cell of which another router was scheduler; one never held begins with its first message."""
+        """Resume a cell that another router scheduled meanwhile; one never held here begins with its first message."""
         scheduler = self.by_cell.get(cell)
         if scheduler is not None:
             self._expect_orphans(scheduler)
             scheduler.resume()
 
     def set_declaration(self, declaration):
-        """Put a newly accepted declaration in force for every scheduler."""
+        """Apply a newly accepted declaration to every scheduler."""
         self._declaration = declaration
         services = {engine.service for engine in declaration.engines_by_name.values()}
         self._cells_by_service = {service: len(cells_of(declaration, service)) for service in services}
@@ -84,7 +84,7 @@
             self._update(scheduler)
 
     def set_members(self, names):
-        """Tell every scheduler which entries live."""
+        """Pass the entries in the current view to every scheduler."""
         if not self._members <= frozenset(names):
             self._router_lost_at = self._clock()
         self._members = frozenset(names)
@@ -92,59 +92,59 @@
             scheduler.set_members(self._members)
 
     def set_leaving(self, engines):
-        """Engines that the platform's list marks as leaving; they get no new work."""
+        """Apply the set of engines that the platform's list marks as leaving; they get no new work."""
         returned = self._leaving - engines
         self._leaving = engines
         for scheduler in self.by_cell.values():
             for engine in engines:
                 scheduler.mark_leaving(engine)
             for engine in returned:
-                # The declaration's own mark is kept apart from the list's. Passed on here, it
-                # would stand as the list's for ever, also once the declaration takes it back.
+                # The declaration's own mark is kept separate from the list's. If it were passed here, it would
+                # persist as the list's mark even after the declaration clears it.
                 scheduler.mark_leaving(engine, False)
 
     def set_rollout(self, cell, rollout, reserved):
-        """Tell a cell's scheduler of the roll-out in its service; see :meth:`Scheduler.set_rollout`."""
+        """Pass the rollout of a service to the cell's scheduler; see :meth:`Scheduler.set_rollout`."""
         self._rollouts_by_cell[cell] = (rollout, reserved)
         if cell in self.by_cell:
             self.by_cell[cell].set_rollout(rollout, reserved)
 
     def runs_by_version(self, cell):
-        """Runs that the engines of each version in a cell hold, as far as its scheduler here knows."""
+        """Count the runs on the engines of each version in a cell, as far as its scheduler here knows."""
         scheduler = self.by_cell.get(cell)
         return {} if scheduler is None else scheduler.runs_by_version()
 
     def on_load_report(self, report):
-        """Give an engine's load report to the scheduler that holds the engine."""
+        """Pass an engine's load report to the scheduler of its cell."""
         scheduler = self._scheduler_of(report.engine)
         if scheduler is not None:
             scheduler.on_load_report(report)
 
     def on_unreachable(self, engine):
-        """Tell the scheduler that an engine did not answer."""
+        """Notify the scheduler of its cell that an engine did not answer."""
         scheduler = self._scheduler_of(engine)
         if scheduler is not None:
             scheduler.on_unreachable(engine)
 
     def on_cache_events(self, events):
-        """Give what an engine stored and removed to the scheduler that holds it."""
+        """Pass an engine's cache events to the scheduler of its cell."""
         scheduler = self._scheduler_of(events.engine)
         if scheduler is not None:
             scheduler.on_cache_events(events)
 
     def tick(self):
-        """Let every scheduler sweep its deadlines."""
+        """Run the periodic work of every scheduler."""
         for scheduler in self.by_cell.values():
             scheduler.tick()
 
     def stop_granting(self):
-        """Grant nothing more here; other routers take the cells over."""
+        """Grant nothing more here; other routers become schedulers of the cells."""
         self._granting = False
         for scheduler in self.by_cell.values():
             scheduler.stop_granting()
 
     def dump(self):
-        """Plain data for the state dump."""
+        """Return plain data for the state dump."""
         return {cell: scheduler.dump() for cell, scheduler in self.by_cell.items()}
 
     def _expect_orphans(self, scheduler):
@@ -152,7 +152,7 @@
             scheduler.expect_orphans()
 
     def _reports_orphans(self, cell):
-        # Engines of a plain service report nothing: whoever waits for their word waits in vain.
+        # Engines of a plain service send no load reports, so waiting for them would be in vain.
         return self._runs_outlive_routers and self._service_of(cell).kind == LANGUAGE
 
     def _create(self, cell):
@@ -186,7 +186,7 @@
             scheduler.mark_leaving(engine)
 
     def _retry_limits_of(self, service):
-        """Limits of one cell: the extra retries of a service are for all of its cells together."""
+        """Limits of one cell: the extra retries of a service are divided among its cells."""
         limits = self._retry_limits()
         return dataclasses.replace(limits, extra=limits.extra / self._cells_by_service.get(service, 1))
 
