--- a/wagtailtrestle/capacity/registration.py
+++ b/wagtailtrestle/capacity/registration.py
@@ -1,20 +1,20 @@
-"""Whom a scheduler still has to hear from before it trusts its account of the cell."""
+"""Which registrations a scheduler awaits before it relies on its knowledge of the cell."""
 
 import math
 
 RECOVERY_TIMEOUT_S = 1.5
-"""Longest time a scheduler waits for the registration of every member."""
+"""Maximum time a scheduler waits for every member to register."""
 
 RECENT_REGISTRATION_S = 0.5
-"""Members hear of a scheduler's death within so long of each other; who hears first registers with the next one before
-that one knows that it is."""
+"""Members learn of a scheduler's death within this time of each other. The first to learn of it registers with the next
+scheduler before that one knows that it is the scheduler."""
 
 PAUSE_GAP_S = 1.0
-"""A pause between two looks at the clock after which the process counts as frozen."""
+"""Gap between two checks of the clock from which on the process counts as paused."""
 
 
 class Registration:
-    """The cautious time of a scheduler that is new, or that woke from a pause.
+    """The recovery of a scheduler that is new, or whose process was paused.
 
     Parameters
     ----------
@@ -34,20 +34,20 @@
 
     @property
     def recovering(self):
-        """Whether grants must stay within what engines' own reports show free."""
+        """Whether grants are limited to the slots that engines' own reports show free."""
         now = self._clock()
         return now < self._orphans_until or (bool(self.awaited) and now < self._until)
 
     def expect_orphans(self):
-        """Take it that engines still run what a router that died had sent them.
+        """Assume that engines still execute the runs of a router that died.
 
-        Nobody registers these runs. A scheduler that grants as soon as all who live have registered puts its
-        grants on top of them; what waits in an engine's queue for two seconds is given up as silent.
+        No entry registers these runs. A scheduler that grants as soon as all live routers have registered would
+        overfill the engines; a run that waits in an engine's queue for two seconds is abandoned as silent.
         """
         self._orphans_until = self._clock() + RECOVERY_TIMEOUT_S
 
     def set_members(self, members):
-        """Take in the live view; the first one begins the cautious time."""
+        """Apply the current view of routers; the first one begins recovery."""
         first = not self._members
         self._members = frozenset(members)
         self.awaited &= self._members
@@ -57,29 +57,29 @@
             self.begin()
 
     def begin(self):
-        """Wait for every member's registration, for a bounded time."""
+        """Begin to wait for every member's registration, for a bounded time."""
         self.awaited = self._members
         self._until = self._clock() + RECOVERY_TIMEOUT_S
 
     def resume(self):
-        """Wait for every member that has not registered just now: another router was scheduler meanwhile.
+        """Begin to wait for every member without a recent registration, as another router was scheduler meanwhile.
 
-        What was registered before says nothing of what that router granted.
+        Earlier registrations don't include what that router granted.
         """
         self.begin()
         since = self._clock() - RECENT_REGISTRATION_S
         self.awaited -= {entry for entry, at in self._registered_at_by_entry.items() if at >= since}
 
     def record_registration(self, entry):
-        """Note that this member registered."""
+        """Record that this member registered."""
         self.awaited -= {entry}
         self._registered_at_by_entry[entry] = self._clock()
 
     def detect_pause(self):
-        """Whether the process was paused since the last look, as the gap in its clock shows.
+        """Whether the process was paused since the last call, shown by a gap in its clock.
 
-        A paused scheduler still believes what it held before. Others may have served the
-        cell meanwhile, so granting by that account would overfill the engines.
+        After a pause the scheduler still holds its old state. Another one may have served the cell meanwhile, so
+        granting by that state would overfill the engines.
         """
         now = self._clock()
         paused = now - self._checked_at > PAUSE_GAP_S
