--- a/wagtailtrestle/capacity/recent_times.py
+++ b/wagtailtrestle/capacity/recent_times.py
@@ -4,12 +4,12 @@
 
 
 class RecentTimes:
-    """When something happened lately, oldest first.
+    """Times of recent events, oldest first.
 
     Parameters
     ----------
     times : iterable of float
-        On one clock, in any order.
+        Readings of one clock, in any order.
     """
 
     __slots__ = ("_times",)
@@ -28,21 +28,21 @@
         self._times.append(at)
 
     def remove_latest(self):
-        """Drop the latest event, which did not happen after all."""
+        """Remove the latest event, which did not happen after all."""
         if self._times:
             self._times.pop()
 
     def discard_before(self, at):
-        """Drop the events up to a time."""
+        """Discard the events up to a time."""
         while self._times and self._times[0] <= at:
             self._times.popleft()
 
     def count_since(self, at):
-        """How many came after a time."""
+        """Count the events after a time."""
         return sum(time > at for time in self._times)
 
     def counts_by_age_s(self, now):
-        """How many came in each whole second before now, the last one first."""
+        """Count the events in each whole second before now, the latest second first."""
         counts = [0] * (int(now - self._times[0]) + 1 if self._times else 0)
         for at in self._times:
             counts[int(now - at)] += 1
