--- a/wagtailtrestle/capacity/crash_signs.py
+++ b/wagtailtrestle/capacity/crash_signs.py
@@ -1,17 +1,17 @@
-"""Engines that cut runs and then answer nobody, as only a scheduler sees it.
+"""Detects engines that cut runs and then stop answering, which only a scheduler can see.
 
-A router with one run on an engine can't tell a crash from a broken connection, and on a quiet service it sends the
-engine nothing more that would tell.
+A router with a single run on an engine can't distinguish a crash from a broken connection, and on a quiet service it
+sends the engine no further request that would show which it was.
 """
 
 DOWN_WINDOW_S = 5.0
-"""An engine that answers nobody this soon after it cut a run went down then."""
+"""An engine that stops answering within this time of cutting a run is taken to have crashed then."""
 
 CUT_RESULTS = frozenset({"RunCut", "RunLost"})
 
 
 class CrashSigns:
-    """Entries whose runs each engine cut lately.
+    """Records the entries whose runs each engine cut recently.
 
     Parameters
     ----------
@@ -26,17 +26,17 @@
         self._cut_at_by_entry_by_engine = {}
 
     def record_end(self, *, engine, entry, result):
-        """Take in how a run ended."""
+        """Record how a run ended."""
         if result in CUT_RESULTS:
             self._cut_at_by_entry_by_engine.setdefault(engine, {})[entry] = self._clock()
 
     def entries_cut_by(self, engine):
-        """Entries that are to be told that this engine answers nobody; each once."""
+        """Return, once each, the entries to notify that this engine does not answer."""
         since = self._clock() - DOWN_WINDOW_S
         cut_at_by_entry = self._cut_at_by_entry_by_engine.pop(engine, {})
         return sorted(entry for entry, at in cut_at_by_entry.items() if at > since)
 
     def retain_engines(self, engines):
-        """Forget engines that are declared no more."""
+        """Forget engines that are no longer declared."""
         for engine in self._cut_at_by_entry_by_engine.keys() - set(engines):
             del self._cut_at_by_entry_by_engine[engine]
