--- a/wagtailtrestle/capacity/admission.py
+++ b/wagtailtrestle/capacity/admission.py
@@ -1,7 +1,7 @@
-"""Predicted finish against the deadline: what cannot make it is refused at once.
+"""Admission control: refuses immediately what is predicted to miss its deadline.
 
-Work is counted in engine-seconds: the share of one full engine's time that a run uses
-up. A cell of ``n`` healthy engines serves ``n`` engine-seconds a second, whatever the mix.
+Work is counted in engine-seconds: the share of one full engine's time that a run consumes. A cell of ``n`` healthy
+engines serves ``n`` engine-seconds per second, whatever the mix of requests.
 """
 
 import math
@@ -12,72 +12,75 @@
 
 MIN_FINISH_MARGIN = 1.0
 FINISH_MARGIN_SPAN = 0.5
-"""A finish is promised only if it would still hold so many times later than predicted: the
-least margin where goodput alone counts, and the span more where thrown-away prefill does."""
+"""Factors on a predicted finish time, which must still be within the deadline: the minimum applies where only goodput
+counts, and the span is added in proportion to the weight of discarded prefill."""
 
 LENGTH_MARGIN_SHARE = 0.7
-"""Part of the gap between the expected and the greatest output that a promise allows for."""
+"""Share of the gap between the expected and the maximum output length that a prediction allows for."""
 
 SHORT_PROMPT_TOKENS = 512
-"""Prompts up to this length are started without a margin."""
+"""Prompts of up to this many uncached tokens are started without a margin."""
 
 COLD_TOLERANCE = 3.0
-"""How many times too late a prediction without any measurement may be and still be tried."""
+"""Factor by which the predicted finish of a model without any measurements may exceed the deadline."""
 
 TRUSTED_CONFIDENCE = 0.5
-"""Mean confidence of the engines' models above which a predicted wait refuses."""
+"""Mean confidence of the engines' models from which on a predicted wait leads to refusal."""
 
 WAIT_TOLERANCE = 1.5
-"""How many times too long a predicted wait may be and still be tried: it supposes that higher
-tiers go on arriving as they do now, and a burst that ends leaves room."""
+"""Factor by which a predicted wait may exceed the time left. The prediction assumes that higher tiers keep arriving at
+their current rate, but a burst may end and leave room."""
 
 RATE_WINDOW_S = 5.0
-"""Time over which the arrival of work is averaged."""
+"""Time constant over which the arrival rate of work is averaged."""
 
 OVERLOAD_ABOVE = 1.2
-"""Demand of the tiers above, in multiples of the cell's capacity, at which no long prompt is begun."""
+"""Demand of higher tiers, in multiples of the cell's capacity, above which no long prompt is started."""
 
 GRANT_WINDOW_S = 1.5
-"""Time over which grants are averaged: a few runs' length, so that a burst or a loss of engines shows at once."""
+"""Time constant over which grants are averaged: a few run lengths, to follow a burst or a loss of engines quickly."""
 MIN_FULL_SHARE = 0.6
-"""Part of the window in which the cell must have been full before its rate is believed."""
+"""Share of the window in which the cell must have been full before its grant rate is used."""
+
 START_WAIT_SHARE = 0.5
-"""Part of the time to its start that a request may be predicted to wait. The prediction leaves out what
-arrives above it meanwhile; and whoever will be refused in the end is better off told at once."""
+"""Share of the time to its latest start that a request may be predicted to wait. The prediction leaves out later
+arrivals of higher tiers, and a request that would be refused in the end is better refused immediately."""
+
 MIN_RATE_EVIDENCE_S = 0.5
 MIN_RATE_REQUESTS = 10
-"""An early rate needs so many requests, and is taken over no shorter a time: a first arrival tells of none."""
+"""Minimum time and number of requests for an early arrival rate: a first arrival says nothing about a rate."""
 
 MIN_SERVICE_SHARE = 0.05
-"""Least share of the cell assumed to be left for a tier by those above it."""
+"""Minimum share of the cell that higher tiers are assumed to leave to a tier."""
 
 MIN_RETRY_AFTER_S = 1.0
 MIN_INTERACTIVE_RETRY_AFTER_S = 0.3
-"""The same where a first token is hoped for within about a second: told a second, nobody could come back in time."""
+"""Minimum Retry-After of requests with a target time to first token, often about a second: after a whole second their
+callers could not retry in time."""
 
 FIRST_TOKEN_MARGIN = 1.5
-"""How many times later than predicted a first token may come and still be in time: of 1,766 runs half came
-within 1.1 times the prediction and 90 of 100 within 2.3; with more, hardly any engine would suit."""
+"""Factor on the predicted time to first token, which must still meet the target. Of 1,766 runs, half had their first
+token within 1.1 times the prediction and 90 of 100 within 2.3; with a larger factor hardly any engine would be
+suitable."""
 PREFILL_CHUNK_TOKENS = 1024
-"""Prompt tokens that an engine is taken to read between two tokens of other runs."""
+"""Prompt tokens that an engine is assumed to prefill between two decode steps of other runs."""
 
 MIN_RATE = 1e-6
 RETRY_JITTER = 0.25
-"""Retry-After is longer by up to this share, so that callers refused together don't return together."""
+"""Retry-After is longer by up to this share, so that callers refused together don't retry together."""
 
 MAX_PREEMPTED_ATTEMPTS = 5
-"""Asks after which a request that was preempted again and again is refused for good."""
-
+"""Attempts after which a request that was preempted repeatedly is refused for good."""
 
 MAX_WAITING = 4096
-"""Requests that may wait in one cell, so that a flood costs bounded memory and time."""
+"""Requests that may wait in one cell, so that a flood takes bounded memory and time."""
 
 MAX_WORK_S = 600.0
-"""Engine-seconds that may wait for each engine of the cell: more than any deadline waits for."""
+"""Engine-seconds of work that may wait per engine of the cell: more than can be served within any deadline."""
 
 
 class ArrivalRates:
-    """Engine-seconds of admitted work arriving per second, by tier, over a fading window."""
+    """Arrival rates of admitted work by tier, in engine-seconds per second, as exponential moving averages."""
 
     __slots__ = ("_clock", "_rate_by_tier", "_at_by_tier", "_began_at", "_recorded")
 
@@ -89,7 +92,7 @@
         self._at_by_tier = {}
 
     def record(self, tier, work_s):
-        """Count admitted work."""
+        """Add admitted work."""
         if self._began_at is None:
             self._began_at = self._clock()
         self._recorded += 1
@@ -97,16 +100,19 @@
         self._at_by_tier[tier] = self._clock()
 
     def rate(self, tier):
-        """Present rate of one tier."""
+        """Return the current rate of one tier."""
         elapsed_s = self._clock() - self._at_by_tier.get(tier, 0.0)
         return self._rate_by_tier.get(tier, 0.0) * math.exp(-elapsed_s / RATE_WINDOW_S)
 
     def rate_above(self, tier):
-        """Present rate of all tiers above this one."""
+        """Return the current rate of all tiers above this one."""
         return sum(self.rate(other) for other in self._rate_by_tier if other < tier)
 
     def early_rate_above(self, tier):
-        """Present rate above, in the first seconds too, when the window is not full yet."""
+        """Return the rate of all tiers above this one, corrected for a window that is not full yet.
+
+        It is 0 until enough requests have arrived.
+        """
         if self._recorded < MIN_RATE_REQUESTS:
             return 0.0
         seen_s = max(MIN_RATE_EVIDENCE_S, self._clock() - self._began_at)
@@ -114,11 +120,11 @@
 
 
 class GrantRate:
-    """Engine-seconds of work granted per second of a full cell, over a fading window.
+    """Work granted per second while the cell is full, in engine-seconds, as an exponential moving average.
 
-    Judged by its engines' models, a cell looks faster than it is while engines are slow or broken.
-    What it really takes up is seen in its grants, but only while it is full: beside free places they
-    tell how much was asked for. What filled the places counts too, so the rate is too high at first.
+    By its engines' models, a cell looks faster than it is while engines are slow or broken. Its grants show the
+    work it really takes up, but only while it is full: with free slots they show the demand instead. The grants
+    that filled the slots count too, so the rate is too high at first.
     """
 
     __slots__ = ("_clock", "_work_s", "_grants", "_seconds", "_at", "_is_full")
@@ -138,16 +144,16 @@
         self._grants += 1.0
 
     def set_full(self, is_full):
-        """Count the time from now on, or leave it out while places are free."""
+        """Include the time from now on if the cell is full, else leave it out."""
         self._decay()
         self._is_full = is_full
 
     def mean_work_s(self):
-        """Mean work of a grant; 0 before the first."""
+        """Return the mean work of a grant; 0 before the first."""
         return self._work_s / self._grants if self._grants else 0.0
 
     def per_s(self):
-        """Present rate; ``None`` until the cell was full for most of a window."""
+        """Return the current rate; ``None`` until the cell was full for most of a window."""
         self._decay()
         if self._seconds < MIN_FULL_SHARE * GRANT_WINDOW_S:
             return None
@@ -166,7 +172,7 @@
 
 
 class CellSpeed:
-    """Speeds of a cell's engines taken together, laid out seldom and read for each request.
+    """Combined speeds of a cell's engines, computed at each tick and read for each request.
 
     Parameters
     ----------
@@ -187,17 +193,17 @@
         self._min_step_s = min(steps)
 
     def work_s(self, request):
-        """Engine-seconds that a request takes up on an engine of mean speed that holds nothing of its prompt."""
+        """Return the engine-seconds of a request on an engine of mean speed with nothing of its prompt cached."""
         return (request.prompt_tokens + request.done_tokens) * self._prefill_s + request.output_tokens * self._decode_s
 
     def shortest_run_s(self, request):
-        """Least seconds to its last token on the fastest engine, alone there."""
+        """Return the seconds to its last token on the fastest engine with no other run."""
         prompt_s = (request.prompt_tokens + request.done_tokens) * self._min_prefill_s
         return prompt_s + request.output_tokens * self._min_step_s
 
 
 class Admission:
-    """Judges requests against the engines' models and the queue.
+    """Decides about requests by the engines' models and the queue.
 
     Parameters
     ----------
@@ -206,7 +212,7 @@
     lengths : OutputLengths
     held : HeldByTier
     prefill_weight : float
-        From 0 (start what may just finish) to 1 (start only what surely finishes).
+        From 0 (start what may just finish in time) to 1 (start only what finishes in time with a margin).
     """
 
     __slots__ = (
@@ -233,16 +239,16 @@
         self._engines = ()
 
     def set_engines(self, engines):
-        """Judge by these engines from now on."""
+        """Use these engines from now on."""
         self._engines = tuple(engines)
         self.measure_speed()
 
     def measure_speed(self):
-        """Lay out what the engines' models say now; their speeds change over seconds."""
+        """Recompute the cell's speed from the engines' models, which change over seconds."""
         self._speed = CellSpeed(engines=self._engines)
 
     def waiting(self, asked):
-        """Build the queue's view of a request, with its expected output and predicted work."""
+        """Build the queue entry of a request, with its expected output and predicted work."""
         now = self._clock()
         request = self._lengths.expect(asked)
         return WaitingRequest(
@@ -250,29 +256,29 @@
             asked_tokens=asked.output_tokens,
             arrived_at=now,
             deadline=now + request.remaining_s,
-            # An engine that must run nothing else is used up as a whole for as long as the run takes.
+            # A request that must run alone occupies a whole engine for the duration of its run.
             work_s=self._speed.shortest_run_s(request) if request.alone else self._speed.work_s(request),
             shortest_run_s=self._speed.shortest_run_s(request),
         )
 
     def admit(self, waiting: WaitingRequest):
-        """Count an admitted request's work as demand of its tier."""
+        """Add an admitted request's work to the demand of its tier."""
         self._arrival_rates.record(waiting.request.tier, waiting.work_s)
 
     def granted(self, waiting: WaitingRequest):
-        """Count a grant as work that the cell took up."""
+        """Add a grant to the work that the cell has taken up."""
         self._grant_rate.record(waiting.work_s)
 
     def update_occupancy(self):
-        """Take in whether the cell is full; a few times within ``GRANT_WINDOW_S``."""
+        """Update whether the cell is full; called several times within ``GRANT_WINDOW_S``."""
         self._grant_rate.set_full(not any(engine.room and not engine.rests for engine in self._engines))
 
     def overflow(self) -> WaitingRequest | None:
-        """Return a waiting request to give up as too many wait, or ``None``.
+        """Return a waiting request to refuse because too many wait, or ``None``.
 
-        Predicted waits refuse nothing while lower tiers are left or the models are cold.
-        A flood could then fill the process's memory, and each tick would take longer
-        than the time between two, so that engines stand idle beside a full queue.
+        Predicted waits lead to no refusal while lower tiers wait or the models are cold. A flood could then fill the
+        process's memory, and each tick would take longer than the interval between ticks, so that engines would
+        stay idle beside a full queue.
         """
         max_work_s = MAX_WORK_S * max(1, len(self._engines))
         too_much_work = self._queue.work_s > max_work_s and len(self._queue) > 1
@@ -281,10 +287,10 @@
         return None
 
     def refusal(self, waiting: WaitingRequest):
-        """Reason to refuse an arriving request, or ``None`` to let it wait or run.
+        """Return the reason to refuse an arriving request, or ``None`` to let it wait or run.
 
-        A higher tier is refused for load only once nothing lower waits and no lower
-        repeatable run is left to be preempted; until then it stays, ahead of them.
+        A request is refused for load only if no lower tier waits and no repeatable run of a lower tier is left to be
+        preempted; until then it waits ahead of them.
         """
         request = waiting.request
         if not any(self._is_possible(engine, request) for engine in self._engines):
@@ -297,8 +303,8 @@
         possible = [engine for engine in self._engines if self._is_possible(engine, request)]
         if not any(self.could_finish(waiting, engine) for engine in possible):
             return Reason.DEADLINE_UNREACHABLE
-        # Parked requests wait although places are free, as no engine with room suits them. What
-        # arrives behind them takes nothing from them; refused, it would find engines idle.
+        # Parked requests wait although slots are free, because no engine with free slots is suitable for them. Later
+        # arrivals take nothing from them, and refusing these would leave engines idle.
         if self._has_free_slot(request) and not self._queue.ready:
             return None
         if self._has_lower_tier(request.tier):
@@ -314,20 +320,20 @@
         return None
 
     def _refusal_by_start(self, waiting):
-        # A request that only has to begin soon is not judged by its predicted finish: its deadline is
-        # many times its run. What it can't do is wait, and told so at once its caller loses least.
+        # A request with a target time to first token is not judged by its predicted finish, as its deadline is many
+        # times its run time. It can't wait, however, and an immediate refusal costs its caller least.
         if self._has_free_slot(waiting.request):
             return None
         granted_per_s = self._grant_rate.per_s()
         if granted_per_s is None:
             return None
-        # Right after an engine names a limit the rate of grants still tells what it took before.
+        # Right after an engine announces a rate limit, the grant rate still reflects its earlier speed.
         granted_per_s = min(granted_per_s, self._capacity()) if self._is_limited() else granted_per_s
         tier = waiting.request.tier
         left_per_s = granted_per_s - self._arrival_rates.rate_above(tier)
         left_per_s = max(left_per_s, MIN_SERVICE_SHARE * granted_per_s, MIN_RATE)
-        # While runs of lower tiers end, their places go to this tier first: refused now, it would see
-        # the next of them go to a lower one that came after it.
+        # Slots of lower-tier runs go to this tier first as they end. If the request were refused now, the next such
+        # slot would go to a request of a lower tier that arrived after it.
         share = 1.0 if self._held.any_below(tier) else START_WAIT_SHARE
         if self._queue.work_ahead_s(waiting) / left_per_s > share * (waiting.latest_start - self._clock()):
             return Reason.OVERLOADED
@@ -338,7 +344,7 @@
         return not engine.leaving and engine.name not in request.excluded_engines
 
     def could_finish(self, waiting: WaitingRequest, engine):
-        """Whether the engine could finish it if all that may be preempted for it were gone."""
+        """Whether the engine could finish it in time if all runs that may be preempted for it were cancelled."""
         if waiting.request.first_token_within_s:
             return True
         held = [
@@ -348,7 +354,7 @@
         return predicted_s <= tolerance(engine) * (waiting.deadline - self._clock())
 
     def should_wait_for_suitable(self, waiting: WaitingRequest):
-        """Whether a request that no free place suits had better wait for one that does, for a moment."""
+        """Whether a request should wait briefly for a suitable engine instead of taking any free slot."""
         if self._clock() >= waiting.wait_for_suitable_until:
             return False
         return any(
@@ -357,7 +363,7 @@
         )
 
     def can_finish_now(self, waiting: WaitingRequest, engine):
-        """Whether the engine would finish it in time if it were granted there now, and those there too."""
+        """Whether the engine would finish it in time if it were granted now, without making the runs there late."""
         if waiting.request.first_token_within_s:
             return meets_targets(waiting, engine, now=self._clock())
         uncached = uncached_tokens(waiting.request, engine)
@@ -371,11 +377,11 @@
         return predicted_s <= tolerance(engine) * (waiting.deadline - self._clock())
 
     def wait_s(self, waiting: WaitingRequest):
-        """Predicted wait: the work ahead over what the tiers above leave of the cell."""
+        """Return the predicted wait: the work ahead divided by the capacity that higher tiers leave."""
         return self._queue.work_ahead_s(waiting) / self._service_rate(waiting.request.tier)
 
     def retry_after_s(self, request):
-        """Time until what waits now in this tier and above would be served."""
+        """Return the time in which what waits now in this tier and above would be served, with jitter."""
         ahead = sum(work for tier, work in self._queue.work_by_tier().items() if tier <= request.tier)
         min_s = MIN_RETRY_AFTER_S if not request.first_token_within_s else MIN_INTERACTIVE_RETRY_AFTER_S
         wait_s = max(min_s, ahead / self._service_rate(request.tier), self._back_off_s(request))
@@ -388,17 +394,17 @@
         return max(left, MIN_SERVICE_SHARE * max(1.0, capacity))
 
     def _is_overloaded_above(self, tier):
-        # A cell that starts under overload has idle engines for a second. Long prompts of the
-        # lowest tier begun then are cancelled soon for those above, and their prefill is lost.
+        # A cell that starts under overload has idle engines for a second. Long prompts of the lowest tier started in
+        # that time are soon preempted for higher tiers, and their prefill is lost.
         capacity = self._capacity()
         return self._arrival_rates.early_rate_above(tier) > OVERLOAD_ABOVE * capacity
 
     def _capacity(self):
-        """Engine-seconds of work that the cell can take up a second."""
+        """Engine-seconds of work that the cell can take up per second."""
         return sum(self._capacity_of(engine) for engine in self._engines if engine.limit)
 
     def _capacity_of(self, engine):
-        # Counted as free, the places that a rate limit leaves empty would have requests queue for them in vain.
+        # Slots that a rate limit leaves empty are no capacity: requests would queue for them in vain.
         if not engine.rate_limit.in_force:
             return engine.health_share
         return min(engine.health_share, engine.rate_limit.per_s() * self._grant_rate.mean_work_s())
@@ -410,7 +416,7 @@
         return any(engine.room and not engine.rest_s(request.entry) for engine in self._engines)
 
     def _back_off_s(self, request):
-        """Time until some engine takes a request of this entry again; 0 if one does now."""
+        """Time until some engine's back-off for this entry ends; 0 if one accepts requests now."""
         min_s = math.inf
         for engine in self._engines:
             if not engine.leaving:
@@ -430,7 +436,7 @@
 
 
 def meets_targets(waiting, engine, *, now):
-    """Whether a request that is to begin soon begins in time on the engine, and those there don't stall."""
+    """Whether the engine would meet the request's target time to first token without stalling the streams there."""
     first_token_s = engine.model.predict_first_token_s(
         uncached_tokens=uncached_tokens(waiting.request, engine),
         concurrency=engine.running + 1,
@@ -442,7 +448,7 @@
 
 
 def meets_targets_when_idle(waiting, engine):
-    """The same for the engine if it had nothing to do."""
+    """Whether the engine would meet the request's targets if it were idle."""
     request = waiting.request
     first_token_s = engine.model.predict_first_token_s(
         uncached_tokens=uncached_tokens(request, engine), concurrency=1, pending_prefill_tokens=0
@@ -451,10 +457,10 @@
 
 
 def stalls_others(request, engine):
-    """Whether reading the prompt would make the streams beside it pause for longer than their callers hope.
+    """Whether prefilling the prompt would pause other streams on the engine for longer than their target.
 
-    An engine reads a prompt in pieces, one before each token that it makes for the others; an event
-    of theirs waits for all the pieces that fall between its tokens.
+    An engine prefills a prompt in chunks, one before each decode step of the other runs; one of their events is
+    delayed by all the chunks between its tokens.
     """
     if not request.pause_within_s:
         return False
@@ -464,13 +470,13 @@
 
 
 def uncached_tokens(request, engine):
-    """Tokens the engine would prefill for the request."""
+    """Return the tokens that the engine would prefill for the request."""
     total = request.prompt_tokens + request.done_tokens
     return max(1, total - engine.cache.cached_tokens(request.prefix_blocks))
 
 
 def run_s(request, engine, concurrency, pending_prefill_tokens):
-    """Predicted seconds from dispatch to the last token."""
+    """Return the predicted seconds from dispatch to the last token."""
     return engine.model.predict_finish_s(
         uncached_tokens=uncached_tokens(request, engine),
         output_tokens=request.output_tokens,
@@ -480,24 +486,24 @@
 
 
 def undisturbed_run_s(request, engine, concurrency, pending_prefill_tokens):
-    """Predicted seconds to the last token if no further prompt is prefilled beside it.
+    """Return the predicted seconds to the last token if no further prompt is prefilled beside it.
 
-    The scheduler keeps it so where it must: see :meth:`EngineState.would_delay`.
+    The scheduler ensures this where necessary: see :meth:`EngineState.would_delay`.
     """
     prefill_s = engine.model.prefill_s(uncached_tokens(request, engine) + pending_prefill_tokens)
     return prefill_s + request.output_tokens * engine.model.step_s(concurrency)
 
 
 def finish_margin(prefill_weight):
-    """Factor on a predicted finish, by how much thrown-away prefill weighs."""
+    """Return the factor on a predicted finish time, by the weight of discarded prefill."""
     return MIN_FINISH_MARGIN + FINISH_MARGIN_SPAN * prefill_weight
 
 
 def conservative_run_s(waiting, engine, concurrency, pending_prefill_tokens, margin):
-    """Time to the last token that is promised, with ``margin`` as its factor.
+    """Return a conservative prediction of the time to the last token, with ``margin`` as its factor.
 
-    A long prompt cut short by its deadline wastes its prefill, so it is started only if
-    it would finish with a longer answer than expected too. A short one may be tried.
+    A long prompt that misses its deadline wastes its prefill, so it is started only if it would finish in time even
+    with a longer answer than expected. A short prompt is predicted without this margin.
     """
     request = waiting.request
     if uncached_tokens(request, engine) <= SHORT_PROMPT_TOKENS:
@@ -508,11 +514,10 @@
 
 
 def tolerance(engine):
-    """Factor on the time left: above 1 while the engine's model has few measurements.
+    """Return a factor on the time left, which is above 1 while the engine's model has few measurements.
 
-    A cold model knows only declared figures. Refusing by them would keep the engine
-    cold for ever if they are too pessimistic: every request would be refused, and no
-    run would correct the model.
+    A cold model has only declared figures. If they are too pessimistic and requests were refused by them, no run
+    would ever correct the model.
     """
     return 1.0 + (COLD_TOLERANCE - 1.0) * (1.0 - engine.model.confidence())
 
