--- a/wagtailtrestle/capacity/tier_queue.py
+++ b/wagtailtrestle/capacity/tier_queue.py
@@ -1,11 +1,11 @@
-"""Requests that wait for a place: strict order of tiers, fair shares of teams inside a tier.
+"""Requests that wait for a slot: strict order of tiers, fair shares of teams within a tier.
 
-Inside a tier, start-time fair queueing shares engine-seconds between teams by their
-declared shares. Inside a team, requests are taken by their due time,
-``min(arrived_at + AGEING * work_s, latest_start - URGENT_S)``: shortest predicted work
-first, but a request is overtaken by nothing that arrives more than ``AGEING * work_s``
+Within a tier, start-time fair queueing divides engine-seconds among teams by their
+declared shares. Within a team, requests are served by their due time,
+``min(arrived_at + AGEING_FACTOR * work_s, latest_start - URGENT_MARGIN_S)``: shortest predicted work
+first, but a request is not overtaken by any that arrives more than ``AGEING_FACTOR * work_s``
 after it, and one that is about to become infeasible goes first. The due time never changes,
-so heaps keep the order at O(log n) for each operation.
+so heaps maintain the order at O(log n) per operation.
 """
 
 import heapq
@@ -23,9 +23,9 @@
     Attributes
     ----------
     waiting_by_request_id : dict of str to WaitingRequest
-        Everything that waits, parked and set aside requests included.
+        All waiting requests, including parked and isolated ones.
     aside_by_request_id : dict of str to WaitingRequest
-        Requests that count as waiting but are never popped: see :meth:`set_aside`.
+        Requests that count as waiting but are never popped: see :meth:`push_isolated`.
     """
 
     __slots__ = (
@@ -56,16 +56,16 @@
 
     @property
     def work_s(self):
-        """Engine-seconds that wait in all."""
+        """Total engine-seconds of waiting work."""
         return sum(self.work_by_tier().values())
 
     @property
     def ready(self):
-        """Requests that any free place might serve: neither parked nor set aside."""
+        """Number of requests that any free slot might serve: neither parked nor isolated."""
         return len(self.waiting_by_request_id) - len(self._parked_by_request_id) - len(self.isolated_by_request_id)
 
     def set_shares(self, share_by_team):
-        """Put declared shares in force for what is served from now on."""
+        """Apply declared shares to what is served from now on."""
         self._share_by_team = dict(share_by_team)
 
     def push(self, waiting: WaitingRequest):
@@ -76,13 +76,13 @@
         self._enqueue(waiting)
 
     def push_isolated(self, waiting: WaitingRequest):
-        """Add a request that only :meth:`take` serves, as it needs more than a place."""
+        """Add a request that only :meth:`pop_isolated` serves, as it needs an engine to itself."""
         self._add(waiting)
         self._track_latest_start(waiting)
         self.isolated_by_request_id[waiting.request_id] = waiting
 
     def pop_isolated(self, waiting: WaitingRequest):
-        """Take out a request set aside and charge its team for it."""
+        """Remove an isolated request and charge its team for it."""
         self.remove(waiting.request_id)
         team = self._team(waiting)
         tier = self._tiers_by_rank[waiting.request.tier]
@@ -90,7 +90,7 @@
         self._set_virtual_start(team, waiting, start + waiting.work_s / self._share(team.name))
 
     def remove(self, request_id):
-        """Take a request out, wherever it stands; ``None`` if it is not waiting."""
+        """Remove and return a request, parked or isolated too; ``None`` if it is not waiting."""
         waiting = self.waiting_by_request_id.pop(request_id, None)
         if waiting is not None:
             self._remove_parked(request_id)
@@ -101,7 +101,7 @@
         return waiting
 
     def pop(self):
-        """Take the next request in order; ``None`` when nothing is to be tried."""
+        """Remove and return the next request in order; ``None`` if none is ready."""
         for rank in self._ranks:
             waiting = self._pop_tier(self._tiers_by_rank[rank])
             if waiting is not None:
@@ -109,9 +109,9 @@
         return None
 
     def park(self, waiting: WaitingRequest, *, tried_engines):
-        """Put back a popped request that none of these engines suits, until another has room.
+        """Requeue a popped request for which none of these engines is suitable, until another has free slots.
 
-        Its team is given back what the pop charged it.
+        Its team is refunded what the pop charged it.
         """
         team = self._team(waiting)
         self._set_virtual_start(team, waiting, team.virtual_start - waiting.work_s / self._share(team.name))
@@ -121,20 +121,20 @@
         self._parked_by_tried.setdefault(tried_engines, {})[waiting.request_id] = waiting
 
     def unpark(self, engine_names):
-        """Let parked requests be tried again for which one of these engines is new."""
+        """Make parked requests ready again for which one of these engines has not been tried."""
         for tried_engines in [tried for tried in self._parked_by_tried if not engine_names <= tried]:
             for waiting in list(self._parked_by_tried[tried_engines].values()):
                 self._unpark(waiting)
 
     def unpark_oldest(self, count):
-        """Let the ``count`` requests parked longest be tried again on every engine."""
+        """Make the ``count`` requests parked longest ready again for every engine."""
         for waiting in list(itertools.islice(self._parked_by_request_id.values(), count)):
             self._unpark(waiting)
 
     def peek_last(self):
-        """Look at the request to give up first: lowest tier, most work for its share, due last.
+        """Return the request to evict first: of the lowest tier, of the team with most work for its share, due last.
 
-        The team that floods its tier pays for it, and requests set aside are left out.
+        So the team that floods its tier bears the cost. Isolated requests are left out.
         """
         for rank in reversed(self._ranks):
             teams = [team for team in self._tiers_by_rank[rank].teams_by_name.values() if team.waiting]
@@ -145,7 +145,7 @@
         return None
 
     def pop_expired(self, now):
-        """Take out and return all whose latest start has passed."""
+        """Remove and return all requests whose latest start has passed."""
         expired = []
         while self._latest_start_heap and self._latest_start_heap[0][0] < now:
             waiting = heapq.heappop(self._latest_start_heap)[2]
@@ -155,7 +155,7 @@
         return expired
 
     def first(self, count):
-        """Look at the first requests in order, by tier and due time; shares are left out."""
+        """Return the first requests by tier and due time without removing them; shares are ignored."""
         found = []
         for rank in self._ranks:
             tier = self._tiers_by_rank[rank]
@@ -175,8 +175,8 @@
     def work_ahead_s(self, waiting: WaitingRequest):
         """Engine-seconds that will be served before this request, whether it waits or not.
 
-        Its own tier counts only as far as fair shares let other teams go ahead: a team
-        that floods the queue must not make another's requests look hopeless.
+        Other teams of its own tier count only as far as fair shares serve them first: a team that floods the queue
+        must not make another team's requests look infeasible.
         """
         rank = waiting.request.tier
         above = sum(self._tiers_by_rank[other].work_s() for other in self._ranks if other < rank)
@@ -191,16 +191,16 @@
         return above + own + fair
 
     def any_waiting_above(self, rank):
-        """Whether something of a higher tier waits."""
+        """Whether a request of a higher tier waits."""
         return any(self._tiers_by_rank[other].count() for other in self._ranks if other < rank)
 
     def waiting_by_tier(self):
-        """Count by rank of the tiers in which something waits."""
+        """Return the number of waiting requests by rank, for tiers with any."""
         counts = {rank: self._tiers_by_rank[rank].count() for rank in self._ranks}
         return {rank: count for rank, count in counts.items() if count}
 
     def work_by_tier(self):
-        """Engine-seconds by rank."""
+        """Return the engine-seconds of waiting work by rank."""
         return {rank: self._tiers_by_rank[rank].work_s() for rank in self._ranks}
 
     def _share(self, team_name):
@@ -235,8 +235,8 @@
         team = self._team(waiting)
         heapq.heappush(team.heap, (due_time(waiting), next(self._sequence), waiting))
         if team.ticket is None:
-            # A team that was idle starts at the tier's present: it has no claim on what
-            # it did not ask for, or its first burst would stop every other team.
+            # A team that was idle starts at the tier's current virtual time. It earns no credit while idle, or its
+            # first burst would block every other team.
             tier = self._tiers_by_rank[waiting.request.tier]
             team.virtual_start = max(team.virtual_start, tier.virtual_time)
             self._activate_team(tier, team)
@@ -283,7 +283,7 @@
 
 
 def _in_order(heap):
-    """Yield a heap's entries in order, O(k log k) for the first k, leaving it as it is."""
+    """Yield a heap's entries in order without changing it, in O(k log k) for the first k."""
     frontier = [(heap[0], 0)] if heap else []
     while frontier:
         entry, index = heapq.heappop(frontier)
