--- a/wagtailtrestle/capacity/team_queue.py
+++ b/wagtailtrestle/capacity/team_queue.py
@@ -4,20 +4,20 @@
 import math
 
 AGEING_FACTOR = 4.0
-"""Seconds of later arrivals that may overtake a request, for each second of its work."""
+"""Seconds, per second of a request's work, within which later arrivals may overtake it."""
 
 URGENT_MARGIN_S = 0.5
-"""A request goes first once this little is left to its latest start."""
+"""A request goes first once only this much time is left to its latest start."""
 
 COMPACT_ABOVE = 64
-"""Entries of removed requests that a heap may hold beyond as many as wait."""
+"""Entries beyond twice the number of waiting requests from which on a heap is compacted."""
 
 BUCKET_S = 0.25
-"""Width of the slots of due time over which waiting work is summed."""
+"""Width of the due-time buckets in which waiting work is summed."""
 
 
 def due_time(waiting):
-    """Time by which a waiting request is to be served, as its order among its team's."""
+    """Return the time that orders a waiting request among those of its team."""
     return min(waiting.arrived_at + AGEING_FACTOR * waiting.work_s, waiting.latest_start - URGENT_MARGIN_S)
 
 
@@ -31,13 +31,13 @@
     Attributes
     ----------
     heap : list
-        ``(due, sequence, waiting)``; entries of removed requests are skipped when met.
+        ``(due_time, sequence, waiting)``; entries of removed requests are skipped when popped.
     virtual_start : float
         Start tag of the team's next request, in engine-seconds per share.
     ticket : int or None
-        Sequence of the team's valid entry in its tier's heap of teams.
-    tail : list
-        ``(-due, -sequence, waiting)``: who is given up first when too many wait.
+        Sequence number of the team's valid entry in its tier's heap of teams.
+    eviction_heap : list
+        ``(-due, -sequence, waiting)``: the order of eviction when too many wait.
     waiting, work_s : int, float
         Requests that wait, parked ones included, and their engine-seconds.
     """
@@ -55,7 +55,7 @@
         self.work_by_bucket = {}
 
     def pop_first(self, is_ready):
-        """Take the request due first; ``None`` if none is ready."""
+        """Remove and return the request due first; ``None`` if none is ready."""
         while self.heap:
             waiting = heapq.heappop(self.heap)[2]
             if is_ready(waiting):
@@ -63,16 +63,16 @@
         return None
 
     def peek_last(self, is_waiting):
-        """Look at the request due last, parked or not; ``None`` if none waits."""
+        """Return the request due last, parked or not, without removing it; ``None`` if none waits."""
         while self.eviction_heap and not is_waiting(self.eviction_heap[0][2]):
             heapq.heappop(self.eviction_heap)
         return self.eviction_heap[0][2] if self.eviction_heap else None
 
     def compact(self, *, is_ready, is_waiting):
-        """Drop the entries of removed requests once they are the greater part.
+        """Drop the entries of removed requests once they are the majority.
 
-        A starved tier is never popped: without this, every request that expired in it
-        would stay in the heaps for as long as the overload lasts, and memory would grow.
+        A starved tier is never popped. Without this, every request that expired in it would stay in the heaps for as
+        long as the overload lasts, and memory would grow.
         """
         limit = COMPACT_ABOVE + 2 * self.waiting
         if len(self.heap) > limit:
@@ -90,13 +90,13 @@
         self.work_by_bucket[bucket] = self.work_by_bucket.get(bucket, 0.0) + waiting.work_s
 
     def remove_from_totals(self, waiting):
-        """Take a request out of the sums."""
+        """Subtract a request from the sums."""
         self.waiting -= 1
         self.work_s -= waiting.work_s
         bucket = _bucket(waiting)
         left = self.work_by_bucket[bucket] - waiting.work_s
         if not self.waiting:
-            # What rounding left over would otherwise add up for ever.
+            # Otherwise rounding errors would accumulate.
             self.work_s = 0.0
             self.work_by_bucket.clear()
         elif left <= 0.0:
@@ -105,13 +105,13 @@
             self.work_by_bucket[bucket] = left
 
     def work_ahead_s(self, waiting):
-        """Engine-seconds of the team's requests that are due before this one, or with it."""
+        """Return the engine-seconds of the team's requests due before this one or in the same bucket."""
         bucket = _bucket(waiting)
         return sum(work for other, work in self.work_by_bucket.items() if other <= bucket)
 
 
 class Tier:
-    """One tier: its teams, and the heap of teams by virtual start time."""
+    """One tier: its teams and their heap by virtual start time."""
 
     __slots__ = ("teams_by_name", "heap", "virtual_time")
 
@@ -121,9 +121,9 @@
         self.virtual_time = 0.0
 
     def count(self):
-        """Requests that wait."""
+        """Return the number of waiting requests."""
         return sum(team.waiting for team in self.teams_by_name.values())
 
     def work_s(self):
-        """Engine-seconds that wait."""
+        """Return the engine-seconds of waiting work."""
         return sum(team.work_s for team in self.teams_by_name.values())
