--- a/wagtailtrestle/capacity/run_table.py
+++ b/wagtailtrestle/capacity/run_table.py
@@ -1,4 +1,4 @@
-"""Every run that holds a place in one cell, and what its course teaches about the engines."""
+"""All runs that hold a slot in one cell, and what is learned from them about the engines."""
 
 from loguru import logger
 
@@ -9,7 +9,7 @@
 from wagtailtrestle.engines.state import EngineState
 
 GRANT_GRACE_S = 5.0
-"""Time after a run's deadline at which its place is free even if nobody said so."""
+"""Time after a run's deadline after which its slot is freed even if no end was reported."""
 
 
 class RunTable:
@@ -51,29 +51,29 @@
 
     @property
     def engines(self):
-        """The cell's engines, as they were ordered last."""
+        """The cell's engines in the order of the last sort."""
         return self.engines_by_name.values()
 
     @property
     def usable_engines(self):
-        """Those that no roll-out holds back."""
+        """Engines that no rollout reserves."""
         return [engine for engine in self.engines if not engine.held_back]
 
     def reserve(self, names):
-        """Keep these engines, and no others, from being chosen."""
+        """Reserve these engines, and no others, for a rollout."""
         for engine in self.engines:
             if engine.held_back != (engine.name in names):
                 engine.hold_back(engine.name in names)
 
     def sort_by_speed(self):
-        """Put the engines on which the next run would get its tokens soonest first."""
+        """Sort engines by the speed at which the next run would get its tokens, fastest first."""
         ordered = sorted(self.engines, key=lambda engine: engine.model.pace_s(engine.running + 1))
         self.engines_by_name = {engine.name: engine for engine in ordered}
 
     def declare(self, by_name):
-        """Put the declared engines in force; what is known of those kept stays.
+        """Apply the declared engines; the state of those already known is kept.
 
-        Unless one started again under its name: then it holds and knows nothing of before.
+        The state of an engine that restarted under its name is discarded.
         """
         states = {}
         for name, declared in by_name.items():
@@ -88,20 +88,20 @@
         self._health.set_engines(states)
 
     def _shows_restart(self, declared, state):
-        # A list may be older than the report by which a start is known already.
+        # An engine list may be older than the report that already announced a start.
         return declared.start_ms not in (state.start_ms, self._declared_by_name[state.name].start_ms)
 
     def _discard_state(self, state):
-        # Runs of before would hold places that are free, for as long as their entries take to notice
-        # silent connections. Runs begun since the start that are let go with them show as load that
-        # nobody explains in the engine's next report.
-        logger.info("engine {} started again; what was known of it is forgotten", state.name)
+        # Runs from before the restart would hold slots that are free, until their entries notice the silent
+        # connections. Runs begun since the restart are ended here too; they show as load of unknown origin in the
+        # engine's next report.
+        logger.info("engine {} restarted; its previous state is discarded", state.name)
         for grant in list(state.grants_by_request_id.values()):
             self.end(grant)
         self._health.forget(state.name)
 
     def hold(self, request, *, asked_tokens, engine_name, deadline):
-        """Give a place to a request and count it as not yet begun."""
+        """Grant a slot to a request and count its run as not yet started."""
         grant = self._new_grant(request, asked_tokens, engine_name, elapsed_s=0.0)
         grant.deadline = deadline
         engine = self.engines_by_name[engine_name]
@@ -111,7 +111,7 @@
         return grant
 
     def hold_registered(self, record):
-        """Count a run that an entry registered; one that is known already is brought up to date."""
+        """Count a run that an entry registered, or update it if it is known already."""
         grant = self.grants_by_request_id.get(record.request.request_id)
         if grant is None:
             expected = self.lengths.expect(record.request)
@@ -126,7 +126,7 @@
         return grant
 
     def end(self, grant):
-        """Free a grant's place."""
+        """Free a grant's slot."""
         if self.grants_by_request_id.pop(grant.request_id, None) is not None:
             self.held.remove(grant.request)
         self.ended.record(grant.request)
@@ -135,25 +135,24 @@
             engine.end(grant)
 
     def grants_of_entry(self, entry):
-        """Grants of one entry."""
+        """Return the grants of one entry."""
         return [grant for grant in self.grants_by_request_id.values() if grant.request.entry == entry]
 
     def mark_orphaned(self, entry):
-        """Keep what a dead entry's runs hold until a report shows them gone.
+        """Keep the slots of a dead entry's runs until a load report shows that they ended.
 
-        The engines may still run what the entry dispatched; freeing those places at once
-        would overfill them.
+        The engines may still execute these runs; freeing their slots immediately would overfill the engines.
         """
         for grant in self.grants_of_entry(entry):
-            # Where the entry dies twice, a report from between still speaks of the first one's runs.
+            # If the entry dies twice, a report from between still includes the runs of its first process.
             if grant.orphaned_at is None:
                 grant.orphaned_at = self._clock()
 
     def on_load_report(self, report):
-        """Correct an engine's account by its own report; whether it tells of another start of the engine."""
+        """Correct an engine's run counts by its own report; return whether it reveals a restart of the engine."""
         engine = self.engines_by_name.get(report.engine)
         if engine is None or 0 < report.start_ms < engine.start_ms:
-            return False  # Unknown, or a word of before its last start that was late on its way.
+            return False  # Unknown engine, or a delayed report from before its last start.
         restarted = report.start_ms > engine.start_ms
         if restarted:
             engine = self._replace_restarted(engine, report.start_ms)
@@ -162,7 +161,7 @@
         return restarted
 
     def _replace_restarted(self, state, start_ms):
-        """Begin anew with an engine whose report is the first to tell of its start."""
+        """Replace the state of an engine whose report is the first to reveal its restart."""
         self._discard_state(state)
         fresh = EngineState(declared=self._declared_by_name[state.name], clock=self._clock)
         fresh.start_ms = start_ms
@@ -170,18 +169,18 @@
         return fresh
 
     def on_notice(self, notice):
-        """Take in what an engine said of itself in an answer."""
+        """Apply what an engine announced about itself in an answer."""
         engine = self.engines_by_name.get(notice.engine)
         if engine is not None:
             engine.hear(notice)
 
     def discard_reports(self):
-        """Believe no engine's report from before now."""
+        """Discard engines' reports from before now."""
         for engine in self.engines:
             engine.distrust()
 
     def tick(self):
-        """Refresh the engines, and free places whose end nobody told."""
+        """Refresh the engines, and free slots of runs whose end was not reported in time."""
         now = self._clock()
         share_by_name = self._health.shares(now)
         for engine in self.engines:
@@ -191,7 +190,7 @@
                 self.end(grant)
 
     def on_started(self, message):
-        """Take in a run's first token."""
+        """Process a run's first token."""
         grant = self.grants_by_request_id.get(message.request_id)
         engine = self.engines_by_name.get(message.engine)
         if grant is None or engine is None or grant.engine != message.engine or grant.started:
@@ -200,19 +199,19 @@
         grant.progress_at = self._clock()
 
     def on_progress(self, message):
-        """Take in how far a run has come."""
+        """Process a run's progress."""
         grant = self.grants_by_request_id.get(message.request_id)
         if grant is not None and message.output_tokens > grant.output_tokens:
             grant.output_tokens = message.output_tokens
             grant.progress_at = self._clock()
 
     def on_finished(self, message):
-        """Free the run's place; the end of a run that is not known is ignored."""
+        """Free the run's slot; the end of an unknown run is ignored."""
         grant = self.grants_by_request_id.get(message.request_id)
         if grant is None or grant.engine != message.engine:
             return
         engine = self.engines_by_name.get(grant.engine)
-        # A place given back unused, told by no duration, says nothing about the engine.
+        # A slot returned unused, which has a duration of 0, says nothing about the engine.
         if message.duration_s > 0.0 and engine is not None:
             self._health.on_outcome(message.engine, message.result, self._clock())
             self._update_models(message, grant, engine)
@@ -224,7 +223,7 @@
         if message.result != RunDone.__name__:
             return
         if message.first_token_s > 0.0:
-            # Only now: an engine tells how much its cache held with the end of its answer.
+            # Done at the end because an engine reports how much was cached only at the end of its answer.
             engine.model.observe_first_token(
                 first_token_s=message.first_token_s,
                 uncached_tokens=message.prompt_tokens - message.cached_tokens,
