--- a/wagtailtrestle/capacity/grants.py
+++ b/wagtailtrestle/capacity/grants.py
@@ -1,43 +1,41 @@
-"""What a scheduler holds for one request: its wait in the queue, then its grant."""
+"""State that a scheduler holds for one request: its wait in the queue, then its grant."""
 
 from collections import Counter, OrderedDict
 
 from wagtailtrestle.contracts.messages import GrantRequest
 
 MAX_ENDED_ATTEMPTS = 8192
-"""Settled asks remembered: tens of seconds at the rates of one cell."""
+"""Ended attempts remembered: tens of seconds' worth at the rates of one cell."""
 
 START_SHARE = 0.7
-"""Part of the time to the hoped-for first token within which a run must begin: the rest is the engine's.
-Begun later it would disappoint, and take its place from a request that can still be in time."""
-
+"""Share of the target time to first token within which a run must start; the rest is left to the engine. A run started
+later would miss the target and take its slot from a request that can still meet its own."""
 
 SUITABLE_ENGINE_WAIT_SHARE = 0.25
-"""Part of the time to the hoped-for first token within which a request waits for an engine that suits it.
-A full cell of six engines began 25 to 47 runs a second, one each 20 to 40 ms; how much longer a wait would pay was
-not measured."""
+"""Share of the target time to first token for which a request waits for a suitable engine. A full cell of six engines
+started 25 to 47 runs per second, one every 20 to 40 ms; longer waits were not measured."""
 
 
 class WaitingRequest:
-    """A request that waits for a place.
+    """A request that waits for a slot.
 
     Parameters
     ----------
     request : GrantRequest
-        With the output that is expected rather than its upper limit.
+        With the expected output rather than its upper limit.
     asked_tokens : int
-        Upper limit of the output as the entry asked.
+        Upper limit of the output as requested by the entry.
     arrived_at, deadline : float
         Times on the scheduler's clock.
     work_s : float
-        Predicted engine-seconds: the share of one full engine that the run uses up.
+        Predicted engine-seconds: the share of one full engine's time that the run consumes.
     shortest_run_s : float
-        Time the run would take on the best engine with nothing else on it.
+        Time that the run would take on the fastest engine with no other run.
 
     Attributes
     ----------
     tried_engines : frozenset of str
-        While it is parked, the engines with room that did not suit it.
+        While it is parked, the engines with free slots that were not suitable for it.
     victims : int
         Runs preempted for it so far.
     """
@@ -70,46 +68,46 @@
 
     @property
     def latest_start(self):
-        """Time after which a place is of no use: too late to finish, or to begin."""
+        """Time after which a slot is of no use: too late to finish or to start in time."""
         latest = self.deadline - self.shortest_run_s
         within_s = self.request.first_token_within_s
         return min(latest, self.arrived_at + START_SHARE * within_s) if within_s else latest
 
     @property
     def wait_for_suitable_until(self):
-        """Time until which it may wait for an engine that suits it rather than take what is free."""
+        """Time until which it may wait for a suitable engine rather than take any free slot."""
         return self.arrived_at + SUITABLE_ENGINE_WAIT_SHARE * self.request.first_token_within_s
 
 
 class Grant:
-    """A place on an engine that belongs to one request until its run ends.
+    """A slot on an engine that belongs to one request until its run ends.
 
     Parameters
     ----------
     request : GrantRequest
-        With the output that is expected rather than its upper limit.
+        With the expected output rather than its upper limit.
     asked_tokens : int
-        Upper limit of the output as the entry asked.
+        Upper limit of the output as requested by the entry.
     engine : str
     granted_at, deadline : float
         Times on the scheduler's clock.
     prefill_tokens : int
-        Tokens the engine is expected to prefill for it (not in its cache).
+        Tokens that the engine is expected to prefill for it, as they are not in its cache.
     ahead_tokens : int
-        Tokens the engine had still to prefill for others when it was granted.
+        Tokens that the engine still had to prefill for other runs at the time of the grant.
 
     Attributes
     ----------
     started : bool
-        Whether the first token came.
+        Whether the first token was reported.
     progress_at : float
-        When ``output_tokens`` was last told.
+        When ``output_tokens`` was last reported.
     preempted_at : float or None
-        When its place was taken back; the run is still to end.
+        When its run was preempted; the run has yet to end.
     orphaned_at : float or None
-        When its entry left the view; the engine may still run it.
+        When its entry left the view; the engine may still execute the run.
     filled : bool
-        Whether its engine was full with it when it was granted.
+        Whether the grant filled its engine.
     """
 
     __slots__ = (
@@ -151,7 +149,7 @@
 
     @property
     def request_id(self):
-        """Identity of the request that holds the place."""
+        """Identity of the request that holds the slot."""
         return self.request.request_id
 
     @property
@@ -160,7 +158,7 @@
         return max(1, self.request.output_tokens - self.output_tokens)
 
     def sample_concurrency(self, running):
-        """Note how many runs shared the engine, for the engine's model."""
+        """Record how many runs shared the engine, for the engine's model."""
         self._concurrency_sum += running
         self._concurrency_samples += 1
 
@@ -173,7 +171,7 @@
 
 
 class HeldByTier:
-    """How many places each tier holds in a cell, so that nobody has to look through all runs for it."""
+    """Number of slots that each tier holds in a cell, maintained so that it needs no scan of all runs."""
 
     __slots__ = ("_count_by_tier", "_preemptable_by_tier")
 
@@ -182,29 +180,29 @@
         self._preemptable_by_tier = Counter()
 
     def add(self, request: GrantRequest):
-        """Count a place."""
+        """Add the slot of a request."""
         self._count_by_tier[request.tier] += 1
         self._preemptable_by_tier[request.tier] += request.repeatable
 
     def remove(self, request: GrantRequest):
-        """Count a place no more."""
+        """Subtract the slot of a request."""
         self._count_by_tier[request.tier] -= 1
         self._preemptable_by_tier[request.tier] -= request.repeatable
 
     def any_below(self, tier):
-        """Whether a lower tier holds a place."""
+        """Whether a lower tier holds a slot."""
         return any(count for other, count in self._count_by_tier.items() if other > tier)
 
     def any_preemptable_below(self, tier):
-        """Whether a lower tier holds a place that may be taken back."""
+        """Whether a lower tier holds a slot that may be preempted."""
         return any(count for other, count in self._preemptable_by_tier.items() if other > tier)
 
 
 class EndedAttempts:
-    """The last asks that were settled, so that a late copy of one is recognised.
+    """The most recently ended attempts of requests, by which a delayed duplicate of a grant request is recognised.
 
-    A copy that comes after its request was served would wait, be granted, and hold a
-    place for a run that never comes. Attempts only grow, so the last one is enough.
+    A duplicate that arrives after its request was served would wait, be granted, and hold a slot for a run that
+    never starts. Attempt numbers only grow, so the last one of each request is enough.
     """
 
     __slots__ = ("_attempt_by_request_id",)
@@ -213,12 +211,12 @@
         self._attempt_by_request_id = OrderedDict()
 
     def record(self, request: GrantRequest):
-        """Remember that this ask is settled."""
+        """Record that this attempt has ended."""
         self._attempt_by_request_id[request.request_id] = request.attempt
         self._attempt_by_request_id.move_to_end(request.request_id)
         while len(self._attempt_by_request_id) > MAX_ENDED_ATTEMPTS:
             self._attempt_by_request_id.popitem(last=False)
 
     def covers(self, request: GrantRequest):
-        """Whether this ask, or a later one of the same request, is settled."""
+        """Whether this attempt, or a later one of the same request, has ended."""
         return request.attempt <= self._attempt_by_request_id.get(request.request_id, 0)
