--- a/wagtailtrestle/capacity/preemption.py
+++ b/wagtailtrestle/capacity/preemption.py
@@ -1,9 +1,9 @@
-"""Which lower-tier runs to cancel so that waiting higher tiers meet their deadlines.
+"""Chooses the lower-tier runs to cancel so that waiting requests of higher tiers meet their deadlines.
 
-A look-ahead lays the first waiting requests, in order, on the places as they are
-predicted to free by themselves. Only a request that would start too late there, and that
-a freed place would save, takes a victim: never more than needed, and no run that ends
-in time anyway.
+A look-ahead assigns the first waiting requests, in order, to slots at the times when these are
+predicted to become free by themselves. Only a request that would start too late there, and that
+a slot freed now would save, preempts a run: never more runs than needed, and none that ends in
+time anyway.
 """
 
 import heapq
@@ -24,35 +24,35 @@
 """Waiting requests considered in one round."""
 
 CANCEL_DELAY_S = 0.1
-"""Time a cancelled run's place takes to come back."""
+"""Time until a cancelled run's slot is free."""
 
 PREEMPT_TIMEOUT_S = 1.0
-"""After this a preempted run that did not end is no longer counted on: its entry or engine is silent."""
+"""Time after which a preempted run that has not ended is no longer expected to: its entry or engine is silent."""
 
 FREE_SLOT_DELAY_FACTOR = 1.25
-"""A predicted free place may come this much later than predicted."""
+"""Factor by which a slot may become free later than predicted."""
 
 SAFETY_MARGIN_S = 0.1
-"""Time kept in hand before a deadline, whatever is predicted."""
+"""Fixed time reserved before a deadline."""
 
 SAFETY_MARGIN_SHARE = 0.1
-"""Further time kept in hand, as a share of the time from the ask to the deadline."""
+"""Further time reserved, as a share of the time from the request's arrival to its deadline."""
 
 EAGER_SAFETY_MARGIN_S = 0.4
-"""Further time kept in hand when goodput counts most and thrown-away prefill least."""
+"""Further time reserved when goodput counts most and discarded prefill least."""
 
 MISSED_DEADLINE_FACTOR = 3.0
-"""How many times dearer a victim is that could not be resumed in time."""
+"""Factor on the cost of a victim that could not finish in time if it were resumed."""
 
 MAX_VICTIMS = 2
-"""Runs cancelled for one request. If their places did not help it, no further one will."""
+"""Maximum of runs cancelled for one request. If their slots did not help it, no further one will."""
 
 MIN_DURATION_S = 0.05
 
 
 @record
 class _Slot:
-    """One place and when it is free; ``grant`` is what holds it until then."""
+    """One slot and when it becomes free; ``grant`` holds it until then."""
 
     free_at: float
     engine: object
@@ -60,18 +60,18 @@
 
 
 class PreemptionPlanner:
-    """Chooses victims of one cell.
+    """Chooses the runs to preempt in one cell.
 
     Parameters
     ----------
     clock : callable
     prefill_weight : float
-        From 0 (act early, goodput counts) to 1 (act as late as possible).
+        From 0 (preempt early, for goodput) to 1 (preempt as late as possible, to save prefill).
 
     Attributes
     ----------
     margin : float
-        Factor on a predicted finish, the same as at the grant.
+        Factor on a predicted finish time, the same as for grants.
     """
 
     __slots__ = ("margin", "_clock", "_safety_margin_s")
@@ -82,7 +82,7 @@
         self._safety_margin_s = SAFETY_MARGIN_S + EAGER_SAFETY_MARGIN_S * (1.0 - prefill_weight)
 
     def victims(self, *, waiting, engines):
-        """Return the grants to take back for the ``waiting`` requests, which are in order."""
+        """Return the grants to preempt for the ``waiting`` requests, which are in order."""
         usable = [engine for engine in engines if engine.limit]
         candidates = [grant for engine in usable for grant in engine.grants_by_request_id.values()]
         candidates = [grant for grant in candidates if self._is_preemptable(grant)]
@@ -100,19 +100,19 @@
         return grant.request.repeatable and grant.preempted_at is None and grant.orphaned_at is None
 
     def cost(self, grant, engine, now):
-        """Prompt tokens thrown away if the run is cancelled now."""
+        """Return the prompt tokens whose prefill is discarded if the run is cancelled now."""
         if not grant.started:
             prefill_s = engine.model.prefill_s(grant.prefill_tokens + engine.pending_prefill_tokens)
             done = min(1.0, (now - grant.granted_at) / max(prefill_s, MIN_DURATION_S))
             return grant.prefill_tokens * done
-        # The prompt stays for a while in that engine's cache and the run may come back to
-        # it, so half of what is cached there is taken as kept.
+        # The prompt stays in that engine's cache for a while and the run may be resumed there, so half of the cached
+        # tokens count as kept.
         held = grant.request.prompt_tokens + grant.request.done_tokens + grant.output_tokens
         return held - engine.cache.cached_tokens(grant.request.prefix_blocks) / 2.0
 
 
 class _Round:
-    """One look-ahead: places by the time they free, and the victims found so far."""
+    """One look-ahead: slots by the time they become free, and the victims found so far."""
 
     __slots__ = (
         "victims",
@@ -139,7 +139,7 @@
                 self._push(slot)
 
     def assign(self, waiting: WaitingRequest):
-        """Give the request the first place that comes in time, or a victim's."""
+        """Assign the request the first slot that becomes free in time, or else a victim's slot."""
         run_s_by_engine = {engine.name: self._run_s(waiting, engine) for engine in self._engine_by_name.values()}
         slot = self._pop_slot_in_time(waiting, run_s_by_engine)
         if slot is None:
@@ -175,10 +175,9 @@
         return run_s(waiting.request, engine, engine.limit, 0)
 
     def _in_time(self, waiting, slot, duration_s):
-        # A cold model may be too optimistic by as much as admission takes it to be too
-        # pessimistic. Waited for to the last moment by such a prediction, a request would
-        # be given its place too late, while what it could have displaced went on running.
-        # A place that was taken back already is as good as another victim's would be.
+        # A cold model may be too optimistic by as much as admission assumes it to be too pessimistic. If a request
+        # waited for the latest moment that such a prediction allows, it would get its slot too late, while the run
+        # that it could have preempted continued. A slot that was preempted already is as good as another victim's.
         preempted = slot.grant is not None and slot.grant.preempted_at is not None
         uncertainty = 1.0 if preempted else tolerance(slot.engine)
         expected = self._now + FREE_SLOT_DELAY_FACTOR * (slot.free_at - self._now) + uncertainty * duration_s
@@ -220,8 +219,8 @@
         return _Slot(free_at=free_at, engine=self._engine_by_name[victim.engine])
 
     def _would_save(self, waiting, engine, free_at):
-        # The same promise as at the grant: a place that the request would then not be
-        # given goes to another, and the next round would cancel another run for it.
+        # The same prediction as for grants: otherwise the request would not be granted the freed slot, which would go
+        # to another one, and the next round would cancel another run for it.
         if engine.name in waiting.request.excluded_engines or engine.rest_s(waiting.request.entry):
             return False
         duration_s = conservative_run_s(
@@ -230,7 +229,7 @@
         return free_at + duration_s <= self._now + tolerance(engine) * (waiting.deadline - self._now)
 
     def _victim_order(self, grant, needed_s):
-        """Lowest tier first, then those not preempted too often, then least price per second freed."""
+        """Return the sort key: lowest tier first, then not preempted too often, then least cost per second freed."""
         engine = self._engine_by_name[grant.engine]
         cost = self._planner.cost(grant, engine, self._now)
         if self._would_miss_deadline(grant, engine):
