--- a/wagtailtrestle/capacity/isolation.py
+++ b/wagtailtrestle/capacity/isolation.py
@@ -1,8 +1,8 @@
-"""Engines for requests that are suspected of crashing them and must run beside no other.
+"""Isolation of suspects: requests that may have crashed engines and must run alone on an engine.
 
-Under load no engine becomes empty by itself, so one engine of the cell is kept: it gets nothing
-more until what runs there has ended, then the suspect, and nothing beside it until that
-ends. What the engine still runs is not cancelled: its prefill is worth more than a suspect's wait.
+Under load no engine becomes empty by itself, so one engine of the cell is reserved: it gets no new runs until its
+current ones have ended, then it gets the suspect alone until that ends. The current runs are not cancelled: their
+prefill is worth more than a suspect's wait.
 """
 
 from wagtailtrestle.capacity.admission import tolerance, undisturbed_run_s
@@ -11,31 +11,31 @@
 from wagtailtrestle.record import record
 
 MAX_SUSPECTS = 16
-"""Suspects that may wait in one cell: they are served one by one."""
+"""Maximum of suspects that may wait in one cell, as they are served one by one."""
 
 UNKNOWN_LOAD_S = 5.0
-"""Time that load which only a report showed is taken to last."""
+"""Assumed duration of runs that are known only from a load report."""
 
 RELEASE_BEFORE_START_S = 1.0
-"""A kept engine is let go for a higher tier that has this little left to its latest start."""
+"""A reserved engine is released for a request of a higher tier with less time than this to its latest start."""
 
 
 @record
 class IsolationStep:
-    """The next step for a suspect: its empty engine, or ``None`` if none comes in time."""
+    """The next step for a suspect: its empty engine, or ``None`` if none becomes empty in time."""
 
     waiting: WaitingRequest
     engine: object
 
 
 class Isolation:
-    """Keeps at most one engine of a cell for suspects, one suspect after another.
+    """Reserves at most one engine of a cell for suspects, one suspect after another.
 
     Parameters
     ----------
     clock : callable
     queue : TierQueue
-        Its requests set aside are the suspects that wait.
+        Its isolated requests are the waiting suspects.
     """
 
     __slots__ = ("_clock", "_queue", "_reserved")
@@ -54,7 +54,7 @@
         return any(self._in_time(waiting, engine) for engine in _usable(waiting, engines))
 
     def next(self, engines) -> IsolationStep | None:
-        """Return the step to take now, if any; ``engines`` are those that may be granted at all."""
+        """Return the step to take now, if any; ``engines`` are those of the cell."""
         self._release_if_over()
         if not self._queue.isolated_by_request_id or any(engine.runs_alone for engine in engines):
             return None
@@ -72,7 +72,7 @@
         return None
 
     def release_for_urgent(self, engines):
-        """Let the kept engine go if a request of a higher tier needs it, or the cell has no other."""
+        """Release the reserved engine if a request of a higher tier needs it, or the cell has no other."""
         self._release_if_over()
         if self._reserved is None:
             return
@@ -80,14 +80,13 @@
         first = self._queue.first(1)
         if not first or first[0].request.tier >= waiting.request.tier:
             return
-        # Kept on, the engine would stand empty for a suspect of a lower tier while a
-        # request of a higher one expires.
+        # Otherwise the engine would stay empty for a suspect of a lower tier while a request of a higher one expires.
         only_one = sum(1 for engine in engines if engine.limit) <= 1
         if only_one or first[0].latest_start - self._clock() < RELEASE_BEFORE_START_S:
             self.release()
 
     def release(self):
-        """Let the kept engine take other work again."""
+        """Release the reserved engine for other work."""
         if self._reserved is not None:
             self._reserved.kept_for = None
             self._reserved = None
@@ -97,7 +96,7 @@
             self.release()
 
     def _suspect(self):
-        """Return the suspect whose engine is kept, or the first one if its turn has come."""
+        """Return the suspect whose engine is reserved, or the first one if no higher tier waits."""
         isolated_by_id = self._queue.isolated_by_request_id
         if self._reserved is not None:
             return isolated_by_id[self._reserved.kept_for]
@@ -133,7 +132,7 @@
 
 
 def _empty_s(engine):
-    """Predicted time until nothing runs there, if it takes nothing more."""
+    """Return the predicted time until the engine is empty if it gets no new runs."""
     grants = engine.grants_by_request_id.values()
     known_s = max((engine.remaining_s(grant) for grant in grants), default=0.0)
     return max(known_s, UNKNOWN_LOAD_S if engine.phantom else 0.0)
