--- a/wagtailtrestle/capacity/retry_budget.py
+++ b/wagtailtrestle/capacity/retry_budget.py
@@ -1,8 +1,8 @@
-"""Budget of retries of one cell, over all routers: a share of what succeeded lately, and some beyond it.
+"""Retry budget of one cell, over all routers: a share of recent successes, plus a fixed allowance.
 
-When engines fail, every retry is more load on those that are left, and the failure feeds itself. Each run needs a
-place, so the scheduler that grants places sees every retry of every router, and counts it when it is sent. Entries
-keep their own record and tell it to a new scheduler, as they tell what they hold.
+When engines fail, every retry adds load to those that are left, and the failure amplifies itself. Each run needs a
+slot, so the scheduler that grants slots sees every retry of every router, and counts it when it is granted. Entries
+keep their own records and send them to a new scheduler when they register.
 """
 
 from wagtailtrestle.capacity.recent_times import RecentTimes
@@ -12,33 +12,33 @@
 """Retries allowed for each success within the window."""
 
 RETRY_EXTRA = 3.0
-"""Retries allowed within the window whatever succeeded, so that a quiet service can recover."""
+"""Retries allowed within the window regardless of successes, so that a quiet service can recover."""
 
 RETRY_WINDOW_S = 10.0
 
 ARRIVAL_SPREAD_S = 1.0
-"""Retries count for so much longer than the window: one that was granted may take as long to connect, and reach its
-engine in the same window as those that are granted after it."""
+"""Time beyond the window for which retries count: a granted retry may take this long to connect, and reach its engine
+in the same window as those granted after it."""
 
 MIN_KNOWN_SHARE = 0.25
-"""Part of the budget that is given out at once where all routers have just started."""
+"""Share of the budget that is available immediately when all routers have just started."""
 
 ROUNDING_TOLERANCE = 1e-9
 
 
 @record
 class RetryLimits:
-    """What an operator allows.
+    """Limits set by the operator.
 
     Parameters
     ----------
     share : float
         Retries for each success.
     extra : float
-        Retries within the window beyond that, over all routers.
+        Further retries within the window, over all routers.
     window_s : float
     routers : int
-        Routers that may be running, in the view or cut off from it.
+        Routers that may be running, whether in the view or partitioned from it.
     """
 
     share: float = RETRY_SHARE
@@ -48,14 +48,14 @@
 
 
 class RetryBudget:
-    """Whether one more retry may be granted in a cell.
+    """Decides whether one more retry may be granted in a cell.
 
     Parameters
     ----------
     clock : callable
         Returns the loop's time in seconds.
     limits : callable
-        Returns the present :class:`RetryLimits`.
+        Returns the current :class:`RetryLimits`.
     """
 
     __slots__ = (
@@ -77,7 +77,7 @@
         self.begin()
 
     def begin(self):
-        """Take the cell over from another scheduler, whose grants only the entries know."""
+        """Begin after another scheduler of the cell, whose grants only the entries know."""
         self._began_at = self._clock()
         self._known_from_by_entry = {}
 
@@ -87,9 +87,9 @@
         Parameters
         ----------
         waiting : int
-            Retries that wait for a place.
+            Retries that wait for a slot.
         entries : collection of str
-            Routers that go by this scheduler. Those that are cut off go by another, which has their part of the extra.
+            Routers that use this scheduler. Partitioned ones use another, which has their part of ``extra``.
         """
         limits = self._limits()
         self._forget_old(limits.window_s)
@@ -106,24 +106,24 @@
         self._spent_by_id[request_id] = (entry, now)
 
     def refund(self, request_id):
-        """Forget the last retry of a request: it was never sent."""
+        """Refund the last retry of a request, which was never sent."""
         entry, at = self._spent_by_id.pop(request_id, (None, 0.0))
         times = self._retries_by_entry.get(entry, ())
         if at in times:
             self._retries_by_entry[entry] = RecentTimes(_without(times, at))
 
     def record_success(self, entry):
-        """Count a request that was answered whole."""
+        """Count a request that was answered completely."""
         self._successes_by_entry.setdefault(entry, RecentTimes()).record(self._clock())
 
     def apply_history(self, entry, history):
-        """Take what an entry sent and got answered since its process started; what its predecessor spent is kept."""
+        """Apply an entry's history since its process started; what its previous process spent is kept."""
         now = self._clock()
         started_at = now - history.up_s
         counted = RecentTimes(at for at in self._retries_by_entry.get(entry, ()) if at >= started_at)
         earlier = [at for at in self._retries_by_entry.get(entry, ()) if at < started_at]
         reported = [now - age for age, count in enumerate(history.retries_by_age_s) for _ in range(count)]
-        # A grant on its way to the entry is in no history yet.
+        # A grant in flight to the entry is not in its history yet.
         in_flight = max(0, counted.count_since(now - 1.0) - sum(history.retries_by_age_s[:1]))
         self._retries_by_entry[entry] = RecentTimes([*earlier, *reported, *[now] * in_flight])
         successes = (now - age - 1 for age, count in enumerate(history.successes_by_age_s) for _ in range(count))
@@ -132,12 +132,12 @@
         self._known_from_by_entry[entry] = min(known_from, started_at)
 
     def retain_successes(self, entries):
-        """Let go of what other entries earned: they may be cut off, and spend it at another scheduler."""
+        """Drop the successes of all other entries: they may be partitioned, and spend these at another scheduler."""
         for entry in self._successes_by_entry.keys() - set(entries):
             del self._successes_by_entry[entry]
 
     def dump(self):
-        """Return the present figures for a state dump."""
+        """Return the current figures for the state dump."""
         limits = self._limits()
         self._forget_old(limits.window_s)
         return {
@@ -147,10 +147,10 @@
         }
 
     def _known_share(self, window_s, entries):
-        """Part of the entries' last window of which this scheduler knows what was sent.
+        """Return the share of the entries' last window for which this scheduler knows the retries sent.
 
-        A router that was started again has forgotten what its predecessor sent, and a scheduler that was started with
-        it never knew. What nobody knows is taken for as much as what is known.
+        A restarted router does not know what its previous process sent, and a scheduler started at the same time
+        never knew. The unknown part is assumed to have retries at the same rate as the known part.
         """
         since = self._clock() - window_s
         known_s = [
