--- a/wagtailtrestle/capacity/__init__.py
+++ b/wagtailtrestle/capacity/__init__.py
@@ -1,1 +1,1 @@
-"""Capacity of a cell: who runs next, who is refused, who yields (decisions)."""
+"""Capacity of a cell: decides which request runs next, is refused or is preempted."""
