--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -11,7 +11,7 @@
 
 
 class GrantTest(unittest.TestCase):
-    def test_higher_tier_takes_the_next_free_place(self):
+    def test_higher_tier_gets_the_next_free_slot(self):
         cell = Cell()
         cell.receive(ask("run0"), ask("run1"), ask("low", tier=2), ask("high", tier=0), finished("run0"))
         self.assertEqual(cell.entries.ids(Granted), ["run0", "run1", "high"])
