--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -16,7 +16,7 @@
         cell.receive(ask("run0"), ask("run1"), ask("low", tier=2), ask("high", tier=0), finished("run0"))
         self.assertEqual(cell.entries.ids(Granted), ["run0", "run1", "high"])
 
-    def test_engines_are_kept_just_full(self):
+    def test_engines_are_filled_to_their_slots(self):
         cell = Cell(engines=("e1", "e2"), slots=3)
         cell.receive(*[ask(f"r{number}") for number in range(10)])
         self.assertEqual(len(cell.entries.of(Granted)), 6)
