--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -22,7 +22,7 @@
         self.assertEqual(len(cell.entries.of(Granted)), 6)
         self.assertEqual(cell.scheduler.digest().waiting_by_tier, {1: 4})
 
-    def test_granted_carries_limits_on_silence(self):
+    def test_granted_carries_silence_limits(self):
         # A limit below the engine's normal pace would take a slow run for a dead one.
         cell = Cell()
         cell.receive(ask("long", prompt_tokens=4000, remaining_s=60.0))
