--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -30,7 +30,7 @@
         self.assertGreaterEqual(granted.progress_deadline_s, 1.0)
         self.assertGreater(granted.first_token_deadline_s, 2 * 4000 / 1000.0)
 
-    def test_excluded_and_leaving_engines_get_nothing(self):
+    def test_excluded_and_leaving_engines_get_no_grant(self):
         cell = Cell(engines=("e1", "e2", "e3"))
         cell.scheduler.mark_leaving("e2")
         cell.receive(ask("r", excluded_engines=("e1",)))
