--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -38,7 +38,7 @@
         cell.receive(ask("s", excluded_engines=("e1", "e3")))
         self.assertEqual(cell.entries.of(Refused)[0].reason, Reason.NO_ENGINE)
 
-    def test_a_new_declaration_does_not_bring_a_leaving_engine_back(self):
+    def test_new_declaration_does_not_clear_a_leaving_mark(self):
         # The platform's list marks an engine; then a declaration that says nothing of it
         # is applied. New work on it would be cut when its VM goes.
         cell = Cell()
