--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -47,7 +47,7 @@
         cell.receive(ask("r0"), ask("r1"), ask("r2"))
         self.assertEqual({granted.engine for granted in cell.entries.of(Granted)}, {"e2"})
 
-    def test_an_engine_that_says_it_is_leaving_gets_nothing(self):
+    def test_engine_that_reports_leaving_gets_no_grant(self):
         cell = Cell()
         cell.scheduler.on_load_report(report(leaving=True))
         cell.receive(ask("r"))
