--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -59,7 +59,7 @@
         cell.receive(ask("r"))
         self.assertEqual(cell.entries.sent, [])
 
-    def test_unreachable_engine_gets_nothing_until_it_reports(self):
+    def test_unreachable_engine_gets_no_grant_until_it_reports(self):
         cell = Cell()
         cell.scheduler.on_unreachable("e1")
         cell.receive(ask("r"))
