--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -90,7 +90,7 @@
 
 
 class MessagesTest(unittest.TestCase):
-    def test_the_same_ask_twice_is_one_place(self):
+    def test_duplicate_request_takes_one_slot(self):
         # The entry asks again as it saw no answer. The second ask must repeat the answer
         # and take no second place.
         cell = Cell(slots=1)
