--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -98,7 +98,7 @@
         self.assertEqual(cell.entries.ids(Granted), ["r", "r"])
         self.assertEqual(cell.scheduler.digest().waiting_by_tier, {0: 1})
 
-    def test_a_late_copy_of_a_settled_ask_takes_no_place(self):
+    def test_delayed_duplicate_of_an_ended_request_takes_no_slot(self):
         # A copy arrives after its run ended. Granted, it would hold a place for ever,
         # for no entry would ever finish it.
         cell = Cell()
