--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -107,7 +107,7 @@
         cell.receive(ask("w", attempt=2), Withdraw(request_id="w"), ask("w", attempt=1))
         self.assertEqual(cell.scheduler.digest().free, 2)
 
-    def test_a_newer_ask_replaces_the_older(self):
+    def test_newer_attempt_replaces_the_older(self):
         cell = Cell()
         cell.receive(ask("r"), ask("r", attempt=2))
         self.assertEqual([granted.attempt for granted in cell.entries.of(Granted)], [1, 2])
