--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -113,7 +113,7 @@
         self.assertEqual([granted.attempt for granted in cell.entries.of(Granted)], [1, 2])
         self.assertEqual(cell.scheduler.digest().free, 1)
 
-    def test_a_finish_of_an_unknown_run_is_ignored(self):
+    def test_end_of_an_unknown_run_is_ignored(self):
         cell = Cell()
         cell.receive(ask("r"), finished("other"), finished("r", on="e9"))
         self.assertEqual(cell.scheduler.digest().free, 1)
