--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -118,7 +118,7 @@
         cell.receive(ask("r"), finished("other"), finished("r", on="e9"))
         self.assertEqual(cell.scheduler.digest().free, 1)
 
-    def test_a_place_given_back_unused_says_nothing_about_the_engine(self):
+    def test_slot_returned_unused_does_not_affect_engine_health(self):
         # Two schedulers for a moment: every grant of one comes back unused. Counted as
         # failures, they would eject a healthy engine.
         cell = Cell(engines=("e1", "e2", "e3"))
