--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -130,7 +130,7 @@
 
 
 class LoadReportTest(unittest.TestCase):
-    def test_a_late_report_does_not_count_what_ended_since(self):
+    def test_delayed_report_does_not_count_runs_ended_since(self):
         # The report shows two runs, but it is 0.5 s old and both ended 0.2 s ago. Read as
         # the present, it would leave both places empty until the next report.
         cell = Cell()
