--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -141,7 +141,7 @@
         cell.scheduler.on_load_report(report(age_s=0.5, running=2))
         self.assertEqual(cell.scheduler.digest().free, 2)
 
-    def test_a_late_report_does_not_hide_what_was_granted_since(self):
+    def test_delayed_report_does_not_hide_runs_granted_since(self):
         cell = Cell()
         cell.receive(ask("a"), ask("b"))
         cell.scheduler.on_load_report(report(age_s=0.5, running=0))
