--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -147,7 +147,7 @@
         cell.scheduler.on_load_report(report(age_s=0.5, running=0))
         self.assertEqual(cell.scheduler.digest().free, 0)
 
-    def test_load_of_unknown_entries_counts(self):
+    def test_load_of_unknown_origin_counts(self):
         # Another scheduler granted two runs here while the view was split. Places that look
         # free to us are not.
         cell = Cell()
