--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -159,7 +159,7 @@
 
 
 class CacheTest(unittest.TestCase):
-    def test_cache_events_correct_what_is_believed(self):
+    def test_cache_events_correct_the_assumed_cache(self):
         # Both engines are as good, but e2 says it holds the prompt's prefix. After e2 restarted
         # it holds nothing, and believing otherwise would send the prompt there for nothing.
         blocks = tuple(range(1, 9))
