--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -174,7 +174,7 @@
 
 
 class RefusalTest(unittest.TestCase):
-    def test_what_cannot_finish_is_refused_at_once(self):
+    def test_infeasible_request_is_refused_immediately(self):
         cell = Cell()
         cell.measure()
         cell.receive(ask("r", output_tokens=1000, remaining_s=5.0))
