--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -182,7 +182,7 @@
         self.assertEqual((refused.request_id, refused.reason), ("r", Reason.DEADLINE_UNREACHABLE))
         self.assertGreaterEqual(refused.retry_after_s, 1.0)
 
-    def test_what_cannot_finish_is_refused_while_all_places_are_taken(self):
+    def test_infeasible_request_is_refused_while_the_cell_is_full(self):
         cell = Cell()
         cell.measure()
         cell.receive(ask("a"), ask("b"), ask("r", output_tokens=1000, remaining_s=5.0))
