--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -188,7 +188,7 @@
         cell.receive(ask("a"), ask("b"), ask("r", output_tokens=1000, remaining_s=5.0))
         self.assertEqual([message.reason for message in cell.entries.of(Refused)], [Reason.DEADLINE_UNREACHABLE])
 
-    def test_slowness_that_lower_tiers_cause_refuses_no_higher_one(self):
+    def test_slowdown_by_lower_tiers_does_not_refuse_a_higher_one(self):
         # Long prompts of a lower tier have slowed every token fourfold lately. A question
         # would be late at that pace, but not once no more of them is prefilled beside it.
         cell = Cell()
