--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -202,7 +202,7 @@
         cell.receive(ask("report", tier=2, prompt_tokens=4000, remaining_s=60.0))
         self.assertEqual(cell.entries.ids(Granted), ["q"])
 
-    def test_a_cold_model_refuses_nothing_it_might_finish(self):
+    def test_cold_model_does_not_refuse_a_possibly_feasible_request(self):
         # Declared figures that are too pessimistic: if they refused, no run would ever
         # correct them.
         cell = Cell()
