--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -209,7 +209,7 @@
         cell.receive(ask("r", output_tokens=1000, remaining_s=5.0))
         self.assertEqual(cell.entries.ids(Granted), ["r"])
 
-    def test_overload_refuses_what_would_wait_too_long(self):
+    def test_overload_refuses_requests_that_would_wait_too_long(self):
         # About 1.1 s each, two at a time: of thirty with 5 s only some can be served. The
         # others hear so now and not when their deadline has passed.
         cell = Cell()
