--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -230,7 +230,7 @@
         cell.receive(*[ask(f"r{number}", remaining_s=5.0) for number in range(30)])
         self.assertEqual(cell.entries.ids(Refused), [])
 
-    def test_waiting_past_its_latest_start_is_refused_before_its_deadline(self):
+    def test_request_past_its_latest_start_is_refused_before_its_deadline(self):
         cell = Cell()
         cell.receive(ask("a", repeatable=False), ask("b", repeatable=False), ask("r", remaining_s=3.0))
         cell.advance(2.2)
