--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -236,7 +236,7 @@
         cell.advance(2.2)
         self.assertEqual(cell.entries.ids(Refused), ["r"])
 
-    def test_a_grant_that_would_make_a_running_one_late_is_not_made(self):
+    def test_no_grant_that_would_delay_a_run_past_its_deadline(self):
         # A run has 1 s to spare. A prompt of 4 s of prefill on the same engine would slow
         # its tokens for as long, and its own prefill would be wasted.
         cell = Cell()
