--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -262,7 +262,7 @@
         cell.receive(finished("x"))
         self.assertEqual(cell.entries.ids(Granted), ["r"])
 
-    def test_an_entry_that_still_goes_by_another_scheduler_is_awaited(self):
+    def test_entry_that_still_uses_another_scheduler_is_awaited(self):
         # The scheduler died, and r1 is the next one by its own view. It asks r2, which has not heard of the
         # death yet and answers that its scheduler is another. Taken for "r2 runs nothing", that
         # answer filled the engine twice over: what was granted too much waited in the engine's queue, was
