--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -274,7 +274,7 @@
         cell.receive(register("r2", running=[running(ask("x", entry="r2")), running(ask("y", entry="r2"))]))
         self.assertEqual(cell.entries.ids(Granted), [])
 
-    def test_a_scheduler_that_takes_over_again_waits_anew(self):
+    def test_resumed_scheduler_awaits_registrations_again(self):
         # This router was scheduler when the fleet started, then another one was, and now that one has died. That
         # everybody registered long ago says nothing of what the other granted since: the engine is full.
         cell = Cell(slots=2, members=("r1", "r2"))
