--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -286,7 +286,7 @@
         cell.receive(register("r2", running=[running(ask("x", entry="r2")), running(ask("y", entry="r2"))]))
         self.assertEqual(cell.entries.ids(Granted), [])
 
-    def test_who_registered_just_before_the_scheduler_knew_is_not_awaited(self):
+    def test_recently_registered_entry_is_not_awaited(self):
         cell = Cell(slots=2, members=("r1", "r2"))
         cell.receive(register("r1"), register("r2"))
         cell.advance(10.0)
