--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -296,7 +296,7 @@
         cell.receive(register("r1", waiting=[ask("r")]))
         self.assertEqual(cell.entries.ids(Granted), ["r"])
 
-    def test_runs_of_a_router_that_died_are_reckoned_with_before_they_are_reported(self):
+    def test_runs_of_a_dead_router_are_expected_before_they_are_reported(self):
         # The scheduler died, and with it the entry whose runs the engine still goes on with. All who live have
         # registered, and nobody speaks for these runs: granting at once filled the engine twice over, and a
         # question in the engine's queue was given up as silent.
