--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -308,7 +308,7 @@
         cell.scheduler.on_load_report(report(running=1))
         self.assertEqual(cell.entries.ids(Granted), ["r"])
 
-    def test_an_engine_that_never_reports_is_used_after_the_wait(self):
+    def test_engine_that_never_reports_is_used_after_recovery(self):
         cell = Cell(slots=2)
         cell.scheduler.expect_orphans()
         cell.scheduler.set_members(frozenset({"r1"}))
