--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -316,7 +316,7 @@
         cell.advance(RECOVERY_TIMEOUT_S + 0.1)
         self.assertEqual(cell.entries.ids(Granted), ["r"])
 
-    def test_runs_of_an_entry_that_turned_to_another_scheduler_keep_their_places(self):
+    def test_runs_of_an_entry_that_switched_schedulers_keep_their_slots(self):
         # A question of r1 waits in the engine's queue until its deadline. A scheduler that was started again takes
         # the cell back; r2 hears of it first and tells this one that it goes by another. Its run goes on all
         # the same: were its place free now, r1, which has not heard yet, got a second run on it.
