--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -332,7 +332,7 @@
         cell.scheduler.on_load_report(report(running=0))
         self.assertEqual(cell.entries.ids(Granted), ["x", "r"])
 
-    def test_asks_of_an_entry_that_turned_to_another_scheduler_are_dropped(self):
+    def test_waiting_requests_of_an_entry_that_switched_schedulers_are_dropped(self):
         # The entry asks there now; granted here too, its request would take two places.
         cell = Cell(slots=1, members=("r1", "r2"))
         cell.receive(register("r1"), register("r2"), ask("x"), ask("y", entry="r2"), ask("r"))
