--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -339,7 +339,7 @@
         cell.receive(register("r2", elsewhere=True), finished("x"))
         self.assertEqual(cell.entries.ids(Granted), ["x", "r"])
 
-    def test_an_entry_that_comes_back_says_what_it_holds(self):
+    def test_entry_that_switches_back_registers_its_runs(self):
         # What it held before it turned away and no longer holds is free at once, without a report.
         cell = Cell(slots=1, members=("r1", "r2"))
         cell.receive(register("r1"), register("r2"), ask("x", entry="r2"), ask("r"))
