--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -346,7 +346,7 @@
         cell.receive(register("r2", elsewhere=True), register("r2"))
         self.assertEqual(cell.entries.ids(Granted), ["x", "r"])
 
-    def test_the_wait_is_bounded(self):
+    def test_recovery_is_bounded(self):
         cell = Cell(members=("r1", "silent"))
         cell.receive(register("r1", waiting=[ask("r")]))
         cell.advance(RECOVERY_TIMEOUT_S + 0.1)
