--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -352,7 +352,7 @@
         cell.advance(RECOVERY_TIMEOUT_S + 0.1)
         self.assertEqual(cell.entries.ids(Granted), ["r"])
 
-    def test_meanwhile_it_grants_what_the_engines_report_free(self):
+    def test_recovering_scheduler_grants_slots_reported_free(self):
         cell = Cell(engines=("e1", "e2"), members=("r1", "silent"))
         cell.receive(register("r1", waiting=[ask(f"r{number}") for number in range(4)]))
         cell.scheduler.on_load_report(report(on="e1", running=1))
