--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -365,7 +365,7 @@
         cell.receive(register("r2", running=[running(ask("x", entry="r2"))]))
         self.assertEqual(cell.scheduler.digest().free, 1)
 
-    def test_registering_replaces_what_was_known(self):
+    def test_registration_replaces_the_known_state(self):
         cell = Cell()
         cell.receive(ask("gone"), ask("kept"), ask("waits"), ask("dropped"))
         cell.receive(register("r1", waiting=[ask("waits")], running=[running(ask("kept"))]))
