--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -372,7 +372,7 @@
         self.assertEqual(cell.entries.ids(Granted), ["gone", "kept", "waits"])
         self.assertEqual(cell.scheduler.digest().waiting_by_tier, {})
 
-    def test_a_grant_that_crossed_the_registration_is_sent_again(self):
+    def test_grant_that_crossed_a_registration_is_resent(self):
         # The entry registered before our grant reached it. A second place for the same
         # request would be lost; no answer would leave it waiting for ever.
         cell = Cell(slots=1)
