--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -380,7 +380,7 @@
         self.assertEqual(cell.entries.ids(Granted), ["r", "r"])
         self.assertEqual(cell.scheduler.digest().waiting_by_tier, {0: 1})
 
-    def test_an_entry_that_died_frees_its_places_only_when_the_engine_shows_it(self):
+    def test_dead_entry_frees_its_slots_only_when_a_report_shows_it(self):
         # Router r2 dies. Its waiting requests are gone with it, but the engine still runs
         # what it sent. Granting into those places at once would overfill the engine.
         cell = Cell(members=("r1", "r2"))
