--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -392,7 +392,7 @@
         cell.scheduler.on_load_report(report(running=1))
         self.assertEqual(cell.entries.ids(Granted), ["x", "y", "r"])
 
-    def test_a_place_whose_end_nobody_tells_comes_back_after_its_deadline(self):
+    def test_slot_without_a_reported_end_is_freed_after_its_deadline(self):
         cell = Cell(members=("r1", "r2"))
         cell.receive(register("r1"), register("r2"), ask("x", entry="r2"))
         cell.scheduler.set_members(frozenset({"r1"}))
