--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -401,7 +401,7 @@
         cell.advance(2.0)
         self.assertEqual(cell.scheduler.digest().free, 2)
 
-    def test_a_scheduler_that_wakes_trusts_nothing_it_knew(self):
+    def test_scheduler_discards_its_state_after_a_pause(self):
         # The process is stopped for 30 s; others served the cell meanwhile and filled the
         # engine. On waking, its own account shows both places free.
         cell = Cell(members=("r1",))
