--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -417,7 +417,7 @@
         cell.scheduler.on_load_report(report(running=1))
         self.assertEqual(cell.entries.ids(Granted), ["r"])
 
-    def test_a_lost_preemption_is_told_again_on_registering(self):
+    def test_lost_preemption_is_resent_on_registration(self):
         cell = Cell(slots=1)
         cell.receive(
             ask("low", tier=3, remaining_s=60.0, output_tokens=2000), RunProgress(request_id="low", output_tokens=9)
