--- a/tests/test_tier_queue.py
+++ b/tests/test_tier_queue.py
@@ -42,7 +42,7 @@
         self.assertEqual(queue.pop().request_id, "kept")
         self.assertEqual((len(queue), queue.work_by_tier()), (0, {1: 0.0}))
 
-    def test_a_starved_tier_does_not_grow_for_ever(self):
+    def test_starved_tier_does_not_grow_without_bound(self):
         # A low tier that is never served for hours: its requests come and expire.
         # Nobody pops its heap, so what expired must be cleared away by itself.
         queue = TierQueue()
