--- a/tests/test_tier_queue.py
+++ b/tests/test_tier_queue.py
@@ -52,7 +52,7 @@
         team = queue._tiers_by_rank[1].teams_by_name["socios"]
         self.assertLess(max(len(team.heap), len(team.eviction_heap)), 3 * COMPACT_ABOVE)
 
-    def test_the_lowest_tier_and_the_team_that_floods_it_are_given_up_first(self):
+    def test_lowest_tier_and_flooding_team_are_evicted_first(self):
         queue = TierQueue(share_by_team={"bitacora": 4.0})
         queue.push(waiting("high", tier=0, work_s=50.0))
         for number in range(3):
