--- a/tests/test_tier_queue.py
+++ b/tests/test_tier_queue.py
@@ -84,7 +84,7 @@
         served = Counter(request_id[:4] for request_id in pop_all(queue, 50))
         self.assertEqual(served, {"long": 10, "brie": 40})
 
-    def test_an_idle_team_saves_up_nothing(self):
+    def test_idle_team_earns_no_credit(self):
         # One team alone is served for a long time, then another sends a burst. It may
         # have its half from now on, not everything until it has caught up.
         queue = TierQueue()
