--- a/tests/test_tier_queue.py
+++ b/tests/test_tier_queue.py
@@ -96,7 +96,7 @@
         served = Counter(request_id[:5] for request_id in pop_all(queue, 20))
         self.assertEqual(served["burst"], 10)
 
-    def test_a_parked_request_costs_its_team_nothing(self):
+    def test_parked_request_is_not_charged_to_its_team(self):
         queue = TierQueue()
         for number in range(20):
             queue.push(waiting(f"a{number}", team="a"))
