--- a/tests/test_tier_queue.py
+++ b/tests/test_tier_queue.py
@@ -108,7 +108,7 @@
         queue.unpark({"e1", "e2"})
         self.assertEqual({request_id[0] for request_id in pop_all(queue, 5)}, {"a"})
 
-    def test_a_flood_of_one_team_is_not_ahead_of_another(self):
+    def test_flood_of_one_team_does_not_delay_another(self):
         # One team floods the tier. Another team's single request is served after its
         # fair share of that, so its predicted wait must not count the whole flood.
         queue = TierQueue()
