--- a/tests/test_tier_queue.py
+++ b/tests/test_tier_queue.py
@@ -120,7 +120,7 @@
 
 
 class LengthsTest(unittest.TestCase):
-    def test_short_work_goes_before_long_but_not_for_ever(self):
+    def test_short_work_overtakes_long_work_for_a_bounded_time(self):
         # A report a hundred times as long as the questions. Questions that come soon
         # after overtake it; those that come after its ageing time don't, or a steady
         # stream of questions would keep it waiting until its deadline.
