--- a/tests/test_tier_queue.py
+++ b/tests/test_tier_queue.py
@@ -137,7 +137,7 @@
         queue.push(waiting("urgent", work_s=10.0, deadline=10.4))
         self.assertEqual(queue.pop().request_id, "urgent")
 
-    def test_first_shows_the_order_and_takes_nothing(self):
+    def test_first_returns_the_order_without_removing(self):
         queue = TierQueue()
         for number in (3, 1, 2):
             queue.push(waiting(f"r{number}", work_s=float(number)))
