--- a/tests/test_begin_soon.py
+++ b/tests/test_begin_soon.py
@@ -67,7 +67,7 @@
 
 
 class BeginSoonTest(unittest.TestCase):
-    def test_who_could_not_begin_in_time_is_told_so_then(self):
+    def test_request_that_can_not_start_in_time_is_refused_then(self):
         # Both places are taken for longer than the caller hopes to wait for its first token. Held to
         # its deadline it would get its answer late, in a place that another could have used in time.
         cell = Cell(slots=2)
