--- a/tests/test_begin_soon.py
+++ b/tests/test_begin_soon.py
@@ -78,7 +78,7 @@
         self.assertEqual(cell.entries.ids(Refused), ["c"])
         self.assertEqual(cell.entries.of(Refused)[0].reason, Reason.OVERLOADED)
 
-    def test_under_overload_the_refusal_comes_at_once(self):
+    def test_overload_refuses_immediately(self):
         # Ten requests a second for a cell that begins two. Each refused one that waited first was
         # kept from asking elsewhere for nothing.
         self.check_refused_at_once(Overload())
