--- a/tests/test_begin_soon.py
+++ b/tests/test_begin_soon.py
@@ -84,7 +84,7 @@
         self.check_refused_at_once(Overload())
 
     # Guards against the free places of an engine that nobody may use, and that would make the cell look not full.
-    def test_under_overload_it_comes_at_once_beside_an_engine_that_rests(self):
+    def test_overload_refuses_immediately_beside_an_engine_in_back_off(self):
         overload = Overload(engines=("e1", "e2"))
         overload.cell.receive(EngineNotice(engine="e2", entry="r1", rest_s=30.0))
         self.check_refused_at_once(overload)
