--- a/tests/test_begin_soon.py
+++ b/tests/test_begin_soon.py
@@ -81,15 +81,15 @@
     def test_overload_refuses_immediately(self):
         # Ten requests a second for a cell that begins two. Each refused one that waited first was
         # kept from asking elsewhere for nothing.
-        self.check_refused_at_once(Overload())
+        self.check_refused_immediately(Overload())
 
     # Guards against the free places of an engine that nobody may use, and that would make the cell look not full.
     def test_overload_refuses_immediately_beside_an_engine_in_back_off(self):
         overload = Overload(engines=("e1", "e2"))
         overload.cell.receive(EngineNotice(engine="e2", entry="r1", rest_s=30.0))
-        self.check_refused_at_once(overload)
+        self.check_refused_immediately(overload)
 
-    def check_refused_at_once(self, overload):
+    def check_refused_immediately(self, overload):
         overload.run(6.0, per_s=10)
         late = [request_id for request_id, at in overload.asked_at.items() if at > overload.cell.clock.now - 3.0]
         refused = [request_id for request_id in late if request_id in overload.refused_at]
