--- a/tests/test_begin_soon.py
+++ b/tests/test_begin_soon.py
@@ -99,7 +99,7 @@
         self.assertEqual(overload.last_refusal.reason, Reason.OVERLOADED)
         self.assertGreaterEqual(overload.last_refusal.retry_after_s, MIN_INTERACTIVE_RETRY_AFTER_S)
 
-    def test_a_higher_tier_is_not_refused_for_what_waits_below(self):
+    def test_higher_tier_is_not_refused_for_waiting_lower_tiers(self):
         overload = Overload()
         overload.run(4.0, per_s=10, tier=2)
         first = overload.ask(tier=0)
