--- a/tests/test_begin_soon.py
+++ b/tests/test_begin_soon.py
@@ -108,7 +108,7 @@
             overload.step(0.05)
         self.assertNotIn(first, overload.refused_at)
 
-    def test_free_places_refuse_nobody(self):
+    def test_free_slots_lead_to_no_refusal(self):
         overload = Overload()
         overload.run(4.0, per_s=10)
         overload.step(5.0)
