--- a/tests/test_begin_soon.py
+++ b/tests/test_begin_soon.py
@@ -153,7 +153,7 @@
     CALM_PER_S = 40
 
     # Guards against the rate of a calm time that is taken for all that the cell can do.
-    def test_a_burst_after_a_lull_is_not_refused_beside_engines_that_serve_it_in_time(self):
+    def test_burst_after_a_lull_is_not_refused_if_engines_serve_it_in_time(self):
         overload = Overload(engines=("e1", "e2"), slots=8, run_s=self.SHORT_S, tokens=self.SHORT_TOKENS)
         overload.run(6.0, per_s=self.CALM_PER_S)
         overload.step(1.0)
