--- a/tests/test_begin_soon.py
+++ b/tests/test_begin_soon.py
@@ -165,7 +165,7 @@
 
 
 class GrantRateTest(unittest.TestCase):
-    def test_time_beside_free_places_tells_nothing(self):
+    def test_time_with_free_slots_is_left_out(self):
         now = [0.0]
         rate = GrantRate(clock=lambda: now[0])
         rate.set_full(False)
