--- a/tests/test_begin_soon.py
+++ b/tests/test_begin_soon.py
@@ -179,7 +179,7 @@
             rate.record(0.3)
         self.assertAlmostEqual(rate.per_s(), 3.0, delta=0.3)
 
-    def test_it_is_not_believed_before_its_window(self):
+    def test_no_rate_before_most_of_a_window(self):
         now = [0.0]
         rate = GrantRate(clock=lambda: now[0])
         rate.record(1.0)
