--- a/tests/test_begin_soon.py
+++ b/tests/test_begin_soon.py
@@ -185,7 +185,7 @@
         rate.record(1.0)
         self.assertIsNone(rate.per_s())
 
-    def test_it_follows_what_is_granted(self):
+    def test_rate_follows_the_grants(self):
         now = [0.0]
         rate = GrantRate(clock=lambda: now[0])
         for _ in range(100):
