--- a/tests/test_begin_soon.py
+++ b/tests/test_begin_soon.py
@@ -66,7 +66,7 @@
         return self.refused_at[request_id] - self.asked_at[request_id]
 
 
-class BeginSoonTest(unittest.TestCase):
+class FirstTokenTargetTest(unittest.TestCase):
     def test_request_that_can_not_start_in_time_is_refused_then(self):
         # Both places are taken for longer than the caller hopes to wait for its first token. Held to
         # its deadline it would get its answer late, in a place that another could have used in time.
