--- a/tests/test_begin_soon.py
+++ b/tests/test_begin_soon.py
@@ -115,7 +115,7 @@
         self.assertNotIn(overload.ask(), overload.refused_at)
 
 
-class LowerRunsEndTest(unittest.TestCase):
+class LowerTierRunsEndTest(unittest.TestCase):
     """A flood of a middle tier while runs of the lowest one end by themselves.
 
     The pattern: 24 requests a second of the middle tier on a cell that begins some 40 a second of all; two
