--- a/tests/test_isolation.py
+++ b/tests/test_isolation.py
@@ -14,7 +14,7 @@
 
 
 class IsolationTest(unittest.TestCase):
-    def test_an_engine_is_emptied_for_a_suspect_and_runs_nothing_beside_it(self):
+    def test_suspect_gets_an_emptied_engine_to_itself(self):
         # Both engines run something. A suspect waits for the end of what one of them runs; new
         # work goes to the other meanwhile, and to both again once the suspect has ended.
         cell = Cell(engines=("e1", "e2"))
