--- a/tests/test_isolation.py
+++ b/tests/test_isolation.py
@@ -27,7 +27,7 @@
         cell.receive(finished("s"))
         self.assertEqual({granted_on(cell)[name] for name in ("d", "e")}, {"e1"})
 
-    def test_load_that_only_a_report_shows_counts(self):
+    def test_load_known_only_from_a_report_counts(self):
         cell = Cell()
         cell.scheduler.on_load_report(report(running=1))
         cell.receive(ask("s", alone=True))
