--- a/tests/test_isolation.py
+++ b/tests/test_isolation.py
@@ -44,7 +44,7 @@
         cell.receive(finished("s1", on=granted_on(cell)["s1"]))
         self.assertEqual(granted_on(cell)["s2"], granted_on(cell)["s1"])
 
-    def test_refused_at_once_if_no_engine_empties_in_time(self):
+    def test_refused_immediately_if_no_engine_empties_in_time(self):
         cell = Cell()
         cell.measure()
         cell.receive(ask("long", output_tokens=5000, remaining_s=100.0), ask("s", alone=True))
