--- a/tests/test_isolation.py
+++ b/tests/test_isolation.py
@@ -50,7 +50,7 @@
         cell.receive(ask("long", output_tokens=5000, remaining_s=100.0), ask("s", alone=True))
         self.assertEqual([refused.reason for refused in cell.entries.of(Refused)], [Reason.DEADLINE_UNREACHABLE])
 
-    def test_refused_at_once_also_while_another_suspect_is_served(self):
+    def test_refused_immediately_while_another_suspect_is_served(self):
         cell = Cell(engines=("e1", "e2"))
         cell.measure()
         cell.receive(
