--- a/tests/test_isolation.py
+++ b/tests/test_isolation.py
@@ -68,7 +68,7 @@
         cell.receive(finished("high"))
         self.assertEqual(cell.entries.ids(Granted), ["run", "high", "s"])
 
-    def test_the_only_engine_is_not_kept_from_a_higher_tier(self):
+    def test_only_engine_is_not_reserved_against_a_higher_tier(self):
         # The engine is being emptied for a suspect when a higher tier's request arrives. Kept from
         # it, the place beside the old run would stay empty while the request waits.
         cell = Cell()
