--- a/tests/test_isolation.py
+++ b/tests/test_isolation.py
@@ -76,7 +76,7 @@
         cell.advance(0.1)
         self.assertEqual(cell.entries.ids(Granted), ["run", "high"])
 
-    def test_a_kept_engine_is_let_go_for_a_higher_tier_about_to_expire(self):
+    def test_reserved_engine_is_released_for_a_higher_tier_about_to_expire(self):
         cell = Cell(engines=("e1", "e2"), slots=2)
         cell.measure()
         cell.receive(*[ask(f"r{number}", tier=0, repeatable=False, output_tokens=600) for number in range(3)])
