--- a/tests/test_isolation.py
+++ b/tests/test_isolation.py
@@ -86,7 +86,7 @@
         cell.advance(1.8)
         self.assertIn("high", granted_on(cell))
 
-    def test_a_withdrawn_suspect_leaves_the_engine(self):
+    def test_withdrawn_suspect_releases_the_engine(self):
         cell = Cell()
         cell.receive(ask("run"), ask("s", alone=True), Withdraw(request_id="s"))
         cell.advance(0.1)
