--- a/tests/test_isolation.py
+++ b/tests/test_isolation.py
@@ -97,7 +97,7 @@
         cell.receive(register("r1", running=[running(ask("s", alone=True))]), ask("other"))
         self.assertEqual(cell.entries.ids(Granted), [])
 
-    def test_nothing_is_known_empty_until_every_entry_registered(self):
+    def test_no_engine_counts_as_empty_until_every_entry_registered(self):
         # A new scheduler has not heard of r2 yet, whose run on the engine the suspect could take along.
         cell = Cell(members=("r1", "r2"))
         cell.receive(register("r1"), ask("s", alone=True))
