--- a/tests/test_isolation.py
+++ b/tests/test_isolation.py
@@ -111,7 +111,7 @@
         self.assertEqual(len(cell.entries.of(Refused)), MAX_SUSPECTS - 1)
 
 
-class TellingApartTest(unittest.TestCase):
+class CrashAttributionTest(unittest.TestCase):
     def test_two_that_always_die_together_are_told_apart(self):
         # A poisoned request and an innocent one are sent again after each crash of the only
         # engine. Placed together each time they would share the blame for ever, and the engine
