--- a/tests/test_isolation.py
+++ b/tests/test_isolation.py
@@ -112,7 +112,7 @@
 
 
 class CrashAttributionTest(unittest.TestCase):
-    def test_two_that_always_die_together_are_told_apart(self):
+    def test_two_requests_that_always_crash_together_are_distinguished(self):
         # A poisoned request and an innocent one are sent again after each crash of the only
         # engine. Placed together each time they would share the blame for ever, and the engine
         # would crash for ever. After the second crash each runs alone: one crashes it, one ends.
