--- a/tests/test_preemption.py
+++ b/tests/test_preemption.py
@@ -25,7 +25,7 @@
 
 
 class WhenTest(unittest.TestCase):
-    def test_the_higher_tier_gets_the_place(self):
+    def test_higher_tier_gets_the_slot(self):
         # Drafts hold every place for 20 s when a question with 3 s arrives. One draft is
         # cancelled, its place goes to the question and not to the draft that waits.
         cell = Cell()
