--- a/tests/test_preemption.py
+++ b/tests/test_preemption.py
@@ -36,7 +36,7 @@
         cell.receive(finished(victim[0], result="RunCancelled"))
         self.assertEqual(cell.entries.ids(Granted), ["d0", "d1", "q"])
 
-    def test_a_woken_scheduler_cancels_nothing_by_what_it_held_before(self):
+    def test_scheduler_after_a_pause_cancels_nothing_by_its_old_state(self):
         # A scheduler was paused for 10 s. Others served the cell meanwhile, so the drafts that it
         # holds may have ended; until their entry says so again, none is cancelled for a question.
         cell = Cell(members=("r1", "r2"))
