--- a/tests/test_preemption.py
+++ b/tests/test_preemption.py
@@ -49,7 +49,7 @@
         cell.advance(0.1)
         self.assertEqual(len(cell.entries.ids(Preempt)), 1)
 
-    def test_nothing_is_cancelled_if_a_place_frees_in_time(self):
+    def test_nothing_is_cancelled_if_a_slot_frees_in_time(self):
         cell = Cell()
         cell.measure()
         cell.receive(draft("d0"), ask("soon", tier=1), started("d0"), started("soon"))
