--- a/tests/test_preemption.py
+++ b/tests/test_preemption.py
@@ -58,7 +58,7 @@
         cell.advance(0.15)
         self.assertEqual(cell.entries.ids(Preempt), [])
 
-    def test_a_cold_model_is_not_waited_on(self):
+    def test_prediction_of_a_cold_model_is_not_relied_on(self):
         # The engine is slower than declared and nothing was measured yet. The place that is
         # predicted to free in time may not, so a draft is cancelled while there is time.
         cell = Cell()
