--- a/tests/test_preemption.py
+++ b/tests/test_preemption.py
@@ -68,7 +68,7 @@
         cell.advance(0.15)
         self.assertEqual(cell.entries.ids(Preempt), ["d0"])
 
-    def test_no_more_than_needed(self):
+    def test_no_more_victims_than_needed(self):
         # One question, many drafts, many rounds: one place is enough.
         cell = Cell(engines=("e1", "e2", "e3"), slots=4)
         cell.receive(*[draft(f"d{number}") for number in range(12)], high("q"))
