--- a/tests/test_preemption.py
+++ b/tests/test_preemption.py
@@ -75,7 +75,7 @@
         cell.advance(PREEMPT_TIMEOUT_S - 0.1)
         self.assertEqual(len(cell.entries.of(Preempt)), 1)
 
-    def test_nothing_is_cancelled_for_what_it_would_not_save(self):
+    def test_nothing_is_cancelled_for_an_infeasible_request(self):
         cell = Cell()
         cell.measure()
         cell.receive(draft("d0"), draft("d1"))
