--- a/tests/test_preemption.py
+++ b/tests/test_preemption.py
@@ -83,7 +83,7 @@
         cell.advance(0.5)
         self.assertEqual(cell.entries.ids(Preempt), [])
 
-    def test_what_its_places_did_not_help_takes_no_third_victim(self):
+    def test_request_not_helped_by_two_victims_gets_no_third(self):
         # Every freed place is gone before the request could take it. Cancelling one run
         # after another for it would throw away their prefill for nothing.
         cell = Cell(engines=("e1",), slots=6)
