--- a/tests/test_preemption.py
+++ b/tests/test_preemption.py
@@ -93,7 +93,7 @@
             cell.advance(PREEMPT_TIMEOUT_S / 2)
         self.assertLessEqual(len(cell.entries.of(Preempt)), 2)
 
-    def test_a_silent_victim_is_not_waited_for(self):
+    def test_silent_victim_is_not_waited_for(self):
         # The victim's entry or engine does not answer. After the time-out another run is
         # taken, or the question would miss its deadline beside a full engine.
         cell = Cell()
