--- a/tests/test_preemption.py
+++ b/tests/test_preemption.py
@@ -109,7 +109,7 @@
         cell.advance(1.0)
         self.assertEqual(cell.entries.ids(Preempt), [])
 
-    def test_a_middle_tier_takes_only_from_below(self):
+    def test_middle_tier_preempts_only_lower_tiers(self):
         # Two plans need places; one is held by a question, one by a draft.
         cell = Cell()
         cell.receive(draft("question", tier=0), draft("tagging", tier=3))
