--- a/tests/test_preemption.py
+++ b/tests/test_preemption.py
@@ -117,7 +117,7 @@
         cell.advance(1.0)
         self.assertEqual(cell.entries.ids(Preempt), ["tagging"])
 
-    def test_lowest_tier_first_even_if_dearer(self):
+    def test_lowest_tier_first_even_at_higher_cost(self):
         cell = Cell()
         cell.receive(draft("plan", tier=2), draft("tagging", tier=3, prompt_tokens=5000))
         cell.receive(started("plan"), started("tagging", prompt_tokens=5000), high("q"))
