--- a/tests/test_preemption.py
+++ b/tests/test_preemption.py
@@ -140,7 +140,7 @@
         cell.advance(0.1)
         self.assertEqual(cell.entries.ids(Preempt), ["fresh"])
 
-    def test_one_that_could_still_finish_goes_before_one_that_could_not(self):
+    def test_run_that_could_still_finish_is_preempted_first(self):
         cell = Cell()
         cell.receive(draft("a-tight", output_tokens=1000, remaining_s=10.4), draft("b-easy", output_tokens=1000))
         cell.receive(started("a-tight"), started("b-easy"), high("q"))
