--- a/tests/test_preemption.py
+++ b/tests/test_preemption.py
@@ -149,7 +149,7 @@
 
 
 class BoundTest(unittest.TestCase):
-    def test_preempted_again_and_again_is_refused_for_good(self):
+    def test_repeatedly_preempted_request_is_refused_for_good(self):
         # A draft that was cancelled many times asks once more while the cell is full. A
         # run that is only ever begun wastes prefill each time; its caller hears so now.
         cell = Cell()
