--- a/tests/test_run_table.py
+++ b/tests/test_run_table.py
@@ -5,7 +5,7 @@
 
 
 class PrefillRateTest(unittest.TestCase):
-    def test_it_is_learned_at_the_end_of_a_run_without_what_the_cache_held(self):
+    def test_rate_is_learned_at_the_end_of_a_run_without_cached_tokens(self):
         # An engine tells how much of a prompt its cache held only with the end of its answer.
         # By the first token alone nothing is known of what it computed.
         cell = Cell()
