--- a/tests/test_run_table.py
+++ b/tests/test_run_table.py
@@ -24,7 +24,7 @@
 
 
 class ParkedAheadTest(unittest.TestCase):
-    def test_a_free_place_is_given_though_a_parked_request_waits_ahead(self):
+    def test_free_slot_is_granted_though_a_parked_request_waits_ahead(self):
         # A plan can't be promised its finish now, so it is parked and its place stays free. Its
         # ten seconds of work stand ahead of a tagging request with two seconds left; refused for
         # them, that request would find an idle engine.
