--- a/tests/test_run_table.py
+++ b/tests/test_run_table.py
@@ -37,7 +37,7 @@
 
 
 class ColdStartTest(unittest.TestCase):
-    def test_long_prompts_wait_while_more_arrives_above_than_the_cell_can_do(self):
+    def test_long_prompts_wait_while_higher_tiers_overload_the_cell(self):
         # A cell starts under overload: petitions for many times what it can do arrive, and a
         # gazette of 4000 tokens. Begun on a place that happens to be idle, it would be cancelled
         # within a second and its prefill lost. A short one loses nothing and is begun.
