--- a/tests/test_retry_budget.py
+++ b/tests/test_retry_budget.py
@@ -58,7 +58,7 @@
         self.clock.now += RETRY_WINDOW_S + 0.1
         self.assertEqual(self.allowed(1000), RETRY_EXTRA)
 
-    def test_the_extra_comes_back(self):
+    def test_extra_is_restored_after_the_window(self):
         self.allowed(10)
         self.clock.now += RETRY_WINDOW_S + ARRIVAL_SPREAD_S + 0.1
         self.assertEqual(self.allowed(10), RETRY_EXTRA)
