--- a/tests/test_retry_budget.py
+++ b/tests/test_retry_budget.py
@@ -64,7 +64,7 @@
         self.assertEqual(self.allowed(10), RETRY_EXTRA)
 
     # Guards against a share that fades, so that it is spent once more within the same window.
-    def test_nothing_comes_back_within_the_window(self):
+    def test_nothing_is_restored_within_the_window(self):
         for _ in range(100):
             self.budget.record_success("r1")
         self.assertEqual(self.allowed(1000), RETRY_EXTRA + 10)
