--- a/tests/test_retry_budget.py
+++ b/tests/test_retry_budget.py
@@ -73,7 +73,7 @@
             self.assertEqual(self.allowed(10), 0)
 
     # Guards against retries that wait for a place and are sent together, beyond what may be sent.
-    def test_retries_that_wait_count(self):
+    def test_waiting_retries_count(self):
         self.assertTrue(self.budget.has_budget(waiting=RETRY_EXTRA - 1, entries=ENTRIES))
         self.assertFalse(self.budget.has_budget(waiting=RETRY_EXTRA, entries=ENTRIES))
 
