--- a/tests/test_retry_budget.py
+++ b/tests/test_retry_budget.py
@@ -78,7 +78,7 @@
         self.assertFalse(self.budget.has_budget(waiting=RETRY_EXTRA, entries=ENTRIES))
 
     # Guards against retries that are lost to callers though no engine ever got them.
-    def test_a_retry_that_was_never_sent_is_taken_back(self):
+    def test_retry_that_was_never_sent_is_refunded(self):
         self.allowed(10)
         self.budget.spend(entry="r2", request_id="never-sent")
         self.budget.refund("never-sent")
