--- a/tests/test_retry_budget.py
+++ b/tests/test_retry_budget.py
@@ -93,7 +93,7 @@
     LIMITS = RetryLimits(extra=40.0, routers=10)
 
     # Guards against a router that is cut off and takes the extra of the whole fleet.
-    def test_whoever_sees_few_routers_has_their_part_of_the_extra(self):
+    def test_partitioned_scheduler_has_only_a_part_of_the_extra(self):
         self.assertEqual(self.allowed(1000, entries=("r1",)), 4)
         self.assertEqual(self.allowed(1000, entries=ENTRIES), 4)
 
