--- a/tests/test_retry_budget.py
+++ b/tests/test_retry_budget.py
@@ -98,7 +98,7 @@
         self.assertEqual(self.allowed(1000, entries=ENTRIES), 4)
 
     # Guards against what a router that is cut off earned, spent on both sides of the cut.
-    def test_successes_of_others_are_let_go(self):
+    def test_successes_of_other_entries_are_dropped(self):
         for _ in range(100):
             self.budget.record_success("r2")
         self.budget.retain_successes({"r1"})
