--- a/tests/test_retry_budget.py
+++ b/tests/test_retry_budget.py
@@ -105,7 +105,7 @@
         self.assertEqual(self.allowed(1000, entries=("r1",)), 4)
 
     # Guards against a router that dies and takes what it spent out of the account.
-    def test_what_a_router_spent_is_kept_when_it_dies(self):
+    def test_retries_of_a_dead_router_still_count(self):
         self.allowed(1000, entry="r2")
         self.budget.retain_successes({"r1"})
         self.assertEqual(self.allowed(1000, entries=("r1",)), 0)
