--- a/tests/test_retry_budget.py
+++ b/tests/test_retry_budget.py
@@ -118,7 +118,7 @@
         return RetryHistory(up_s=up_s, retries_by_age_s=tuple(retries), successes_by_age_s=tuple(successes))
 
     # Guards against a new scheduler that gives out again what the former one gave out.
-    def test_a_new_scheduler_goes_on_from_what_entries_tell(self):
+    def test_new_scheduler_continues_from_the_entries_histories(self):
         new = self.make()
         new.apply_history("r1", self.history(retries=(0, 3), successes=(50,)))
         new.apply_history("r2", self.history(retries=(0, 0, 4), successes=(0, 50)))
