--- a/tests/test_retry_budget.py
+++ b/tests/test_retry_budget.py
@@ -124,7 +124,7 @@
         new.apply_history("r2", self.history(retries=(0, 0, 4), successes=(0, 50)))
         self.assertEqual(self.allowed(1000, budget=new), 20 + 10 - 7)
 
-    def test_what_is_told_twice_counts_once(self):
+    def test_repeated_history_counts_once(self):
         self.allowed(5)
         for _ in range(3):
             self.budget.apply_history("r1", self.history(retries=(5,), successes=(100,)))
