--- a/tests/test_retry_budget.py
+++ b/tests/test_retry_budget.py
@@ -131,7 +131,7 @@
         self.assertEqual(self.allowed(1000), 20 + 10 - 5)
 
     # Guards against a router that is started again and whose scheduler takes its empty record for all that was spent.
-    def test_what_a_former_process_spent_is_kept(self):
+    def test_retries_of_a_previous_process_still_count(self):
         self.allowed(15)
         self.clock.now += 1.0
         self.budget.apply_history("r1", self.history(up_s=0.5))
