--- a/tests/test_retry_budget.py
+++ b/tests/test_retry_budget.py
@@ -138,7 +138,7 @@
         self.assertEqual(self.allowed(1000), 5)
 
     # Guards against a grant that is on its way while its router registers, and is forgotten.
-    def test_a_grant_on_its_way_counts(self):
+    def test_grant_in_flight_counts(self):
         self.allowed(3)
         self.budget.apply_history("r1", self.history(retries=(2,)))
         self.assertEqual(self.allowed(1000), 20 - 3)
