--- a/tests/test_retry_budget.py
+++ b/tests/test_retry_budget.py
@@ -144,7 +144,7 @@
         self.assertEqual(self.allowed(1000), 20 - 3)
 
     # Guards against a fleet that starts again as a whole and gives out its whole budget each time.
-    def test_routers_that_have_all_just_started_begin_with_a_part(self):
+    def test_freshly_started_routers_begin_with_a_part_of_the_budget(self):
         new = self.make()
         for entry in ENTRIES:
             new.apply_history(entry, self.history(up_s=0.1))
