--- a/tests/test_retry_budget.py
+++ b/tests/test_retry_budget.py
@@ -153,7 +153,7 @@
         self.assertEqual(self.allowed(1000, budget=new), 10 - MIN_KNOWN_SHARE * 20)
 
     # Guards against what routers forgot that were started again together with the scheduler.
-    def test_what_nobody_knows_is_taken_for_as_much_as_what_is_known(self):
+    def test_unknown_part_is_extrapolated_from_the_known_part(self):
         new = self.make()
         new.apply_history("r1", self.history(retries=(0, 8)))
         new.apply_history("r2", self.history(up_s=0.0))
