--- a/tests/test_retry_budget.py
+++ b/tests/test_retry_budget.py
@@ -171,7 +171,7 @@
         return self.cell.entries.ids(Granted), self.cell.entries.of(Refused)
 
     # Guards against a request that waits for a retry which it can't have.
-    def test_a_retry_beyond_the_budget_is_refused_at_once(self):
+    def test_retry_beyond_the_budget_is_refused_immediately(self):
         granted, refused = self.ask("a", "b", "c", "d")
         self.assertEqual(granted, ["a", "b", "c"])
         self.assertEqual([(each.request_id, each.reason) for each in refused], [("d", Reason.RETRY_BUDGET)])
