--- a/tests/test_retry_budget.py
+++ b/tests/test_retry_budget.py
@@ -176,7 +176,7 @@
         self.assertEqual(granted, ["a", "b", "c"])
         self.assertEqual([(each.request_id, each.reason) for each in refused], [("d", Reason.RETRY_BUDGET)])
 
-    def test_a_first_run_is_no_retry(self):
+    def test_first_run_is_not_a_retry(self):
         self.ask("a", "b", "c")
         self.cell.receive(ask("e"))
         self.assertEqual(self.cell.entries.ids(Granted)[-1], "e")
