--- a/tests/test_retry_budget.py
+++ b/tests/test_retry_budget.py
@@ -181,7 +181,7 @@
         self.cell.receive(ask("e"))
         self.assertEqual(self.cell.entries.ids(Granted)[-1], "e")
 
-    def test_a_place_that_is_not_used_gives_its_retry_back(self):
+    def test_unused_slot_refunds_its_retry(self):
         self.ask("a", "b", "c")
         engine = self.cell.entries.of(Granted)[-1].engine
         self.cell.receive(finished("c", on=engine, result="RunNotSent", never_sent=True))
