--- a/tests/test_retry_budget.py
+++ b/tests/test_retry_budget.py
@@ -188,7 +188,7 @@
         self.assertEqual(self.ask("d")[0][-1], "d")
 
     # Guards against a retry in use that is taken back as another scheduler granted the same request elsewhere.
-    def test_a_place_of_another_scheduler_gives_no_retry_back(self):
+    def test_slot_of_another_scheduler_refunds_no_retry(self):
         self.ask("a", "b", "c")
         engine = self.cell.entries.of(Granted)[-1].engine
         other = "e2" if engine == "e1" else "e1"
