--- a/tests/test_crash_signs.py
+++ b/tests/test_crash_signs.py
@@ -19,7 +19,7 @@
         return [message.engine for message in self.cell.entries.of(EngineDown)]
 
     # Guards against a crash that is taken for a broken connection, since each router had one run on the engine.
-    def test_entries_whose_runs_an_engine_cut_hear_once_that_it_is_down(self):
+    def test_entries_whose_runs_an_engine_cut_are_notified_once_that_it_is_down(self):
         self.cell.receive(finished("a", result="RunCut"))
         self.cell.scheduler.on_unreachable("e1")
         self.cell.scheduler.on_unreachable("e1")
