--- a/tests/test_crash_signs.py
+++ b/tests/test_crash_signs.py
@@ -26,7 +26,7 @@
         self.assertEqual(self.notified_engines(), ["e1"])
 
     # Guards against runs that are blamed for an engine which went down long after it had cut them, or beside them.
-    def test_who_lost_no_run_lately_hears_nothing(self):
+    def test_entries_that_lost_no_run_recently_are_not_notified(self):
         self.cell.receive(finished("a", result="RunCut"), finished("b"))
         self.cell.advance(DOWN_WINDOW_S + 0.1)
         self.cell.scheduler.on_unreachable("e1")
