--- a/tests/test_crash_signs.py
+++ b/tests/test_crash_signs.py
@@ -46,7 +46,7 @@
         self.crashes.note_down(engine)
         self.clock.now += SAME_CRASH_S
 
-    def test_what_crashed_three_engines_that_went_down_is_refused(self):
+    def test_request_that_crashed_three_engines_is_refused(self):
         for number in range(CRASH_LIMIT):
             self.assertFalse(self.crashes.blocked("poison"))
             self.cut(f"e{number}")
