--- a/tests/test_crash_signs.py
+++ b/tests/test_crash_signs.py
@@ -53,7 +53,7 @@
         self.assertTrue(self.crashes.blocked("poison"))
 
     # Guards against a request that is blamed for engines which left in order, or which it did not run on.
-    def test_an_engine_that_leaves_blames_nobody(self):
+    def test_engine_that_leaves_in_order_is_blamed_on_no_request(self):
         for number in range(CRASH_LIMIT):
             self.crashes.note_down(f"e{number}")
             self.crashes.note(engine=f"e{number}", body_digest="sound", outcome=RunDone(), was_sent=False)
