--- a/tests/test_large_cell.py
+++ b/tests/test_large_cell.py
@@ -36,7 +36,7 @@
     def engine_of(self, request_id):
         return next(granted.engine for granted in self.cell.entries.of(Granted) if granted.request_id == request_id)
 
-    def test_every_place_is_granted(self):
+    def test_every_slot_is_granted(self):
         for number in range(ENGINES * SLOTS):
             self.ask(f"r{number}", prompt_tokens=2000)
         engines = [granted.engine for granted in self.cell.entries.of(Granted)]
