--- a/tests/test_large_cell.py
+++ b/tests/test_large_cell.py
@@ -43,7 +43,7 @@
         self.assertEqual(len(engines), ENGINES * SLOTS)
         self.assertEqual({engines.count(name) for name in set(engines)}, {SLOTS})
 
-    def test_a_conversation_goes_back_to_its_engine_wherever_that_stands(self):
+    def test_conversation_returns_to_its_engine_beyond_the_shortlist(self):
         # The engine that holds it is among the slower ones, past all that are compared first.
         holder = "e03"
         self.cell.scheduler._runs.engines_by_name[holder].cache.stored(CONVERSATION, PART_TOKENS)
