--- a/tests/test_large_cell.py
+++ b/tests/test_large_cell.py
@@ -52,7 +52,7 @@
         self.ask("r", prefix_blocks=CONVERSATION, block_tokens=PART_TOKENS, output_tokens=5)
         self.assertEqual(self.engine_of("r"), holder)
 
-    def test_where_no_likely_engine_suits_another_one_is_found(self):
+    def test_another_engine_is_found_if_none_on_the_shortlist_is_suitable(self):
         # The likeliest ones are reading long prompts, so that a first token there would come late.
         for number in range(MAX_COMPARED):
             self.ask(f"long-{number}", prompt_tokens=50_000, first_token_within_s=4.0)
