--- a/tests/test_new_scheduler.py
+++ b/tests/test_new_scheduler.py
@@ -40,7 +40,7 @@
     def granted(self):
         return self.entries.ids(Granted)
 
-    def test_a_router_that_has_just_started_reckons_with_runs_of_its_predecessor(self):
+    def test_freshly_started_router_expects_runs_of_its_previous_process(self):
         # A question of another entry waits in the engine's queue. The scheduler was killed and started again under
         # its name; its engine goes on with what it had sent there. Nobody registers these runs, and the new process
         # has seen nobody die: it granted as soon as all who live had registered, on top of them.
