--- a/tests/test_new_scheduler.py
+++ b/tests/test_new_scheduler.py
@@ -50,7 +50,7 @@
         self.schedulers.on_load_report(report(running=1))
         self.assertEqual(self.granted(), ["r"])
 
-    def test_a_router_that_has_seen_nobody_die_for_long_grants_at_once(self):
+    def test_router_without_a_recent_router_loss_grants_immediately(self):
         self.schedulers.set_declaration(declaration())
         self.advance(ORPHAN_WINDOW_S + 0.1)
         self.receive(register("r1", waiting=[ask("r"), ask("s")]))
