--- a/tests/test_new_scheduler.py
+++ b/tests/test_new_scheduler.py
@@ -56,7 +56,7 @@
         self.receive(register("r1", waiting=[ask("r"), ask("s")]))
         self.assertEqual(self.granted(), ["r", "s"])
 
-    def test_an_engine_that_does_not_report_is_used_after_the_wait(self):
+    def test_engine_without_reports_is_used_after_recovery(self):
         self.schedulers.set_declaration(declaration())
         self.receive(register("r1", waiting=[ask("r")]))
         self.advance(RECOVERY_TIMEOUT_S + 0.1)
