--- a/tests/test_new_scheduler.py
+++ b/tests/test_new_scheduler.py
@@ -62,7 +62,7 @@
         self.advance(RECOVERY_TIMEOUT_S + 0.1)
         self.assertEqual(self.granted(), ["r"])
 
-    def test_a_plain_service_does_not_wait_for_reports_that_never_come(self):
+    def test_plain_service_does_not_wait_for_load_reports(self):
         # A booking waits for 1.5 s, for nothing: engines of a plain service report nothing, so that what a router
         # which died had sent there is not known after that wait either.
         self.schedulers.set_declaration(declaration(kind=PLAIN))
