--- a/tests/test_new_scheduler.py
+++ b/tests/test_new_scheduler.py
@@ -69,7 +69,7 @@
         self.receive(register("r1", waiting=[ask("r")]))
         self.assertEqual(self.granted(), ["r"])
 
-    def test_runs_of_a_router_that_was_started_again_keep_their_places(self):
+    def test_runs_of_a_restarted_router_keep_their_slots(self):
         # A question of another entry waits in the engine's queue, up to its deadline. A router that is not the
         # scheduler dies and is started again at once. Its predecessor's runs go on; the new process registers that it
         # holds nothing, and the scheduler, which had kept their places until a report, grants them.
