--- a/tests/test_engine_restart.py
+++ b/tests/test_engine_restart.py
@@ -41,7 +41,7 @@
     def report(self, start_ms, **changes):
         self.cell.scheduler.on_load_report(dataclasses.replace(report(**changes), start_ms=start_ms))
 
-    def test_its_places_are_free_once_its_entry_tells(self):
+    def test_slots_are_free_once_the_engine_entry_shows_the_restart(self):
         self.cell.receive(ask("c"), ask("d"))
         self.assertEqual(self.granted(), ["a", "b"])
         self.set_engine(declared(SECOND_START_MS))
