--- a/tests/test_engine_restart.py
+++ b/tests/test_engine_restart.py
@@ -47,7 +47,7 @@
         self.set_engine(declared(SECOND_START_MS))
         self.assertEqual(self.granted(), ["a", "b", "c", "d"])
 
-    def test_its_report_may_be_the_first_to_tell(self):
+    def test_report_may_be_the_first_to_show_the_restart(self):
         self.cell.receive(ask("c"))
         self.report(SECOND_START_MS)
         self.assertEqual(self.granted(), ["a", "b", "c"])
