--- a/tests/test_engine_restart.py
+++ b/tests/test_engine_restart.py
@@ -56,7 +56,7 @@
         self.set_engine(declared(SECOND_START_MS))
         self.assertEqual(self.state().running, 1)
 
-    def test_nothing_of_before_holds(self):
+    def test_state_from_before_the_restart_is_discarded(self):
         self.cell.measure()
         self.report(FIRST_START_MS, running=2, waiting=7, leaving=True)
         self.assertTrue(self.state().leaving)
