--- a/tests/test_engine_restart.py
+++ b/tests/test_engine_restart.py
@@ -67,7 +67,7 @@
         self.assertEqual(state.cache.cached_tokens((1, 2, 3)), 0)
         self.assertEqual(state.model.confidence(), 0.0)
 
-    def test_a_late_report_of_before_is_not_believed(self):
+    def test_delayed_report_from_before_the_restart_is_ignored(self):
         self.set_engine(declared(SECOND_START_MS))
         self.report(FIRST_START_MS, running=2, waiting=5)
         self.assertEqual(self.state().phantom, 0)
