--- a/tests/test_engine_restart.py
+++ b/tests/test_engine_restart.py
@@ -74,7 +74,7 @@
         self.report(0, running=1)
         self.assertEqual(self.state().phantom, 1)
 
-    def test_runs_begun_since_the_start_show_as_load(self):
+    def test_runs_started_since_the_restart_show_as_load(self):
         # They were let go with the rest; the engine's own count keeps it from being overfilled.
         self.set_engine(declared(SECOND_START_MS))
         self.report(SECOND_START_MS, running=2)
