--- a/tests/test_engine_restart.py
+++ b/tests/test_engine_restart.py
@@ -81,7 +81,7 @@
         self.cell.receive(ask("c"))
         self.assertEqual(self.granted(), ["a", "b"])
 
-    def test_the_same_start_again_changes_nothing(self):
+    def test_repeated_start_time_changes_nothing(self):
         self.set_engine(declared(FIRST_START_MS, leaving=True))
         self.assertEqual(self.state().running, 2)
 
