--- a/tests/test_suited_engine.py
+++ b/tests/test_suited_engine.py
@@ -56,7 +56,7 @@
             self.ask(cell, f"first-{number}", prompt_tokens=100)
             self.assertEqual(self.engine_of(cell, f"first-{number}"), "fast")
 
-    def test_a_long_prompt_waits_a_moment_for_a_fast_engine(self):
+    def test_long_prompt_waits_briefly_for_a_fast_engine(self):
         # Places are free on the slow engine only, where its first token would come late.
         cell = self.cell(FAST, SLOW)
         self.fill_fast(cell)
