--- a/tests/test_suited_engine.py
+++ b/tests/test_suited_engine.py
@@ -66,7 +66,7 @@
         cell.receive(finished("first-0", on="fast", duration_s=0.1))
         self.assertEqual(self.engine_of(cell, "long"), "fast")
 
-    def test_it_takes_the_slow_engine_rather_than_wait_long(self):
+    def test_long_prompt_takes_the_slow_engine_after_a_bounded_wait(self):
         cell = self.cell(FAST, SLOW)
         self.fill_fast(cell)
         self.ask(cell, "long", prompt_tokens=12_000)
