--- a/tests/test_suited_engine.py
+++ b/tests/test_suited_engine.py
@@ -73,7 +73,7 @@
         cell.advance(SUITABLE_ENGINE_WAIT_SHARE * TARGET_FIRST_TOKEN_S + 0.1)
         self.assertEqual(self.engine_of(cell, "long"), "slow")
 
-    def test_a_prompt_that_would_stall_the_streams_beside_it_waits_too(self):
+    def test_prompt_that_would_stall_other_streams_waits(self):
         # It would begin in time by itself, but a stream on the slow engine would pause too long.
         cell = self.cell(FAST, SLOW)
         self.fill_fast(cell)
