--- a/tests/test_suited_engine.py
+++ b/tests/test_suited_engine.py
@@ -82,7 +82,7 @@
         self.ask(cell, "stalls", prompt_tokens=4000)
         self.assertIsNone(self.engine_of(cell, "stalls"))
 
-    def test_a_short_prompt_takes_what_is_free(self):
+    def test_short_prompt_takes_any_free_slot(self):
         cell = self.cell(FAST, SLOW)
         self.fill_fast(cell)
         self.ask(cell, "short", prompt_tokens=900)
