--- a/tests/test_suited_engine.py
+++ b/tests/test_suited_engine.py
@@ -89,7 +89,7 @@
         self.ask(cell, "another", prompt_tokens=900)
         self.assertEqual([self.engine_of(cell, name) for name in ("short", "another")], ["slow", "slow"])
 
-    def test_where_no_engine_would_suit_the_first_free_one_is_taken(self):
+    def test_first_free_engine_is_taken_if_none_is_suitable(self):
         # Only slow engines are left: to wait for a better one would be to wait for nothing.
         cell = self.cell(SLOW)
         self.ask(cell, "long", prompt_tokens=12_000)
