--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -1,4 +1,4 @@
-"""One cell's scheduler: grants, its account of engines, refusals, registration, pauses."""
+"""Scheduler of one cell: grants, engine state, refusals, registration, process pauses."""
 
 import unittest
 
@@ -23,7 +23,7 @@
         self.assertEqual(cell.scheduler.digest().waiting_by_tier, {1: 4})
 
     def test_granted_carries_silence_limits(self):
-        # A limit below the engine's normal pace would take a slow run for a dead one.
+        # A limit below the engine's normal speed would treat a slow run as a dead one.
         cell = Cell()
         cell.receive(ask("long", prompt_tokens=4000, remaining_s=60.0))
         granted = cell.entries.of(Granted)[0]
@@ -39,8 +39,8 @@
         self.assertEqual(cell.entries.of(Refused)[0].reason, Reason.NO_ENGINE)
 
     def test_new_declaration_does_not_clear_a_leaving_mark(self):
-        # The platform's list marks an engine; then a declaration that says nothing of it
-        # is applied. New work on it would be cut when its VM goes.
+        # The platform's list marks an engine as leaving, then a declaration without that mark is applied. New runs on
+        # the engine would be cut when its VM goes away.
         cell = Cell()
         cell.scheduler.mark_leaving("e1")
         cell.scheduler.set_engines({"e1": engine("e1"), "e2": engine("e2")})
@@ -70,9 +70,9 @@
 
 class FloodTest(unittest.TestCase):
     def test_a_flood_is_refused_from_the_lowest_tier_and_stays_bounded(self):
-        # More arrive at one instant than may wait. Without measurements no predicted wait refuses
-        # any, so the queue would grow as long as the flood lasts. The lowest tier goes first, is
-        # told so at once, and is told to come back when what waits has been served.
+        # More requests arrive at once than may wait. Without measurements no predicted wait refuses any, so the queue
+        # would grow for as long as the flood lasts. The lowest tier is refused first and immediately, with a
+        # Retry-After that covers the work that waits.
         cell = Cell(engines=tuple(f"e{number}" for number in range(9)), slots=16)
         cell.receive(*[ask(f"low{number}", tier=3, remaining_s=900.0) for number in range(MAX_WAITING)])
         cell.receive(*[ask(f"high{number}", tier=0, remaining_s=900.0) for number in range(MAX_WAITING // 2)])
@@ -91,16 +91,16 @@
 
 class MessagesTest(unittest.TestCase):
     def test_duplicate_request_takes_one_slot(self):
-        # The entry asks again as it saw no answer. The second ask must repeat the answer
-        # and take no second place.
+        # The entry repeats its request because it saw no answer. The duplicate must repeat the answer and take no
+        # second slot.
         cell = Cell(slots=1)
         cell.receive(ask("r"), ask("w", tier=0, repeatable=False), ask("r"))
         self.assertEqual(cell.entries.ids(Granted), ["r", "r"])
         self.assertEqual(cell.scheduler.digest().waiting_by_tier, {0: 1})
 
     def test_delayed_duplicate_of_an_ended_request_takes_no_slot(self):
-        # A copy arrives after its run ended. Granted, it would hold a place for ever,
-        # for no entry would ever finish it.
+        # A duplicate arrives after its run ended. If granted, it would hold a slot forever, as no entry would finish
+        # it.
         cell = Cell()
         cell.receive(ask("r"), finished("r"), ask("r"))
         self.assertEqual(cell.scheduler.digest().free, 2)
@@ -119,8 +119,8 @@
         self.assertEqual(cell.scheduler.digest().free, 1)
 
     def test_slot_returned_unused_does_not_affect_engine_health(self):
-        # Two schedulers for a moment: every grant of one comes back unused. Counted as
-        # failures, they would eject a healthy engine.
+        # There are two schedulers for a moment, and every grant of one is returned unused. Counted as failures, these
+        # would eject a healthy engine.
         cell = Cell(engines=("e1", "e2", "e3"))
         for number in range(20):
             request = ask(f"r{number}", excluded_engines=("e2", "e3"))
@@ -131,8 +131,8 @@
 
 class LoadReportTest(unittest.TestCase):
     def test_delayed_report_does_not_count_runs_ended_since(self):
-        # The report shows two runs, but it is 0.5 s old and both ended 0.2 s ago. Read as
-        # the present, it would leave both places empty until the next report.
+        # The report shows two runs, but it is 0.5 s old and both ended 0.2 s ago. Read as the current state, it would
+        # leave both slots empty until the next report.
         cell = Cell()
         cell.receive(ask("a"), ask("b"))
         cell.advance(1.0)
@@ -148,8 +148,7 @@
         self.assertEqual(cell.scheduler.digest().free, 0)
 
     def test_load_of_unknown_origin_counts(self):
-        # Another scheduler granted two runs here while the view was split. Places that look
-        # free to us are not.
+        # Another scheduler granted two runs here while the view was split, so slots that look free are not.
         cell = Cell()
         cell.scheduler.on_load_report(report(running=1, waiting=1))
         cell.receive(ask("r"))
@@ -160,8 +159,8 @@
 
 class CacheTest(unittest.TestCase):
     def test_cache_events_correct_the_assumed_cache(self):
-        # Both engines are as good, but e2 says it holds the prompt's prefix. After e2 restarted
-        # it holds nothing, and believing otherwise would send the prompt there for nothing.
+        # The engines are equal, but e2 reports that it has the prompt's prefix cached. After its restart it has nothing
+        # cached, and assuming otherwise would send the prompt there without benefit.
         blocks = tuple(range(1, 9))
         cell = Cell(engines=("e1", "e2"))
         cell.scheduler.on_cache_events(CacheEvents(engine="e2", stored=blocks, removed=()))
@@ -189,8 +188,8 @@
         self.assertEqual([message.reason for message in cell.entries.of(Refused)], [Reason.DEADLINE_UNREACHABLE])
 
     def test_slowdown_by_lower_tiers_does_not_refuse_a_higher_one(self):
-        # Long prompts of a lower tier have slowed every token fourfold lately. A question
-        # would be late at that pace, but not once no more of them is prefilled beside it.
+        # Long prompts of a lower tier have recently slowed every token fourfold. A question would be late at that
+        # speed, but not once no further long prompt is prefilled beside it.
         cell = Cell()
         cell.measure()
         for state in cell.scheduler._runs.engines:
@@ -203,15 +202,14 @@
         self.assertEqual(cell.entries.ids(Granted), ["q"])
 
     def test_cold_model_does_not_refuse_a_possibly_feasible_request(self):
-        # Declared figures that are too pessimistic: if they refused, no run would ever
-        # correct them.
+        # The declared figures are too pessimistic. If they led to refusals, no run would ever correct them.
         cell = Cell()
         cell.receive(ask("r", output_tokens=1000, remaining_s=5.0))
         self.assertEqual(cell.entries.ids(Granted), ["r"])
 
     def test_overload_refuses_requests_that_would_wait_too_long(self):
-        # About 1.1 s each, two at a time: of thirty with 5 s only some can be served. The
-        # others hear so now and not when their deadline has passed.
+        # Runs take about 1.1 s, two at a time, so of thirty requests with 5 s only some can be served. The others are
+        # refused now rather than at their deadline.
         cell = Cell()
         cell.measure()
         cell.receive(*[ask(f"r{number}", remaining_s=5.0) for number in range(30)])
@@ -221,8 +219,8 @@
         self.assertGreater(cell.scheduler.digest().waiting_by_tier[1], 3)
 
     def test_no_higher_tier_is_refused_while_a_lower_waits(self):
-        # The queue of the higher tier is too long for its deadline, but a lower tier
-        # waits too. The lower one is to be refused first, so the higher ones stay.
+        # The queue of the higher tier is too long for its deadline, but a lower tier waits too and must be refused
+        # first.
         cell = Cell()
         cell.measure()
         cell.receive(ask("run0", tier=0, repeatable=False), ask("run1", tier=0, repeatable=False))
@@ -237,8 +235,8 @@
         self.assertEqual(cell.entries.ids(Refused), ["r"])
 
     def test_no_grant_that_would_delay_a_run_past_its_deadline(self):
-        # A run has 1 s to spare. A prompt of 4 s of prefill on the same engine would slow
-        # its tokens for as long, and its own prefill would be wasted.
+        # A run has 1 s of slack. A prompt with 4 s of prefill on the same engine would delay the run's tokens by as
+        # much, and the run's own prefill would be wasted.
         cell = Cell()
         cell.measure()
         cell.receive(ask("tight", remaining_s=2.5))
@@ -252,8 +250,8 @@
 
 class RegistrationTest(unittest.TestCase):
     def test_a_new_scheduler_waits_for_every_member(self):
-        # A scheduler takes over: what the others run is not known yet. Granting at once
-        # would fill engines twice over.
+        # A new scheduler does not know the other entries' runs yet. Granting immediately would overfill engines to
+        # twice their slots.
         cell = Cell(members=("r1", "r2"))
         cell.receive(register("r1", waiting=[ask("r")]))
         self.assertEqual(cell.entries.ids(Granted), [])
@@ -263,10 +261,10 @@
         self.assertEqual(cell.entries.ids(Granted), ["r"])
 
     def test_entry_that_still_uses_another_scheduler_is_awaited(self):
-        # The scheduler died, and r1 is the next one by its own view. It asks r2, which has not heard of the
-        # death yet and answers that its scheduler is another. Taken for "r2 runs nothing", that
-        # answer filled the engine twice over: what was granted too much waited in the engine's queue, was
-        # given up as silent after two seconds, and a question lost its last run.
+        # The scheduler died and r1 is the next one in its own view. It requests r2's registration, but r2 does not
+        # know of the death yet and answers that it uses another scheduler. Read as "r2 runs nothing", that answer led
+        # to an engine filled to twice its slots: the excess runs waited in its queue and were abandoned as silent
+        # after two seconds, and a question lost its last run.
         cell = Cell(members=("r1", "r2"))
         cell.receive(register("r1", waiting=[ask("r")]), register("r2", elsewhere=True))
         self.assertEqual(cell.entries.ids(Granted), [])
@@ -275,8 +273,8 @@
         self.assertEqual(cell.entries.ids(Granted), [])
 
     def test_resumed_scheduler_awaits_registrations_again(self):
-        # This router was scheduler when the fleet started, then another one was, and now that one has died. That
-        # everybody registered long ago says nothing of what the other granted since: the engine is full.
+        # This router was scheduler when the fleet started, then another one was, which has now died. The registrations
+        # from long ago don't include what the other one granted since: the engine is full.
         cell = Cell(slots=2, members=("r1", "r2"))
         cell.receive(register("r1"), register("r2"))
         cell.advance(10.0)
@@ -297,9 +295,9 @@
         self.assertEqual(cell.entries.ids(Granted), ["r"])
 
     def test_runs_of_a_dead_router_are_expected_before_they_are_reported(self):
-        # The scheduler died, and with it the entry whose runs the engine still goes on with. All who live have
-        # registered, and nobody speaks for these runs: granting at once filled the engine twice over, and a
-        # question in the engine's queue was given up as silent.
+        # The scheduler died together with an entry whose runs the engine continues. All live routers have registered
+        # and none includes these runs: granting immediately filled the engine to twice its slots, and a question in
+        # its queue was abandoned as silent.
         cell = Cell(slots=2)
         cell.scheduler.expect_orphans()
         cell.scheduler.set_members(frozenset({"r1"}))
@@ -317,9 +315,9 @@
         self.assertEqual(cell.entries.ids(Granted), ["r"])
 
     def test_runs_of_an_entry_that_switched_schedulers_keep_their_slots(self):
-        # A question of r1 waits in the engine's queue until its deadline. A scheduler that was started again takes
-        # the cell back; r2 hears of it first and tells this one that it goes by another. Its run goes on all
-        # the same: were its place free now, r1, which has not heard yet, got a second run on it.
+        # Guards against a question of r1 that waits in the engine's queue until its deadline. A restarted scheduler
+        # takes the cell back; r2 learns of it first and registers here as using another scheduler. Its run continues
+        # nevertheless: if its slot were freed, r1, which does not know yet, would get a second run on it.
         cell = Cell(slots=1, members=("r1", "r2"))
         cell.receive(register("r1"), register("r2"), ask("x", entry="r2"), ask("r"))
         self.assertEqual(cell.entries.ids(Granted), ["x"])
@@ -333,14 +331,14 @@
         self.assertEqual(cell.entries.ids(Granted), ["x", "r"])
 
     def test_waiting_requests_of_an_entry_that_switched_schedulers_are_dropped(self):
-        # The entry asks there now; granted here too, its request would take two places.
+        # The entry sends its requests there now; granted here too, a request would take two slots.
         cell = Cell(slots=1, members=("r1", "r2"))
         cell.receive(register("r1"), register("r2"), ask("x"), ask("y", entry="r2"), ask("r"))
         cell.receive(register("r2", elsewhere=True), finished("x"))
         self.assertEqual(cell.entries.ids(Granted), ["x", "r"])
 
     def test_entry_that_switches_back_registers_its_runs(self):
-        # What it held before it turned away and no longer holds is free at once, without a report.
+        # Slots that it held before it switched schedulers and no longer holds are free immediately, without a report.
         cell = Cell(slots=1, members=("r1", "r2"))
         cell.receive(register("r1"), register("r2"), ask("x", entry="r2"), ask("r"))
         cell.receive(register("r2", elsewhere=True), register("r2"))
@@ -373,16 +371,16 @@
         self.assertEqual(cell.scheduler.digest().waiting_by_tier, {})
 
     def test_grant_that_crossed_a_registration_is_resent(self):
-        # The entry registered before our grant reached it. A second place for the same
-        # request would be lost; no answer would leave it waiting for ever.
+        # The entry registered before the grant reached it. A second slot for the same request would be lost, and
+        # without an answer the request would wait forever.
         cell = Cell(slots=1)
         cell.receive(ask("r"), ask("w", tier=0, entry="r2"), register("r1", waiting=[ask("r")]))
         self.assertEqual(cell.entries.ids(Granted), ["r", "r"])
         self.assertEqual(cell.scheduler.digest().waiting_by_tier, {0: 1})
 
     def test_dead_entry_frees_its_slots_only_when_a_report_shows_it(self):
-        # Router r2 dies. Its waiting requests are gone with it, but the engine still runs
-        # what it sent. Granting into those places at once would overfill the engine.
+        # Router r2 dies. Its waiting requests are gone, but the engine still executes its runs. Granting their slots
+        # immediately would overfill the engine.
         cell = Cell(members=("r1", "r2"))
         cell.receive(register("r1"), register("r2"))
         cell.receive(ask("x", entry="r2"), ask("y", entry="r2"), ask("z", entry="r2"), ask("r"))
@@ -402,8 +400,8 @@
         self.assertEqual(cell.scheduler.digest().free, 2)
 
     def test_scheduler_discards_its_state_after_a_pause(self):
-        # The process is stopped for 30 s; others served the cell meanwhile and filled the
-        # engine. On waking, its own account shows both places free.
+        # The process is paused for 30 s, while another scheduler serves the cell and fills the engine. After the pause
+        # its own state shows both slots free.
         cell = Cell(members=("r1",))
         cell.receive(register("r1"))
         cell.scheduler.on_load_report(report())
