--- a/tests/test_tier_queue.py
+++ b/tests/test_tier_queue.py
@@ -43,8 +43,8 @@
         self.assertEqual((len(queue), queue.work_by_tier()), (0, {1: 0.0}))
 
     def test_starved_tier_does_not_grow_without_bound(self):
-        # A low tier that is never served for hours: its requests come and expire.
-        # Nobody pops its heap, so what expired must be cleared away by itself.
+        # A low tier is not served for hours while its requests arrive and expire. Its heap is never popped, so expired
+        # requests must be removed in another way.
         queue = TierQueue()
         for number in range(50 * COMPACT_ABOVE):
             queue.push(waiting(f"r{number}", deadline=number + 2.0))
@@ -85,8 +85,8 @@
         self.assertEqual(served, {"long": 10, "brie": 40})
 
     def test_idle_team_earns_no_credit(self):
-        # One team alone is served for a long time, then another sends a burst. It may
-        # have its half from now on, not everything until it has caught up.
+        # One team alone is served for a long time, then another sends a burst. That team gets its half from then on,
+        # not everything until it has caught up.
         queue = TierQueue()
         for number in range(100):
             queue.push(waiting(f"steady{number}", team="steady"))
@@ -109,8 +109,8 @@
         self.assertEqual({request_id[0] for request_id in pop_all(queue, 5)}, {"a"})
 
     def test_flood_of_one_team_does_not_delay_another(self):
-        # One team floods the tier. Another team's single request is served after its
-        # fair share of that, so its predicted wait must not count the whole flood.
+        # One team floods the tier. Another team's single request is served after only a fair share of the flood, so its
+        # predicted wait must not include all of it.
         queue = TierQueue()
         for number in range(500):
             queue.push(waiting(f"flood{number}", team="flood"))
@@ -121,9 +121,8 @@
 
 class LengthsTest(unittest.TestCase):
     def test_short_work_overtakes_long_work_for_a_bounded_time(self):
-        # A report a hundred times as long as the questions. Questions that come soon
-        # after overtake it; those that come after its ageing time don't, or a steady
-        # stream of questions would keep it waiting until its deadline.
+        # A report takes a hundred times as long as a question. Questions that arrive soon after it overtake it; those
+        # that arrive after its ageing time don't, or a steady stream of questions would delay it until its deadline.
         queue = TierQueue()
         queue.push(waiting("report", work_s=10.0))
         for arrived_at in range(0, 100, 10):
