--- a/tests/test_first_token_target.py
+++ b/tests/test_first_token_target.py
@@ -1,4 +1,4 @@
-"""Requests that hope for a first token soon: who waits, who is refused, and when."""
+"""Requests with a target time to first token: which wait, which are refused, and when."""
 
 import unittest
 
@@ -14,7 +14,7 @@
 
 
 class Overload:
-    """Engines with few places, one of two by default, that are asked for many times what they can do."""
+    """Engines with few slots, by default one with two, under many times the load that they can serve."""
 
     def __init__(self, *, engines=("e1",), slots=2, run_s=RUN_S, tokens=TOKENS):
         self._run_s = run_s
@@ -68,8 +68,8 @@
 
 class FirstTokenTargetTest(unittest.TestCase):
     def test_request_that_can_not_start_in_time_is_refused_then(self):
-        # Both places are taken for longer than the caller hopes to wait for its first token. Held to
-        # its deadline it would get its answer late, in a place that another could have used in time.
+        # Both slots are taken for longer than the target time to first token. If the request waited until its deadline,
+        # its answer would be late and would take a slot that another request could have used in time.
         cell = Cell(slots=2)
         cell.receive(ask("a"), ask("b"), ask("c", first_token_within_s=TARGET_FIRST_TOKEN_S, remaining_s=15.0))
         cell.advance(START_SHARE * TARGET_FIRST_TOKEN_S - 0.1)
@@ -79,11 +79,11 @@
         self.assertEqual(cell.entries.of(Refused)[0].reason, Reason.OVERLOADED)
 
     def test_overload_refuses_immediately(self):
-        # Ten requests a second for a cell that begins two. Each refused one that waited first was
-        # kept from asking elsewhere for nothing.
+        # Ten requests per second arrive at a cell that starts two. A refused request that had waited first was kept
+        # from being retried elsewhere without benefit.
         self.check_refused_immediately(Overload())
 
-    # Guards against the free places of an engine that nobody may use, and that would make the cell look not full.
+    # Guards against free slots of an engine in back-off, which can't be used and would make the cell look not full.
     def test_overload_refuses_immediately_beside_an_engine_in_back_off(self):
         overload = Overload(engines=("e1", "e2"))
         overload.cell.receive(EngineNotice(engine="e2", entry="r1", rest_s=30.0))
@@ -116,15 +116,15 @@
 
 
 class LowerTierRunsEndTest(unittest.TestCase):
-    """A flood of a middle tier while runs of the lowest one end by themselves.
+    """A flood of a middle tier while runs of the lowest tier end by themselves.
 
-    The pattern: 24 requests a second of the middle tier on a cell that begins some 40 a second of all; two
-    thirds were refused by a predicted wait of 0.2 s while 3 to 4 a second of the lowest tier were served. Figures:
-    half of the time to the start against all of it, while anything lower runs.
+    Guards against 24 requests per second of the middle tier, on a cell that starts some 40 per second in total, of
+    which two thirds were refused by a predicted wait of 0.2 s while 3 to 4 per second of the lowest tier were served.
+    While a lower tier runs, a request may be predicted to wait for all of the time to its latest start instead of half.
     """
 
     def wait_until_refused(self, *, lower):
-        """Requests of the middle tier that may wait before one is refused on arrival."""
+        """Return how many requests of the middle tier may wait before one is refused on arrival."""
         cell = Cell(slots=4)
         cell.measure()
         for second in range(8):
@@ -152,7 +152,7 @@
     SHORT_TOKENS = 3
     CALM_PER_S = 40
 
-    # Guards against the rate of a calm time that is taken for all that the cell can do.
+    # Guards against taking the grant rate of a calm period for the capacity of the cell.
     def test_burst_after_a_lull_is_not_refused_if_engines_serve_it_in_time(self):
         overload = Overload(engines=("e1", "e2"), slots=8, run_s=self.SHORT_S, tokens=self.SHORT_TOKENS)
         overload.run(6.0, per_s=self.CALM_PER_S)
