--- a/tests/test_isolation.py
+++ b/tests/test_isolation.py
@@ -1,4 +1,4 @@
-"""Suspects of crashing engines run beside no other, without taking the cell for it."""
+"""Suspects of crashing engines run alone on an engine, without blocking the cell."""
 
 import unittest
 
@@ -15,8 +15,8 @@
 
 class IsolationTest(unittest.TestCase):
     def test_suspect_gets_an_emptied_engine_to_itself(self):
-        # Both engines run something. A suspect waits for the end of what one of them runs; new
-        # work goes to the other meanwhile, and to both again once the suspect has ended.
+        # Both engines have runs. A suspect waits for the end of those on one of them; new requests go to the other
+        # meanwhile, and to both again once the suspect has ended.
         cell = Cell(engines=("e1", "e2"))
         cell.receive(ask("a", excluded_engines=("e2",)), ask("b", excluded_engines=("e1",), output_tokens=500))
         cell.receive(ask("s", alone=True), ask("c"), ask("d"))
@@ -61,7 +61,7 @@
         self.assertEqual(cell.entries.ids(Refused), ["s3"])
 
     def test_a_higher_tier_goes_first(self):
-        # The suspect's turn comes after the higher tier's, as without suspicion.
+        # A suspect is served after the higher tier, like any other request.
         cell = Cell(slots=1)
         cell.receive(ask("run", tier=0), ask("high", tier=0), ask("s", tier=1, alone=True), finished("run"))
         self.assertEqual(cell.entries.ids(Granted), ["run", "high"])
@@ -69,8 +69,8 @@
         self.assertEqual(cell.entries.ids(Granted), ["run", "high", "s"])
 
     def test_only_engine_is_not_reserved_against_a_higher_tier(self):
-        # The engine is being emptied for a suspect when a higher tier's request arrives. Kept from
-        # it, the place beside the old run would stay empty while the request waits.
+        # The engine is being emptied for a suspect when a request of a higher tier arrives. If the engine stayed
+        # reserved, the slot beside the old run would stay empty while that request waits.
         cell = Cell()
         cell.receive(ask("run"), ask("s", alone=True), ask("high", tier=0))
         cell.advance(0.1)
@@ -98,7 +98,7 @@
         self.assertEqual(cell.entries.ids(Granted), [])
 
     def test_no_engine_counts_as_empty_until_every_entry_registered(self):
-        # A new scheduler has not heard of r2 yet, whose run on the engine the suspect could take along.
+        # A new scheduler has no registration of r2 yet, whose run on the engine the suspect could crash too.
         cell = Cell(members=("r1", "r2"))
         cell.receive(register("r1"), ask("s", alone=True))
         self.assertEqual(cell.entries.ids(Granted), [])
@@ -113,9 +113,9 @@
 
 class CrashAttributionTest(unittest.TestCase):
     def test_two_requests_that_always_crash_together_are_distinguished(self):
-        # A poisoned request and an innocent one are sent again after each crash of the only
-        # engine. Placed together each time they would share the blame for ever, and the engine
-        # would crash for ever. After the second crash each runs alone: one crashes it, one ends.
+        # A poison request and an innocent one are retried after each crash of the only engine. Run together each time,
+        # they would share the blame and the engine would keep crashing. After the second crash each runs alone: one
+        # crashes the engine, the other ends.
         cell = Cell(slots=4)
         table = CrashTable(clock=cell.clock, reporter="r1")
         crashes, answered = 0, False
