--- a/tests/test_preemption.py
+++ b/tests/test_preemption.py
@@ -1,4 +1,4 @@
-"""Lower-tier runs cancelled for a higher tier: when, which, and how many."""
+"""Preemption of lower-tier runs for a higher tier: when, which, and how many."""
 
 import unittest
 
@@ -14,20 +14,20 @@
 
 
 def draft(request_id, **changes):
-    """A lower-tier run of about 20 s."""
+    """Return a lower-tier request that runs for about 20 s."""
     fields = {"tier": 3, "output_tokens": 2000, "remaining_s": 300.0} | changes
     return ask(request_id, **fields)
 
 
 def high(request_id, **changes):
-    """A top-tier request of 1.1 s that must begin soon."""
+    """Return a top-tier request that runs for 1.1 s and must start soon."""
     return ask(request_id, **({"tier": 0, "remaining_s": 3.0, "repeatable": False} | changes))
 
 
 class WhenTest(unittest.TestCase):
     def test_higher_tier_gets_the_slot(self):
-        # Drafts hold every place for 20 s when a question with 3 s arrives. One draft is
-        # cancelled, its place goes to the question and not to the draft that waits.
+        # Drafts hold every slot for 20 s when a question with 3 s left arrives. One draft is cancelled, and its slot
+        # goes to the question rather than to the draft that waits.
         cell = Cell()
         cell.receive(draft("d0"), draft("d1"), draft("d2", tier=2), high("q"))
         cell.advance(0.1)
@@ -37,8 +37,8 @@
         self.assertEqual(cell.entries.ids(Granted), ["d0", "d1", "q"])
 
     def test_scheduler_after_a_pause_cancels_nothing_by_its_old_state(self):
-        # A scheduler was paused for 10 s. Others served the cell meanwhile, so the drafts that it
-        # holds may have ended; until their entry says so again, none is cancelled for a question.
+        # A scheduler was paused for 10 s. Another one served the cell meanwhile, so the drafts that it holds may have
+        # ended; until their entry registers them again, none is cancelled for a question.
         cell = Cell(members=("r1", "r2"))
         cell.receive(register("r1"), register("r2"), draft("d0"), draft("d1"))
         cell.clock.now += 10.0
@@ -59,8 +59,8 @@
         self.assertEqual(cell.entries.ids(Preempt), [])
 
     def test_prediction_of_a_cold_model_is_not_relied_on(self):
-        # The engine is slower than declared and nothing was measured yet. The place that is
-        # predicted to free in time may not, so a draft is cancelled while there is time.
+        # The engine is slower than declared and nothing was measured yet. The slot that is predicted to become free in
+        # time may not, so a draft is cancelled while there is time.
         cell = Cell()
         cell.receive(draft("d0"), ask("soon", tier=1), started("d0"), started("soon"))
         cell.receive(RunProgress(request_id="soon", output_tokens=80))
@@ -69,7 +69,7 @@
         self.assertEqual(cell.entries.ids(Preempt), ["d0"])
 
     def test_no_more_victims_than_needed(self):
-        # One question, many drafts, many rounds: one place is enough.
+        # One question, many drafts, many rounds: one slot is enough.
         cell = Cell(engines=("e1", "e2", "e3"), slots=4)
         cell.receive(*[draft(f"d{number}") for number in range(12)], high("q"))
         cell.advance(PREEMPT_TIMEOUT_S - 0.1)
@@ -84,8 +84,8 @@
         self.assertEqual(cell.entries.ids(Preempt), [])
 
     def test_request_not_helped_by_two_victims_gets_no_third(self):
-        # Every freed place is gone before the request could take it. Cancelling one run
-        # after another for it would throw away their prefill for nothing.
+        # Every freed slot is taken before the request could get it. Cancelling one run after another for it would
+        # discard their prefill for nothing.
         cell = Cell(engines=("e1",), slots=6)
         cell.receive(*[draft(f"d{number}") for number in range(6)])
         cell.receive(high("q", remaining_s=9.0, output_tokens=300))
@@ -94,8 +94,8 @@
         self.assertLessEqual(len(cell.entries.of(Preempt)), 2)
 
     def test_silent_victim_is_not_waited_for(self):
-        # The victim's entry or engine does not answer. After the time-out another run is
-        # taken, or the question would miss its deadline beside a full engine.
+        # The victim's entry or engine does not answer. After the timeout another run is preempted, or the question
+        # would miss its deadline beside a full engine.
         cell = Cell()
         cell.receive(draft("d0"), draft("d1"), high("q", remaining_s=6.0))
         cell.advance(PREEMPT_TIMEOUT_S + 0.3)
@@ -110,7 +110,7 @@
         self.assertEqual(cell.entries.ids(Preempt), [])
 
     def test_middle_tier_preempts_only_lower_tiers(self):
-        # Two plans need places; one is held by a question, one by a draft.
+        # Two plans need slots; one is held by a question, one by a draft.
         cell = Cell()
         cell.receive(draft("question", tier=0), draft("tagging", tier=3))
         cell.receive(high("plan0", tier=2), high("plan1", tier=2))
@@ -150,8 +150,8 @@
 
 class BoundTest(unittest.TestCase):
     def test_repeatedly_preempted_request_is_refused_for_good(self):
-        # A draft that was cancelled many times asks once more while the cell is full. A
-        # run that is only ever begun wastes prefill each time; its caller hears so now.
+        # A draft that was preempted many times is requested once more while the cell is full. Starting it again and
+        # again wastes its prefill each time, so its caller gets a final refusal.
         cell = Cell()
         cell.receive(ask("a", tier=0), ask("b", tier=0))
         cell.receive(draft("d", attempt=MAX_PREEMPTED_ATTEMPTS + 1, done_tokens=50))
