--- a/tests/test_run_table.py
+++ b/tests/test_run_table.py
@@ -6,8 +6,8 @@
 
 class PrefillRateTest(unittest.TestCase):
     def test_rate_is_learned_at_the_end_of_a_run_without_cached_tokens(self):
-        # An engine tells how much of a prompt its cache held only with the end of its answer.
-        # By the first token alone nothing is known of what it computed.
+        # An engine reports how much of a prompt was cached only at the end of its answer. From the time to first token
+        # alone it is not known how many tokens it computed.
         cell = Cell()
         (engine,) = cell.scheduler._runs.engines
         declared_s = engine.model.prefill_s(1000)
@@ -25,9 +25,9 @@
 
 class ParkedAheadTest(unittest.TestCase):
     def test_free_slot_is_granted_though_a_parked_request_waits_ahead(self):
-        # A plan can't be promised its finish now, so it is parked and its place stays free. Its
-        # ten seconds of work stand ahead of a tagging request with two seconds left; refused for
-        # them, that request would find an idle engine.
+        # A plan can't be predicted to finish in time now, so it is parked and its slot stays free. Its ten seconds of
+        # work are ahead of a tagging request with two seconds left; refusing that request because of them would leave
+        # the engine idle.
         cell = Cell()
         cell.measure()
         cell.receive(ask("plan", tier=2, prompt_tokens=600, output_tokens=1000, remaining_s=11.5))
@@ -38,9 +38,9 @@
 
 class ColdStartTest(unittest.TestCase):
     def test_long_prompts_wait_while_higher_tiers_overload_the_cell(self):
-        # A cell starts under overload: petitions for many times what it can do arrive, and a
-        # gazette of 4000 tokens. Begun on a place that happens to be idle, it would be cancelled
-        # within a second and its prefill lost. A short one loses nothing and is begun.
+        # A cell starts under overload: petitions with many times the work that it can do arrive, and a gazette of
+        # 4000 tokens. Started in a slot that happens to be idle, the gazette would be cancelled within a second and
+        # its prefill lost. A short prompt loses nothing and is started.
         cell = Cell(slots=32)
         cell.receive(*[ask(f"above{number}", tier=1) for number in range(20)])
         cell.receive(ask("long", tier=3, prompt_tokens=4000, remaining_s=60.0), ask("short", tier=3))
