--- a/tests/test_retry_budget.py
+++ b/tests/test_retry_budget.py
@@ -29,7 +29,7 @@
         return RetryBudget(clock=self.clock, limits=lambda: self.LIMITS)
 
     def fill_window(self):
-        """Let the scheduler serve for so long that it knows all of the window."""
+        """Advance the clock until the scheduler knows a whole window."""
         self.clock.now += 2 * RETRY_WINDOW_S
 
     def allowed(self, tries, *, entry="r1", entries=ENTRIES, budget=None):
@@ -43,7 +43,7 @@
 
 
 class ShareTest(RetryBudgetCase):
-    # Guards against retries that keep engines down, each request being sent again and again while all fail.
+    # Guards against retries that keep engines down, as each request is retried repeatedly while all fail.
     def test_a_failing_service_gets_only_the_extra(self):
         self.assertEqual(self.allowed(1000), RETRY_EXTRA)
 
@@ -63,7 +63,7 @@
         self.clock.now += RETRY_WINDOW_S + ARRIVAL_SPREAD_S + 0.1
         self.assertEqual(self.allowed(10), RETRY_EXTRA)
 
-    # Guards against a share that fades, so that it is spent once more within the same window.
+    # Guards against a share that decays, so that it is spent again within the same window.
     def test_nothing_is_restored_within_the_window(self):
         for _ in range(100):
             self.budget.record_success("r1")
@@ -72,12 +72,12 @@
             self.clock.now += RETRY_WINDOW_S / 10 - 0.01
             self.assertEqual(self.allowed(10), 0)
 
-    # Guards against retries that wait for a place and are sent together, beyond what may be sent.
+    # Guards against retries that wait for a slot and are then sent together, beyond the budget.
     def test_waiting_retries_count(self):
         self.assertTrue(self.budget.has_budget(waiting=RETRY_EXTRA - 1, entries=ENTRIES))
         self.assertFalse(self.budget.has_budget(waiting=RETRY_EXTRA, entries=ENTRIES))
 
-    # Guards against retries that are lost to callers though no engine ever got them.
+    # Guards against retries that are charged although they reached no engine.
     def test_retry_that_was_never_sent_is_refunded(self):
         self.allowed(10)
         self.budget.spend(entry="r2", request_id="never-sent")
@@ -92,19 +92,19 @@
 class RoutersTest(RetryBudgetCase):
     LIMITS = RetryLimits(extra=40.0, routers=10)
 
-    # Guards against a router that is cut off and takes the extra of the whole fleet.
+    # Guards against a partitioned router that uses the extra of the whole fleet.
     def test_partitioned_scheduler_has_only_a_part_of_the_extra(self):
         self.assertEqual(self.allowed(1000, entries=("r1",)), 4)
         self.assertEqual(self.allowed(1000, entries=ENTRIES), 4)
 
-    # Guards against what a router that is cut off earned, spent on both sides of the cut.
+    # Guards against successes of a partitioned router that are spent on both sides of the partition.
     def test_successes_of_other_entries_are_dropped(self):
         for _ in range(100):
             self.budget.record_success("r2")
         self.budget.retain_successes({"r1"})
         self.assertEqual(self.allowed(1000, entries=("r1",)), 4)
 
-    # Guards against a router that dies and takes what it spent out of the account.
+    # Guards against a router whose retries no longer count once it dies.
     def test_retries_of_a_dead_router_still_count(self):
         self.allowed(1000, entry="r2")
         self.budget.retain_successes({"r1"})
@@ -117,7 +117,7 @@
     def history(self, *, up_s=100.0, retries=(), successes=()):
         return RetryHistory(up_s=up_s, retries_by_age_s=tuple(retries), successes_by_age_s=tuple(successes))
 
-    # Guards against a new scheduler that gives out again what the former one gave out.
+    # Guards against a new scheduler that grants again the budget that the previous one granted.
     def test_new_scheduler_continues_from_the_entries_histories(self):
         new = self.make()
         new.apply_history("r1", self.history(retries=(0, 3), successes=(50,)))
@@ -130,20 +130,20 @@
             self.budget.apply_history("r1", self.history(retries=(5,), successes=(100,)))
         self.assertEqual(self.allowed(1000), 20 + 10 - 5)
 
-    # Guards against a router that is started again and whose scheduler takes its empty record for all that was spent.
+    # Guards against a restarted router whose empty record the scheduler takes for all of its retries.
     def test_retries_of_a_previous_process_still_count(self):
         self.allowed(15)
         self.clock.now += 1.0
         self.budget.apply_history("r1", self.history(up_s=0.5))
         self.assertEqual(self.allowed(1000), 5)
 
-    # Guards against a grant that is on its way while its router registers, and is forgotten.
+    # Guards against a grant that is in flight while its router registers, and is not counted.
     def test_grant_in_flight_counts(self):
         self.allowed(3)
         self.budget.apply_history("r1", self.history(retries=(2,)))
         self.assertEqual(self.allowed(1000), 20 - 3)
 
-    # Guards against a fleet that starts again as a whole and gives out its whole budget each time.
+    # Guards against a fleet that restarts completely and grants its whole budget each time.
     def test_freshly_started_routers_begin_with_a_part_of_the_budget(self):
         new = self.make()
         for entry in ENTRIES:
@@ -152,7 +152,7 @@
         self.clock.now += RETRY_WINDOW_S / 2
         self.assertEqual(self.allowed(1000, budget=new), 10 - MIN_KNOWN_SHARE * 20)
 
-    # Guards against what routers forgot that were started again together with the scheduler.
+    # Guards against uncounted retries of routers that restarted together with the scheduler.
     def test_unknown_part_is_extrapolated_from_the_known_part(self):
         new = self.make()
         new.apply_history("r1", self.history(retries=(0, 8)))
@@ -170,7 +170,7 @@
         self.cell.receive(*[ask(request_id, is_retry=True) for request_id in request_ids])
         return self.cell.entries.ids(Granted), self.cell.entries.of(Refused)
 
-    # Guards against a request that waits for a retry which it can't have.
+    # Guards against a request that waits for a retry that it can't get.
     def test_retry_beyond_the_budget_is_refused_immediately(self):
         granted, refused = self.ask("a", "b", "c", "d")
         self.assertEqual(granted, ["a", "b", "c"])
@@ -187,7 +187,7 @@
         self.cell.receive(finished("c", on=engine, result="RunNotSent", never_sent=True))
         self.assertEqual(self.ask("d")[0][-1], "d")
 
-    # Guards against a retry in use that is taken back as another scheduler granted the same request elsewhere.
+    # Guards against refunding a retry in use because another scheduler granted the same request elsewhere.
     def test_slot_of_another_scheduler_refunds_no_retry(self):
         self.ask("a", "b", "c")
         engine = self.cell.entries.of(Granted)[-1].engine
