--- a/tests/test_crash_signs.py
+++ b/tests/test_crash_signs.py
@@ -1,4 +1,4 @@
-"""Crashes of engines that no router tells from a broken connection by itself."""
+"""Engine crashes that a single router can't distinguish from a broken connection."""
 
 import unittest
 
@@ -18,14 +18,14 @@
     def notified_engines(self):
         return [message.engine for message in self.cell.entries.of(EngineDown)]
 
-    # Guards against a crash that is taken for a broken connection, since each router had one run on the engine.
+    # Guards against a crash that is taken for a broken connection because each router had one run on the engine.
     def test_entries_whose_runs_an_engine_cut_are_notified_once_that_it_is_down(self):
         self.cell.receive(finished("a", result="RunCut"))
         self.cell.scheduler.on_unreachable("e1")
         self.cell.scheduler.on_unreachable("e1")
         self.assertEqual(self.notified_engines(), ["e1"])
 
-    # Guards against runs that are blamed for an engine which went down long after it had cut them, or beside them.
+    # Guards against blaming a run for an engine that went down long after cutting it, or after the run had ended.
     def test_entries_that_lost_no_run_recently_are_not_notified(self):
         self.cell.receive(finished("a", result="RunCut"), finished("b"))
         self.cell.advance(DOWN_WINDOW_S + 0.1)
@@ -52,7 +52,7 @@
             self.cut(f"e{number}")
         self.assertTrue(self.crashes.blocked("poison"))
 
-    # Guards against a request that is blamed for engines which left in order, or which it did not run on.
+    # Guards against blaming a request for engines that drained in order, or on which it did not run.
     def test_engine_that_leaves_in_order_is_blamed_on_no_request(self):
         for number in range(CRASH_LIMIT):
             self.crashes.note_down(f"e{number}")
