--- a/tests/test_large_cell.py
+++ b/tests/test_large_cell.py
@@ -1,9 +1,9 @@
-"""A cell of 78 engines under one scheduler: what is decided stays the same, what it costs stays flat.
+"""A cell of 78 engines with one scheduler: the cost of a decision is bounded without worse decisions.
 
-The pattern is a language service at full size, 270 requests a second and twice that in a flood, whose scheduler may
-have half of a core: two thousandths of a second for each request, all messages included. So a request is compared
-with a few likely engines, not with all; these tests hold that no place, and no engine that holds its
-conversation, is lost by it.
+This is a language service at full size, with 270 requests per second and twice that in a flood, whose scheduler may
+use half of a core: 2 ms per request, including all messages. Therefore a request is compared with a short list of
+engines rather than all. The tests check that all slots are still granted, and that a conversation still returns to
+the engine that has it cached.
 """
 
 import unittest
@@ -44,7 +44,7 @@
         self.assertEqual({engines.count(name) for name in set(engines)}, {SLOTS})
 
     def test_conversation_returns_to_its_engine_beyond_the_shortlist(self):
-        # The engine that holds it is among the slower ones, past all that are compared first.
+        # The engine that has it cached is among the slower ones, outside the short list.
         holder = "e03"
         self.cell.scheduler._runs.engines_by_name[holder].cache.stored(CONVERSATION, PART_TOKENS)
         ordered = list(self.cell.scheduler._runs.engines_by_name)
@@ -53,7 +53,7 @@
         self.assertEqual(self.engine_of("r"), holder)
 
     def test_another_engine_is_found_if_none_on_the_shortlist_is_suitable(self):
-        # The likeliest ones are reading long prompts, so that a first token there would come late.
+        # The engines on the short list are prefilling long prompts, so a first token there would be late.
         for number in range(MAX_COMPARED):
             self.ask(f"long-{number}", prompt_tokens=50_000, first_token_within_s=4.0)
         busy = {granted.engine for granted in self.cell.entries.of(Granted)}
