--- a/tests/test_new_scheduler.py
+++ b/tests/test_new_scheduler.py
@@ -1,4 +1,4 @@
-"""What a router does that becomes scheduler, by what it may know of runs that nobody registers."""
+"""Start of a scheduler on a router that may not know of runs that no entry registers."""
 
 import unittest
 
@@ -10,7 +10,7 @@
 
 
 def declaration(kind=LANGUAGE):
-    """One service with one engine of two places."""
+    """Return a declaration of one service with one engine of two slots."""
     service = Service(name="asistente", kind=kind, routes_by_name={}, prefill_weight=0.5)
     empty = {"zones_by_region": {}, "tiers_by_name": {}, "teams_by_name": {}}
     return Declaration(
@@ -41,9 +41,9 @@
         return self.entries.ids(Granted)
 
     def test_freshly_started_router_expects_runs_of_its_previous_process(self):
-        # A question of another entry waits in the engine's queue. The scheduler was killed and started again under
-        # its name; its engine goes on with what it had sent there. Nobody registers these runs, and the new process
-        # has seen nobody die: it granted as soon as all who live had registered, on top of them.
+        # Guards against a question of another entry that waits in the engine's queue. The scheduler was killed and
+        # restarted under its name, and its engine continues its runs. No entry registers these runs and the new process
+        # has seen no router die, so it granted as soon as all live routers had registered, and overfilled the engine.
         self.schedulers.set_declaration(declaration())
         self.receive(register("r1", waiting=[ask("r"), ask("s")]))
         self.assertEqual(self.granted(), [])
@@ -63,16 +63,16 @@
         self.assertEqual(self.granted(), ["r"])
 
     def test_plain_service_does_not_wait_for_load_reports(self):
-        # A booking waits for 1.5 s, for nothing: engines of a plain service report nothing, so that what a router
-        # which died had sent there is not known after that wait either.
+        # Guards against a booking that waits for 1.5 s in vain: engines of a plain service send no load reports, so the
+        # runs of a dead router are not known after that wait either.
         self.schedulers.set_declaration(declaration(kind=PLAIN))
         self.receive(register("r1", waiting=[ask("r")]))
         self.assertEqual(self.granted(), ["r"])
 
     def test_runs_of_a_restarted_router_keep_their_slots(self):
-        # A question of another entry waits in the engine's queue, up to its deadline. A router that is not the
-        # scheduler dies and is started again at once. Its predecessor's runs go on; the new process registers that it
-        # holds nothing, and the scheduler, which had kept their places until a report, grants them.
+        # Guards against a question of another entry that waits in the engine's queue, up to its deadline. A router that
+        # is not the scheduler dies and restarts immediately. The runs of its previous process continue; the new process
+        # registers that it holds nothing, and the scheduler, which had kept their slots until a report, grants them.
         self.schedulers.set_members({"r1", "r2"})
         self.schedulers.set_declaration(declaration())
         self.advance(ORPHAN_WINDOW_S + 0.1)
