--- a/tests/test_engine_restart.py
+++ b/tests/test_engine_restart.py
@@ -1,8 +1,8 @@
-"""An engine that starts again under the name that it had.
+"""An engine that restarts under the same name.
 
-It crashed and is back before its entry lapsed. What a scheduler still counts on it is gone: places look
-taken until silent connections are noticed, a cache looks warm that is empty, a speed and a
-health are believed that were another process's. Its time of start tells, in its entry or its report.
+It crashed and is back before its entry in the engine list expired. The scheduler's state of it is then wrong: slots
+look taken until silent connections are noticed, an empty cache looks warm, and the speed and health are those of
+another process. The start time in its entry or its load report reveals the restart.
 """
 
 import dataclasses
@@ -51,7 +51,7 @@
         self.cell.receive(ask("c"))
         self.report(SECOND_START_MS)
         self.assertEqual(self.granted(), ["a", "b", "c"])
-        # The list that follows tells of the same start, and of one before while it lags.
+        # The engine list that follows has the same start, and an earlier one while it lags.
         self.set_engine(declared(FIRST_START_MS))
         self.set_engine(declared(SECOND_START_MS))
         self.assertEqual(self.state().running, 1)
@@ -75,7 +75,7 @@
         self.assertEqual(self.state().phantom, 1)
 
     def test_runs_started_since_the_restart_show_as_load(self):
-        # They were let go with the rest; the engine's own count keeps it from being overfilled.
+        # They were discarded with the other state; the engine's own count prevents overfilling it.
         self.set_engine(declared(SECOND_START_MS))
         self.report(SECOND_START_MS, running=2)
         self.cell.receive(ask("c"))
