--- a/tests/test_suited_engine.py
+++ b/tests/test_suited_engine.py
@@ -1,10 +1,10 @@
-"""Load of long and short prompts on engines that differ fourfold, nearly full.
+"""Long and short prompts on nearly full engines whose speeds differ fourfold.
 
-The pattern: two thirds of the engines read 80 prompt tokens in a millisecond, the others 18, and make
-an event of three tokens in 13 or 57 ms. What waits first takes the next place that frees. On a slow
-engine a long prompt's first token comes late, and while it is read every other stream there pauses for
-three pieces of 1,024 tokens and three steps, worked out at 230 ms, where callers hope for 200. Figures: a full cell
-of six engines began a run every 20 to 40 ms, so a quarter of 400 to 800 ms is time enough to wait for one.
+Two thirds of the engines prefill 80 prompt tokens per millisecond and the others 18; an event of three tokens takes 13
+or 57 ms. The first waiting request takes the next free slot. On a slow engine a long prompt's first token is late, and
+during its prefill every other stream there pauses for three chunks of 1,024 tokens and three steps, computed as 230 ms
+where the target is 200 ms. A full cell of six engines started a run every 20 to 40 ms, so a quarter of a target of 400
+to 800 ms suffices to wait for a suitable engine.
 """
 
 import unittest
@@ -57,7 +57,7 @@
             self.assertEqual(self.engine_of(cell, f"first-{number}"), "fast")
 
     def test_long_prompt_waits_briefly_for_a_fast_engine(self):
-        # Places are free on the slow engine only, where its first token would come late.
+        # Only the slow engine has free slots, and its first token would be late there.
         cell = self.cell(FAST, SLOW)
         self.fill_fast(cell)
         self.ask(cell, "long", prompt_tokens=12_000)
@@ -74,7 +74,7 @@
         self.assertEqual(self.engine_of(cell, "long"), "slow")
 
     def test_prompt_that_would_stall_other_streams_waits(self):
-        # It would begin in time by itself, but a stream on the slow engine would pause too long.
+        # Its own first token would be in time, but a stream on the slow engine would pause for too long.
         cell = self.cell(FAST, SLOW)
         self.fill_fast(cell)
         self.ask(cell, "beside", prompt_tokens=500)
@@ -90,7 +90,7 @@
         self.assertEqual([self.engine_of(cell, name) for name in ("short", "another")], ["slow", "slow"])
 
     def test_first_free_engine_is_taken_if_none_is_suitable(self):
-        # Only slow engines are left: to wait for a better one would be to wait for nothing.
+        # Only slow engines are left, so waiting for a better one would be in vain.
         cell = self.cell(SLOW)
         self.ask(cell, "long", prompt_tokens=12_000)
         self.assertEqual(self.engine_of(cell, "long"), "slow")
