--- a/tests/utils/scheduler_fakes.py
+++ b/tests/utils/scheduler_fakes.py
@@ -1,4 +1,4 @@
-"""A scheduler with a clock that tests move and entries that keep what they are sent."""
+"""A scheduler with a clock that tests advance and entries that record the messages sent to them."""
 
 from wagtailtrestle.capacity.scheduler import Scheduler
 from wagtailtrestle.contracts.declaration import DeclaredEngine
@@ -8,7 +8,7 @@
 
 
 class Clock:
-    """Time that only the test moves."""
+    """A clock that only the test advances."""
 
     def __init__(self):
         self.now = 100.0
@@ -18,7 +18,7 @@
 
 
 class FakeEntries:
-    """Keeps what the scheduler sent."""
+    """Records the messages that the scheduler sends."""
 
     def __init__(self):
         self.sent = []
@@ -49,7 +49,7 @@
 
 
 def ask(request_id, *, tier=1, attempt=1, team="socios", entry="r1", repeatable=True, **changes):
-    """A request of about 1.1 s: 100 tokens of prompt, 100 of answer."""
+    """Return a request that runs for about 1.1 s: 100 prompt tokens and 100 output tokens."""
     fields = {"prompt_tokens": 100, "output_tokens": 100, "remaining_s": 10.0} | changes
     return GrantRequest(
         request_id=request_id,
@@ -108,14 +108,14 @@
             self.scheduler.receive(message)
 
     def advance(self, seconds):
-        """Move the clock in the steps in which the scheduler is really driven."""
+        """Advance the clock in steps of 50 ms, as the scheduler is driven in production."""
         until = self.clock.now + seconds
         while self.clock.now < until - 1e-9:
             self.clock.now = min(until, self.clock.now + 0.05)
             self.scheduler.tick()
 
     def measure(self, count=60, *, output_tokens=100):
-        """Let the engines' models learn from this many runs that they are as declared."""
+        """Feed the engines' models with this many runs at the declared speed."""
         for state in self.scheduler._runs.engines:
             for _ in range(count):
                 state.model.observe_finish(
