--- a/wagtailtrestle/capacity/scheduler_log.py
+++ b/wagtailtrestle/capacity/scheduler_log.py
@@ -34,7 +34,7 @@
             held=len(self._runs.grants_by_request_id),
             unknown={engine.name: engine.phantom for engine in self._runs.engines if engine.phantom},
             unreported=[engine.name for engine in self._runs.engines if not engine.reported],
-        ).info("the scheduler of {} {}", self._cell, "is recovering" if recovering else "has recovered")
+        ).info("the scheduler of {} {}", self._cell, "is recovering" if recovering else "is no longer recovering")
 
     def log_overfull(self):
         """Log engines that have come to hold more runs than they have slots."""
@@ -54,7 +54,7 @@
     def log_refused_retry(self, request, retries):
         """Log a retry refused because the retry budget is exhausted."""
         logger.bind(cell=self._cell, request_id=request.request_id, entry=request.entry, **retries.dump()).info(
-            "retry refused: the cell's retry budget is exhausted"
+            "retry refused: no retries left in the budget of the cell"
         )
 
     def _warn_overfull(self, engine):
@@ -65,4 +65,4 @@
             unknown=engine.phantom,
             reported=engine.reported_running,
             report_age_s=round(engine.report_age_s, 3),
-        ).warning("engine {} holds more runs than it has slots", engine.name)
+        ).warning("engine {} holds more runs than it has places", engine.name)
