--- a/wagtailtrestle/capacity/run_table.py
+++ b/wagtailtrestle/capacity/run_table.py
@@ -93,7 +93,7 @@
 
     def _discard_state(self, state):
         # Runs from before the restart would hold slots that are free, until their entries notice the silent
-        # connections. Runs begun since the restart are ended here too; they show as load of unknown origin in the
+        # connections. Runs started since the restart are ended here too; they show as load of unknown origin in the
         # engine's next report.
         logger.info("engine {} restarted; its previous state is discarded", state.name)
         for grant in list(state.grants_by_request_id.values()):
