--- a/wagtailtrestle/capacity/run_table.py
+++ b/wagtailtrestle/capacity/run_table.py
@@ -174,7 +174,7 @@
         if engine is not None:
             engine.hear(notice)
 
-    def discard_reports(self):
+    def invalidate_reports(self):
         """Discard engines' reports from before now."""
         for engine in self.engines:
             engine.distrust()
--- a/wagtailtrestle/capacity/scheduler.py
+++ b/wagtailtrestle/capacity/scheduler.py
@@ -144,7 +144,7 @@
         self._runs.reserve(self._reserved)
         self._admission.set_engines(self._runs.usable_engines)
         if self._registration.recovering:
-            self._runs.discard_reports()
+            self._runs.invalidate_reports()
         self._grant_ready()
 
     def set_rollout(self, rollout, reserved):
@@ -183,7 +183,7 @@
         """Discard what was known: this router is scheduler again after another router was."""
         self._registration.resume()
         self._retries.begin()
-        self._runs.discard_reports()
+        self._runs.invalidate_reports()
 
     def set_members(self, entries):
         """Apply the current view of routers; waiting requests of departed ones are dropped, their runs orphaned."""
@@ -193,7 +193,7 @@
         self._retries.retain_successes(self._members)
         self._registration.set_members(self._members)
         if self._registration.recovering:
-            self._runs.discard_reports()
+            self._runs.invalidate_reports()
         for entry in departed:
             self._drop_entry(entry)
         self._grant_ready()
@@ -591,4 +591,4 @@
     def _recover_after_pause(self):
         if self._registration.detect_pause():
             self._registration.begin()
-            self._runs.discard_reports()
+            self._runs.invalidate_reports()
