--- a/wagtailtrestle/capacity/run_table.py
+++ b/wagtailtrestle/capacity/run_table.py
@@ -59,7 +59,7 @@
         """Engines that no rollout reserves."""
         return [engine for engine in self.engines if not engine.held_back]
 
-    def reserve(self, names):
+    def set_reserved(self, names):
         """Reserve these engines, and no others, for a rollout."""
         for engine in self.engines:
             if engine.held_back != (engine.name in names):
--- a/wagtailtrestle/capacity/scheduler.py
+++ b/wagtailtrestle/capacity/scheduler.py
@@ -141,7 +141,7 @@
         """Apply the declared engines of this cell; the state of those already known is kept."""
         self._runs.declare(by_name)
         self._crash_signs.retain_engines(by_name)
-        self._runs.reserve(self._reserved)
+        self._runs.set_reserved(self._reserved)
         self._admission.set_engines(self._runs.usable_engines)
         if self._registration.recovering:
             self._runs.invalidate_reports()
@@ -160,7 +160,7 @@
         if reserved == self._reserved:
             return
         self._reserved = reserved
-        self._runs.reserve(reserved)
+        self._runs.set_reserved(reserved)
         self._admission.set_engines(self._runs.usable_engines)
         self._grant_ready()
 
@@ -206,7 +206,7 @@
     def on_load_report(self, report):
         """Correct an engine's run counts by its own report."""
         if self._runs.on_load_report(report):
-            self._runs.reserve(self._reserved)
+            self._runs.set_reserved(self._reserved)
             self._admission.set_engines(self._runs.usable_engines)
         self._grant_ready()
 
