--- a/wagtailtrestle/capacity/admission.py
+++ b/wagtailtrestle/capacity/admission.py
@@ -247,13 +247,13 @@
         """Recompute the cell's speed from the engines' models, which change over seconds."""
         self._speed = CellSpeed(engines=self._engines)
 
-    def waiting(self, asked):
+    def waiting(self, original):
         """Build the queue entry of a request, with its expected output and predicted work."""
         now = self._clock()
-        request = self._lengths.expect(asked)
+        request = self._lengths.expect(original)
         return WaitingRequest(
             request=request,
-            asked_tokens=asked.output_tokens,
+            asked_tokens=original.output_tokens,
             arrived_at=now,
             deadline=now + request.remaining_s,
             # A request that must run alone occupies a whole engine for the duration of its run.
