--- a/wagtailtrestle/capacity/scheduler.py
+++ b/wagtailtrestle/capacity/scheduler.py
@@ -442,7 +442,7 @@
             waiting = self._queue.pop()
             if waiting is None:
                 return
-            self._try(waiting, available_engines)
+            self._try_grant(waiting, available_engines)
             available_engines = self._available_engines()
 
     def _serve_suspects(self):
@@ -462,7 +462,7 @@
         engines = self._runs.engines
         return [engine for engine in engines if engine.room and (engine.reported or not recovering)]
 
-    def _try(self, waiting, available_engines):
+    def _try_grant(self, waiting, available_engines):
         """Grant the request on one of the engines with free slots, park it, or refuse it."""
         available_engines = [engine for engine in available_engines if not engine.rest_s(waiting.request.entry)]
         exposed = self._exposed_engine(waiting.request)
