--- a/wagtailtrestle/capacity/crash_signs.py
+++ b/wagtailtrestle/capacity/crash_signs.py
@@ -30,7 +30,7 @@
         if result in CUT_RESULTS:
             self._cut_at_by_entry_by_engine.setdefault(engine, {})[entry] = self._clock()
 
-    def entries_cut_by(self, engine):
+    def pop_entries_cut_by(self, engine):
         """Return, once each, the entries to notify that this engine does not answer."""
         since = self._clock() - DOWN_WINDOW_S
         cut_at_by_entry = self._cut_at_by_entry_by_engine.pop(engine, {})
--- a/wagtailtrestle/capacity/scheduler.py
+++ b/wagtailtrestle/capacity/scheduler.py
@@ -228,7 +228,7 @@
         state = self._runs.engines_by_name.get(engine)
         if state is not None:
             state.mark_unreachable()
-        for entry in self._crash_signs.entries_cut_by(engine):
+        for entry in self._crash_signs.pop_entries_cut_by(engine):
             self._entries.send(entry=entry, message=EngineDown(engine=engine))
 
     def mark_leaving(self, engine, leaving=True):
