--- a/tests/test_first_token_target.py
+++ b/tests/test_first_token_target.py
@@ -26,7 +26,7 @@
         self._ends = {}
         self._number = 0
 
-    def ask(self, *, tier=1):
+    def submit(self, *, tier=1):
         self._number += 1
         request_id = f"q{self._number}"
         self.asked_at[request_id] = self.cell.clock.now
@@ -40,7 +40,7 @@
     def run(self, seconds, *, per_s, tier=1):
         until = self.cell.clock.now + seconds
         while self.cell.clock.now < until:
-            self.ask(tier=tier)
+            self.submit(tier=tier)
             self.step(1.0 / per_s)
 
     def step(self, seconds):
@@ -102,7 +102,7 @@
     def test_higher_tier_is_not_refused_for_waiting_lower_tiers(self):
         overload = Overload()
         overload.run(4.0, per_s=10, tier=2)
-        first = overload.ask(tier=0)
+        first = overload.submit(tier=0)
         self.assertNotIn(first, overload.refused_at)
         for _ in range(12):
             overload.step(0.05)
@@ -112,7 +112,7 @@
         overload = Overload()
         overload.run(4.0, per_s=10)
         overload.step(5.0)
-        self.assertNotIn(overload.ask(), overload.refused_at)
+        self.assertNotIn(overload.submit(), overload.refused_at)
 
 
 class LowerTierRunsEndTest(unittest.TestCase):
@@ -158,7 +158,7 @@
         overload.run(6.0, per_s=self.CALM_PER_S)
         overload.step(1.0)
         for _ in range(self.CALM_PER_S):
-            overload.ask()
+            overload.submit()
         for _ in range(100):
             overload.step(0.01)
         self.assertEqual(overload.refused_at, {})
--- a/tests/test_large_cell.py
+++ b/tests/test_large_cell.py
@@ -29,7 +29,7 @@
         self.cell.scheduler.set_engines(by_name)
         self.cell.scheduler.tick()
 
-    def ask(self, request_id, **changes):
+    def submit(self, request_id, **changes):
         settings = {"prompt_tokens": 6000, "remaining_s": 12.0, "first_token_within_s": TARGET_FIRST_TOKEN_S} | changes
         self.cell.receive(ask(request_id, **settings))
 
@@ -38,7 +38,7 @@
 
     def test_every_slot_is_granted(self):
         for number in range(ENGINES * SLOTS):
-            self.ask(f"r{number}", prompt_tokens=2000)
+            self.submit(f"r{number}", prompt_tokens=2000)
         engines = [granted.engine for granted in self.cell.entries.of(Granted)]
         self.assertEqual(len(engines), ENGINES * SLOTS)
         self.assertEqual({engines.count(name) for name in set(engines)}, {SLOTS})
@@ -49,15 +49,15 @@
         self.cell.scheduler._runs.engines_by_name[holder].cache.stored(CONVERSATION, PART_TOKENS)
         ordered = list(self.cell.scheduler._runs.engines_by_name)
         self.assertGreater(ordered.index(holder), MAX_COMPARED)
-        self.ask("r", prefix_blocks=CONVERSATION, block_tokens=PART_TOKENS, output_tokens=5)
+        self.submit("r", prefix_blocks=CONVERSATION, block_tokens=PART_TOKENS, output_tokens=5)
         self.assertEqual(self.engine_of("r"), holder)
 
     def test_another_engine_is_found_if_none_on_the_shortlist_is_suitable(self):
         # The engines on the short list are prefilling long prompts, so a first token there would be late.
         for number in range(MAX_COMPARED):
-            self.ask(f"long-{number}", prompt_tokens=50_000, first_token_within_s=4.0)
+            self.submit(f"long-{number}", prompt_tokens=50_000, first_token_within_s=4.0)
         busy = {granted.engine for granted in self.cell.entries.of(Granted)}
-        self.ask("r", first_token_within_s=0.4)
+        self.submit("r", first_token_within_s=0.4)
         self.assertNotIn(self.engine_of("r"), busy)
 
     def test_a_request_is_compared_with_few_engines(self):
@@ -75,7 +75,7 @@
 
         self.cell.scheduler._admission = Counting()
         for number in range(50):
-            self.ask(f"r{number}")
+            self.submit(f"r{number}")
             self.cell.receive(finished(f"r{number}", on=self.engine_of(f"r{number}")))
         self.assertLessEqual(len(compared) / 50, MAX_COMPARED)
 
--- a/tests/test_retry_budget.py
+++ b/tests/test_retry_budget.py
@@ -166,34 +166,34 @@
         self.cell.receive(register("r1"))
         self.cell.advance(RETRY_WINDOW_S)
 
-    def ask(self, *request_ids):
+    def submit(self, *request_ids):
         self.cell.receive(*[ask(request_id, is_retry=True) for request_id in request_ids])
         return self.cell.entries.ids(Granted), self.cell.entries.of(Refused)
 
     # Guards against a request that waits for a retry that it can't get.
     def test_retry_beyond_the_budget_is_refused_immediately(self):
-        granted, refused = self.ask("a", "b", "c", "d")
+        granted, refused = self.submit("a", "b", "c", "d")
         self.assertEqual(granted, ["a", "b", "c"])
         self.assertEqual([(each.request_id, each.reason) for each in refused], [("d", Reason.RETRY_BUDGET)])
 
     def test_first_run_is_not_a_retry(self):
-        self.ask("a", "b", "c")
+        self.submit("a", "b", "c")
         self.cell.receive(ask("e"))
         self.assertEqual(self.cell.entries.ids(Granted)[-1], "e")
 
     def test_unused_slot_refunds_its_retry(self):
-        self.ask("a", "b", "c")
+        self.submit("a", "b", "c")
         engine = self.cell.entries.of(Granted)[-1].engine
         self.cell.receive(finished("c", on=engine, result="RunNotSent", never_sent=True))
-        self.assertEqual(self.ask("d")[0][-1], "d")
+        self.assertEqual(self.submit("d")[0][-1], "d")
 
     # Guards against refunding a retry in use because another scheduler granted the same request elsewhere.
     def test_slot_of_another_scheduler_refunds_no_retry(self):
-        self.ask("a", "b", "c")
+        self.submit("a", "b", "c")
         engine = self.cell.entries.of(Granted)[-1].engine
         other = "e2" if engine == "e1" else "e1"
         self.cell.receive(finished("c", on=other, result="RunNotSent", never_sent=True))
-        self.assertEqual([each.request_id for each in self.ask("d")[1]], ["d"])
+        self.assertEqual([each.request_id for each in self.submit("d")[1]], ["d"])
 
 
 if __name__ == "__main__":
--- a/tests/test_suited_engine.py
+++ b/tests/test_suited_engine.py
@@ -35,7 +35,7 @@
         cell.scheduler.set_engines({each.name: each for each in engines})
         return cell
 
-    def ask(self, cell, request_id, *, prompt_tokens):
+    def submit(self, cell, request_id, *, prompt_tokens):
         cell.receive(
             ask(
                 request_id,
@@ -53,14 +53,14 @@
 
     def fill_fast(self, cell):
         for number in range(2):
-            self.ask(cell, f"first-{number}", prompt_tokens=100)
+            self.submit(cell, f"first-{number}", prompt_tokens=100)
             self.assertEqual(self.engine_of(cell, f"first-{number}"), "fast")
 
     def test_long_prompt_waits_briefly_for_a_fast_engine(self):
         # Only the slow engine has free slots, and its first token would be late there.
         cell = self.cell(FAST, SLOW)
         self.fill_fast(cell)
-        self.ask(cell, "long", prompt_tokens=12_000)
+        self.submit(cell, "long", prompt_tokens=12_000)
         self.assertIsNone(self.engine_of(cell, "long"))
         cell.advance(0.05)
         cell.receive(finished("first-0", on="fast", duration_s=0.1))
@@ -69,7 +69,7 @@
     def test_long_prompt_takes_the_slow_engine_after_a_bounded_wait(self):
         cell = self.cell(FAST, SLOW)
         self.fill_fast(cell)
-        self.ask(cell, "long", prompt_tokens=12_000)
+        self.submit(cell, "long", prompt_tokens=12_000)
         cell.advance(SUITABLE_ENGINE_WAIT_SHARE * TARGET_FIRST_TOKEN_S + 0.1)
         self.assertEqual(self.engine_of(cell, "long"), "slow")
 
@@ -77,22 +77,22 @@
         # Its own first token would be in time, but a stream on the slow engine would pause for too long.
         cell = self.cell(FAST, SLOW)
         self.fill_fast(cell)
-        self.ask(cell, "beside", prompt_tokens=500)
+        self.submit(cell, "beside", prompt_tokens=500)
         self.assertEqual(self.engine_of(cell, "beside"), "slow")
-        self.ask(cell, "stalls", prompt_tokens=4000)
+        self.submit(cell, "stalls", prompt_tokens=4000)
         self.assertIsNone(self.engine_of(cell, "stalls"))
 
     def test_short_prompt_takes_any_free_slot(self):
         cell = self.cell(FAST, SLOW)
         self.fill_fast(cell)
-        self.ask(cell, "short", prompt_tokens=900)
-        self.ask(cell, "another", prompt_tokens=900)
+        self.submit(cell, "short", prompt_tokens=900)
+        self.submit(cell, "another", prompt_tokens=900)
         self.assertEqual([self.engine_of(cell, name) for name in ("short", "another")], ["slow", "slow"])
 
     def test_first_free_engine_is_taken_if_none_is_suitable(self):
         # Only slow engines are left, so waiting for a better one would be in vain.
         cell = self.cell(SLOW)
-        self.ask(cell, "long", prompt_tokens=12_000)
+        self.submit(cell, "long", prompt_tokens=12_000)
         self.assertEqual(self.engine_of(cell, "long"), "slow")
         self.assertEqual(cell.entries.of(Refused), [])
 
