--- a/tests/test_first_token_target.py
+++ b/tests/test_first_token_target.py
@@ -21,7 +21,7 @@
         self._tokens = tokens
         self.cell = Cell(engines=engines, slots=slots)
         self.cell.measure()
-        self.asked_at = {}
+        self.submitted_at = {}
         self.refused_at = {}
         self._ends = {}
         self._number = 0
@@ -29,7 +29,7 @@
     def submit(self, *, tier=1):
         self._number += 1
         request_id = f"q{self._number}"
-        self.asked_at[request_id] = self.cell.clock.now
+        self.submitted_at[request_id] = self.cell.clock.now
         tokens = {"prompt_tokens": self._tokens, "output_tokens": self._tokens}
         self.cell.receive(
             ask(request_id, tier=tier, first_token_within_s=TARGET_FIRST_TOKEN_S, remaining_s=15.0, **tokens)
@@ -63,7 +63,7 @@
         self.cell.entries.sent.clear()
 
     def waited(self, request_id):
-        return self.refused_at[request_id] - self.asked_at[request_id]
+        return self.refused_at[request_id] - self.submitted_at[request_id]
 
 
 class FirstTokenTargetTest(unittest.TestCase):
@@ -91,7 +91,7 @@
 
     def check_refused_immediately(self, overload):
         overload.run(6.0, per_s=10)
-        late = [request_id for request_id, at in overload.asked_at.items() if at > overload.cell.clock.now - 3.0]
+        late = [request_id for request_id, at in overload.submitted_at.items() if at > overload.cell.clock.now - 3.0]
         refused = [request_id for request_id in late if request_id in overload.refused_at]
         immediate = [request_id for request_id in refused if overload.waited(request_id) < 0.01]
         self.assertGreater(len(refused), 0.6 * len(late))
