--- a/tests/test_large_cell.py
+++ b/tests/test_large_cell.py
@@ -16,7 +16,7 @@
 SLOTS = 2
 TARGET_FIRST_TOKEN_S = 0.8
 CONVERSATION = (11, 12)
-PART_TOKENS = (500, 5000)
+BLOCK_TOKENS = (500, 5000)
 
 
 class LargeCellTest(unittest.TestCase):
@@ -46,10 +46,10 @@
     def test_conversation_returns_to_its_engine_beyond_the_shortlist(self):
         # The engine that has it cached is among the slower ones, outside the short list.
         holder = "e03"
-        self.cell.scheduler._runs.engines_by_name[holder].cache.stored(CONVERSATION, PART_TOKENS)
+        self.cell.scheduler._runs.engines_by_name[holder].cache.stored(CONVERSATION, BLOCK_TOKENS)
         ordered = list(self.cell.scheduler._runs.engines_by_name)
         self.assertGreater(ordered.index(holder), MAX_COMPARED)
-        self.submit("r", prefix_blocks=CONVERSATION, block_tokens=PART_TOKENS, output_tokens=5)
+        self.submit("r", prefix_blocks=CONVERSATION, block_tokens=BLOCK_TOKENS, output_tokens=5)
         self.assertEqual(self.engine_of("r"), holder)
 
     def test_another_engine_is_found_if_none_on_the_shortlist_is_suitable(self):
