--- a/tests/test_suited_engine.py
+++ b/tests/test_suited_engine.py
@@ -29,7 +29,7 @@
 SLOW = declared("slow", prefill_tokens_per_ms=18.0, step_ms=19.0)
 
 
-class SuitedEngineTest(unittest.TestCase):
+class SuitableEngineTest(unittest.TestCase):
     def cell(self, *engines):
         cell = Cell(engines=())
         cell.scheduler.set_engines({each.name: each for each in engines})
