--- a/wagtailtrestle/capacity/scheduler.py
+++ b/wagtailtrestle/capacity/scheduler.py
@@ -153,7 +153,7 @@
         Parameters
         ----------
         rollout : Rollout or None
-        held_back : frozenset of str
+        reserved : frozenset of str
             Names of the reserved engines.
         """
         self._rollout = rollout
@@ -180,7 +180,7 @@
         self._registration.expect_orphans()
 
     def resume(self):
-        """Discard what was known: this router is scheduler again after another router was."""
+        """Await registrations and reports again: this router is scheduler again after another router was."""
         self._registration.resume()
         self._retries.begin()
         self._runs.invalidate_reports()
