--- a/wagtailtrestle/capacity/run_table.py
+++ b/wagtailtrestle/capacity/run_table.py
@@ -24,7 +24,7 @@
     engines_by_name : dict of str to EngineState
     grants_by_request_id : dict of str to Grant
     held : HeldByTier
-    ended : EndedAsks
+    ended : EndedAttempts
     lengths : OutputLengths
     """
 
