--- a/wagtailtrestle/capacity/tier_queue.py
+++ b/wagtailtrestle/capacity/tier_queue.py
@@ -24,7 +24,7 @@
     ----------
     waiting_by_request_id : dict of str to WaitingRequest
         All waiting requests, including parked and isolated ones.
-    aside_by_request_id : dict of str to WaitingRequest
+    isolated_by_request_id : dict of str to WaitingRequest
         Requests that count as waiting but are never popped: see :meth:`push_isolated`.
     """
 
