--- a/wagtailtrestle/capacity/scheduler.py
+++ b/wagtailtrestle/capacity/scheduler.py
@@ -200,7 +200,7 @@
 
     @property
     def awaited_entries(self):
-        """Members whose registration is awaited, so that they can be asked to register."""
+        """Members whose registration is awaited, so that callers can request it."""
         return self._registration.awaited if self._registration.recovering else frozenset()
 
     def on_load_report(self, report):
