--- a/tests/test_crash_signs.py
+++ b/tests/test_crash_signs.py
@@ -1,4 +1,4 @@
-"""Crashes of engines that no router tells from a broken connection by itself."""
+"""Engine crashes that a single router can't distinguish from a broken connection."""
 
 import unittest
 
@@ -15,22 +15,22 @@
         self.cell = Cell(engines=("e1",), slots=4, members=("r1", "r2"))
         self.cell.receive(register("r1"), register("r2"), ask("a"), ask("b", entry="r2"))
 
-    def told(self):
+    def notified_engines(self):
         return [message.engine for message in self.cell.entries.of(EngineDown)]
 
-    # Guards against a crash that is taken for a broken connection, since each router had one run on the engine.
-    def test_entries_whose_runs_an_engine_cut_hear_once_that_it_is_down(self):
+    # Guards against a crash that is taken for a broken connection because each router had one run on the engine.
+    def test_entries_whose_runs_an_engine_cut_are_notified_once_that_it_is_down(self):
         self.cell.receive(finished("a", result="RunCut"))
         self.cell.scheduler.on_unreachable("e1")
         self.cell.scheduler.on_unreachable("e1")
-        self.assertEqual(self.told(), ["e1"])
+        self.assertEqual(self.notified_engines(), ["e1"])
 
-    # Guards against runs that are blamed for an engine which went down long after it had cut them, or beside them.
-    def test_who_lost_no_run_lately_hears_nothing(self):
+    # Guards against blaming a run for an engine that went down long after cutting it, or after the run had ended.
+    def test_entries_that_lost_no_run_recently_are_not_notified(self):
         self.cell.receive(finished("a", result="RunCut"), finished("b"))
         self.cell.advance(DOWN_WINDOW_S + 0.1)
         self.cell.scheduler.on_unreachable("e1")
-        self.assertEqual(self.told(), [])
+        self.assertEqual(self.notified_engines(), [])
 
 
 class EntryTest(unittest.TestCase):
@@ -40,24 +40,24 @@
             table=CrashTable(clock=self.clock), detector=CrashDetector(clock=self.clock), broadcast=lambda report: None
         )
 
-    def cut(self, engine, body="poison", *, told_after_s=1.0):
+    def cut(self, engine, body="poison", *, notified_after_s=1.0):
         self.crashes.note(engine=engine, body_digest=body, outcome=RunCut(detail="cut", reached=True), was_sent=False)
-        self.clock.now += told_after_s
+        self.clock.now += notified_after_s
         self.crashes.note_down(engine)
         self.clock.now += SAME_CRASH_S
 
-    def test_what_crashed_three_engines_that_went_down_is_refused(self):
+    def test_request_that_crashed_three_engines_is_refused(self):
         for number in range(CRASH_LIMIT):
             self.assertFalse(self.crashes.blocked("poison"))
             self.cut(f"e{number}")
         self.assertTrue(self.crashes.blocked("poison"))
 
-    # Guards against a request that is blamed for engines which left in order, or which it did not run on.
-    def test_an_engine_that_leaves_blames_nobody(self):
+    # Guards against blaming a request for engines that drained in order, or on which it did not run.
+    def test_engine_that_leaves_in_order_is_blamed_on_no_request(self):
         for number in range(CRASH_LIMIT):
             self.crashes.note_down(f"e{number}")
             self.crashes.note(engine=f"e{number}", body_digest="sound", outcome=RunDone(), was_sent=False)
-            self.cut(f"e{number}", "sound", told_after_s=TOLD_WINDOW_S + 1.0)
+            self.cut(f"e{number}", "sound", notified_after_s=TOLD_WINDOW_S + 1.0)
         self.assertFalse(self.crashes.blocked("sound"))
 
 
--- a/tests/test_engine_restart.py
+++ b/tests/test_engine_restart.py
@@ -1,8 +1,8 @@
-"""An engine that starts again under the name that it had.
+"""An engine that restarts under the same name.
 
-It crashed and is back before its entry lapsed. What a scheduler still counts on it is gone: places look
-taken until silent connections are noticed, a cache looks warm that is empty, a speed and a
-health are believed that were another process's. Its time of start tells, in its entry or its report.
+It crashed and is back before its entry in the engine list expired. The scheduler's state of it is then wrong: slots
+look taken until silent connections are noticed, an empty cache looks warm, and the speed and health are those of
+another process. The start time in its entry or its load report reveals the restart.
 """
 
 import dataclasses
@@ -11,8 +11,8 @@
 from tests.utils.scheduler_fakes import Cell, ask, engine, report
 from wagtailtrestle.contracts.messages import Granted
 
-BORN = 1_781_425_589_000
-LATER = BORN + 5_000
+FIRST_START_MS = 1_781_425_589_000
+SECOND_START_MS = FIRST_START_MS + 5_000
 
 
 def declared(start_ms, *, leaving=False):
@@ -25,11 +25,11 @@
 class EngineRestartTest(unittest.TestCase):
     def setUp(self):
         self.cell = Cell(engines=())
-        self.put(declared(BORN))
+        self.set_engine(declared(FIRST_START_MS))
         self.cell.receive(ask("a", prefix_blocks=(1, 2, 3)), ask("b"))
         self.assertEqual(self.granted(), ["a", "b"])
 
-    def put(self, declared_engine):
+    def set_engine(self, declared_engine):
         self.cell.scheduler.set_engines({"e1": declared_engine})
 
     def granted(self):
@@ -41,48 +41,48 @@
     def report(self, start_ms, **changes):
         self.cell.scheduler.on_load_report(dataclasses.replace(report(**changes), start_ms=start_ms))
 
-    def test_its_places_are_free_once_its_entry_tells(self):
+    def test_slots_are_free_once_the_engine_entry_shows_the_restart(self):
         self.cell.receive(ask("c"), ask("d"))
         self.assertEqual(self.granted(), ["a", "b"])
-        self.put(declared(LATER))
+        self.set_engine(declared(SECOND_START_MS))
         self.assertEqual(self.granted(), ["a", "b", "c", "d"])
 
-    def test_its_report_may_be_the_first_to_tell(self):
+    def test_report_may_be_the_first_to_show_the_restart(self):
         self.cell.receive(ask("c"))
-        self.report(LATER)
+        self.report(SECOND_START_MS)
         self.assertEqual(self.granted(), ["a", "b", "c"])
-        # The list that follows tells of the same start, and of one before while it lags.
-        self.put(declared(BORN))
-        self.put(declared(LATER))
+        # The engine list that follows has the same start, and an earlier one while it lags.
+        self.set_engine(declared(FIRST_START_MS))
+        self.set_engine(declared(SECOND_START_MS))
         self.assertEqual(self.state().running, 1)
 
-    def test_nothing_of_before_holds(self):
+    def test_state_from_before_the_restart_is_discarded(self):
         self.cell.measure()
-        self.report(BORN, running=2, waiting=7, leaving=True)
+        self.report(FIRST_START_MS, running=2, waiting=7, leaving=True)
         self.assertTrue(self.state().leaving)
         self.assertGreater(self.state().cache.cached_tokens((1, 2, 3)), 0)
-        self.put(declared(LATER))
+        self.set_engine(declared(SECOND_START_MS))
         state = self.state()
         self.assertEqual((state.leaving, state.phantom, state.running), (False, 0, 0))
         self.assertEqual(state.cache.cached_tokens((1, 2, 3)), 0)
         self.assertEqual(state.model.confidence(), 0.0)
 
-    def test_a_late_report_of_before_is_not_believed(self):
-        self.put(declared(LATER))
-        self.report(BORN, running=2, waiting=5)
+    def test_delayed_report_from_before_the_restart_is_ignored(self):
+        self.set_engine(declared(SECOND_START_MS))
+        self.report(FIRST_START_MS, running=2, waiting=5)
         self.assertEqual(self.state().phantom, 0)
         self.report(0, running=1)
         self.assertEqual(self.state().phantom, 1)
 
-    def test_runs_begun_since_the_start_show_as_load(self):
-        # They were let go with the rest; the engine's own count keeps it from being overfilled.
-        self.put(declared(LATER))
-        self.report(LATER, running=2)
+    def test_runs_started_since_the_restart_show_as_load(self):
+        # They were discarded with the other state; the engine's own count prevents overfilling it.
+        self.set_engine(declared(SECOND_START_MS))
+        self.report(SECOND_START_MS, running=2)
         self.cell.receive(ask("c"))
         self.assertEqual(self.granted(), ["a", "b"])
 
-    def test_the_same_start_again_changes_nothing(self):
-        self.put(declared(BORN, leaving=True))
+    def test_repeated_start_time_changes_nothing(self):
+        self.set_engine(declared(FIRST_START_MS, leaving=True))
         self.assertEqual(self.state().running, 2)
 
 
--- a/tests/test_isolation.py
+++ b/tests/test_isolation.py
@@ -1,4 +1,4 @@
-"""Suspects of crashing engines run beside no other, without taking the cell for it."""
+"""Suspects of crashing engines run alone on an engine, without blocking the cell."""
 
 import unittest
 
@@ -14,9 +14,9 @@
 
 
 class IsolationTest(unittest.TestCase):
-    def test_an_engine_is_emptied_for_a_suspect_and_runs_nothing_beside_it(self):
-        # Both engines run something. A suspect waits for the end of what one of them runs; new
-        # work goes to the other meanwhile, and to both again once the suspect has ended.
+    def test_suspect_gets_an_emptied_engine_to_itself(self):
+        # Both engines have runs. A suspect waits for the end of those on one of them; new requests go to the other
+        # meanwhile, and to both again once the suspect has ended.
         cell = Cell(engines=("e1", "e2"))
         cell.receive(ask("a", excluded_engines=("e2",)), ask("b", excluded_engines=("e1",), output_tokens=500))
         cell.receive(ask("s", alone=True), ask("c"), ask("d"))
@@ -27,7 +27,7 @@
         cell.receive(finished("s"))
         self.assertEqual({granted_on(cell)[name] for name in ("d", "e")}, {"e1"})
 
-    def test_load_that_only_a_report_shows_counts(self):
+    def test_load_known_only_from_a_report_counts(self):
         cell = Cell()
         cell.scheduler.on_load_report(report(running=1))
         cell.receive(ask("s", alone=True))
@@ -44,13 +44,13 @@
         cell.receive(finished("s1", on=granted_on(cell)["s1"]))
         self.assertEqual(granted_on(cell)["s2"], granted_on(cell)["s1"])
 
-    def test_refused_at_once_if_no_engine_empties_in_time(self):
+    def test_refused_immediately_if_no_engine_empties_in_time(self):
         cell = Cell()
         cell.measure()
         cell.receive(ask("long", output_tokens=5000, remaining_s=100.0), ask("s", alone=True))
         self.assertEqual([refused.reason for refused in cell.entries.of(Refused)], [Reason.DEADLINE_UNREACHABLE])
 
-    def test_refused_at_once_also_while_another_suspect_is_served(self):
+    def test_refused_immediately_while_another_suspect_is_served(self):
         cell = Cell(engines=("e1", "e2"))
         cell.measure()
         cell.receive(
@@ -61,22 +61,22 @@
         self.assertEqual(cell.entries.ids(Refused), ["s3"])
 
     def test_a_higher_tier_goes_first(self):
-        # The suspect's turn comes after the higher tier's, as without suspicion.
+        # A suspect is served after the higher tier, like any other request.
         cell = Cell(slots=1)
         cell.receive(ask("run", tier=0), ask("high", tier=0), ask("s", tier=1, alone=True), finished("run"))
         self.assertEqual(cell.entries.ids(Granted), ["run", "high"])
         cell.receive(finished("high"))
         self.assertEqual(cell.entries.ids(Granted), ["run", "high", "s"])
 
-    def test_the_only_engine_is_not_kept_from_a_higher_tier(self):
-        # The engine is being emptied for a suspect when a higher tier's request arrives. Kept from
-        # it, the place beside the old run would stay empty while the request waits.
+    def test_only_engine_is_not_reserved_against_a_higher_tier(self):
+        # The engine is being emptied for a suspect when a request of a higher tier arrives. If the engine stayed
+        # reserved, the slot beside the old run would stay empty while that request waits.
         cell = Cell()
         cell.receive(ask("run"), ask("s", alone=True), ask("high", tier=0))
         cell.advance(0.1)
         self.assertEqual(cell.entries.ids(Granted), ["run", "high"])
 
-    def test_a_kept_engine_is_let_go_for_a_higher_tier_about_to_expire(self):
+    def test_reserved_engine_is_released_for_a_higher_tier_about_to_expire(self):
         cell = Cell(engines=("e1", "e2"), slots=2)
         cell.measure()
         cell.receive(*[ask(f"r{number}", tier=0, repeatable=False, output_tokens=600) for number in range(3)])
@@ -86,7 +86,7 @@
         cell.advance(1.8)
         self.assertIn("high", granted_on(cell))
 
-    def test_a_withdrawn_suspect_leaves_the_engine(self):
+    def test_withdrawn_suspect_releases_the_engine(self):
         cell = Cell()
         cell.receive(ask("run"), ask("s", alone=True), Withdraw(request_id="s"))
         cell.advance(0.1)
@@ -97,8 +97,8 @@
         cell.receive(register("r1", running=[running(ask("s", alone=True))]), ask("other"))
         self.assertEqual(cell.entries.ids(Granted), [])
 
-    def test_nothing_is_known_empty_until_every_entry_registered(self):
-        # A new scheduler has not heard of r2 yet, whose run on the engine the suspect could take along.
+    def test_no_engine_counts_as_empty_until_every_entry_registered(self):
+        # A new scheduler has no registration of r2 yet, whose run on the engine the suspect could crash too.
         cell = Cell(members=("r1", "r2"))
         cell.receive(register("r1"), ask("s", alone=True))
         self.assertEqual(cell.entries.ids(Granted), [])
@@ -111,11 +111,11 @@
         self.assertEqual(len(cell.entries.of(Refused)), MAX_SUSPECTS - 1)
 
 
-class TellingApartTest(unittest.TestCase):
-    def test_two_that_always_die_together_are_told_apart(self):
-        # A poisoned request and an innocent one are sent again after each crash of the only
-        # engine. Placed together each time they would share the blame for ever, and the engine
-        # would crash for ever. After the second crash each runs alone: one crashes it, one ends.
+class CrashAttributionTest(unittest.TestCase):
+    def test_two_requests_that_always_crash_together_are_distinguished(self):
+        # A poison request and an innocent one are retried after each crash of the only engine. Run together each time,
+        # they would share the blame and the engine would keep crashing. After the second crash each runs alone: one
+        # crashes the engine, the other ends.
         cell = Cell(slots=4)
         table = CrashTable(clock=cell.clock, reporter="r1")
         crashes, answered = 0, False
--- a/tests/test_large_cell.py
+++ b/tests/test_large_cell.py
@@ -1,9 +1,9 @@
-"""A cell of 78 engines under one scheduler: what is decided stays the same, what it costs stays flat.
+"""A cell of 78 engines with one scheduler: the cost of a decision is bounded without worse decisions.
 
-The pattern is a language service at full size, 270 requests a second and twice that in a flood, whose scheduler may
-have half of a core: two thousandths of a second for each request, all messages included. So a request is compared
-with a few likely engines, not with all; these tests hold that no place, and no engine that holds its
-conversation, is lost by it.
+This is a language service at full size, with 270 requests per second and twice that in a flood, whose scheduler may
+use half of a core: 2 ms per request, including all messages. Therefore a request is compared with a short list of
+engines rather than all. The tests check that all slots are still granted, and that a conversation still returns to
+the engine that has it cached.
 """
 
 import unittest
@@ -14,9 +14,9 @@
 
 ENGINES = 78
 SLOTS = 2
-HOPED_FOR_S = 0.8
+TARGET_FIRST_TOKEN_S = 0.8
 CONVERSATION = (11, 12)
-PART_TOKENS = (500, 5000)
+BLOCK_TOKENS = (500, 5000)
 
 
 class LargeCellTest(unittest.TestCase):
@@ -29,35 +29,35 @@
         self.cell.scheduler.set_engines(by_name)
         self.cell.scheduler.tick()
 
-    def ask(self, request_id, **changes):
-        settings = {"prompt_tokens": 6000, "remaining_s": 12.0, "first_token_within_s": HOPED_FOR_S} | changes
+    def submit(self, request_id, **changes):
+        settings = {"prompt_tokens": 6000, "remaining_s": 12.0, "first_token_within_s": TARGET_FIRST_TOKEN_S} | changes
         self.cell.receive(ask(request_id, **settings))
 
     def engine_of(self, request_id):
         return next(granted.engine for granted in self.cell.entries.of(Granted) if granted.request_id == request_id)
 
-    def test_every_place_is_granted(self):
+    def test_every_slot_is_granted(self):
         for number in range(ENGINES * SLOTS):
-            self.ask(f"r{number}", prompt_tokens=2000)
+            self.submit(f"r{number}", prompt_tokens=2000)
         engines = [granted.engine for granted in self.cell.entries.of(Granted)]
         self.assertEqual(len(engines), ENGINES * SLOTS)
         self.assertEqual({engines.count(name) for name in set(engines)}, {SLOTS})
 
-    def test_a_conversation_goes_back_to_its_engine_wherever_that_stands(self):
-        # The engine that holds it is among the slower ones, past all that are compared first.
+    def test_conversation_returns_to_its_engine_beyond_the_shortlist(self):
+        # The engine that has it cached is among the slower ones, outside the short list.
         holder = "e03"
-        self.cell.scheduler._runs.engines_by_name[holder].cache.stored(CONVERSATION, PART_TOKENS)
+        self.cell.scheduler._runs.engines_by_name[holder].cache.stored(CONVERSATION, BLOCK_TOKENS)
         ordered = list(self.cell.scheduler._runs.engines_by_name)
         self.assertGreater(ordered.index(holder), MAX_COMPARED)
-        self.ask("r", prefix_blocks=CONVERSATION, block_tokens=PART_TOKENS, output_tokens=5)
+        self.submit("r", prefix_blocks=CONVERSATION, block_tokens=BLOCK_TOKENS, output_tokens=5)
         self.assertEqual(self.engine_of("r"), holder)
 
-    def test_where_no_likely_engine_suits_another_one_is_found(self):
-        # The likeliest ones are reading long prompts, so that a first token there would come late.
+    def test_another_engine_is_found_if_none_on_the_shortlist_is_suitable(self):
+        # The engines on the short list are prefilling long prompts, so a first token there would be late.
         for number in range(MAX_COMPARED):
-            self.ask(f"long-{number}", prompt_tokens=50_000, first_token_within_s=4.0)
+            self.submit(f"long-{number}", prompt_tokens=50_000, first_token_within_s=4.0)
         busy = {granted.engine for granted in self.cell.entries.of(Granted)}
-        self.ask("r", first_token_within_s=0.4)
+        self.submit("r", first_token_within_s=0.4)
         self.assertNotIn(self.engine_of("r"), busy)
 
     def test_a_request_is_compared_with_few_engines(self):
@@ -75,7 +75,7 @@
 
         self.cell.scheduler._admission = Counting()
         for number in range(50):
-            self.ask(f"r{number}")
+            self.submit(f"r{number}")
             self.cell.receive(finished(f"r{number}", on=self.engine_of(f"r{number}")))
         self.assertLessEqual(len(compared) / 50, MAX_COMPARED)
 
--- a/tests/test_new_scheduler.py
+++ b/tests/test_new_scheduler.py
@@ -1,16 +1,16 @@
-"""What a router does that becomes scheduler, by what it may know of runs that nobody registers."""
+"""Start of a scheduler on a router that may not know of runs that no entry registers."""
 
 import unittest
 
 from tests.utils.scheduler_fakes import Clock, FakeEntries, ask, engine, register, report
-from wagtailtrestle.capacity.registration import CAUTION_S
-from wagtailtrestle.capacity.scheduler_set import ORPHANS_S, SchedulerSet
+from wagtailtrestle.capacity.registration import RECOVERY_TIMEOUT_S
+from wagtailtrestle.capacity.scheduler_set import ORPHAN_WINDOW_S, SchedulerSet
 from wagtailtrestle.contracts.declaration import LANGUAGE, PLAIN, Declaration, Service
 from wagtailtrestle.contracts.messages import Granted
 
 
 def declaration(kind=LANGUAGE):
-    """One service with one engine of two places."""
+    """Return a declaration of one service with one engine of two slots."""
     service = Service(name="asistente", kind=kind, routes_by_name={}, prefill_weight=0.5)
     empty = {"zones_by_region": {}, "tiers_by_name": {}, "teams_by_name": {}}
     return Declaration(
@@ -40,42 +40,42 @@
     def granted(self):
         return self.entries.ids(Granted)
 
-    def test_a_router_that_has_just_started_reckons_with_runs_of_its_predecessor(self):
-        # A question of another entry waits in the engine's queue. The scheduler was killed and started again under
-        # its name; its engine goes on with what it had sent there. Nobody registers these runs, and the new process
-        # has seen nobody die: it granted as soon as all who live had registered, on top of them.
+    def test_freshly_started_router_expects_runs_of_its_previous_process(self):
+        # Guards against a question of another entry that waits in the engine's queue. The scheduler was killed and
+        # restarted under its name, and its engine continues its runs. No entry registers these runs and the new process
+        # has seen no router die, so it granted as soon as all live routers had registered, and overfilled the engine.
         self.schedulers.set_declaration(declaration())
         self.receive(register("r1", waiting=[ask("r"), ask("s")]))
         self.assertEqual(self.granted(), [])
         self.schedulers.on_load_report(report(running=1))
         self.assertEqual(self.granted(), ["r"])
 
-    def test_a_router_that_has_seen_nobody_die_for_long_grants_at_once(self):
+    def test_router_without_a_recent_router_loss_grants_immediately(self):
         self.schedulers.set_declaration(declaration())
-        self.advance(ORPHANS_S + 0.1)
+        self.advance(ORPHAN_WINDOW_S + 0.1)
         self.receive(register("r1", waiting=[ask("r"), ask("s")]))
         self.assertEqual(self.granted(), ["r", "s"])
 
-    def test_an_engine_that_does_not_report_is_used_after_the_wait(self):
+    def test_engine_without_reports_is_used_after_recovery(self):
         self.schedulers.set_declaration(declaration())
         self.receive(register("r1", waiting=[ask("r")]))
-        self.advance(CAUTION_S + 0.1)
+        self.advance(RECOVERY_TIMEOUT_S + 0.1)
         self.assertEqual(self.granted(), ["r"])
 
-    def test_a_plain_service_does_not_wait_for_reports_that_never_come(self):
-        # A booking waits for 1.5 s, for nothing: engines of a plain service report nothing, so that what a router
-        # which died had sent there is not known after that wait either.
+    def test_plain_service_does_not_wait_for_load_reports(self):
+        # Guards against a booking that waits for 1.5 s in vain: engines of a plain service send no load reports, so the
+        # runs of a dead router are not known after that wait either.
         self.schedulers.set_declaration(declaration(kind=PLAIN))
         self.receive(register("r1", waiting=[ask("r")]))
         self.assertEqual(self.granted(), ["r"])
 
-    def test_runs_of_a_router_that_was_started_again_keep_their_places(self):
-        # A question of another entry waits in the engine's queue, up to its deadline. A router that is not the
-        # scheduler dies and is started again at once. Its predecessor's runs go on; the new process registers that it
-        # holds nothing, and the scheduler, which had kept their places until a report, grants them.
+    def test_runs_of_a_restarted_router_keep_their_slots(self):
+        # Guards against a question of another entry that waits in the engine's queue, up to its deadline. A router that
+        # is not the scheduler dies and restarts immediately. The runs of its previous process continue; the new process
+        # registers that it holds nothing, and the scheduler, which had kept their slots until a report, grants them.
         self.schedulers.set_members({"r1", "r2"})
         self.schedulers.set_declaration(declaration())
-        self.advance(ORPHANS_S + 0.1)
+        self.advance(ORPHAN_WINDOW_S + 0.1)
         self.receive(register("r1"))
         self.receive(register("r2"))
         self.receive(ask("x", entry="r2"))
--- a/tests/test_suited_engine.py
+++ b/tests/test_suitable_engine.py
@@ -1,19 +1,19 @@
-"""Load of long and short prompts on engines that differ fourfold, nearly full.
+"""Long and short prompts on nearly full engines whose speeds differ fourfold.
 
-The pattern: two thirds of the engines read 80 prompt tokens in a millisecond, the others 18, and make
-an event of three tokens in 13 or 57 ms. What waits first takes the next place that frees. On a slow
-engine a long prompt's first token comes late, and while it is read every other stream there pauses for
-three pieces of 1,024 tokens and three steps, worked out at 230 ms, where callers hope for 200. Figures: a full cell
-of six engines began a run every 20 to 40 ms, so a quarter of 400 to 800 ms is time enough to wait for one.
+Two thirds of the engines prefill 80 prompt tokens per millisecond and the others 18; an event of three tokens takes 13
+or 57 ms. The first waiting request takes the next free slot. On a slow engine a long prompt's first token is late, and
+during its prefill every other stream there pauses for three chunks of 1,024 tokens and three steps, computed as 230 ms
+where the target is 200 ms. A full cell of six engines started a run every 20 to 40 ms, so a quarter of a target of 400
+to 800 ms suffices to wait for a suitable engine.
 """
 
 import unittest
 
 from tests.utils.scheduler_fakes import Cell, ask, engine, finished
-from wagtailtrestle.capacity.grants import CHOOSY_SHARE
+from wagtailtrestle.capacity.grants import SUITABLE_ENGINE_WAIT_SHARE
 from wagtailtrestle.contracts.messages import Granted, Refused
 
-HOPED_FOR_S = 0.8
+TARGET_FIRST_TOKEN_S = 0.8
 PAUSE_S = 0.2
 EVENT_TOKENS = 3
 
@@ -29,19 +29,19 @@
 SLOW = declared("slow", prefill_tokens_per_ms=18.0, step_ms=19.0)
 
 
-class SuitedEngineTest(unittest.TestCase):
+class SuitableEngineTest(unittest.TestCase):
     def cell(self, *engines):
         cell = Cell(engines=())
         cell.scheduler.set_engines({each.name: each for each in engines})
         return cell
 
-    def ask(self, cell, request_id, *, prompt_tokens):
+    def submit(self, cell, request_id, *, prompt_tokens):
         cell.receive(
             ask(
                 request_id,
                 prompt_tokens=prompt_tokens,
                 remaining_s=12.0,
-                first_token_within_s=HOPED_FOR_S,
+                first_token_within_s=TARGET_FIRST_TOKEN_S,
                 pause_within_s=PAUSE_S,
                 event_tokens=EVENT_TOKENS,
             )
@@ -53,46 +53,46 @@
 
     def fill_fast(self, cell):
         for number in range(2):
-            self.ask(cell, f"first-{number}", prompt_tokens=100)
+            self.submit(cell, f"first-{number}", prompt_tokens=100)
             self.assertEqual(self.engine_of(cell, f"first-{number}"), "fast")
 
-    def test_a_long_prompt_waits_a_moment_for_a_fast_engine(self):
-        # Places are free on the slow engine only, where its first token would come late.
+    def test_long_prompt_waits_briefly_for_a_fast_engine(self):
+        # Only the slow engine has free slots, and its first token would be late there.
         cell = self.cell(FAST, SLOW)
         self.fill_fast(cell)
-        self.ask(cell, "long", prompt_tokens=12_000)
+        self.submit(cell, "long", prompt_tokens=12_000)
         self.assertIsNone(self.engine_of(cell, "long"))
         cell.advance(0.05)
         cell.receive(finished("first-0", on="fast", duration_s=0.1))
         self.assertEqual(self.engine_of(cell, "long"), "fast")
 
-    def test_it_takes_the_slow_engine_rather_than_wait_long(self):
+    def test_long_prompt_takes_the_slow_engine_after_a_bounded_wait(self):
         cell = self.cell(FAST, SLOW)
         self.fill_fast(cell)
-        self.ask(cell, "long", prompt_tokens=12_000)
-        cell.advance(CHOOSY_SHARE * HOPED_FOR_S + 0.1)
+        self.submit(cell, "long", prompt_tokens=12_000)
+        cell.advance(SUITABLE_ENGINE_WAIT_SHARE * TARGET_FIRST_TOKEN_S + 0.1)
         self.assertEqual(self.engine_of(cell, "long"), "slow")
 
-    def test_a_prompt_that_would_stall_the_streams_beside_it_waits_too(self):
-        # It would begin in time by itself, but a stream on the slow engine would pause too long.
+    def test_prompt_that_would_stall_other_streams_waits(self):
+        # Its own first token would be in time, but a stream on the slow engine would pause for too long.
         cell = self.cell(FAST, SLOW)
         self.fill_fast(cell)
-        self.ask(cell, "beside", prompt_tokens=500)
+        self.submit(cell, "beside", prompt_tokens=500)
         self.assertEqual(self.engine_of(cell, "beside"), "slow")
-        self.ask(cell, "stalls", prompt_tokens=4000)
+        self.submit(cell, "stalls", prompt_tokens=4000)
         self.assertIsNone(self.engine_of(cell, "stalls"))
 
-    def test_a_short_prompt_takes_what_is_free(self):
+    def test_short_prompt_takes_any_free_slot(self):
         cell = self.cell(FAST, SLOW)
         self.fill_fast(cell)
-        self.ask(cell, "short", prompt_tokens=900)
-        self.ask(cell, "another", prompt_tokens=900)
+        self.submit(cell, "short", prompt_tokens=900)
+        self.submit(cell, "another", prompt_tokens=900)
         self.assertEqual([self.engine_of(cell, name) for name in ("short", "another")], ["slow", "slow"])
 
-    def test_where_no_engine_would_suit_the_first_free_one_is_taken(self):
-        # Only slow engines are left: to wait for a better one would be to wait for nothing.
+    def test_first_free_engine_is_taken_if_none_is_suitable(self):
+        # Only slow engines are left, so waiting for a better one would be in vain.
         cell = self.cell(SLOW)
-        self.ask(cell, "long", prompt_tokens=12_000)
+        self.submit(cell, "long", prompt_tokens=12_000)
         self.assertEqual(self.engine_of(cell, "long"), "slow")
         self.assertEqual(cell.entries.of(Refused), [])
 
--- a/tests/test_tier_queue.py
+++ b/tests/test_tier_queue.py
@@ -5,7 +5,7 @@
 
 from tests.utils.scheduler_fakes import ask
 from wagtailtrestle.capacity.grants import WaitingRequest
-from wagtailtrestle.capacity.team_queue import AGEING, COMPACT_ABOVE
+from wagtailtrestle.capacity.team_queue import AGEING_FACTOR, COMPACT_ABOVE
 from wagtailtrestle.capacity.tier_queue import TierQueue
 
 
@@ -42,29 +42,29 @@
         self.assertEqual(queue.pop().request_id, "kept")
         self.assertEqual((len(queue), queue.work_by_tier()), (0, {1: 0.0}))
 
-    def test_a_starved_tier_does_not_grow_for_ever(self):
-        # A low tier that is never served for hours: its requests come and expire.
-        # Nobody pops its heap, so what expired must be cleared away by itself.
+    def test_starved_tier_does_not_grow_without_bound(self):
+        # A low tier is not served for hours while its requests arrive and expire. Its heap is never popped, so expired
+        # requests must be removed in another way.
         queue = TierQueue()
         for number in range(50 * COMPACT_ABOVE):
             queue.push(waiting(f"r{number}", deadline=number + 2.0))
             queue.pop_expired(float(number))
         team = queue._tiers_by_rank[1].teams_by_name["socios"]
-        self.assertLess(max(len(team.heap), len(team.tail)), 3 * COMPACT_ABOVE)
+        self.assertLess(max(len(team.heap), len(team.eviction_heap)), 3 * COMPACT_ABOVE)
 
-    def test_the_lowest_tier_and_the_team_that_floods_it_are_given_up_first(self):
+    def test_lowest_tier_and_flooding_team_are_evicted_first(self):
         queue = TierQueue(share_by_team={"bitacora": 4.0})
         queue.push(waiting("high", tier=0, work_s=50.0))
         for number in range(3):
             queue.push(waiting(f"flood{number}", team="socios", work_s=1.0 + number))
             queue.push(waiting(f"large{number}", team="bitacora", work_s=2.0))
         queue.park(queue.pop(), tried_engines=frozenset({"e1"}))
-        given_up = []
-        while (last := queue.last()) is not None:
-            given_up.append(last.request_id)
+        evicted = []
+        while (last := queue.peek_last()) is not None:
+            evicted.append(last.request_id)
             queue.remove(last.request_id)
-        self.assertEqual(given_up[:2], ["flood2", "flood1"])
-        self.assertEqual((len(given_up), given_up[-1]), (7, "high"))
+        self.assertEqual(evicted[:2], ["flood2", "flood1"])
+        self.assertEqual((len(evicted), evicted[-1]), (7, "high"))
 
 
 class FairSharesTest(unittest.TestCase):
@@ -84,9 +84,9 @@
         served = Counter(request_id[:4] for request_id in pop_all(queue, 50))
         self.assertEqual(served, {"long": 10, "brie": 40})
 
-    def test_an_idle_team_saves_up_nothing(self):
-        # One team alone is served for a long time, then another sends a burst. It may
-        # have its half from now on, not everything until it has caught up.
+    def test_idle_team_earns_no_credit(self):
+        # One team alone is served for a long time, then another sends a burst. That team gets its half from then on,
+        # not everything until it has caught up.
         queue = TierQueue()
         for number in range(100):
             queue.push(waiting(f"steady{number}", team="steady"))
@@ -96,7 +96,7 @@
         served = Counter(request_id[:5] for request_id in pop_all(queue, 20))
         self.assertEqual(served["burst"], 10)
 
-    def test_a_parked_request_costs_its_team_nothing(self):
+    def test_parked_request_is_not_charged_to_its_team(self):
         queue = TierQueue()
         for number in range(20):
             queue.push(waiting(f"a{number}", team="a"))
@@ -108,9 +108,9 @@
         queue.unpark({"e1", "e2"})
         self.assertEqual({request_id[0] for request_id in pop_all(queue, 5)}, {"a"})
 
-    def test_a_flood_of_one_team_is_not_ahead_of_another(self):
-        # One team floods the tier. Another team's single request is served after its
-        # fair share of that, so its predicted wait must not count the whole flood.
+    def test_flood_of_one_team_does_not_delay_another(self):
+        # One team floods the tier. Another team's single request is served after only a fair share of the flood, so its
+        # predicted wait must not include all of it.
         queue = TierQueue()
         for number in range(500):
             queue.push(waiting(f"flood{number}", team="flood"))
@@ -120,16 +120,15 @@
 
 
 class LengthsTest(unittest.TestCase):
-    def test_short_work_goes_before_long_but_not_for_ever(self):
-        # A report a hundred times as long as the questions. Questions that come soon
-        # after overtake it; those that come after its ageing time don't, or a steady
-        # stream of questions would keep it waiting until its deadline.
+    def test_short_work_overtakes_long_work_for_a_bounded_time(self):
+        # A report takes a hundred times as long as a question. Questions that arrive soon after it overtake it; those
+        # that arrive after its ageing time don't, or a steady stream of questions would delay it until its deadline.
         queue = TierQueue()
         queue.push(waiting("report", work_s=10.0))
         for arrived_at in range(0, 100, 10):
             queue.push(waiting(f"q{arrived_at}", arrived_at=float(arrived_at), work_s=0.1))
         order = pop_all(queue, 11)
-        self.assertEqual(order.index("report"), 10.0 * AGEING / 10.0)
+        self.assertEqual(order.index("report"), 10.0 * AGEING_FACTOR / 10.0)
 
     def test_urgent_goes_first(self):
         queue = TierQueue()
@@ -137,7 +136,7 @@
         queue.push(waiting("urgent", work_s=10.0, deadline=10.4))
         self.assertEqual(queue.pop().request_id, "urgent")
 
-    def test_first_shows_the_order_and_takes_nothing(self):
+    def test_first_returns_the_order_without_removing(self):
         queue = TierQueue()
         for number in (3, 1, 2):
             queue.push(waiting(f"r{number}", work_s=float(number)))
--- a/wagtailtrestle/capacity/scheduler.py
+++ b/wagtailtrestle/capacity/scheduler.py
@@ -1,8 +1,8 @@
-"""Capacity of one cell: grants places on its engines in order of tier, refuses, preempts.
+"""Scheduler of one cell: grants slots on its engines in order of tier, refuses requests and preempts runs.
 
-All state is soft: it is the sum of what entries hold. A grant is capacity, never identity,
-so a scheduler that is wrong, late or doubled can fill an engine too far or too little but
-can't make a request run twice.
+All state is soft and can be rebuilt from what entries hold. A grant conveys capacity, not the right to run a
+request, so a scheduler that is wrong, late or duplicated can overfill or underfill an engine but can't make a
+request run twice.
 """
 
 import itertools
@@ -33,20 +33,20 @@
 from wagtailtrestle.engines.silence_limits import granted_message
 from wagtailtrestle.entry.cells import CellDigest
 
-TRIES_IN_A_ROW = 128
-"""Waiting requests tried in one round, so that no message costs unbounded time."""
+MAX_TRIES_PER_ROUND = 128
+"""Limit of waiting requests tried in one round, so that handling a message takes bounded time."""
 
 MAX_COMPARED = 12
-"""Engines compared for one request, and as many more that hold half of its prompt's parts: those with room, in order
-of their pace. Comparing all of 78 took most of the scheduler's processor time, four fifths of 2.4 ms a request, and
-served callers no better on days of load."""
+"""Engines with free slots compared for one request, fastest first, and as many more that have half of its prompt in
+their cache. Comparing all of 78 engines took four fifths of the scheduler's 2.4 ms of processor time per request,
+without serving callers better under load."""
 
-UNPARK_IN_A_ROW = 32
-"""Parked requests tried again at each tick, as predictions change with time."""
+MAX_UNPARKED_PER_TICK = 32
+"""Parked requests retried at each tick, because predictions change over time."""
 
 
 class Scheduler:
-    """Admission of one cell.
+    """Grants, refuses and preempts the requests of one cell.
 
     Parameters
     ----------
@@ -55,13 +55,13 @@
     clock : callable
         Returns the loop's time in seconds.
     entries : EntryLink
-        Carries answers back.
+        Carries the answers to entries.
     prefill_weight : float
-        From 0 (goodput by tier) to 1 (no prefill thrown away).
+        From 0 (maximise goodput by tier) to 1 (discard no prefill).
     runs_outlive_routers : bool
-        Whether engines go on with the runs of a router that died, and report them.
+        Whether engines continue the runs of a router that died, and report them.
     retry_limits : callable
-        Returns the present ``RetryLimits`` of this cell.
+        Returns the current ``RetryLimits`` of this cell.
     """
 
     __slots__ = (
@@ -78,13 +78,13 @@
         "_crash_signs",
         "_retries",
         "_retries_used_up",
-        "_elsewhere",
+        "_entries_using_other_scheduler",
         "_members",
         "_granting",
         "_log",
         "_runs_outlive_routers",
         "_rollout",
-        "_held_back",
+        "_reserved",
         "_handlers_by_type",
     )
 
@@ -102,7 +102,7 @@
         self.cell = cell
         self._runs_outlive_routers = runs_outlive_routers
         self._rollout = None
-        self._held_back = frozenset()
+        self._reserved = frozenset()
         self._policy = policy
         self._clock = clock
         self._entries = entries
@@ -121,7 +121,7 @@
         self._crash_signs = CrashSigns(clock=clock)
         self._retries = RetryBudget(clock=clock, limits=retry_limits)
         self._retries_used_up = False
-        self._elsewhere = set()
+        self._entries_using_other_scheduler = set()
         self._log = SchedulerLog(cell=cell, runs=self._runs, registration=self._registration)
         self._members = frozenset()
         self._granting = True
@@ -135,83 +135,83 @@
             EngineNotice: self._runs.on_notice,
         }
 
-    # What is declared and seen.
+    # Declarations and observations.
 
     def set_engines(self, by_name):
-        """Put the declared engines of this cell in force; what is known of kept ones stays."""
+        """Apply the declared engines of this cell; the state of those already known is kept."""
         self._runs.declare(by_name)
-        self._crash_signs.keep(by_name)
-        self._runs.hold_back(self._held_back)
+        self._crash_signs.retain_engines(by_name)
+        self._runs.set_reserved(self._reserved)
         self._admission.set_engines(self._runs.usable_engines)
-        if self._registration.cautious:
-            self._runs.distrust()
+        if self._registration.recovering:
+            self._runs.invalidate_reports()
         self._grant_ready()
 
-    def set_rollout(self, rollout, held_back):
-        """Have a roll-out, or ``None``, send requests to engines that are held back from all others.
+    def set_rollout(self, rollout, reserved):
+        """Apply a rollout, or ``None``, that sends requests to engines reserved for it.
 
         Parameters
         ----------
         rollout : Rollout or None
-        held_back : frozenset of str
-            Names of engines.
+        reserved : frozenset of str
+            Names of the reserved engines.
         """
         self._rollout = rollout
-        if held_back == self._held_back:
+        if reserved == self._reserved:
             return
-        self._held_back = held_back
-        self._runs.hold_back(held_back)
+        self._reserved = reserved
+        self._runs.set_reserved(reserved)
         self._admission.set_engines(self._runs.usable_engines)
         self._grant_ready()
 
     def runs_by_version(self):
-        """How many runs the engines of each version hold."""
+        """Count the runs on the engines of each version."""
         counts = Counter()
         for engine in self._runs.engines:
             counts[engine.version] += engine.running
         return counts
 
     def set_teams(self, share_by_name):
-        """Put the declared shares of teams in force."""
+        """Apply the declared shares of teams."""
         self._queue.set_shares(share_by_name)
 
     def expect_orphans(self):
-        """Begin with what the engines themselves report: a router died lately, whose runs nobody registers."""
+        """Grant by engines' own reports at first: a router died recently, and no entry registers its runs."""
         self._registration.expect_orphans()
 
-    def take_over(self):
-        """Begin anew: this router is scheduler again, after another one was."""
-        self._registration.take_over()
+    def resume(self):
+        """Await registrations and reports again: this router is scheduler again after another router was."""
+        self._registration.resume()
         self._retries.begin()
-        self._runs.distrust()
+        self._runs.invalidate_reports()
 
     def set_members(self, entries):
-        """Take in the live view of routers; what those that left hold is let go."""
-        gone = self._members - frozenset(entries)
+        """Apply the current view of routers; waiting requests of departed ones are dropped, their runs orphaned."""
+        departed = self._members - frozenset(entries)
         self._members = frozenset(entries)
-        self._elsewhere &= self._members
-        self._retries.keep(self._members)
+        self._entries_using_other_scheduler &= self._members
+        self._retries.retain_successes(self._members)
         self._registration.set_members(self._members)
-        if self._registration.cautious:
-            self._runs.distrust()
-        for entry in gone:
+        if self._registration.recovering:
+            self._runs.invalidate_reports()
+        for entry in departed:
             self._drop_entry(entry)
         self._grant_ready()
 
     @property
     def awaited_entries(self):
-        """Members whose registration is awaited; whoever can ask them to register may do so."""
-        return self._registration.awaited if self._registration.cautious else frozenset()
+        """Members whose registration is awaited, so that callers can request it."""
+        return self._registration.awaited if self._registration.recovering else frozenset()
 
     def on_load_report(self, report):
-        """Correct an engine's account by its own report."""
+        """Correct an engine's run counts by its own report."""
         if self._runs.on_load_report(report):
-            self._runs.hold_back(self._held_back)
+            self._runs.set_reserved(self._reserved)
             self._admission.set_engines(self._runs.usable_engines)
         self._grant_ready()
 
     def on_cache_events(self, events):
-        """Correct what an engine's prefix cache is believed to hold by its own, late, word."""
+        """Correct the assumed content of an engine's prefix cache by its own, delayed, events."""
         engine = self._runs.engines_by_name.get(events.engine)
         if engine is None:
             return
@@ -221,54 +221,57 @@
         engine.cache.stored(events.stored)
 
     def on_unreachable(self, engine):
-        """Grant nothing on an engine that does not answer, until it reports again."""
+        """Grant nothing on an engine that does not answer until it reports again.
+
+        Entries whose runs it cut recently are notified that it is down.
+        """
         state = self._runs.engines_by_name.get(engine)
         if state is not None:
             state.mark_unreachable()
-        for entry in self._crash_signs.entries_cut_by(engine):
+        for entry in self._crash_signs.pop_entries_cut_by(engine):
             self._entries.send(entry=entry, message=EngineDown(engine=engine))
 
     def mark_leaving(self, engine, leaving=True):
-        """Grant nothing more on this engine, or again if the platform's list takes it back."""
+        """Grant nothing more on a draining engine, or again if the platform's list clears the mark."""
         state = self._runs.engines_by_name.get(engine)
         if state is not None:
             state.mark_leaving(leaving)
 
     def stop_granting(self):
-        """Grant nothing more: the router is draining and another will be scheduler."""
+        """Grant nothing more: this router is draining and another one becomes scheduler."""
         self._granting = False
 
-    # What drives it.
+    # Events.
 
     def receive(self, message):
-        """Act on one message of an entry."""
-        self._notice_pause()
+        """Process one message of an entry."""
+        self._recover_after_pause()
         self._handlers_by_type[type(message)](message)
         if not isinstance(message, RunStarted | RunProgress):
             self._grant_ready()
 
     def tick(self):
-        """Sweep deadlines, preempt, and grant what has become possible; about every 50 ms."""
-        self._notice_pause()
-        self._log.note_caution()
+        """Expire requests, preempt, and grant what has become possible; called about every 50 ms."""
+        self._recover_after_pause()
+        self._log.log_recovery()
         self._runs.tick()
-        self._log.note_overfull()
-        self._log.note_limited()
-        self._runs.order_by_pace()
+        self._log.log_overfull()
+        self._log.log_rate_limits()
+        self._runs.sort_by_speed()
         self._admission.measure_speed()
         self._retries_used_up = not self._may_retry()
         for waiting in self._queue.pop_expired(self._clock()):
             self._refuse(waiting.request, Reason.OVERLOADED)
-        self._queue.unpark_some(UNPARK_IN_A_ROW)
-        self._isolation.yield_to_urgent(self._runs.engines)
+        self._queue.unpark_oldest(MAX_UNPARKED_PER_TICK)
+        self._isolation.release_for_urgent(self._runs.engines)
         self._grant_ready()
-        self._admission.note_places()
+        self._admission.update_occupancy()
         self._preempt()
 
-    # What is told.
+    # Reporting.
 
     def digest(self):
-        """Summary by which entries choose between cells."""
+        """Return the summary by which entries choose between cells."""
         waiting_by_tier = self._queue.waiting_by_tier()
         tiers = [grant.request.tier for grant in self._runs.grants_by_request_id.values()] + list(waiting_by_tier)
         return CellDigest(
@@ -278,7 +281,7 @@
         )
 
     def dump(self):
-        """Return a plain view of everything held, for the state dump."""
+        """Return plain data for the state dump."""
         return {
             "cell": self.cell,
             "granting": self._granting,
@@ -296,12 +299,12 @@
     def _on_grant_request(self, request):
         grant = self._runs.grants_by_request_id.get(request.request_id)
         if grant is not None and request.attempt == grant.request.attempt:
-            self._tell_granted(grant)
+            self._send_granted(grant)
             return
         waiting = self._queue.waiting_by_request_id.get(request.request_id)
         if waiting is not None and request.attempt <= waiting.request.attempt:
             return
-        if self._runs.ended.holds(request) or (grant is not None and request.attempt < grant.request.attempt):
+        if self._runs.ended.covers(request) or (grant is not None and request.attempt < grant.request.attempt):
             return
         if grant is not None:
             self._runs.end(grant)
@@ -321,67 +324,67 @@
                     was_full=grant.filled,
                 )
         if grant is not None and grant.engine == message.engine:
-            self._note_end(grant.request, message)
+            self._record_end(grant.request, message)
         self._runs.on_finished(message)
 
-    def _note_end(self, request, finished):
+    def _record_end(self, request, finished):
         if finished.never_sent:
-            self._retries.take_back(request.request_id)
+            self._retries.refund(request.request_id)
         elif finished.result == RunDone.__name__:
-            self._retries.note_success(request.entry)
-        self._crash_signs.note_end(engine=finished.engine, entry=request.entry, result=finished.result)
+            self._retries.record_success(request.entry)
+        self._crash_signs.record_end(engine=finished.engine, entry=request.entry, result=finished.result)
 
     def _on_withdraw(self, message):
         waiting = self._queue.remove(message.request_id)
         if waiting is not None:
-            self._runs.ended.note(waiting.request)
+            self._runs.ended.record(waiting.request)
         grant = self._runs.grants_by_request_id.get(message.request_id)
         if grant is not None:
             self._runs.end(grant)
 
     def _on_register(self, message):
-        # An entry that has not heard of the former scheduler's death yet says that it holds nothing here.
-        # Were it no longer awaited, engines would be filled beside the runs that it tells of a moment later.
+        # An entry that does not know yet that the previous scheduler died registers with no runs here. It is still
+        # awaited afterwards: otherwise engines would be overfilled beside the runs it registers a moment later.
         if message.elsewhere:
-            # Its runs go on, though another scheduler counts them now. Were their places free here, entries that
-            # have not heard of the change yet got second runs on them: 29 on an engine of 16 places were seen, and
-            # what waits in an engine's queue can't be moved. A report shows when they are gone.
-            self._elsewhere.add(message.entry)
-            self._retries.keep(self._members - self._elsewhere)
+            # The entry's runs continue, but another scheduler counts them now. If their slots were freed here, entries
+            # that do not know of the change yet would get second runs on them: 29 runs on an engine of 16 slots were
+            # seen, and a run in an engine's queue can't be moved. A load report shows when the runs have ended.
+            self._entries_using_other_scheduler.add(message.entry)
+            self._retries.retain_successes(self._members - self._entries_using_other_scheduler)
             self._drop_entry(message.entry)
             return
-        self._elsewhere.discard(message.entry)
-        self._registration.registered(message.entry)
-        self._retries.take_history(message.entry, message.retries)
+        self._entries_using_other_scheduler.discard(message.entry)
+        self._registration.record_registration(message.entry)
+        self._retries.apply_history(message.entry, message.retries)
         for notice in message.notices:
             self._runs.on_notice(notice)
         running_by_id = {record.request.request_id: record for record in message.running}
-        asked_by_id = {request.request_id: request for request in message.waiting}
-        for grant in self._runs.of_entry(message.entry):
-            asked = asked_by_id.get(grant.request_id)
-            in_flight = asked is not None and asked.attempt == grant.request.attempt
+        waiting_by_id = {request.request_id: request for request in message.waiting}
+        for grant in self._runs.grants_of_entry(message.entry):
+            waiting_request = waiting_by_id.get(grant.request_id)
+            in_flight = waiting_request is not None and waiting_request.attempt == grant.request.attempt
             record = running_by_id.get(grant.request_id)
             held = record is not None and record.engine == grant.engine
             if not in_flight and not held:
-                self._let_go(grant)
+                self._end_unless_orphaned(grant)
         for waiting in self._waiting_of(message.entry):
-            if waiting.request_id not in asked_by_id:
+            if waiting.request_id not in waiting_by_id:
                 self._queue.remove(waiting.request_id)
         for record in message.running:
             self._hold_registered(record)
         for request in message.waiting:
-            self._on_registered_ask(request)
+            self._on_registered_request(request)
 
-    def _let_go(self, grant):
-        # A router that was started again registers without what its predecessor had sent to engines, and these go on
-        # with it. Were the places free at once, runs granted there would wait in the engine's queue, up to their
-        # deadline. A report shows when the runs are gone; where engines report nothing, the router's word decides.
+    def _end_unless_orphaned(self, grant):
+        # A restarted router registers without the runs of its previous process, which engines continue. If their slots
+        # were freed immediately, runs granted there would wait in the engine's queue, up to their deadline. A load
+        # report shows when the runs have ended; where engines report nothing, the router's registration decides.
         if grant.orphaned_at is None or not self._runs_outlive_routers:
             self._runs.end(grant)
 
-    def _on_registered_ask(self, request):
-        # The entry says it still waits, so an answer to this ask was lost on the way.
-        if self._runs.ended.holds(request):
+    def _on_registered_request(self, request):
+        # The entry still waits, so the answer to this request was lost.
+        if self._runs.ended.covers(request):
             self._consider(request)
         else:
             self._on_grant_request(request)
@@ -390,13 +393,13 @@
         self._queue.remove(record.request.request_id)
         grant = self._runs.hold_registered(record)
         if grant.preempted_at is not None:
-            self._tell_preempt(grant)
+            self._send_preempt(grant)
 
     # Queue, grants, refusals.
 
     def _consider(self, request):
         if request.is_retry and not self._may_retry():
-            self._log.note_no_retry(request, self._retries)
+            self._log.log_refused_retry(request, self._retries)
             self._refuse(request, Reason.RETRY_BUDGET)
             return
         waiting = self._admission.waiting(request)
@@ -405,82 +408,89 @@
             self._refuse(request, reason)
             return
         if request.alone:
-            self._set_aside(waiting)
+            self._queue_isolated(waiting)
             return
         self._admission.admit(waiting)
         self._queue.push(waiting)
-        while (given_up := self._admission.overflow()) is not None:
-            self._queue.remove(given_up.request_id)
-            self._refuse(given_up.request, Reason.OVERLOADED)
+        while (excess := self._admission.overflow()) is not None:
+            self._queue.remove(excess.request_id)
+            self._refuse(excess.request, Reason.OVERLOADED)
 
     def _may_retry(self):
         queued = self._queue.waiting_by_request_id.values()
-        entries = self._members - self._elsewhere - self.awaited_entries
-        return self._retries.has_room(waiting=sum(waiting.request.is_retry for waiting in queued), entries=entries)
+        entries = self._members - self._entries_using_other_scheduler - self.awaited_entries
+        return self._retries.has_budget(waiting=sum(waiting.request.is_retry for waiting in queued), entries=entries)
 
-    def _set_aside(self, waiting):
-        if not self._isolation.has_room():
+    def _queue_isolated(self, waiting):
+        if not self._isolation.has_capacity():
             self._refuse(waiting.request, Reason.OVERLOADED)
-        elif not self._isolation.possible(waiting, self._runs.engines):
+        elif not self._isolation.is_possible(waiting, self._runs.engines):
             self._refuse(waiting.request, Reason.DEADLINE_UNREACHABLE)
         else:
             self._admission.admit(waiting)
-            self._queue.set_aside(waiting)
+            self._queue.push_isolated(waiting)
 
     def _grant_ready(self):
         if not self._granting or not len(self._queue):
             return
         self._serve_suspects()
-        open_engines = self._open_engines()
-        self._queue.unpark({engine.name for engine in open_engines})
-        for _ in range(TRIES_IN_A_ROW):
-            if not open_engines and self._rollout is None:
+        available_engines = self._available_engines()
+        self._queue.unpark({engine.name for engine in available_engines})
+        for _ in range(MAX_TRIES_PER_ROUND):
+            if not available_engines and self._rollout is None:
                 return
             waiting = self._queue.pop()
             if waiting is None:
                 return
-            self._try(waiting, open_engines)
-            open_engines = self._open_engines()
+            self._try_grant(waiting, available_engines)
+            available_engines = self._available_engines()
 
     def _serve_suspects(self):
-        # Until every entry registered, what runs on an engine is not known, so none is known empty.
-        if self._registration.cautious:
+        # Until every entry has registered, runs on an engine may be unknown, so no engine counts as empty.
+        if self._registration.recovering:
             return
         while (step := self._isolation.next(self._runs.engines)) is not None:
             if step.engine is None:
                 self._queue.remove(step.waiting.request_id)
                 self._refuse(step.waiting.request, Reason.DEADLINE_UNREACHABLE)
             else:
-                self._queue.take(step.waiting)
+                self._queue.pop_isolated(step.waiting)
                 self._grant(step.waiting, step.engine)
 
-    def _open_engines(self):
-        cautious = self._registration.cautious
+    def _available_engines(self):
+        recovering = self._registration.recovering
         engines = self._runs.engines
-        return [engine for engine in engines if engine.room and (engine.reported or not cautious)]
+        return [engine for engine in engines if engine.room and (engine.reported or not recovering)]
 
-    def _try(self, waiting, open_engines):
-        """Grant the request on one of the engines with room, park it, or refuse it."""
-        open_engines = [engine for engine in open_engines if not engine.rest_s(waiting.request.entry)]
+    def _try_grant(self, waiting, available_engines):
+        """Grant the request on one of the engines with free slots, park it, or refuse it."""
+        available_engines = [engine for engine in available_engines if not engine.rest_s(waiting.request.entry)]
         exposed = self._exposed_engine(waiting.request)
         if exposed is not None:
             self._grant(waiting, exposed)
             return
-        suited = self._suited(waiting, open_engines)
-        if not suited and waiting.request.first_token_within_s and not self._admission.waits_for_better(waiting):
-            suited = open_engines
-        engine = self._policy.choose(request=waiting.request, engines=suited, now=self._clock()) if suited else None
+        suitable = self._suitable(waiting, available_engines)
+        if (
+            not suitable
+            and waiting.request.first_token_within_s
+            and not self._admission.should_wait_for_suitable(waiting)
+        ):
+            suitable = available_engines
+        engine = self._policy.choose(request=waiting.request, engines=suitable, now=self._clock()) if suitable else None
         if engine is not None:
             self._grant(waiting, engine)
             return
         others = [engine for engine in self._runs.usable_engines if not engine.leaving]
         if any(self._admission.could_finish(waiting, engine) for engine in others):
-            self._queue.park(waiting, tried_engines=frozenset(engine.name for engine in open_engines))
+            self._queue.park(waiting, tried_engines=frozenset(engine.name for engine in available_engines))
         else:
             self._refuse(waiting.request, Reason.DEADLINE_UNREACHABLE)
 
     def _exposed_engine(self, request):
-        """The engine on which a roll-out tries this request, or ``None``: the fullest, so that it is seen full."""
+        """Return the fullest engine on which the rollout tries this request, or ``None``.
+
+        The fullest one is used so that the new version is also observed on a full engine.
+        """
         if self._rollout is None or not self._rollout.wants(request):
             return None
         tried = [
@@ -493,23 +503,23 @@
         ]
         return max(tried, key=lambda engine: (engine.running, engine.name), default=None)
 
-    def _suited(self, waiting, open_engines):
-        """The engines among which to choose: of many, a few that are the likeliest, unless none of these suits."""
-        likely = self._likely(waiting.request, open_engines)
-        suited = [engine for engine in likely if self._admission.can_finish_now(waiting, engine)]
-        if suited or len(likely) == len(open_engines):
-            return suited
-        return [engine for engine in open_engines if self._admission.can_finish_now(waiting, engine)]
-
-    def _likely(self, request, open_engines):
-        if len(open_engines) <= MAX_COMPARED:
-            return open_engines
-        first = open_engines[:MAX_COMPARED]
+    def _suitable(self, waiting, available_engines):
+        """Return the engines that can finish the request, from the shortlist or, failing that, from all."""
+        shortlist = self._shortlist(waiting.request, available_engines)
+        suitable = [engine for engine in shortlist if self._admission.can_finish_now(waiting, engine)]
+        if suitable or len(shortlist) == len(available_engines):
+            return suitable
+        return [engine for engine in available_engines if self._admission.can_finish_now(waiting, engine)]
+
+    def _shortlist(self, request, available_engines):
+        if len(available_engines) <= MAX_COMPARED:
+            return available_engines
+        first = available_engines[:MAX_COMPARED]
         blocks = request.prefix_blocks
         if not blocks:
             return first
         middle = blocks[len(blocks) // 2]
-        holders = (engine for engine in open_engines[MAX_COMPARED:] if middle in engine.cache)
+        holders = (engine for engine in available_engines[MAX_COMPARED:] if middle in engine.cache)
         return first + list(itertools.islice(holders, MAX_COMPARED))
 
     def _grant(self, waiting, engine):
@@ -524,9 +534,9 @@
             self._retries.spend(entry=waiting.request.entry, request_id=waiting.request_id)
         if self._rollout is not None:
             self._rollout.note_grant(waiting.request, engine.version)
-        self._tell_granted(grant)
+        self._send_granted(grant)
 
-    def _tell_granted(self, grant):
+    def _send_granted(self, grant):
         engine = self._runs.engines_by_name.get(grant.engine)
         if engine is None:
             return
@@ -535,7 +545,7 @@
             self._runs.end(grant)
 
     def _refuse(self, request, reason):
-        self._runs.ended.note(request)
+        self._runs.ended.record(request)
         refused = Refused(
             request_id=request.request_id,
             attempt=request.attempt,
@@ -544,29 +554,29 @@
         )
         self._entries.send(entry=request.entry, message=refused)
 
-    # Preemption, members that left, pauses.
+    # Preemption, departed members, process pauses.
 
     def _preempt(self):
         if not self._granting or not len(self._queue) or self._holds_unconfirmed():
             return
         first = self._queue.first(LOOK_AHEAD)
-        # Places that free on an engine kept for a suspect are not for those who wait, and a run that yields
-        # on an engine with a rate limit makes no room for another.
+        # A slot freed on an engine reserved for a suspect does not go to waiting requests, and preempting a run on
+        # an engine with a rate limit makes no room for another.
         engines = [
             engine for engine in self._runs.engines if engine.kept_for is None and not engine.rate_limit.in_force
         ]
         for grant in self._planner.victims(waiting=first, engines=engines):
-            if self._tell_preempt(grant):
+            if self._send_preempt(grant):
                 grant.preempted_at = self._clock()
 
     def _holds_unconfirmed(self):
-        # A scheduler that woke from a pause may hold runs that ended long ago; by them it would
-        # cancel others. A new one holds only what entries registered, and acts on it at once:
-        # waiting for the last entry could let a higher tier expire while a lower one runs.
+        # After a pause a scheduler may hold runs that ended long ago, and would cancel others because of them. A new
+        # scheduler holds only what entries registered and acts on it immediately: waiting for the last entry could
+        # let a request of a higher tier expire while a lower tier runs.
         awaited = self.awaited_entries
         return any(grant.request.entry in awaited for grant in self._runs.grants_by_request_id.values())
 
-    def _tell_preempt(self, grant):
+    def _send_preempt(self, grant):
         message = Preempt(request_id=grant.request_id, engine=grant.engine)
         return self._entries.send(entry=grant.request.entry, message=message)
 
@@ -576,9 +586,9 @@
     def _drop_entry(self, entry):
         for waiting in self._waiting_of(entry):
             self._queue.remove(waiting.request_id)
-        self._runs.orphan(entry)
+        self._runs.mark_orphaned(entry)
 
-    def _notice_pause(self):
-        if self._registration.woke():
+    def _recover_after_pause(self):
+        if self._registration.detect_pause():
             self._registration.begin()
-            self._runs.distrust()
+            self._runs.invalidate_reports()
--- a/wagtailtrestle/capacity/scheduler_log.py
+++ b/wagtailtrestle/capacity/scheduler_log.py
@@ -1,10 +1,10 @@
-"""Log lines by which a wait in an engine's queue is traced to the scheduler that granted it."""
+"""Log lines that allow a wait in an engine's queue to be traced to the scheduler that granted the run."""
 
 from loguru import logger
 
 
 class SchedulerLog:
-    """Tells when a scheduler is cautious, and when an engine becomes overfull or names a rate limit: a line a change.
+    """Logs changes of a scheduler's recovery state, and of engines that become overfull or rate-limited.
 
     Parameters
     ----------
@@ -13,51 +13,51 @@
     registration : Registration
     """
 
-    __slots__ = ("_cell", "_runs", "_registration", "_was_cautious", "_overfull", "_limited")
+    __slots__ = ("_cell", "_runs", "_registration", "_was_recovering", "_overfull", "_limited")
 
     def __init__(self, *, cell, runs, registration):
         self._cell = cell
         self._runs = runs
         self._registration = registration
-        self._was_cautious = False
+        self._was_recovering = False
         self._overfull = frozenset()
         self._limited = frozenset()
 
-    def note_caution(self):
-        """Tell of a change, with what the scheduler knows then."""
-        cautious = self._registration.cautious
-        if cautious == self._was_cautious:
+    def log_recovery(self):
+        """Log that recovery began or ended, with the scheduler's knowledge at that time."""
+        recovering = self._registration.recovering
+        if recovering == self._was_recovering:
             return
-        self._was_cautious = cautious
+        self._was_recovering = recovering
         logger.bind(
             awaited=sorted(self._registration.awaited),
             held=len(self._runs.grants_by_request_id),
             unknown={engine.name: engine.phantom for engine in self._runs.engines if engine.phantom},
             unreported=[engine.name for engine in self._runs.engines if not engine.reported],
-        ).info("the scheduler of {} {}", self._cell, "is cautious" if cautious else "is cautious no more")
+        ).info("the scheduler of {} {}", self._cell, "is recovering" if recovering else "is no longer recovering")
 
-    def note_overfull(self):
-        """Tell of engines that have come to hold more runs than they have places."""
+    def log_overfull(self):
+        """Log engines that have come to hold more runs than they have slots."""
         overfull = frozenset(engine.name for engine in self._runs.engines if engine.running > engine.slots)
         for name in sorted(overfull - self._overfull):
-            self._tell_overfull(self._runs.engines_by_name[name])
+            self._warn_overfull(self._runs.engines_by_name[name])
         self._overfull = overfull
 
-    def note_limited(self):
-        """Tell of engines whose rate limit has come into force, or ended."""
+    def log_rate_limits(self):
+        """Log engines whose rate limit came into force or ended."""
         limited = frozenset(engine.name for engine in self._runs.engines if engine.rate_limit.in_force)
         for name in sorted(limited ^ self._limited):
             limit = self._runs.engines_by_name[name].rate_limit.dump() if name in limited else None
-            logger.bind(cell=self._cell, engine=name, rate_limit=limit).info("the rate limit of an engine changed")
+            logger.bind(cell=self._cell, engine=name, rate_limit=limit).info("engine rate limit changed")
         self._limited = limited
 
-    def note_no_retry(self, request, retries):
-        """Tell of a retry that the budget has no room for."""
+    def log_refused_retry(self, request, retries):
+        """Log a retry refused because the retry budget is exhausted."""
         logger.bind(cell=self._cell, request_id=request.request_id, entry=request.entry, **retries.dump()).info(
-            "no retry is left in a cell"
+            "retry refused: no retries left in the budget of the cell"
         )
 
-    def _tell_overfull(self, engine):
+    def _warn_overfull(self, engine):
         logger.bind(
             cell=self._cell,
             places=engine.slots,
--- a/wagtailtrestle/entry/retry_record.py
+++ b/wagtailtrestle/entry/retry_record.py
@@ -28,16 +28,16 @@
 
     def note_retry(self, cell):
         """Count a retry that is sent."""
-        self._retries_by_cell[cell].note(self._clock())
+        self._retries_by_cell[cell].record(self._clock())
         self._forget_old(self._retries_by_cell[cell])
 
     def take_back(self, cell):
         """Forget the last retry: no connection was made for it."""
-        self._retries_by_cell[cell].take_back()
+        self._retries_by_cell[cell].remove_latest()
 
     def note_success(self, cell):
         """Count a request that was answered whole."""
-        self._successes_by_cell[cell].note(self._clock())
+        self._successes_by_cell[cell].record(self._clock())
         self._forget_old(self._successes_by_cell[cell])
 
     def history(self, cell):
@@ -50,7 +50,7 @@
 
     def _by_age_s(self, times):
         self._forget_old(times)
-        return times.by_age_s(self._clock())
+        return times.counts_by_age_s(self._clock())
 
     def _forget_old(self, times):
-        times.forget_before(self._clock() - self._window_s())
+        times.discard_before(self._clock() - self._window_s())
