--- a/wagtailtrestle/capacity/admission.py
+++ b/wagtailtrestle/capacity/admission.py
@@ -255,7 +255,7 @@
 
     def note_places(self):
         """Take in whether the cell is full; a few times within ``GRANT_WINDOW_S``."""
-        self._granted.note_full(not any(engine.room and not engine.rests for engine in self._engines))
+        self._granted.note_full(not any(engine.free_slots and not engine.rests for engine in self._engines))
 
     def overflow(self) -> WaitingRequest | None:
         """Return a waiting request to give up as too many wait, or ``None``.
@@ -394,7 +394,7 @@
         return any(engine.rate_limit.in_force for engine in self._engines)
 
     def _places_free(self, request):
-        return any(engine.room and not engine.rest_s(request.entry) for engine in self._engines)
+        return any(engine.free_slots and not engine.rest_s(request.entry) for engine in self._engines)
 
     def _rest_s(self, request):
         """Time until some engine takes a request of this entry again; 0 if one does now."""
--- a/wagtailtrestle/capacity/preemption.py
+++ b/wagtailtrestle/capacity/preemption.py
@@ -137,7 +137,7 @@
             if not self._is_silent(grant)
         )
         over = max(0, engine.running - engine.limit)
-        places = [_Place(free_at=self._now, engine=engine) for _ in range(engine.room)]
+        places = [_Place(free_at=self._now, engine=engine) for _ in range(engine.free_slots)]
         return places + [_Place(free_at=end, engine=engine, grant=grant) for end, _, grant in ends[over:]]
 
     def _end(self, grant, engine):
--- a/wagtailtrestle/capacity/scheduler.py
+++ b/wagtailtrestle/capacity/scheduler.py
@@ -272,7 +272,7 @@
         waiting_by_tier = self._queue.waiting_by_tier()
         tiers = [grant.request.tier for grant in self._runs.grants_by_request_id.values()] + list(waiting_by_tier)
         return CellDigest(
-            free=sum(engine.room for engine in self._runs.engines),
+            free=sum(engine.free_slots for engine in self._runs.engines),
             waiting_by_tier=waiting_by_tier,
             lowest_tier=max(tiers, default=None),
         )
@@ -457,7 +457,7 @@
     def _open_engines(self):
         cautious = self._registration.cautious
         engines = self._runs.engines
-        return [engine for engine in engines if engine.room and (engine.reported or not cautious)]
+        return [engine for engine in engines if engine.free_slots and (engine.reported or not cautious)]
 
     def _try(self, waiting, open_engines):
         """Grant the request on one of the engines with room, park it, or refuse it."""
--- a/wagtailtrestle/engines/state.py
+++ b/wagtailtrestle/engines/state.py
@@ -65,7 +65,7 @@
         "limit",
         "phantom",
         "health_share",
-        "room",
+        "free_slots",
         "rate_limit",
         "_kept_for",
         "start_ms",
@@ -102,7 +102,7 @@
         self.limit = 0
         self.phantom = 0
         self.health_share = 1.0
-        self.room = 0
+        self.free_slots = 0
         self.rate_limit = RateLimit(clock=clock)
         self._kept_for = None
         self.start_ms = declared.start_ms
@@ -182,7 +182,7 @@
     @property
     def available(self):
         """Whether the policy may choose it."""
-        return self.room > 0
+        return self.free_slots > 0
 
     def declare(self, declared):
         """Put what a newer declaration says of it in force."""
@@ -394,7 +394,7 @@
 
     def _count_room(self):
         is_for_one = self._kept_for is not None or self._alone_runs > 0
-        self.room = 0 if is_for_one else self._within_rate(self.limit - self.running)
+        self.free_slots = 0 if is_for_one else self._within_rate(self.limit - self.running)
 
     def _within_rate(self, places):
         free = self.rate_limit.free()
