--- a/wagtailtrestle/engines/rate_limit.py
+++ b/wagtailtrestle/engines/rate_limit.py
@@ -101,7 +101,7 @@
         self._unnamed = 0
         self._raised_since = math.inf
 
-    def note_given(self):
+    def record_request(self):
         """Count a request that is given to the engine now."""
         if self.in_force:
             self._fill()
--- a/wagtailtrestle/engines/state.py
+++ b/wagtailtrestle/engines/state.py
@@ -251,7 +251,7 @@
 
     def add(self, grant: Grant):
         """Count a grant that is made now against this engine."""
-        self.rate_limit.note_given()
+        self.rate_limit.record_request()
         self._hold(grant)
 
     def _hold(self, grant):
