--- a/wagtailtrestle/engines/rate_limit.py
+++ b/wagtailtrestle/engines/rate_limit.py
@@ -108,7 +108,7 @@
             self._tokens -= 1.0
             self._given_at.append(self._clock())
 
-    def note_former(self, given_at):
+    def record_earlier_request(self, given_at):
         """Count a request that the engine was given before: it fills the window, and uses up no token."""
         if self.in_force:
             self._given_at.append(given_at)
--- a/wagtailtrestle/engines/state.py
+++ b/wagtailtrestle/engines/state.py
@@ -230,7 +230,7 @@
         if self.rate_limit.in_force and not was_limited:
             # What it was given lately is more than it takes already.
             for grant in self.grants_by_request_id.values():
-                self.rate_limit.note_former(grant.granted_at)
+                self.rate_limit.record_earlier_request(grant.granted_at)
         self._count_room()
 
     @property
@@ -268,7 +268,7 @@
         """Count a run an entry registered; a report that showed it no longer shows a phantom."""
         if grant.granted_at <= self._report_at:
             self.phantom = max(0, self.phantom - 1)
-        self.rate_limit.note_former(grant.granted_at)
+        self.rate_limit.record_earlier_request(grant.granted_at)
         self._hold(grant)
 
     def start(self, grant: Grant):
