--- a/tests/test_rate_limit.py
+++ b/tests/test_rate_limit.py
@@ -154,7 +154,7 @@
         limit = RateLimit(clock=clock)
         limit.hear(4.0)
         clock.now += 60.0
-        self.assertEqual(limit.free(), 2)
+        self.assertEqual(limit.available_requests(), 2)
 
     # Guards against a word that was late on its way and undoes a later one.
     def test_a_later_word_stands(self):
--- a/wagtailtrestle/engines/rate_limit.py
+++ b/wagtailtrestle/engines/rate_limit.py
@@ -113,7 +113,7 @@
         if self.in_force:
             self._given_at.append(given_at)
 
-    def free(self):
+    def available_requests(self):
         """Requests that may be given now; ``None`` without a limit."""
         self._fill()
         if not self.in_force:
--- a/wagtailtrestle/engines/state.py
+++ b/wagtailtrestle/engines/state.py
@@ -397,8 +397,8 @@
         self.free_slots = 0 if is_for_one else self._within_rate(self.limit - self.running)
 
     def _within_rate(self, places):
-        free = self.rate_limit.free()
-        return max(0, places if free is None else min(places, free))
+        available_requests = self.rate_limit.available_requests()
+        return max(0, places if available_requests is None else min(places, available_requests))
 
     def _known_at(self, at):
         """Runs of live entries that the engine held at that time, by this account."""
