--- a/tests/test_rate_limit.py
+++ b/tests/test_rate_limit.py
@@ -152,7 +152,7 @@
     def test_a_limit_outlasts_a_time_without_requests(self):
         clock = Clock()
         limit = RateLimit(clock=clock)
-        limit.hear(4.0)
+        limit.observe(4.0)
         clock.now += 60.0
         self.assertEqual(limit.available_requests(), 2)
 
@@ -160,8 +160,8 @@
     def test_a_later_word_stands(self):
         clock = Clock()
         limit = RateLimit(clock=clock)
-        limit.hear(2.0)
-        limit.hear(50.0, age_s=1.0)
+        limit.observe(2.0)
+        limit.observe(50.0, age_s=1.0)
         self.assertEqual(limit.per_s(), 2.0)
 
 
--- a/wagtailtrestle/engines/rate_limit.py
+++ b/wagtailtrestle/engines/rate_limit.py
@@ -79,7 +79,7 @@
         age_s = self._clock() - self._named_at
         return age_s if self.in_force or age_s < KEPT_S else math.inf
 
-    def hear(self, per_s, *, age_s=0.0):
+    def observe(self, per_s, *, age_s=0.0):
         """Take in what an answer named that was read ``age_s`` ago; ``per_s`` is infinite without a limit."""
         at = self._clock() - age_s
         if at < self._heard_at:
--- a/wagtailtrestle/engines/state.py
+++ b/wagtailtrestle/engines/state.py
@@ -226,7 +226,7 @@
         if notice.rest_s and not notice.names_limit:
             return  # It may be told again and again: no answer that proves the end of a limit.
         was_limited = self.rate_limit.in_force
-        self.rate_limit.hear(notice.limit_per_s, age_s=notice.age_s)
+        self.rate_limit.observe(notice.limit_per_s, age_s=notice.age_s)
         if self.rate_limit.in_force and not was_limited:
             # What it was given lately is more than it takes already.
             for grant in self.grants_by_request_id.values():
