--- a/wagtailtrestle/capacity/run_table.py
+++ b/wagtailtrestle/capacity/run_table.py
@@ -173,7 +173,7 @@
         """Take in what an engine said of itself in an answer."""
         engine = self.engines_by_name.get(notice.engine)
         if engine is not None:
-            engine.hear(notice)
+            engine.apply_notice(notice)
 
     def distrust(self):
         """Believe no engine's report from before now."""
--- a/wagtailtrestle/engines/state.py
+++ b/wagtailtrestle/engines/state.py
@@ -212,7 +212,7 @@
         """Whether its rate limit allows one more request now."""
         return self._within_rate(1) > 0
 
-    def hear(self, notice):
+    def apply_notice(self, notice):
         """Take in what it said of itself in an answer."""
         if is_of_before(notice.start_ms, self.start_ms):
             return
