--- a/wagtailtrestle/capacity/admission.py
+++ b/wagtailtrestle/capacity/admission.py
@@ -255,7 +255,7 @@
 
     def note_places(self):
         """Take in whether the cell is full; a few times within ``GRANT_WINDOW_S``."""
-        self._granted.note_full(not any(engine.free_slots and not engine.rests for engine in self._engines))
+        self._granted.note_full(not any(engine.free_slots and not engine.backs_off for engine in self._engines))
 
     def overflow(self) -> WaitingRequest | None:
         """Return a waiting request to give up as too many wait, or ``None``.
--- a/wagtailtrestle/engines/state.py
+++ b/wagtailtrestle/engines/state.py
@@ -234,7 +234,7 @@
         self._count_room()
 
     @property
-    def rests(self):
+    def backs_off(self):
         """Whether it wants nothing from some entry."""
         return bool(self._rest_until_by_entry)
 
