--- a/tests/test_rate_limit.py
+++ b/tests/test_rate_limit.py
@@ -220,9 +220,9 @@
         cell = Cell(members=("r1",))
         cell.receive(register("r1"), notice(1.0))
         (engine,) = cell.scheduler._runs.engines
-        self.assertEqual(engine.spare, 0)
+        self.assertEqual(engine.free_rollout_slots, 0)
         cell.advance(1.1)
-        self.assertEqual(engine.spare, 1)
+        self.assertEqual(engine.free_rollout_slots, 1)
 
 
 if __name__ == "__main__":
--- a/wagtailtrestle/capacity/scheduler.py
+++ b/wagtailtrestle/capacity/scheduler.py
@@ -488,7 +488,7 @@
             for engine in self._runs.engines
             if engine.held_back
             and self._rollout.is_target(engine.version)
-            and engine.spare
+            and engine.free_rollout_slots
             and not engine.rest_s(request.entry)
         ]
         return max(tried, key=lambda engine: (engine.running, engine.name), default=None)
--- a/wagtailtrestle/engines/state.py
+++ b/wagtailtrestle/engines/state.py
@@ -201,7 +201,7 @@
         self._refresh_limit()
 
     @property
-    def spare(self):
+    def free_rollout_slots(self):
         """Places free now for a request that a roll-out sends here."""
         if self.leaving or self._unreachable or self._kept_for is not None or self._alone_runs > 0:
             return 0
