--- a/wagtailtrestle/capacity/isolation.py
+++ b/wagtailtrestle/capacity/isolation.py
@@ -65,7 +65,7 @@
         if engine is None:
             self.release()
             return Isolated(waiting=waiting, engine=None)
-        if engine.running == 0 and engine.may_begin:
+        if engine.running == 0 and engine.within_rate_limit:
             self.release()
             return Isolated(waiting=waiting, engine=engine)
         self._keep(engine, waiting)
--- a/wagtailtrestle/engines/state.py
+++ b/wagtailtrestle/engines/state.py
@@ -208,7 +208,7 @@
         return self._within_rate(self.model.concurrency_limit() - self.running)
 
     @property
-    def may_begin(self):
+    def within_rate_limit(self):
         """Whether its rate limit allows one more request now."""
         return self._within_rate(1) > 0
 
