--- a/wagtailtrestle/capacity/run_table.py
+++ b/wagtailtrestle/capacity/run_table.py
@@ -82,7 +82,7 @@
                 self._forget(state)
                 state = None
             states[name] = state or EngineState(declared=declared, clock=self._clock)
-            states[name].declare(declared)
+            states[name].apply_declaration(declared)
         self._declared_by_name = dict(by_name)
         self.engines_by_name = states
         self._health.set_engines(states)
--- a/wagtailtrestle/engines/state.py
+++ b/wagtailtrestle/engines/state.py
@@ -184,7 +184,7 @@
         """Whether the policy may choose it."""
         return self.free_slots > 0
 
-    def declare(self, declared):
+    def apply_declaration(self, declared):
         """Put what a newer declaration says of it in force."""
         self._declared_leaving = declared.leaving
         self.version = declared.version
