--- a/wagtailtrestle/capacity/run_table.py
+++ b/wagtailtrestle/capacity/run_table.py
@@ -178,7 +178,7 @@
     def distrust(self):
         """Believe no engine's report from before now."""
         for engine in self.engines:
-            engine.distrust()
+            engine.invalidate_reports()
 
     def tick(self):
         """Refresh the engines, and free places whose end nobody told."""
--- a/wagtailtrestle/engines/state.py
+++ b/wagtailtrestle/engines/state.py
@@ -288,7 +288,7 @@
             self._prefill_until -= self.model.prefill_s(grant.prefill_tokens)
         self._count_room()
 
-    def distrust(self):
+    def invalidate_reports(self):
         """Believe no report from before now: this process may have been paused."""
         self._trusted_after = self._clock()
 
