--- a/wagtailtrestle/capacity/run_table.py
+++ b/wagtailtrestle/capacity/run_table.py
@@ -63,7 +63,7 @@
         """Keep these engines, and no others, from being chosen."""
         for engine in self.engines:
             if engine.held_back != (engine.name in names):
-                engine.hold_back(engine.name in names)
+                engine.set_reserved(engine.name in names)
 
     def order_by_pace(self):
         """Put the engines on which the next run would get its tokens soonest first."""
--- a/wagtailtrestle/engines/state.py
+++ b/wagtailtrestle/engines/state.py
@@ -195,7 +195,7 @@
         self._marked_leaving = leaving
         self._refresh_limit()
 
-    def hold_back(self, held_back):
+    def set_reserved(self, held_back):
         """Keep it from being chosen for whoever has no word of a roll-out, or no longer."""
         self.held_back = held_back
         self._refresh_limit()
