--- a/wagtailtrestle/capacity/run_table.py
+++ b/wagtailtrestle/capacity/run_table.py
@@ -57,12 +57,12 @@
     @property
     def usable_engines(self):
         """Those that no roll-out holds back."""
-        return [engine for engine in self.engines if not engine.held_back]
+        return [engine for engine in self.engines if not engine.reserved]
 
     def hold_back(self, names):
         """Keep these engines, and no others, from being chosen."""
         for engine in self.engines:
-            if engine.held_back != (engine.name in names):
+            if engine.reserved != (engine.name in names):
                 engine.set_reserved(engine.name in names)
 
     def order_by_pace(self):
--- a/wagtailtrestle/capacity/scheduler.py
+++ b/wagtailtrestle/capacity/scheduler.py
@@ -486,7 +486,7 @@
         tried = [
             engine
             for engine in self._runs.engines
-            if engine.held_back
+            if engine.reserved
             and self._rollout.is_target(engine.version)
             and engine.free_rollout_slots
             and not engine.rest_s(request.entry)
--- a/wagtailtrestle/engines/state.py
+++ b/wagtailtrestle/engines/state.py
@@ -70,7 +70,7 @@
         "_kept_for",
         "start_ms",
         "version",
-        "held_back",
+        "reserved",
         "_alone_runs",
         "_declared_leaving",
         "_marked_leaving",
@@ -107,7 +107,7 @@
         self._kept_for = None
         self.start_ms = declared.start_ms
         self.version = declared.version
-        self.held_back = False
+        self.reserved = False
         self._alone_runs = 0
         self._declared_leaving = declared.leaving
         self._marked_leaving = False
@@ -195,9 +195,9 @@
         self._marked_leaving = leaving
         self._refresh_limit()
 
-    def set_reserved(self, held_back):
+    def set_reserved(self, reserved):
         """Keep it from being chosen for whoever has no word of a roll-out, or no longer."""
-        self.held_back = held_back
+        self.reserved = reserved
         self._refresh_limit()
 
     @property
@@ -388,7 +388,7 @@
         }
 
     def _refresh_limit(self):
-        usable = not self.leaving and not self._unreachable and not self.held_back
+        usable = not self.leaving and not self._unreachable and not self.reserved
         self.limit = math.ceil(self.model.concurrency_limit() * self.health_share) if usable else 0
         self._count_room()
 
