--- a/wagtailtrestle/engines/state.py
+++ b/wagtailtrestle/engines/state.py
@@ -172,7 +172,7 @@
     @kept_for.setter
     def kept_for(self, request_id):
         self._kept_for = request_id
-        self._count_room()
+        self._update_free_slots()
 
     @property
     def runs_alone(self):
@@ -231,7 +231,7 @@
             # What it was given lately is more than it takes already.
             for grant in self.grants_by_request_id.values():
                 self.rate_limit.record_earlier_request(grant.granted_at)
-        self._count_room()
+        self._update_free_slots()
 
     @property
     def backs_off(self):
@@ -262,7 +262,7 @@
             prefill_s = self.model.prefill_s(grant.prefill_tokens)
             self._prefill_until = max(self._clock(), self._prefill_until) + prefill_s
             self._slacks = [(tier, slack_s - prefill_s) for tier, slack_s in self._slacks if slack_s > prefill_s]
-        self._count_room()
+        self._update_free_slots()
 
     def add_registered(self, grant: Grant):
         """Count a run an entry registered; a report that showed it no longer shows a phantom."""
@@ -286,7 +286,7 @@
         if not grant.started:
             self._unstarted_tokens -= grant.prefill_tokens
             self._prefill_until -= self.model.prefill_s(grant.prefill_tokens)
-        self._count_room()
+        self._update_free_slots()
 
     def invalidate_reports(self):
         """Believe no report from before now: this process may have been paused."""
@@ -317,7 +317,7 @@
         orphans = [grant for grant in self.grants_by_request_id.values() if _is_orphan_at(grant, report_at)]
         gone = orphans[: max(0, len(orphans) - max(0, unexplained))]
         self.phantom = max(0, unexplained - len(orphans))
-        self._count_room()
+        self._update_free_slots()
         return gone
 
     def tick(self, *, health_share):
@@ -390,9 +390,9 @@
     def _refresh_limit(self):
         usable = not self.leaving and not self._unreachable and not self.reserved
         self.limit = math.ceil(self.model.concurrency_limit() * self.health_share) if usable else 0
-        self._count_room()
+        self._update_free_slots()
 
-    def _count_room(self):
+    def _update_free_slots(self):
         is_for_one = self._kept_for is not None or self._alone_runs > 0
         self.free_slots = 0 if is_for_one else self._within_rate(self.limit - self.running)
 
