--- a/wagtailtrestle/engines/state.py
+++ b/wagtailtrestle/engines/state.py
@@ -205,12 +205,12 @@
         """Places free now for a request that a roll-out sends here."""
         if self.leaving or self._unreachable or self._kept_for is not None or self._alone_runs > 0:
             return 0
-        return self._within_rate(self.model.concurrency_limit() - self.running)
+        return self._cap_by_rate_limit(self.model.concurrency_limit() - self.running)
 
     @property
     def within_rate_limit(self):
         """Whether its rate limit allows one more request now."""
-        return self._within_rate(1) > 0
+        return self._cap_by_rate_limit(1) > 0
 
     def apply_notice(self, notice):
         """Take in what it said of itself in an answer."""
@@ -394,9 +394,9 @@
 
     def _update_free_slots(self):
         is_for_one = self._kept_for is not None or self._alone_runs > 0
-        self.free_slots = 0 if is_for_one else self._within_rate(self.limit - self.running)
+        self.free_slots = 0 if is_for_one else self._cap_by_rate_limit(self.limit - self.running)
 
-    def _within_rate(self, places):
+    def _cap_by_rate_limit(self, places):
         available_requests = self.rate_limit.available_requests()
         return max(0, places if available_requests is None else min(places, available_requests))
 
