--- a/wagtailtrestle/engines/state.py
+++ b/wagtailtrestle/engines/state.py
@@ -75,7 +75,7 @@
         "_declared_leaving",
         "_marked_leaving",
         "_said_leaving_at",
-        "_rest_until_by_entry",
+        "_back_off_until_by_entry",
         "_unreachable",
         "_trusted_after",
         "_clock",
@@ -112,7 +112,7 @@
         self._declared_leaving = declared.leaving
         self._marked_leaving = False
         self._said_leaving_at = -math.inf
-        self._rest_until_by_entry = {}
+        self._back_off_until_by_entry = {}
         self._unreachable = False
         self._trusted_after = -math.inf
         self._clock = clock
@@ -218,7 +218,9 @@
             return
         if notice.rest_s:
             until = self._clock() + notice.rest_s
-            self._rest_until_by_entry[notice.entry] = max(until, self._rest_until_by_entry.get(notice.entry, until))
+            self._back_off_until_by_entry[notice.entry] = max(
+                until, self._back_off_until_by_entry.get(notice.entry, until)
+            )
         if notice.leaving:
             self._said_leaving_at = max(self._said_leaving_at, self._clock() - notice.age_s)
             self._refresh_limit()
@@ -236,13 +238,13 @@
     @property
     def backs_off(self):
         """Whether it wants nothing from some entry."""
-        return bool(self._rest_until_by_entry)
+        return bool(self._back_off_until_by_entry)
 
     def rest_s(self, entry):
         """Time left in which it wants nothing from an entry; 0 without a rest."""
-        if not self._rest_until_by_entry:
+        if not self._back_off_until_by_entry:
             return 0.0
-        return max(0.0, self._rest_until_by_entry.get(entry, 0.0) - self._clock())
+        return max(0.0, self._back_off_until_by_entry.get(entry, 0.0) - self._clock())
 
     def mark_unreachable(self):
         """Grant nothing until the engine reports again."""
@@ -340,8 +342,8 @@
 
     def _forget_rests(self):
         now = self._clock()
-        for entry in [entry for entry, until in self._rest_until_by_entry.items() if until <= now]:
-            del self._rest_until_by_entry[entry]
+        for entry in [entry for entry, until in self._back_off_until_by_entry.items() if until <= now]:
+            del self._back_off_until_by_entry[entry]
 
     def would_delay(self, *, prefill_s, tier):
         """Whether a prefill this long would make a run of this tier or above late.
@@ -377,7 +379,7 @@
             "kept_for": self.kept_for,
             "limit": self.limit,
             "rate_limit": self.rate_limit.dump(),
-            "rest_s_by_entry": {entry: round(self.rest_s(entry), 3) for entry in self._rest_until_by_entry},
+            "rest_s_by_entry": {entry: round(self.rest_s(entry), 3) for entry in self._back_off_until_by_entry},
             "pending_prefill_tokens": self.pending_prefill_tokens,
             "reported_running": self.reported_running,
             "report_age_s": round(self.report_age_s, 3) if self._report else None,
