--- a/wagtailtrestle/engines/state.py
+++ b/wagtailtrestle/engines/state.py
@@ -328,7 +328,7 @@
         if self.report_age_s > PHANTOM_KEPT_S:
             self.phantom = 0
         self._refresh_limit()
-        self._forget_rests()
+        self._expire_back_offs()
         horizon = self._clock() - FINISHES_KEPT_S
         while self._finishes and self._finishes[0][0] < horizon:
             self._finishes.popleft()
@@ -340,7 +340,7 @@
             if slack_s > 0.0:
                 self._slacks.append((grant.request.tier, slack_s))
 
-    def _forget_rests(self):
+    def _expire_back_offs(self):
         now = self._clock()
         for entry in [entry for entry, until in self._back_off_until_by_entry.items() if until <= now]:
             del self._back_off_until_by_entry[entry]
