--- a/wagtailtrestle/engines/state.py
+++ b/wagtailtrestle/engines/state.py
@@ -74,7 +74,7 @@
         "_alone_runs",
         "_declared_leaving",
         "_marked_leaving",
-        "_said_leaving_at",
+        "_leaving_notice_at",
         "_back_off_until_by_entry",
         "_unreachable",
         "_trusted_after",
@@ -111,7 +111,7 @@
         self._alone_runs = 0
         self._declared_leaving = declared.leaving
         self._marked_leaving = False
-        self._said_leaving_at = -math.inf
+        self._leaving_notice_at = -math.inf
         self._back_off_until_by_entry = {}
         self._unreachable = False
         self._trusted_after = -math.inf
@@ -161,7 +161,7 @@
     def leaving(self):
         """Whether anyone said so: the declaration, the list, or the engine itself."""
         reported = self._report is not None and self._report.leaving
-        said = self._clock() - self._said_leaving_at < LEAVING_KEPT_S
+        said = self._clock() - self._leaving_notice_at < LEAVING_KEPT_S
         return self._declared_leaving or self._marked_leaving or reported or said
 
     @property
@@ -222,7 +222,7 @@
                 until, self._back_off_until_by_entry.get(notice.entry, until)
             )
         if notice.leaving:
-            self._said_leaving_at = max(self._said_leaving_at, self._clock() - notice.age_s)
+            self._leaving_notice_at = max(self._leaving_notice_at, self._clock() - notice.age_s)
             self._refresh_limit()
             return
         if notice.rest_s and not notice.names_limit:
