--- a/wagtailtrestle/engines/state.py
+++ b/wagtailtrestle/engines/state.py
@@ -161,8 +161,8 @@
     def leaving(self):
         """Whether anyone said so: the declaration, the list, or the engine itself."""
         reported = self._report is not None and self._report.leaving
-        said = self._clock() - self._leaving_notice_at < LEAVING_KEPT_S
-        return self._declared_leaving or self._marked_leaving or reported or said
+        noticed = self._clock() - self._leaving_notice_at < LEAVING_KEPT_S
+        return self._declared_leaving or self._marked_leaving or reported or noticed
 
     @property
     def kept_for(self):
