--- a/wagtailtrestle/engines/state.py
+++ b/wagtailtrestle/engines/state.py
@@ -77,7 +77,7 @@
         "_leaving_notice_at",
         "_back_off_until_by_entry",
         "_unreachable",
-        "_trusted_after",
+        "_reports_valid_from",
         "_clock",
         "_finishes",
         "_report",
@@ -114,7 +114,7 @@
         self._leaving_notice_at = -math.inf
         self._back_off_until_by_entry = {}
         self._unreachable = False
-        self._trusted_after = -math.inf
+        self._reports_valid_from = -math.inf
         self._clock = clock
         self._finishes = deque()
         self._report = None
@@ -155,7 +155,7 @@
     @property
     def reported(self):
         """Whether a report shows the engine as it was since it was last distrusted."""
-        return self._report_at >= self._trusted_after
+        return self._report_at >= self._reports_valid_from
 
     @property
     def leaving(self):
@@ -292,7 +292,7 @@
 
     def invalidate_reports(self):
         """Believe no report from before now: this process may have been paused."""
-        self._trusted_after = self._clock()
+        self._reports_valid_from = self._clock()
 
     def report(self, report):
         """Correct the account by a load report, which shows the past.
