--- a/wagtailtrestle/engines/state.py
+++ b/wagtailtrestle/engines/state.py
@@ -315,7 +315,7 @@
         self._refresh_limit()
         if report.step_s and report.running:
             self.model.observe_report(step_s=report.step_s, running=report.running)
-        unexplained = report.running + report.waiting - self._known_at(report_at)
+        unexplained = report.running + report.waiting - self._accounted_runs_at(report_at)
         orphans = [grant for grant in self.grants_by_request_id.values() if _is_orphan_at(grant, report_at)]
         gone = orphans[: max(0, len(orphans) - max(0, unexplained))]
         self.phantom = max(0, unexplained - len(orphans))
@@ -402,7 +402,7 @@
         available_requests = self.rate_limit.available_requests()
         return max(0, places if available_requests is None else min(places, available_requests))
 
-    def _known_at(self, at):
+    def _accounted_runs_at(self, at):
         """Runs of live entries that the engine held at that time, by this account."""
         known = sum(
             1 for grant in self.grants_by_request_id.values() if grant.granted_at <= at and not _is_orphan_at(grant, at)
