--- a/wagtailtrestle/engines/state.py
+++ b/wagtailtrestle/engines/state.py
@@ -254,9 +254,9 @@
     def add(self, grant: Grant):
         """Count a grant that is made now against this engine."""
         self.rate_limit.record_request()
-        self._hold(grant)
+        self._add_run(grant)
 
-    def _hold(self, grant):
+    def _add_run(self, grant):
         self.grants_by_request_id[grant.request_id] = grant
         self._alone_runs += grant.request.alone
         if not grant.started:
@@ -271,7 +271,7 @@
         if grant.granted_at <= self._report_at:
             self.phantom = max(0, self.phantom - 1)
         self.rate_limit.record_earlier_request(grant.granted_at)
-        self._hold(grant)
+        self._add_run(grant)
 
     def start(self, grant: Grant):
         """Note that the grant's run gave its first token."""
