--- a/wagtailtrestle/engines/state.py
+++ b/wagtailtrestle/engines/state.py
@@ -79,7 +79,7 @@
         "_unreachable",
         "_reports_valid_from",
         "_clock",
-        "_finishes",
+        "_ended_grants",
         "_report",
         "_report_at",
         "_unstarted_tokens",
@@ -116,7 +116,7 @@
         self._unreachable = False
         self._reports_valid_from = -math.inf
         self._clock = clock
-        self._finishes = deque()
+        self._ended_grants = deque()
         self._report = None
         self._report_at = -math.inf
         self._unstarted_tokens = 0
@@ -284,7 +284,7 @@
         if self.grants_by_request_id.pop(grant.request_id, None) is None:
             return
         self._alone_runs -= grant.request.alone
-        self._finishes.append((self._clock(), grant.granted_at))
+        self._ended_grants.append((self._clock(), grant.granted_at))
         if not grant.started:
             self._unstarted_tokens -= grant.prefill_tokens
             self._prefill_until -= self.model.prefill_s(grant.prefill_tokens)
@@ -330,8 +330,8 @@
         self._refresh_limit()
         self._expire_back_offs()
         horizon = self._clock() - FINISHES_KEPT_S
-        while self._finishes and self._finishes[0][0] < horizon:
-            self._finishes.popleft()
+        while self._ended_grants and self._ended_grants[0][0] < horizon:
+            self._ended_grants.popleft()
         running = self.running
         self._slacks.clear()
         for grant in self.grants_by_request_id.values():
@@ -407,7 +407,7 @@
         known = sum(
             1 for grant in self.grants_by_request_id.values() if grant.granted_at <= at and not _is_orphan_at(grant, at)
         )
-        return known + sum(1 for ended_at, granted_at in self._finishes if granted_at <= at < ended_at)
+        return known + sum(1 for ended_at, granted_at in self._ended_grants if granted_at <= at < ended_at)
 
 
 def _is_orphan_at(grant, at):
