--- a/wagtailtrestle/engines/state.py
+++ b/wagtailtrestle/engines/state.py
@@ -9,7 +9,7 @@
 from wagtailtrestle.engines.prefix_cache import PrefixCacheIndex
 from wagtailtrestle.engines.rate_limit import RateLimit
 
-FINISHES_KEPT_S = 10.0
+ENDED_GRANTS_RETENTION_S = 10.0
 """How long ended grants are remembered to be set against late load reports."""
 
 PHANTOM_KEPT_S = 5.0
@@ -329,7 +329,7 @@
             self.phantom = 0
         self._refresh_limit()
         self._expire_back_offs()
-        horizon = self._clock() - FINISHES_KEPT_S
+        horizon = self._clock() - ENDED_GRANTS_RETENTION_S
         while self._ended_grants and self._ended_grants[0][0] < horizon:
             self._ended_grants.popleft()
         running = self.running
