--- a/wagtailtrestle/engines/state.py
+++ b/wagtailtrestle/engines/state.py
@@ -12,7 +12,7 @@
 ENDED_GRANTS_RETENTION_S = 10.0
 """How long ended grants are remembered to be set against late load reports."""
 
-PHANTOM_KEPT_S = 5.0
+PHANTOM_RETENTION_S = 5.0
 """How long load that only a report showed is believed without a newer report."""
 
 DELAY_FACTOR = 1.0
@@ -325,7 +325,7 @@
     def tick(self, *, health_share):
         """Refresh what is computed seldom, and forget what no report can still speak of."""
         self.health_share = health_share
-        if self.report_age_s > PHANTOM_KEPT_S:
+        if self.report_age_s > PHANTOM_RETENTION_S:
             self.phantom = 0
         self._refresh_limit()
         self._expire_back_offs()
