--- a/tests/test_leaving_notices.py
+++ b/tests/test_leaving_notices.py
@@ -7,7 +7,7 @@
 from tests.utils.paused_clock import on_paused_clock
 from tests.utils.scheduler_fakes import Cell, ask, engine, register
 from wagtailtrestle.contracts.messages import EngineNotice, Granted
-from wagtailtrestle.engines.notices import LEAVING_KEPT_S
+from wagtailtrestle.engines.notices import LEAVING_NOTICE_TTL_S
 
 FORMER_MS, LATER_MS = 1000, 2000
 
@@ -36,7 +36,7 @@
         request = OneRequest()
         request.entry.post("r1", leaves())
         self.assertEqual(len(request.entry.register("asistente").notices), 1)
-        await asyncio.sleep(LEAVING_KEPT_S)
+        await asyncio.sleep(LEAVING_NOTICE_TTL_S)
         self.assertEqual(request.entry.register("asistente").notices, ())
 
 
--- a/wagtailtrestle/engines/notices.py
+++ b/wagtailtrestle/engines/notices.py
@@ -14,7 +14,7 @@
 MAX_REST_S = 3600.0
 """Longest rest that an engine is granted."""
 
-LEAVING_KEPT_S = 300.0
+LEAVING_NOTICE_TTL_S = 300.0
 """Time for which a notice of leaving holds unless the engine tells another start; one that starts again under its name
 without telling so is used again after it."""
 
@@ -105,7 +105,7 @@
         heard = self._heard_by_engine.get(engine.name)
         if heard is None or is_of_before(heard.start_ms, engine.start_ms):
             return False
-        return self._clock() - heard.leaving_at < LEAVING_KEPT_S
+        return self._clock() - heard.leaving_at < LEAVING_NOTICE_TTL_S
 
     def rest_s(self, engine: DeclaredEngine) -> float:
         """Time left in which the engine wants nothing from this router; not positive without a rest."""
@@ -141,7 +141,7 @@
             told = {"engine": engine, "start_ms": heard.start_ms, "entry": self._router}
             if now - heard.limit_at < KEPT_S:
                 notices.append(EngineNotice(**told, limit_per_s=heard.limit_per_s, age_s=now - heard.limit_at))
-            if now - heard.leaving_at < LEAVING_KEPT_S:
+            if now - heard.leaving_at < LEAVING_NOTICE_TTL_S:
                 notices.append(EngineNotice(**told, leaving=True, age_s=now - heard.leaving_at))
             if heard.rest_until > now:
                 notices.append(EngineNotice(**told, rest_s=heard.rest_until - now))
@@ -168,7 +168,7 @@
         self._heard_by_engine = {
             engine: heard
             for engine, heard in self._heard_by_engine.items()
-            if now - heard.limit_at < KEPT_S or now - heard.leaving_at < LEAVING_KEPT_S or heard.rest_until > now
+            if now - heard.limit_at < KEPT_S or now - heard.leaving_at < LEAVING_NOTICE_TTL_S or heard.rest_until > now
         }
 
 
--- a/wagtailtrestle/engines/state.py
+++ b/wagtailtrestle/engines/state.py
@@ -5,7 +5,7 @@
 
 from wagtailtrestle.capacity.grants import Grant
 from wagtailtrestle.engines.model import EngineModel
-from wagtailtrestle.engines.notices import LEAVING_KEPT_S, is_of_before
+from wagtailtrestle.engines.notices import LEAVING_NOTICE_TTL_S, is_of_before
 from wagtailtrestle.engines.prefix_cache import PrefixCacheIndex
 from wagtailtrestle.engines.rate_limit import RateLimit
 
@@ -161,7 +161,7 @@
     def leaving(self):
         """Whether anyone said so: the declaration, the list, or the engine itself."""
         reported = self._report is not None and self._report.leaving
-        noticed = self._clock() - self._leaving_notice_at < LEAVING_KEPT_S
+        noticed = self._clock() - self._leaving_notice_at < LEAVING_NOTICE_TTL_S
         return self._declared_leaving or self._marked_leaving or reported or noticed
 
     @property
