--- a/wagtailtrestle/engines/notices.py
+++ b/wagtailtrestle/engines/notices.py
@@ -81,9 +81,9 @@
         """Take in a notice that was read just now."""
         self._forget_old()
         heard = self._heard_by_engine.get(notice.engine)
-        if heard is None or is_of_before(heard.start_ms, notice.start_ms):
+        if heard is None or is_earlier_start(heard.start_ms, notice.start_ms):
             heard = self._heard_by_engine[notice.engine] = Heard(start_ms=notice.start_ms)
-        if is_of_before(notice.start_ms, heard.start_ms):
+        if is_earlier_start(notice.start_ms, heard.start_ms):
             return
         self._take_limit(notice, heard)
         if notice.rest_s:
@@ -103,14 +103,14 @@
     def is_leaving(self, engine: DeclaredEngine) -> bool:
         """Whether the engine said that it leaves, and hasn't started again since."""
         heard = self._heard_by_engine.get(engine.name)
-        if heard is None or is_of_before(heard.start_ms, engine.start_ms):
+        if heard is None or is_earlier_start(heard.start_ms, engine.start_ms):
             return False
         return self._clock() - heard.leaving_at < LEAVING_NOTICE_TTL_S
 
     def rest_s(self, engine: DeclaredEngine) -> float:
         """Time left in which the engine wants nothing from this router; not positive without a rest."""
         heard = self._heard_by_engine.get(engine.name)
-        if heard is None or is_of_before(heard.start_ms, engine.start_ms):
+        if heard is None or is_earlier_start(heard.start_ms, engine.start_ms):
             return 0.0
         return heard.rest_until - self._clock()
 
@@ -210,7 +210,7 @@
         }
 
 
-def is_of_before(start_ms, other_ms):
+def is_earlier_start(start_ms, other_ms):
     """Whether a start of an engine came before another; unknown starts are taken for the same."""
     return 0 < start_ms < other_ms
 
--- a/wagtailtrestle/engines/state.py
+++ b/wagtailtrestle/engines/state.py
@@ -5,7 +5,7 @@
 
 from wagtailtrestle.capacity.grants import Grant
 from wagtailtrestle.engines.model import EngineModel
-from wagtailtrestle.engines.notices import LEAVING_NOTICE_TTL_S, is_of_before
+from wagtailtrestle.engines.notices import LEAVING_NOTICE_TTL_S, is_earlier_start
 from wagtailtrestle.engines.prefix_cache import PrefixCacheIndex
 from wagtailtrestle.engines.rate_limit import RateLimit
 
@@ -214,7 +214,7 @@
 
     def apply_notice(self, notice):
         """Take in what it said of itself in an answer."""
-        if is_of_before(notice.start_ms, self.start_ms):
+        if is_earlier_start(notice.start_ms, self.start_ms):
             return
         if notice.rest_s:
             until = self._clock() + notice.rest_s
