--- a/tests/test_rate_limit.py
+++ b/tests/test_rate_limit.py
@@ -11,7 +11,7 @@
 from tests.utils.scheduler_fakes import Cell, Clock, ask, finished, register
 from tests.utils.steady_callers import most_within
 from wagtailtrestle.contracts.messages import EngineNotice, Granted, GrantRequest, Refused
-from wagtailtrestle.engines.rate_limit import KEPT_S, RateLimit
+from wagtailtrestle.engines.rate_limit import LIMIT_NOTICE_TTL_S, RateLimit
 
 WINDOW_S = 4.0
 STEP_S = 0.05
@@ -200,7 +200,7 @@
         request = OneRequest()
         request.entry.post("r1", notice(2.0))
         self.assertEqual(len(request.entry.register("asistente").notices), 1)
-        await asyncio.sleep(KEPT_S)
+        await asyncio.sleep(LIMIT_NOTICE_TTL_S)
         self.assertEqual(request.entry.register("asistente").notices, ())
         await request.grant("e1")
         self.assertEqual(len(request.caller.starts), 1)
--- a/wagtailtrestle/engines/notices.py
+++ b/wagtailtrestle/engines/notices.py
@@ -6,7 +6,7 @@
 
 from wagtailtrestle.contracts.declaration import DeclaredEngine
 from wagtailtrestle.contracts.messages import EngineNotice, Granted
-from wagtailtrestle.engines.rate_limit import KEPT_S
+from wagtailtrestle.engines.rate_limit import LIMIT_NOTICE_TTL_S
 
 HEARD_SLACK_S = 0.5
 """How much older than this router's own notice a scheduler's may be: grants that were on their way are used."""
@@ -98,7 +98,7 @@
 
     def is_limited(self, engine) -> bool:
         """Whether the engine named a limit when it was last heard."""
-        return self._limit_age_s(engine) < KEPT_S
+        return self._limit_age_s(engine) < LIMIT_NOTICE_TTL_S
 
     def is_leaving(self, engine: DeclaredEngine) -> bool:
         """Whether the engine said that it leaves, and hasn't started again since."""
@@ -123,7 +123,7 @@
     def are_unknown_to(self, granted: Granted) -> bool:
         """Whether a scheduler granted a place on an engine without having heard of the limit that it names."""
         age_s = self._limit_age_s(granted.engine)
-        return age_s < KEPT_S and granted.limit_age_s > age_s + HEARD_SLACK_S
+        return age_s < LIMIT_NOTICE_TTL_S and granted.limit_age_s > age_s + HEARD_SLACK_S
 
     @property
     def engines(self):
@@ -139,7 +139,7 @@
             if heard is None:
                 continue
             told = {"engine": engine, "start_ms": heard.start_ms, "entry": self._router}
-            if now - heard.limit_at < KEPT_S:
+            if now - heard.limit_at < LIMIT_NOTICE_TTL_S:
                 notices.append(EngineNotice(**told, limit_per_s=heard.limit_per_s, age_s=now - heard.limit_at))
             if now - heard.leaving_at < LEAVING_NOTICE_TTL_S:
                 notices.append(EngineNotice(**told, leaving=True, age_s=now - heard.leaving_at))
@@ -168,7 +168,9 @@
         self._heard_by_engine = {
             engine: heard
             for engine, heard in self._heard_by_engine.items()
-            if now - heard.limit_at < KEPT_S or now - heard.leaving_at < LEAVING_NOTICE_TTL_S or heard.rest_until > now
+            if now - heard.limit_at < LIMIT_NOTICE_TTL_S
+            or now - heard.leaving_at < LEAVING_NOTICE_TTL_S
+            or heard.rest_until > now
         }
 
 
--- a/wagtailtrestle/engines/rate_limit.py
+++ b/wagtailtrestle/engines/rate_limit.py
@@ -25,7 +25,7 @@
 DOUBLED_EACH_S = 0.5
 """Time in which a limit that is no longer named doubles."""
 
-KEPT_S = 10.0
+LIMIT_NOTICE_TTL_S = 10.0
 """Time for which a limit that was named is told on: older, it may have been lifted unheard."""
 
 LIFTED_FACTOR = 16.0
@@ -77,7 +77,7 @@
     def age_s(self):
         """Time since an answer last named a limit; infinite if none did, or long ago."""
         age_s = self._clock() - self._named_at
-        return age_s if self.in_force or age_s < KEPT_S else math.inf
+        return age_s if self.in_force or age_s < LIMIT_NOTICE_TTL_S else math.inf
 
     def observe(self, per_s, *, age_s=0.0):
         """Take in what an answer named that was read ``age_s`` ago; ``per_s`` is infinite without a limit."""
