--- a/wagtailtrestle/engines/notices.py
+++ b/wagtailtrestle/engines/notices.py
@@ -8,7 +8,7 @@
 from wagtailtrestle.contracts.messages import EngineNotice, Granted
 from wagtailtrestle.engines.rate_limit import LIMIT_NOTICE_TTL_S
 
-HEARD_SLACK_S = 0.5
+NOTICE_AGE_TOLERANCE_S = 0.5
 """How much older than this router's own notice a scheduler's may be: grants that were on their way are used."""
 
 MAX_REST_S = 3600.0
@@ -123,7 +123,7 @@
     def are_unknown_to(self, granted: Granted) -> bool:
         """Whether a scheduler granted a place on an engine without having heard of the limit that it names."""
         age_s = self._limit_age_s(granted.engine)
-        return age_s < LIMIT_NOTICE_TTL_S and granted.limit_age_s > age_s + HEARD_SLACK_S
+        return age_s < LIMIT_NOTICE_TTL_S and granted.limit_age_s > age_s + NOTICE_AGE_TOLERANCE_S
 
     @property
     def engines(self):
--- a/wagtailtrestle/entry/entry.py
+++ b/wagtailtrestle/entry/entry.py
@@ -13,7 +13,7 @@
 from wagtailtrestle.contracts.exchange import AnswerRefusal
 from wagtailtrestle.contracts.messages import EngineDown, EngineNotice, Granted, Register, RunFinished, Withdraw
 from wagtailtrestle.contracts.outcomes import Executed, Reason, RunNotSent
-from wagtailtrestle.engines.notices import HEARD_SLACK_S, EngineNotices
+from wagtailtrestle.engines.notices import NOTICE_AGE_TOLERANCE_S, EngineNotices
 from wagtailtrestle.entry.cells import cells_of, choose_cell
 from wagtailtrestle.entry.final_answers import DEFAULT_RETRY_AFTER_S, refusal_of
 from wagtailtrestle.entry.request_task import Displaced, RequestState, RequestTask
@@ -212,7 +212,7 @@
             return
         rested_s = self._notices.rested_s(engine)
         # What was on its way when the engine first asked is no fault.
-        if rested_s > HEARD_SLACK_S:
+        if rested_s > NOTICE_AGE_TOLERANCE_S:
             self._run_counts.note_rest_broken(engine=notice.engine, rested_s=rested_s)
 
     def displace(self, request_id):
