--- a/tests/test_rest_notices.py
+++ b/tests/test_rest_notices.py
@@ -9,7 +9,7 @@
 from wagtailtrestle.contracts.exchange import StartRun
 from wagtailtrestle.contracts.messages import EngineNotice, Granted, GrantRequest, Refused
 from wagtailtrestle.contracts.outcomes import RunNotSent
-from wagtailtrestle.engines.notices import MAX_REST_S, read_notice
+from wagtailtrestle.engines.notices import MAX_BACK_OFF_S, read_notice
 
 REST_S = 3.0
 
@@ -131,7 +131,7 @@
             with self.subTest(text=text):
                 self.assertEqual(self.rest_s(text), 0.0)
         self.assertEqual(self.rest_s("2.5"), 2.5)
-        self.assertEqual(self.rest_s("90000"), MAX_REST_S)
+        self.assertEqual(self.rest_s("90000"), MAX_BACK_OFF_S)
 
 
 class TurnedAwayTest(unittest.TestCase):
--- a/wagtailtrestle/engines/notices.py
+++ b/wagtailtrestle/engines/notices.py
@@ -11,7 +11,7 @@
 NOTICE_AGE_TOLERANCE_S = 0.5
 """How much older than this router's own notice a scheduler's may be: grants that were on their way are used."""
 
-MAX_REST_S = 3600.0
+MAX_BACK_OFF_S = 3600.0
 """Longest rest that an engine is granted."""
 
 LEAVING_NOTICE_TTL_S = 300.0
@@ -38,7 +38,7 @@
         ``None`` if nothing can be told from it: a limit that can't be read neither holds nor ends.
     """
     limit_per_s = math.inf if limit is None else _read_number(limit)
-    rest_s = 0.0 if retry_after is None else min(MAX_REST_S, _read_number(retry_after) or 0.0)
+    rest_s = 0.0 if retry_after is None else min(MAX_BACK_OFF_S, _read_number(retry_after) or 0.0)
     if limit_per_s is None and not leaving and not rest_s:
         return None
     return EngineNotice(
