--- a/tests/test_engine_model.py
+++ b/tests/test_engine_model.py
@@ -84,7 +84,7 @@
         model = make_model()
         for _ in range(200):
             model.observe_finish(output_tokens=100, decode_s=100 * 2.0 * model.step_s(10), mean_concurrency=10)
-        self.assertAlmostEqual(model.pace_s(10) / model.step_s(10), 2.0, delta=0.1)
+        self.assertAlmostEqual(model.token_interval_s(10) / model.step_s(10), 2.0, delta=0.1)
         report(model, count=30, prefill_share=0.0)
         self.assertGreater(model.confidence(), 0.9)
 
--- a/wagtailtrestle/capacity/admission.py
+++ b/wagtailtrestle/capacity/admission.py
@@ -491,7 +491,7 @@
         return shielded_run_s(request, engine, concurrency, pending_prefill_tokens)
     predicted_s = run_s(request, engine, concurrency, pending_prefill_tokens)
     unexpected_tokens = LENGTH_CAUTION * (waiting.asked_tokens - request.output_tokens)
-    return margin * (predicted_s + unexpected_tokens * engine.model.pace_s(concurrency))
+    return margin * (predicted_s + unexpected_tokens * engine.model.token_interval_s(concurrency))
 
 
 def tolerance(engine):
--- a/wagtailtrestle/capacity/run_table.py
+++ b/wagtailtrestle/capacity/run_table.py
@@ -67,7 +67,7 @@
 
     def order_by_pace(self):
         """Put the engines on which the next run would get its tokens soonest first."""
-        ordered = sorted(self.engines, key=lambda engine: engine.model.pace_s(engine.running + 1))
+        ordered = sorted(self.engines, key=lambda engine: engine.model.token_interval_s(engine.running + 1))
         self.engines_by_name = {engine.name: engine for engine in ordered}
 
     def declare(self, by_name):
@@ -234,7 +234,7 @@
         tokens = message.output_tokens or grant.request.output_tokens
         decode_s = message.duration_s - (message.first_token_s if message.output_tokens else 0.0)
         concurrency = grant.mean_concurrency
-        expected_s = tokens * engine.model.pace_s(concurrency)
+        expected_s = tokens * engine.model.token_interval_s(concurrency)
         self._health.on_progress_rate(engine.name, decode_s / expected_s, self._clock())
         self.lengths.observe(
             request=grant.request, asked_tokens=grant.asked_tokens, output_tokens=message.output_tokens
--- a/wagtailtrestle/engines/model.py
+++ b/wagtailtrestle/engines/model.py
@@ -140,8 +140,8 @@
         """Learn interference from one run's whole decode."""
         if output_tokens < 1 or decode_s <= 0.0:
             return
-        pace_s = decode_s / output_tokens
-        ratio = min(MAX_INTERFERENCE, max(1.0, pace_s / self.step_s(mean_concurrency)))
+        token_interval_s = decode_s / output_tokens
+        ratio = min(MAX_INTERFERENCE, max(1.0, token_interval_s / self.step_s(mean_concurrency)))
         kept = self._paced_s * max(0.0, 1.0 - decode_s / PACE_MEMORY_S)
         self._interference = (self._interference * kept + ratio * decode_s) / (kept + decode_s)
         self._paced_s = kept + decode_s
@@ -170,7 +170,7 @@
         """Expected seconds of one decode step that prefills nothing."""
         return self._step_s_by_runs[max(1, min(round(concurrency), self.slots)) - 1]
 
-    def pace_s(self, concurrency):
+    def token_interval_s(self, concurrency):
         """Expected seconds from token to token, other prompts' prefill included."""
         return self.step_s(concurrency) * self._interference
 
@@ -190,7 +190,7 @@
             concurrency=concurrency,
             pending_prefill_tokens=pending_prefill_tokens,
         )
-        return first_s + max(0, output_tokens - 1) * self.pace_s(concurrency)
+        return first_s + max(0, output_tokens - 1) * self.token_interval_s(concurrency)
 
     def concurrency_limit(self):
         """Least concurrency that keeps the engine just full, within its slots."""
--- a/wagtailtrestle/engines/state.py
+++ b/wagtailtrestle/engines/state.py
@@ -355,13 +355,13 @@
 
     def remaining_s(self, grant: Grant):
         """Predicted seconds until the grant's run ends by itself."""
-        return self._remaining_s(grant, self.model.pace_s(self.running))
+        return self._remaining_s(grant, self.model.token_interval_s(self.running))
 
     def _slack_s(self, grant, running):
         # A run that would be late at the present pace may still be in time if nothing
         # more is prefilled beside it: then that much is its slack.
         left_s = grant.deadline - self._clock()
-        slack_s = left_s - self._remaining_s(grant, self.model.pace_s(running))
+        slack_s = left_s - self._remaining_s(grant, self.model.token_interval_s(running))
         return slack_s if slack_s > 0.0 else left_s - self._remaining_s(grant, self.model.step_s(running))
 
     def _remaining_s(self, grant, step_s):
