--- a/wagtailtrestle/engines/model.py
+++ b/wagtailtrestle/engines/model.py
@@ -94,7 +94,7 @@
         "_prefill_s_per_token",
         "_prefill_tokens",
         "_interference",
-        "_paced_s",
+        "_interference_weight_s",
         "_finishes",
     )
 
@@ -116,7 +116,7 @@
         self._prefill_s_per_token = 1.0 / prefill_tokens_per_s
         self._prefill_tokens = PRIOR_PREFILL_TOKENS
         self._interference = 1.0
-        self._paced_s = 1.0
+        self._interference_weight_s = 1.0
         self._finishes = 0
 
     # What is measured.
@@ -142,9 +142,9 @@
             return
         token_interval_s = decode_s / output_tokens
         ratio = min(MAX_INTERFERENCE, max(1.0, token_interval_s / self.step_s(mean_concurrency)))
-        kept = self._paced_s * max(0.0, 1.0 - decode_s / PACE_MEMORY_S)
+        kept = self._interference_weight_s * max(0.0, 1.0 - decode_s / PACE_MEMORY_S)
         self._interference = (self._interference * kept + ratio * decode_s) / (kept + decode_s)
-        self._paced_s = kept + decode_s
+        self._interference_weight_s = kept + decode_s
         self._finishes += 1
 
     def observe_report(self, *, step_s, running, prefilling=None):
