--- a/wagtailtrestle/engines/model.py
+++ b/wagtailtrestle/engines/model.py
@@ -54,7 +54,7 @@
 PREFILL_MEMORY_TOKENS = 60_000.0
 """Tokens over which old evidence on the prefill rate fades."""
 
-PACE_MEMORY_S = 150.0
+INTERFERENCE_MEMORY_S = 150.0
 """Seconds of decoding over which old evidence on interference fades."""
 
 MAX_INTERFERENCE = 20.0
@@ -142,7 +142,7 @@
             return
         token_interval_s = decode_s / output_tokens
         ratio = min(MAX_INTERFERENCE, max(1.0, token_interval_s / self.step_s(mean_concurrency)))
-        kept = self._interference_weight_s * max(0.0, 1.0 - decode_s / PACE_MEMORY_S)
+        kept = self._interference_weight_s * max(0.0, 1.0 - decode_s / INTERFERENCE_MEMORY_S)
         self._interference = (self._interference * kept + ratio * decode_s) / (kept + decode_s)
         self._interference_weight_s = kept + decode_s
         self._finishes += 1
