--- a/wagtailtrestle/engines/model.py
+++ b/wagtailtrestle/engines/model.py
@@ -110,7 +110,7 @@
         )
         self._step_s_by_runs = ()
         self._limit = 1
-        self._lay_out()
+        self._tabulate_steps()
         self._levels = deque(maxlen=WINDOW)
         self._clean_ratios = deque(maxlen=CLEAN_WINDOW)
         self._prefill_s_per_token = 1.0 / prefill_tokens_per_s
@@ -231,7 +231,7 @@
             self._rescale(low / believed)
         elif self._levels[-1] <= CLEAN_RATIO * low and self._may_teach(believed):
             self._step.observe(x=concurrency, y=seconds, weight=1.0)
-            self._lay_out()
+            self._tabulate_steps()
 
     def _clean_sample(self, concurrency, seconds):
         """Take in one step that is known to have prefilled nothing."""
@@ -243,9 +243,9 @@
             self._clean_ratios.clear()
         else:
             self._step.observe(x=concurrency, y=seconds, weight=1.0)
-            self._lay_out()
+            self._tabulate_steps()
 
-    def _lay_out(self):
+    def _tabulate_steps(self):
         """Lay the line out by concurrency: it is read far more often than it changes."""
         runs = range(1, self.slots + 1)
         self._step_s_by_runs = tuple(max(MIN_DURATION_S, self._step.at(number)) for number in runs)
@@ -259,7 +259,7 @@
 
     def _rescale(self, factor):
         self._step.rescale(factor)
-        self._lay_out()
+        self._tabulate_steps()
         self._interference = max(1.0, self._interference / factor)
 
 
