--- a/wagtailtrestle/engines/model.py
+++ b/wagtailtrestle/engines/model.py
@@ -89,7 +89,7 @@
         "_step",
         "_step_s_by_runs",
         "_limit",
-        "_levels",
+        "_normalized_samples",
         "_clean_ratios",
         "_prefill_s_per_token",
         "_prefill_tokens",
@@ -111,7 +111,7 @@
         self._step_s_by_runs = ()
         self._limit = 1
         self._tabulate_steps()
-        self._levels = deque(maxlen=WINDOW)
+        self._normalized_samples = deque(maxlen=WINDOW)
         self._clean_ratios = deque(maxlen=CLEAN_WINDOW)
         self._prefill_s_per_token = 1.0 / prefill_tokens_per_s
         self._prefill_tokens = PRIOR_PREFILL_TOKENS
@@ -221,15 +221,15 @@
         """
         shape = 1.0 + PRIOR_SLOPE_SHARE * (concurrency - 1)
         believed = self.step_s(concurrency) / shape
-        self._levels.append(seconds / shape)
-        low = _low_end(self._levels)
+        self._normalized_samples.append(seconds / shape)
+        low = _low_end(self._normalized_samples)
         # An engine whose speed changed shows it in every sample; the line's shape still
         # holds, so the whole line jumps instead of creeping there over many samples.
-        slower = len(self._levels) == WINDOW and low > STEP_CHANGE * believed
-        faster = len(self._levels) >= SHORT_WINDOW and low * STEP_CHANGE < believed
+        slower = len(self._normalized_samples) == WINDOW and low > STEP_CHANGE * believed
+        faster = len(self._normalized_samples) >= SHORT_WINDOW and low * STEP_CHANGE < believed
         if slower or faster:
             self._rescale(low / believed)
-        elif self._levels[-1] <= CLEAN_RATIO * low and self._may_teach(believed):
+        elif self._normalized_samples[-1] <= CLEAN_RATIO * low and self._may_teach(believed):
             self._step.observe(x=concurrency, y=seconds, weight=1.0)
             self._tabulate_steps()
 
@@ -254,8 +254,10 @@
     def _may_teach(self, believed):
         # The first samples of an engine that starts under load may all be prefill: taken
         # for its step they would make it look too slow for any request.
-        full = len(self._levels) == WINDOW
-        return full or (len(self._levels) >= LOW_RANK and self._levels[-1] <= EARLY_RATIO * believed)
+        full = len(self._normalized_samples) == WINDOW
+        return full or (
+            len(self._normalized_samples) >= LOW_RANK and self._normalized_samples[-1] <= EARLY_RATIO * believed
+        )
 
     def _rescale(self, factor):
         self._step.rescale(factor)
