--- a/wagtailtrestle/engines/model.py
+++ b/wagtailtrestle/engines/model.py
@@ -278,6 +278,6 @@
     return slots
 
 
-def _low_end(levels):
+def _low_end(samples):
     """Low end of a window of samples."""
-    return sorted(levels)[min(LOW_RANK, len(levels)) - 1]
+    return sorted(samples)[min(LOW_RANK, len(samples)) - 1]
