--- a/wagtailtrestle/engines/model.py
+++ b/wagtailtrestle/engines/model.py
@@ -160,7 +160,7 @@
             return
         concurrency = min(running, self.slots)
         if prefilling is None:
-            self._sample(concurrency, step_s)
+            self._add_sample(concurrency, step_s)
         else:
             self._clean_sample(concurrency, step_s)
 
@@ -213,7 +213,7 @@
             "confidence": round(self.confidence(), 3),
         }
 
-    def _sample(self, concurrency, seconds):
+    def _add_sample(self, concurrency, seconds):
         """Take in one upper bound on the clean step at ``concurrency``.
 
         Samples are compared through the declared shape and not the learned line: a line
