--- a/wagtailtrestle/engines/model.py
+++ b/wagtailtrestle/engines/model.py
@@ -162,7 +162,7 @@
         if prefilling is None:
             self._add_sample(concurrency, step_s)
         else:
-            self._clean_sample(concurrency, step_s)
+            self._add_clean_sample(concurrency, step_s)
 
     # What is believed.
 
@@ -233,7 +233,7 @@
             self._step.observe(x=concurrency, y=seconds, weight=1.0)
             self._tabulate_steps()
 
-    def _clean_sample(self, concurrency, seconds):
+    def _add_clean_sample(self, concurrency, seconds):
         """Take in one step that is known to have prefilled nothing."""
         self._clean_ratios.append(seconds / self.step_s(concurrency))
         middle = sorted(self._clean_ratios)[len(self._clean_ratios) // 2]
