--- a/wagtailtrestle/engines/model.py
+++ b/wagtailtrestle/engines/model.py
@@ -229,7 +229,7 @@
         faster = len(self._normalized_samples) >= SHORT_WINDOW and low * STEP_CHANGE < believed
         if slower or faster:
             self._rescale(low / believed)
-        elif self._normalized_samples[-1] <= CLEAN_RATIO * low and self._may_teach(believed):
+        elif self._normalized_samples[-1] <= CLEAN_RATIO * low and self._is_plausible_sample(believed):
             self._step.observe(x=concurrency, y=seconds, weight=1.0)
             self._tabulate_steps()
 
@@ -251,7 +251,7 @@
         self._step_s_by_runs = tuple(max(MIN_DURATION_S, self._step.at(number)) for number in runs)
         self._limit = just_full(self._step_s_by_runs)
 
-    def _may_teach(self, believed):
+    def _is_plausible_sample(self, believed):
         # The first samples of an engine that starts under load may all be prefill: taken
         # for its step they would make it look too slow for any request.
         full = len(self._normalized_samples) == WINDOW
