--- a/wagtailtrestle/engines/model.py
+++ b/wagtailtrestle/engines/model.py
@@ -249,7 +249,7 @@
         """Lay the line out by concurrency: it is read far more often than it changes."""
         runs = range(1, self.slots + 1)
         self._step_s_by_runs = tuple(max(MIN_DURATION_S, self._step.at(number)) for number in runs)
-        self._limit = just_full(self._step_s_by_runs)
+        self._limit = saturation_concurrency(self._step_s_by_runs)
 
     def _is_plausible_sample(self, believed):
         # The first samples of an engine that starts under load may all be prefill: taken
@@ -265,7 +265,7 @@
         self._interference = max(1.0, self._interference / factor)
 
 
-def just_full(step_s_by_runs):
+def saturation_concurrency(step_s_by_runs):
     """Least number of runs that gives nearly the best throughput at a bearable step."""
     slots = len(step_s_by_runs)
     best = slots / step_s_by_runs[-1]
