--- a/wagtailtrestle/engines/model.py
+++ b/wagtailtrestle/engines/model.py
@@ -42,7 +42,7 @@
 STEP_CHANGE = 1.8
 """If the low end of a whole window differs by this factor, the engine's speed has changed."""
 
-TRUST_SAMPLES = 1.0
+HALF_CONFIDENCE_SAMPLES = 1.0
 """Clean steps, and finished runs, after which a model is half trusted."""
 
 EARLY_RATIO = 1.6
@@ -199,7 +199,7 @@
     def confidence(self):
         """How far, from 0 to 1, predictions rest on measurements and not on the declaration."""
         measured = min(self._step.weight, self._finishes)
-        return measured / (measured + TRUST_SAMPLES)
+        return measured / (measured + HALF_CONFIDENCE_SAMPLES)
 
     def dump(self):
         """Return the believed figures for a state dump."""
