--- a/wagtailtrestle/engines/model.py
+++ b/wagtailtrestle/engines/model.py
@@ -20,7 +20,7 @@
 PRIOR_WEIGHT = 12.0
 """How many observations the declared values count for."""
 
-FADE = 0.97
+DECAY = 0.97
 """Share of the old evidence's weight kept at each new observation."""
 
 WINDOW = 64
@@ -104,7 +104,7 @@
             base=step_s * (1.0 - PRIOR_SLOPE_SHARE),
             slope=step_s * PRIOR_SLOPE_SHARE,
             weight=PRIOR_WEIGHT,
-            fade=FADE,
+            fade=DECAY,
             low=1.0,
             high=float(self.slots),
         )
--- a/wagtailtrestle/engines/output_lengths.py
+++ b/wagtailtrestle/engines/output_lengths.py
@@ -10,7 +10,7 @@
 
 from wagtailtrestle.contracts.messages import GrantRequest
 
-FADE = 0.98
+DECAY = 0.98
 """Share of the old evidence's weight kept at each answer."""
 
 PRIOR_WEIGHT = 2.0
@@ -36,9 +36,9 @@
 
     def observe(self, ratio):
         """Count one answer."""
-        self._weight = self._weight * FADE + 1.0
-        self._sum = self._sum * FADE + ratio
-        self._squares = self._squares * FADE + ratio * ratio
+        self._weight = self._weight * DECAY + 1.0
+        self._sum = self._sum * DECAY + ratio
+        self._squares = self._squares * DECAY + ratio * ratio
 
     @property
     def mean(self):
