--- a/wagtailtrestle/engines/decaying_linear_fit.py
+++ b/wagtailtrestle/engines/decaying_linear_fit.py
@@ -24,11 +24,11 @@
 
     __slots__ = ("_prior_base", "_prior_slope", "_prior_weight", "_fade", "_ends", "_sums", "_fit")
 
-    def __init__(self, *, base, slope, weight, fade, low, high):
+    def __init__(self, *, base, slope, weight, decay, low, high):
         self._prior_base = base
         self._prior_slope = slope
         self._prior_weight = weight
-        self._fade = fade
+        self._fade = decay
         self._ends = (low, max(high, low + 1.0))
         self._sums = [0.0] * 5
         self._fit = (base, slope)
--- a/wagtailtrestle/engines/model.py
+++ b/wagtailtrestle/engines/model.py
@@ -104,7 +104,7 @@
             base=step_s * (1.0 - PRIOR_SLOPE_SHARE),
             slope=step_s * PRIOR_SLOPE_SHARE,
             weight=PRIOR_WEIGHT,
-            fade=DECAY,
+            decay=DECAY,
             low=1.0,
             high=float(self.slots),
         )
