--- a/wagtailtrestle/engines/decaying_linear_fit.py
+++ b/wagtailtrestle/engines/decaying_linear_fit.py
@@ -22,13 +22,13 @@
         Range of ``x`` over which the prior is believed.
     """
 
-    __slots__ = ("_prior_base", "_prior_slope", "_prior_weight", "_fade", "_ends", "_sums", "_fit")
+    __slots__ = ("_prior_base", "_prior_slope", "_prior_weight", "_decay", "_ends", "_sums", "_fit")
 
     def __init__(self, *, base, slope, weight, decay, low, high):
         self._prior_base = base
         self._prior_slope = slope
         self._prior_weight = weight
-        self._fade = decay
+        self._decay = decay
         self._ends = (low, max(high, low + 1.0))
         self._sums = [0.0] * 5
         self._fit = (base, slope)
@@ -41,7 +41,7 @@
     def observe(self, *, x, y, weight):
         """Take in one measured point."""
         point = (1.0, x, y, x * x, x * y)
-        self._sums = [old * self._fade + weight * new for old, new in zip(self._sums, point, strict=True)]
+        self._sums = [old * self._decay + weight * new for old, new in zip(self._sums, point, strict=True)]
         self._fit = self._solve()
 
     def rescale(self, factor):
