--- a/wagtailtrestle/engines/model.py
+++ b/wagtailtrestle/engines/model.py
@@ -23,7 +23,7 @@
 DECAY = 0.97
 """Share of the old evidence's weight kept at each new observation."""
 
-WINDOW = 64
+SAMPLE_WINDOW = 64
 """Recent samples of which the low end shows the clean step. All of them must be slow before
 the engine is believed to have turned slow: one long prompt keeps every step slow for seconds."""
 
@@ -111,7 +111,7 @@
         self._step_s_by_runs = ()
         self._limit = 1
         self._tabulate_steps()
-        self._normalized_samples = deque(maxlen=WINDOW)
+        self._normalized_samples = deque(maxlen=SAMPLE_WINDOW)
         self._clean_ratios = deque(maxlen=CLEAN_WINDOW)
         self._prefill_s_per_token = 1.0 / prefill_tokens_per_s
         self._prefill_tokens = PRIOR_PREFILL_TOKENS
@@ -225,7 +225,7 @@
         low = _low_end(self._normalized_samples)
         # An engine whose speed changed shows it in every sample; the line's shape still
         # holds, so the whole line jumps instead of creeping there over many samples.
-        slower = len(self._normalized_samples) == WINDOW and low > STEP_CHANGE * believed
+        slower = len(self._normalized_samples) == SAMPLE_WINDOW and low > STEP_CHANGE * believed
         faster = len(self._normalized_samples) >= SHORT_WINDOW and low * STEP_CHANGE < believed
         if slower or faster:
             self._rescale(low / believed)
@@ -254,7 +254,7 @@
     def _is_plausible_sample(self, believed):
         # The first samples of an engine that starts under load may all be prefill: taken
         # for its step they would make it look too slow for any request.
-        full = len(self._normalized_samples) == WINDOW
+        full = len(self._normalized_samples) == SAMPLE_WINDOW
         return full or (
             len(self._normalized_samples) >= LOW_RANK and self._normalized_samples[-1] <= EARLY_RATIO * believed
         )
