--- a/wagtailtrestle/engines/model.py
+++ b/wagtailtrestle/engines/model.py
@@ -30,7 +30,7 @@
 SHORT_WINDOW = 8
 """Samples that are enough to see that an engine is faster than believed."""
 
-LOW_RANK = 4
+LOW_END_RANK = 4
 """Which of the window's samples, from the lowest, counts as its low end."""
 
 CLEAN_WINDOW = 5
@@ -256,7 +256,7 @@
         # for its step they would make it look too slow for any request.
         full = len(self._normalized_samples) == SAMPLE_WINDOW
         return full or (
-            len(self._normalized_samples) >= LOW_RANK and self._normalized_samples[-1] <= EARLY_RATIO * believed
+            len(self._normalized_samples) >= LOW_END_RANK and self._normalized_samples[-1] <= EARLY_RATIO * believed
         )
 
     def _rescale(self, factor):
@@ -280,4 +280,4 @@
 
 def _low_end(samples):
     """Low end of a window of samples."""
-    return sorted(samples)[min(LOW_RANK, len(samples)) - 1]
+    return sorted(samples)[min(LOW_END_RANK, len(samples)) - 1]
