--- a/wagtailtrestle/engines/model.py
+++ b/wagtailtrestle/engines/model.py
@@ -45,7 +45,7 @@
 HALF_CONFIDENCE_SAMPLES = 1.0
 """Clean steps, and finished runs, after which a model is half trusted."""
 
-EARLY_RATIO = 1.6
+MAX_EARLY_RATIO = 1.6
 """Until the window is full, samples so far above the believed step teach nothing."""
 
 PRIOR_PREFILL_TOKENS = 2048.0
@@ -256,7 +256,7 @@
         # for its step they would make it look too slow for any request.
         full = len(self._normalized_samples) == SAMPLE_WINDOW
         return full or (
-            len(self._normalized_samples) >= LOW_END_RANK and self._normalized_samples[-1] <= EARLY_RATIO * believed
+            len(self._normalized_samples) >= LOW_END_RANK and self._normalized_samples[-1] <= MAX_EARLY_RATIO * believed
         )
 
     def _rescale(self, factor):
