--- a/wagtailtrestle/engines/model.py
+++ b/wagtailtrestle/engines/model.py
@@ -62,7 +62,7 @@
 CHUNK_TOKENS = 512
 """Prompt tokens an engine is assumed to prefill between two decode steps."""
 
-GOOD_THROUGHPUT_SHARE = 0.95
+SATURATED_THROUGHPUT_SHARE = 0.95
 """An engine counts as full at the least concurrency that gives this share of its best."""
 
 MAX_STEP_RATIO = 6.0
@@ -271,7 +271,7 @@
     best = slots / step_s_by_runs[-1]
     longest_s = MAX_STEP_RATIO * step_s_by_runs[0]
     for runs, step_s in enumerate(step_s_by_runs, start=1):
-        if runs / step_s >= GOOD_THROUGHPUT_SHARE * best:
+        if runs / step_s >= SATURATED_THROUGHPUT_SHARE * best:
             return runs
         if runs < slots and step_s_by_runs[runs] > longest_s:
             return runs
