--- a/wagtailtrestle/engines/model.py
+++ b/wagtailtrestle/engines/model.py
@@ -39,7 +39,7 @@
 CLEAN_RATIO = 1.15
 """Samples within this factor of the low end are taken as clean steps."""
 
-STEP_CHANGE = 1.8
+SPEED_CHANGE_RATIO = 1.8
 """If the low end of a whole window differs by this factor, the engine's speed has changed."""
 
 HALF_CONFIDENCE_SAMPLES = 1.0
@@ -131,7 +131,7 @@
             return
         tokens = uncached_tokens + pending_prefill_tokens
         steps_s = self.step_s(concurrency) * (1 + tokens / CHUNK_TOKENS)
-        spent_s = max(tokens * self._prefill_s_per_token / STEP_CHANGE, first_token_s - steps_s)
+        spent_s = max(tokens * self._prefill_s_per_token / SPEED_CHANGE_RATIO, first_token_s - steps_s)
         kept = self._prefill_tokens * max(0.0, 1.0 - tokens / PREFILL_MEMORY_TOKENS)
         self._prefill_s_per_token = (self._prefill_s_per_token * kept + spent_s) / (kept + tokens)
         self._prefill_tokens = kept + tokens
@@ -225,8 +225,8 @@
         low = _low_end(self._normalized_samples)
         # An engine whose speed changed shows it in every sample; the line's shape still
         # holds, so the whole line jumps instead of creeping there over many samples.
-        slower = len(self._normalized_samples) == SAMPLE_WINDOW and low > STEP_CHANGE * believed
-        faster = len(self._normalized_samples) >= SHORT_WINDOW and low * STEP_CHANGE < believed
+        slower = len(self._normalized_samples) == SAMPLE_WINDOW and low > SPEED_CHANGE_RATIO * believed
+        faster = len(self._normalized_samples) >= SHORT_WINDOW and low * SPEED_CHANGE_RATIO < believed
         if slower or faster:
             self._rescale(low / believed)
         elif self._normalized_samples[-1] <= CLEAN_RATIO * low and self._is_plausible_sample(believed):
@@ -237,7 +237,7 @@
         """Take in one step that is known to have prefilled nothing."""
         self._clean_ratios.append(seconds / self.step_s(concurrency))
         middle = sorted(self._clean_ratios)[len(self._clean_ratios) // 2]
-        changed = middle > STEP_CHANGE or middle * STEP_CHANGE < 1.0
+        changed = middle > SPEED_CHANGE_RATIO or middle * SPEED_CHANGE_RATIO < 1.0
         if changed and len(self._clean_ratios) == CLEAN_WINDOW:
             self._rescale(middle)
             self._clean_ratios.clear()
