--- a/wagtailtrestle/engines/model.py
+++ b/wagtailtrestle/engines/model.py
@@ -36,7 +36,7 @@
 CLEAN_WINDOW = 5
 """Steps known to be clean whose median shows a change of speed."""
 
-CLEAN_RATIO = 1.15
+MAX_CLEAN_RATIO = 1.15
 """Samples within this factor of the low end are taken as clean steps."""
 
 SPEED_CHANGE_RATIO = 1.8
@@ -229,7 +229,7 @@
         faster = len(self._normalized_samples) >= SHORT_WINDOW and low * SPEED_CHANGE_RATIO < believed
         if slower or faster:
             self._rescale(low / believed)
-        elif self._normalized_samples[-1] <= CLEAN_RATIO * low and self._is_plausible_sample(believed):
+        elif self._normalized_samples[-1] <= MAX_CLEAN_RATIO * low and self._is_plausible_sample(believed):
             self._step.observe(x=concurrency, y=seconds, weight=1.0)
             self._tabulate_steps()
 
