--- a/wagtailtrestle/engines/model.py
+++ b/wagtailtrestle/engines/model.py
@@ -95,7 +95,7 @@
         "_prefill_tokens",
         "_interference",
         "_interference_weight_s",
-        "_finishes",
+        "_finished_runs",
     )
 
     def __init__(self, *, slots, step_s, prefill_tokens_per_s):
@@ -117,7 +117,7 @@
         self._prefill_tokens = PRIOR_PREFILL_TOKENS
         self._interference = 1.0
         self._interference_weight_s = 1.0
-        self._finishes = 0
+        self._finished_runs = 0
 
     # What is measured.
 
@@ -145,7 +145,7 @@
         kept = self._interference_weight_s * max(0.0, 1.0 - decode_s / INTERFERENCE_MEMORY_S)
         self._interference = (self._interference * kept + ratio * decode_s) / (kept + decode_s)
         self._interference_weight_s = kept + decode_s
-        self._finishes += 1
+        self._finished_runs += 1
 
     def observe_report(self, *, step_s, running, prefilling=None):
         """Learn the clean step from the engine's own load report.
@@ -198,7 +198,7 @@
 
     def confidence(self):
         """How far, from 0 to 1, predictions rest on measurements and not on the declaration."""
-        measured = min(self._step.weight, self._finishes)
+        measured = min(self._step.weight, self._finished_runs)
         return measured / (measured + HALF_CONFIDENCE_SAMPLES)
 
     def dump(self):
