--- a/wagtailtrestle/engines/decaying_linear_fit.py
+++ b/wagtailtrestle/engines/decaying_linear_fit.py
@@ -22,14 +22,14 @@
         Range of ``x`` over which the prior is believed.
     """
 
-    __slots__ = ("_prior_base", "_prior_slope", "_prior_weight", "_decay", "_ends", "_sums", "_fit")
+    __slots__ = ("_prior_base", "_prior_slope", "_prior_weight", "_decay", "_x_range", "_sums", "_fit")
 
     def __init__(self, *, base, slope, weight, decay, low, high):
         self._prior_base = base
         self._prior_slope = slope
         self._prior_weight = weight
         self._decay = decay
-        self._ends = (low, max(high, low + 1.0))
+        self._x_range = (low, max(high, low + 1.0))
         self._sums = [0.0] * 5
         self._fit = (base, slope)
 
@@ -61,7 +61,7 @@
         n, sx, sy, sxx, sxy = self._sums
         level = self._level()
         half = self._prior_weight / 2.0
-        for x in self._ends:
+        for x in self._x_range:
             y = level * (self._prior_base + self._prior_slope * x)
             n, sx, sy, sxx, sxy = n + half, sx + half * x, sy + half * y, sxx + half * x * x, sxy + half * x * y
         spread = n * sxx - sx * sx
@@ -77,5 +77,5 @@
         """
         n, sx, sy, _, _ = self._sums
         expected = self._prior_base * n + self._prior_slope * sx
-        middle = self._prior_base + self._prior_slope * sum(self._ends) / 2.0
+        middle = self._prior_base + self._prior_slope * sum(self._x_range) / 2.0
         return (sy + middle) / (expected + middle)
