--- a/wagtailtrestle/engines/decaying_linear_fit.py
+++ b/wagtailtrestle/engines/decaying_linear_fit.py
@@ -59,7 +59,7 @@
 
     def _solve(self):
         n, sx, sy, sxx, sxy = self._sums
-        level = self._level()
+        level = self._prior_scale()
         half = self._prior_weight / 2.0
         for x in self._x_range:
             y = level * (self._prior_base + self._prior_slope * x)
@@ -69,7 +69,7 @@
         slope = max(0.0, min(slope, MAX_SLOPE_SHARE * sy / sx))
         return (sy - slope * sx) / n, slope
 
-    def _level(self):
+    def _prior_scale(self):
         """How much higher the evidence lies than the prior.
 
         The prior's shape is worth more than its height: evidence on one side of the range
