--- a/wagtailtrestle/engines/decaying_linear_fit.py
+++ b/wagtailtrestle/engines/decaying_linear_fit.py
@@ -1,6 +1,6 @@
 """Weighted least squares of a line whose old evidence fades, around a prior line."""
 
-RIDGE = 1e-9
+MIN_SPREAD = 1e-9
 
 MAX_SLOPE_SHARE = 0.75
 """Largest part of the mean that the slope may explain: extrapolating a steeper line below
@@ -65,7 +65,7 @@
             y = level * (self._prior_base + self._prior_slope * x)
             n, sx, sy, sxx, sxy = n + half, sx + half * x, sy + half * y, sxx + half * x * x, sxy + half * x * y
         spread = n * sxx - sx * sx
-        slope = (n * sxy - sx * sy) / max(spread, RIDGE)
+        slope = (n * sxy - sx * sy) / max(spread, MIN_SPREAD)
         slope = max(0.0, min(slope, MAX_SLOPE_SHARE * sy / sx))
         return (sy - slope * sx) / n, slope
 
