--- a/wagtailtrestle/engines/health.py
+++ b/wagtailtrestle/engines/health.py
@@ -8,7 +8,7 @@
 import statistics
 from collections import deque
 
-FAILURES_TO_EJECT = 3
+CONSECUTIVE_FAILURES_TO_EJECT = 3
 """Failures in a row after which an engine is ejected."""
 
 EJECT_S = 2.0
@@ -141,7 +141,9 @@
         # A router whose own link is bad sees every engine fail, and would empty the fleet
         # while other routers' work on it goes well. Only the few worst are held out; the
         # rest stay in use, and a run that fails there costs one retry elsewhere.
-        suspects = [other for other, judged in self._judged_by_name.items() if judged.failures >= FAILURES_TO_EJECT]
+        suspects = [
+            other for other, judged in self._judged_by_name.items() if judged.failures >= CONSECUTIVE_FAILURES_TO_EJECT
+        ]
         suspects.sort(key=lambda other: (-self._judged_by_name[other].failures, other))
         return name in suspects[: self._most_ejected()]
 
@@ -180,7 +182,7 @@
     @property
     def probing(self):
         """Whether it failed so often that only a probe may go there."""
-        return self.failures >= FAILURES_TO_EJECT
+        return self.failures >= CONSECUTIVE_FAILURES_TO_EJECT
 
     def fail(self, now):
         """Count a failure, and eject after several in a row or a failed probe."""
@@ -188,7 +190,7 @@
             return
         self.failures += 1
         if self.probing:
-            longer = 2.0 ** (self.failures - FAILURES_TO_EJECT)
+            longer = 2.0 ** (self.failures - CONSECUTIVE_FAILURES_TO_EJECT)
             self.ejected_until = now + min(MAX_EJECT_S, EJECT_S * longer)
 
     def succeed(self):
