--- a/wagtailtrestle/engines/health.py
+++ b/wagtailtrestle/engines/health.py
@@ -11,7 +11,7 @@
 CONSECUTIVE_FAILURES_TO_EJECT = 3
 """Failures in a row after which an engine is ejected."""
 
-EJECT_S = 2.0
+INITIAL_EJECTION_S = 2.0
 """First time out of service; doubled at each probe that fails."""
 
 MAX_EJECT_S = 30.0
@@ -191,7 +191,7 @@
         self.failures += 1
         if self.probing:
             longer = 2.0 ** (self.failures - CONSECUTIVE_FAILURES_TO_EJECT)
-            self.ejected_until = now + min(MAX_EJECT_S, EJECT_S * longer)
+            self.ejected_until = now + min(MAX_EJECT_S, INITIAL_EJECTION_S * longer)
 
     def succeed(self):
         """Believe the engine sound again."""
