--- a/wagtailtrestle/engines/health.py
+++ b/wagtailtrestle/engines/health.py
@@ -14,7 +14,7 @@
 INITIAL_EJECTION_S = 2.0
 """First time out of service; doubled at each probe that fails."""
 
-MAX_EJECT_S = 30.0
+MAX_EJECTION_S = 30.0
 
 PROBE_SHARE = 0.01
 """Share of a probed engine: its concurrency limit rounds this up to one run."""
@@ -191,7 +191,7 @@
         self.failures += 1
         if self.probing:
             longer = 2.0 ** (self.failures - CONSECUTIVE_FAILURES_TO_EJECT)
-            self.ejected_until = now + min(MAX_EJECT_S, INITIAL_EJECTION_S * longer)
+            self.ejected_until = now + min(MAX_EJECTION_S, INITIAL_EJECTION_S * longer)
 
     def succeed(self):
         """Believe the engine sound again."""
