--- a/wagtailtrestle/engines/health.py
+++ b/wagtailtrestle/engines/health.py
@@ -25,7 +25,7 @@
 NEUTRAL_RESULTS = frozenset({"RunCancelled"})
 """A cancelled run says nothing of the engine: the caller, the deadline or a tier ended it."""
 
-RATES_KEPT = 64
+MAX_SLOWDOWN_SAMPLES = 64
 RATES_NEEDED = 4
 RATE_AGE_S = 4.0
 """Older rates say nothing of the present."""
@@ -175,7 +175,7 @@
     def __init__(self):
         self.failures = 0
         self.ejected_until = 0.0
-        self.rates = deque(maxlen=RATES_KEPT)
+        self.rates = deque(maxlen=MAX_SLOWDOWN_SAMPLES)
         self.share = 1.0
         self.share_changed_at = float("-inf")
 
