--- a/wagtailtrestle/engines/health.py
+++ b/wagtailtrestle/engines/health.py
@@ -26,7 +26,7 @@
 """A cancelled run says nothing of the engine: the caller, the deadline or a tier ended it."""
 
 MAX_SLOWDOWN_SAMPLES = 64
-RATES_NEEDED = 4
+MIN_SLOWDOWN_SAMPLES = 4
 RATE_AGE_S = 4.0
 """Older rates say nothing of the present."""
 
@@ -202,7 +202,7 @@
         """Low end of the recent rates, or ``None`` if they are too few or too close together."""
         while self.rates and now - self.rates[0][0] > RATE_AGE_S:
             self.rates.popleft()
-        if len(self.rates) < RATES_NEEDED or self.rates[-1][0] - self.rates[0][0] < MIN_SPAN_S:
+        if len(self.rates) < MIN_SLOWDOWN_SAMPLES or self.rates[-1][0] - self.rates[0][0] < MIN_SPAN_S:
             return None
         rates = sorted(rate for _, rate in self.rates)
         return rates[int(PACE_QUANTILE * len(rates))]
