--- a/wagtailtrestle/engines/health.py
+++ b/wagtailtrestle/engines/health.py
@@ -27,7 +27,7 @@
 
 MAX_SLOWDOWN_SAMPLES = 64
 MIN_SLOWDOWN_SAMPLES = 4
-RATE_AGE_S = 4.0
+MAX_SAMPLE_AGE_S = 4.0
 """Older rates say nothing of the present."""
 
 MIN_SPAN_S = 2.0
@@ -200,7 +200,7 @@
 
     def pace(self, now):
         """Low end of the recent rates, or ``None`` if they are too few or too close together."""
-        while self.rates and now - self.rates[0][0] > RATE_AGE_S:
+        while self.rates and now - self.rates[0][0] > MAX_SAMPLE_AGE_S:
             self.rates.popleft()
         if len(self.rates) < MIN_SLOWDOWN_SAMPLES or self.rates[-1][0] - self.rates[0][0] < MIN_SPAN_S:
             return None
