--- a/wagtailtrestle/engines/health.py
+++ b/wagtailtrestle/engines/health.py
@@ -30,7 +30,7 @@
 MAX_SAMPLE_AGE_S = 4.0
 """Older rates say nothing of the present."""
 
-MIN_SPAN_S = 2.0
+MIN_SAMPLE_SPAN_S = 2.0
 """Time that the rates must span: one long prompt slows every run of its engine for a second
 or two, and a batch of runs that end then would look like a straggler's."""
 
@@ -202,7 +202,7 @@
         """Low end of the recent rates, or ``None`` if they are too few or too close together."""
         while self.rates and now - self.rates[0][0] > MAX_SAMPLE_AGE_S:
             self.rates.popleft()
-        if len(self.rates) < MIN_SLOWDOWN_SAMPLES or self.rates[-1][0] - self.rates[0][0] < MIN_SPAN_S:
+        if len(self.rates) < MIN_SLOWDOWN_SAMPLES or self.rates[-1][0] - self.rates[0][0] < MIN_SAMPLE_SPAN_S:
             return None
         rates = sorted(rate for _, rate in self.rates)
         return rates[int(PACE_QUANTILE * len(rates))]
