--- a/wagtailtrestle/engines/health.py
+++ b/wagtailtrestle/engines/health.py
@@ -34,7 +34,7 @@
 """Time that the rates must span: one long prompt slows every run of its engine for a second
 or two, and a batch of runs that end then would look like a straggler's."""
 
-PACE_QUANTILE = 0.25
+SLOWDOWN_QUANTILE = 0.25
 """Part of the recent rates that lies below an engine's pace: a straggler is slow in every run,
 a sound engine only in those that met a long prompt."""
 
@@ -205,7 +205,7 @@
         if len(self.rates) < MIN_SLOWDOWN_SAMPLES or self.rates[-1][0] - self.rates[0][0] < MIN_SAMPLE_SPAN_S:
             return None
         rates = sorted(rate for _, rate in self.rates)
-        return rates[int(PACE_QUANTILE * len(rates))]
+        return rates[int(SLOWDOWN_QUANTILE * len(rates))]
 
     def set_share(self, share, now):
         """Change the share; the rates seen before it say nothing of what follows."""
