--- a/wagtailtrestle/engines/health.py
+++ b/wagtailtrestle/engines/health.py
@@ -38,7 +38,7 @@
 """Part of the recent rates that lies below an engine's pace: a straggler is slow in every run,
 a sound engine only in those that met a long prompt."""
 
-COMPARED_NEEDED = 2
+MIN_COMPARED_ENGINES = 2
 """Other engines whose pace must be known: alone, a pace may be everybody's."""
 
 SLOW_RATIO = 2.0
@@ -158,7 +158,7 @@
         # Compared with the others: when long prompts slow every engine, none is a straggler.
         others = [other.pace(now) for other in self._judged_by_name.values() if other is not judged]
         others = [pace for pace in others if pace is not None]
-        if len(others) < min(COMPARED_NEEDED, len(self._judged_by_name) - 1) or not others:
+        if len(others) < min(MIN_COMPARED_ENGINES, len(self._judged_by_name) - 1) or not others:
             return
         ratio = own / max(1.0, statistics.median(others))
         if ratio > SLOW_RATIO:
