--- a/wagtailtrestle/engines/health.py
+++ b/wagtailtrestle/engines/health.py
@@ -41,7 +41,7 @@
 MIN_COMPARED_ENGINES = 2
 """Other engines whose pace must be known: alone, a pace may be everybody's."""
 
-SLOW_RATIO = 2.0
+STRAGGLER_RATIO = 2.0
 """Pace against the others' from which an engine counts as a straggler."""
 
 SOUND_RATIO = 1.4
@@ -161,7 +161,7 @@
         if len(others) < min(MIN_COMPARED_ENGINES, len(self._judged_by_name) - 1) or not others:
             return
         ratio = own / max(1.0, statistics.median(others))
-        if ratio > SLOW_RATIO:
+        if ratio > STRAGGLER_RATIO:
             judged.set_share(max(MIN_SHARE, min(judged.share / SHARE_STEP, 1.0 / ratio)), now)
         elif ratio < SOUND_RATIO and judged.share < 1.0:
             judged.set_share(min(1.0, judged.share * SHARE_STEP), now)
