--- a/wagtailtrestle/engines/health.py
+++ b/wagtailtrestle/engines/health.py
@@ -44,7 +44,7 @@
 STRAGGLER_RATIO = 2.0
 """Pace against the others' from which an engine counts as a straggler."""
 
-SOUND_RATIO = 1.4
+RECOVERY_RATIO = 1.4
 """Pace below which a straggler gains share again: well under ``SLOW_RATIO``, so that an engine
 near the border does not lose and regain its work in turn."""
 
@@ -163,7 +163,7 @@
         ratio = own / max(1.0, statistics.median(others))
         if ratio > STRAGGLER_RATIO:
             judged.set_share(max(MIN_SHARE, min(judged.share / SHARE_STEP, 1.0 / ratio)), now)
-        elif ratio < SOUND_RATIO and judged.share < 1.0:
+        elif ratio < RECOVERY_RATIO and judged.share < 1.0:
             judged.set_share(min(1.0, judged.share * SHARE_STEP), now)
 
 
