--- a/wagtailtrestle/engines/health.py
+++ b/wagtailtrestle/engines/health.py
@@ -48,7 +48,7 @@
 """Pace below which a straggler gains share again: well under ``SLOW_RATIO``, so that an engine
 near the border does not lose and regain its work in turn."""
 
-SHARE_STEP_S = 1.0
+MIN_SHARE_CHANGE_INTERVAL_S = 1.0
 """Least time between two changes of an engine's share."""
 
 MIN_SHARE = 0.1
@@ -153,7 +153,7 @@
 
     def _judge_pace(self, judged, now):
         own = judged.pace(now)
-        if own is None or now - judged.share_changed_at < SHARE_STEP_S:
+        if own is None or now - judged.share_changed_at < MIN_SHARE_CHANGE_INTERVAL_S:
             return
         # Compared with the others: when long prompts slow every engine, none is a straggler.
         others = [other.pace(now) for other in self._judged_by_name.values() if other is not judged]
