--- a/wagtailtrestle/engines/health.py
+++ b/wagtailtrestle/engines/health.py
@@ -54,7 +54,7 @@
 MIN_SHARE = 0.1
 """A straggler keeps this much work, or nobody would see it recover."""
 
-SHARE_STEP = 2.0
+SHARE_CHANGE_FACTOR = 2.0
 
 
 class EngineHealth:
@@ -162,9 +162,9 @@
             return
         ratio = own / max(1.0, statistics.median(others))
         if ratio > STRAGGLER_RATIO:
-            judged.set_share(max(MIN_SHARE, min(judged.share / SHARE_STEP, 1.0 / ratio)), now)
+            judged.set_share(max(MIN_SHARE, min(judged.share / SHARE_CHANGE_FACTOR, 1.0 / ratio)), now)
         elif ratio < RECOVERY_RATIO and judged.share < 1.0:
-            judged.set_share(min(1.0, judged.share * SHARE_STEP), now)
+            judged.set_share(min(1.0, judged.share * SHARE_CHANGE_FACTOR), now)
 
 
 class JudgedEngine:
