--- a/wagtailtrestle/engines/health.py
+++ b/wagtailtrestle/engines/health.py
@@ -77,12 +77,12 @@
 
     def set_engines(self, engines):
         """Judge these engines from now on; what is known of those kept stays."""
-        self._judged_by_name = {name: self._judged_by_name.get(name) or JudgedEngine() for name in engines}
+        self._judged_by_name = {name: self._judged_by_name.get(name) or EngineHealthState() for name in engines}
 
     def forget(self, engine):
         """Judge the engine anew: it started again, and what it did before says nothing of it."""
         if engine in self._judged_by_name:
-            self._judged_by_name[engine] = JudgedEngine()
+            self._judged_by_name[engine] = EngineHealthState()
 
     def on_outcome(self, engine, result, now):
         """Take in how a run ended; ``result`` is the outcome's class name."""
@@ -167,7 +167,7 @@
             judged.set_share(min(1.0, judged.share * SHARE_CHANGE_FACTOR), now)
 
 
-class JudgedEngine:
+class EngineHealthState:
     """What is known of one engine's health."""
 
     __slots__ = ("failures", "ejected_until", "rates", "share", "share_changed_at")
