--- a/wagtailtrestle/engines/health.py
+++ b/wagtailtrestle/engines/health.py
@@ -68,25 +68,25 @@
         Largest share of them that this router may eject on its own evidence.
     """
 
-    __slots__ = ("_judged_by_name", "_max_ejected_share")
+    __slots__ = ("_states_by_name", "_max_ejected_share")
 
     def __init__(self, *, engines=(), max_ejected_share=MAX_EJECTED_SHARE):
-        self._judged_by_name = {}
+        self._states_by_name = {}
         self._max_ejected_share = max_ejected_share
         self.set_engines(engines)
 
     def set_engines(self, engines):
         """Judge these engines from now on; what is known of those kept stays."""
-        self._judged_by_name = {name: self._judged_by_name.get(name) or EngineHealthState() for name in engines}
+        self._states_by_name = {name: self._states_by_name.get(name) or EngineHealthState() for name in engines}
 
     def forget(self, engine):
         """Judge the engine anew: it started again, and what it did before says nothing of it."""
-        if engine in self._judged_by_name:
-            self._judged_by_name[engine] = EngineHealthState()
+        if engine in self._states_by_name:
+            self._states_by_name[engine] = EngineHealthState()
 
     def on_outcome(self, engine, result, now):
         """Take in how a run ended; ``result`` is the outcome's class name."""
-        judged = self._judged_by_name.get(engine)
+        judged = self._states_by_name.get(engine)
         if judged is None or result in NEUTRAL_RESULTS:
             return
         if result in FAILED_RESULTS:
@@ -96,7 +96,7 @@
 
     def on_progress_rate(self, engine, observed_over_expected, now):
         """Take in how long a decode took against what the engine's model expected."""
-        judged = self._judged_by_name.get(engine)
+        judged = self._states_by_name.get(engine)
         if judged is None:
             return
         judged.rates.append((now, observed_over_expected))
@@ -108,13 +108,13 @@
 
     def share(self, engine, now):
         """Share, from 0 to 1, of its concurrency that the engine may use."""
-        judged = self._judged_by_name.get(engine)
+        judged = self._states_by_name.get(engine)
         return 1.0 if judged is None else self._share(engine, judged, self._ejected(now))
 
     def shares(self, now):
         """Shares of all engines by name; asked one by one, each would look through all of them again."""
         ejected = self._ejected(now)
-        return {name: self._share(name, judged, ejected) for name, judged in self._judged_by_name.items()}
+        return {name: self._share(name, judged, ejected) for name, judged in self._states_by_name.items()}
 
     def _share(self, engine, judged, ejected):
         if engine in ejected:
@@ -127,13 +127,13 @@
         """Plain data for the state dump."""
         return {
             name: {"failures": judged.failures, "ejected_until": judged.ejected_until, "share": judged.share}
-            for name, judged in self._judged_by_name.items()
+            for name, judged in self._states_by_name.items()
         }
 
     def _ejected(self, now):
         return {
             name
-            for name, judged in self._judged_by_name.items()
+            for name, judged in self._states_by_name.items()
             if now < judged.ejected_until and self._within_bound(name)
         }
 
@@ -142,13 +142,13 @@
         # while other routers' work on it goes well. Only the few worst are held out; the
         # rest stay in use, and a run that fails there costs one retry elsewhere.
         suspects = [
-            other for other, judged in self._judged_by_name.items() if judged.failures >= CONSECUTIVE_FAILURES_TO_EJECT
+            other for other, judged in self._states_by_name.items() if judged.failures >= CONSECUTIVE_FAILURES_TO_EJECT
         ]
-        suspects.sort(key=lambda other: (-self._judged_by_name[other].failures, other))
+        suspects.sort(key=lambda other: (-self._states_by_name[other].failures, other))
         return name in suspects[: self._most_ejected()]
 
     def _most_ejected(self):
-        engines = len(self._judged_by_name)
+        engines = len(self._states_by_name)
         return max(1, int(self._max_ejected_share * engines)) if engines > 1 else 0
 
     def _judge_pace(self, judged, now):
@@ -156,9 +156,9 @@
         if own is None or now - judged.share_changed_at < MIN_SHARE_CHANGE_INTERVAL_S:
             return
         # Compared with the others: when long prompts slow every engine, none is a straggler.
-        others = [other.pace(now) for other in self._judged_by_name.values() if other is not judged]
+        others = [other.pace(now) for other in self._states_by_name.values() if other is not judged]
         others = [pace for pace in others if pace is not None]
-        if len(others) < min(MIN_COMPARED_ENGINES, len(self._judged_by_name) - 1) or not others:
+        if len(others) < min(MIN_COMPARED_ENGINES, len(self._states_by_name) - 1) or not others:
             return
         ratio = own / max(1.0, statistics.median(others))
         if ratio > STRAGGLER_RATIO:
