--- a/wagtailtrestle/engines/health.py
+++ b/wagtailtrestle/engines/health.py
@@ -86,21 +86,21 @@
 
     def on_outcome(self, engine, result, now):
         """Take in how a run ended; ``result`` is the outcome's class name."""
-        judged = self._states_by_name.get(engine)
-        if judged is None or result in NEUTRAL_RESULTS:
+        state = self._states_by_name.get(engine)
+        if state is None or result in NEUTRAL_RESULTS:
             return
         if result in FAILED_RESULTS:
-            judged.fail(now)
+            state.fail(now)
         else:
-            judged.succeed()
+            state.succeed()
 
     def on_progress_rate(self, engine, observed_over_expected, now):
         """Take in how long a decode took against what the engine's model expected."""
-        judged = self._states_by_name.get(engine)
-        if judged is None:
+        state = self._states_by_name.get(engine)
+        if state is None:
             return
-        judged.rates.append((now, observed_over_expected))
-        self._judge_pace(judged, now)
+        state.rates.append((now, observed_over_expected))
+        self._judge_pace(state, now)
 
     def available(self, engine, now):
         """Whether the engine may take work now, if only as a probe."""
@@ -108,33 +108,33 @@
 
     def share(self, engine, now):
         """Share, from 0 to 1, of its concurrency that the engine may use."""
-        judged = self._states_by_name.get(engine)
-        return 1.0 if judged is None else self._share(engine, judged, self._ejected(now))
+        state = self._states_by_name.get(engine)
+        return 1.0 if state is None else self._share(engine, state, self._ejected(now))
 
     def shares(self, now):
         """Shares of all engines by name; asked one by one, each would look through all of them again."""
         ejected = self._ejected(now)
-        return {name: self._share(name, judged, ejected) for name, judged in self._states_by_name.items()}
+        return {name: self._share(name, state, ejected) for name, state in self._states_by_name.items()}
 
-    def _share(self, engine, judged, ejected):
+    def _share(self, engine, state, ejected):
         if engine in ejected:
             return 0.0
-        if judged.probing and self._within_bound(engine):
+        if state.probing and self._within_bound(engine):
             return PROBE_SHARE
-        return judged.share
+        return state.share
 
     def dump(self):
         """Plain data for the state dump."""
         return {
-            name: {"failures": judged.failures, "ejected_until": judged.ejected_until, "share": judged.share}
-            for name, judged in self._states_by_name.items()
+            name: {"failures": state.failures, "ejected_until": state.ejected_until, "share": state.share}
+            for name, state in self._states_by_name.items()
         }
 
     def _ejected(self, now):
         return {
             name
-            for name, judged in self._states_by_name.items()
-            if now < judged.ejected_until and self._within_bound(name)
+            for name, state in self._states_by_name.items()
+            if now < state.ejected_until and self._within_bound(name)
         }
 
     def _within_bound(self, name):
@@ -142,7 +142,7 @@
         # while other routers' work on it goes well. Only the few worst are held out; the
         # rest stay in use, and a run that fails there costs one retry elsewhere.
         suspects = [
-            other for other, judged in self._states_by_name.items() if judged.failures >= CONSECUTIVE_FAILURES_TO_EJECT
+            other for other, state in self._states_by_name.items() if state.failures >= CONSECUTIVE_FAILURES_TO_EJECT
         ]
         suspects.sort(key=lambda other: (-self._states_by_name[other].failures, other))
         return name in suspects[: self._most_ejected()]
@@ -151,20 +151,20 @@
         engines = len(self._states_by_name)
         return max(1, int(self._max_ejected_share * engines)) if engines > 1 else 0
 
-    def _judge_pace(self, judged, now):
-        own = judged.pace(now)
-        if own is None or now - judged.share_changed_at < MIN_SHARE_CHANGE_INTERVAL_S:
+    def _judge_pace(self, state, now):
+        own = state.pace(now)
+        if own is None or now - state.share_changed_at < MIN_SHARE_CHANGE_INTERVAL_S:
             return
         # Compared with the others: when long prompts slow every engine, none is a straggler.
-        others = [other.pace(now) for other in self._states_by_name.values() if other is not judged]
+        others = [other.pace(now) for other in self._states_by_name.values() if other is not state]
         others = [pace for pace in others if pace is not None]
         if len(others) < min(MIN_COMPARED_ENGINES, len(self._states_by_name) - 1) or not others:
             return
         ratio = own / max(1.0, statistics.median(others))
         if ratio > STRAGGLER_RATIO:
-            judged.set_share(max(MIN_SHARE, min(judged.share / SHARE_CHANGE_FACTOR, 1.0 / ratio)), now)
-        elif ratio < RECOVERY_RATIO and judged.share < 1.0:
-            judged.set_share(min(1.0, judged.share * SHARE_CHANGE_FACTOR), now)
+            state.set_share(max(MIN_SHARE, min(state.share / SHARE_CHANGE_FACTOR, 1.0 / ratio)), now)
+        elif ratio < RECOVERY_RATIO and state.share < 1.0:
+            state.set_share(min(1.0, state.share * SHARE_CHANGE_FACTOR), now)
 
 
 class EngineHealthState:
