--- a/wagtailtrestle/engines/health.py
+++ b/wagtailtrestle/engines/health.py
@@ -100,7 +100,7 @@
         if state is None:
             return
         state.rates.append((now, observed_over_expected))
-        self._judge_pace(state, now)
+        self._update_share(state, now)
 
     def available(self, engine, now):
         """Whether the engine may take work now, if only as a probe."""
@@ -151,7 +151,7 @@
         engines = len(self._states_by_name)
         return max(1, int(self._max_ejected_share * engines)) if engines > 1 else 0
 
-    def _judge_pace(self, state, now):
+    def _update_share(self, state, now):
         own = state.pace(now)
         if own is None or now - state.share_changed_at < MIN_SHARE_CHANGE_INTERVAL_S:
             return
