--- a/wagtailtrestle/engines/health.py
+++ b/wagtailtrestle/engines/health.py
@@ -119,7 +119,7 @@
     def _share(self, engine, state, ejected):
         if engine in ejected:
             return 0.0
-        if state.probing and self._within_bound(engine):
+        if state.probing and self._may_eject(engine):
             return PROBE_SHARE
         return state.share
 
@@ -132,12 +132,10 @@
 
     def _ejected(self, now):
         return {
-            name
-            for name, state in self._states_by_name.items()
-            if now < state.ejected_until and self._within_bound(name)
+            name for name, state in self._states_by_name.items() if now < state.ejected_until and self._may_eject(name)
         }
 
-    def _within_bound(self, name):
+    def _may_eject(self, name):
         # A router whose own link is bad sees every engine fail, and would empty the fleet
         # while other routers' work on it goes well. Only the few worst are held out; the
         # rest stay in use, and a run that fails there costs one retry elsewhere.
