--- a/wagtailtrestle/engines/health.py
+++ b/wagtailtrestle/engines/health.py
@@ -143,9 +143,9 @@
             other for other, state in self._states_by_name.items() if state.failures >= CONSECUTIVE_FAILURES_TO_EJECT
         ]
         suspects.sort(key=lambda other: (-self._states_by_name[other].failures, other))
-        return name in suspects[: self._most_ejected()]
+        return name in suspects[: self._max_ejected()]
 
-    def _most_ejected(self):
+    def _max_ejected(self):
         engines = len(self._states_by_name)
         return max(1, int(self._max_ejected_share * engines)) if engines > 1 else 0
 
