--- a/wagtailtrestle/engines/health.py
+++ b/wagtailtrestle/engines/health.py
@@ -150,12 +150,12 @@
         return max(1, int(self._max_ejected_share * engines)) if engines > 1 else 0
 
     def _update_share(self, state, now):
-        own = state.pace(now)
+        own = state.slowdown(now)
         if own is None or now - state.share_changed_at < MIN_SHARE_CHANGE_INTERVAL_S:
             return
         # Compared with the others: when long prompts slow every engine, none is a straggler.
-        others = [other.pace(now) for other in self._states_by_name.values() if other is not state]
-        others = [pace for pace in others if pace is not None]
+        others = [other.slowdown(now) for other in self._states_by_name.values() if other is not state]
+        others = [slowdown for slowdown in others if slowdown is not None]
         if len(others) < min(MIN_COMPARED_ENGINES, len(self._states_by_name) - 1) or not others:
             return
         ratio = own / max(1.0, statistics.median(others))
@@ -196,7 +196,7 @@
         self.failures = 0
         self.ejected_until = 0.0
 
-    def pace(self, now):
+    def slowdown(self, now):
         """Low end of the recent rates, or ``None`` if they are too few or too close together."""
         while self.rates and now - self.rates[0][0] > MAX_SAMPLE_AGE_S:
             self.rates.popleft()
