--- a/wagtailtrestle/engines/health.py
+++ b/wagtailtrestle/engines/health.py
@@ -99,7 +99,7 @@
         state = self._states_by_name.get(engine)
         if state is None:
             return
-        state.rates.append((now, observed_over_expected))
+        state.slowdowns.append((now, observed_over_expected))
         self._update_share(state, now)
 
     def available(self, engine, now):
@@ -168,12 +168,12 @@
 class EngineHealthState:
     """What is known of one engine's health."""
 
-    __slots__ = ("failures", "ejected_until", "rates", "share", "share_changed_at")
+    __slots__ = ("failures", "ejected_until", "slowdowns", "share", "share_changed_at")
 
     def __init__(self):
         self.failures = 0
         self.ejected_until = 0.0
-        self.rates = deque(maxlen=MAX_SLOWDOWN_SAMPLES)
+        self.slowdowns = deque(maxlen=MAX_SLOWDOWN_SAMPLES)
         self.share = 1.0
         self.share_changed_at = float("-inf")
 
@@ -198,15 +198,18 @@
 
     def slowdown(self, now):
         """Low end of the recent rates, or ``None`` if they are too few or too close together."""
-        while self.rates and now - self.rates[0][0] > MAX_SAMPLE_AGE_S:
-            self.rates.popleft()
-        if len(self.rates) < MIN_SLOWDOWN_SAMPLES or self.rates[-1][0] - self.rates[0][0] < MIN_SAMPLE_SPAN_S:
+        while self.slowdowns and now - self.slowdowns[0][0] > MAX_SAMPLE_AGE_S:
+            self.slowdowns.popleft()
+        if (
+            len(self.slowdowns) < MIN_SLOWDOWN_SAMPLES
+            or self.slowdowns[-1][0] - self.slowdowns[0][0] < MIN_SAMPLE_SPAN_S
+        ):
             return None
-        rates = sorted(rate for _, rate in self.rates)
-        return rates[int(SLOWDOWN_QUANTILE * len(rates))]
+        slowdowns = sorted(rate for _, rate in self.slowdowns)
+        return slowdowns[int(SLOWDOWN_QUANTILE * len(slowdowns))]
 
     def set_share(self, share, now):
         """Change the share; the rates seen before it say nothing of what follows."""
         self.share = share
         self.share_changed_at = now
-        self.rates.clear()
+        self.slowdowns.clear()
