--- a/tests/test_engine_health.py
+++ b/tests/test_engine_health.py
@@ -12,7 +12,7 @@
     while now < end_s:
         before = health.share(slow, now) if slow else 1.0
         for name in NAMES:
-            health.on_progress_rate(name, ratio if name == slow else 1.0, now)
+            health.on_slowdown(name, ratio if name == slow else 1.0, now)
         changes += bool(slow) and health.share(slow, now) != before
         now += 0.5
     return changes
@@ -86,5 +86,5 @@
         health = EngineHealth(engines=NAMES)
         for now in range(30):
             for name in NAMES:
-                health.on_progress_rate(name, 4.0, float(now))
+                health.on_slowdown(name, 4.0, float(now))
         self.assertEqual({health.share(name, 30.0) for name in NAMES}, {1.0})
--- a/wagtailtrestle/capacity/run_table.py
+++ b/wagtailtrestle/capacity/run_table.py
@@ -235,7 +235,7 @@
         decode_s = message.duration_s - (message.first_token_s if message.output_tokens else 0.0)
         concurrency = grant.mean_concurrency
         expected_s = tokens * engine.model.token_interval_s(concurrency)
-        self._health.on_progress_rate(engine.name, decode_s / expected_s, self._clock())
+        self._health.on_slowdown(engine.name, decode_s / expected_s, self._clock())
         self.lengths.observe(
             request=grant.request, asked_tokens=grant.asked_tokens, output_tokens=message.output_tokens
         )
--- a/wagtailtrestle/engines/health.py
+++ b/wagtailtrestle/engines/health.py
@@ -94,7 +94,7 @@
         else:
             state.succeed()
 
-    def on_progress_rate(self, engine, observed_over_expected, now):
+    def on_slowdown(self, engine, observed_over_expected, now):
         """Take in how long a decode took against what the engine's model expected."""
         state = self._states_by_name.get(engine)
         if state is None:
