--- a/wagtailtrestle/capacity/run_table.py
+++ b/wagtailtrestle/capacity/run_table.py
@@ -98,7 +98,7 @@
         logger.info("engine {} started again; what was known of it is forgotten", state.name)
         for grant in list(state.grants_by_request_id.values()):
             self.end(grant)
-        self._health.forget(state.name)
+        self._health.reset(state.name)
 
     def hold(self, request, *, asked_tokens, engine_name, deadline):
         """Give a place to a request and count it as not yet begun."""
--- a/wagtailtrestle/engines/health.py
+++ b/wagtailtrestle/engines/health.py
@@ -79,7 +79,7 @@
         """Judge these engines from now on; what is known of those kept stays."""
         self._states_by_name = {name: self._states_by_name.get(name) or EngineHealthState() for name in engines}
 
-    def forget(self, engine):
+    def reset(self, engine):
         """Judge the engine anew: it started again, and what it did before says nothing of it."""
         if engine in self._states_by_name:
             self._states_by_name[engine] = EngineHealthState()
