--- a/wagtailtrestle/engines/health.py
+++ b/wagtailtrestle/engines/health.py
@@ -92,7 +92,7 @@
         if result in FAILED_RESULTS:
             state.fail(now)
         else:
-            state.succeed()
+            state.record_success()
 
     def on_slowdown(self, engine, observed_over_expected, now):
         """Take in how long a decode took against what the engine's model expected."""
@@ -191,7 +191,7 @@
             longer = 2.0 ** (self.failures - CONSECUTIVE_FAILURES_TO_EJECT)
             self.ejected_until = now + min(MAX_EJECTION_S, INITIAL_EJECTION_S * longer)
 
-    def succeed(self):
+    def record_success(self):
         """Believe the engine sound again."""
         self.failures = 0
         self.ejected_until = 0.0
