--- a/wagtailtrestle/engines/health.py
+++ b/wagtailtrestle/engines/health.py
@@ -90,7 +90,7 @@
         if state is None or result in NEUTRAL_RESULTS:
             return
         if result in FAILED_RESULTS:
-            state.fail(now)
+            state.record_failure(now)
         else:
             state.record_success()
 
@@ -182,7 +182,7 @@
         """Whether it failed so often that only a probe may go there."""
         return self.failures >= CONSECUTIVE_FAILURES_TO_EJECT
 
-    def fail(self, now):
+    def record_failure(self, now):
         """Count a failure, and eject after several in a row or a failed probe."""
         if now < self.ejected_until:
             return
