--- a/wagtailtrestle/engines/health.py
+++ b/wagtailtrestle/engines/health.py
@@ -188,8 +188,8 @@
             return
         self.failures += 1
         if self.probing:
-            longer = 2.0 ** (self.failures - CONSECUTIVE_FAILURES_TO_EJECT)
-            self.ejected_until = now + min(MAX_EJECTION_S, INITIAL_EJECTION_S * longer)
+            backoff_factor = 2.0 ** (self.failures - CONSECUTIVE_FAILURES_TO_EJECT)
+            self.ejected_until = now + min(MAX_EJECTION_S, INITIAL_EJECTION_S * backoff_factor)
 
     def record_success(self):
         """Believe the engine sound again."""
