--- a/wagtailtrestle/engines/rate_limit.py
+++ b/wagtailtrestle/engines/rate_limit.py
@@ -12,7 +12,7 @@
 MIN_PER_S = 0.1
 """Rate kept up under any limit, 0 included: only an engine that answers can tell that its limit is lifted."""
 
-MIN_TO_LIFT = 2
+MIN_UNLIMITED_ANSWERS = 2
 """Least number of answers in a row without a limit before it is raised."""
 
 CHANCE = 0.01
@@ -145,7 +145,7 @@
     def _seems_lifted(self):
         answers_before = self._answers - self._unnamed
         share = (self._namings + 0.5) / (answers_before + 2.0)
-        return self._unnamed >= MIN_TO_LIFT and (1.0 - share) ** self._unnamed <= CHANCE
+        return self._unnamed >= MIN_UNLIMITED_ANSWERS and (1.0 - share) ** self._unnamed <= CHANCE
 
     def _rate(self):
         raised_s = max(0.0, self._clock() - self._raised_since)
