--- a/wagtailtrestle/engines/rate_limit.py
+++ b/wagtailtrestle/engines/rate_limit.py
@@ -15,7 +15,7 @@
 MIN_UNLIMITED_ANSWERS = 2
 """Least number of answers in a row without a limit before it is raised."""
 
-CHANCE = 0.01
+MAX_CHANCE_OF_UNLIMITED_ANSWERS = 0.01
 """Likelihood of so many in a row, had the engine named it as often as before, at which the limit is raised: an
 engine may name it in some answers only."""
 
@@ -145,7 +145,9 @@
     def _seems_lifted(self):
         answers_before = self._answers - self._unnamed
         share = (self._namings + 0.5) / (answers_before + 2.0)
-        return self._unnamed >= MIN_UNLIMITED_ANSWERS and (1.0 - share) ** self._unnamed <= CHANCE
+        return (
+            self._unnamed >= MIN_UNLIMITED_ANSWERS and (1.0 - share) ** self._unnamed <= MAX_CHANCE_OF_UNLIMITED_ANSWERS
+        )
 
     def _rate(self):
         raised_s = max(0.0, self._clock() - self._raised_since)
