--- a/wagtailtrestle/engines/rate_limit.py
+++ b/wagtailtrestle/engines/rate_limit.py
@@ -19,7 +19,7 @@
 """Likelihood of so many in a row, had the engine named it as often as before, at which the limit is raised: an
 engine may name it in some answers only."""
 
-MIN_TO_LIFT_S = 1.0
+MIN_UNLIMITED_S = 1.0
 """Least time from the last answer that names a limit until it is raised."""
 
 DOUBLED_EACH_S = 0.5
@@ -138,7 +138,7 @@
             return
         self._answers += 1
         self._unnamed += 1
-        if self._raised_since == math.inf and at - self._named_at > MIN_TO_LIFT_S and self._seems_lifted():
+        if self._raised_since == math.inf and at - self._named_at > MIN_UNLIMITED_S and self._seems_lifted():
             self._fill()
             self._raised_since = self._clock()
 
