--- a/wagtailtrestle/engines/rate_limit.py
+++ b/wagtailtrestle/engines/rate_limit.py
@@ -22,7 +22,7 @@
 MIN_UNLIMITED_S = 1.0
 """Least time from the last answer that names a limit until it is raised."""
 
-DOUBLED_EACH_S = 0.5
+DOUBLING_TIME_S = 0.5
 """Time in which a limit that is no longer named doubles."""
 
 LIMIT_NOTICE_TTL_S = 10.0
@@ -151,7 +151,7 @@
 
     def _rate(self):
         raised_s = max(0.0, self._clock() - self._raised_since)
-        return self._per_s * 2.0 ** (raised_s / DOUBLED_EACH_S)
+        return self._per_s * 2.0 ** (raised_s / DOUBLING_TIME_S)
 
     def _burst(self):
         return max(1.0, self._rate() * BURST_S)
