--- a/wagtailtrestle/engines/rate_limit.py
+++ b/wagtailtrestle/engines/rate_limit.py
@@ -28,7 +28,7 @@
 LIMIT_NOTICE_TTL_S = 10.0
 """Time for which a limit that was named is told on: older, it may have been lifted unheard."""
 
-LIFTED_FACTOR = 16.0
+LIFTED_GROWTH_FACTOR = 16.0
 """Growth from which the limit counts as lifted: its engine gets its load back over some seconds, not at once."""
 
 
@@ -163,7 +163,7 @@
         now = self._clock()
         self._tokens = min(self._burst(), self._tokens + self._rate() * (now - self._filled_at))
         self._filled_at = now
-        if self._rate() >= LIFTED_FACTOR * self._per_s:
+        if self._rate() >= LIFTED_GROWTH_FACTOR * self._per_s:
             self._per_s = math.inf
             self._raised_since = math.inf
             self._given_at.clear()
