--- a/wagtailtrestle/engines/rate_limit.py
+++ b/wagtailtrestle/engines/rate_limit.py
@@ -44,7 +44,7 @@
     __slots__ = (
         "_clock",
         "_per_s",
-        "_named_at",
+        "_limited_answer_at",
         "_heard_at",
         "_answers",
         "_namings",
@@ -58,7 +58,7 @@
     def __init__(self, *, clock):
         self._clock = clock
         self._per_s = math.inf
-        self._named_at = -math.inf
+        self._limited_answer_at = -math.inf
         self._heard_at = -math.inf
         self._answers = 0
         self._namings = 0
@@ -76,7 +76,7 @@
     @property
     def age_s(self):
         """Time since an answer last named a limit; infinite if none did, or long ago."""
-        age_s = self._clock() - self._named_at
+        age_s = self._clock() - self._limited_answer_at
         return age_s if self.in_force or age_s < LIMIT_NOTICE_TTL_S else math.inf
 
     def observe(self, per_s, *, age_s=0.0):
@@ -95,7 +95,7 @@
         self._fill()
         self._per_s = max(MIN_PER_S, per_s)
         self._tokens = min(self._tokens, self._burst())
-        self._named_at = at
+        self._limited_answer_at = at
         self._answers += 1
         self._namings += 1
         self._unnamed = 0
@@ -138,7 +138,7 @@
             return
         self._answers += 1
         self._unnamed += 1
-        if self._raised_since == math.inf and at - self._named_at > MIN_UNLIMITED_S and self._seems_lifted():
+        if self._raised_since == math.inf and at - self._limited_answer_at > MIN_UNLIMITED_S and self._seems_lifted():
             self._fill()
             self._raised_since = self._clock()
 
