--- a/wagtailtrestle/engines/rate_limit.py
+++ b/wagtailtrestle/engines/rate_limit.py
@@ -45,7 +45,7 @@
         "_clock",
         "_per_s",
         "_limited_answer_at",
-        "_heard_at",
+        "_last_answer_at",
         "_answers",
         "_namings",
         "_unnamed",
@@ -59,7 +59,7 @@
         self._clock = clock
         self._per_s = math.inf
         self._limited_answer_at = -math.inf
-        self._heard_at = -math.inf
+        self._last_answer_at = -math.inf
         self._answers = 0
         self._namings = 0
         self._unnamed = 0
@@ -82,9 +82,9 @@
     def observe(self, per_s, *, age_s=0.0):
         """Take in what an answer named that was read ``age_s`` ago; ``per_s`` is infinite without a limit."""
         at = self._clock() - age_s
-        if at < self._heard_at:
+        if at < self._last_answer_at:
             return
-        self._heard_at = at
+        self._last_answer_at = at
         if per_s == math.inf:
             self._hear_none(at)
             return
