--- a/wagtailtrestle/engines/rate_limit.py
+++ b/wagtailtrestle/engines/rate_limit.py
@@ -47,7 +47,7 @@
         "_limited_answer_at",
         "_last_answer_at",
         "_answers",
-        "_namings",
+        "_limited_answers",
         "_unnamed",
         "_raised_since",
         "_tokens",
@@ -61,7 +61,7 @@
         self._limited_answer_at = -math.inf
         self._last_answer_at = -math.inf
         self._answers = 0
-        self._namings = 0
+        self._limited_answers = 0
         self._unnamed = 0
         self._raised_since = math.inf
         self._tokens = 0.0
@@ -91,13 +91,13 @@
         if not self.in_force:
             self._tokens = 0.0
             self._filled_at = self._clock()
-            self._answers = self._namings = 0
+            self._answers = self._limited_answers = 0
         self._fill()
         self._per_s = max(MIN_PER_S, per_s)
         self._tokens = min(self._tokens, self._burst())
         self._limited_answer_at = at
         self._answers += 1
-        self._namings += 1
+        self._limited_answers += 1
         self._unnamed = 0
         self._raised_since = math.inf
 
@@ -144,7 +144,7 @@
 
     def _seems_lifted(self):
         answers_before = self._answers - self._unnamed
-        share = (self._namings + 0.5) / (answers_before + 2.0)
+        share = (self._limited_answers + 0.5) / (answers_before + 2.0)
         return (
             self._unnamed >= MIN_UNLIMITED_ANSWERS and (1.0 - share) ** self._unnamed <= MAX_CHANCE_OF_UNLIMITED_ANSWERS
         )
