--- a/wagtailtrestle/engines/rate_limit.py
+++ b/wagtailtrestle/engines/rate_limit.py
@@ -48,7 +48,7 @@
         "_last_answer_at",
         "_answers",
         "_limited_answers",
-        "_unnamed",
+        "_consecutive_unlimited",
         "_raised_since",
         "_tokens",
         "_filled_at",
@@ -62,7 +62,7 @@
         self._last_answer_at = -math.inf
         self._answers = 0
         self._limited_answers = 0
-        self._unnamed = 0
+        self._consecutive_unlimited = 0
         self._raised_since = math.inf
         self._tokens = 0.0
         self._filled_at = 0.0
@@ -98,7 +98,7 @@
         self._limited_answer_at = at
         self._answers += 1
         self._limited_answers += 1
-        self._unnamed = 0
+        self._consecutive_unlimited = 0
         self._raised_since = math.inf
 
     def record_request(self):
@@ -137,16 +137,17 @@
         if not self.in_force:
             return
         self._answers += 1
-        self._unnamed += 1
+        self._consecutive_unlimited += 1
         if self._raised_since == math.inf and at - self._limited_answer_at > MIN_UNLIMITED_S and self._seems_lifted():
             self._fill()
             self._raised_since = self._clock()
 
     def _seems_lifted(self):
-        answers_before = self._answers - self._unnamed
+        answers_before = self._answers - self._consecutive_unlimited
         share = (self._limited_answers + 0.5) / (answers_before + 2.0)
         return (
-            self._unnamed >= MIN_UNLIMITED_ANSWERS and (1.0 - share) ** self._unnamed <= MAX_CHANCE_OF_UNLIMITED_ANSWERS
+            self._consecutive_unlimited >= MIN_UNLIMITED_ANSWERS
+            and (1.0 - share) ** self._consecutive_unlimited <= MAX_CHANCE_OF_UNLIMITED_ANSWERS
         )
 
     def _rate(self):
