--- a/wagtailtrestle/engines/rate_limit.py
+++ b/wagtailtrestle/engines/rate_limit.py
@@ -86,7 +86,7 @@
             return
         self._last_answer_at = at
         if per_s == math.inf:
-            self._hear_none(at)
+            self._observe_unlimited(at)
             return
         if not self.in_force:
             self._tokens = 0.0
@@ -133,7 +133,7 @@
             return None
         return {"named_per_s": self._per_s, "per_s": round(self._rate(), 3), "age_s": round(self.age_s, 3)}
 
-    def _hear_none(self, at):
+    def _observe_unlimited(self, at):
         if not self.in_force:
             return
         self._answers += 1
