--- a/wagtailtrestle/engines/rate_limit.py
+++ b/wagtailtrestle/engines/rate_limit.py
@@ -92,7 +92,7 @@
             self._tokens = 0.0
             self._filled_at = self._clock()
             self._answers = self._limited_answers = 0
-        self._fill()
+        self._refill()
         self._per_s = max(MIN_PER_S, per_s)
         self._tokens = min(self._tokens, self._burst())
         self._limited_answer_at = at
@@ -104,7 +104,7 @@
     def record_request(self):
         """Count a request that is given to the engine now."""
         if self.in_force:
-            self._fill()
+            self._refill()
             self._tokens -= 1.0
             self._given_at.append(self._clock())
 
@@ -115,7 +115,7 @@
 
     def available_requests(self):
         """Requests that may be given now; ``None`` without a limit."""
-        self._fill()
+        self._refill()
         if not self.in_force:
             return None
         horizon = self._clock() - WINDOW_S
@@ -139,7 +139,7 @@
         self._answers += 1
         self._consecutive_unlimited += 1
         if self._raised_since == math.inf and at - self._limited_answer_at > MIN_UNLIMITED_S and self._seems_lifted():
-            self._fill()
+            self._refill()
             self._raised_since = self._clock()
 
     def _seems_lifted(self):
@@ -157,7 +157,7 @@
     def _burst(self):
         return max(1.0, self._rate() * BURST_S)
 
-    def _fill(self):
+    def _refill(self):
         """Bring the tokens up to now, and end a limit that has grown enough."""
         if not self.in_force:
             return
