--- a/wagtailtrestle/engines/rate_limit.py
+++ b/wagtailtrestle/engines/rate_limit.py
@@ -52,7 +52,7 @@
         "_raised_since",
         "_tokens",
         "_filled_at",
-        "_given_at",
+        "_request_times",
     )
 
     def __init__(self, *, clock):
@@ -66,7 +66,7 @@
         self._raised_since = math.inf
         self._tokens = 0.0
         self._filled_at = 0.0
-        self._given_at = []
+        self._request_times = []
 
     @property
     def in_force(self):
@@ -106,12 +106,12 @@
         if self.in_force:
             self._refill()
             self._tokens -= 1.0
-            self._given_at.append(self._clock())
+            self._request_times.append(self._clock())
 
     def record_earlier_request(self, given_at):
         """Count a request that the engine was given before: it fills the window, and uses up no token."""
         if self.in_force:
-            self._given_at.append(given_at)
+            self._request_times.append(given_at)
 
     def available_requests(self):
         """Requests that may be given now; ``None`` without a limit."""
@@ -119,8 +119,8 @@
         if not self.in_force:
             return None
         horizon = self._clock() - WINDOW_S
-        self._given_at = [at for at in self._given_at if at > horizon]
-        left_in_window = 1.0 + self._rate() * WINDOW_S - len(self._given_at)
+        self._request_times = [at for at in self._request_times if at > horizon]
+        left_in_window = 1.0 + self._rate() * WINDOW_S - len(self._request_times)
         return max(0, math.floor(min(self._tokens, left_in_window)))
 
     def per_s(self):
@@ -167,4 +167,4 @@
         if self._rate() >= LIFTED_GROWTH_FACTOR * self._per_s:
             self._per_s = math.inf
             self._raised_since = math.inf
-            self._given_at.clear()
+            self._request_times.clear()
