--- a/wagtailtrestle/engines/rate_limit.py
+++ b/wagtailtrestle/engines/rate_limit.py
@@ -108,10 +108,10 @@
             self._tokens -= 1.0
             self._request_times.append(self._clock())
 
-    def record_earlier_request(self, given_at):
+    def record_earlier_request(self, granted_at):
         """Count a request that the engine was given before: it fills the window, and uses up no token."""
         if self.in_force:
-            self._request_times.append(given_at)
+            self._request_times.append(granted_at)
 
     def available_requests(self):
         """Requests that may be given now; ``None`` without a limit."""
