--- a/wagtailtrestle/adapters.py
+++ b/wagtailtrestle/adapters.py
@@ -7,7 +7,7 @@
 from wagtailtrestle.declarations.check import parse_declaration
 from wagtailtrestle.declarations.settings import PLATFORM_ADAPTER
 from wagtailtrestle.engines.native_call import CANCELLABLE
-from wagtailtrestle.engines.reports import OwnReports
+from wagtailtrestle.engines.reports import NativeReports
 from wagtailtrestle.store.object_store_http import HttpObjectStore
 
 
@@ -59,7 +59,7 @@
     """The product's own interface."""
 
     place = OwnDeclarations()
-    reports = OwnReports()
+    reports = NativeReports()
     ended_call = CANCELLABLE
     router_kind = None
     engine_kind = None
--- a/wagtailtrestle/engines/reports.py
+++ b/wagtailtrestle/engines/reports.py
@@ -23,7 +23,7 @@
 ABSENT_PROBLEM = "HTTP status 404"
 
 
-class OwnReports:
+class NativeReports:
     """Where the product's own engines tell their load and cache events, and how that reads."""
 
     load_path = "/load"
@@ -49,7 +49,7 @@
     """
 
     def __init__(self, *, interval_s, loop, on_report: Callable[[EngineReport], None], dialect=None):
-        self._dialect = dialect or OwnReports()
+        self._dialect = dialect or NativeReports()
         self._interval_s = interval_s
         self._loop = loop
         self._on_report = on_report
