--- a/wagtailtrestle/engines/reports.py
+++ b/wagtailtrestle/engines/reports.py
@@ -20,7 +20,7 @@
 READ_TIMEOUT_S = 0.5
 LOADS_PER_CACHE_POLL = 4
 OK = 200
-ABSENT_PROBLEM = "HTTP status 404"
+NOT_FOUND_PROBLEM = "HTTP status 404"
 
 
 class NativeReports:
@@ -193,7 +193,7 @@
         values, problem = self._get(f"{self._dialect.cache_path}?from={self._next_event}")
         if values is None:
             # An engine without cache events is not asked again until it is declared anew.
-            self._tells_cache = problem != ABSENT_PROBLEM
+            self._tells_cache = problem != NOT_FOUND_PROBLEM
             return
         restarted = self._epoch is not None and values["epoch"] != self._epoch
         expected = 1 if restarted else self._next_event
