--- a/wagtailtrestle/engines/reports.py
+++ b/wagtailtrestle/engines/reports.py
@@ -18,7 +18,7 @@
 
 CONNECT_TIMEOUT_S = 0.3
 READ_TIMEOUT_S = 0.5
-LOADS_PER_CACHE_POLL = 4
+LOAD_POLLS_PER_CACHE_POLL = 4
 OK = 200
 NOT_FOUND_PROBLEM = "HTTP status 404"
 
@@ -186,7 +186,7 @@
             self._report(LoadUnreachable(engine=self._name, detail=problem))
             return
         self._report(self._dialect.load(self._name, values, took_s=time.monotonic() - began_at))
-        if self._tells_cache and self._polls % LOADS_PER_CACHE_POLL == 0:
+        if self._tells_cache and self._polls % LOAD_POLLS_PER_CACHE_POLL == 0:
             self._poll_cache_events()
 
     def _poll_cache_events(self):
