--- a/wagtailtrestle/engines/reports.py
+++ b/wagtailtrestle/engines/reports.py
@@ -130,7 +130,7 @@
         "_connection",
         "_answered",
         "_polls",
-        "_tells_cache",
+        "_has_cache_events",
         "_epoch",
         "_next_event",
     )
@@ -147,7 +147,7 @@
         self._connection = None
         self._answered = False
         self._polls = 0
-        self._tells_cache = dialect.cache_path is not None
+        self._has_cache_events = dialect.cache_path is not None
         self._epoch = None
         self._next_event = 1
 
@@ -186,14 +186,14 @@
             self._report(LoadUnreachable(engine=self._name, detail=problem))
             return
         self._report(self._dialect.load(self._name, values, took_s=time.monotonic() - began_at))
-        if self._tells_cache and self._polls % LOAD_POLLS_PER_CACHE_POLL == 0:
+        if self._has_cache_events and self._polls % LOAD_POLLS_PER_CACHE_POLL == 0:
             self._poll_cache_events()
 
     def _poll_cache_events(self):
         values, problem = self._get(f"{self._dialect.cache_path}?from={self._next_event}")
         if values is None:
             # An engine without cache events is not asked again until it is declared anew.
-            self._tells_cache = problem != NOT_FOUND_PROBLEM
+            self._has_cache_events = problem != NOT_FOUND_PROBLEM
             return
         restarted = self._epoch is not None and values["epoch"] != self._epoch
         expected = 1 if restarted else self._next_event
