--- a/wagtailtrestle/engines/reports.py
+++ b/wagtailtrestle/engines/reports.py
@@ -76,19 +76,19 @@
         for number, (name, address) in enumerate(address_by_name.items()):
             if name not in self._poller_by_name:
                 # Spread over the interval, so that calls don't come in bursts.
-                first_s = self._interval_s * number / len(address_by_name)
-                self._poller_by_name[name] = self._start_poller(name, address, first_s)
+                initial_delay_s = self._interval_s * number / len(address_by_name)
+                self._poller_by_name[name] = self._start_poller(name, address, initial_delay_s)
         self._address_by_name = dict(address_by_name)
 
     def dump(self) -> dict:
         """Return what is asked and who answers, for a state dump."""
         return {name: poller.dump() for name, poller in self._poller_by_name.items()}
 
-    def _start_poller(self, name, address, first_s):
+    def _start_poller(self, name, address, initial_delay_s):
         poller = EnginePoller(
             name=name,
             address=address,
-            first_s=first_s,
+            initial_delay_s=initial_delay_s,
             interval_s=self._interval_s,
             deliver=self._deliver,
             dialect=self._dialect,
@@ -135,11 +135,11 @@
         "_next_event",
     )
 
-    def __init__(self, *, name, address, first_s, interval_s, deliver, dialect):
+    def __init__(self, *, name, address, initial_delay_s, interval_s, deliver, dialect):
         self._dialect = dialect
         self._name = name
         self._address = address
-        self._first_s = first_s
+        self._first_s = initial_delay_s
         self._interval_s = interval_s
         self._deliver = deliver
         self._closing = threading.Event()
