--- a/wagtailtrestle/engines/reports.py
+++ b/wagtailtrestle/engines/reports.py
@@ -122,7 +122,7 @@
         "_dialect",
         "_name",
         "_address",
-        "_first_s",
+        "_initial_delay_s",
         "_interval_s",
         "_deliver",
         "_closing",
@@ -139,7 +139,7 @@
         self._dialect = dialect
         self._name = name
         self._address = address
-        self._first_s = initial_delay_s
+        self._initial_delay_s = initial_delay_s
         self._interval_s = interval_s
         self._deliver = deliver
         self._closing = threading.Event()
@@ -164,7 +164,7 @@
         return {"address": self._address, "answered": self._answered, "polls": self._polls}
 
     def _poll_forever(self):
-        due_at = time.monotonic() + self._first_s
+        due_at = time.monotonic() + self._initial_delay_s
         while not self._closing.wait(due_at - time.monotonic()):
             due_at = time.monotonic() + self._interval_s
             try:
