--- a/wagtailtrestle/engines/run_exchange.py
+++ b/wagtailtrestle/engines/run_exchange.py
@@ -26,7 +26,7 @@
 MAX_ERROR_BYTES = 65536
 MAX_PLAIN_BYTES = 32 * 1024 * 1024
 MAX_RECORDED_BYTES = 65536
-SHORTEST_TIMEOUT_S = 0.001
+MIN_TIMEOUT_S = 0.001
 OK = 200
 LATE_SEND_S = 0.25
 """Time to connect beyond which what was decided when the run was granted may hold no more."""
@@ -194,7 +194,7 @@
         # again. It costs one round trip, and a failure here is certain: nothing was sent.
         # It also means that no run ever starts on a connection that went silent while idle.
         host, port = split_address(self.command.address)
-        timeout = max(min(self._connect_timeout_s, self.command.overall_s), SHORTEST_TIMEOUT_S)
+        timeout = max(min(self._connect_timeout_s, self.command.overall_s), MIN_TIMEOUT_S)
         self._connection = HTTPConnection(host, port, timeout=timeout)
         try:
             self._connection.connect()
