--- a/wagtailtrestle/engines/run_exchange.py
+++ b/wagtailtrestle/engines/run_exchange.py
@@ -28,7 +28,7 @@
 MAX_RECORDED_BYTES = 65536
 MIN_TIMEOUT_S = 0.001
 OK = 200
-LATE_SEND_S = 0.25
+LATE_SEND_THRESHOLD_S = 0.25
 """Time to connect beyond which what was decided when the run was granted may hold no more."""
 KEEPALIVE_IDLE_S = 1
 KEEPALIVE_INTERVAL_S = 1
@@ -246,7 +246,7 @@
 
     def _log_late_send(self):
         waited_s = self.progress.duration_s
-        if waited_s > LATE_SEND_S:
+        if waited_s > LATE_SEND_THRESHOLD_S:
             logger.bind(run_id=self.command.run_id, engine=self.command.engine, waited_s=round(waited_s, 3)).info(
                 "a run was sent late: its engine was slow to take the connection"
             )
