--- a/wagtailtrestle/engines/run_exchange.py
+++ b/wagtailtrestle/engines/run_exchange.py
@@ -35,7 +35,7 @@
 KEEPALIVE_PROBES = 2
 """An engine whose VM vanished sends no end of connection. Probed so, its run ends as cut some three
 seconds later, and what may be repeated has time left for another engine."""
-UNSENT_TIMEOUT_MS = 3000
+UNACKNOWLEDGED_TIMEOUT_MS = 3000
 """The same for bytes that nobody acknowledges, while the request is being written."""
 
 
@@ -282,4 +282,4 @@
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_S)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_S)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_PROBES)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNSENT_TIMEOUT_MS)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_TIMEOUT_MS)
