--- a/wagtailtrestle/engines/native_call.py
+++ b/wagtailtrestle/engines/native_call.py
@@ -180,7 +180,7 @@
     check = AnswerCheck(run_id=exchange.command.run_id, received=received, on_token=exchange.on_token)
     chunks = exchange.chunks()
     while not received.done:
-        exchange.wait_at_most(exchange.progress.left_for_token_s())
+        exchange.set_read_timeout(exchange.progress.left_for_token_s())
         data = next(chunks, b"")
         if not data:
             break
@@ -197,6 +197,6 @@
 
 
 def _rejected(exchange):
-    exchange.wait_at_most(exchange.progress.left_s(exchange.command.first_token_deadline_s))
+    exchange.set_read_timeout(exchange.progress.left_s(exchange.command.first_token_deadline_s))
     exchange.keep(exchange.response.read(MAX_ERROR_BYTES, decode_content=False))
     return RunRejected(status=exchange.response.status)
--- a/wagtailtrestle/engines/run_exchange.py
+++ b/wagtailtrestle/engines/run_exchange.py
@@ -126,7 +126,7 @@
         """Tokens received so far, by this run and those before it."""
         return self.received.output_tokens
 
-    def wait_at_most(self, seconds):
+    def set_read_timeout(self, seconds):
         """Let the next read wait so long.
 
         Raises
@@ -158,7 +158,7 @@
         parts = []
         left = length
         while left > 0:
-            self.wait_at_most(self.progress.left_s(self.command.progress_deadline_s))
+            self.set_read_timeout(self.progress.left_s(self.command.progress_deadline_s))
             data = self.response.read1(min(left, READ_BYTES), decode_content=False)
             if not data:
                 raise ConnectionError("the body ended early")
@@ -218,7 +218,7 @@
         return outcome
 
     def _exchange(self):
-        self.wait_at_most(self.progress.left_s(self.command.first_token_deadline_s))
+        self.set_read_timeout(self.progress.left_s(self.command.first_token_deadline_s))
         self._log_late_send()
         # Neither retries nor redirects exist at this level of urllib3, on purpose: a hidden
         # second sending would be a second dispatch.
