--- a/wagtailtrestle/engines/native_call.py
+++ b/wagtailtrestle/engines/native_call.py
@@ -140,7 +140,7 @@
         if length > MAX_PLAIN_BYTES:
             return exchange.cut(f"the answer is longer than {MAX_PLAIN_BYTES} bytes")
         exchange.progress.begin()
-        exchange.keep(exchange.read_body(length))
+        exchange.record_answer(exchange.read_body(length))
         if response.status >= FIRST_ERROR_STATUS:
             return RunRejected(status=response.status)
         return RunDone()
@@ -198,5 +198,5 @@
 
 def _rejected(exchange):
     exchange.set_read_timeout(exchange.progress.left_s(exchange.command.first_token_deadline_s))
-    exchange.keep(exchange.response.read(MAX_ERROR_BYTES, decode_content=False))
+    exchange.record_answer(exchange.response.read(MAX_ERROR_BYTES, decode_content=False))
     return RunRejected(status=exchange.response.status)
--- a/wagtailtrestle/engines/run_exchange.py
+++ b/wagtailtrestle/engines/run_exchange.py
@@ -166,7 +166,7 @@
             left -= len(data)
         return b"".join(parts)
 
-    def keep(self, body):
+    def record_answer(self, body):
         """Note the whole answer as received."""
         self.received.status = self.response.status
         self.received.headers = dict(self.response.headers)
