--- a/wagtailtrestle/engines/run_exchange.py
+++ b/wagtailtrestle/engines/run_exchange.py
@@ -201,7 +201,7 @@
         except (NewConnectionError, UrllibTimeoutError, OSError) as error:
             return RunNotSent(detail=f"no connection: {type(error).__name__}")
         self._socket = self._connection.sock
-        _watch_peer(self._socket)
+        _enable_keepalive(self._socket)
         if self._aborted:
             return RunNotSent(detail="cancelled before it was sent")
         return None
@@ -277,7 +277,7 @@
         return RunEnded(**ended, status=received.status or OK, content_type=content_type, body=body)
 
 
-def _watch_peer(sock):
+def _enable_keepalive(sock):
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_S)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_S)
