--- a/wagtailtrestle/engines/run_exchange.py
+++ b/wagtailtrestle/engines/run_exchange.py
@@ -268,8 +268,8 @@
             "duration_s": self.progress.duration_s,
             "first_token_s": self.progress.first_token_s,
         }
-        whole_plain = isinstance(outcome, RunDone) and not self.call.is_streamed
-        if not whole_plain and not isinstance(outcome, RunRejected | RunFailed):
+        is_complete_plain_answer = isinstance(outcome, RunDone) and not self.call.is_streamed
+        if not is_complete_plain_answer and not isinstance(outcome, RunRejected | RunFailed):
             return RunEnded(**ended)
         received = self.received
         body = received.body if len(received.body) <= MAX_RECORDED_BYTES else b""
