--- a/wagtailtrestle/engines/native_call.py
+++ b/wagtailtrestle/engines/native_call.py
@@ -197,6 +197,6 @@
 
 
 def _rejected(exchange):
-    exchange.set_read_timeout(exchange.progress.left_s(exchange.command.first_token_deadline_s))
+    exchange.set_read_timeout(exchange.progress.time_left_s(exchange.command.first_token_deadline_s))
     exchange.record_answer(exchange.response.read(MAX_ERROR_BYTES, decode_content=False))
     return RunRejected(status=exchange.response.status)
--- a/wagtailtrestle/engines/run_exchange.py
+++ b/wagtailtrestle/engines/run_exchange.py
@@ -158,7 +158,7 @@
         parts = []
         left = length
         while left > 0:
-            self.set_read_timeout(self.progress.left_s(self.command.progress_deadline_s))
+            self.set_read_timeout(self.progress.time_left_s(self.command.progress_deadline_s))
             data = self.response.read1(min(left, READ_BYTES), decode_content=False)
             if not data:
                 raise ConnectionError("the body ended early")
@@ -218,7 +218,7 @@
         return outcome
 
     def _exchange(self):
-        self.set_read_timeout(self.progress.left_s(self.command.first_token_deadline_s))
+        self.set_read_timeout(self.progress.time_left_s(self.command.first_token_deadline_s))
         self._log_late_send()
         # Neither retries nor redirects exist at this level of urllib3, on purpose: a hidden
         # second sending would be a second dispatch.
--- a/wagtailtrestle/engines/run_progress.py
+++ b/wagtailtrestle/engines/run_progress.py
@@ -67,7 +67,7 @@
         now = time.monotonic()
         return min(self._progress_at + limit_s, self._ends_at) - now
 
-    def left_s(self, limit_s) -> float:
+    def time_left_s(self, limit_s) -> float:
         """Time left for one step of at most ``limit_s``, within the whole run's limit."""
         return min(limit_s, self._ends_at - time.monotonic())
 
