--- a/wagtailtrestle/engines/native_call.py
+++ b/wagtailtrestle/engines/native_call.py
@@ -180,7 +180,7 @@
     check = AnswerCheck(run_id=exchange.command.run_id, received=received, on_token=exchange.on_token)
     chunks = exchange.chunks()
     while not received.done:
-        exchange.set_read_timeout(exchange.progress.left_for_token_s())
+        exchange.set_read_timeout(exchange.progress.time_left_for_token_s())
         data = next(chunks, b"")
         if not data:
             break
--- a/wagtailtrestle/engines/run_progress.py
+++ b/wagtailtrestle/engines/run_progress.py
@@ -60,7 +60,7 @@
         """Time since the start."""
         return time.monotonic() - self._began_at
 
-    def left_for_token_s(self) -> float:
+    def time_left_for_token_s(self) -> float:
         """Time left for the next token; not positive once it is overdue."""
         command = self._command
         limit_s = command.progress_deadline_s if self.first_token_s else command.first_token_deadline_s
--- a/wagtailtrestle/platform/engines.py
+++ b/wagtailtrestle/platform/engines.py
@@ -164,7 +164,7 @@
         parts = []
         size = 0
         for data in exchange.chunks():
-            exchange.set_read_timeout(exchange.progress.left_for_token_s())
+            exchange.set_read_timeout(exchange.progress.time_left_for_token_s())
             parts.append(data)
             size += len(data)
             if size > MAX_PLAIN_BYTES:
@@ -189,7 +189,7 @@
                 received.last_event_id = splitter.last_id
                 exchange.on_token(received.events, events.data)
                 exchange.progress.note()
-            exchange.set_read_timeout(exchange.progress.left_for_token_s())
+            exchange.set_read_timeout(exchange.progress.time_left_for_token_s())
         if splitter.has_rest or left:
             return exchange.cut("the stream ended inside an event")
         return exchange.done()
