--- a/wagtailtrestle/engines/native_call.py
+++ b/wagtailtrestle/engines/native_call.py
@@ -185,7 +185,7 @@
         if not data:
             break
         fault = check.feed(data)
-        exchange.progress.note()
+        exchange.progress.update()
         if fault is not None:
             return exchange.cut(fault.detail)
     if check.cancelled:
--- a/wagtailtrestle/engines/run_progress.py
+++ b/wagtailtrestle/engines/run_progress.py
@@ -71,7 +71,7 @@
         """Time left for one step of at most ``limit_s``, within the whole run's limit."""
         return min(limit_s, self._ends_at - time.monotonic())
 
-    def note(self):
+    def update(self):
         """Look whether tokens were added to what was received, and tell of them."""
         count = self._received.output_tokens
         if count == self._tokens_noted:
--- a/wagtailtrestle/platform/engines.py
+++ b/wagtailtrestle/platform/engines.py
@@ -188,7 +188,7 @@
                 received.events += events.count
                 received.last_event_id = splitter.last_id
                 exchange.on_token(received.events, events.data)
-                exchange.progress.note()
+                exchange.progress.update()
             exchange.set_read_timeout(exchange.progress.time_left_for_token_s())
         if splitter.has_rest or left:
             return exchange.cut("the stream ended inside an event")
