--- a/wagtailtrestle/engines/run_progress.py
+++ b/wagtailtrestle/engines/run_progress.py
@@ -40,7 +40,7 @@
         "_progress_at",
         "_advanced_at",
         "_advance_after_s",
-        "_tokens_noted",
+        "_tokens_seen",
     )
 
     def __init__(self, *, command, received, on_event):
@@ -53,7 +53,7 @@
         self._progress_at = self._began_at
         self._advanced_at = 0.0
         self._advance_after_s = FIRST_ADVANCE_S
-        self._tokens_noted = received.output_tokens
+        self._tokens_seen = received.output_tokens
 
     @property
     def duration_s(self) -> float:
@@ -74,9 +74,9 @@
     def update(self):
         """Look whether tokens were added to what was received, and tell of them."""
         count = self._received.output_tokens
-        if count == self._tokens_noted:
+        if count == self._tokens_seen:
             return
-        self._tokens_noted = count
+        self._tokens_seen = count
         now = self._progress_at = time.monotonic()
         if not self.first_token_s:
             self.begin()
