--- a/wagtailtrestle/engines/run_progress.py
+++ b/wagtailtrestle/engines/run_progress.py
@@ -37,7 +37,7 @@
         "_on_event",
         "_began_at",
         "_ends_at",
-        "_progress_at",
+        "_last_progress_at",
         "_advanced_at",
         "_advance_after_s",
         "_tokens_seen",
@@ -50,7 +50,7 @@
         self._on_event = on_event
         self._began_at = time.monotonic()
         self._ends_at = self._began_at + command.overall_s
-        self._progress_at = self._began_at
+        self._last_progress_at = self._began_at
         self._advanced_at = 0.0
         self._advance_after_s = FIRST_ADVANCE_S
         self._tokens_seen = received.output_tokens
@@ -65,7 +65,7 @@
         command = self._command
         limit_s = command.progress_deadline_s if self.first_token_s else command.first_token_deadline_s
         now = time.monotonic()
-        return min(self._progress_at + limit_s, self._ends_at) - now
+        return min(self._last_progress_at + limit_s, self._ends_at) - now
 
     def time_left_s(self, limit_s) -> float:
         """Time left for one step of at most ``limit_s``, within the whole run's limit."""
@@ -77,7 +77,7 @@
         if count == self._tokens_seen:
             return
         self._tokens_seen = count
-        now = self._progress_at = time.monotonic()
+        now = self._last_progress_at = time.monotonic()
         if not self.first_token_s:
             self.begin()
         elif now - self._advanced_at >= self._advance_after_s:
