--- a/wagtailtrestle/engines/run_progress.py
+++ b/wagtailtrestle/engines/run_progress.py
@@ -38,7 +38,7 @@
         "_began_at",
         "_ends_at",
         "_last_progress_at",
-        "_advanced_at",
+        "_last_advance_at",
         "_advance_after_s",
         "_tokens_seen",
     )
@@ -51,7 +51,7 @@
         self._began_at = time.monotonic()
         self._ends_at = self._began_at + command.overall_s
         self._last_progress_at = self._began_at
-        self._advanced_at = 0.0
+        self._last_advance_at = 0.0
         self._advance_after_s = FIRST_ADVANCE_S
         self._tokens_seen = received.output_tokens
 
@@ -80,15 +80,15 @@
         now = self._last_progress_at = time.monotonic()
         if not self.first_token_s:
             self.begin()
-        elif now - self._advanced_at >= self._advance_after_s:
-            self._advanced_at = now
+        elif now - self._last_advance_at >= self._advance_after_s:
+            self._last_advance_at = now
             self._advance_after_s = ADVANCE_INTERVAL_S
             self._on_event(RunAdvanced(run_id=self._command.run_id, output_tokens=count))
 
     def begin(self):
         """Tell that the answer began."""
-        self._advanced_at = time.monotonic()
-        self.first_token_s = self._advanced_at - self._began_at
+        self._last_advance_at = time.monotonic()
+        self.first_token_s = self._last_advance_at - self._began_at
         self._on_event(
             RunBegan(
                 run_id=self._command.run_id,
