--- a/wagtailtrestle/engines/run_progress.py
+++ b/wagtailtrestle/engines/run_progress.py
@@ -39,7 +39,7 @@
         "_ends_at",
         "_last_progress_at",
         "_last_advance_at",
-        "_advance_after_s",
+        "_next_advance_s",
         "_tokens_seen",
     )
 
@@ -52,7 +52,7 @@
         self._ends_at = self._began_at + command.overall_s
         self._last_progress_at = self._began_at
         self._last_advance_at = 0.0
-        self._advance_after_s = FIRST_ADVANCE_S
+        self._next_advance_s = FIRST_ADVANCE_S
         self._tokens_seen = received.output_tokens
 
     @property
@@ -80,9 +80,9 @@
         now = self._last_progress_at = time.monotonic()
         if not self.first_token_s:
             self.begin()
-        elif now - self._last_advance_at >= self._advance_after_s:
+        elif now - self._last_advance_at >= self._next_advance_s:
             self._last_advance_at = now
-            self._advance_after_s = ADVANCE_INTERVAL_S
+            self._next_advance_s = ADVANCE_INTERVAL_S
             self._on_event(RunAdvanced(run_id=self._command.run_id, output_tokens=count))
 
     def begin(self):
