--- a/wagtailtrestle/engines/run_progress.py
+++ b/wagtailtrestle/engines/run_progress.py
@@ -4,7 +4,7 @@
 
 from wagtailtrestle.contracts.exchange import RunAdvanced, RunBegan
 
-FIRST_ADVANCE_S = 0.25
+FIRST_ADVANCE_DELAY_S = 0.25
 """From the first token to the first word of progress, which gives the pace early."""
 
 ADVANCE_INTERVAL_S = 1.0
@@ -52,7 +52,7 @@
         self._ends_at = self._began_at + command.overall_s
         self._last_progress_at = self._began_at
         self._last_advance_at = 0.0
-        self._next_advance_s = FIRST_ADVANCE_S
+        self._next_advance_s = FIRST_ADVANCE_DELAY_S
         self._tokens_seen = received.output_tokens
 
     @property
