--- a/wagtailtrestle/engines/silence_limits.py
+++ b/wagtailtrestle/engines/silence_limits.py
@@ -2,7 +2,7 @@
 
 from wagtailtrestle.contracts.messages import Granted
 
-PROGRESS_FLOOR_S = 1.0
+MIN_PROGRESS_DEADLINE_S = 1.0
 """Least silence tolerated between tokens."""
 
 FIRST_TOKEN_FLOOR_S = 2.0
@@ -28,7 +28,7 @@
         request_id=grant.request_id,
         attempt=grant.request.attempt,
         engine=grant.engine,
-        progress_deadline_s=max(PROGRESS_FLOOR_S, SILENCE_FACTOR * step_s),
+        progress_deadline_s=max(MIN_PROGRESS_DEADLINE_S, SILENCE_FACTOR * step_s),
         first_token_deadline_s=max(FIRST_TOKEN_FLOOR_S, SILENCE_FACTOR * first_token_s),
         limit_age_s=engine.rate_limit.age_s,
         retries_used_up=retries_used_up,
