--- a/wagtailtrestle/engines/silence_limits.py
+++ b/wagtailtrestle/engines/silence_limits.py
@@ -5,7 +5,7 @@
 MIN_PROGRESS_DEADLINE_S = 1.0
 """Least silence tolerated between tokens."""
 
-FIRST_TOKEN_FLOOR_S = 2.0
+MIN_FIRST_TOKEN_DEADLINE_S = 2.0
 """Least silence tolerated before the first token."""
 
 SILENCE_FACTOR = 8.0
@@ -29,7 +29,7 @@
         attempt=grant.request.attempt,
         engine=grant.engine,
         progress_deadline_s=max(MIN_PROGRESS_DEADLINE_S, SILENCE_FACTOR * step_s),
-        first_token_deadline_s=max(FIRST_TOKEN_FLOOR_S, SILENCE_FACTOR * first_token_s),
+        first_token_deadline_s=max(MIN_FIRST_TOKEN_DEADLINE_S, SILENCE_FACTOR * first_token_s),
         limit_age_s=engine.rate_limit.age_s,
         retries_used_up=retries_used_up,
     )
