--- a/wagtailtrestle/engines/silence_limits.py
+++ b/wagtailtrestle/engines/silence_limits.py
@@ -8,7 +8,7 @@
 MIN_FIRST_TOKEN_DEADLINE_S = 2.0
 """Least silence tolerated before the first token."""
 
-SILENCE_FACTOR = 8.0
+SILENCE_TOLERANCE_FACTOR = 8.0
 """How many times the predicted time a run may stay silent before it is given up."""
 
 CHUNK_TOKENS = 1024
@@ -28,8 +28,8 @@
         request_id=grant.request_id,
         attempt=grant.request.attempt,
         engine=grant.engine,
-        progress_deadline_s=max(MIN_PROGRESS_DEADLINE_S, SILENCE_FACTOR * step_s),
-        first_token_deadline_s=max(MIN_FIRST_TOKEN_DEADLINE_S, SILENCE_FACTOR * first_token_s),
+        progress_deadline_s=max(MIN_PROGRESS_DEADLINE_S, SILENCE_TOLERANCE_FACTOR * step_s),
+        first_token_deadline_s=max(MIN_FIRST_TOKEN_DEADLINE_S, SILENCE_TOLERANCE_FACTOR * first_token_s),
         limit_age_s=engine.rate_limit.age_s,
         retries_used_up=retries_used_up,
     )
