--- a/wagtailtrestle/engines/silence_limits.py
+++ b/wagtailtrestle/engines/silence_limits.py
@@ -11,7 +11,7 @@
 SILENCE_TOLERANCE_FACTOR = 8.0
 """How many times the predicted time a run may stay silent before it is given up."""
 
-CHUNK_TOKENS = 1024
+INTERLEAVED_PREFILL_TOKENS = 1024
 """Prompt tokens of other runs that an engine may prefill between two tokens of one."""
 
 
@@ -23,7 +23,7 @@
         concurrency=engine.slots,
         pending_prefill_tokens=engine.pending_prefill_tokens,
     )
-    step_s = model.step_s(engine.slots) + model.prefill_s(CHUNK_TOKENS)
+    step_s = model.step_s(engine.slots) + model.prefill_s(INTERLEAVED_PREFILL_TOKENS)
     return Granted(
         request_id=grant.request_id,
         attempt=grant.request.attempt,
