--- a/wagtailtrestle/engines/output_lengths.py
+++ b/wagtailtrestle/engines/output_lengths.py
@@ -17,7 +17,7 @@
 """Answers that the prior counts for: that answers reach their caps, that estimates are right, or for
 one team in a tier what is known of the tier. A scheduler sees some ten answers of a tier in a second."""
 
-CAUTION = 0.5
+MARGIN_STANDARD_DEVIATIONS = 0.5
 """Standard deviations added to the mean share of a cap: a run cut short by its deadline wastes its prefill."""
 
 MAX_RATIO = 5.0
@@ -48,7 +48,7 @@
     def cautious(self):
         """Expected ratio with what it may be beyond."""
         variance = max(0.0, self._squares / self._weight - self.mean * self.mean)
-        return min(1.0, self.mean + CAUTION * math.sqrt(variance))
+        return min(1.0, self.mean + MARGIN_STANDARD_DEVIATIONS * math.sqrt(variance))
 
 
 class OutputLengths:
