--- a/wagtailtrestle/engines/output_lengths.py
+++ b/wagtailtrestle/engines/output_lengths.py
@@ -45,7 +45,7 @@
         """Expected ratio."""
         return self._sum / self._weight
 
-    def cautious(self):
+    def mean_with_margin(self):
         """Expected ratio with what it may be beyond."""
         variance = max(0.0, self._squares / self._weight - self.mean * self.mean)
         return min(1.0, self.mean + MARGIN_STANDARD_DEVIATIONS * math.sqrt(variance))
@@ -71,7 +71,7 @@
             of_caps = self._of_caps_by_kind.get(_kind(request)) or self._of_caps_by_tier.get(request.tier)
             if of_caps is None:
                 return request
-            expected = whole * of_caps.cautious()
+            expected = whole * of_caps.mean_with_margin()
         left = math.ceil(expected) - request.done_tokens
         return replace(request, output_tokens=max(1, min(left, request.output_tokens)))
 
