--- a/wagtailtrestle/engines/output_lengths.py
+++ b/wagtailtrestle/engines/output_lengths.py
@@ -24,7 +24,7 @@
 """Most that one answer teaches of its caller's estimate: single ones are off by far more."""
 
 
-class _Ratio:
+class _DecayingRatio:
     """Fading mean and variance of one kind's ratio."""
 
     __slots__ = ("_weight", "_sum", "_squares")
@@ -80,13 +80,13 @@
         if asked_tokens <= 0 or output_tokens <= 0:
             return
         if request.hinted_tokens:
-            of_hints = self._of_hints_by_tier.setdefault(request.tier, _Ratio())
+            of_hints = self._of_hints_by_tier.setdefault(request.tier, _DecayingRatio())
             of_hints.observe(min(MAX_RATIO, output_tokens / request.hinted_tokens))
         ratio = min(1.0, output_tokens / asked_tokens)
-        of_tier = self._of_caps_by_tier.setdefault(request.tier, _Ratio())
+        of_tier = self._of_caps_by_tier.setdefault(request.tier, _DecayingRatio())
         kind = _kind(request)
         if kind not in self._of_caps_by_kind:
-            self._of_caps_by_kind[kind] = _Ratio(prior=of_tier.mean)
+            self._of_caps_by_kind[kind] = _DecayingRatio(prior=of_tier.mean)
         of_tier.observe(ratio)
         self._of_caps_by_kind[kind].observe(ratio)
 
