--- a/wagtailtrestle/engines/output_lengths.py
+++ b/wagtailtrestle/engines/output_lengths.py
@@ -63,7 +63,7 @@
 
     def expect(self, request: GrantRequest) -> GrantRequest:
         """Return the request with the expected in place of the greatest output."""
-        whole = request.done_tokens + request.output_tokens
+        cap_tokens = request.done_tokens + request.output_tokens
         if request.hinted_tokens:
             of_hints = self._of_hints_by_tier.get(request.tier)
             expected = request.hinted_tokens * (of_hints.mean if of_hints else 1.0)
@@ -71,7 +71,7 @@
             of_caps = self._of_caps_by_kind.get(_kind(request)) or self._of_caps_by_tier.get(request.tier)
             if of_caps is None:
                 return request
-            expected = whole * of_caps.mean_with_margin()
+            expected = cap_tokens * of_caps.mean_with_margin()
         left = math.ceil(expected) - request.done_tokens
         return replace(request, output_tokens=max(1, min(left, request.output_tokens)))
 
