--- a/wagtailtrestle/engines/client.py
+++ b/wagtailtrestle/engines/client.py
@@ -98,12 +98,12 @@
             if exchange is not None:
                 exchange.abort()
             return False
-        state = self._ask_to_cancel(address, path)
+        state = self._request_cancel(address, path)
         if exchange is not None:
             _end(exchange, is_finished=state == FINISHED_STATE)
         return state is not None
 
-    def _ask_to_cancel(self, address, path):
+    def _request_cancel(self, address, path):
         # A new connection, since a pooled one may have gone silent unnoticed.
         host, port = split_address(address)
         connection = HTTPConnection(host, port, timeout=self._connect_timeout_s)
