--- a/wagtailtrestle/engines/client.py
+++ b/wagtailtrestle/engines/client.py
@@ -100,7 +100,7 @@
             return False
         state = self._request_cancel(address, path)
         if exchange is not None:
-            _end(exchange, is_finished=state == FINISHED_STATE)
+            _await_end(exchange, is_finished=state == FINISHED_STATE)
         return state is not None
 
     def _request_cancel(self, address, path):
@@ -120,7 +120,7 @@
             connection.close()
 
 
-def _end(exchange, *, is_finished):
+def _await_end(exchange, *, is_finished):
     """Wait for an exchange to end, and cut it if it doesn't."""
     had = None
     while not exchange.ended.wait(CANCEL_END_S):
