--- a/wagtailtrestle/engines/client.py
+++ b/wagtailtrestle/engines/client.py
@@ -122,11 +122,11 @@
 
 def _await_end(exchange, *, is_finished):
     """Wait for an exchange to end, and cut it if it doesn't."""
-    had = None
+    tokens_before = None
     while not exchange.ended.wait(CANCEL_END_S):
         # A finished run's answer is ready and mostly on its way. If nothing more of it came meanwhile its
         # connection is silent, and would hold the place until the run's deadline.
-        if not is_finished or exchange.output_tokens == had:
+        if not is_finished or exchange.output_tokens == tokens_before:
             exchange.abort()
             return
-        had = exchange.output_tokens
+        tokens_before = exchange.output_tokens
