--- a/wagtailtrestle/engines/client.py
+++ b/wagtailtrestle/engines/client.py
@@ -16,7 +16,7 @@
 
 CANCEL_TIMEOUT_S = 1.0
 """Longest wait for an engine's answer to a cancel; a sound one answers within a decode step or two, under 0.1 s."""
-CANCEL_END_S = 0.5
+CANCEL_GRACE_S = 0.5
 """How long a cancelled run may take to end by itself before its connection is cut; some ten decode steps of 40 ms."""
 FINISHED_STATE = "finished"
 
@@ -123,7 +123,7 @@
 def _await_end(exchange, *, is_finished):
     """Wait for an exchange to end, and cut it if it doesn't."""
     tokens_before = None
-    while not exchange.ended.wait(CANCEL_END_S):
+    while not exchange.ended.wait(CANCEL_GRACE_S):
         # A finished run's answer is ready and mostly on its way. If nothing more of it came meanwhile its
         # connection is silent, and would hold the place until the run's deadline.
         if not is_finished or exchange.output_tokens == tokens_before:
