--- a/wagtailtrestle/engines/native_call.py
+++ b/wagtailtrestle/engines/native_call.py
@@ -27,7 +27,7 @@
 LEAVING_YES = "yes"
 # The run's own id and length are set here; the others concern one connection only, and the
 # bearer key is the callers' secret with this system, not with the engine.
-UNFORWARDED = frozenset(
+UNFORWARDED_HEADERS = frozenset(
     (
         "authorization",
         "connection",
@@ -95,7 +95,7 @@
         if self.kind == LANGUAGE:
             headers["Content-Type"] = "application/json"
             return CallHead(method="POST", target=self.path, headers=headers, body=self._language_body(received))
-        forwarded = {name: value for name, value in self.headers.items() if name.lower() not in UNFORWARDED}
+        forwarded = {name: value for name, value in self.headers.items() if name.lower() not in UNFORWARDED_HEADERS}
         target = f"{self.path}?{self.query}" if self.query else self.path
         return CallHead(method=self.method, target=target, headers={**forwarded, **headers}, body=self.body or None)
 
