--- a/tests/utils/engines.py
+++ b/tests/utils/engines.py
@@ -5,7 +5,7 @@
 from wagtailtrestle.contracts.exchange import StartRun
 from wagtailtrestle.engines.answer_check import ReceivedAnswer
 from wagtailtrestle.engines.client import EngineClient
-from wagtailtrestle.engines.native_call import CANCELLABLE, EngineCall
+from wagtailtrestle.engines.native_call import CANCELLABLE, NativeCall
 from wagtailtrestle.standins.engine import EngineStandin
 from wagtailtrestle.standins.service import ServiceStandin
 from wagtailtrestle.standins.standin_settings import ENGINE_DEFAULTS, SERVICE_DEFAULTS, StandinSettings
@@ -40,13 +40,13 @@
 
 def chat_call(*, prompt=PROMPT, output_tokens=20):
     document = {"model": "asistente", "messages": [{"role": "user", "content": prompt}], "max_tokens": output_tokens}
-    return EngineCall(
+    return NativeCall(
         kind="language", method="POST", path="/v1/chat/completions", document=document, caller_request_id="caller-1"
     )
 
 
 def plain_call(*, method="POST", path="/reservas/charge", **fields):
-    return EngineCall(kind="plain", method=method, path=path, caller_request_id="caller-1", **fields)
+    return NativeCall(kind="plain", method=method, path=path, caller_request_id="caller-1", **fields)
 
 
 class RunSender:
--- a/wagtailtrestle/callers/intake.py
+++ b/wagtailtrestle/callers/intake.py
@@ -27,7 +27,7 @@
 from wagtailtrestle.contracts.declaration import LANGUAGE, PLAIN
 from wagtailtrestle.contracts.exchange import CallerRequest
 from wagtailtrestle.contracts.outcomes import Executed, Reason, Refusal
-from wagtailtrestle.engines.native_call import EngineCall
+from wagtailtrestle.engines.native_call import NativeCall
 
 NO_PROMPT = PromptShape(tokens=0)
 ELSEWHERE_S = 0.1
@@ -131,7 +131,7 @@
         )
         if isinstance(matched, Refusal):
             return matched
-        call = EngineCall(
+        call = NativeCall(
             kind=LANGUAGE,
             method="POST",
             path=path,
@@ -158,7 +158,7 @@
             return matched
         target = environ["REQUEST_URI"]
         path, _, query = target.partition("?")
-        call = EngineCall(
+        call = NativeCall(
             kind=PLAIN,
             method=method,
             path=path,
--- a/wagtailtrestle/engines/native_call.py
+++ b/wagtailtrestle/engines/native_call.py
@@ -46,7 +46,7 @@
 )
 
 
-class EngineCall:
+class NativeCall:
     """What is to be sent to an engine for one request.
 
     Parameters
@@ -152,7 +152,7 @@
         return int(length) if length.isdecimal() else None
 
 
-CANCELLABLE = EngineCall(kind=LANGUAGE, method="POST", path="")
+CANCELLABLE = NativeCall(kind=LANGUAGE, method="POST", path="")
 """Any language call: a run whose connection is gone is cancelled as any other."""
 
 
