--- a/tests/utils/engines.py
+++ b/tests/utils/engines.py
@@ -5,7 +5,7 @@
 from wagtailtrestle.contracts.exchange import StartRun
 from wagtailtrestle.engines.answer_check import ReceivedAnswer
 from wagtailtrestle.engines.client import EngineClient
-from wagtailtrestle.engines.native_call import CANCELLABLE, NativeCall
+from wagtailtrestle.engines.native_call import CANCEL_CALL, NativeCall
 from wagtailtrestle.standins.engine import EngineStandin
 from wagtailtrestle.standins.service import ServiceStandin
 from wagtailtrestle.standins.standin_settings import ENGINE_DEFAULTS, SERVICE_DEFAULTS, StandinSettings
@@ -54,7 +54,7 @@
 
     def __init__(self, *, call):
         self.call = call
-        self.client = EngineClient(connect_timeout_s=0.5, ended_call=CANCELLABLE)
+        self.client = EngineClient(connect_timeout_s=0.5, ended_call=CANCEL_CALL)
         self.received = ReceivedAnswer()
         self.events = []
         self.tokens = []
--- a/wagtailtrestle/adapters.py
+++ b/wagtailtrestle/adapters.py
@@ -6,7 +6,7 @@
 from wagtailtrestle.configuration.sources import OwnDeclarations
 from wagtailtrestle.declarations.check import parse_declaration
 from wagtailtrestle.declarations.settings import PLATFORM_ADAPTER
-from wagtailtrestle.engines.native_call import CANCELLABLE
+from wagtailtrestle.engines.native_call import CANCEL_CALL
 from wagtailtrestle.engines.reports import NativeReports
 from wagtailtrestle.store.object_store_http import HttpObjectStore
 
@@ -60,7 +60,7 @@
 
     place = OwnDeclarations()
     reports = NativeReports()
-    ended_call = CANCELLABLE
+    ended_call = CANCEL_CALL
     router_kind = None
     engine_kind = None
     epoch_kind = None
--- a/wagtailtrestle/engines/native_call.py
+++ b/wagtailtrestle/engines/native_call.py
@@ -152,7 +152,7 @@
         return int(length) if length.isdecimal() else None
 
 
-CANCELLABLE = NativeCall(kind=LANGUAGE, method="POST", path="")
+CANCEL_CALL = NativeCall(kind=LANGUAGE, method="POST", path="")
 """Any language call: a run whose connection is gone is cancelled as any other."""
 
 
