--- a/wagtailtrestle/engines/native_call.py
+++ b/wagtailtrestle/engines/native_call.py
@@ -113,7 +113,7 @@
 
     def read(self, exchange):
         """Read the answer to its end."""
-        if _refused_unstarted(exchange):
+        if _refused_before_start(exchange):
             return RunNotSent(detail="the engine refused the run before it began")
         if self.kind == LANGUAGE:
             return _read_stream(exchange)
@@ -156,7 +156,7 @@
 """Any language call: a run whose connection is gone is cancelled as any other."""
 
 
-def _refused_unstarted(exchange) -> bool:
+def _refused_before_start(exchange) -> bool:
     # An engine about to stop promises that it did not begin the run it refuses. The
     # promise counts only with the run's own id: a late answer to another run says nothing.
     headers = exchange.response.headers
