--- a/wagtailtrestle/engines/answer_check.py
+++ b/wagtailtrestle/engines/answer_check.py
@@ -110,7 +110,7 @@
         events = data.split(EVENT_END)
         self._rest = events.pop()
         for event in events:
-            if self._head and self._take_alike(event):
+            if self._head and self._apply_matching_event(event):
                 continue
             fault = self._take_event(event)
             if fault is not None:
@@ -133,7 +133,7 @@
         """Whether the engine says that the run was cancelled."""
         return self._received.finish_reason == CANCELLED_REASON
 
-    def _take_alike(self, event) -> bool:
+    def _apply_matching_event(self, event) -> bool:
         """Take a token whose event differs from a checked one in index and text alone.
 
         Most of a router's work on a stream is reading its events, and all but two fields are
