--- a/wagtailtrestle/engines/answer_check.py
+++ b/wagtailtrestle/engines/answer_check.py
@@ -154,7 +154,7 @@
         self._on_token(index, text)
         return True
 
-    def _learn(self, data, text):
+    def _learn_event_frame(self, data, text):
         """Remember the bytes around the text of a checked event, if they can be told from it."""
         quoted = json.dumps(text).encode()
         if data.count(quoted) != 1 or b'"usage"' in data:
@@ -199,7 +199,7 @@
         tokens.append(text)
         self._on_token(index, text)
         if not self._head:
-            self._learn(data, text)
+            self._learn_event_frame(data, text)
         return None
 
     def _take_finish(self, reason, usage) -> AnswerFault | None:
