--- a/wagtailtrestle/engines/answer_check.py
+++ b/wagtailtrestle/engines/answer_check.py
@@ -112,7 +112,7 @@
         for event in events:
             if self._head and self._apply_matching_event(event):
                 continue
-            fault = self._take_event(event)
+            fault = self._apply_event(event)
             if fault is not None:
                 return fault
         return None
@@ -163,7 +163,7 @@
         self._head = b"data: " + head
         self._tail = tail
 
-    def _take_event(self, event) -> AnswerFault | None:
+    def _apply_event(self, event) -> AnswerFault | None:
         event_id, data = _split_event(event)
         if data is None:
             return None
