--- a/wagtailtrestle/engines/answer_check.py
+++ b/wagtailtrestle/engines/answer_check.py
@@ -181,9 +181,9 @@
             self._take_usage(usage)
         if choice.get("finish_reason"):
             return self._take_finish(choice["finish_reason"], usage)
-        return self._take_token(event_id, choice, data)
+        return self._apply_token(event_id, choice, data)
 
-    def _take_token(self, event_id, choice, data) -> AnswerFault | None:
+    def _apply_token(self, event_id, choice, data) -> AnswerFault | None:
         tokens = self._received.tokens
         try:
             index = int(event_id)
