--- a/wagtailtrestle/engines/answer_check.py
+++ b/wagtailtrestle/engines/answer_check.py
@@ -180,7 +180,7 @@
         if usage:
             self._take_usage(usage)
         if choice.get("finish_reason"):
-            return self._take_finish(choice["finish_reason"], usage)
+            return self._apply_finish(choice["finish_reason"], usage)
         return self._apply_token(event_id, choice, data)
 
     def _apply_token(self, event_id, choice, data) -> AnswerFault | None:
@@ -202,7 +202,7 @@
             self._learn_event_frame(data, text)
         return None
 
-    def _take_finish(self, reason, usage) -> AnswerFault | None:
+    def _apply_finish(self, reason, usage) -> AnswerFault | None:
         if not usage:
             return AnswerFault(detail="the last chunk counts nothing")
         self._received.finish_reason = reason
