--- a/wagtailtrestle/engines/answer_check.py
+++ b/wagtailtrestle/engines/answer_check.py
@@ -178,7 +178,7 @@
             return AnswerFault(detail="crossed: the answer carries another run's id")
         usage = chunk.get("usage")
         if usage:
-            self._take_usage(usage)
+            self._apply_usage(usage)
         if choice.get("finish_reason"):
             return self._apply_finish(choice["finish_reason"], usage)
         return self._apply_token(event_id, choice, data)
@@ -209,7 +209,7 @@
         self._received.completion_tokens = usage.get("completion_tokens", 0)
         return None
 
-    def _take_usage(self, usage):
+    def _apply_usage(self, usage):
         self._received.prompt_tokens = usage.get("prompt_tokens", 0)
         self._received.cached_tokens = usage.get("cached_tokens", 0)
 
