--- a/wagtailtrestle/engines/answer_check.py
+++ b/wagtailtrestle/engines/answer_check.py
@@ -168,7 +168,7 @@
         if data is None:
             return None
         if data == DONE_DATA:
-            return self._take_done()
+            return self._apply_end_mark()
         try:
             chunk = json.loads(data)
             choice = chunk["choices"][0]
@@ -213,7 +213,7 @@
         self._received.prompt_tokens = usage.get("prompt_tokens", 0)
         self._received.cached_tokens = usage.get("cached_tokens", 0)
 
-    def _take_done(self) -> AnswerFault | None:
+    def _apply_end_mark(self) -> AnswerFault | None:
         if not self._received.finish_reason:
             return AnswerFault(detail="end mark without a finish reason")
         self._received.done = True
