--- a/wagtailtrestle/engines/answer_check.py
+++ b/wagtailtrestle/engines/answer_check.py
@@ -86,7 +86,7 @@
         ``on_token(index, text)`` for each new token, in order.
     """
 
-    __slots__ = ("_run_id", "_received", "_on_token", "_rest", "_head", "_tail")
+    __slots__ = ("_run_id", "_received", "_on_token", "_unparsed", "_head", "_tail")
 
     def __init__(self, *, run_id, received, on_token):
         # The end of an earlier run (cancelled, or whole but for its count) says nothing of this one.
@@ -96,19 +96,19 @@
         self._run_id = run_id
         self._received = received
         self._on_token = on_token
-        self._rest = b""
+        self._unparsed = b""
         self._head = b""
         self._tail = b""
 
     def feed(self, data) -> AnswerFault | None:
         """Take bytes of the stream; return the first fault found."""
-        data = self._rest + data
+        data = self._unparsed + data
         if CARRIAGE_RETURN in data:
             # Allowed line ends. None stands inside JSON; one cut off from its line feed
             # here stays in the rest and is met again with it.
             data = data.replace(CARRIAGE_RETURN + b"\n", b"\n")
         events = data.split(EVENT_END)
-        self._rest = events.pop()
+        self._unparsed = events.pop()
         for event in events:
             if self._head and self._apply_matching_event(event):
                 continue
