--- a/wagtailtrestle/engines/answer_check.py
+++ b/wagtailtrestle/engines/answer_check.py
@@ -86,7 +86,7 @@
         ``on_token(index, text)`` for each new token, in order.
     """
 
-    __slots__ = ("_run_id", "_received", "_on_token", "_unparsed", "_head", "_tail")
+    __slots__ = ("_run_id", "_received", "_on_token", "_unparsed", "_frame_prefix", "_tail")
 
     def __init__(self, *, run_id, received, on_token):
         # The end of an earlier run (cancelled, or whole but for its count) says nothing of this one.
@@ -97,7 +97,7 @@
         self._received = received
         self._on_token = on_token
         self._unparsed = b""
-        self._head = b""
+        self._frame_prefix = b""
         self._tail = b""
 
     def feed(self, data) -> AnswerFault | None:
@@ -110,7 +110,7 @@
         events = data.split(EVENT_END)
         self._unparsed = events.pop()
         for event in events:
-            if self._head and self._apply_matching_event(event):
+            if self._frame_prefix and self._apply_matching_event(event):
                 continue
             fault = self._apply_event(event)
             if fault is not None:
@@ -140,7 +140,7 @@
         the same bytes each time. What is the same as in a checked event needs no second check.
         """
         index = len(self._received.tokens) + 1
-        head = b"id: %d\n%b" % (index, self._head)
+        head = b"id: %d\n%b" % (index, self._frame_prefix)
         if not (event.startswith(head) and event.endswith(self._tail)):
             return False
         try:
@@ -160,7 +160,7 @@
         if data.count(quoted) != 1 or b'"usage"' in data:
             return
         head, _, tail = data.partition(quoted)
-        self._head = b"data: " + head
+        self._frame_prefix = b"data: " + head
         self._tail = tail
 
     def _apply_event(self, event) -> AnswerFault | None:
@@ -198,7 +198,7 @@
             return AnswerFault(detail=f"token {index} has no text")
         tokens.append(text)
         self._on_token(index, text)
-        if not self._head:
+        if not self._frame_prefix:
             self._learn_event_frame(data, text)
         return None
 
