--- a/wagtailtrestle/engines/answer_check.py
+++ b/wagtailtrestle/engines/answer_check.py
@@ -86,7 +86,7 @@
         ``on_token(index, text)`` for each new token, in order.
     """
 
-    __slots__ = ("_run_id", "_received", "_on_token", "_unparsed", "_frame_prefix", "_tail")
+    __slots__ = ("_run_id", "_received", "_on_token", "_unparsed", "_frame_prefix", "_frame_suffix")
 
     def __init__(self, *, run_id, received, on_token):
         # The end of an earlier run (cancelled, or whole but for its count) says nothing of this one.
@@ -98,7 +98,7 @@
         self._on_token = on_token
         self._unparsed = b""
         self._frame_prefix = b""
-        self._tail = b""
+        self._frame_suffix = b""
 
     def feed(self, data) -> AnswerFault | None:
         """Take bytes of the stream; return the first fault found."""
@@ -141,10 +141,10 @@
         """
         index = len(self._received.tokens) + 1
         head = b"id: %d\n%b" % (index, self._frame_prefix)
-        if not (event.startswith(head) and event.endswith(self._tail)):
+        if not (event.startswith(head) and event.endswith(self._frame_suffix)):
             return False
         try:
-            quoted = event[len(head) : -len(self._tail)].decode()
+            quoted = event[len(head) : -len(self._frame_suffix)].decode()
             text, end = READ_JSON(quoted)
         except ValueError:
             return False
@@ -161,7 +161,7 @@
             return
         head, _, tail = data.partition(quoted)
         self._frame_prefix = b"data: " + head
-        self._tail = tail
+        self._frame_suffix = tail
 
     def _apply_event(self, event) -> AnswerFault | None:
         event_id, data = _split_event(event)
