--- a/wagtailtrestle/engines/answer_check.py
+++ b/wagtailtrestle/engines/answer_check.py
@@ -8,7 +8,7 @@
 EVENT_END = b"\n\n"
 CARRIAGE_RETURN = b"\r"
 DONE_DATA = b"[DONE]"
-READ_JSON = json.JSONDecoder().raw_decode
+DECODE_JSON = json.JSONDecoder().raw_decode
 
 
 @record
@@ -145,7 +145,7 @@
             return False
         try:
             quoted = event[len(head) : -len(self._frame_suffix)].decode()
-            text, end = READ_JSON(quoted)
+            text, end = DECODE_JSON(quoted)
         except ValueError:
             return False
         if end != len(quoted) or not isinstance(text, str):
