--- a/wagtailtrestle/engines/notices.py
+++ b/wagtailtrestle/engines/notices.py
@@ -82,7 +82,7 @@
         self._forget_old()
         heard = self._heard_by_engine.get(notice.engine)
         if heard is None or is_earlier_start(heard.start_ms, notice.start_ms):
-            heard = self._heard_by_engine[notice.engine] = Heard(start_ms=notice.start_ms)
+            heard = self._heard_by_engine[notice.engine] = ReceivedNotices(start_ms=notice.start_ms)
         if is_earlier_start(notice.start_ms, heard.start_ms):
             return
         self._take_limit(notice, heard)
@@ -174,7 +174,7 @@
         }
 
 
-class Heard:
+class ReceivedNotices:
     """What one start of an engine said lately.
 
     Parameters
