--- a/wagtailtrestle/engines/notices.py
+++ b/wagtailtrestle/engines/notices.py
@@ -70,19 +70,19 @@
         Returns the loop's time in seconds.
     """
 
-    __slots__ = ("_clock", "_heard_by_engine", "_router")
+    __slots__ = ("_clock", "_received_by_engine", "_router")
 
     def __init__(self, *, router, clock):
         self._router = router
         self._clock = clock
-        self._heard_by_engine = {}
+        self._received_by_engine = {}
 
     def take(self, notice: EngineNotice):
         """Take in a notice that was read just now."""
         self._forget_old()
-        heard = self._heard_by_engine.get(notice.engine)
+        heard = self._received_by_engine.get(notice.engine)
         if heard is None or is_earlier_start(heard.start_ms, notice.start_ms):
-            heard = self._heard_by_engine[notice.engine] = ReceivedNotices(start_ms=notice.start_ms)
+            heard = self._received_by_engine[notice.engine] = ReceivedNotices(start_ms=notice.start_ms)
         if is_earlier_start(notice.start_ms, heard.start_ms):
             return
         self._take_limit(notice, heard)
@@ -102,14 +102,14 @@
 
     def is_leaving(self, engine: DeclaredEngine) -> bool:
         """Whether the engine said that it leaves, and hasn't started again since."""
-        heard = self._heard_by_engine.get(engine.name)
+        heard = self._received_by_engine.get(engine.name)
         if heard is None or is_earlier_start(heard.start_ms, engine.start_ms):
             return False
         return self._clock() - heard.leaving_at < LEAVING_NOTICE_TTL_S
 
     def rest_s(self, engine: DeclaredEngine) -> float:
         """Time left in which the engine wants nothing from this router; not positive without a rest."""
-        heard = self._heard_by_engine.get(engine.name)
+        heard = self._received_by_engine.get(engine.name)
         if heard is None or is_earlier_start(heard.start_ms, engine.start_ms):
             return 0.0
         return heard.rest_until - self._clock()
@@ -118,7 +118,7 @@
         """Time since the engine first asked for the rest that it is given; 0 without one."""
         if self.rest_s(engine) <= 0.0:
             return 0.0
-        return self._clock() - self._heard_by_engine[engine.name].rest_from
+        return self._clock() - self._received_by_engine[engine.name].rest_from
 
     def are_unknown_to(self, granted: Granted) -> bool:
         """Whether a scheduler granted a place on an engine without having heard of the limit that it names."""
@@ -128,14 +128,14 @@
     @property
     def engines(self):
         """Names of the engines that asked for something lately."""
-        return tuple(self._heard_by_engine)
+        return tuple(self._received_by_engine)
 
     def of(self, engines):
         """Notices of these engines to tell a scheduler, with their age."""
         now = self._clock()
         notices = []
         for engine in engines:
-            heard = self._heard_by_engine.get(engine)
+            heard = self._received_by_engine.get(engine)
             if heard is None:
                 continue
             told = {"engine": engine, "start_ms": heard.start_ms, "entry": self._router}
@@ -149,7 +149,7 @@
 
     def dump(self):
         """Plain data for the state dump."""
-        return {engine: heard.dump(now=self._clock()) for engine, heard in self._heard_by_engine.items()}
+        return {engine: heard.dump(now=self._clock()) for engine, heard in self._received_by_engine.items()}
 
     def _take_limit(self, notice, heard):
         if notice.limit_per_s != heard.limit_per_s:
@@ -160,14 +160,14 @@
         heard.limit_at = self._clock() if notice.names_limit else -math.inf
 
     def _limit_age_s(self, engine):
-        heard = self._heard_by_engine.get(engine)
+        heard = self._received_by_engine.get(engine)
         return math.inf if heard is None else self._clock() - heard.limit_at
 
     def _forget_old(self):
         now = self._clock()
-        self._heard_by_engine = {
+        self._received_by_engine = {
             engine: heard
-            for engine, heard in self._heard_by_engine.items()
+            for engine, heard in self._received_by_engine.items()
             if now - heard.limit_at < LIMIT_NOTICE_TTL_S
             or now - heard.leaving_at < LEAVING_NOTICE_TTL_S
             or heard.rest_until > now
