--- a/wagtailtrestle/engines/notices.py
+++ b/wagtailtrestle/engines/notices.py
@@ -80,21 +80,21 @@
     def take(self, notice: EngineNotice):
         """Take in a notice that was read just now."""
         self._forget_old()
-        heard = self._received_by_engine.get(notice.engine)
-        if heard is None or is_earlier_start(heard.start_ms, notice.start_ms):
-            heard = self._received_by_engine[notice.engine] = ReceivedNotices(start_ms=notice.start_ms)
-        if is_earlier_start(notice.start_ms, heard.start_ms):
+        received = self._received_by_engine.get(notice.engine)
+        if received is None or is_earlier_start(received.start_ms, notice.start_ms):
+            received = self._received_by_engine[notice.engine] = ReceivedNotices(start_ms=notice.start_ms)
+        if is_earlier_start(notice.start_ms, received.start_ms):
             return
-        self._take_limit(notice, heard)
+        self._take_limit(notice, received)
         if notice.rest_s:
             logger.bind(engine=notice.engine, rest_s=notice.rest_s).info("an engine asks this router for a rest")
-            if heard.rest_until <= self._clock():
-                heard.rest_from = self._clock()
-            heard.rest_until = max(heard.rest_until, self._clock() + notice.rest_s)
+            if received.rest_until <= self._clock():
+                received.rest_from = self._clock()
+            received.rest_until = max(received.rest_until, self._clock() + notice.rest_s)
         if notice.leaving:
-            if heard.leaving_at == -math.inf:
+            if received.leaving_at == -math.inf:
                 logger.bind(engine=notice.engine).info("an engine says in an answer that it leaves")
-            heard.leaving_at = self._clock()
+            received.leaving_at = self._clock()
 
     def is_limited(self, engine) -> bool:
         """Whether the engine named a limit when it was last heard."""
@@ -102,17 +102,17 @@
 
     def is_leaving(self, engine: DeclaredEngine) -> bool:
         """Whether the engine said that it leaves, and hasn't started again since."""
-        heard = self._received_by_engine.get(engine.name)
-        if heard is None or is_earlier_start(heard.start_ms, engine.start_ms):
+        received = self._received_by_engine.get(engine.name)
+        if received is None or is_earlier_start(received.start_ms, engine.start_ms):
             return False
-        return self._clock() - heard.leaving_at < LEAVING_NOTICE_TTL_S
+        return self._clock() - received.leaving_at < LEAVING_NOTICE_TTL_S
 
     def rest_s(self, engine: DeclaredEngine) -> float:
         """Time left in which the engine wants nothing from this router; not positive without a rest."""
-        heard = self._received_by_engine.get(engine.name)
-        if heard is None or is_earlier_start(heard.start_ms, engine.start_ms):
+        received = self._received_by_engine.get(engine.name)
+        if received is None or is_earlier_start(received.start_ms, engine.start_ms):
             return 0.0
-        return heard.rest_until - self._clock()
+        return received.rest_until - self._clock()
 
     def rested_s(self, engine: DeclaredEngine) -> float:
         """Time since the engine first asked for the rest that it is given; 0 without one."""
@@ -135,42 +135,42 @@
         now = self._clock()
         notices = []
         for engine in engines:
-            heard = self._received_by_engine.get(engine)
-            if heard is None:
+            received = self._received_by_engine.get(engine)
+            if received is None:
                 continue
-            told = {"engine": engine, "start_ms": heard.start_ms, "entry": self._router}
-            if now - heard.limit_at < LIMIT_NOTICE_TTL_S:
-                notices.append(EngineNotice(**told, limit_per_s=heard.limit_per_s, age_s=now - heard.limit_at))
-            if now - heard.leaving_at < LEAVING_NOTICE_TTL_S:
-                notices.append(EngineNotice(**told, leaving=True, age_s=now - heard.leaving_at))
-            if heard.rest_until > now:
-                notices.append(EngineNotice(**told, rest_s=heard.rest_until - now))
+            told = {"engine": engine, "start_ms": received.start_ms, "entry": self._router}
+            if now - received.limit_at < LIMIT_NOTICE_TTL_S:
+                notices.append(EngineNotice(**told, limit_per_s=received.limit_per_s, age_s=now - received.limit_at))
+            if now - received.leaving_at < LEAVING_NOTICE_TTL_S:
+                notices.append(EngineNotice(**told, leaving=True, age_s=now - received.leaving_at))
+            if received.rest_until > now:
+                notices.append(EngineNotice(**told, rest_s=received.rest_until - now))
         return tuple(notices)
 
     def dump(self):
         """Plain data for the state dump."""
-        return {engine: heard.dump(now=self._clock()) for engine, heard in self._received_by_engine.items()}
+        return {engine: received.dump(now=self._clock()) for engine, received in self._received_by_engine.items()}
 
-    def _take_limit(self, notice, heard):
-        if notice.limit_per_s != heard.limit_per_s:
+    def _take_limit(self, notice, received):
+        if notice.limit_per_s != received.limit_per_s:
             logger.bind(
-                engine=notice.engine, limit_per_s=_shown(notice.limit_per_s), before_per_s=_shown(heard.limit_per_s)
+                engine=notice.engine, limit_per_s=_shown(notice.limit_per_s), before_per_s=_shown(received.limit_per_s)
             ).info("an engine names another rate limit in its answers")
-        heard.limit_per_s = notice.limit_per_s
-        heard.limit_at = self._clock() if notice.names_limit else -math.inf
+        received.limit_per_s = notice.limit_per_s
+        received.limit_at = self._clock() if notice.names_limit else -math.inf
 
     def _limit_age_s(self, engine):
-        heard = self._received_by_engine.get(engine)
-        return math.inf if heard is None else self._clock() - heard.limit_at
+        received = self._received_by_engine.get(engine)
+        return math.inf if received is None else self._clock() - received.limit_at
 
     def _forget_old(self):
         now = self._clock()
         self._received_by_engine = {
-            engine: heard
-            for engine, heard in self._received_by_engine.items()
-            if now - heard.limit_at < LIMIT_NOTICE_TTL_S
-            or now - heard.leaving_at < LEAVING_NOTICE_TTL_S
-            or heard.rest_until > now
+            engine: received
+            for engine, received in self._received_by_engine.items()
+            if now - received.limit_at < LIMIT_NOTICE_TTL_S
+            or now - received.leaving_at < LEAVING_NOTICE_TTL_S
+            or received.rest_until > now
         }
 
 
