--- a/wagtailtrestle/engines/notices.py
+++ b/wagtailtrestle/engines/notices.py
@@ -138,13 +138,15 @@
             received = self._received_by_engine.get(engine)
             if received is None:
                 continue
-            told = {"engine": engine, "start_ms": received.start_ms, "entry": self._router}
+            common_fields = {"engine": engine, "start_ms": received.start_ms, "entry": self._router}
             if now - received.limit_at < LIMIT_NOTICE_TTL_S:
-                notices.append(EngineNotice(**told, limit_per_s=received.limit_per_s, age_s=now - received.limit_at))
+                notices.append(
+                    EngineNotice(**common_fields, limit_per_s=received.limit_per_s, age_s=now - received.limit_at)
+                )
             if now - received.leaving_at < LEAVING_NOTICE_TTL_S:
-                notices.append(EngineNotice(**told, leaving=True, age_s=now - received.leaving_at))
+                notices.append(EngineNotice(**common_fields, leaving=True, age_s=now - received.leaving_at))
             if received.rest_until > now:
-                notices.append(EngineNotice(**told, rest_s=received.rest_until - now))
+                notices.append(EngineNotice(**common_fields, rest_s=received.rest_until - now))
         return tuple(notices)
 
     def dump(self):
