--- a/wagtailtrestle/engines/notices.py
+++ b/wagtailtrestle/engines/notices.py
@@ -77,7 +77,7 @@
         self._clock = clock
         self._received_by_engine = {}
 
-    def take(self, notice: EngineNotice):
+    def process(self, notice: EngineNotice):
         """Take in a notice that was read just now."""
         self._forget_old()
         received = self._received_by_engine.get(notice.engine)
--- a/wagtailtrestle/entry/entry.py
+++ b/wagtailtrestle/entry/entry.py
@@ -199,7 +199,7 @@
         """Give a caller's event to its request; late ones are dropped."""
         if isinstance(event, EngineNotice):
             self._count_broken_rest(event)
-            self._notices.take(event)
+            self._notices.process(event)
             self._context.tell(dataclasses.replace(event, entry=self.name))
             return
         task = self.tasks_by_id.get(request_id)
