--- a/wagtailtrestle/engines/notices.py
+++ b/wagtailtrestle/engines/notices.py
@@ -130,7 +130,7 @@
         """Names of the engines that asked for something lately."""
         return tuple(self._received_by_engine)
 
-    def of(self, engines):
+    def for_engines(self, engines):
         """Notices of these engines to tell a scheduler, with their age."""
         now = self._clock()
         notices = []
--- a/wagtailtrestle/entry/entry.py
+++ b/wagtailtrestle/entry/entry.py
@@ -104,7 +104,7 @@
 
     def tell_again(self, engine):
         """Tell the scheduler what an engine said lately, so that its next grant can be used."""
-        for notice in self._notices.of((engine,)):
+        for notice in self._notices.for_engines((engine,)):
             self.tell(notice)
 
     def tell(self, notice):
@@ -248,7 +248,7 @@
     def _notices_of(self, cell):
         declared = self._declaration().engines_by_name
         heard = [engine for engine in self._notices.engines if engine in declared]
-        return self._notices.of([engine for engine in heard if declared[engine].cell == cell])
+        return self._notices.for_engines([engine for engine in heard if declared[engine].cell == cell])
 
     def cells_held(self):
         """Cells for which a request waits or runs."""
