--- a/wagtailtrestle/engines/notices.py
+++ b/wagtailtrestle/engines/notices.py
@@ -120,7 +120,7 @@
             return 0.0
         return self._clock() - self._received_by_engine[engine.name].rest_from
 
-    def are_unknown_to(self, granted: Granted) -> bool:
+    def are_newer_than(self, granted: Granted) -> bool:
         """Whether a scheduler granted a place on an engine without having heard of the limit that it names."""
         age_s = self._limit_age_s(granted.engine)
         return age_s < LIMIT_NOTICE_TTL_S and granted.limit_age_s > age_s + NOTICE_AGE_TOLERANCE_S
--- a/wagtailtrestle/entry/entry.py
+++ b/wagtailtrestle/entry/entry.py
@@ -94,7 +94,7 @@
     def is_informed(self, granted):
         """Whether the scheduler that granted a place knew of the limit or rest that the engine told this router."""
         declared = self._declaration().engines_by_name[granted.engine]
-        return self._notices.rest_s(declared) <= 0.0 and not self._notices.are_unknown_to(granted)
+        return self._notices.rest_s(declared) <= 0.0 and not self._notices.are_newer_than(granted)
 
     def retry_after_s(self, service):
         """Time until some engine of a service takes a request of this router again."""
