--- a/wagtailtrestle/engines/notices.py
+++ b/wagtailtrestle/engines/notices.py
@@ -79,7 +79,7 @@
 
     def process(self, notice: EngineNotice):
         """Take in a notice that was read just now."""
-        self._forget_old()
+        self._remove_expired()
         received = self._received_by_engine.get(notice.engine)
         if received is None or is_earlier_start(received.start_ms, notice.start_ms):
             received = self._received_by_engine[notice.engine] = ReceivedNotices(start_ms=notice.start_ms)
@@ -165,7 +165,7 @@
         received = self._received_by_engine.get(engine)
         return math.inf if received is None else self._clock() - received.limit_at
 
-    def _forget_old(self):
+    def _remove_expired(self):
         now = self._clock()
         self._received_by_engine = {
             engine: received
