--- a/wagtailtrestle/engines/notices.py
+++ b/wagtailtrestle/engines/notices.py
@@ -85,7 +85,7 @@
             received = self._received_by_engine[notice.engine] = ReceivedNotices(start_ms=notice.start_ms)
         if is_earlier_start(notice.start_ms, received.start_ms):
             return
-        self._take_limit(notice, received)
+        self._update_limit(notice, received)
         if notice.rest_s:
             logger.bind(engine=notice.engine, rest_s=notice.rest_s).info("an engine asks this router for a rest")
             if received.rest_until <= self._clock():
@@ -153,7 +153,7 @@
         """Plain data for the state dump."""
         return {engine: received.dump(now=self._clock()) for engine, received in self._received_by_engine.items()}
 
-    def _take_limit(self, notice, received):
+    def _update_limit(self, notice, received):
         if notice.limit_per_s != received.limit_per_s:
             logger.bind(
                 engine=notice.engine, limit_per_s=_shown(notice.limit_per_s), before_per_s=_shown(received.limit_per_s)
