--- a/wagtailtrestle/engines/notices.py
+++ b/wagtailtrestle/engines/notices.py
@@ -89,7 +89,7 @@
         if notice.rest_s:
             logger.bind(engine=notice.engine, rest_s=notice.rest_s).info("an engine asks this router for a rest")
             if received.rest_until <= self._clock():
-                received.rest_from = self._clock()
+                received.back_off_from = self._clock()
             received.rest_until = max(received.rest_until, self._clock() + notice.rest_s)
         if notice.leaving:
             if received.leaving_at == -math.inf:
@@ -118,7 +118,7 @@
         """Time since the engine first asked for the rest that it is given; 0 without one."""
         if self.rest_s(engine) <= 0.0:
             return 0.0
-        return self._clock() - self._received_by_engine[engine.name].rest_from
+        return self._clock() - self._received_by_engine[engine.name].back_off_from
 
     def are_newer_than(self, granted: Granted) -> bool:
         """Whether a scheduler granted a place on an engine without having heard of the limit that it names."""
@@ -194,14 +194,14 @@
         Time in which it wants nothing from this router.
     """
 
-    __slots__ = ("start_ms", "limit_per_s", "limit_at", "leaving_at", "rest_from", "rest_until")
+    __slots__ = ("start_ms", "limit_per_s", "limit_at", "leaving_at", "back_off_from", "rest_until")
 
     def __init__(self, *, start_ms):
         self.start_ms = start_ms
         self.limit_per_s = math.inf
         self.limit_at = -math.inf
         self.leaving_at = -math.inf
-        self.rest_from = -math.inf
+        self.back_off_from = -math.inf
         self.rest_until = -math.inf
 
     def dump(self, *, now):
