--- a/wagtailtrestle/engines/notices.py
+++ b/wagtailtrestle/engines/notices.py
@@ -88,9 +88,9 @@
         self._update_limit(notice, received)
         if notice.rest_s:
             logger.bind(engine=notice.engine, rest_s=notice.rest_s).info("an engine asks this router for a rest")
-            if received.rest_until <= self._clock():
+            if received.back_off_until <= self._clock():
                 received.back_off_from = self._clock()
-            received.rest_until = max(received.rest_until, self._clock() + notice.rest_s)
+            received.back_off_until = max(received.back_off_until, self._clock() + notice.rest_s)
         if notice.leaving:
             if received.leaving_at == -math.inf:
                 logger.bind(engine=notice.engine).info("an engine says in an answer that it leaves")
@@ -112,7 +112,7 @@
         received = self._received_by_engine.get(engine.name)
         if received is None or is_earlier_start(received.start_ms, engine.start_ms):
             return 0.0
-        return received.rest_until - self._clock()
+        return received.back_off_until - self._clock()
 
     def rested_s(self, engine: DeclaredEngine) -> float:
         """Time since the engine first asked for the rest that it is given; 0 without one."""
@@ -145,8 +145,8 @@
                 )
             if now - received.leaving_at < LEAVING_NOTICE_TTL_S:
                 notices.append(EngineNotice(**common_fields, leaving=True, age_s=now - received.leaving_at))
-            if received.rest_until > now:
-                notices.append(EngineNotice(**common_fields, rest_s=received.rest_until - now))
+            if received.back_off_until > now:
+                notices.append(EngineNotice(**common_fields, rest_s=received.back_off_until - now))
         return tuple(notices)
 
     def dump(self):
@@ -172,7 +172,7 @@
             for engine, received in self._received_by_engine.items()
             if now - received.limit_at < LIMIT_NOTICE_TTL_S
             or now - received.leaving_at < LEAVING_NOTICE_TTL_S
-            or received.rest_until > now
+            or received.back_off_until > now
         }
 
 
@@ -194,7 +194,7 @@
         Time in which it wants nothing from this router.
     """
 
-    __slots__ = ("start_ms", "limit_per_s", "limit_at", "leaving_at", "back_off_from", "rest_until")
+    __slots__ = ("start_ms", "limit_per_s", "limit_at", "leaving_at", "back_off_from", "back_off_until")
 
     def __init__(self, *, start_ms):
         self.start_ms = start_ms
@@ -202,7 +202,7 @@
         self.limit_at = -math.inf
         self.leaving_at = -math.inf
         self.back_off_from = -math.inf
-        self.rest_until = -math.inf
+        self.back_off_until = -math.inf
 
     def dump(self, *, now):
         """Plain data for the state dump."""
@@ -210,7 +210,7 @@
             "limit_per_s": _shown(self.limit_per_s),
             "limit_age_s": _shown(now - self.limit_at),
             "leaving_age_s": _shown(now - self.leaving_at),
-            "rest_s": _shown(max(0.0, self.rest_until - now)),
+            "rest_s": _shown(max(0.0, self.back_off_until - now)),
         }
 
 
