--- a/wagtailtrestle/engines/notices.py
+++ b/wagtailtrestle/engines/notices.py
@@ -156,7 +156,9 @@
     def _update_limit(self, notice, received):
         if notice.limit_per_s != received.limit_per_s:
             logger.bind(
-                engine=notice.engine, limit_per_s=_shown(notice.limit_per_s), before_per_s=_shown(received.limit_per_s)
+                engine=notice.engine,
+                limit_per_s=_json_number(notice.limit_per_s),
+                before_per_s=_json_number(received.limit_per_s),
             ).info("an engine names another rate limit in its answers")
         received.limit_per_s = notice.limit_per_s
         received.limit_at = self._clock() if notice.names_limit else -math.inf
@@ -207,10 +209,10 @@
     def dump(self, *, now):
         """Plain data for the state dump."""
         return {
-            "limit_per_s": _shown(self.limit_per_s),
-            "limit_age_s": _shown(now - self.limit_at),
-            "leaving_age_s": _shown(now - self.leaving_at),
-            "rest_s": _shown(max(0.0, self.back_off_until - now)),
+            "limit_per_s": _json_number(self.limit_per_s),
+            "limit_age_s": _json_number(now - self.limit_at),
+            "leaving_age_s": _json_number(now - self.leaving_at),
+            "rest_s": _json_number(max(0.0, self.back_off_until - now)),
         }
 
 
@@ -219,6 +221,6 @@
     return 0 < start_ms < other_ms
 
 
-def _shown(number):
+def _json_number(number):
     # JSON has no infinity.
     return None if number == math.inf else round(number, 3)
