--- a/wagtailtrestle/engines/prefix_cache.py
+++ b/wagtailtrestle/engines/prefix_cache.py
@@ -18,11 +18,11 @@
         Tokens that the engine is believed to hold.
     """
 
-    __slots__ = ("_capacity", "_held", "_tokens_by_block")
+    __slots__ = ("_capacity", "_held_tokens", "_tokens_by_block")
 
     def __init__(self, *, capacity_tokens):
         self._capacity = capacity_tokens
-        self._held = 0
+        self._held_tokens = 0
         self._tokens_by_block = OrderedDict()
 
     def cached_tokens(self, prefix_blocks):
@@ -46,22 +46,22 @@
         """
         sizes = block_tokens or (BLOCK_TOKENS,) * len(prefix_blocks)
         for block, tokens in reversed(tuple(zip(prefix_blocks, sizes, strict=False))):
-            self._held += tokens - self._tokens_by_block.get(block, 0)
+            self._held_tokens += tokens - self._tokens_by_block.get(block, 0)
             self._tokens_by_block[block] = tokens
             self._tokens_by_block.move_to_end(block)
-        while self._held > self._capacity:
+        while self._held_tokens > self._capacity:
             _, tokens = self._tokens_by_block.popitem(last=False)
-            self._held -= tokens
+            self._held_tokens -= tokens
 
     def removed(self, blocks):
         """Note that the engine dropped these blocks."""
         for block in blocks:
-            self._held -= self._tokens_by_block.pop(block, 0)
+            self._held_tokens -= self._tokens_by_block.pop(block, 0)
 
     def clear(self):
         """Forget everything (the engine restarted)."""
         self._tokens_by_block.clear()
-        self._held = 0
+        self._held_tokens = 0
 
     def __contains__(self, block):
         return block in self._tokens_by_block
