--- a/tests/utils/engines.py
+++ b/tests/utils/engines.py
@@ -10,7 +10,7 @@
 from wagtailtrestle.standins.service import ServiceStandin
 from wagtailtrestle.standins.standin_settings import ENGINE_DEFAULTS, SERVICE_DEFAULTS, StandinSettings
 
-PATIENT_S = 2.0
+COMPLETION_DEADLINE_S = 2.0
 """Limit on silence of a run that is to end whole. A machine with five times as many busy threads as cores was seen
 to stop this whole process for 0.28 s; the limit of a silence that is to be found is each test's own."""
 PROMPT = "When may we fly at the beach of Gijon?"
@@ -61,7 +61,16 @@
         self.ended = None
         self.first_token = threading.Event()
 
-    def send(self, address, *, run_id="r.1", attach=False, first_s=PATIENT_S, progress_s=PATIENT_S, overall_s=5.0):
+    def send(
+        self,
+        address,
+        *,
+        run_id="r.1",
+        attach=False,
+        first_s=COMPLETION_DEADLINE_S,
+        progress_s=COMPLETION_DEADLINE_S,
+        overall_s=5.0,
+    ):
         command = StartRun(
             run_id=run_id,
             engine="engine",
