--- a/tests/utils/engines.py
+++ b/tests/utils/engines.py
@@ -85,7 +85,7 @@
             request=self.call,
             received=self.received,
             on_event=self.events.append,
-            on_token=self._take_token,
+            on_token=self._record_token,
         )
         return self.ended.outcome
 
@@ -94,6 +94,6 @@
         thread.start()
         return thread
 
-    def _take_token(self, index, text):
+    def _record_token(self, index, text):
         self.tokens.append((index, text))
         self.first_token.set()
