--- a/tests/utils/engines.py
+++ b/tests/utils/engines.py
@@ -18,8 +18,8 @@
 
 def start_engine(test, **settings):
     """Start a stand-in engine that the test stops."""
-    quick = {"base_step_ms": 1.0, "threads": 24, "drain_linger_ms": 0.0, "drain_grace_ms": 0.0}
-    standin = EngineStandin(settings=StandinSettings(by_name={**ENGINE_DEFAULTS, **quick, **settings}))
+    fast_settings = {"base_step_ms": 1.0, "threads": 24, "drain_linger_ms": 0.0, "drain_grace_ms": 0.0}
+    standin = EngineStandin(settings=StandinSettings(by_name={**ENGINE_DEFAULTS, **fast_settings, **settings}))
     standin.start()
     test.addCleanup(standin.close)
     return standin
@@ -27,8 +27,8 @@
 
 def start_service(test, **settings):
     """Start a stand-in plain service that the test stops."""
-    quick = {"service_ms": 1.0, "threads": 12, "drain_linger_ms": 0.0, "drain_grace_ms": 0.0}
-    standin = ServiceStandin(settings=StandinSettings(by_name={**SERVICE_DEFAULTS, **quick, **settings}))
+    fast_settings = {"service_ms": 1.0, "threads": 12, "drain_linger_ms": 0.0, "drain_grace_ms": 0.0}
+    standin = ServiceStandin(settings=StandinSettings(by_name={**SERVICE_DEFAULTS, **fast_settings, **settings}))
     standin.start()
     test.addCleanup(standin.close)
     return standin
