--- a/tests/test_policies.py
+++ b/tests/test_policies.py
@@ -23,7 +23,7 @@
         self.available = available
 
 
-def ask(*, prompt=100, output=50, blocks=(), excluded=()):
+def grant_request(*, prompt=100, output=50, blocks=(), excluded=()):
     return GrantRequest(
         request_id="r-1",
         attempt=1,
@@ -42,7 +42,7 @@
 
 
 def choose(policy, engines, request=None):
-    chosen = policy.choose(request=request or ask(), engines=engines, now=0.0)
+    chosen = policy.choose(request=request or grant_request(), engines=engines, now=0.0)
     return chosen and chosen.name
 
 
@@ -58,20 +58,20 @@
         blocks = tuple(range(60))
         holder = View("holder", running=6)
         holder.cache.stored(blocks)
-        request = ask(prompt=4000, blocks=blocks)
+        request = grant_request(prompt=4000, blocks=blocks)
         self.assertEqual(choose(self.policy, [View("other"), holder], request), "holder")
 
     def test_long_prompt_avoids_the_engine_where_it_delays_many(self):
         # Equal finish for itself, but on the busy engine every run stands still meanwhile.
         idle = View("idle", rate=7800.0)
         busy = View("busy", running=12)
-        self.assertEqual(choose(self.policy, [busy, idle], ask(prompt=8000)), "idle")
+        self.assertEqual(choose(self.policy, [busy, idle], grant_request(prompt=8000)), "idle")
 
     def test_excluded_and_unavailable_engines_are_left_out(self):
         engines = [View("a"), View("b", available=False)]
         for policy in (self.policy, RoundRobin(), LeastReportedLoad(), TwoChoices(seed=1)):
             self.assertEqual(choose(policy, engines), "a")
-            self.assertIsNone(choose(policy, engines, ask(excluded=("a",))))
+            self.assertIsNone(choose(policy, engines, grant_request(excluded=("a",))))
 
 
 class BaselineTest(unittest.TestCase):
