--- a/tests/test_engine_health.py
+++ b/tests/test_engine_health.py
@@ -5,7 +5,7 @@
 NAMES = tuple(f"engine-{number}" for number in range(9))
 
 
-def steady(health, *, start_s, end_s, slow=None, ratio=5.0):
+def finish_runs(health, *, start_s, end_s, slow=None, ratio=5.0):
     """Every engine finishes twice a second; returns how often ``slow`` changed its share."""
     changes = 0
     now = start_s
@@ -67,20 +67,20 @@
 class StragglerTest(unittest.TestCase):
     def test_straggler_loses_its_share_within_seconds_and_regains_it(self):
         health = EngineHealth(engines=NAMES)
-        steady(health, start_s=0.0, end_s=10.0)
-        changes = steady(health, start_s=10.0, end_s=14.0, slow=NAMES[0])
+        finish_runs(health, start_s=0.0, end_s=10.0)
+        changes = finish_runs(health, start_s=10.0, end_s=14.0, slow=NAMES[0])
         self.assertLessEqual(health.share(NAMES[0], 14.0), 0.25)
-        changes += steady(health, start_s=14.0, end_s=30.0, slow=NAMES[0])
+        changes += finish_runs(health, start_s=14.0, end_s=30.0, slow=NAMES[0])
         self.assertGreaterEqual(health.share(NAMES[0], 30.0), MIN_SHARE)
         self.assertLessEqual(changes, 4)
-        steady(health, start_s=30.0, end_s=50.0)
+        finish_runs(health, start_s=30.0, end_s=50.0)
         self.assertEqual(health.share(NAMES[0], 50.0), 1.0)
 
     def test_engine_near_the_border_does_not_swing(self):
         # Share lost and regained in turn moves work to and fro, and each move costs a
         # prefill; between the two ratios nothing changes.
         health = EngineHealth(engines=NAMES)
-        self.assertEqual(steady(health, start_s=0.0, end_s=60.0, slow=NAMES[0], ratio=1.7), 0)
+        self.assertEqual(finish_runs(health, start_s=0.0, end_s=60.0, slow=NAMES[0], ratio=1.7), 0)
 
     def test_all_slow_together_is_nobodys_fault(self):
         health = EngineHealth(engines=NAMES)
