--- a/tests/test_notice_reading.py
+++ b/tests/test_notice_reading.py
@@ -25,7 +25,7 @@
     return SimpleNamespace(command=command, response=SimpleNamespace(status=status, headers=headers))
 
 
-class OwnDialectTest(unittest.TestCase):
+class NativeDialectTest(unittest.TestCase):
     def read(self, *, run_id=RUN_ID, status=200, **headers):
         headers = {name.replace("_", "-"): value for name, value in headers.items()}
         return plain_call().notice(answer({"X-Request-Id": run_id} | headers, status=status))
