--- a/tests/test_rest_notices.py
+++ b/tests/test_rest_notices.py
@@ -14,7 +14,7 @@
 REST_S = 3.0
 
 
-def rests(*, on="e1", entry="r1", rest_s=REST_S):
+def back_off_notice(*, on="e1", entry="r1", rest_s=REST_S):
     return EngineNotice(engine=on, rest_s=rest_s, entry=entry)
 
 
@@ -28,39 +28,41 @@
 
     # Guards against grants that come back one by one, and against a rest that is taken for every router's.
     def test_the_entry_gets_other_engines_and_other_entries_get_this_one(self):
-        self.cell.receive(rests(), ask("a1"), ask("a2"), ask("b1", entry="r2"), ask("b2", entry="r2"))
+        self.cell.receive(back_off_notice(), ask("a1"), ask("a2"), ask("b1", entry="r2"), ask("b2", entry="r2"))
         self.assertEqual(self.granted(), {("a", "e2"), ("b", "e1")})
 
     # Guards against a request that is refused, or sent, though the last rest ends before it must begin.
     def test_a_request_with_time_waits_for_the_first_rest_to_end(self):
-        self.cell.receive(rests(), rests(on="e2", rest_s=2 * REST_S), ask("a", remaining_s=20.0))
+        self.cell.receive(back_off_notice(), back_off_notice(on="e2", rest_s=2 * REST_S), ask("a", remaining_s=20.0))
         self.assertEqual(self.cell.entries.sent, [])
         self.cell.advance(REST_S + 0.2)
         self.assertEqual(self.granted(), {("a", "e1")})
 
     # Guards against a wait that can't help, and a time to come back that is too early.
     def test_a_request_without_that_time_is_refused_at_once_and_told_when(self):
-        self.cell.receive(rests(), rests(on="e2", rest_s=2 * REST_S), ask("a", first_token_within_s=1.0))
+        self.cell.receive(
+            back_off_notice(), back_off_notice(on="e2", rest_s=2 * REST_S), ask("a", first_token_within_s=1.0)
+        )
         (refused,) = self.cell.entries.of(Refused)
         self.assertGreaterEqual(refused.retry_after_s, REST_S)
         self.assertLess(refused.retry_after_s, 2 * REST_S)
 
     # Guards against a scheduler that is new and grants what its entries must give back.
     def test_a_registration_tells_of_rests(self):
-        self.cell.receive(register("r1", notices=(rests(),)), ask("a1"), ask("a2"), ask("a3"))
+        self.cell.receive(register("r1", notices=(back_off_notice(),)), ask("a1"), ask("a2"), ask("a3"))
         self.assertEqual(self.granted(), {("a", "e2")})
 
     # Guards against a rest that is told again, taken for answers that name no limit any more.
     def test_a_rest_told_again_ends_no_limit(self):
         self.cell.receive(EngineNotice(engine="e1", limit_per_s=2.0))
         self.cell.advance(2.0)
-        self.cell.receive(*[register("r1", notices=(rests(),)) for _ in range(9)])
+        self.cell.receive(*[register("r1", notices=(back_off_notice(),)) for _ in range(9)])
         self.cell.advance(3.0)
         self.assertEqual(self.cell.scheduler._runs.engines_by_name["e1"].rate_limit.per_s(), 2.0)
 
     # Guards against a suspect that runs alone on an engine that wants a rest.
     def test_a_suspect_leaves_the_engine_out(self):
-        self.cell.receive(rests(), ask("s", alone=True))
+        self.cell.receive(back_off_notice(), ask("s", alone=True))
         self.cell.advance(0.2)
         self.assertEqual(self.granted(), {("s", "e2")})
 
@@ -72,7 +74,7 @@
     async def test_a_grant_within_a_rest_goes_back_and_one_after_it_is_used(self):
         request = OneRequest()
         await asyncio.sleep(0.0)
-        request.entry.post("r1", rests(entry=""))
+        request.entry.post("r1", back_off_notice(entry=""))
         request.schedulers.sent.clear()
         await request.grant("e1")
         self.assertEqual(request.caller.starts, [])
@@ -88,7 +90,7 @@
     @on_paused_clock
     async def test_a_second_grant_within_the_rest_leaves_the_engine_out(self):
         request = OneRequest()
-        request.entry.post("r1", rests())
+        request.entry.post("r1", back_off_notice())
         await request.grant("e1")
         self.assertEqual(request.asks[-1].excluded_engines, ())
         await request.grant("e1")
@@ -98,8 +100,8 @@
     @on_paused_clock
     async def test_the_longest_rest_holds(self):
         request = OneRequest()
-        request.entry.post("r1", rests())
-        request.entry.post("r1", rests(rest_s=0.1))
+        request.entry.post("r1", back_off_notice())
+        request.entry.post("r1", back_off_notice(rest_s=0.1))
         await asyncio.sleep(1.0)
         await request.grant("e1")
         self.assertEqual(request.caller.starts, [])
@@ -109,7 +111,7 @@
     async def test_who_is_given_up_on_is_told_when_the_first_rest_ends(self):
         request = OneRequest()
         for name in ("e1", "e2"):
-            request.entry.post("r1", rests(on=name))
+            request.entry.post("r1", back_off_notice(on=name))
         self.assertGreaterEqual(request.entry._context.retry_after_s("asistente"), REST_S - 0.1)
 
 
@@ -140,7 +142,7 @@
     async def test_the_request_goes_to_another_engine(self):
         request = OneRequest(repeatable=False)
         await request.grant("e1")
-        request.entry.post("r1", rests())
+        request.entry.post("r1", back_off_notice())
         await request.end(RunNotSent(detail="503", arrived=True))
         await request.grant("e2")
         self.assertEqual([start.engine for start in request.caller.starts], ["e1", "e2"])
