--- a/tests/test_rest_notices.py
+++ b/tests/test_rest_notices.py
@@ -136,7 +136,7 @@
         self.assertEqual(self.rest_s("90000"), MAX_BACK_OFF_S)
 
 
-class TurnedAwayTest(unittest.TestCase):
+class RejectedRequestTest(unittest.TestCase):
     # Guards against an answer that asks for a rest and ends its request, though another engine has room.
     @on_paused_clock
     async def test_the_request_goes_to_another_engine(self):
