--- a/tests/test_rest_notices.py
+++ b/tests/test_rest_notices.py
@@ -11,10 +11,10 @@
 from wagtailtrestle.contracts.outcomes import RunNotSent
 from wagtailtrestle.engines.notices import MAX_BACK_OFF_S, read_notice
 
-REST_S = 3.0
+BACK_OFF_S = 3.0
 
 
-def back_off_notice(*, on="e1", entry="r1", rest_s=REST_S):
+def back_off_notice(*, on="e1", entry="r1", rest_s=BACK_OFF_S):
     return EngineNotice(engine=on, rest_s=rest_s, entry=entry)
 
 
@@ -33,19 +33,21 @@
 
     # Guards against a request that is refused, or sent, though the last rest ends before it must begin.
     def test_a_request_with_time_waits_for_the_first_rest_to_end(self):
-        self.cell.receive(back_off_notice(), back_off_notice(on="e2", rest_s=2 * REST_S), ask("a", remaining_s=20.0))
+        self.cell.receive(
+            back_off_notice(), back_off_notice(on="e2", rest_s=2 * BACK_OFF_S), ask("a", remaining_s=20.0)
+        )
         self.assertEqual(self.cell.entries.sent, [])
-        self.cell.advance(REST_S + 0.2)
+        self.cell.advance(BACK_OFF_S + 0.2)
         self.assertEqual(self.granted(), {("a", "e1")})
 
     # Guards against a wait that can't help, and a time to come back that is too early.
     def test_a_request_without_that_time_is_refused_at_once_and_told_when(self):
         self.cell.receive(
-            back_off_notice(), back_off_notice(on="e2", rest_s=2 * REST_S), ask("a", first_token_within_s=1.0)
+            back_off_notice(), back_off_notice(on="e2", rest_s=2 * BACK_OFF_S), ask("a", first_token_within_s=1.0)
         )
         (refused,) = self.cell.entries.of(Refused)
-        self.assertGreaterEqual(refused.retry_after_s, REST_S)
-        self.assertLess(refused.retry_after_s, 2 * REST_S)
+        self.assertGreaterEqual(refused.retry_after_s, BACK_OFF_S)
+        self.assertLess(refused.retry_after_s, 2 * BACK_OFF_S)
 
     # Guards against a scheduler that is new and grants what its entries must give back.
     def test_a_registration_tells_of_rests(self):
@@ -82,7 +84,7 @@
         self.assertEqual((told.engine, told.entry), ("e1", request.entry.name))
         self.assertIsInstance(again, GrantRequest)
         self.assertEqual(again.excluded_engines, ())
-        await asyncio.sleep(REST_S)
+        await asyncio.sleep(BACK_OFF_S)
         await request.grant("e1")
         self.assertEqual(len(request.caller.starts), 1)
 
@@ -112,7 +114,7 @@
         request = OneRequest()
         for name in ("e1", "e2"):
             request.entry.post("r1", back_off_notice(on=name))
-        self.assertGreaterEqual(request.entry._context.retry_after_s("asistente"), REST_S - 0.1)
+        self.assertGreaterEqual(request.entry._context.retry_after_s("asistente"), BACK_OFF_S - 0.1)
 
 
 class ReadingTest(unittest.TestCase):
