--- a/tests/test_leaving_notices.py
+++ b/tests/test_leaving_notices.py
@@ -12,7 +12,7 @@
 FORMER_MS, LATER_MS = 1000, 2000
 
 
-def leaves(*, on="e1", **fields):
+def leaving_notice(*, on="e1", **fields):
     return EngineNotice(engine=on, leaving=True, **fields)
 
 
@@ -21,7 +21,7 @@
     @on_paused_clock
     async def test_a_grant_on_an_engine_that_leaves_goes_back_and_the_scheduler_is_told(self):
         request = OneRequest()
-        request.entry.post("r1", leaves())
+        request.entry.post("r1", leaving_notice())
         request.schedulers.sent.clear()
         await request.grant("e1")
         self.assertEqual(request.caller.starts, [])
@@ -34,7 +34,7 @@
     @on_paused_clock
     async def test_the_word_holds_for_a_bounded_time(self):
         request = OneRequest()
-        request.entry.post("r1", leaves())
+        request.entry.post("r1", leaving_notice())
         self.assertEqual(len(request.entry.register("asistente").notices), 1)
         await asyncio.sleep(LEAVING_NOTICE_TTL_S)
         self.assertEqual(request.entry.register("asistente").notices, ())
@@ -54,7 +54,7 @@
 
     # Guards against new work for an engine of which one router heard that it leaves.
     def test_nothing_is_granted_on_an_engine_that_said_so_to_one_entry(self):
-        self.cell.receive(register("r1"), leaves())
+        self.cell.receive(register("r1"), leaving_notice())
         self.assertEqual(self.ask_four(), {"e2"})
         # The list takes a mark of its own back, not the engine's word.
         self.cell.scheduler.mark_leaving("e1", False)
@@ -64,7 +64,7 @@
 
     # Guards against a new scheduler, or one that comes back, that knows only what the store says.
     def test_entries_tell_a_new_scheduler(self):
-        self.cell.receive(register("r1", notices=(leaves(age_s=8.0),)))
+        self.cell.receive(register("r1", notices=(leaving_notice(age_s=8.0),)))
         self.assertEqual(self.ask_four(), {"e2"})
 
     # Guards against an engine out of use since its former start, or an earlier engine of its name, said that it leaves.
@@ -72,10 +72,10 @@
         former, later = engine("e1"), engine("e1")
         former.start_ms, later.start_ms = FORMER_MS, LATER_MS
         self.cell.scheduler.set_engines({"e1": former, "e2": engine("e2")})
-        self.cell.receive(register("r1"), leaves(start_ms=FORMER_MS))
+        self.cell.receive(register("r1"), leaving_notice(start_ms=FORMER_MS))
         self.assertEqual(self.ask_four(), {"e2"})
         self.cell.scheduler.set_engines({"e1": later})
-        self.cell.receive(leaves(start_ms=FORMER_MS))
+        self.cell.receive(leaving_notice(start_ms=FORMER_MS))
         self.cell.advance(0.2)
         self.assertEqual(self.granted(), {"e1", "e2"})
 
