--- a/tests/test_leaving_notices.py
+++ b/tests/test_leaving_notices.py
@@ -47,7 +47,7 @@
     def granted(self):
         return {message.engine for message in self.cell.entries.of(Granted)}
 
-    def ask_four(self):
+    def request_four(self):
         self.cell.entries.sent.clear()
         self.cell.receive(*(ask(f"{name}{self.cell.clock.now}") for name in "abcd"))
         return self.granted()
@@ -55,7 +55,7 @@
     # Guards against new work for an engine of which one router heard that it leaves.
     def test_nothing_is_granted_on_an_engine_that_said_so_to_one_entry(self):
         self.cell.receive(register("r1"), leaving_notice())
-        self.assertEqual(self.ask_four(), {"e2"})
+        self.assertEqual(self.request_four(), {"e2"})
         # The list takes a mark of its own back, not the engine's word.
         self.cell.scheduler.mark_leaving("e1", False)
         self.cell.scheduler.set_engines({name: engine(name) for name in ("e1", "e2")})
@@ -65,7 +65,7 @@
     # Guards against a new scheduler, or one that comes back, that knows only what the store says.
     def test_entries_tell_a_new_scheduler(self):
         self.cell.receive(register("r1", notices=(leaving_notice(age_s=8.0),)))
-        self.assertEqual(self.ask_four(), {"e2"})
+        self.assertEqual(self.request_four(), {"e2"})
 
     # Guards against an engine out of use since its former start, or an earlier engine of its name, said that it leaves.
     def test_an_engine_that_started_again_is_not_leaving(self):
@@ -73,7 +73,7 @@
         former.start_ms, later.start_ms = FORMER_MS, LATER_MS
         self.cell.scheduler.set_engines({"e1": former, "e2": engine("e2")})
         self.cell.receive(register("r1"), leaving_notice(start_ms=FORMER_MS))
-        self.assertEqual(self.ask_four(), {"e2"})
+        self.assertEqual(self.request_four(), {"e2"})
         self.cell.scheduler.set_engines({"e1": later})
         self.cell.receive(leaving_notice(start_ms=FORMER_MS))
         self.cell.advance(0.2)
