--- a/tests/test_leaving_notices.py
+++ b/tests/test_leaving_notices.py
@@ -9,7 +9,7 @@
 from wagtailtrestle.contracts.messages import EngineNotice, Granted
 from wagtailtrestle.engines.notices import LEAVING_NOTICE_TTL_S
 
-EARLIER_START_MS, LATER_MS = 1000, 2000
+EARLIER_START_MS, LATER_START_MS = 1000, 2000
 
 
 def leaving_notice(*, on="e1", **fields):
@@ -70,7 +70,7 @@
     # Guards against an engine out of use since its former start, or an earlier engine of its name, said that it leaves.
     def test_an_engine_that_started_again_is_not_leaving(self):
         former, later = engine("e1"), engine("e1")
-        former.start_ms, later.start_ms = EARLIER_START_MS, LATER_MS
+        former.start_ms, later.start_ms = EARLIER_START_MS, LATER_START_MS
         self.cell.scheduler.set_engines({"e1": former, "e2": engine("e2")})
         self.cell.receive(register("r1"), leaving_notice(start_ms=EARLIER_START_MS))
         self.assertEqual(self.request_four(), {"e2"})
