--- a/tests/test_rate_limit.py
+++ b/tests/test_rate_limit.py
@@ -70,7 +70,7 @@
             self.receive(finished(message.request_id, on=message.engine, duration_s=self.run_s))
 
 
-class PaceTest(unittest.TestCase):
+class GrantRateTest(unittest.TestCase):
     # Guards against grants in clumps: a second without requests must not be made up for in the next.
     def test_callers_that_always_wait_get_what_the_engine_takes(self):
         for limit_per_s in (0.5, 1.6, 2.3, 12.0):
