--- a/tests/test_rate_limit.py
+++ b/tests/test_rate_limit.py
@@ -174,7 +174,7 @@
         self.assertLessEqual(most_within(cell.times("e1"), WINDOW_S), 2.0 * WINDOW_S + 1)
 
 
-class HeardFirstTest(unittest.TestCase):
+class UninformedSchedulerTest(unittest.TestCase):
     # Guards against a place granted by a scheduler that the word hasn't reached: the entry that heard it is bound.
     @on_paused_clock
     async def test_an_uninformed_grant_goes_back_and_the_scheduler_is_told(self):
