--- a/tests/test_rate_limit.py
+++ b/tests/test_rate_limit.py
@@ -34,13 +34,13 @@
         self.granted = []
         self.ends = []
 
-    def run(self, seconds, *, each_answer=None):
+    def run(self, seconds, *, notice_for=None):
         """Let time pass; ``each_answer(engine)`` gives the notice that each answer bears."""
         until = self.clock.now + seconds
         while self.clock.now < until:
             self.clock.now += STEP_S
             self.scheduler.tick()
-            self._end_runs(each_answer)
+            self._end_runs(notice_for)
             self._ask_again()
             self._take_grants()
 
@@ -61,12 +61,12 @@
             self.ends.append((self.clock.now + self.run_s, message))
         self.entries.sent.clear()
 
-    def _end_runs(self, each_answer):
+    def _end_runs(self, notice_for):
         due = [message for at, message in self.ends if at <= self.clock.now]
         self.ends = [(at, message) for at, message in self.ends if at > self.clock.now]
         for message in due:
-            if each_answer is not None:
-                self.receive(each_answer(message.engine))
+            if notice_for is not None:
+                self.receive(notice_for(message.engine))
             self.receive(finished(message.request_id, on=message.engine, duration_s=self.run_s))
 
 
@@ -79,7 +79,7 @@
                 cell.run(2.0)
                 named_at = cell.clock.now
                 cell.receive(notice(limit_per_s))
-                cell.run(20.0, each_answer=lambda engine, per_s=limit_per_s: notice(per_s))
+                cell.run(20.0, notice_for=lambda engine, per_s=limit_per_s: notice(per_s))
                 times = cell.times("e1", since=named_at + STEP_S)
                 self.assertLessEqual(most_within(times, WINDOW_S), limit_per_s * WINDOW_S + 1)
                 self.assertGreaterEqual(len(times), 0.5 * limit_per_s * 20.0)
@@ -88,14 +88,14 @@
     def test_an_engine_that_takes_nothing_is_tried_now_and_then(self):
         cell = LoadedCell()
         cell.receive(notice(0.0))
-        cell.run(30.0, each_answer=lambda engine: notice(0.0))
+        cell.run(30.0, notice_for=lambda engine: notice(0.0))
         self.assertIn(len(cell.times("e1")), (2, 3))
 
     # Guards against idle places of the other engines, or a tier below served first, beside a limited engine.
     def test_other_engines_are_filled_and_tiers_kept(self):
         cell = LoadedCell(engines=("e1", "e2"), tiers=(1, 3), slots=2)
         cell.receive(notice(1.0))
-        cell.run(10.0, each_answer=lambda engine: notice(1.0 if engine == "e1" else math.inf, on=engine))
+        cell.run(10.0, notice_for=lambda engine: notice(1.0 if engine == "e1" else math.inf, on=engine))
         self.assertLessEqual(len(cell.times("e1")), 12)
         self.assertGreater(len(cell.times("e2")), 100)
 
@@ -105,10 +105,10 @@
     def test_a_lower_limit_counts_what_was_given_before(self):
         cell = LoadedCell()
         cell.receive(notice(10.0))
-        cell.run(10.0, each_answer=lambda engine: notice(10.0))
+        cell.run(10.0, notice_for=lambda engine: notice(10.0))
         lowered_at = cell.clock.now
         cell.receive(notice(2.0))
-        cell.run(12.0, each_answer=lambda engine: notice(2.0))
+        cell.run(12.0, notice_for=lambda engine: notice(2.0))
         times = cell.times("e1", since=lowered_at + STEP_S)
         self.assertLessEqual(most_within(times, WINDOW_S), 2.0 * WINDOW_S + 1)
         self.assertGreaterEqual(len(times), 0.5 * 2.0 * 12.0)
@@ -118,7 +118,7 @@
         cell = LoadedCell()
         answers = iter(range(10_000))
         cell.receive(notice(3.0))
-        cell.run(30.0, each_answer=lambda engine: notice(3.0 if next(answers) % 3 == 0 else math.inf))
+        cell.run(30.0, notice_for=lambda engine: notice(3.0 if next(answers) % 3 == 0 else math.inf))
         self.assertLessEqual(most_within(cell.times("e1"), WINDOW_S), 1.5 * 3.0 * WINDOW_S + 5)
 
     # Guards against a limit that is raised after each few answers of an engine that names it at random in some.
@@ -130,7 +130,7 @@
                 cell.receive(notice(limit_per_s))
                 cell.run(
                     40.0,
-                    each_answer=lambda engine, per_s=limit_per_s, chance=chance, share=share: notice(
+                    notice_for=lambda engine, per_s=limit_per_s, chance=chance, share=share: notice(
                         per_s if chance.random() < share else math.inf
                     ),
                 )
@@ -141,9 +141,9 @@
     def test_the_load_comes_back_over_some_seconds(self):
         cell = LoadedCell()
         cell.receive(notice(2.0))
-        cell.run(8.0, each_answer=lambda engine: notice(2.0))
+        cell.run(8.0, notice_for=lambda engine: notice(2.0))
         lifted_at = cell.clock.now
-        cell.run(8.0, each_answer=lambda engine: notice(math.inf))
+        cell.run(8.0, notice_for=lambda engine: notice(math.inf))
         times = cell.times("e1", since=lifted_at)
         self.assertLessEqual(sum(at < lifted_at + 2.0 for at in times), 8)
         self.assertGreater(sum(at > lifted_at + 6.0 for at in times), 50)
@@ -170,7 +170,7 @@
     def test_entries_tell_a_new_scheduler_what_they_heard(self):
         cell = LoadedCell()
         cell.receive(register("r1", notices=(notice(2.0, age_s=1.0),)))
-        cell.run(8.0, each_answer=lambda engine: notice(2.0))
+        cell.run(8.0, notice_for=lambda engine: notice(2.0))
         self.assertLessEqual(most_within(cell.times("e1"), WINDOW_S), 2.0 * WINDOW_S + 1)
 
 
