--- a/tests/test_rate_limit.py
+++ b/tests/test_rate_limit.py
@@ -41,13 +41,13 @@
             self.clock.now += STEP_S
             self.scheduler.tick()
             self._end_runs(notice_for)
-            self._ask_again()
+            self._refill_queue()
             self._take_grants()
 
     def times(self, engine, *, since=-math.inf):
         return [at for at, name, _ in self.granted if name == engine and at >= since]
 
-    def _ask_again(self):
+    def _refill_queue(self):
         while len(self.scheduler._queue) < self.waiting:
             self.asked += 1
             tier = self.tiers[self.asked % len(self.tiers)]
