--- a/tests/test_rate_limit.py
+++ b/tests/test_rate_limit.py
@@ -42,7 +42,7 @@
             self.scheduler.tick()
             self._end_runs(notice_for)
             self._refill_queue()
-            self._take_grants()
+            self._collect_grants()
 
     def times(self, engine, *, since=-math.inf):
         return [at for at, name, _ in self.granted if name == engine and at >= since]
@@ -55,7 +55,7 @@
             if len(self.entries.of(Refused)):
                 break
 
-    def _take_grants(self):
+    def _collect_grants(self):
         for message in self.entries.of(Granted):
             self.granted.append((self.clock.now, message.engine, message.request_id))
             self.ends.append((self.clock.now + self.run_s, message))
