--- a/tests/test_engine_model.py
+++ b/tests/test_engine_model.py
@@ -15,7 +15,7 @@
     return factor * (0.005 + 0.0002 * concurrency)
 
 
-def report(model, *, count, prefill_share, factor=1.0, seed=1):
+def report_steps(model, *, count, prefill_share, factor=1.0, seed=1):
     """Reports of an engine of which a share of the time goes into steps with prefill."""
     draw = random.Random(seed)
     for _ in range(count):
@@ -38,7 +38,7 @@
         # steps hold a chunk of somebody's prompt, 13 times an ordinary step; a mean would
         # call the engine 9 times too slow. The low end of the samples is the clean step.
         model = make_model()
-        report(model, count=200, prefill_share=0.66)
+        report_steps(model, count=200, prefill_share=0.66)
         for concurrency in (4, 15):
             self.assertAlmostEqual(model.step_s(concurrency) / true_step_s(concurrency), 1.0, delta=0.12)
 
@@ -46,16 +46,16 @@
         # A prompt of 16,000 tokens keeps every reported step long for two seconds; an
         # engine taken for slow by that gets no work and refuses what it could finish.
         model = make_model()
-        report(model, count=100, prefill_share=0.3)
-        report(model, count=25, prefill_share=1.0)
+        report_steps(model, count=100, prefill_share=0.3)
+        report_steps(model, count=25, prefill_share=1.0)
         self.assertLess(model.step_s(10), 1.5 * true_step_s(10))
 
     def test_straggler_is_believed_slow_within_a_window(self):
         model = make_model()
-        report(model, count=100, prefill_share=0.3)
-        report(model, count=80, prefill_share=0.3, factor=5.0)
+        report_steps(model, count=100, prefill_share=0.3)
+        report_steps(model, count=80, prefill_share=0.3, factor=5.0)
         self.assertAlmostEqual(model.step_s(10) / true_step_s(10, 5.0), 1.0, delta=0.25)
-        report(model, count=80, prefill_share=0.3)
+        report_steps(model, count=80, prefill_share=0.3)
         self.assertAlmostEqual(model.step_s(10) / true_step_s(10), 1.0, delta=0.25)
 
     def test_known_clean_steps_show_a_straggler_after_five(self):
@@ -85,7 +85,7 @@
         for _ in range(200):
             model.observe_finish(output_tokens=100, decode_s=100 * 2.0 * model.step_s(10), mean_concurrency=10)
         self.assertAlmostEqual(model.token_interval_s(10) / model.step_s(10), 2.0, delta=0.1)
-        report(model, count=30, prefill_share=0.0)
+        report_steps(model, count=30, prefill_share=0.0)
         self.assertGreater(model.confidence(), 0.9)
 
     def test_prefill_rate_counts_what_the_engine_prefills_first(self):
