--- a/tests/test_engine_http.py
+++ b/tests/test_engine_http.py
@@ -21,7 +21,7 @@
 from wagtailtrestle.engines.reports import EngineReports
 from wagtailtrestle.standins.prompts import whole_answer
 
-SHORT_S = 0.2
+SILENCE_LIMIT_S = 0.2
 """Limit on silence of a run whose silence is to be found."""
 
 
@@ -74,7 +74,7 @@
         # The progress deadline finds it in 0.2 s; a new connection attaches to the same run.
         self.fail_next("silent")
         began_at = time.monotonic()
-        outcome = self.sender.send(self.address, progress_s=SHORT_S)
+        outcome = self.sender.send(self.address, progress_s=SILENCE_LIMIT_S)
         self.assertLess(time.monotonic() - began_at, 1.0)
         self.assertEqual(outcome, RunSilent(output_tokens=5, reached=True))
         self.assertIsInstance(self.sender.send(self.address, attach=True), RunDone)
@@ -95,7 +95,7 @@
     def test_every_open_connection_goes_silent(self):
         # All connections open at one moment go silent together; the run is under way.
         sender = RunSender(call=chat_call(output_tokens=400))
-        thread = sender.send_in_thread(self.address, progress_s=SHORT_S)
+        thread = sender.send_in_thread(self.address, progress_s=SILENCE_LIMIT_S)
         self.assertTrue(sender.first_token.wait(2))
         self.engine.silence_open()
         thread.join(3)
@@ -130,7 +130,7 @@
 
     def test_late_token_past_the_deadline_is_silence(self):
         self.fail_next("late", late_s=0.5)
-        self.assertIsInstance(self.sender.send(self.address, progress_s=SHORT_S), RunSilent)
+        self.assertIsInstance(self.sender.send(self.address, progress_s=SILENCE_LIMIT_S), RunSilent)
 
     def test_overall_limit(self):
         sender = RunSender(call=chat_call(output_tokens=100_000))
