--- a/tests/test_engine_http.py
+++ b/tests/test_engine_http.py
@@ -176,12 +176,12 @@
         thread.join(3)
         self.assertIsInstance(sender.ended.outcome, RunCut)
         had = len(sender.received.tokens)
-        self.assertIsInstance(self.attach_once_up(sender), RunLost)
+        self.assertIsInstance(self.attach_after_restart(sender), RunLost)
         self.assertIsInstance(sender.send(address_of(other), run_id="r.2"), RunDone)
         self.assertEqual(sender.received.text, whole_answer(PROMPT, 300))
         self.assertEqual(other.record.as_dict()["runs"]["r.2"]["output_tokens"], 300 - had)
 
-    def attach_once_up(self, sender):
+    def attach_after_restart(self, sender):
         # While the server goes down it resets what it had accepted; an entry attaches again then. A connection cut
         # by an engine that is back would be another thing, and is returned.
         until = time.monotonic() + 10
