--- a/tests/test_engine_http.py
+++ b/tests/test_engine_http.py
@@ -39,14 +39,14 @@
     def run_record(self, run_id="r.1"):
         return self.engine.record.as_dict()["runs"][run_id]
 
-    def assert_whole(self, output_tokens=20):
+    def assert_complete(self, output_tokens=20):
         self.assertEqual(self.sender.received.text, whole_answer(PROMPT, output_tokens))
         self.assertEqual([index for index, _ in self.sender.tokens], list(range(1, output_tokens + 1)))
 
     def test_whole_answer(self):
         outcome = self.sender.send(self.address)
         self.assertEqual(outcome, RunDone(prompt_tokens=10, cached_tokens=0, output_tokens=20))
-        self.assert_whole()
+        self.assert_complete()
         self.assertIsInstance(self.sender.events[0], RunBegan)
         self.assertEqual(self.sender.events[0].prompt_tokens, 10)
         self.assertEqual(self.run_record()["caller_request_id"], "caller-1")
@@ -66,7 +66,7 @@
         self.assertIsInstance(outcome, RunCut)
         self.assertEqual((outcome.output_tokens, outcome.reached), (5, True))
         self.assertIsInstance(self.sender.send(self.address, attach=True), RunDone)
-        self.assert_whole()
+        self.assert_complete()
         self.assertEqual(self.run_record()["starts"], 1)
 
     def test_silent_connection_is_found_and_a_new_one_works(self):
@@ -78,7 +78,7 @@
         self.assertLess(time.monotonic() - began_at, 1.0)
         self.assertEqual(outcome, RunSilent(output_tokens=5, reached=True))
         self.assertIsInstance(self.sender.send(self.address, attach=True), RunDone)
-        self.assert_whole()
+        self.assert_complete()
         self.assertEqual(self.run_record()["starts"], 1)
 
     def test_attach_to_a_run_in_the_queue_is_silent_but_held(self):
@@ -115,7 +115,7 @@
     def test_duplicated_tokens_are_dropped(self):
         self.fail_next("duplicate")
         self.assertIsInstance(self.sender.send(self.address), RunDone)
-        self.assert_whole()
+        self.assert_complete()
 
     def test_lost_token_is_a_cut(self):
         self.fail_next("gap")
@@ -126,7 +126,7 @@
     def test_late_token_within_the_deadline_is_no_fault(self):
         self.fail_next("late", late_s=0.1)
         self.assertIsInstance(self.sender.send(self.address, progress_s=1.0), RunDone)
-        self.assert_whole()
+        self.assert_complete()
 
     def test_late_token_past_the_deadline_is_silence(self):
         self.fail_next("late", late_s=0.5)
