--- a/tests/test_engine_http.py
+++ b/tests/test_engine_http.py
@@ -31,7 +31,7 @@
         self.address = address_of(self.engine)
         self.sender = RunSender(call=chat_call())
 
-    def fail_next(self, kind, *, after_tokens=5, late_s=0.5):
+    def inject_fault(self, kind, *, after_tokens=5, late_s=0.5):
         self.engine.faults.update(
             {"stream_kind": kind, "stream_after_tokens": after_tokens, "stream_count": 1, "late_s": late_s}
         )
@@ -61,7 +61,7 @@
     def test_cut_stream_attaches_to_the_same_run(self):
         # The caller sees nothing: the connection is cut after five tokens, the router attaches
         # to the same run over a new one, and the engine's record shows one start.
-        self.fail_next("cut")
+        self.inject_fault("cut")
         outcome = self.sender.send(self.address)
         self.assertIsInstance(outcome, RunCut)
         self.assertEqual((outcome.output_tokens, outcome.reached), (5, True))
@@ -72,7 +72,7 @@
     def test_silent_connection_is_found_and_a_new_one_works(self):
         # The connection stays open and carries nothing more, as when a middle box forgot it.
         # The progress deadline finds it in 0.2 s; a new connection attaches to the same run.
-        self.fail_next("silent")
+        self.inject_fault("silent")
         began_at = time.monotonic()
         outcome = self.sender.send(self.address, progress_s=SILENCE_LIMIT_S)
         self.assertLess(time.monotonic() - began_at, 1.0)
@@ -106,30 +106,30 @@
     def test_crossed_answer_never_reaches_the_caller(self):
         # From the sixth token on the connection carries another run's answer. The caller has
         # five tokens of its own; not one foreign token is passed on.
-        self.fail_next("cross")
+        self.inject_fault("cross")
         outcome = self.sender.send(self.address)
         self.assertIsInstance(outcome, RunCut)
         self.assertIn("crossed", outcome.detail)
         self.assertEqual(self.sender.received.text, whole_answer(PROMPT, 5))
 
     def test_duplicated_tokens_are_dropped(self):
-        self.fail_next("duplicate")
+        self.inject_fault("duplicate")
         self.assertIsInstance(self.sender.send(self.address), RunDone)
         self.assert_complete()
 
     def test_lost_token_is_a_cut(self):
-        self.fail_next("gap")
+        self.inject_fault("gap")
         outcome = self.sender.send(self.address)
         self.assertIn("gap", outcome.detail)
         self.assertEqual(self.sender.received.text, whole_answer(PROMPT, 5))
 
     def test_late_token_within_the_deadline_is_no_fault(self):
-        self.fail_next("late", late_s=0.1)
+        self.inject_fault("late", late_s=0.1)
         self.assertIsInstance(self.sender.send(self.address, progress_s=1.0), RunDone)
         self.assert_complete()
 
     def test_late_token_past_the_deadline_is_silence(self):
-        self.fail_next("late", late_s=0.5)
+        self.inject_fault("late", late_s=0.5)
         self.assertIsInstance(self.sender.send(self.address, progress_s=SILENCE_LIMIT_S), RunSilent)
 
     def test_overall_limit(self):
@@ -205,7 +205,7 @@
     def test_cancel_of_a_silent_connection_does_not_wait_for_it(self):
         # The run's connection went silent and its progress deadline is far. The cancel goes
         # over a new connection, and the reading thread is freed within half a second.
-        self.fail_next("silent")
+        self.inject_fault("silent")
         thread = self.sender.send_in_thread(self.address, progress_s=30.0, overall_s=30.0)
         self.assertTrue(self.sender.first_token.wait(2))
         self.sender.client.cancel(address=self.address, run_id="r.1")
@@ -216,7 +216,7 @@
     def test_cancel_of_a_finished_run_does_not_wait_for_a_silent_connection(self):
         # The run's connection went silent and the engine has finished the run when the cancel comes. It
         # says so, and its answer never arrives: waited for, the place would be held until the deadline.
-        self.fail_next("silent")
+        self.inject_fault("silent")
         thread = self.sender.send_in_thread(self.address, progress_s=30.0, overall_s=30.0)
         self.assertTrue(self.sender.first_token.wait(2))
         until = time.monotonic() + 10
@@ -246,7 +246,7 @@
         self.sender = RunSender(call=call)
         return self.sender.send(self.address, **options)
 
-    def fail_next(self, kind):
+    def inject_fault(self, kind):
         self.service.faults.update({"stream_kind": kind, "stream_count": 1})
 
     def test_whole_answer(self):
@@ -261,7 +261,7 @@
     def test_cut_answer_is_never_whole(self):
         # The service charged the member, then the connection broke inside the answer: the
         # caller must not read half an answer, nor hear that the charge was not run.
-        self.fail_next("cut")
+        self.inject_fault("cut")
         outcome = self.send(plain_call())
         self.assertIsInstance(outcome, RunCut)
         self.assertTrue(outcome.reached)
@@ -269,12 +269,12 @@
         self.assertEqual(self.service.record.as_dict()["runs"]["r.1"]["finished"], 1)
 
     def test_crossed_answer(self):
-        self.fail_next("cross")
+        self.inject_fault("cross")
         self.assertIn("crossed", self.send(plain_call()).detail)
         self.assertEqual(self.sender.received.body, b"")
 
     def test_silence(self):
-        self.fail_next("silent")
+        self.inject_fault("silent")
         self.assertEqual(self.send(plain_call(), first_s=0.2), RunSilent())
 
     def test_errors_of_the_service_are_whole_answers(self):
@@ -304,7 +304,7 @@
 
     def test_cancel_ends_this_side_and_asks_nothing_of_the_service(self):
         # A plain service knows no cancel: a cancel sent to it would run as a request.
-        self.fail_next("silent")
+        self.inject_fault("silent")
         sender = RunSender(call=plain_call())
         thread = sender.send_in_thread(self.address, first_s=30.0, overall_s=30.0)
         while not self.service.record.as_dict()["totals"]["finished"]:
