--- a/wagtailtrestle/capacity/run_table.py
+++ b/wagtailtrestle/capacity/run_table.py
@@ -157,7 +157,7 @@
         started_again = report.start_ms > engine.start_ms
         if started_again:
             engine = self._started_again(engine, report.start_ms)
-        for grant in engine.report(report):
+        for grant in engine.apply_report(report):
             self.end(grant)
         return started_again
 
--- a/wagtailtrestle/engines/state.py
+++ b/wagtailtrestle/engines/state.py
@@ -294,7 +294,7 @@
         """Believe no report from before now: this process may have been paused."""
         self._reports_valid_from = self._clock()
 
-    def report(self, report):
+    def apply_report(self, report):
         """Correct the account by a load report, which shows the past.
 
         Only what was granted before the report's time and had not ended by then is set
