--- a/wagtailtrestle/engines/state.py
+++ b/wagtailtrestle/engines/state.py
@@ -395,8 +395,8 @@
         self._update_free_slots()
 
     def _update_free_slots(self):
-        is_exclusive = self._kept_for is not None or self._alone_runs > 0
-        self.free_slots = 0 if is_exclusive else self._cap_by_rate_limit(self.limit - self.running)
+        serves_one_request = self._kept_for is not None or self._alone_runs > 0
+        self.free_slots = 0 if serves_one_request else self._cap_by_rate_limit(self.limit - self.running)
 
     def _cap_by_rate_limit(self, places):
         available_requests = self.rate_limit.available_requests()
