--- a/wagtailtrestle/engines/state.py
+++ b/wagtailtrestle/engines/state.py
@@ -1,4 +1,4 @@
-"""What a scheduler knows of one engine: its grants exactly, its own reports as a correction."""
+"""State of one engine as its scheduler sees it: the grants made there, corrected by the engine's load reports."""
 
 import math
 from collections import deque
@@ -10,20 +10,20 @@
 from wagtailtrestle.engines.rate_limit import RateLimit
 
 ENDED_GRANTS_RETENTION_S = 10.0
-"""How long ended grants are remembered to be set against late load reports."""
+"""Retention of ended grants; a load report that arrives late may still count their runs."""
 
 PHANTOM_RETENTION_S = 5.0
-"""How long load that only a report showed is believed without a newer report."""
+"""Time after which phantom load is dropped unless a newer report confirms it."""
 
 DELAY_FACTOR = 1.0
-"""Seconds by which a run is taken to be delayed for each second of another's prefill."""
+"""Assumed delay of a run, in seconds, for each second of another run's prefill."""
 
 CACHE_TOKENS = 262_144
-"""Tokens of prefixes an engine is assumed to hold until its cache events say otherwise."""
+"""Assumed size of an engine's prefix cache; its cache events correct the contents."""
 
 
 class EngineState:
-    """One engine of the cell, as the scheduler and its policy see it.
+    """One engine of the cell, as seen by the scheduler and its policy.
 
     Parameters
     ----------
@@ -34,24 +34,25 @@
     Attributes
     ----------
     limit : int
-        Runs that keep it just full; fewer while its health is in doubt, none if it leaves.
+        Concurrency that saturates the engine; lower while its health is in doubt, 0 while it is unreachable, reserved
+        or draining.
     phantom : int
-        Runs the engine reported that this scheduler granted to nobody it knows.
+        Runs that the engine reported and that match no grant known to this scheduler.
     health_share : float
-        Share of its concurrency that its health allows.
+        Share of its concurrency limit that its health allows.
     start_ms : int
-        Which start of the engine this state is of, where engines tell; see ``DeclaredEngine``.
+        Start of the engine that this state describes, where engines report it; see ``DeclaredEngine``.
     version : str
-        Version of what it runs.
-    held_back : bool
-        Whether requests go there only one by one, by the choice of a roll-out: it has no room for others.
+        Version of the software it runs.
+    reserved : bool
+        Whether a rollout has reserved the engine: only requests chosen by the rollout are sent there.
     rate_limit : RateLimit
-        What it takes a second from all routers, where its answers say so.
+        Requests per second that it accepts from all routers together, if its answers state a limit.
     kept_for : str or None
-        Request that needs the engine to itself; until it runs there, nothing more is granted.
+        Request that must run alone on the engine; until it has started, nothing else is granted there.
     room : int
-        Places free now; none beside a suspect, whose crash would take its neighbours along. Kept up to date by what
-        changes it: each message of a scheduler asks all of its engines for it.
+        Free slots; 0 while a suspected poison request runs there, since its crash would end the runs beside it. Updated
+        on every change and not computed on access, since the scheduler reads it for all engines on each message.
     """
 
     __slots__ = (
@@ -126,17 +127,17 @@
 
     @property
     def running(self):
-        """Runs believed to be on the engine: the grants, and the phantom load."""
+        """Estimated number of runs on the engine: the grants and the phantom load."""
         return len(self.grants_by_request_id) + self.phantom
 
     @property
     def is_full(self):
-        """Whether it holds as many runs as keep it busy."""
+        """Whether it holds as many runs as saturate it."""
         return self.running >= self.model.concurrency_limit()
 
     @property
     def pending_prefill_tokens(self):
-        """Prompt tokens the engine has still to compute for what was granted there."""
+        """Prompt tokens that the engine has still to prefill for its grants."""
         left_s = max(0.0, self._prefill_until - self._clock())
         if not left_s or not self._unstarted_tokens:
             return 0
@@ -144,7 +145,7 @@
 
     @property
     def reported_running(self):
-        """Runs, waiting ones included, in the last load report."""
+        """Running and waiting runs in the last load report."""
         return self._report.running + self._report.waiting if self._report else 0
 
     @property
@@ -154,19 +155,19 @@
 
     @property
     def reported(self):
-        """Whether a report shows the engine as it was since it was last distrusted."""
+        """Whether a report has arrived that is newer than the last call of :meth:`invalidate_reports`."""
         return self._report_at >= self._reports_valid_from
 
     @property
     def leaving(self):
-        """Whether anyone said so: the declaration, the list, or the engine itself."""
+        """Whether the engine is draining according to the declaration, the platform's list, a report or a notice."""
         reported = self._report is not None and self._report.leaving
         noticed = self._clock() - self._leaving_notice_at < LEAVING_NOTICE_TTL_S
         return self._declared_leaving or self._marked_leaving or reported or noticed
 
     @property
     def kept_for(self):
-        """Request that needs the engine to itself, or ``None``."""
+        """Request that must run alone on the engine, or ``None``."""
         return self._kept_for
 
     @kept_for.setter
@@ -176,44 +177,44 @@
 
     @property
     def runs_alone(self):
-        """Whether a request is on it that must run beside no other."""
+        """Whether a request that must run alone is on the engine."""
         return self._alone_runs > 0
 
     @property
     def available(self):
-        """Whether the policy may choose it."""
+        """Whether the policy may choose the engine."""
         return self.free_slots > 0
 
     def apply_declaration(self, declared):
-        """Put what a newer declaration says of it in force."""
+        """Apply a newer declaration of the engine."""
         self._declared_leaving = declared.leaving
         self.version = declared.version
         self._refresh_limit()
 
     def mark_leaving(self, leaving):
-        """Note what the platform's list or a peer says."""
+        """Set whether the platform's list or a peer reports the engine as leaving."""
         self._marked_leaving = leaving
         self._refresh_limit()
 
     def set_reserved(self, reserved):
-        """Keep it from being chosen for whoever has no word of a roll-out, or no longer."""
+        """Reserve the engine for requests chosen by a rollout, or end the reservation."""
         self.reserved = reserved
         self._refresh_limit()
 
     @property
     def free_rollout_slots(self):
-        """Places free now for a request that a roll-out sends here."""
+        """Free slots for requests that a rollout sends here."""
         if self.leaving or self._unreachable or self._kept_for is not None or self._alone_runs > 0:
             return 0
         return self._cap_by_rate_limit(self.model.concurrency_limit() - self.running)
 
     @property
     def within_rate_limit(self):
-        """Whether its rate limit allows one more request now."""
+        """Whether the rate limit allows one more request now."""
         return self._cap_by_rate_limit(1) > 0
 
     def apply_notice(self, notice):
-        """Take in what it said of itself in an answer."""
+        """Apply a notice that the engine sent in the head of an answer."""
         if is_earlier_start(notice.start_ms, self.start_ms):
             return
         if notice.rest_s:
@@ -226,33 +227,33 @@
             self._refresh_limit()
             return
         if notice.rest_s and not notice.names_limit:
-            return  # It may be told again and again: no answer that proves the end of a limit.
+            return  # Back-off notices may be repeated by registrations: without a limit they don't show that one ended.
         was_limited = self.rate_limit.in_force
         self.rate_limit.observe(notice.limit_per_s, age_s=notice.age_s)
         if self.rate_limit.in_force and not was_limited:
-            # What it was given lately is more than it takes already.
+            # The recent grants may already exceed the new limit, so they count towards its window.
             for grant in self.grants_by_request_id.values():
                 self.rate_limit.record_earlier_request(grant.granted_at)
         self._update_free_slots()
 
     @property
     def backs_off(self):
-        """Whether it wants nothing from some entry."""
+        """Whether it asked any entry to back off."""
         return bool(self._back_off_until_by_entry)
 
     def rest_s(self, entry):
-        """Time left in which it wants nothing from an entry; 0 without a rest."""
+        """Time left of the back-off that it asked of an entry; 0 without one."""
         if not self._back_off_until_by_entry:
             return 0.0
         return max(0.0, self._back_off_until_by_entry.get(entry, 0.0) - self._clock())
 
     def mark_unreachable(self):
-        """Grant nothing until the engine reports again."""
+        """Grant nothing on the engine until its next load report."""
         self._unreachable = True
         self._refresh_limit()
 
     def add(self, grant: Grant):
-        """Count a grant that is made now against this engine."""
+        """Add a grant that is made now."""
         self.rate_limit.record_request()
         self._add_run(grant)
 
@@ -267,20 +268,20 @@
         self._update_free_slots()
 
     def add_registered(self, grant: Grant):
-        """Count a run an entry registered; a report that showed it no longer shows a phantom."""
+        """Add a run that an entry registered; if the last report counted it as a phantom, remove one phantom."""
         if grant.granted_at <= self._report_at:
             self.phantom = max(0, self.phantom - 1)
         self.rate_limit.record_earlier_request(grant.granted_at)
         self._add_run(grant)
 
     def start(self, grant: Grant):
-        """Note that the grant's run gave its first token."""
+        """Record that the grant's run produced its first token."""
         if not grant.started:
             grant.started = True
             self._unstarted_tokens -= grant.prefill_tokens
 
     def end(self, grant: Grant):
-        """Free the grant's place."""
+        """Release the grant's slot."""
         if self.grants_by_request_id.pop(grant.request_id, None) is None:
             return
         self._alone_runs -= grant.request.alone
@@ -291,20 +292,20 @@
         self._update_free_slots()
 
     def invalidate_reports(self):
-        """Believe no report from before now: this process may have been paused."""
+        """Treat earlier reports as out of date: this process may have been paused."""
         self._reports_valid_from = self._clock()
 
     def apply_report(self, report):
-        """Correct the account by a load report, which shows the past.
+        """Correct the estimated load by a load report, which describes a past moment.
 
-        Only what was granted before the report's time and had not ended by then is set
-        against it. Comparing a late report with the present account would count every run
-        that ended since as load, and leave its place empty until the next report.
+        The report is compared with the grants that were running at its time. Compared with
+        the present grants, every run that ended since would count as load, and its slot
+        would stay empty until the next report.
 
         Returns
         -------
         list of Grant
-            Orphaned grants that the report shows gone.
+            Orphaned grants whose runs the report shows to have ended.
         """
         report_at = self._clock() - report.age_s
         if report_at < self._report_at:
@@ -323,7 +324,7 @@
         return gone
 
     def tick(self, *, health_share):
-        """Refresh what is computed seldom, and forget what no report can still speak of."""
+        """Refresh the cached limit and slacks, and remove expired back-offs, phantom load and ended grants."""
         self.health_share = health_share
         if self.report_age_s > PHANTOM_RETENTION_S:
             self.phantom = 0
@@ -346,20 +347,20 @@
             del self._back_off_until_by_entry[entry]
 
     def would_delay(self, *, prefill_s, tier):
-        """Whether a prefill this long would make a run of this tier or above late.
+        """Whether a prefill this long would make a run of this tier or a higher one miss its deadline.
 
-        While the engine prefills, every run on it slows down. Runs that are late
-        already don't count, nor do lower tiers. The slacks are those of the last tick.
+        While the engine prefills, every run on it slows down. Runs that are already late
+        and runs of lower tiers don't count. The slacks are those of the last tick.
         """
         return any(slack_s < DELAY_FACTOR * prefill_s for other, slack_s in self._slacks if other <= tier)
 
     def remaining_s(self, grant: Grant):
-        """Predicted seconds until the grant's run ends by itself."""
+        """Predicted seconds until the grant's run completes."""
         return self._remaining_s(grant, self.model.token_interval_s(self.running))
 
     def _slack_s(self, grant, running):
-        # A run that would be late at the present pace may still be in time if nothing
-        # more is prefilled beside it: then that much is its slack.
+        # A run that would be late at the expected token interval may still be in time if no
+        # further prompt is prefilled beside it: its slack is then computed from clean steps.
         left_s = grant.deadline - self._clock()
         slack_s = left_s - self._remaining_s(grant, self.model.token_interval_s(running))
         return slack_s if slack_s > 0.0 else left_s - self._remaining_s(grant, self.model.step_s(running))
@@ -372,7 +373,7 @@
         return max(step_s, decode_s - since_progress_s)
 
     def dump(self):
-        """Return a plain view for the state dump."""
+        """Plain data for the state dump."""
         return {
             "running": len(self.grants_by_request_id),
             "phantom": self.phantom,
@@ -403,7 +404,7 @@
         return max(0, places if available_requests is None else min(places, available_requests))
 
     def _accounted_runs_at(self, at):
-        """Runs of live entries that the engine held at that time, by this account."""
+        """Runs of live entries that were on the engine at that time, by the grants recorded here."""
         known = sum(
             1 for grant in self.grants_by_request_id.values() if grant.granted_at <= at and not _is_orphan_at(grant, at)
         )
