--- a/wagtailtrestle/engines/model.py
+++ b/wagtailtrestle/engines/model.py
@@ -1,13 +1,14 @@
-"""Learned speed of one engine, with its uncertainty, starting from declared values.
+"""Online estimate of one engine's speed and its confidence, starting from declared values.
 
-Three things are learned. The *clean* decode step is a line in the number of runs batched
-together, ``base + slope * concurrency``. The *interference* is how much slower than that
-tokens really come, since the engine also prefills other prompts between them. The
-prefill rate is learned from times to first token.
+Three quantities are estimated. The *clean* decode step, one that prefills nothing, is a
+line in the number of runs batched together, ``base + slope * concurrency``. The
+*interference* is the factor by which tokens come slower than that, since the engine also
+prefills other prompts between them. The prefill rate is fitted to times to first token.
 
-A measured step or pace is never shorter than the clean step, and often much longer, for
-a step that prefills a chunk of a prompt takes tens of ordinary steps. A mean would call
-every engine with long prompts slow, so the line follows the low end of recent samples.
+A measured step or token interval is never shorter than the clean step, and often much
+longer, since a step that prefills a chunk of a prompt takes as long as tens of ordinary
+steps. A mean would make every engine with long prompts look slow, so the line follows the
+low end of recent samples.
 """
 
 from collections import deque
@@ -18,44 +19,44 @@
 """Assumed growth of a step for each further run, as a share of the declared step."""
 
 PRIOR_WEIGHT = 12.0
-"""How many observations the declared values count for."""
+"""Number of observations that the declared values count for."""
 
 DECAY = 0.97
-"""Share of the old evidence's weight kept at each new observation."""
+"""Factor applied to the weight of earlier evidence at each new observation."""
 
 SAMPLE_WINDOW = 64
-"""Recent samples of which the low end shows the clean step. All of them must be slow before
-the engine is believed to have turned slow: one long prompt keeps every step slow for seconds."""
+"""Recent samples whose low end estimates the clean step. All of them must be slow before the
+engine counts as slower: one long prompt keeps every step slow for seconds."""
 
 SHORT_WINDOW = 8
-"""Samples that are enough to see that an engine is faster than believed."""
+"""Samples needed to detect that an engine is faster than estimated."""
 
 LOW_END_RANK = 4
-"""Which of the window's samples, from the lowest, counts as its low end."""
+"""Rank, from the lowest, of the sample that is the window's low end."""
 
 CLEAN_WINDOW = 5
-"""Steps known to be clean whose median shows a change of speed."""
+"""Number of steps known to be clean whose median shows a change of speed."""
 
 MAX_CLEAN_RATIO = 1.15
-"""Samples within this factor of the low end are taken as clean steps."""
+"""Samples within this factor of the low end count as clean steps."""
 
 SPEED_CHANGE_RATIO = 1.8
-"""If the low end of a whole window differs by this factor, the engine's speed has changed."""
+"""Factor by which the low end of a window must differ from the estimate for the engine's speed to have changed."""
 
 HALF_CONFIDENCE_SAMPLES = 1.0
-"""Clean steps, and finished runs, after which a model is half trusted."""
+"""Number of clean steps and of finished runs at which :meth:`EngineModel.confidence` is one half."""
 
 MAX_EARLY_RATIO = 1.6
-"""Until the window is full, samples so far above the believed step teach nothing."""
+"""Until the window is full, samples above the estimated step by more than this factor are ignored."""
 
 PRIOR_PREFILL_TOKENS = 2048.0
-"""How many prefilled tokens the declared rate counts for."""
+"""Number of prefilled tokens that the declared rate counts for."""
 
 PREFILL_MEMORY_TOKENS = 60_000.0
-"""Tokens over which old evidence on the prefill rate fades."""
+"""Prefilled tokens over which earlier evidence on the prefill rate decays."""
 
 INTERFERENCE_MEMORY_S = 150.0
-"""Seconds of decoding over which old evidence on interference fades."""
+"""Seconds of decoding over which earlier evidence on interference decays."""
 
 MAX_INTERFERENCE = 20.0
 
@@ -63,16 +64,16 @@
 """Prompt tokens an engine is assumed to prefill between two decode steps."""
 
 SATURATED_THROUGHPUT_SHARE = 0.95
-"""An engine counts as full at the least concurrency that gives this share of its best."""
+"""An engine is saturated at the lowest concurrency that gives this share of its best throughput."""
 
 MAX_STEP_RATIO = 6.0
-"""Largest step time tolerated, as a multiple of the step with one run."""
+"""Longest acceptable step, as a multiple of the step with one run."""
 
 MIN_DURATION_S = 1e-6
 
 
 class EngineModel:
-    """What one scheduler believes of the speed of one engine.
+    """Estimated speed of one engine.
 
     Parameters
     ----------
@@ -119,13 +120,13 @@
         self._interference_weight_s = 1.0
         self._finished_runs = 0
 
-    # What is measured.
+    # Measurements.
 
     def observe_first_token(self, *, first_token_s, uncached_tokens, concurrency, pending_prefill_tokens=0):
         """Learn the prefill rate from one run's time to its first token.
 
-        ``pending_prefill_tokens`` is what the engine still had to prefill for others
-        when the run was dispatched: it is computed first.
+        ``pending_prefill_tokens`` is what the engine still had to prefill for other runs
+        when this one was dispatched; it is computed first.
         """
         if uncached_tokens < 1:
             return
@@ -137,7 +138,7 @@
         self._prefill_tokens = kept + tokens
 
     def observe_finish(self, *, output_tokens, decode_s, mean_concurrency):
-        """Learn interference from one run's whole decode."""
+        """Learn interference from one run's complete decode."""
         if output_tokens < 1 or decode_s <= 0.0:
             return
         token_interval_s = decode_s / output_tokens
@@ -150,11 +151,11 @@
     def observe_report(self, *, step_s, running, prefilling=None):
         """Learn the clean step from the engine's own load report.
 
-        ``prefilling`` tells whether a prompt was being prefilled at the report's time;
-        ``None`` when nobody knows. Known clean steps show a change of speed much sooner.
+        ``prefilling`` is whether a prompt was being prefilled at the report's time, or
+        ``None`` if unknown. Steps known to be clean show a change of speed much sooner.
 
-        Whole decodes are left out: the fuller an engine, the more prefill lies between
-        its tokens, and the line would take that for growth with the batch.
+        Complete decodes are not used: the fuller an engine, the more prefill lies between
+        its tokens, and the fit would mistake that for growth of the step with the batch.
         """
         if step_s <= 0.0 or running < 1 or prefilling:
             return
@@ -164,14 +165,14 @@
         else:
             self._add_clean_sample(concurrency, step_s)
 
-    # What is believed.
+    # Estimates.
 
     def step_s(self, concurrency):
         """Expected seconds of one decode step that prefills nothing."""
         return self._step_s_by_runs[max(1, min(round(concurrency), self.slots)) - 1]
 
     def token_interval_s(self, concurrency):
-        """Expected seconds from token to token, other prompts' prefill included."""
+        """Expected seconds between tokens, including the prefill of other prompts."""
         return self.step_s(concurrency) * self._interference
 
     def prefill_s(self, tokens):
@@ -193,16 +194,16 @@
         return first_s + max(0, output_tokens - 1) * self.token_interval_s(concurrency)
 
     def concurrency_limit(self):
-        """Least concurrency that keeps the engine just full, within its slots."""
+        """Lowest concurrency that saturates the engine, at most its slots."""
         return self._limit
 
     def confidence(self):
-        """How far, from 0 to 1, predictions rest on measurements and not on the declaration."""
+        """Degree, from 0 to 1, to which predictions rest on measurements rather than the declaration."""
         measured = min(self._step.weight, self._finished_runs)
         return measured / (measured + HALF_CONFIDENCE_SAMPLES)
 
     def dump(self):
-        """Return the believed figures for a state dump."""
+        """Return the current estimates for a state dump."""
         return {
             "slots": self.slots,
             "step_s_at_1": round(self.step_s(1), 6),
@@ -214,17 +215,17 @@
         }
 
     def _add_sample(self, concurrency, seconds):
-        """Take in one upper bound on the clean step at ``concurrency``.
+        """Add one upper bound on the clean step at ``concurrency``.
 
-        Samples are compared through the declared shape and not the learned line: a line
-        that chose its own evidence would reject all that contradicts it.
+        Samples are normalized by the declared slope and not by the fitted line: a fit that
+        selected its own evidence would reject all samples that contradict it.
         """
         shape = 1.0 + PRIOR_SLOPE_SHARE * (concurrency - 1)
         believed = self.step_s(concurrency) / shape
         self._normalized_samples.append(seconds / shape)
         low = _low_end(self._normalized_samples)
-        # An engine whose speed changed shows it in every sample; the line's shape still
-        # holds, so the whole line jumps instead of creeping there over many samples.
+        # A change of the engine's speed shows in every sample and leaves the shape of the
+        # line as it was, so the line is rescaled at once and not refitted over many samples.
         slower = len(self._normalized_samples) == SAMPLE_WINDOW and low > SPEED_CHANGE_RATIO * believed
         faster = len(self._normalized_samples) >= SHORT_WINDOW and low * SPEED_CHANGE_RATIO < believed
         if slower or faster:
@@ -234,7 +235,7 @@
             self._tabulate_steps()
 
     def _add_clean_sample(self, concurrency, seconds):
-        """Take in one step that is known to have prefilled nothing."""
+        """Add one step that is known to have prefilled nothing."""
         self._clean_ratios.append(seconds / self.step_s(concurrency))
         middle = sorted(self._clean_ratios)[len(self._clean_ratios) // 2]
         changed = middle > SPEED_CHANGE_RATIO or middle * SPEED_CHANGE_RATIO < 1.0
@@ -246,14 +247,14 @@
             self._tabulate_steps()
 
     def _tabulate_steps(self):
-        """Lay the line out by concurrency: it is read far more often than it changes."""
+        """Tabulate the line by concurrency: it is read far more often than it changes."""
         runs = range(1, self.slots + 1)
         self._step_s_by_runs = tuple(max(MIN_DURATION_S, self._step.at(number)) for number in runs)
         self._limit = saturation_concurrency(self._step_s_by_runs)
 
     def _is_plausible_sample(self, believed):
-        # The first samples of an engine that starts under load may all be prefill: taken
-        # for its step they would make it look too slow for any request.
+        # The first samples of an engine that starts under load may all contain prefill: used
+        # as clean steps, they would make it look too slow for any request.
         full = len(self._normalized_samples) == SAMPLE_WINDOW
         return full or (
             len(self._normalized_samples) >= LOW_END_RANK and self._normalized_samples[-1] <= MAX_EARLY_RATIO * believed
@@ -266,7 +267,7 @@
 
 
 def saturation_concurrency(step_s_by_runs):
-    """Least number of runs that gives nearly the best throughput at a bearable step."""
+    """Lowest number of runs that gives nearly the best throughput, or at which the step time reaches its limit."""
     slots = len(step_s_by_runs)
     best = slots / step_s_by_runs[-1]
     longest_s = MAX_STEP_RATIO * step_s_by_runs[0]
