--- a/wagtailtrestle/engines/decaying_linear_fit.py
+++ b/wagtailtrestle/engines/decaying_linear_fit.py
@@ -1,25 +1,25 @@
-"""Weighted least squares of a line whose old evidence fades, around a prior line."""
+"""Weighted least-squares fit of a line around a prior, with exponentially decaying evidence."""
 
 MIN_SPREAD = 1e-9
 
 MAX_SLOPE_SHARE = 0.75
-"""Largest part of the mean that the slope may explain: extrapolating a steeper line below
-the range of its points would soon give negative values."""
+"""Largest share of the mean that the slope may explain: a steeper line, extrapolated below the
+range of its points, would soon give negative values."""
 
 
 class DecayingLinearFit:
-    """Fit ``y = base + slope * x`` with forgetting; the prior never fades.
+    """Fit of ``y = base + slope * x``; the evidence decays, the prior doesn't.
 
     Parameters
     ----------
     base, slope : float
         The prior line.
     weight : float
-        How many observations the prior counts for.
-    fade : float
-        Share of the old evidence's weight kept at each observation.
+        Number of observations that the prior counts for.
+    decay : float
+        Factor applied to the weight of earlier evidence at each observation.
     low, high : float
-        Range of ``x`` over which the prior is believed.
+        Range of ``x`` over which the prior holds.
     """
 
     __slots__ = ("_prior_base", "_prior_slope", "_prior_weight", "_decay", "_x_range", "_sums", "_fit")
@@ -35,17 +35,17 @@
 
     @property
     def weight(self):
-        """Weight of the measured evidence, the prior's left out."""
+        """Weight of the measured evidence, without the prior."""
         return self._sums[0]
 
     def observe(self, *, x, y, weight):
-        """Take in one measured point."""
+        """Add one measured point."""
         point = (1.0, x, y, x * x, x * y)
         self._sums = [old * self._decay + weight * new for old, new in zip(self._sums, point, strict=True)]
         self._fit = self._solve()
 
     def rescale(self, factor):
-        """Multiply the whole line, prior and evidence, by ``factor``."""
+        """Multiply the line, prior and evidence alike, by ``factor``."""
         n, sx, sy, sxx, sxy = self._sums
         self._sums = [n, sx, sy * factor, sxx, sxy * factor]
         self._prior_base *= factor
@@ -70,10 +70,10 @@
         return (sy - slope * sx) / n, slope
 
     def _prior_scale(self):
-        """How much higher the evidence lies than the prior.
+        """Ratio of the evidence to the prior, by which the prior is scaled before the fit.
 
-        The prior's shape is worth more than its height: evidence on one side of the range
-        that lies above it would else be taken for a steeper slope.
+        The prior's shape is more reliable than its height: without the scaling, evidence that
+        lies above it on one side of the range would be fitted as a steeper slope.
         """
         n, sx, sy, _, _ = self._sums
         expected = self._prior_base * n + self._prior_slope * sx
