--- a/wagtailtrestle/engines/health.py
+++ b/wagtailtrestle/engines/health.py
@@ -1,58 +1,58 @@
-"""One router's evidence on engines: silence, failed connections, stragglers, bounded ejection.
+"""Health of engines as one router observes it: failures, stragglers and bounded ejection.
 
-All of it is what this router saw itself, and its own link may be what is broken. So it
-ejects only a bounded part of the engines, tries each again after a while, and judges an
-engine's pace against the other engines' and not against a fixed figure.
+The evidence is this router's own, and its own network link may be at fault. So it ejects
+only a bounded share of the engines, probes each again after a time, and compares an
+engine's speed with that of the other engines and not with a fixed figure.
 """
 
 import statistics
 from collections import deque
 
 CONSECUTIVE_FAILURES_TO_EJECT = 3
-"""Failures in a row after which an engine is ejected."""
+"""Consecutive failures after which an engine is ejected."""
 
 INITIAL_EJECTION_S = 2.0
-"""First time out of service; doubled at each probe that fails."""
+"""Duration of the first ejection; doubled at each failed probe."""
 
 MAX_EJECTION_S = 30.0
 
 PROBE_SHARE = 0.01
-"""Share of a probed engine: its concurrency limit rounds this up to one run."""
+"""Share of an engine that is being probed: the concurrency limit rounds it up to one run."""
 
 MAX_EJECTED_SHARE = 0.34
 
 FAILED_RESULTS = frozenset({"RunNotSent", "RunSilent", "RunCut", "RunLost", "RunFailed"})
 NEUTRAL_RESULTS = frozenset({"RunCancelled"})
-"""A cancelled run says nothing of the engine: the caller, the deadline or a tier ended it."""
+"""A cancelled run is no evidence on the engine: the caller, the deadline or a higher tier ended it."""
 
 MAX_SLOWDOWN_SAMPLES = 64
 MIN_SLOWDOWN_SAMPLES = 4
 MAX_SAMPLE_AGE_S = 4.0
-"""Older rates say nothing of the present."""
+"""Age beyond which a slowdown sample is no longer representative."""
 
 MIN_SAMPLE_SPAN_S = 2.0
-"""Time that the rates must span: one long prompt slows every run of its engine for a second
-or two, and a batch of runs that end then would look like a straggler's."""
+"""Minimum time span of the samples: one long prompt slows every run of its engine for a second
+or two, and a batch of runs that end then would make it look like a straggler."""
 
 SLOWDOWN_QUANTILE = 0.25
-"""Part of the recent rates that lies below an engine's pace: a straggler is slow in every run,
-a sound engine only in those that met a long prompt."""
+"""Quantile of the recent samples that is taken as an engine's slowdown: a straggler is slow in
+every run, a healthy engine only in those that ran beside a long prompt."""
 
 MIN_COMPARED_ENGINES = 2
-"""Other engines whose pace must be known: alone, a pace may be everybody's."""
+"""Other engines whose slowdown must be known: without a comparison, all engines may be equally slow."""
 
 STRAGGLER_RATIO = 2.0
-"""Pace against the others' from which an engine counts as a straggler."""
+"""Slowdown relative to the other engines above which an engine counts as a straggler."""
 
 RECOVERY_RATIO = 1.4
-"""Pace below which a straggler gains share again: well under ``SLOW_RATIO``, so that an engine
-near the border does not lose and regain its work in turn."""
+"""Relative slowdown below which a straggler regains share: well under ``STRAGGLER_RATIO``, so that
+the share of an engine near the threshold does not oscillate."""
 
 MIN_SHARE_CHANGE_INTERVAL_S = 1.0
-"""Least time between two changes of an engine's share."""
+"""Minimum time between two changes of an engine's share."""
 
 MIN_SHARE = 0.1
-"""A straggler keeps this much work, or nobody would see it recover."""
+"""Share that a straggler keeps, without which its recovery could not be observed."""
 
 SHARE_CHANGE_FACTOR = 2.0
 
@@ -63,9 +63,9 @@
     Parameters
     ----------
     engines : iterable of str
-        Names of the engines judged together.
+        Names of the engines that are compared with each other.
     max_ejected_share : float
-        Largest share of them that this router may eject on its own evidence.
+        Largest share of the engines that this router may eject on its own evidence.
     """
 
     __slots__ = ("_states_by_name", "_max_ejected_share")
@@ -76,16 +76,16 @@
         self.set_engines(engines)
 
     def set_engines(self, engines):
-        """Judge these engines from now on; what is known of those kept stays."""
+        """Track these engines from now on; the state of those already tracked is kept."""
         self._states_by_name = {name: self._states_by_name.get(name) or EngineHealthState() for name in engines}
 
     def reset(self, engine):
-        """Judge the engine anew: it started again, and what it did before says nothing of it."""
+        """Discard the engine's state, since it has restarted."""
         if engine in self._states_by_name:
             self._states_by_name[engine] = EngineHealthState()
 
     def on_outcome(self, engine, result, now):
-        """Take in how a run ended; ``result`` is the outcome's class name."""
+        """Record how a run ended; ``result`` is the outcome's class name."""
         state = self._states_by_name.get(engine)
         if state is None or result in NEUTRAL_RESULTS:
             return
@@ -95,7 +95,7 @@
             state.record_success()
 
     def on_slowdown(self, engine, observed_over_expected, now):
-        """Take in how long a decode took against what the engine's model expected."""
+        """Record the ratio of a decode's duration to the one that the engine's model expected."""
         state = self._states_by_name.get(engine)
         if state is None:
             return
@@ -103,16 +103,16 @@
         self._update_share(state, now)
 
     def available(self, engine, now):
-        """Whether the engine may take work now, if only as a probe."""
+        """Whether the engine may be given runs now, if only a probe."""
         return engine not in self._ejected(now)
 
     def share(self, engine, now):
-        """Share, from 0 to 1, of its concurrency that the engine may use."""
+        """Share, from 0 to 1, of the engine's concurrency limit that may be used."""
         state = self._states_by_name.get(engine)
         return 1.0 if state is None else self._share(engine, state, self._ejected(now))
 
     def shares(self, now):
-        """Shares of all engines by name; asked one by one, each would look through all of them again."""
+        """Shares of all engines by name, computed in one pass: :meth:`share` examines all engines at each call."""
         ejected = self._ejected(now)
         return {name: self._share(name, state, ejected) for name, state in self._states_by_name.items()}
 
@@ -136,9 +136,9 @@
         }
 
     def _may_eject(self, name):
-        # A router whose own link is bad sees every engine fail, and would empty the fleet
-        # while other routers' work on it goes well. Only the few worst are held out; the
-        # rest stay in use, and a run that fails there costs one retry elsewhere.
+        # A router with a faulty network link sees every engine fail, and would eject all of
+        # them although they serve other routers well. Only the worst few are ejected; the
+        # others stay in use, and a run that fails there costs one retry elsewhere.
         suspects = [
             other for other, state in self._states_by_name.items() if state.failures >= CONSECUTIVE_FAILURES_TO_EJECT
         ]
@@ -153,7 +153,7 @@
         own = state.slowdown(now)
         if own is None or now - state.share_changed_at < MIN_SHARE_CHANGE_INTERVAL_S:
             return
-        # Compared with the others: when long prompts slow every engine, none is a straggler.
+        # Relative to the other engines: when long prompts slow all of them, none is a straggler.
         others = [other.slowdown(now) for other in self._states_by_name.values() if other is not state]
         others = [slowdown for slowdown in others if slowdown is not None]
         if len(others) < min(MIN_COMPARED_ENGINES, len(self._states_by_name) - 1) or not others:
@@ -166,7 +166,7 @@
 
 
 class EngineHealthState:
-    """What is known of one engine's health."""
+    """Failures, slowdown samples and share of one engine."""
 
     __slots__ = ("failures", "ejected_until", "slowdowns", "share", "share_changed_at")
 
@@ -179,11 +179,11 @@
 
     @property
     def probing(self):
-        """Whether it failed so often that only a probe may go there."""
+        """Whether it has failed so often that only a probe may be sent there."""
         return self.failures >= CONSECUTIVE_FAILURES_TO_EJECT
 
     def record_failure(self, now):
-        """Count a failure, and eject after several in a row or a failed probe."""
+        """Count a failure, and eject the engine after several consecutive ones or a failed probe."""
         if now < self.ejected_until:
             return
         self.failures += 1
@@ -192,12 +192,12 @@
             self.ejected_until = now + min(MAX_EJECTION_S, INITIAL_EJECTION_S * backoff_factor)
 
     def record_success(self):
-        """Believe the engine sound again."""
+        """Reset the failures and end the ejection."""
         self.failures = 0
         self.ejected_until = 0.0
 
     def slowdown(self, now):
-        """Low end of the recent rates, or ``None`` if they are too few or too close together."""
+        """Low quantile of the recent samples, or ``None`` if they are too few or span too short a time."""
         while self.slowdowns and now - self.slowdowns[0][0] > MAX_SAMPLE_AGE_S:
             self.slowdowns.popleft()
         if (
@@ -209,7 +209,7 @@
         return slowdowns[int(SLOWDOWN_QUANTILE * len(slowdowns))]
 
     def set_share(self, share, now):
-        """Change the share; the rates seen before it say nothing of what follows."""
+        """Change the share, and discard the samples, which were taken under the former one."""
         self.share = share
         self.share_changed_at = now
         self.slowdowns.clear()
