--- a/wagtailtrestle/engines/model.py
+++ b/wagtailtrestle/engines/model.py
@@ -221,16 +221,16 @@
         selected its own evidence would reject all samples that contradict it.
         """
         shape = 1.0 + PRIOR_SLOPE_SHARE * (concurrency - 1)
-        believed = self.step_s(concurrency) / shape
+        estimate = self.step_s(concurrency) / shape
         self._normalized_samples.append(seconds / shape)
         low = _low_end(self._normalized_samples)
         # A change of the engine's speed shows in every sample and leaves the shape of the
         # line as it was, so the line is rescaled at once and not refitted over many samples.
-        slower = len(self._normalized_samples) == SAMPLE_WINDOW and low > SPEED_CHANGE_RATIO * believed
-        faster = len(self._normalized_samples) >= SHORT_WINDOW and low * SPEED_CHANGE_RATIO < believed
+        slower = len(self._normalized_samples) == SAMPLE_WINDOW and low > SPEED_CHANGE_RATIO * estimate
+        faster = len(self._normalized_samples) >= SHORT_WINDOW and low * SPEED_CHANGE_RATIO < estimate
         if slower or faster:
-            self._rescale(low / believed)
-        elif self._normalized_samples[-1] <= MAX_CLEAN_RATIO * low and self._is_plausible_sample(believed):
+            self._rescale(low / estimate)
+        elif self._normalized_samples[-1] <= MAX_CLEAN_RATIO * low and self._is_plausible_sample(estimate):
             self._step.observe(x=concurrency, y=seconds, weight=1.0)
             self._tabulate_steps()
 
@@ -252,12 +252,12 @@
         self._step_s_by_runs = tuple(max(MIN_DURATION_S, self._step.at(number)) for number in runs)
         self._limit = saturation_concurrency(self._step_s_by_runs)
 
-    def _is_plausible_sample(self, believed):
+    def _is_plausible_sample(self, estimate):
         # The first samples of an engine that starts under load may all contain prefill: used
         # as clean steps, they would make it look too slow for any request.
         full = len(self._normalized_samples) == SAMPLE_WINDOW
         return full or (
-            len(self._normalized_samples) >= LOW_END_RANK and self._normalized_samples[-1] <= MAX_EARLY_RATIO * believed
+            len(self._normalized_samples) >= LOW_END_RANK and self._normalized_samples[-1] <= MAX_EARLY_RATIO * estimate
         )
 
     def _rescale(self, factor):
