--- a/wagtailtrestle/engines/policies.py
+++ b/wagtailtrestle/engines/policies.py
@@ -1,4 +1,4 @@
-"""Choice of an engine for a request, behind one protocol: ours and its baselines."""
+"""Policies that choose an engine for a request: the one in use and its baselines."""
 
 import random
 from collections.abc import Sequence
@@ -10,20 +10,20 @@
 
 
 class EngineView(Protocol):
-    """One engine as a policy sees it.
+    """Attributes of an engine that a policy may read.
 
     Attributes
     ----------
     running : int
-        Runs the scheduler granted there and that have not ended.
+        Granted runs that have not ended.
     pending_prefill_tokens : int
-        Uncached prompt tokens of granted runs that gave no first token yet.
+        Uncached prompt tokens of granted runs that have not produced a first token.
     reported_running : int
-        Runs, waiting ones included, in the engine's last load report.
+        Running and waiting runs in the engine's last load report.
     report_age_s : float
         Age of that report.
     available : bool
-        Whether it may take this work now: healthy, not leaving, with a free place.
+        Whether it may be given a run now: healthy, not draining, with a free slot.
     """
 
     name: str
@@ -40,24 +40,24 @@
 
 
 class EnginePolicy(Protocol):
-    """Picks one of the available engines, or ``None`` if none will do."""
+    """Chooses one of the available engines, or ``None`` if none is suitable."""
 
     def choose(self, *, request: GrantRequest, engines: Sequence[EngineView], now: float) -> EngineView | None:
         """Return the engine for ``request``."""
 
 
 def candidates(request, engines):
-    """Return the available engines that the request was not told to avoid."""
+    """Return the available engines that the request doesn't exclude."""
     return [engine for engine in engines if engine.available and engine.name not in request.excluded_engines]
 
 
 class PredictedFinish:
-    """Least predicted finish, plus the prefill it repeats and the delay to those behind it.
+    """Lowest sum of predicted finish time, weighted prefill time and delay to the runs already on the engine.
 
     Parameters
     ----------
     prefill_weight : float
-        From 0 (only finish times count) to 1 (prompt work saved counts most).
+        From 0 (only finish times and delays count) to 1 (avoided prefill counts most).
     """
 
     __slots__ = ("_prefill_weight",)
@@ -66,7 +66,7 @@
         self._prefill_weight = prefill_weight
 
     def choose(self, *, request, engines, now):
-        """Return the engine of least cost in seconds."""
+        """Return the engine with the lowest cost."""
         return min(candidates(request, engines), key=lambda engine: self.cost_s(request, engine), default=None)
 
     def cost_s(self, request, engine):
@@ -88,7 +88,7 @@
 
 
 class RoundRobin:
-    """Each available engine in its turn; a baseline."""
+    """Available engines in rotation; a baseline."""
 
     __slots__ = ("_turn",)
 
@@ -105,17 +105,17 @@
 
 
 class LeastReportedLoad:
-    """The engine that reported the fewest runs for its slots; a baseline."""
+    """The engine with the lowest reported load; a baseline."""
 
     __slots__ = ()
 
     def choose(self, *, request, engines, now):
-        """Return the engine of least reported load."""
+        """Return the engine with the lowest reported load."""
         return min(candidates(request, engines), key=reported_load, default=None)
 
 
 class TwoChoices:
-    """The less loaded, by report, of two engines picked at random; a baseline.
+    """The less loaded, by its last report, of two engines chosen at random; a baseline.
 
     Parameters
     ----------
@@ -128,7 +128,7 @@
         self._random = random.Random(seed)
 
     def choose(self, *, request, engines, now):
-        """Return the better of two."""
+        """Return the less loaded of two random engines."""
         allowed = candidates(request, engines)
         if not allowed:
             return None
