--- a/wagtailtrestle/engines/rate_limit.py
+++ b/wagtailtrestle/engines/rate_limit.py
@@ -1,39 +1,39 @@
-"""How many requests an engine may be given while it names a rate limit in its answers."""
+"""Token bucket and sliding window for the rate limit that an engine states in its answers."""
 
 import math
 
 WINDOW_S = 4.0
-"""Span over which the limit holds in sum, also across a change of the limit."""
+"""Sliding window in which the number of requests stays within the limit, also across a change of the limit."""
 
 BURST_S = 0.5
-"""Requests given at once are at most what the limit allows in this time: an engine in need gains nothing by
-a second without requests that is made up for in the next."""
+"""Burst, as the time in which the limit allows that many requests: an overloaded engine doesn't benefit from a
+second without requests if the next one makes up for it."""
 
 MIN_PER_S = 0.1
-"""Rate kept up under any limit, 0 included: only an engine that answers can tell that its limit is lifted."""
+"""Lowest rate under any limit, 0 included: only an engine that answers requests can show that its limit has ended."""
 
 MIN_UNLIMITED_ANSWERS = 2
-"""Least number of answers in a row without a limit before it is raised."""
+"""Minimum number of consecutive answers without a limit before the limit is raised."""
 
 MAX_CHANCE_OF_UNLIMITED_ANSWERS = 0.01
-"""Likelihood of so many in a row, had the engine named it as often as before, at which the limit is raised: an
-engine may name it in some answers only."""
+"""The limit is raised once that many consecutive answers without it would be less likely than this, had the engine
+stated it as often as before: an engine may state its limit in only some of its answers."""
 
 MIN_UNLIMITED_S = 1.0
-"""Least time from the last answer that names a limit until it is raised."""
+"""Minimum time from the last answer that states a limit until it is raised."""
 
 DOUBLING_TIME_S = 0.5
-"""Time in which a limit that is no longer named doubles."""
+"""Time in which a limit that is no longer stated doubles."""
 
 LIMIT_NOTICE_TTL_S = 10.0
-"""Time for which a limit that was named is told on: older, it may have been lifted unheard."""
+"""Time for which routers pass on a limit that an answer stated; an older one may have ended without their notice."""
 
 LIFTED_GROWTH_FACTOR = 16.0
-"""Growth from which the limit counts as lifted: its engine gets its load back over some seconds, not at once."""
+"""Growth at which the limit is removed: the engine's load returns over some seconds and not at once."""
 
 
 class RateLimit:
-    """The limit that one engine names, and what was given under it.
+    """The rate limit that one engine states, and the requests sent under it.
 
     Parameters
     ----------
@@ -70,17 +70,17 @@
 
     @property
     def in_force(self):
-        """Whether a limit holds now."""
+        """Whether a limit is in force."""
         return self._per_s != math.inf
 
     @property
     def age_s(self):
-        """Time since an answer last named a limit; infinite if none did, or long ago."""
+        """Time since an answer last stated a limit; infinite if none did, or once an ended limit's notice expired."""
         age_s = self._clock() - self._limited_answer_at
         return age_s if self.in_force or age_s < LIMIT_NOTICE_TTL_S else math.inf
 
     def observe(self, per_s, *, age_s=0.0):
-        """Take in what an answer named that was read ``age_s`` ago; ``per_s`` is infinite without a limit."""
+        """Apply an answer that was read ``age_s`` ago; ``per_s`` is its limit, infinite without one."""
         at = self._clock() - age_s
         if at < self._last_answer_at:
             return
@@ -102,19 +102,19 @@
         self._raised_since = math.inf
 
     def record_request(self):
-        """Count a request that is given to the engine now."""
+        """Count a request that is granted now."""
         if self.in_force:
             self._refill()
             self._tokens -= 1.0
             self._request_times.append(self._clock())
 
     def record_earlier_request(self, granted_at):
-        """Count a request that the engine was given before: it fills the window, and uses up no token."""
+        """Count a request that was granted earlier: it counts in the window and consumes no token."""
         if self.in_force:
             self._request_times.append(granted_at)
 
     def available_requests(self):
-        """Requests that may be given now; ``None`` without a limit."""
+        """Number of requests that may be granted now; ``None`` without a limit."""
         self._refill()
         if not self.in_force:
             return None
@@ -124,7 +124,7 @@
         return max(0, math.floor(min(self._tokens, left_in_window)))
 
     def per_s(self):
-        """Requests a second that may be given at present; infinite without a limit."""
+        """Current rate in requests per second; infinite without a limit."""
         return self._rate() if self.in_force else math.inf
 
     def dump(self):
@@ -158,7 +158,7 @@
         return max(1.0, self._rate() * BURST_S)
 
     def _refill(self):
-        """Bring the tokens up to now, and end a limit that has grown enough."""
+        """Refill the token bucket, and remove a limit that has grown by ``LIFTED_GROWTH_FACTOR``."""
         if not self.in_force:
             return
         now = self._clock()
