--- a/wagtailtrestle/engines/reports.py
+++ b/wagtailtrestle/engines/reports.py
@@ -1,7 +1,7 @@
-"""Polls language engines for their load and cache events, and hands the reports to the loop.
+"""Polls language engines for load reports and cache events, and delivers them to the event loop.
 
-Each engine has a thread and a connection of its own: a router polls just the few engines
-of the cells it is scheduler of, and one that does not answer can't hold up reports of others.
+Each engine has its own thread and connection: a router polls only the few engines of the
+cells that it schedules, and an engine that does not answer can't delay reports of others.
 """
 
 import http.client
@@ -24,28 +24,28 @@
 
 
 class NativeReports:
-    """Where the product's own engines tell their load and cache events, and how that reads."""
+    """Report dialect of native engines: paths of load and cache events, and how to parse them."""
 
     load_path = "/load"
     cache_path = "/cache/events"
 
     def load(self, engine, values, *, took_s):
-        """Build a report from an engine's JSON."""
+        """Build a load report from an engine's JSON."""
         return load_report(engine, values, took_s=took_s)
 
 
 class EngineReports:
-    """Asks each engine for its load every ``interval_s``.
+    """Polls each engine for its load every ``interval_s``.
 
     Parameters
     ----------
     interval_s : float
     loop : asyncio.AbstractEventLoop
-        Where ``on_report`` runs.
+        Loop in which ``on_report`` runs.
     on_report : callable
-        Takes ``LoadReport``, ``LoadUnreachable`` and ``CacheEvents``.
+        Receives ``LoadReport``, ``LoadUnreachable`` and ``CacheEvents``.
     dialect : ReportDialect, optional
-        Paths and reading; the product's own by default. A ``cache_path`` of ``None`` asks for no events.
+        Paths and parsing; native by default. With a ``cache_path`` of ``None``, cache events are not polled.
     """
 
     def __init__(self, *, interval_s, loop, on_report: Callable[[EngineReport], None], dialect=None):
@@ -57,16 +57,16 @@
         self._poller_by_name = {}
 
     def start(self):
-        """Do nothing: each engine's polling starts when it is set."""
+        """Do nothing: polling of an engine starts in :meth:`set_engines`."""
 
     def close(self):
-        """Stop asking; a call under way ends by its timeout and is not reported."""
+        """Stop polling; a call in progress ends by its timeout and is not reported."""
         self.set_engines({})
 
     def set_engines(self, address_by_name):
-        """Ask just these engines from now on; what is known of those that stay is kept.
+        """Poll exactly these engines from now on; pollers of engines that stay are kept.
 
-        Language engines only: a plain service would take the call for a request.
+        Language engines only: a plain service would treat a poll as a request.
         """
         if address_by_name == self._address_by_name:
             return
@@ -75,13 +75,13 @@
                 self._poller_by_name.pop(name).close()
         for number, (name, address) in enumerate(address_by_name.items()):
             if name not in self._poller_by_name:
-                # Spread over the interval, so that calls don't come in bursts.
+                # Spread over the interval, so that polls don't come in bursts.
                 initial_delay_s = self._interval_s * number / len(address_by_name)
                 self._poller_by_name[name] = self._start_poller(name, address, initial_delay_s)
         self._address_by_name = dict(address_by_name)
 
     def dump(self) -> dict:
-        """Return what is asked and who answers, for a state dump."""
+        """Return the polled engines and whether they answer, for a state dump."""
         return {name: poller.dump() for name, poller in self._poller_by_name.items()}
 
     def _start_poller(self, name, address, initial_delay_s):
@@ -100,21 +100,21 @@
         try:
             self._loop.call_soon_threadsafe(self._on_report, report)
         except RuntimeError:
-            pass  # The loop has closed: the process is ending and nobody reads reports.
+            pass  # The loop has closed: the process is ending.
 
 
 class EnginePoller:
-    """Polls one engine from a thread that owns the connection to it.
+    """Polls one engine, from a thread with its own connection.
 
     Parameters
     ----------
     name, address : str
-    first_s : float
-        Wait before the first call.
+    initial_delay_s : float
+        Time before the first poll.
     interval_s : float
-        From the beginning of one call to the next.
+        Time between the starts of two polls.
     deliver : callable
-        ``deliver(report)``, from the polling thread.
+        ``deliver(report)``, called in the polling thread.
     dialect : ReportDialect
     """
 
@@ -152,11 +152,11 @@
         self._next_event = 1
 
     def start(self):
-        """Begin to poll."""
+        """Start polling."""
         self._thread.start()
 
     def close(self):
-        """Stop without waiting for a call under way; its report is dropped."""
+        """Stop without waiting for a call in progress; its report is dropped."""
         self._closing.set()
 
     def dump(self) -> dict:
@@ -170,11 +170,11 @@
             try:
                 self._poll()
             except ValueError as problem:
-                # Not what an engine tells: it corrects nothing, and the next one may.
-                logger.warning("the report of engine {} is not used: {}", self._name, problem)
+                # An invalid report changes nothing; the next one may be valid.
+                logger.warning("ignored an invalid report of engine {}: {}", self._name, problem)
             except Exception:
-                # A report in a shape nobody expected must not end the polling of this engine.
-                logger.exception("report of engine {} could not be read", self._name)
+                # A report of an unexpected structure must not end the polling of this engine.
+                logger.exception("failed to process a report of engine {}", self._name)
         self._disconnect()
 
     def _poll(self):
@@ -192,7 +192,7 @@
     def _poll_cache_events(self):
         values, problem = self._get(f"{self._dialect.cache_path}?from={self._next_event}")
         if values is None:
-            # An engine without cache events is not asked again until it is declared anew.
+            # An engine without cache events is not polled for them again until it is redeclared.
             self._has_cache_events = problem != NOT_FOUND_PROBLEM
             return
         restarted = self._epoch is not None and values["epoch"] != self._epoch
@@ -211,8 +211,8 @@
         kept = self._connection is not None
         values, problem = self._get_once(path)
         if values is None and kept:
-            # The kept connection may have gone silent, or been closed while it was idle,
-            # while new ones work. Only a new one's failure says something about the engine.
+            # The kept connection may have gone silent or been closed while idle, while new
+            # ones work. Only a failure on a new connection is evidence about the engine.
             values, problem = self._get_once(path)
         return values, problem
 
@@ -244,7 +244,7 @@
 
 
 def load_report(name, values, *, took_s) -> LoadReport:
-    """Build a report from the engine's JSON; the time of the call may be part of its age."""
+    """Build a load report from the engine's JSON; half of the call's duration is added to its age."""
     return LoadReport(
         engine=name,
         age_s=float(values["age_s"]) + took_s / 2,
@@ -256,7 +256,7 @@
 
 
 def cache_events(name, values, *, expected, restarted) -> CacheEvents:
-    """Build a message from the engine's JSON, and tell gaps by the events' numbers."""
+    """Build a message from the engine's JSON; gaps are detected by the events' numbers."""
     events = values["events"]
     numbers = [event["number"] for event in events]
     return CacheEvents(
