--- a/wagtailtrestle/engines/run_exchange.py
+++ b/wagtailtrestle/engines/run_exchange.py
@@ -1,4 +1,4 @@
-"""One sending of one run to an engine, over a connection of its own, followed to its end."""
+"""One HTTP exchange of a run with an engine, over its own connection, from sending to the outcome."""
 
 import http.client
 import socket
@@ -29,21 +29,21 @@
 MIN_TIMEOUT_S = 0.001
 OK = 200
 LATE_SEND_THRESHOLD_S = 0.25
-"""Time to connect beyond which what was decided when the run was granted may hold no more."""
+"""Connect time above which a late send is logged: the decision behind the grant may be out of date by then."""
 KEEPALIVE_IDLE_S = 1
 KEEPALIVE_INTERVAL_S = 1
 KEEPALIVE_PROBES = 2
-"""An engine whose VM vanished sends no end of connection. Probed so, its run ends as cut some three
-seconds later, and what may be repeated has time left for another engine."""
+"""An engine whose VM disappeared doesn't close its connections. With these TCP keepalive settings its run
+ends as cut after about three seconds, which leaves time to repeat it on another engine."""
 UNACKNOWLEDGED_TIMEOUT_MS = 3000
-"""The same for bytes that nobody acknowledges, while the request is being written."""
+"""The corresponding limit for unacknowledged data while the request is being written."""
 
 
 class RunExchange:
-    """Sends once, reads to the end, and says how it ended; used by one thread.
+    """Sends a run once, reads the answer to its end and returns the outcome; used by one thread.
 
-    What is said and how the answer reads is the call's matter (:class:`EngineDialect`); what is
-    common to all of them is here: the connection, its limits on silence, and its ends.
+    The dialect (:class:`EngineDialect`) builds the request and parses the answer. This class
+    handles what all dialects share: the connection, its timeouts and the outcomes.
     Only :meth:`abort` may be called from another thread.
 
     Parameters
@@ -63,7 +63,7 @@
     reached : bool
         Whether the engine is known to have begun the run.
     held : bool
-        Whether the engine confirmed an attach: it lives and has the run, in its queue or its batch.
+        Whether the engine confirmed an attach, which shows that it is up and has the run queued or running.
     """
 
     __slots__ = (
@@ -100,7 +100,7 @@
         self._socket = None
 
     def run(self) -> RunEnded:
-        """Send, read, and tell how it ended."""
+        """Send the run, read the answer and return how it ended."""
         try:
             outcome = self._connect()
             if outcome is None:
@@ -111,28 +111,28 @@
         return self._ended(outcome)
 
     def abort(self):
-        """Cut this side's connection, so that the reading thread ends now as cancelled."""
+        """Shut down the connection, so that the reading thread ends immediately as cancelled."""
         self._aborted = True
         if self._socket is not None:
             try:
                 self._socket.shutdown(socket.SHUT_RDWR)
             except OSError:
-                pass  # Closed already: the exchange is ending by itself.
+                pass  # Already closed: the exchange is ending by itself.
 
-    # What dialects use.
+    # Used by dialects.
 
     @property
     def output_tokens(self) -> int:
-        """Tokens received so far, by this run and those before it."""
+        """Tokens received so far, by this run and the request's earlier runs."""
         return self.received.output_tokens
 
     def set_read_timeout(self, seconds):
-        """Let the next read wait so long.
+        """Set the timeout of the next read.
 
         Raises
         ------
         TimeoutError
-            If no time is left.
+            If ``seconds`` isn't positive.
         """
         if seconds <= 0:
             raise TimeoutError
@@ -141,19 +141,19 @@
         self._socket.settimeout(seconds)
 
     def chunks(self):
-        """The body in pieces as they come."""
-        # Of the library's ways to read a chunked body this one does the least for each chunk.
+        """Iterate over the body in chunks as they arrive."""
+        # Of urllib3's methods to read a chunked body, this one has the least overhead per chunk.
         if self.response.chunked:
             return self.response.read_chunked(decode_content=False)
         return iter(lambda: self.response.read1(READ_BYTES, decode_content=False), b"")
 
     def read_body(self, length) -> bytes:
-        """A body of declared length.
+        """Read a body of the declared length.
 
         Raises
         ------
         ConnectionError
-            If it ends early.
+            If the body ends early.
         """
         parts = []
         left = length
@@ -167,17 +167,17 @@
         return b"".join(parts)
 
     def record_answer(self, body):
-        """Note the whole answer as received."""
+        """Record the complete answer as received."""
         self.received.status = self.response.status
         self.received.headers = dict(self.response.headers)
         self.received.body = body
 
     def cut(self, detail):
-        """The outcome of an answer that broke off or was not this run's."""
+        """Outcome of an answer that was cut off or belonged to another run."""
         return RunCut(detail=detail, output_tokens=self.output_tokens, reached=self.reached)
 
     def done(self):
-        """The outcome of a whole answer."""
+        """Outcome of a complete answer."""
         received = self.received
         return RunDone(
             prompt_tokens=received.prompt_tokens,
@@ -188,11 +188,11 @@
     # Connecting and sending.
 
     def _connect(self):
-        # A connection of its own for each run, no pool: an idle pooled connection may have
-        # been closed by the engine, and then a request fails after its bytes were written;
-        # nobody can tell that from an engine that read it and died, so it could not be sent
-        # again. It costs one round trip, and a failure here is certain: nothing was sent.
-        # It also means that no run ever starts on a connection that went silent while idle.
+        # Each run has a new connection, not a pooled one: an idle pooled connection may have
+        # been closed by the engine, and a request would then fail after its bytes were written.
+        # That can't be told from an engine that read the request and died, so it could not be
+        # sent again. A new connection costs one round trip, and if it fails, certainly nothing
+        # was sent. It also means that no run starts on a connection that went silent while idle.
         host, port = split_address(self.command.address)
         timeout = max(min(self._connect_timeout_s, self.command.overall_s), MIN_TIMEOUT_S)
         self._connection = HTTPConnection(host, port, timeout=timeout)
@@ -220,8 +220,8 @@
     def _exchange(self):
         self.set_read_timeout(self.progress.time_left_s(self.command.first_token_deadline_s))
         self._log_late_send()
-        # Neither retries nor redirects exist at this level of urllib3, on purpose: a hidden
-        # second sending would be a second dispatch.
+        # This level of urllib3 is used because it neither retries nor follows redirects: a
+        # hidden second send would be a second dispatch.
         head = self.call.head(self.command, self.received)
         try:
             self._connection.request(
@@ -233,11 +233,11 @@
                 decode_content=False,
             )
         except (ValueError, http.client.HTTPException) as error:
-            # The library refuses the head (a line break in a header, a blank in the path)
-            # while it still builds it: nothing was written.
+            # The library rejects the head (a line break in a header, a blank in the path)
+            # while it is building it: nothing was written.
             return RunNotSent(detail=f"the request cannot be written: {type(error).__name__}")
         except BrokenPipeError:
-            pass  # The engine stopped reading; it may have answered why before it did.
+            pass  # The engine stopped reading; it may have sent an answer with the reason before.
         self.response = self._connection.getresponse()
         notice = self.call.notice(self)
         if notice is not None and (notice.asks_something or self.command.was_limited):
@@ -248,14 +248,14 @@
         waited_s = self.progress.duration_s
         if waited_s > LATE_SEND_THRESHOLD_S:
             logger.bind(run_id=self.command.run_id, engine=self.command.engine, waited_s=round(waited_s, 3)).info(
-                "a run was sent late: its engine was slow to take the connection"
+                "a run was sent late: its engine was slow to accept the connection"
             )
 
-    # Ends.
+    # Closing and the outcome.
 
     def _close(self):
-        # Both: the response keeps the socket open until it is closed itself, and an open
-        # socket tells the engine that somebody still reads.
+        # Both have to be closed: the response keeps the socket open until it is closed itself,
+        # and to the engine an open socket means that the answer is still being read.
         if self.response is not None:
             self.response.close()
         if self._connection is not None:
