--- a/wagtailtrestle/engines/answer_check.py
+++ b/wagtailtrestle/engines/answer_check.py
@@ -1,4 +1,4 @@
-"""Whether a streamed answer is whole and this run's own: pure, fed with bytes."""
+"""Incremental check that a streamed answer is complete and belongs to its run; does no I/O."""
 
 import json
 
@@ -13,26 +13,26 @@
 
 @record
 class AnswerFault:
-    """Why an answer can't be the whole answer of its run."""
+    """Reason why an answer is not the complete answer of its run."""
 
     detail: str
 
 
 class ReceivedAnswer:
-    """What was received of one request's answer, over all of its runs.
+    """Received parts of one request's answer, over all of its runs.
 
     Attributes
     ----------
     tokens : list of str
-        Text of the token with index ``i`` at ``i - 1``; checked, contiguous.
+        Texts of the checked tokens without gaps; the token with index ``i`` is at ``i - 1``.
     finish_reason : str
         Empty until the last chunk.
     prompt_tokens, cached_tokens, completion_tokens : int
-        Usage as the engine told it.
+        Usage as reported by the engine.
     done : bool
-        The end mark was received.
+        Whether the end mark was received.
     status, headers, body
-        Of a plain answer, or of an engine's error.
+        Those of a plain answer or of an engine's error.
     """
 
     __slots__ = (
@@ -72,11 +72,11 @@
 class AnswerCheck:
     """Checks the events of one run and adds its tokens to what was received.
 
-    Failures this guards against: an answer of another run on this connection (its id
-    differs), a token lost between engine and router (a gap in the indices), a token sent
-    twice (its index was had already: dropped), an answer that ends early (no reason, no
-    end mark, or a count that differs). Only a checked token reaches ``on_token``, so a
-    caller never reads a foreign one, not even at the start of a stream.
+    Detects an answer of another run on this connection (its id differs), a token lost
+    between engine and router (a gap in the indices), a token sent twice (its index is known
+    already: dropped) and an answer that ends early (no finish reason, no end mark, or a
+    different token count). Only checked tokens reach ``on_token``, so a caller never receives
+    a token of another run, not even at the start of a stream.
 
     Parameters
     ----------
@@ -89,7 +89,7 @@
     __slots__ = ("_run_id", "_received", "_on_token", "_unparsed", "_frame_prefix", "_frame_suffix")
 
     def __init__(self, *, run_id, received, on_token):
-        # The end of an earlier run (cancelled, or whole but for its count) says nothing of this one.
+        # The end of an earlier run (cancelled, or complete but for its token count) doesn't apply to this one.
         received.finish_reason = ""
         received.completion_tokens = 0
         received.done = False
@@ -101,11 +101,11 @@
         self._frame_suffix = b""
 
     def feed(self, data) -> AnswerFault | None:
-        """Take bytes of the stream; return the first fault found."""
+        """Process bytes of the stream; return the first fault found."""
         data = self._unparsed + data
         if CARRIAGE_RETURN in data:
-            # Allowed line ends. None stands inside JSON; one cut off from its line feed
-            # here stays in the rest and is met again with it.
+            # CRLF line ends are allowed; JSON contains none. A carriage return that is separated
+            # from its line feed here stays in the unparsed bytes until the line feed arrives.
             data = data.replace(CARRIAGE_RETURN + b"\n", b"\n")
         events = data.split(EVENT_END)
         self._unparsed = events.pop()
@@ -118,7 +118,7 @@
         return None
 
     def end(self) -> AnswerFault | None:
-        """Tell whether the answer is whole now that the stream has ended."""
+        """Check that the answer is complete, at the end of the stream."""
         received = self._received
         if not received.done:
             return AnswerFault(detail="the stream ended without its end mark")
@@ -130,14 +130,14 @@
 
     @property
     def cancelled(self) -> bool:
-        """Whether the engine says that the run was cancelled."""
+        """Whether the engine reports that the run was cancelled."""
         return self._received.finish_reason == CANCELLED_REASON
 
     def _apply_matching_event(self, event) -> bool:
-        """Take a token whose event differs from a checked one in index and text alone.
+        """Apply a token whose event differs from a checked one only in its index and text.
 
-        Most of a router's work on a stream is reading its events, and all but two fields are
-        the same bytes each time. What is the same as in a checked event needs no second check.
+        Parsing events is most of a router's work on a stream, and all fields but two are the
+        same bytes each time. Bytes that equal those of a checked event need no second check.
         """
         index = len(self._received.tokens) + 1
         head = b"id: %d\n%b" % (index, self._frame_prefix)
@@ -155,7 +155,7 @@
         return True
 
     def _learn_event_frame(self, data, text):
-        """Remember the bytes around the text of a checked event, if they can be told from it."""
+        """Store the bytes around the text of a checked event, if the text occurs in it only once."""
         quoted = json.dumps(text).encode()
         if data.count(quoted) != 1 or b'"usage"' in data:
             return
