--- a/wagtailtrestle/engines/native_call.py
+++ b/wagtailtrestle/engines/native_call.py
@@ -1,4 +1,4 @@
-"""What the product's own interface says to engines and plain services, and how it reads their answers."""
+"""Native dialect: requests to engines and plain services, and the parsing of their answers."""
 
 import json
 from urllib.parse import quote
@@ -20,13 +20,13 @@
 RUN_ID_HEADER = "X-Request-Id"
 CALLER_ID_HEADER = "X-Caller-Request-Id"
 RATE_LIMIT_HEADER = "X-Rate-Limit"
-"""On an answer: requests a second that the engine takes from all routers together."""
+"""Of an answer: requests per second that the engine accepts from all routers together."""
 RETRY_AFTER_HEADER = "Retry-After"
 LEAVING_HEADER = "X-Leaving"
-"""On an answer, with ``yes``: the engine leaves."""
+"""Of an answer, with ``yes``: the engine is draining."""
 LEAVING_YES = "yes"
-# The run's own id and length are set here; the others concern one connection only, and the
-# bearer key is the callers' secret with this system, not with the engine.
+# The run's id and the length are set here and the others apply to a single connection; the
+# bearer key is a secret between the caller and this system that engines must not receive.
 UNFORWARDED_HEADERS = frozenset(
     (
         "authorization",
@@ -47,7 +47,7 @@
 
 
 class NativeCall:
-    """What is to be sent to an engine for one request.
+    """One request as it is sent to an engine or a plain service.
 
     Parameters
     ----------
@@ -55,9 +55,9 @@
         ``language`` or ``plain``.
     method, path, query : str
     headers : dict of str to str
-        The caller's, for a plain service.
+        The caller's headers, for a plain service.
     body : bytes
-        As the caller sent it, for a plain service.
+        The caller's body, for a plain service.
     document : dict or None
         The parsed body of a language request.
     caller_request_id : str
@@ -77,15 +77,15 @@
 
     @property
     def is_streamed(self):
-        """Whether its answer comes token by token."""
+        """Whether the answer is streamed token by token."""
         return self.kind == LANGUAGE
 
     def cancel_path(self, run_id):
-        """Where an engine is told to cancel; a plain service would take the call for a request."""
+        """Path to cancel a run, or ``None`` for a plain service, which would treat the call as a request."""
         return f"/runs/{quote(run_id, safe='')}/cancel" if self.kind == LANGUAGE else None
 
     def head(self, command, received) -> CallHead:
-        """What to send for one run."""
+        """Return the HTTP request for one run."""
         headers = {RUN_ID_HEADER: command.run_id}
         if self.caller_request_id:
             headers[CALLER_ID_HEADER] = self.caller_request_id
@@ -100,7 +100,7 @@
         return CallHead(method=self.method, target=target, headers={**forwarded, **headers}, body=self.body or None)
 
     def notice(self, exchange):
-        """What the answer's head says of its engine; a stray answer bears another run's id."""
+        """Return the engine's notice in the answer's head; ``None`` for an answer that carries another run's id."""
         headers = exchange.response.headers
         if headers.get(RUN_ID_HEADER) != exchange.command.run_id:
             return None
@@ -129,14 +129,14 @@
     def _read_plain(self, exchange):
         response = exchange.response
         exchange.reached = True
-        # A late or misrouted answer on this connection would be read as this caller's; the
-        # service repeats the run's id, so an answer without it is nobody's.
+        # A late or misrouted answer on this connection would be passed on to this caller. The
+        # service repeats the run's id, so an answer without it is not accepted.
         answer_id = response.headers.get(RUN_ID_HEADER)
         if answer_id != exchange.command.run_id:
             return exchange.cut(f"crossed: the answer carries {'another' if answer_id else 'no'} run's id")
         length = self._plain_length(response)
         if length is None:
-            return exchange.cut("the answer tells no length, so nobody can tell whether it is whole")
+            return exchange.cut("the answer has no Content-Length, so its completeness can't be checked")
         if length > MAX_PLAIN_BYTES:
             return exchange.cut(f"the answer is longer than {MAX_PLAIN_BYTES} bytes")
         exchange.progress.begin()
@@ -153,12 +153,12 @@
 
 
 CANCEL_CALL = NativeCall(kind=LANGUAGE, method="POST", path="")
-"""Any language call: a run whose connection is gone is cancelled as any other."""
+"""Call used to cancel runs whose connection has ended: the cancel request is the same for every language call."""
 
 
 def _refused_before_start(exchange) -> bool:
-    # An engine about to stop promises that it did not begin the run it refuses. The
-    # promise counts only with the run's own id: a late answer to another run says nothing.
+    # An engine that is about to stop states that it did not start the run that it refuses.
+    # The statement counts only with this run's id: it may be a late answer to another run.
     headers = exchange.response.headers
     return (
         exchange.response.status == UNAVAILABLE
