--- a/wagtailtrestle/engines/notices.py
+++ b/wagtailtrestle/engines/notices.py
@@ -1,4 +1,4 @@
-"""What engines say of themselves in the heads of their answers, as one router heard it."""
+"""Notices in the heads of engines' answers, as received by one router: rate limits, draining and back-off."""
 
 import math
 
@@ -9,33 +9,33 @@
 from wagtailtrestle.engines.rate_limit import LIMIT_NOTICE_TTL_S
 
 NOTICE_AGE_TOLERANCE_S = 0.5
-"""How much older than this router's own notice a scheduler's may be: grants that were on their way are used."""
+"""Amount by which a scheduler's notice may be older than this router's, so that grants in transit are used."""
 
 MAX_BACK_OFF_S = 3600.0
-"""Longest rest that an engine is granted."""
+"""Longest back-off that an engine may ask for; a longer one is shortened to it."""
 
 LEAVING_NOTICE_TTL_S = 300.0
-"""Time for which a notice of leaving holds unless the engine tells another start; one that starts again under its name
-without telling so is used again after it."""
+"""Time for which a draining notice applies unless the engine reports a newer start; after it, an engine that restarted
+under the same name without reporting its start is used again."""
 
 
 def read_notice(command, *, limit, leaving, retry_after=None):
-    """Build the notice of an answer's head.
+    """Build the notice in an answer's head.
 
     Parameters
     ----------
     command : StartRun
-        What was answered.
+        The run that was answered.
     limit : str or None
-        Requests a second, as the engine wrote them.
+        Requests per second, as the header states them.
     leaving : bool
     retry_after : str or None
-        Seconds, of an answer by which the engine turned the request away.
+        Seconds, as the header states them, in an answer that rejects the request.
 
     Returns
     -------
     EngineNotice or None
-        ``None`` if nothing can be told from it: a limit that can't be read neither holds nor ends.
+        ``None`` if the head carries no valid notice: an invalid limit neither sets nor ends one.
     """
     limit_per_s = math.inf if limit is None else _read_number(limit)
     rest_s = 0.0 if retry_after is None else min(MAX_BACK_OFF_S, _read_number(retry_after) or 0.0)
@@ -51,7 +51,7 @@
 
 
 def _read_number(text):
-    """Return the decimal number that a header holds, or ``None`` if that is none, or below 0."""
+    """Return the decimal number in a header, or ``None`` if it is not a finite number or is negative."""
     try:
         number = float(text)
     except ValueError:
@@ -60,7 +60,7 @@
 
 
 class EngineNotices:
-    """What engines said lately in answers that this router read.
+    """Recent notices in answers that this router received.
 
     Parameters
     ----------
@@ -78,7 +78,7 @@
         self._received_by_engine = {}
 
     def process(self, notice: EngineNotice):
-        """Take in a notice that was read just now."""
+        """Apply a notice that has just been received."""
         self._remove_expired()
         received = self._received_by_engine.get(notice.engine)
         if received is None or is_earlier_start(received.start_ms, notice.start_ms):
@@ -87,51 +87,51 @@
             return
         self._update_limit(notice, received)
         if notice.rest_s:
-            logger.bind(engine=notice.engine, rest_s=notice.rest_s).info("an engine asks this router for a rest")
+            logger.bind(engine=notice.engine, rest_s=notice.rest_s).info("an engine asked this router to back off")
             if received.back_off_until <= self._clock():
                 received.back_off_from = self._clock()
             received.back_off_until = max(received.back_off_until, self._clock() + notice.rest_s)
         if notice.leaving:
             if received.leaving_at == -math.inf:
-                logger.bind(engine=notice.engine).info("an engine says in an answer that it leaves")
+                logger.bind(engine=notice.engine).info("an engine announced in an answer that it is draining")
             received.leaving_at = self._clock()
 
     def is_limited(self, engine) -> bool:
-        """Whether the engine named a limit when it was last heard."""
+        """Whether the last answer of the engine stated a limit that has not expired."""
         return self._limit_age_s(engine) < LIMIT_NOTICE_TTL_S
 
     def is_leaving(self, engine: DeclaredEngine) -> bool:
-        """Whether the engine said that it leaves, and hasn't started again since."""
+        """Whether the engine announced that it is draining and has not restarted since."""
         received = self._received_by_engine.get(engine.name)
         if received is None or is_earlier_start(received.start_ms, engine.start_ms):
             return False
         return self._clock() - received.leaving_at < LEAVING_NOTICE_TTL_S
 
     def rest_s(self, engine: DeclaredEngine) -> float:
-        """Time left in which the engine wants nothing from this router; not positive without a rest."""
+        """Time left of the back-off that the engine asked of this router; not positive without one."""
         received = self._received_by_engine.get(engine.name)
         if received is None or is_earlier_start(received.start_ms, engine.start_ms):
             return 0.0
         return received.back_off_until - self._clock()
 
     def rested_s(self, engine: DeclaredEngine) -> float:
-        """Time since the engine first asked for the rest that it is given; 0 without one."""
+        """Time since the start of the engine's current back-off; 0 without one."""
         if self.rest_s(engine) <= 0.0:
             return 0.0
         return self._clock() - self._received_by_engine[engine.name].back_off_from
 
     def are_newer_than(self, granted: Granted) -> bool:
-        """Whether a scheduler granted a place on an engine without having heard of the limit that it names."""
+        """Whether a grant was made before its scheduler received the limit that the engine states."""
         age_s = self._limit_age_s(granted.engine)
         return age_s < LIMIT_NOTICE_TTL_S and granted.limit_age_s > age_s + NOTICE_AGE_TOLERANCE_S
 
     @property
     def engines(self):
-        """Names of the engines that asked for something lately."""
+        """Names of the engines with a recent notice."""
         return tuple(self._received_by_engine)
 
     def for_engines(self, engines):
-        """Notices of these engines to tell a scheduler, with their age."""
+        """Return the notices of these engines, with their ages, to send to a scheduler."""
         now = self._clock()
         notices = []
         for engine in engines:
@@ -159,7 +159,7 @@
                 engine=notice.engine,
                 limit_per_s=_json_number(notice.limit_per_s),
                 before_per_s=_json_number(received.limit_per_s),
-            ).info("an engine names another rate limit in its answers")
+            ).info("an engine states another rate limit in its answers")
         received.limit_per_s = notice.limit_per_s
         received.limit_at = self._clock() if notice.names_limit else -math.inf
 
@@ -179,7 +179,7 @@
 
 
 class ReceivedNotices:
-    """What one start of an engine said lately.
+    """Recent notices of one start of an engine.
 
     Parameters
     ----------
@@ -189,11 +189,12 @@
     Attributes
     ----------
     limit_per_s : float
-        Requests a second; infinite without a limit.
+        Requests per second; infinite without a limit.
     limit_at, leaving_at : float
-        When it named the limit, and when it said that it leaves, on the router's clock; minus infinity if it didn't.
-    rest_from, rest_until : float
-        Time in which it wants nothing from this router.
+        When it stated the limit and when it announced that it is draining, on the router's clock; minus infinity if it
+        did not.
+    back_off_from, back_off_until : float
+        Start and end of the back-off that it asked of this router.
     """
 
     __slots__ = ("start_ms", "limit_per_s", "limit_at", "leaving_at", "back_off_from", "back_off_until")
@@ -217,7 +218,7 @@
 
 
 def is_earlier_start(start_ms, other_ms):
-    """Whether a start of an engine came before another; unknown starts are taken for the same."""
+    """Whether a start of an engine precedes another; unknown starts count as the same."""
     return 0 < start_ms < other_ms
 
 
