--- a/wagtailtrestle/engines/client.py
+++ b/wagtailtrestle/engines/client.py
@@ -1,7 +1,7 @@
-"""Runs on engines over HTTP, carried by callers' threads.
+"""Blocking HTTP client that runs requests on engines, in the threads of the callers.
 
-Calls block. Decisions are made elsewhere: this module sends one request once and says,
-as an outcome, how that one sending ended.
+It sends each run exactly once and returns how it ended as an outcome. Whether and where
+to retry is decided elsewhere.
 """
 
 import http.client
@@ -15,9 +15,9 @@
 from wagtailtrestle.engines.run_exchange import OK, RunExchange
 
 CANCEL_TIMEOUT_S = 1.0
-"""Longest wait for an engine's answer to a cancel; a sound one answers within a decode step or two, under 0.1 s."""
+"""Time-out of an engine's answer to a cancel; a healthy engine answers within a decode step or two, under 0.1 s."""
 CANCEL_GRACE_S = 0.5
-"""How long a cancelled run may take to end by itself before its connection is cut; some ten decode steps of 40 ms."""
+"""Time that a cancelled run has to end before its connection is cut; about ten decode steps of 40 ms."""
 FINISHED_STATE = "finished"
 
 
@@ -28,8 +28,8 @@
     ----------
     connect_timeout_s : float
     ended_call : EngineDialect, optional
-        Tells how to cancel a run whose connection has ended on this side, while its engine may
-        go on; ``None`` where engines stop with the connection.
+        Used to cancel a run whose connection has ended on this side while the engine may go on;
+        ``None`` where engines stop a run when its connection closes.
     """
 
     def __init__(self, *, connect_timeout_s, ended_call=None):
@@ -39,10 +39,10 @@
         self._lock = threading.Lock()
 
     def start(self):
-        """Do nothing: each run opens a connection of its own."""
+        """Do nothing: each run opens its own connection."""
 
     def close(self):
-        """Abort what is still running; a router drains before it comes to this."""
+        """Abort the runs that are still in progress; a router drains before it calls this."""
         with self._lock:
             exchanges = list(self._exchange_by_run_id.values())
         for exchange in exchanges:
@@ -56,9 +56,9 @@
         command : StartRun
         request : EngineDialect
         received : ReceivedAnswer
-            What earlier runs of the request received; this run adds to it.
+            The answer received by earlier runs of the request; this run appends to it.
         on_event : callable
-            Takes ``RunBegan`` and ``RunAdvanced``.
+            Receives ``RunBegan``, ``RunAdvanced`` and ``EngineNotice``.
         on_token : callable
             ``on_token(index, text)`` for each checked token.
         """
@@ -79,16 +79,16 @@
                 self._exchange_by_run_id.pop(command.run_id, None)
 
     def cancel(self, *, address, run_id) -> bool:
-        """Cancel a run: ask its engine, and end this side's reading.
+        """Cancel a run: send a cancel to its engine, and stop reading its answer.
 
-        The run's own ``RunEnded`` follows within ``CANCEL_END_S``, whether or not the engine could be
-        asked: the place must not wait for a connection that has gone silent. The answer of a run that
-        has finished is read on for as long as more of it comes, and cut after twice that time without.
+        The run's ``RunEnded`` follows within ``CANCEL_GRACE_S``, whether or not the engine answered: its
+        slot must not wait for a connection that has gone silent. If the run has already finished, its
+        answer is read as long as more of it arrives, and cut after at most twice that time without.
 
         Returns
         -------
         bool
-            Whether the engine answered.
+            Whether the engine answered the cancel.
         """
         with self._lock:
             exchange = self._exchange_by_run_id.get(run_id)
@@ -104,7 +104,7 @@
         return state is not None
 
     def _request_cancel(self, address, path):
-        # A new connection, since a pooled one may have gone silent unnoticed.
+        # A new connection, since a pooled one may have gone silent without being detected.
         host, port = split_address(address)
         connection = HTTPConnection(host, port, timeout=self._connect_timeout_s)
         try:
@@ -121,11 +121,11 @@
 
 
 def _await_end(exchange, *, is_finished):
-    """Wait for an exchange to end, and cut it if it doesn't."""
+    """Wait for an exchange to end, and abort it if it doesn't."""
     tokens_before = None
     while not exchange.ended.wait(CANCEL_GRACE_S):
-        # A finished run's answer is ready and mostly on its way. If nothing more of it came meanwhile its
-        # connection is silent, and would hold the place until the run's deadline.
+        # The answer of a finished run is complete and mostly in transit. If no more of it arrived during
+        # the wait, the connection is silent and would occupy the slot until the run's deadline.
         if not is_finished or exchange.output_tokens == tokens_before:
             exchange.abort()
             return
