--- a/wagtailtrestle/engines/dialect.py
+++ b/wagtailtrestle/engines/dialect.py
@@ -1,4 +1,4 @@
-"""What varies between kinds of engines: what is sent for a run, and how its answer reads."""
+"""Interface of engine dialects: the request that is sent for a run, and the parsing of its answer."""
 
 from dataclasses import field
 from typing import Protocol
@@ -10,7 +10,7 @@
 
 @record
 class CallHead:
-    """One HTTP request; ``target`` is the path with its query."""
+    """One HTTP request; ``target`` is the path with the query."""
 
     method: str
     target: str
@@ -19,18 +19,18 @@
 
 
 class EngineDialect(Protocol):
-    """One request as an engine is sent it; the same object serves every run of the request.
+    """One caller's request as it is sent to engines; one object serves all runs of the request.
 
     Attributes
     ----------
     is_streamed : bool
-        Whether the answer comes in pieces that are passed on as they come.
+        Whether the answer arrives in chunks that are passed on as they arrive.
     """
 
     is_streamed: bool
 
     def head(self, command, received) -> CallHead:
-        """What to send for the run that ``command`` starts, after what earlier runs ``received``."""
+        """Return the HTTP request for the run of ``command``; ``received`` holds the answer of earlier runs."""
 
     def read(self, exchange) -> RunOutcome:
         """Read the answer on an open ``RunExchange`` to its end.
@@ -38,11 +38,11 @@
         Raises
         ------
         TimeoutError, OSError, urllib3.exceptions.HTTPError
-            As the connection does; the exchange turns them into outcomes.
+            Raised by the connection; the exchange turns them into outcomes.
         """
 
     def notice(self, exchange) -> EngineNotice | None:
-        """What the head of the answer says of its engine; ``None`` unless it is surely that engine's."""
+        """Return the notice in the answer's head; ``None`` unless the answer certainly comes from the run's engine."""
 
     def cancel_path(self, run_id: str) -> str | None:
-        """Where the engine is told to cancel a run; ``None`` where closing the connection is all there is."""
+        """Return the path to cancel a run; ``None`` if a run can only be cancelled by closing its connection."""
