--- a/wagtailtrestle/engines/run_progress.py
+++ b/wagtailtrestle/engines/run_progress.py
@@ -1,33 +1,33 @@
-"""How far one run has come, and how long its reader may still wait."""
+"""Progress of one run, and the time-outs for reading its answer."""
 
 import time
 
 from wagtailtrestle.contracts.exchange import RunAdvanced, RunBegan
 
 FIRST_ADVANCE_DELAY_S = 0.25
-"""From the first token to the first word of progress, which gives the pace early."""
+"""Time from the first token to the first progress event, which gives an early estimate of the token rate."""
 
 ADVANCE_INTERVAL_S = 1.0
-"""Between later ones: each costs the loop about as much as a message between routers."""
+"""Interval of later progress events: each costs the loop about as much as a message between routers."""
 
 
 class RunProgress:
-    """Deadlines of one run, and the events that tell of its progress.
+    """Deadlines of one run and its progress events.
 
-    Progress is a new token, not bytes: an engine that only repeats itself, or sends
-    comments to keep the connection open, is as silent to the caller as a dead one.
+    Only new tokens count as progress, not bytes: an engine that repeats tokens, or sends
+    comments to keep the connection open, gives the caller no more than a dead one.
 
     Parameters
     ----------
     command : StartRun
     received : ReceivedAnswer
     on_event : callable
-        Takes ``RunBegan`` and ``RunAdvanced``.
+        Receives ``RunBegan`` and ``RunAdvanced``.
 
     Attributes
     ----------
     first_token_s : float
-        From the start to the first token, or to a plain answer's head; 0 before it.
+        Time from the start to the first token, or to the head of a plain answer; 0 before.
     """
 
     __slots__ = (
@@ -61,18 +61,18 @@
         return time.monotonic() - self._began_at
 
     def time_left_for_token_s(self) -> float:
-        """Time left for the next token; not positive once it is overdue."""
+        """Time left for the next token; zero or negative once it is overdue."""
         command = self._command
         limit_s = command.progress_deadline_s if self.first_token_s else command.first_token_deadline_s
         now = time.monotonic()
         return min(self._last_progress_at + limit_s, self._ends_at) - now
 
     def time_left_s(self, limit_s) -> float:
-        """Time left for one step of at most ``limit_s``, within the whole run's limit."""
+        """Time left for one step that may take ``limit_s``, within the run's overall limit."""
         return min(limit_s, self._ends_at - time.monotonic())
 
     def update(self):
-        """Look whether tokens were added to what was received, and tell of them."""
+        """Check for newly received tokens, and emit a progress event when one is due."""
         count = self._received.output_tokens
         if count == self._tokens_seen:
             return
@@ -86,7 +86,7 @@
             self._on_event(RunAdvanced(run_id=self._command.run_id, output_tokens=count))
 
     def begin(self):
-        """Tell that the answer began."""
+        """Record the start of the answer, and emit ``RunBegan``."""
         self._last_advance_at = time.monotonic()
         self.first_token_s = self._last_advance_at - self._began_at
         self._on_event(
