--- a/wagtailtrestle/engines/output_lengths.py
+++ b/wagtailtrestle/engines/output_lengths.py
@@ -1,8 +1,8 @@
-"""How long answers really are, against the caps that callers ask for and against their own estimates.
+"""Expected answer lengths, estimated from past answers relative to callers' caps and estimates.
 
-Callers cap an answer, and the answer is often much shorter: caps of one kind of request may all be
-alike and ten times what comes. Judged by its cap, much that would finish in time looks hopeless,
-runs about to end look long, and the work that waits looks ten times what it is.
+Callers cap their answers, which are often much shorter: requests of one kind may all have the same cap, ten
+times the mean length. Judged by the cap, many requests that would finish in time seem to miss their
+deadlines, runs about to end seem long, and the queued work is overestimated tenfold.
 """
 
 import math
@@ -11,21 +11,22 @@
 from wagtailtrestle.contracts.messages import GrantRequest
 
 DECAY = 0.98
-"""Share of the old evidence's weight kept at each answer."""
+"""Factor applied to the weight of earlier evidence at each answer."""
 
 PRIOR_WEIGHT = 2.0
-"""Answers that the prior counts for: that answers reach their caps, that estimates are right, or for
-one team in a tier what is known of the tier. A scheduler sees some ten answers of a tier in a second."""
+"""Number of answers that the prior counts for. The prior is that answers reach their caps, that estimates are
+correct, or for a team in a tier the tier's mean. A scheduler sees some ten answers of a tier per second."""
 
 MARGIN_STANDARD_DEVIATIONS = 0.5
-"""Standard deviations added to the mean share of a cap: a run cut short by its deadline wastes its prefill."""
+"""Standard deviations added to the mean ratio of length to cap, since a run that its deadline cuts short wastes its
+prefill."""
 
 MAX_RATIO = 5.0
-"""Most that one answer teaches of its caller's estimate: single ones are off by far more."""
+"""Upper bound of the observed ratio of length to estimate: single estimates are off by far more."""
 
 
 class _DecayingRatio:
-    """Fading mean and variance of one kind's ratio."""
+    """Exponentially decaying mean and variance of a ratio."""
 
     __slots__ = ("_weight", "_sum", "_squares")
 
@@ -46,13 +47,13 @@
         return self._sum / self._weight
 
     def mean_with_margin(self):
-        """Expected ratio with what it may be beyond."""
+        """Expected ratio plus a margin for its variance, at most 1."""
         variance = max(0.0, self._squares / self._weight - self.mean * self.mean)
         return min(1.0, self.mean + MARGIN_STANDARD_DEVIATIONS * math.sqrt(variance))
 
 
 class OutputLengths:
-    """Expected lengths: by the caller's estimate where there is one, else by team and tier."""
+    """Expected lengths, by the caller's estimate if there is one, otherwise by team and tier."""
 
     __slots__ = ("_of_caps_by_kind", "_of_caps_by_tier", "_of_hints_by_tier")
 
@@ -62,7 +63,7 @@
         self._of_hints_by_tier = {}
 
     def expect(self, request: GrantRequest) -> GrantRequest:
-        """Return the request with the expected in place of the greatest output."""
+        """Return the request with the expected output length in place of its cap."""
         cap_tokens = request.done_tokens + request.output_tokens
         if request.hinted_tokens:
             of_hints = self._of_hints_by_tier.get(request.tier)
@@ -76,7 +77,7 @@
         return replace(request, output_tokens=max(1, min(left, request.output_tokens)))
 
     def observe(self, *, request: GrantRequest, asked_tokens, output_tokens):
-        """Learn from one whole answer; ``asked_tokens`` was its cap."""
+        """Learn from one complete answer; ``asked_tokens`` is its cap."""
         if asked_tokens <= 0 or output_tokens <= 0:
             return
         if request.hinted_tokens:
