--- a/wagtailtrestle/engines/prefix_cache.py
+++ b/wagtailtrestle/engines/prefix_cache.py
@@ -1,21 +1,21 @@
-"""Which prompt prefixes an engine is believed to hold in its bounded cache."""
+"""Estimated contents of an engine's bounded prefix cache."""
 
 from collections import OrderedDict
 
 BLOCK_TOKENS = 64
-"""Tokens of a prefix block of the usual size; the engines' cache events count in the same blocks."""
+"""Default size of a prefix block; the engines' cache events use the same blocks."""
 
 
 class PrefixCacheIndex:
-    """Least-recently-used guess at one engine's prefix cache.
+    """Least-recently-used model of one engine's prefix cache.
 
-    Cache events come late and with gaps, so the index is fed mainly by what was
-    granted there and corrected by events and by the cached tokens a run reported.
+    Cache events arrive late and with gaps, so the index is mainly updated by grants,
+    and corrected by cache events and by the cached tokens that runs report.
 
     Parameters
     ----------
     capacity_tokens : int
-        Tokens that the engine is believed to hold.
+        Assumed capacity of the engine's cache.
     """
 
     __slots__ = ("_capacity", "_held_tokens", "_tokens_by_block")
@@ -26,7 +26,7 @@
         self._tokens_by_block = OrderedDict()
 
     def cached_tokens(self, prefix_blocks):
-        """Tokens of the longest leading part of the prefix believed to be held."""
+        """Tokens of the longest leading part of the prefix that is estimated to be cached."""
         held = 0
         for block in prefix_blocks:
             tokens = self._tokens_by_block.get(block)
@@ -36,13 +36,13 @@
         return held
 
     def stored(self, prefix_blocks, block_tokens=()):
-        """Note that the engine computed or used these blocks, oldest first.
+        """Record that the engine computed or used these blocks, from the start of the prompt on.
 
         Parameters
         ----------
         prefix_blocks : tuple of int
         block_tokens : tuple of int
-            Tokens of each; of the usual size if left out.
+            Tokens of each block; by default ``BLOCK_TOKENS``.
         """
         sizes = block_tokens or (BLOCK_TOKENS,) * len(prefix_blocks)
         for block, tokens in reversed(tuple(zip(prefix_blocks, sizes, strict=False))):
@@ -54,12 +54,12 @@
             self._held_tokens -= tokens
 
     def removed(self, blocks):
-        """Note that the engine dropped these blocks."""
+        """Record that the engine evicted these blocks."""
         for block in blocks:
             self._held_tokens -= self._tokens_by_block.pop(block, 0)
 
     def clear(self):
-        """Forget everything (the engine restarted)."""
+        """Remove all blocks, after a restart of the engine."""
         self._tokens_by_block.clear()
         self._held_tokens = 0
 
