--- a/wagtailtrestle/engines/__init__.py
+++ b/wagtailtrestle/engines/__init__.py
@@ -1,1 +1,1 @@
-"""Unlike engines: the client, their learned speed, their health."""
+"""Engines: HTTP client, dialects, speed models, health, rate limits and load reports."""
