--- a/tests/test_run_reports.py
+++ b/tests/test_run_reports.py
@@ -6,7 +6,7 @@
 from wagtailtrestle.contracts.exchange import RunEnded
 from wagtailtrestle.contracts.messages import Granted
 from wagtailtrestle.contracts.outcomes import RunSilent
-from wagtailtrestle.engines.health import FAILURES_TO_EJECT
+from wagtailtrestle.engines.health import CONSECUTIVE_FAILURES_TO_EJECT
 from wagtailtrestle.entry.run_reports import RunReports
 
 WAITED_S = 8.0
@@ -16,11 +16,11 @@
 
 class EndOfASilentRunTest(unittest.TestCase):
     def setUp(self):
-        self.cell = Cell(engines=ENGINES, slots=FAILURES_TO_EJECT)
+        self.cell = Cell(engines=ENGINES, slots=CONSECUTIVE_FAILURES_TO_EJECT)
 
     def end_runs(self, outcome):
         """Fill the engines and let as many runs of the first as eject it end in a row."""
-        self.cell.receive(*[ask(f"r{number}") for number in range(FAILURES_TO_EJECT * len(ENGINES))])
+        self.cell.receive(*[ask(f"r{number}") for number in range(CONSECUTIVE_FAILURES_TO_EJECT * len(ENGINES))])
         for granted in self.cell.entries.of(Granted):
             if granted.engine == ENGINES[0]:
                 reports = RunReports(request_id=granted.request_id, send=self.cell.receive)
