--- a/wagtailtrestle/engines/model.py
+++ b/wagtailtrestle/engines/model.py
@@ -225,7 +225,7 @@
         self._normalized_samples.append(seconds / shape)
         low = _low_end(self._normalized_samples)
         # A change of the engine's speed shows in every sample and leaves the shape of the
-        # line as it was, so the line is rescaled at once and not refitted over many samples.
+        # line as it was, so the line is rescaled immediately instead of being refitted over many samples.
         slower = len(self._normalized_samples) == SAMPLE_WINDOW and low > SPEED_CHANGE_RATIO * estimate
         faster = len(self._normalized_samples) >= SHORT_WINDOW and low * SPEED_CHANGE_RATIO < estimate
         if slower or faster:
--- a/wagtailtrestle/engines/rate_limit.py
+++ b/wagtailtrestle/engines/rate_limit.py
@@ -29,7 +29,7 @@
 """Time for which routers pass on a limit that an answer stated; an older one may have ended without their notice."""
 
 LIFTED_GROWTH_FACTOR = 16.0
-"""Growth at which the limit is removed: the engine's load returns over some seconds and not at once."""
+"""Growth at which the limit is removed: the engine's load returns gradually, over some seconds."""
 
 
 class RateLimit:
--- a/wagtailtrestle/engines/state.py
+++ b/wagtailtrestle/engines/state.py
@@ -50,7 +50,7 @@
         Requests per second that it accepts from all routers together, if its answers state a limit.
     kept_for : str or None
         Request that must run alone on the engine; until it has started, nothing else is granted there.
-    room : int
+    free_slots : int
         Free slots; 0 while a suspected poison request runs there, since its crash would end the runs beside it. Updated
         on every change and not computed on access, since the scheduler reads it for all engines on each message.
     """
