--- a/wagtailtrestle/engines/rate_limit.py
+++ b/wagtailtrestle/engines/rate_limit.py
@@ -51,7 +51,7 @@
         "_consecutive_unlimited",
         "_raised_since",
         "_tokens",
-        "_filled_at",
+        "_refilled_at",
         "_request_times",
     )
 
@@ -65,7 +65,7 @@
         self._consecutive_unlimited = 0
         self._raised_since = math.inf
         self._tokens = 0.0
-        self._filled_at = 0.0
+        self._refilled_at = 0.0
         self._request_times = []
 
     @property
@@ -90,7 +90,7 @@
             return
         if not self.in_force:
             self._tokens = 0.0
-            self._filled_at = self._clock()
+            self._refilled_at = self._clock()
             self._answers = self._limited_answers = 0
         self._refill()
         self._per_s = max(MIN_PER_S, per_s)
@@ -162,8 +162,8 @@
         if not self.in_force:
             return
         now = self._clock()
-        self._tokens = min(self._burst(), self._tokens + self._rate() * (now - self._filled_at))
-        self._filled_at = now
+        self._tokens = min(self._burst(), self._tokens + self._rate() * (now - self._refilled_at))
+        self._refilled_at = now
         if self._rate() >= LIFTED_GROWTH_FACTOR * self._per_s:
             self._per_s = math.inf
             self._raised_since = math.inf
