--- a/wagtailtrestle/engines/state.py
+++ b/wagtailtrestle/engines/state.py
@@ -318,10 +318,10 @@
             self.model.observe_report(step_s=report.step_s, running=report.running)
         unexplained = report.running + report.waiting - self._accounted_runs_at(report_at)
         orphans = [grant for grant in self.grants_by_request_id.values() if _is_orphan_at(grant, report_at)]
-        gone = orphans[: max(0, len(orphans) - max(0, unexplained))]
+        ended = orphans[: max(0, len(orphans) - max(0, unexplained))]
         self.phantom = max(0, unexplained - len(orphans))
         self._update_free_slots()
-        return gone
+        return ended
 
     def tick(self, *, health_share):
         """Refresh the cached limit and slacks, and remove expired back-offs, phantom load and ended grants."""
