--- a/tests/utils/engines.py
+++ b/tests/utils/engines.py
@@ -1,4 +1,4 @@
-"""Stand-in engines and services in this process, and runs sent to them."""
+"""Helpers that start stand-in engines and services in this process and send runs to them."""
 
 import threading
 
@@ -11,8 +11,8 @@
 from wagtailtrestle.standins.standin_settings import ENGINE_DEFAULTS, SERVICE_DEFAULTS, StandinSettings
 
 COMPLETION_DEADLINE_S = 2.0
-"""Limit on silence of a run that is to end whole. A machine with five times as many busy threads as cores was seen
-to stop this whole process for 0.28 s; the limit of a silence that is to be found is each test's own."""
+"""Silence deadline of a run that is expected to complete. A VM with five times as many busy threads as cores has
+stopped this process for 0.28 s; tests that must detect silence set their own deadline."""
 PROMPT = "When may we fly at the beach of Gijon?"
 
 
@@ -50,7 +50,7 @@
 
 
 class RunSender:
-    """Sends runs of one request one after the other, and keeps what came of them."""
+    """Sends the runs of one request in sequence, and records their events, tokens and outcome."""
 
     def __init__(self, *, call):
         self.call = call
