--- a/tests/test_engine_model.py
+++ b/tests/test_engine_model.py
@@ -16,7 +16,7 @@
 
 
 def report_steps(model, *, count, prefill_share, factor=1.0, seed=1):
-    """Reports of an engine of which a share of the time goes into steps with prefill."""
+    """Report steps of an engine, of which ``prefill_share`` contain prefill."""
     draw = random.Random(seed)
     for _ in range(count):
         running = draw.randint(4, 15)
@@ -34,17 +34,17 @@
         self.assertEqual(model.confidence(), 0.0)
 
     def test_prefill_between_steps_is_not_taken_for_slow_steps(self):
-        # Callers see refusals though engines could serve them. Two thirds of the reported
-        # steps hold a chunk of somebody's prompt, 13 times an ordinary step; a mean would
-        # call the engine 9 times too slow. The low end of the samples is the clean step.
+        # Guards against refusals of requests that engines could serve. Two thirds of the reported
+        # steps contain a chunk of another prompt and take 13 times an ordinary step; a mean would
+        # make the engine 9 times too slow. The low end of the samples is the clean step.
         model = make_model()
         report_steps(model, count=200, prefill_share=0.66)
         for concurrency in (4, 15):
             self.assertAlmostEqual(model.step_s(concurrency) / true_step_s(concurrency), 1.0, delta=0.12)
 
     def test_seconds_of_one_long_prompt_do_not_make_an_engine_slow(self):
-        # A prompt of 16,000 tokens keeps every reported step long for two seconds; an
-        # engine taken for slow by that gets no work and refuses what it could finish.
+        # A prompt of 16,000 tokens keeps every reported step long for two seconds. An engine
+        # judged slow by that gets no work, and requests that it could finish are refused.
         model = make_model()
         report_steps(model, count=100, prefill_share=0.3)
         report_steps(model, count=25, prefill_share=1.0)
@@ -68,7 +68,7 @@
         self.assertAlmostEqual(model.step_s(10) / true_step_s(10, 5.0), 1.0, delta=0.15)
 
     def test_no_evidence_makes_a_step_negative_or_endless(self):
-        # Once a line that extrapolated below its points gave steps of 1e71 seconds.
+        # A line extrapolated below its points once gave steps of 1e71 seconds.
         model = make_model()
         draw = random.Random(7)
         for _ in range(2000):
@@ -117,8 +117,8 @@
         self.assertEqual(cache.cached_tokens((1,)), 0)
 
     def test_parts_of_unlike_sizes_count_by_their_tokens(self):
-        # Callers name the parts of a prompt with their sizes: a few instructions that all share and a
-        # conversation of five thousand tokens. Counted as blocks of one size, the conversation would weigh little.
+        # Callers declare the parts of a prompt with their sizes: short instructions shared by all requests and a
+        # conversation of five thousand tokens. Counted as blocks of one size, the conversation would count too little.
         cache = PrefixCacheIndex(capacity_tokens=6000)
         cache.stored((1, 2), (500, 4870))
         self.assertEqual(cache.cached_tokens((1, 2, 3)), 5370)
