--- a/tests/test_engine_health.py
+++ b/tests/test_engine_health.py
@@ -6,7 +6,7 @@
 
 
 def finish_runs(health, *, start_s, end_s, slow=None, ratio=5.0):
-    """Every engine finishes twice a second; returns how often ``slow`` changed its share."""
+    """Finish a run on every engine twice a second; returns how often the share of ``slow`` changed."""
     changes = 0
     now = start_s
     while now < end_s:
@@ -47,8 +47,8 @@
         self.assertEqual(health.share(NAMES[0], 10.0), 1.0)
 
     def test_router_with_a_bad_link_of_its_own_keeps_most_engines(self):
-        # Callers of one router see runs fail on every engine, since its own link drops
-        # them. If it ejected all it would refuse everything; the engines are sound.
+        # A router with a faulty network link sees runs fail on every engine although the
+        # engines are healthy. If it ejected all of them, it would refuse every request.
         health = EngineHealth(engines=NAMES)
         for now in range(60):
             for name in NAMES:
@@ -77,8 +77,8 @@
         self.assertEqual(health.share(NAMES[0], 50.0), 1.0)
 
     def test_engine_near_the_border_does_not_swing(self):
-        # Share lost and regained in turn moves work to and fro, and each move costs a
-        # prefill; between the two ratios nothing changes.
+        # A share that oscillates moves work back and forth, and each move costs a
+        # prefill; between the two ratios the share stays as it is.
         health = EngineHealth(engines=NAMES)
         self.assertEqual(finish_runs(health, start_s=0.0, end_s=60.0, slow=NAMES[0], ratio=1.7), 0)
 
