--- a/tests/test_policies.py
+++ b/tests/test_policies.py
@@ -7,7 +7,7 @@
 
 
 class View:
-    """A plain engine view."""
+    """Engine view with fixed attributes."""
 
     def __init__(self, name, *, step_s=0.004, rate=8000.0, running=0, pending=0, reported=0, slots=16, available=True):
         self.name = name
@@ -62,7 +62,7 @@
         self.assertEqual(choose(self.policy, [View("other"), holder], request), "holder")
 
     def test_long_prompt_avoids_the_engine_where_it_delays_many(self):
-        # Equal finish for itself, but on the busy engine every run stands still meanwhile.
+        # Equal finish times, but on the busy engine the prefill delays every other run.
         idle = View("idle", rate=7800.0)
         busy = View("busy", running=12)
         self.assertEqual(choose(self.policy, [busy, idle], grant_request(prompt=8000)), "idle")
