--- a/tests/test_output_lengths.py
+++ b/tests/test_output_lengths.py
@@ -1,9 +1,8 @@
-"""Load whose caps say nothing of its lengths, as callers send it.
+"""Expected lengths under a load whose caps are no indication of the answers' lengths.
 
-The pattern: every request of a kind asks for the same cap, a few answers reach it, and the mean is a
-tenth of it; callers add an estimate that is right at the median and off by a factor of two or so.
-Taken at its cap, work looks ten times what it is, and callers are told to come back ten times too
-late. Figures: caps 1,710, 1,200 and 510 tokens against means of 171, 120 and 51.
+All requests of a kind have the same cap, few answers reach it, and the mean is a tenth of it; callers' estimates
+are right at the median and off by a factor of about two. Judged by the caps, the work is overestimated tenfold, and
+callers get ten times too long a Retry-After. Figures: caps of 1,710, 1,200 and 510 tokens, means of 171, 120 and 51.
 """
 
 import random
@@ -43,7 +42,7 @@
         self.assertLess(self.expected(), 3 * MEAN)
 
     def test_another_team_of_the_tier_is_taken_to_be_alike(self):
-        # Each team by itself would be judged by its caps for a flood's length.
+        # Learned per team alone, a flood from a new team would be judged by its caps for its whole duration.
         self.observe(30)
         self.assertLess(self.expected(team="guests"), 3 * MEAN)
 
