--- a/tests/test_rate_limit.py
+++ b/tests/test_rate_limit.py
@@ -1,4 +1,4 @@
-"""Decisions under a rate limit that an engine names: pace, changes, a new scheduler, entries that heard it first."""
+"""Decisions under an engine's rate limit: grant rate, changed limits, new schedulers and uninformed schedulers."""
 
 import asyncio
 import itertools
@@ -22,7 +22,7 @@
 
 
 class LoadedCell(Cell):
-    """A cell in which requests always wait, and each run ends after ``run_s``."""
+    """A cell with a queue that is never empty, whose runs each take ``run_s``."""
 
     def __init__(self, *, engines=("e1",), run_s=0.1, tiers=(1,), waiting=6, slots=8):
         super().__init__(engines=engines, slots=slots, members=("r1",))
@@ -35,7 +35,7 @@
         self.ends = []
 
     def run(self, seconds, *, notice_for=None):
-        """Let time pass; ``each_answer(engine)`` gives the notice that each answer bears."""
+        """Advance the time; ``notice_for(engine)`` returns the notice in each answer."""
         until = self.clock.now + seconds
         while self.clock.now < until:
             self.clock.now += STEP_S
@@ -71,7 +71,7 @@
 
 
 class GrantRateTest(unittest.TestCase):
-    # Guards against grants in clumps: a second without requests must not be made up for in the next.
+    # Guards against bursts of grants: a second without requests must not be made up for in the next.
     def test_callers_that_always_wait_get_what_the_engine_takes(self):
         for limit_per_s in (0.5, 1.6, 2.3, 12.0):
             with self.subTest(limit_per_s=limit_per_s):
@@ -84,14 +84,14 @@
                 self.assertLessEqual(most_within(times, WINDOW_S), limit_per_s * WINDOW_S + 1)
                 self.assertGreaterEqual(len(times), 0.5 * limit_per_s * 20.0)
 
-    # Guards against an engine that names 0 and is never asked again, so that it can't tell the end of its limit.
+    # Guards against an engine that states a limit of 0 and gets no further request, in whose answer it could lift it.
     def test_an_engine_that_takes_nothing_is_tried_now_and_then(self):
         cell = LoadedCell()
         cell.receive(notice(0.0))
         cell.run(30.0, notice_for=lambda engine: notice(0.0))
         self.assertIn(len(cell.times("e1")), (2, 3))
 
-    # Guards against idle places of the other engines, or a tier below served first, beside a limited engine.
+    # Guards against idle slots on other engines, or lower tiers served first, while one engine is limited.
     def test_other_engines_are_filled_and_tiers_kept(self):
         cell = LoadedCell(engines=("e1", "e2"), tiers=(1, 3), slots=2)
         cell.receive(notice(1.0))
@@ -101,7 +101,7 @@
 
 
 class ChangedLimitTest(unittest.TestCase):
-    # Guards against an engine in growing need that gets, after it names less, what its former limit had saved up.
+    # Guards against an overloaded engine that lowers its limit and still gets the burst saved under the former one.
     def test_a_lower_limit_counts_what_was_given_before(self):
         cell = LoadedCell()
         cell.receive(notice(10.0))
@@ -113,7 +113,7 @@
         self.assertLessEqual(most_within(times, WINDOW_S), 2.0 * WINDOW_S + 1)
         self.assertGreaterEqual(len(times), 0.5 * 2.0 * 12.0)
 
-    # Guards against a limit taken for lifted since one answer of several doesn't bear it.
+    # Guards against a limit that is considered lifted since one answer of several doesn't state it.
     def test_a_limit_named_in_some_answers_only_stays(self):
         cell = LoadedCell()
         answers = iter(range(10_000))
@@ -121,7 +121,7 @@
         cell.run(30.0, notice_for=lambda engine: notice(3.0 if next(answers) % 3 == 0 else math.inf))
         self.assertLessEqual(most_within(cell.times("e1"), WINDOW_S), 1.5 * 3.0 * WINDOW_S + 5)
 
-    # Guards against a limit that is raised after each few answers of an engine that names it at random in some.
+    # Guards against a limit that is raised again and again when the engine states it at random in some answers.
     def test_a_limit_named_at_random_stays(self):
         for limit_per_s, share, seed in itertools.product((1.6, 2.3, 5.0), (0.5, 0.33), range(4)):
             with self.subTest(limit_per_s=limit_per_s, share=share, seed=seed):
@@ -137,7 +137,7 @@
                 most = most_within(cell.times("e1"), WINDOW_S)
                 self.assertLessEqual(most, 1.5 * limit_per_s * WINDOW_S + 5)
 
-    # Guards against a burst, and against seconds of idle places, once an engine names no limit any more.
+    # Guards against a burst, and against seconds of idle slots, once an engine no longer states a limit.
     def test_the_load_comes_back_over_some_seconds(self):
         cell = LoadedCell()
         cell.receive(notice(2.0))
@@ -148,7 +148,7 @@
         self.assertLessEqual(sum(at < lifted_at + 2.0 for at in times), 8)
         self.assertGreater(sum(at > lifted_at + 6.0 for at in times), 50)
 
-    # Guards against four seconds' worth at once when requests come back after a time without any.
+    # Guards against a burst worth four seconds when requests arrive after a time without any.
     def test_a_limit_outlasts_a_time_without_requests(self):
         clock = Clock()
         limit = RateLimit(clock=clock)
@@ -156,7 +156,7 @@
         clock.now += 60.0
         self.assertEqual(limit.available_requests(), 2)
 
-    # Guards against a word that was late on its way and undoes a later one.
+    # Guards against a delayed notice that overrides a later one.
     def test_a_later_word_stands(self):
         clock = Clock()
         limit = RateLimit(clock=clock)
@@ -166,7 +166,7 @@
 
 
 class NewSchedulerTest(unittest.TestCase):
-    # Guards against a scheduler that takes over while a limit holds, and fills the engine.
+    # Guards against a scheduler that takes over while a limit is in force, and fills the engine.
     def test_entries_tell_a_new_scheduler_what_they_heard(self):
         cell = LoadedCell()
         cell.receive(register("r1", notices=(notice(2.0, age_s=1.0),)))
@@ -175,7 +175,7 @@
 
 
 class UninformedSchedulerTest(unittest.TestCase):
-    # Guards against a place granted by a scheduler that the word hasn't reached: the entry that heard it is bound.
+    # Guards against use of a slot granted by a scheduler that hasn't received the notice yet: the entry returns it.
     @on_paused_clock
     async def test_an_uninformed_grant_goes_back_and_the_scheduler_is_told(self):
         request = OneRequest()
@@ -194,7 +194,7 @@
         await request.grant("e1", limit_age_s=0.01)
         self.assertEqual(len(request.caller.starts), 1)
 
-    # Guards against a limit that ended unheard by this entry: an old word must not give back what the scheduler grants.
+    # Guards against a limit that ended without notice to this entry: an expired notice must not return grants.
     @on_paused_clock
     async def test_an_old_word_binds_nobody(self):
         request = OneRequest()
@@ -207,7 +207,7 @@
 
 
 class SuspectTest(unittest.TestCase):
-    # Guards against a request that runs alone and is sent beside the limit of its engine.
+    # Guards against a request that runs alone and is sent in excess of its engine's limit.
     def test_a_suspect_waits_for_the_limit(self):
         cell = Cell(members=("r1",))
         cell.receive(register("r1"), notice(1.0), ask("s", alone=True))
@@ -215,7 +215,7 @@
         cell.advance(1.1)
         self.assertEqual(cell.entries.ids(Granted), ["s"])
 
-    # Guards against requests that a roll-out places beside the limit of their engine.
+    # Guards against requests that a rollout sends in excess of their engine's limit.
     def test_places_for_a_roll_out_keep_to_the_limit(self):
         cell = Cell(members=("r1",))
         cell.receive(register("r1"), notice(1.0))
