--- a/tests/test_rest_notices.py
+++ b/tests/test_rest_notices.py
@@ -1,4 +1,4 @@
-"""Decisions on an engine that asks one router for a rest, while others may go on sending to it."""
+"""Decisions on an engine that asks one router to back off, while other routers may go on sending to it."""
 
 import asyncio
 import unittest
@@ -26,12 +26,12 @@
     def granted(self):
         return {(message.request_id[0], message.engine) for message in self.cell.entries.of(Granted)}
 
-    # Guards against grants that come back one by one, and against a rest that is taken for every router's.
+    # Guards against grants that the entry returns one by one, and against a back-off applied to every router.
     def test_the_entry_gets_other_engines_and_other_entries_get_this_one(self):
         self.cell.receive(back_off_notice(), ask("a1"), ask("a2"), ask("b1", entry="r2"), ask("b2", entry="r2"))
         self.assertEqual(self.granted(), {("a", "e2"), ("b", "e1")})
 
-    # Guards against a request that is refused, or sent, though the last rest ends before it must begin.
+    # Guards against a request that is refused, or sent early, though a back-off ends before it must begin.
     def test_a_request_with_time_waits_for_the_first_rest_to_end(self):
         self.cell.receive(
             back_off_notice(), back_off_notice(on="e2", rest_s=2 * BACK_OFF_S), ask("a", remaining_s=20.0)
@@ -40,7 +40,7 @@
         self.cell.advance(BACK_OFF_S + 0.2)
         self.assertEqual(self.granted(), {("a", "e1")})
 
-    # Guards against a wait that can't help, and a time to come back that is too early.
+    # Guards against a futile wait, and against a Retry-After that is too short.
     def test_a_request_without_that_time_is_refused_at_once_and_told_when(self):
         self.cell.receive(
             back_off_notice(), back_off_notice(on="e2", rest_s=2 * BACK_OFF_S), ask("a", first_token_within_s=1.0)
@@ -49,12 +49,12 @@
         self.assertGreaterEqual(refused.retry_after_s, BACK_OFF_S)
         self.assertLess(refused.retry_after_s, 2 * BACK_OFF_S)
 
-    # Guards against a scheduler that is new and grants what its entries must give back.
+    # Guards against a new scheduler whose grants its entries must return.
     def test_a_registration_tells_of_rests(self):
         self.cell.receive(register("r1", notices=(back_off_notice(),)), ask("a1"), ask("a2"), ask("a3"))
         self.assertEqual(self.granted(), {("a", "e2")})
 
-    # Guards against a rest that is told again, taken for answers that name no limit any more.
+    # Guards against repeated back-off notices that count as answers without a limit.
     def test_a_rest_told_again_ends_no_limit(self):
         self.cell.receive(EngineNotice(engine="e1", limit_per_s=2.0))
         self.cell.advance(2.0)
@@ -62,7 +62,7 @@
         self.cell.advance(3.0)
         self.assertEqual(self.cell.scheduler._runs.engines_by_name["e1"].rate_limit.per_s(), 2.0)
 
-    # Guards against a suspect that runs alone on an engine that wants a rest.
+    # Guards against a suspect that is run alone on an engine that asked to back off.
     def test_a_suspect_leaves_the_engine_out(self):
         self.cell.receive(back_off_notice(), ask("s", alone=True))
         self.cell.advance(0.2)
@@ -70,8 +70,7 @@
 
 
 class EntryTest(unittest.TestCase):
-    # Guards against a place granted by a scheduler that doesn't know; the engine is left out for the rest, not for
-    # good.
+    # Guards against a slot granted by an uninformed scheduler; the engine is excluded only during the back-off.
     @on_paused_clock
     async def test_a_grant_within_a_rest_goes_back_and_one_after_it_is_used(self):
         request = OneRequest()
@@ -88,7 +87,7 @@
         await request.grant("e1")
         self.assertEqual(len(request.caller.starts), 1)
 
-    # Guards against a place given back without end: the scheduler may know a later start of the engine than this entry.
+    # Guards against a slot that is returned forever: the scheduler may know of a later start of the engine.
     @on_paused_clock
     async def test_a_second_grant_within_the_rest_leaves_the_engine_out(self):
         request = OneRequest()
@@ -98,7 +97,7 @@
         await request.grant("e1")
         self.assertEqual(request.asks[-1].excluded_engines, ("e1",))
 
-    # Guards against a shorter rest, asked for in an answer that came later, that ends a longer one.
+    # Guards against a shorter back-off in a later answer that ends a longer one.
     @on_paused_clock
     async def test_the_longest_rest_holds(self):
         request = OneRequest()
@@ -108,7 +107,7 @@
         await request.grant("e1")
         self.assertEqual(request.caller.starts, [])
 
-    # Guards against callers who are told to come back while every engine that turned them away still rests.
+    # Guards against a Retry-After that ends while every engine that rejected the request still backs off.
     @on_paused_clock
     async def test_who_is_given_up_on_is_told_when_the_first_rest_ends(self):
         request = OneRequest()
@@ -129,7 +128,7 @@
         )
         return read_notice(command, limit=None, leaving=False, retry_after=text).rest_s
 
-    # Guards against a header that nobody can read, or that would keep an engine out for good.
+    # Guards against an invalid header, and against one that would exclude an engine forever.
     def test_only_a_number_of_seconds_asks_for_a_rest(self):
         for text in ("", "0", "-3", "nan", "inf", "soon", "Wed, 21 Oct 2026 07:28:00 GMT"):
             with self.subTest(text=text):
@@ -139,7 +138,7 @@
 
 
 class RejectedRequestTest(unittest.TestCase):
-    # Guards against an answer that asks for a rest and ends its request, though another engine has room.
+    # Guards against an answer with a back-off that ends its request, though another engine has free slots.
     @on_paused_clock
     async def test_the_request_goes_to_another_engine(self):
         request = OneRequest(repeatable=False)
