--- a/tests/test_leaving_notices.py
+++ b/tests/test_leaving_notices.py
@@ -1,4 +1,4 @@
-"""Decisions on an engine that says in an answer that it leaves: entries, schedulers, and whom it doesn't bind."""
+"""Decisions of entries and schedulers on an engine that announces in an answer that it is draining."""
 
 import asyncio
 import unittest
@@ -17,7 +17,7 @@
 
 
 class EntryTest(unittest.TestCase):
-    # Guards against a scheduler that the word hasn't reached: its grant goes back, the next ask leaves the engine out.
+    # Guards against a scheduler without the notice: its grant is returned, and the next request excludes the engine.
     @on_paused_clock
     async def test_a_grant_on_an_engine_that_leaves_goes_back_and_the_scheduler_is_told(self):
         request = OneRequest()
@@ -30,7 +30,7 @@
         await request.grant("e2")
         self.assertEqual(len(request.caller.starts), 1)
 
-    # Guards against a word that outlives what it was about: an engine that is still listed may have started again.
+    # Guards against a notice that outlives its cause: an engine that is still listed may have restarted.
     @on_paused_clock
     async def test_the_word_holds_for_a_bounded_time(self):
         request = OneRequest()
@@ -52,22 +52,22 @@
         self.cell.receive(*(ask(f"{name}{self.cell.clock.now}") for name in "abcd"))
         return self.granted()
 
-    # Guards against new work for an engine of which one router heard that it leaves.
+    # Guards against new work for an engine after one router has received its draining notice.
     def test_nothing_is_granted_on_an_engine_that_said_so_to_one_entry(self):
         self.cell.receive(register("r1"), leaving_notice())
         self.assertEqual(self.request_four(), {"e2"})
-        # The list takes a mark of its own back, not the engine's word.
+        # The list clears its own mark, not the engine's notice.
         self.cell.scheduler.mark_leaving("e1", False)
         self.cell.scheduler.set_engines({name: engine(name) for name in ("e1", "e2")})
         self.cell.advance(0.2)
         self.assertEqual(self.granted(), {"e2"})
 
-    # Guards against a new scheduler, or one that comes back, that knows only what the store says.
+    # Guards against a new or restarted scheduler that knows only the store's state.
     def test_entries_tell_a_new_scheduler(self):
         self.cell.receive(register("r1", notices=(leaving_notice(age_s=8.0),)))
         self.assertEqual(self.request_four(), {"e2"})
 
-    # Guards against an engine out of use since its former start, or an earlier engine of its name, said that it leaves.
+    # Guards against an engine excluded because its former start, or an earlier engine of its name, announced draining.
     def test_an_engine_that_started_again_is_not_leaving(self):
         former, later = engine("e1"), engine("e1")
         former.start_ms, later.start_ms = EARLIER_START_MS, LATER_START_MS
