--- a/tests/test_notice_reading.py
+++ b/tests/test_notice_reading.py
@@ -1,4 +1,4 @@
-"""What is read from the head of an answer, in the product's own dialect and in the platform's."""
+"""Notices parsed from the head of an answer, in the native dialect and in the platform's."""
 
 import math
 import unittest
@@ -39,7 +39,7 @@
     def test_only_an_answer_that_turns_away_asks_for_a_rest(self):
         self.assertFalse(self.read(status=200, Retry_After="3").asks_something)
 
-    # Guards against another run's answer, read on this connection, that binds this engine.
+    # Guards against a notice in another run's answer, received on this connection, that is applied to this engine.
     def test_a_stray_answer_says_nothing(self):
         self.assertIsNone(self.read(run_id="r.2", X_Leaving="yes"))
 
@@ -56,12 +56,12 @@
         notice = self.read(status=503, Server_Limit="2.3", Server_Leaving="1", Retry_After="3")
         self.assertEqual((notice.limit_per_s, notice.leaving, notice.rest_s), (2.3, True, 3.0))
 
-    # Guards against another engine at the address, or another request's answer, that takes this engine out of use.
+    # Guards against another engine at the address, or another request's answer, that excludes this engine.
     def test_an_answer_of_another_engine_or_request_says_nothing(self):
         self.assertIsNone(self.read(status=421, Server_Leaving="1"))
         self.assertIsNone(self.read(request_id="another", Server_Leaving="1"))
 
-    # Guards against a limit that nobody can read and that ends the one before it.
+    # Guards against an invalid limit that ends the one before it.
     def test_a_limit_that_cannot_be_read_neither_holds_nor_ends(self):
         for text in ("", "many", "-1", "nan", "inf"):
             with self.subTest(text=text):
