--- a/tests/test_engine_http.py
+++ b/tests/test_engine_http.py
@@ -1,4 +1,4 @@
-"""One run over HTTP: each way it can end, against the stand-in's own record."""
+"""Runs over HTTP: each way in which one can end, compared with the stand-in's record."""
 
 import asyncio
 import socket
@@ -22,7 +22,7 @@
 from wagtailtrestle.standins.prompts import whole_answer
 
 SILENCE_LIMIT_S = 0.2
-"""Limit on silence of a run whose silence is to be found."""
+"""Silence deadline of a run whose silence must be detected."""
 
 
 class TestLanguageRun(unittest.TestCase):
@@ -59,8 +59,8 @@
         self.assertGreaterEqual(len(advanced), 1)
 
     def test_cut_stream_attaches_to_the_same_run(self):
-        # The caller sees nothing: the connection is cut after five tokens, the router attaches
-        # to the same run over a new one, and the engine's record shows one start.
+        # The caller notices nothing: the connection is cut after five tokens, the router attaches
+        # to the same run over a new connection, and the engine's record shows one start.
         self.inject_fault("cut")
         outcome = self.sender.send(self.address)
         self.assertIsInstance(outcome, RunCut)
@@ -70,8 +70,8 @@
         self.assertEqual(self.run_record()["starts"], 1)
 
     def test_silent_connection_is_found_and_a_new_one_works(self):
-        # The connection stays open and carries nothing more, as when a middle box forgot it.
-        # The progress deadline finds it in 0.2 s; a new connection attaches to the same run.
+        # The connection stays open and carries no more data, as when a middlebox dropped its state.
+        # The progress deadline detects it in 0.2 s; a new connection attaches to the same run.
         self.inject_fault("silent")
         began_at = time.monotonic()
         outcome = self.sender.send(self.address, progress_s=SILENCE_LIMIT_S)
@@ -82,8 +82,8 @@
         self.assertEqual(self.run_record()["starts"], 1)
 
     def test_attach_to_a_run_in_the_queue_is_silent_but_held(self):
-        # Another's run fills the engine, and this one waits in its queue. The first sending hears nothing, and
-        # so does the attach; but the attach is answered at once, which shows that the engine has the run.
+        # Another run occupies the engine, and this one waits in its queue. The first exchange gets no token, nor
+        # does the attach; but the attach is answered immediately, which shows that the engine has the run.
         address = address_of(start_engine(self, slots=1))
         other = RunSender(call=chat_call(output_tokens=100_000))
         other.send_in_thread(address, run_id="other.1", overall_s=30.0)
@@ -93,7 +93,7 @@
         self.assertEqual(self.sender.send(address, first_s=0.2, attach=True), RunSilent(reached=True, held=True))
 
     def test_every_open_connection_goes_silent(self):
-        # All connections open at one moment go silent together; the run is under way.
+        # All open connections go silent at the same moment; the run is in progress.
         sender = RunSender(call=chat_call(output_tokens=400))
         thread = sender.send_in_thread(self.address, progress_s=SILENCE_LIMIT_S)
         self.assertTrue(sender.first_token.wait(2))
@@ -104,8 +104,8 @@
         self.assertEqual(sender.received.text, whole_answer(PROMPT, 400))
 
     def test_crossed_answer_never_reaches_the_caller(self):
-        # From the sixth token on the connection carries another run's answer. The caller has
-        # five tokens of its own; not one foreign token is passed on.
+        # From the sixth token on, the connection carries another run's answer. The caller gets
+        # the five tokens of its own run and none of the other.
         self.inject_fault("cross")
         outcome = self.sender.send(self.address)
         self.assertIsInstance(outcome, RunCut)
@@ -145,8 +145,8 @@
             self.assertIsInstance(self.sender.send(address), RunNotSent)
 
     def test_closed_before_an_answer_is_not_called_unsent(self):
-        # The engine takes the connection and the request, then dies without a word. Nobody
-        # can tell whether it ran: a cut, never a run that was not sent.
+        # The engine accepts the connection and the request, then dies without an answer. Whether
+        # the run began is unknown, so the outcome is a cut and not a run that was not sent.
         with socket.create_server(("127.0.0.1", 0)) as server:
             sender = RunSender(call=chat_call())
             thread = sender.send_in_thread(f"127.0.0.1:{server.getsockname()[1]}")
@@ -164,9 +164,9 @@
         self.assertNotIn("r.1", self.engine.record.as_dict()["runs"])
 
     def test_attach_after_a_crash_is_lost_and_resumes_elsewhere(self):
-        # The engine crashes in the middle and comes back without the run. Attaching finds it
-        # lost; another engine goes on from the tokens already had, and the caller's answer is
-        # the same as if nothing had happened.
+        # The engine crashes during the run and restarts without it. The attach finds the run
+        # lost; another engine resumes after the tokens already received, and the caller's answer
+        # is the same as without the crash.
         other = start_engine(self)
         sender = RunSender(call=chat_call(output_tokens=300))
         thread = sender.send_in_thread(self.address)
@@ -182,8 +182,8 @@
         self.assertEqual(other.record.as_dict()["runs"]["r.2"]["output_tokens"], 300 - had)
 
     def attach_after_restart(self, sender):
-        # While the server goes down it resets what it had accepted; an entry attaches again then. A connection cut
-        # by an engine that is back would be another thing, and is returned.
+        # While the server goes down it resets accepted connections, and an entry would attach again. A connection
+        # that is cut by the restarted engine is a different outcome, and is returned.
         until = time.monotonic() + 10
         while time.monotonic() < until:
             going_down = self.engine.is_down()
@@ -203,8 +203,8 @@
         self.assertEqual(self.run_record()["cancelled"], 1)
 
     def test_cancel_of_a_silent_connection_does_not_wait_for_it(self):
-        # The run's connection went silent and its progress deadline is far. The cancel goes
-        # over a new connection, and the reading thread is freed within half a second.
+        # The run's connection went silent and its progress deadline is far off. The cancel is sent
+        # over a new connection, and the reading thread is released within half a second.
         self.inject_fault("silent")
         thread = self.sender.send_in_thread(self.address, progress_s=30.0, overall_s=30.0)
         self.assertTrue(self.sender.first_token.wait(2))
@@ -214,8 +214,8 @@
         self.assertIsInstance(self.sender.ended.outcome, RunCancelled)
 
     def test_cancel_of_a_finished_run_does_not_wait_for_a_silent_connection(self):
-        # The run's connection went silent and the engine has finished the run when the cancel comes. It
-        # says so, and its answer never arrives: waited for, the place would be held until the deadline.
+        # The run's connection went silent, and the engine has finished the run when it receives the cancel. It
+        # answers so, but the run's answer never arrives: waiting for it would occupy the slot until the deadline.
         self.inject_fault("silent")
         thread = self.sender.send_in_thread(self.address, progress_s=30.0, overall_s=30.0)
         self.assertTrue(self.sender.first_token.wait(2))
@@ -259,8 +259,8 @@
         self.assertEqual(list(self.service.record.as_dict()["runs"]), ["r.1"])
 
     def test_cut_answer_is_never_whole(self):
-        # The service charged the member, then the connection broke inside the answer: the
-        # caller must not read half an answer, nor hear that the charge was not run.
+        # The service charged the member, then the connection broke within the answer: the caller
+        # must get neither half an answer nor an error that says the charge was not run.
         self.inject_fault("cut")
         outcome = self.send(plain_call())
         self.assertIsInstance(outcome, RunCut)
@@ -283,8 +283,8 @@
         self.assertIn(b"refused", self.sender.received.body)
 
     def test_refusal_counts_as_unsent_only_with_the_run_s_own_id(self):
-        # A stopping service promises that it did not begin the request. A promise that names
-        # another run is a late answer that says nothing of this one.
+        # A service that is stopping states that it did not start the request. With another run's
+        # id, the statement is a late answer and doesn't apply to this run.
         for answer_id, kind in (("r.1", RunNotSent), ("r.7", RunCut)):
             with self.subTest(answer_id), socket.create_server(("127.0.0.1", 0)) as server:
                 sender = RunSender(call=plain_call())
@@ -303,7 +303,7 @@
         self.assertEqual(self.service.record.as_dict()["runs"], {})
 
     def test_cancel_ends_this_side_and_asks_nothing_of_the_service(self):
-        # A plain service knows no cancel: a cancel sent to it would run as a request.
+        # A plain service has no cancel: a cancel sent to it would run as a request.
         self.inject_fault("silent")
         sender = RunSender(call=plain_call())
         thread = sender.send_in_thread(self.address, first_s=30.0, overall_s=30.0)
@@ -347,7 +347,7 @@
         self.assertEqual(len(self.received.tokens), 4)
 
     def test_foreign_event_among_alike_ones(self):
-        # Events like a checked one are taken by comparing bytes; a foreign one is not like it.
+        # Events like a checked one are accepted by comparing bytes, which another run's event must not pass.
         for index in range(1, 4):
             self.assertIsNone(self.check.feed(token_event(index)))
         self.assertIn("crossed", self.check.feed(token_event(4, run_id="r.2")).detail)
@@ -360,8 +360,8 @@
         self.assertEqual(self.received.tokens, ["content", "r.1", '"},{"', "id", "content", "ñ", "finish_reason"])
 
     def test_text_that_stands_twice_in_its_event(self):
-        # The first text is also the name of its field. Were the event learnt around the wrong
-        # one of the two, the name of another field would be read as the next token's text.
+        # The first text equals the name of its field. If the event's frame were derived from the wrong
+        # occurrence, the name of another field would be parsed as the next token's text.
         self.check.feed(token_event(1, text="content"))
         other = token_event(2, text="content").replace(b'"content":', b'"role":')
         self.assertIn("no text", self.check.feed(other).detail)
@@ -390,8 +390,8 @@
         self.assertIsNotNone(self.check.feed(token_event(1) + b"data: [DONE]\n\n"))
 
     def test_end_of_an_earlier_run_says_nothing_of_this_one(self):
-        # A run was cancelled and told so; the next run of the request is cut before its end.
-        # It must not be taken for cancelled, nor its answer for whole.
+        # A run ended as cancelled; the next run of the request is cut before its end. That run
+        # must not count as cancelled, nor its answer as complete.
         self.check.feed(token_event(1) + end_events(1, reason="cancelled"))
         self.assertTrue(self.check.cancelled)
         again = AnswerCheck(run_id="r.2", received=self.received, on_token=lambda index, text: None)
@@ -404,7 +404,7 @@
         self.reports = []
 
     async def asyncSetUp(self):
-        # Stand-ins start and stop on the loop here; that it is held up meanwhile is no news.
+        # Stand-ins start and stop on this loop and block it meanwhile, which must not be logged as slow callbacks.
         asyncio.get_running_loop().slow_callback_duration = 5.0
 
     async def poll(self, standin, *, until, engines=None):
@@ -445,8 +445,8 @@
         self.assertTrue(self.seen(LoadUnreachable, engine="dead-3"))
 
     async def test_silent_pooled_connection_does_not_condemn_the_engine(self):
-        # The polling connection goes silent while new ones work: the poll times out on it,
-        # then asks again over a new one. The engine is never reported unreachable.
+        # The polling connection goes silent while new ones work: the poll times out on it and
+        # is repeated over a new one. The engine is never reported unreachable.
         engine = start_engine(self)
         silenced = []
 
