--- a/tests/test_engine_model.py
+++ b/tests/test_engine_model.py
@@ -27,7 +27,7 @@
 
 
 class StepTest(unittest.TestCase):
-    def test_cold_model_answers_by_the_declaration_and_says_so(self):
+    def test_cold_model_predicts_by_the_declaration_with_zero_confidence(self):
         model = make_model()
         self.assertAlmostEqual(model.step_s(1), 0.004, places=6)
         self.assertAlmostEqual(model.prefill_s(8000), 1.0)
