--- a/tests/test_engine_model.py
+++ b/tests/test_engine_model.py
@@ -33,7 +33,7 @@
         self.assertAlmostEqual(model.prefill_s(8000), 1.0)
         self.assertEqual(model.confidence(), 0.0)
 
-    def test_prefill_between_steps_is_not_taken_for_slow_steps(self):
+    def test_prefill_between_steps_does_not_count_as_slow_steps(self):
         # Guards against refusals of requests that engines could serve. Two thirds of the reported
         # steps contain a chunk of another prompt and take 13 times an ordinary step; a mean would
         # make the engine 9 times too slow. The low end of the samples is the clean step.
