--- a/tests/test_engine_model.py
+++ b/tests/test_engine_model.py
@@ -50,7 +50,7 @@
         report_steps(model, count=25, prefill_share=1.0)
         self.assertLess(model.step_s(10), 1.5 * true_step_s(10))
 
-    def test_straggler_is_believed_slow_within_a_window(self):
+    def test_straggler_is_detected_within_a_window(self):
         model = make_model()
         report_steps(model, count=100, prefill_share=0.3)
         report_steps(model, count=80, prefill_share=0.3, factor=5.0)
