--- a/tests/test_engine_model.py
+++ b/tests/test_engine_model.py
@@ -58,7 +58,7 @@
         report_steps(model, count=80, prefill_share=0.3)
         self.assertAlmostEqual(model.step_s(10) / true_step_s(10), 1.0, delta=0.25)
 
-    def test_known_clean_steps_show_a_straggler_after_five(self):
+    def test_five_known_clean_steps_show_a_straggler(self):
         model = make_model()
         for _ in range(20):
             model.observe_report(step_s=true_step_s(10), running=10, prefilling=False)
