--- a/tests/test_engine_model.py
+++ b/tests/test_engine_model.py
@@ -80,7 +80,7 @@
 
 
 class PredictionTest(unittest.TestCase):
-    def test_pace_includes_other_prompts_prefill(self):
+    def test_token_interval_includes_other_prompts_prefill(self):
         model = make_model()
         for _ in range(200):
             model.observe_finish(output_tokens=100, decode_s=100 * 2.0 * model.step_s(10), mean_concurrency=10)
