--- a/tests/test_engine_model.py
+++ b/tests/test_engine_model.py
@@ -97,7 +97,7 @@
             )
         self.assertAlmostEqual(model.prefill_s(4000), 1.0, delta=0.1)
 
-    def test_limit_is_just_full(self):
+    def test_limit_is_the_saturation_concurrency(self):
         flat = make_model()
         self.assertEqual(flat.concurrency_limit(), 15)
         for _ in range(300):
