--- a/tests/test_engine_model.py
+++ b/tests/test_engine_model.py
@@ -107,7 +107,7 @@
 
 
 class PrefixCacheTest(unittest.TestCase):
-    def test_leading_part_is_kept_longest(self):
+    def test_leading_blocks_are_evicted_last(self):
         cache = PrefixCacheIndex(capacity_tokens=3 * BLOCK_TOKENS)
         cache.stored((1, 2, 3, 4))
         self.assertEqual(cache.cached_tokens((1, 2, 3, 4)), 3 * BLOCK_TOKENS)
