--- a/tests/test_engine_model.py
+++ b/tests/test_engine_model.py
@@ -116,7 +116,7 @@
         cache.clear()
         self.assertEqual(cache.cached_tokens((1,)), 0)
 
-    def test_parts_of_unlike_sizes_count_by_their_tokens(self):
+    def test_blocks_of_different_sizes_count_by_their_tokens(self):
         # Callers declare the parts of a prompt with their sizes: short instructions shared by all requests and a
         # conversation of five thousand tokens. Counted as blocks of one size, the conversation would count too little.
         cache = PrefixCacheIndex(capacity_tokens=6000)
