--- a/tests/test_engine_health.py
+++ b/tests/test_engine_health.py
@@ -40,7 +40,7 @@
             health.on_outcome(NAMES[0], "RunCut", 10.0)
         self.assertTrue(health.available(NAMES[0], 12.1))
 
-    def test_cancelled_runs_are_no_failures(self):
+    def test_cancelled_runs_are_not_failures(self):
         health = EngineHealth(engines=NAMES)
         for _ in range(20):
             health.on_outcome(NAMES[0], "RunCancelled", 10.0)
