--- a/tests/test_engine_health.py
+++ b/tests/test_engine_health.py
@@ -46,7 +46,7 @@
             health.on_outcome(NAMES[0], "RunCancelled", 10.0)
         self.assertEqual(health.share(NAMES[0], 10.0), 1.0)
 
-    def test_router_with_a_bad_link_of_its_own_keeps_most_engines(self):
+    def test_router_with_a_faulty_link_keeps_most_engines(self):
         # A router with a faulty network link sees runs fail on every engine although the
         # engines are healthy. If it ejected all of them, it would refuse every request.
         health = EngineHealth(engines=NAMES)
