--- a/tests/test_engine_health.py
+++ b/tests/test_engine_health.py
@@ -76,7 +76,7 @@
         finish_runs(health, start_s=30.0, end_s=50.0)
         self.assertEqual(health.share(NAMES[0], 50.0), 1.0)
 
-    def test_engine_near_the_border_does_not_swing(self):
+    def test_share_near_the_threshold_does_not_oscillate(self):
         # A share that oscillates moves work back and forth, and each move costs a
         # prefill; between the two ratios the share stays as it is.
         health = EngineHealth(engines=NAMES)
