--- a/tests/test_engine_health.py
+++ b/tests/test_engine_health.py
@@ -82,7 +82,7 @@
         health = EngineHealth(engines=NAMES)
         self.assertEqual(finish_runs(health, start_s=0.0, end_s=60.0, slow=NAMES[0], ratio=1.7), 0)
 
-    def test_all_slow_together_is_nobodys_fault(self):
+    def test_equally_slow_engines_are_not_stragglers(self):
         health = EngineHealth(engines=NAMES)
         for now in range(30):
             for name in NAMES:
