--- a/tests/test_policies.py
+++ b/tests/test_policies.py
@@ -54,7 +54,7 @@
         self.assertEqual(choose(self.policy, [slow, View("fast")]), "fast")
         self.assertEqual(choose(self.policy, [slow, View("fast", pending=20_000)]), "slow")
 
-    def test_prompt_goes_where_its_prefix_is(self):
+    def test_prompt_goes_to_the_engine_with_its_prefix(self):
         blocks = tuple(range(60))
         holder = View("holder", running=6)
         holder.cache.stored(blocks)
