--- a/tests/test_policies.py
+++ b/tests/test_policies.py
@@ -67,7 +67,7 @@
         busy = View("busy", running=12)
         self.assertEqual(choose(self.policy, [busy, idle], grant_request(prompt=8000)), "idle")
 
-    def test_excluded_and_unavailable_engines_are_left_out(self):
+    def test_excluded_and_unavailable_engines_are_skipped(self):
         engines = [View("a"), View("b", available=False)]
         for policy in (self.policy, RoundRobin(), LeastReportedLoad(), TwoChoices(seed=1)):
             self.assertEqual(choose(policy, engines), "a")
