--- a/tests/test_output_lengths.py
+++ b/tests/test_output_lengths.py
@@ -34,7 +34,7 @@
         request = ask("new", team=team, tier=2, output_tokens=CAP, hinted_tokens=hinted_tokens, **changes)
         return self.lengths.expect(request).output_tokens
 
-    def test_a_cap_is_believed_until_answers_show_otherwise(self):
+    def test_cap_is_expected_without_answers(self):
         self.assertEqual(self.expected(), CAP)
 
     def test_caps_are_seen_through_within_seconds(self):
