--- a/tests/test_output_lengths.py
+++ b/tests/test_output_lengths.py
@@ -37,7 +37,7 @@
     def test_cap_is_expected_without_answers(self):
         self.assertEqual(self.expected(), CAP)
 
-    def test_caps_are_seen_through_within_seconds(self):
+    def test_expected_length_drops_after_thirty_answers(self):
         self.observe(30)
         self.assertLess(self.expected(), 3 * MEAN)
 
