--- a/tests/test_output_lengths.py
+++ b/tests/test_output_lengths.py
@@ -41,7 +41,7 @@
         self.observe(30)
         self.assertLess(self.expected(), 3 * MEAN)
 
-    def test_another_team_of_the_tier_is_taken_to_be_alike(self):
+    def test_new_team_starts_from_the_mean_of_its_tier(self):
         # Learned per team alone, a flood from a new team would be judged by its caps for its whole duration.
         self.observe(30)
         self.assertLess(self.expected(team="guests"), 3 * MEAN)
