--- a/tests/test_output_lengths.py
+++ b/tests/test_output_lengths.py
@@ -46,7 +46,7 @@
         self.observe(30)
         self.assertLess(self.expected(team="guests"), 3 * MEAN)
 
-    def test_an_estimate_counts_before_any_answer(self):
+    def test_estimate_is_used_before_any_answer(self):
         self.assertEqual(self.expected(hinted_tokens=60), 60)
 
     def test_estimates_that_are_off_one_way_are_corrected(self):
