--- a/tests/test_output_lengths.py
+++ b/tests/test_output_lengths.py
@@ -49,7 +49,7 @@
     def test_estimate_is_used_before_any_answer(self):
         self.assertEqual(self.expected(hinted_tokens=60), 60)
 
-    def test_estimates_that_are_off_one_way_are_corrected(self):
+    def test_biased_estimates_are_corrected(self):
         self.observe(60, hint=lambda length: 2 * length)
         self.assertAlmostEqual(self.expected(hinted_tokens=200), 100, delta=25)
 
