--- a/tests/test_output_lengths.py
+++ b/tests/test_output_lengths.py
@@ -53,7 +53,7 @@
         self.observe(60, hint=lambda length: 2 * length)
         self.assertAlmostEqual(self.expected(hinted_tokens=200), 100, delta=25)
 
-    def test_an_estimate_beyond_the_cap_is_the_cap(self):
+    def test_estimate_is_limited_to_the_cap(self):
         self.assertEqual(self.expected(hinted_tokens=10 * CAP), CAP)
 
     def test_what_a_run_has_given_already_is_taken_off(self):
