--- a/tests/test_output_lengths.py
+++ b/tests/test_output_lengths.py
@@ -56,7 +56,7 @@
     def test_estimate_is_limited_to_the_cap(self):
         self.assertEqual(self.expected(hinted_tokens=10 * CAP), CAP)
 
-    def test_what_a_run_has_given_already_is_taken_off(self):
+    def test_tokens_received_already_are_subtracted(self):
         self.assertEqual(self.expected(hinted_tokens=100, done_tokens=90), 10)
         self.assertEqual(self.expected(hinted_tokens=100, done_tokens=190), 1)
 
