--- a/tests/test_rate_limit.py
+++ b/tests/test_rate_limit.py
@@ -72,7 +72,7 @@
 
 class GrantRateTest(unittest.TestCase):
     # Guards against bursts of grants: a second without requests must not be made up for in the next.
-    def test_callers_that_always_wait_get_what_the_engine_takes(self):
+    def test_full_queue_uses_the_rate_limit_without_exceeding_it(self):
         for limit_per_s in (0.5, 1.6, 2.3, 12.0):
             with self.subTest(limit_per_s=limit_per_s):
                 cell = LoadedCell()
