--- a/tests/test_rate_limit.py
+++ b/tests/test_rate_limit.py
@@ -85,7 +85,7 @@
                 self.assertGreaterEqual(len(times), 0.5 * limit_per_s * 20.0)
 
     # Guards against an engine that states a limit of 0 and gets no further request, in whose answer it could lift it.
-    def test_an_engine_that_takes_nothing_is_tried_now_and_then(self):
+    def test_engine_with_limit_0_is_probed_at_the_minimum_rate(self):
         cell = LoadedCell()
         cell.receive(notice(0.0))
         cell.run(30.0, notice_for=lambda engine: notice(0.0))
