--- a/tests/test_rate_limit.py
+++ b/tests/test_rate_limit.py
@@ -92,7 +92,7 @@
         self.assertIn(len(cell.times("e1")), (2, 3))
 
     # Guards against idle slots on other engines, or lower tiers served first, while one engine is limited.
-    def test_other_engines_are_filled_and_tiers_kept(self):
+    def test_other_engines_stay_busy_beside_a_limited_one(self):
         cell = LoadedCell(engines=("e1", "e2"), tiers=(1, 3), slots=2)
         cell.receive(notice(1.0))
         cell.run(10.0, notice_for=lambda engine: notice(1.0 if engine == "e1" else math.inf, on=engine))
