--- a/tests/test_rate_limit.py
+++ b/tests/test_rate_limit.py
@@ -102,7 +102,7 @@
 
 class ChangedLimitTest(unittest.TestCase):
     # Guards against an overloaded engine that lowers its limit and still gets the burst saved under the former one.
-    def test_a_lower_limit_counts_what_was_given_before(self):
+    def test_lower_limit_counts_earlier_requests(self):
         cell = LoadedCell()
         cell.receive(notice(10.0))
         cell.run(10.0, notice_for=lambda engine: notice(10.0))
