--- a/tests/test_rate_limit.py
+++ b/tests/test_rate_limit.py
@@ -114,7 +114,7 @@
         self.assertGreaterEqual(len(times), 0.5 * 2.0 * 12.0)
 
     # Guards against a limit that is considered lifted since one answer of several doesn't state it.
-    def test_a_limit_named_in_some_answers_only_stays(self):
+    def test_limit_in_every_third_answer_stays(self):
         cell = LoadedCell()
         answers = iter(range(10_000))
         cell.receive(notice(3.0))
