--- a/tests/test_rate_limit.py
+++ b/tests/test_rate_limit.py
@@ -122,7 +122,7 @@
         self.assertLessEqual(most_within(cell.times("e1"), WINDOW_S), 1.5 * 3.0 * WINDOW_S + 5)
 
     # Guards against a limit that is raised again and again when the engine states it at random in some answers.
-    def test_a_limit_named_at_random_stays(self):
+    def test_limit_in_random_answers_stays(self):
         for limit_per_s, share, seed in itertools.product((1.6, 2.3, 5.0), (0.5, 0.33), range(4)):
             with self.subTest(limit_per_s=limit_per_s, share=share, seed=seed):
                 cell = LoadedCell()
