--- a/tests/test_rate_limit.py
+++ b/tests/test_rate_limit.py
@@ -138,7 +138,7 @@
                 self.assertLessEqual(most, 1.5 * limit_per_s * WINDOW_S + 5)
 
     # Guards against a burst, and against seconds of idle slots, once an engine no longer states a limit.
-    def test_the_load_comes_back_over_some_seconds(self):
+    def test_load_returns_gradually_after_a_limit(self):
         cell = LoadedCell()
         cell.receive(notice(2.0))
         cell.run(8.0, notice_for=lambda engine: notice(2.0))
