--- a/tests/test_rate_limit.py
+++ b/tests/test_rate_limit.py
@@ -149,7 +149,7 @@
         self.assertGreater(sum(at > lifted_at + 6.0 for at in times), 50)
 
     # Guards against a burst worth four seconds when requests arrive after a time without any.
-    def test_a_limit_outlasts_a_time_without_requests(self):
+    def test_burst_is_bounded_after_a_time_without_requests(self):
         clock = Clock()
         limit = RateLimit(clock=clock)
         limit.observe(4.0)
