--- a/tests/test_rate_limit.py
+++ b/tests/test_rate_limit.py
@@ -157,7 +157,7 @@
         self.assertEqual(limit.available_requests(), 2)
 
     # Guards against a delayed notice that overrides a later one.
-    def test_a_later_word_stands(self):
+    def test_delayed_notice_does_not_override_a_later_one(self):
         clock = Clock()
         limit = RateLimit(clock=clock)
         limit.observe(2.0)
