--- a/tests/test_rate_limit.py
+++ b/tests/test_rate_limit.py
@@ -167,7 +167,7 @@
 
 class NewSchedulerTest(unittest.TestCase):
     # Guards against a scheduler that takes over while a limit is in force, and fills the engine.
-    def test_entries_tell_a_new_scheduler_what_they_heard(self):
+    def test_registration_informs_a_new_scheduler_of_limits(self):
         cell = LoadedCell()
         cell.receive(register("r1", notices=(notice(2.0, age_s=1.0),)))
         cell.run(8.0, notice_for=lambda engine: notice(2.0))
