--- a/tests/test_rate_limit.py
+++ b/tests/test_rate_limit.py
@@ -177,7 +177,7 @@
 class UninformedSchedulerTest(unittest.TestCase):
     # Guards against use of a slot granted by a scheduler that hasn't received the notice yet: the entry returns it.
     @on_paused_clock
-    async def test_an_uninformed_grant_goes_back_and_the_scheduler_is_told(self):
+    async def test_uninformed_grant_is_returned_with_the_notice(self):
         request = OneRequest()
         await asyncio.sleep(0.0)
         request.schedulers.sent.clear()
