--- a/tests/test_rate_limit.py
+++ b/tests/test_rate_limit.py
@@ -196,7 +196,7 @@
 
     # Guards against a limit that ended without notice to this entry: an expired notice must not return grants.
     @on_paused_clock
-    async def test_an_old_word_binds_nobody(self):
+    async def test_expired_notice_does_not_return_grants(self):
         request = OneRequest()
         request.entry.post("r1", notice(2.0))
         self.assertEqual(len(request.entry.register("asistente").notices), 1)
