--- a/tests/test_rate_limit.py
+++ b/tests/test_rate_limit.py
@@ -216,7 +216,7 @@
         self.assertEqual(cell.entries.ids(Granted), ["s"])
 
     # Guards against requests that a rollout sends in excess of their engine's limit.
-    def test_places_for_a_roll_out_keep_to_the_limit(self):
+    def test_slots_for_a_rollout_respect_the_limit(self):
         cell = Cell(members=("r1",))
         cell.receive(register("r1"), notice(1.0))
         (engine,) = cell.scheduler._runs.engines
