--- a/tests/test_rest_notices.py
+++ b/tests/test_rest_notices.py
@@ -27,7 +27,7 @@
         return {(message.request_id[0], message.engine) for message in self.cell.entries.of(Granted)}
 
     # Guards against grants that the entry returns one by one, and against a back-off applied to every router.
-    def test_the_entry_gets_other_engines_and_other_entries_get_this_one(self):
+    def test_back_off_applies_to_one_entry_only(self):
         self.cell.receive(back_off_notice(), ask("a1"), ask("a2"), ask("b1", entry="r2"), ask("b2", entry="r2"))
         self.assertEqual(self.granted(), {("a", "e2"), ("b", "e1")})
 
