--- a/tests/test_rest_notices.py
+++ b/tests/test_rest_notices.py
@@ -32,7 +32,7 @@
         self.assertEqual(self.granted(), {("a", "e2"), ("b", "e1")})
 
     # Guards against a request that is refused, or sent early, though a back-off ends before it must begin.
-    def test_a_request_with_time_waits_for_the_first_rest_to_end(self):
+    def test_request_with_time_waits_for_the_first_back_off_to_end(self):
         self.cell.receive(
             back_off_notice(), back_off_notice(on="e2", rest_s=2 * BACK_OFF_S), ask("a", remaining_s=20.0)
         )
