--- a/tests/test_rest_notices.py
+++ b/tests/test_rest_notices.py
@@ -41,7 +41,7 @@
         self.assertEqual(self.granted(), {("a", "e1")})
 
     # Guards against a futile wait, and against a Retry-After that is too short.
-    def test_a_request_without_that_time_is_refused_at_once_and_told_when(self):
+    def test_request_without_time_is_refused_with_the_remaining_back_off(self):
         self.cell.receive(
             back_off_notice(), back_off_notice(on="e2", rest_s=2 * BACK_OFF_S), ask("a", first_token_within_s=1.0)
         )
