--- a/tests/test_rest_notices.py
+++ b/tests/test_rest_notices.py
@@ -50,7 +50,7 @@
         self.assertLess(refused.retry_after_s, 2 * BACK_OFF_S)
 
     # Guards against a new scheduler whose grants its entries must return.
-    def test_a_registration_tells_of_rests(self):
+    def test_registration_informs_a_scheduler_of_back_offs(self):
         self.cell.receive(register("r1", notices=(back_off_notice(),)), ask("a1"), ask("a2"), ask("a3"))
         self.assertEqual(self.granted(), {("a", "e2")})
 
