--- a/tests/test_rest_notices.py
+++ b/tests/test_rest_notices.py
@@ -55,7 +55,7 @@
         self.assertEqual(self.granted(), {("a", "e2")})
 
     # Guards against repeated back-off notices that count as answers without a limit.
-    def test_a_rest_told_again_ends_no_limit(self):
+    def test_repeated_back_off_notice_ends_no_limit(self):
         self.cell.receive(EngineNotice(engine="e1", limit_per_s=2.0))
         self.cell.advance(2.0)
         self.cell.receive(*[register("r1", notices=(back_off_notice(),)) for _ in range(9)])
