--- a/tests/test_rest_notices.py
+++ b/tests/test_rest_notices.py
@@ -63,7 +63,7 @@
         self.assertEqual(self.cell.scheduler._runs.engines_by_name["e1"].rate_limit.per_s(), 2.0)
 
     # Guards against a suspect that is run alone on an engine that asked to back off.
-    def test_a_suspect_leaves_the_engine_out(self):
+    def test_suspect_avoids_an_engine_that_backs_off(self):
         self.cell.receive(back_off_notice(), ask("s", alone=True))
         self.cell.advance(0.2)
         self.assertEqual(self.granted(), {("s", "e2")})
