--- a/tests/test_rest_notices.py
+++ b/tests/test_rest_notices.py
@@ -72,7 +72,7 @@
 class EntryTest(unittest.TestCase):
     # Guards against a slot granted by an uninformed scheduler; the engine is excluded only during the back-off.
     @on_paused_clock
-    async def test_a_grant_within_a_rest_goes_back_and_one_after_it_is_used(self):
+    async def test_grant_is_returned_during_a_back_off_and_used_after_it(self):
         request = OneRequest()
         await asyncio.sleep(0.0)
         request.entry.post("r1", back_off_notice(entry=""))
