--- a/tests/test_rest_notices.py
+++ b/tests/test_rest_notices.py
@@ -89,7 +89,7 @@
 
     # Guards against a slot that is returned forever: the scheduler may know of a later start of the engine.
     @on_paused_clock
-    async def test_a_second_grant_within_the_rest_leaves_the_engine_out(self):
+    async def test_second_grant_during_a_back_off_excludes_the_engine(self):
         request = OneRequest()
         request.entry.post("r1", back_off_notice())
         await request.grant("e1")
