--- a/tests/test_rest_notices.py
+++ b/tests/test_rest_notices.py
@@ -99,7 +99,7 @@
 
     # Guards against a shorter back-off in a later answer that ends a longer one.
     @on_paused_clock
-    async def test_the_longest_rest_holds(self):
+    async def test_longest_back_off_applies(self):
         request = OneRequest()
         request.entry.post("r1", back_off_notice())
         request.entry.post("r1", back_off_notice(rest_s=0.1))
