--- a/tests/test_rest_notices.py
+++ b/tests/test_rest_notices.py
@@ -109,7 +109,7 @@
 
     # Guards against a Retry-After that ends while every engine that rejected the request still backs off.
     @on_paused_clock
-    async def test_who_is_given_up_on_is_told_when_the_first_rest_ends(self):
+    async def test_retry_after_is_the_end_of_the_first_back_off(self):
         request = OneRequest()
         for name in ("e1", "e2"):
             request.entry.post("r1", back_off_notice(on=name))
