--- a/tests/test_rest_notices.py
+++ b/tests/test_rest_notices.py
@@ -129,7 +129,7 @@
         return read_notice(command, limit=None, leaving=False, retry_after=text).rest_s
 
     # Guards against an invalid header, and against one that would exclude an engine forever.
-    def test_only_a_number_of_seconds_asks_for_a_rest(self):
+    def test_only_a_number_of_seconds_is_a_back_off(self):
         for text in ("", "0", "-3", "nan", "inf", "soon", "Wed, 21 Oct 2026 07:28:00 GMT"):
             with self.subTest(text=text):
                 self.assertEqual(self.rest_s(text), 0.0)
