--- a/tests/test_leaving_notices.py
+++ b/tests/test_leaving_notices.py
@@ -19,7 +19,7 @@
 class EntryTest(unittest.TestCase):
     # Guards against a scheduler without the notice: its grant is returned, and the next request excludes the engine.
     @on_paused_clock
-    async def test_a_grant_on_an_engine_that_leaves_goes_back_and_the_scheduler_is_told(self):
+    async def test_grant_on_a_draining_engine_is_returned_with_the_notice(self):
         request = OneRequest()
         request.entry.post("r1", leaving_notice())
         request.schedulers.sent.clear()
