--- a/tests/test_leaving_notices.py
+++ b/tests/test_leaving_notices.py
@@ -32,7 +32,7 @@
 
     # Guards against a notice that outlives its cause: an engine that is still listed may have restarted.
     @on_paused_clock
-    async def test_the_word_holds_for_a_bounded_time(self):
+    async def test_notice_expires(self):
         request = OneRequest()
         request.entry.post("r1", leaving_notice())
         self.assertEqual(len(request.entry.register("asistente").notices), 1)
