--- a/tests/test_leaving_notices.py
+++ b/tests/test_leaving_notices.py
@@ -53,7 +53,7 @@
         return self.granted()
 
     # Guards against new work for an engine after one router has received its draining notice.
-    def test_nothing_is_granted_on_an_engine_that_said_so_to_one_entry(self):
+    def test_nothing_is_granted_on_a_draining_engine_after_one_notice(self):
         self.cell.receive(register("r1"), leaving_notice())
         self.assertEqual(self.request_four(), {"e2"})
         # The list clears its own mark, not the engine's notice.
