--- a/tests/test_leaving_notices.py
+++ b/tests/test_leaving_notices.py
@@ -63,7 +63,7 @@
         self.assertEqual(self.granted(), {"e2"})
 
     # Guards against a new or restarted scheduler that knows only the store's state.
-    def test_entries_tell_a_new_scheduler(self):
+    def test_registration_informs_a_new_scheduler_of_draining_engines(self):
         self.cell.receive(register("r1", notices=(leaving_notice(age_s=8.0),)))
         self.assertEqual(self.request_four(), {"e2"})
 
