--- a/tests/test_leaving_notices.py
+++ b/tests/test_leaving_notices.py
@@ -68,7 +68,7 @@
         self.assertEqual(self.request_four(), {"e2"})
 
     # Guards against an engine excluded because its former start, or an earlier engine of its name, announced draining.
-    def test_an_engine_that_started_again_is_not_leaving(self):
+    def test_restarted_engine_is_not_draining(self):
         former, later = engine("e1"), engine("e1")
         former.start_ms, later.start_ms = EARLIER_START_MS, LATER_START_MS
         self.cell.scheduler.set_engines({"e1": former, "e2": engine("e2")})
