--- a/tests/test_notice_reading.py
+++ b/tests/test_notice_reading.py
@@ -30,7 +30,7 @@
         headers = {name.replace("_", "-"): value for name, value in headers.items()}
         return plain_call().notice(answer({"X-Request-Id": run_id} | headers, status=status))
 
-    def test_all_that_an_engine_may_ask_for(self):
+    def test_all_notices_of_an_engine(self):
         notice = self.read(status=503, X_Rate_Limit="2.3", X_Leaving="yes", Retry_After="3")
         self.assertEqual((notice.engine, notice.start_ms), ("e1", START_MS))
         self.assertEqual((notice.limit_per_s, notice.leaving, notice.rest_s), (2.3, True, 3.0))
@@ -52,7 +52,7 @@
         headers = {name.replace("_", "-"): value for name, value in headers.items()}
         return call.notice(answer({"Request-Id": request_id} | headers, status=status))
 
-    def test_all_that_an_engine_may_ask_for(self):
+    def test_all_notices_of_an_engine(self):
         notice = self.read(status=503, Server_Limit="2.3", Server_Leaving="1", Retry_After="3")
         self.assertEqual((notice.limit_per_s, notice.leaving, notice.rest_s), (2.3, True, 3.0))
 
