--- a/tests/test_notice_reading.py
+++ b/tests/test_notice_reading.py
@@ -36,7 +36,7 @@
         self.assertEqual((notice.limit_per_s, notice.leaving, notice.rest_s), (2.3, True, 3.0))
 
     # Guards against a service's Retry-After on an answer to a request that it ran.
-    def test_only_an_answer_that_turns_away_asks_for_a_rest(self):
+    def test_only_a_rejection_asks_for_a_back_off(self):
         self.assertFalse(self.read(status=200, Retry_After="3").asks_something)
 
     # Guards against a notice in another run's answer, received on this connection, that is applied to this engine.
