--- a/tests/test_notice_reading.py
+++ b/tests/test_notice_reading.py
@@ -40,7 +40,7 @@
         self.assertFalse(self.read(status=200, Retry_After="3").asks_something)
 
     # Guards against a notice in another run's answer, received on this connection, that is applied to this engine.
-    def test_a_stray_answer_says_nothing(self):
+    def test_answer_to_another_run_gives_no_notice(self):
         self.assertIsNone(self.read(run_id="r.2", X_Leaving="yes"))
 
 
