--- a/tests/test_notice_reading.py
+++ b/tests/test_notice_reading.py
@@ -57,7 +57,7 @@
         self.assertEqual((notice.limit_per_s, notice.leaving, notice.rest_s), (2.3, True, 3.0))
 
     # Guards against another engine at the address, or another request's answer, that excludes this engine.
-    def test_an_answer_of_another_engine_or_request_says_nothing(self):
+    def test_answer_of_another_engine_or_request_gives_no_notice(self):
         self.assertIsNone(self.read(status=421, Server_Leaving="1"))
         self.assertIsNone(self.read(request_id="another", Server_Leaving="1"))
 
