--- a/tests/test_notice_reading.py
+++ b/tests/test_notice_reading.py
@@ -62,7 +62,7 @@
         self.assertIsNone(self.read(request_id="another", Server_Leaving="1"))
 
     # Guards against an invalid limit that ends the one before it.
-    def test_a_limit_that_cannot_be_read_neither_holds_nor_ends(self):
+    def test_invalid_limit_neither_sets_nor_ends_one(self):
         for text in ("", "many", "-1", "nan", "inf"):
             with self.subTest(text=text):
                 self.assertIsNone(self.read(Server_Limit=text))
