--- a/tests/test_engine_http.py
+++ b/tests/test_engine_http.py
@@ -43,7 +43,7 @@
         self.assertEqual(self.sender.received.text, whole_answer(PROMPT, output_tokens))
         self.assertEqual([index for index, _ in self.sender.tokens], list(range(1, output_tokens + 1)))
 
-    def test_whole_answer(self):
+    def test_complete_answer(self):
         outcome = self.sender.send(self.address)
         self.assertEqual(outcome, RunDone(prompt_tokens=10, cached_tokens=0, output_tokens=20))
         self.assert_complete()
@@ -249,7 +249,7 @@
     def inject_fault(self, kind):
         self.service.faults.update({"stream_kind": kind, "stream_count": 1})
 
-    def test_whole_answer(self):
+    def test_complete_answer(self):
         headers = {"Authorization": "Bearer secret", "x-request-id": "callers-own", "Content-Type": "text/plain"}
         call = plain_call(query="slot=7", body=b"beach", headers=headers)
         self.assertEqual(self.send(call), RunDone())
