--- a/tests/test_engine_http.py
+++ b/tests/test_engine_http.py
@@ -51,7 +51,7 @@
         self.assertEqual(self.sender.events[0].prompt_tokens, 10)
         self.assertEqual(self.run_record()["caller_request_id"], "caller-1")
 
-    def test_progress_is_told_a_few_times_a_second(self):
+    def test_progress_events_are_limited_per_second(self):
         sender = RunSender(call=chat_call(output_tokens=600))
         sender.send(self.address)
         advanced = [event for event in sender.events if isinstance(event, RunAdvanced)]
