--- a/tests/test_engine_http.py
+++ b/tests/test_engine_http.py
@@ -69,7 +69,7 @@
         self.assert_complete()
         self.assertEqual(self.run_record()["starts"], 1)
 
-    def test_silent_connection_is_found_and_a_new_one_works(self):
+    def test_silent_connection_is_detected_and_a_new_one_works(self):
         # The connection stays open and carries no more data, as when a middlebox dropped its state.
         # The progress deadline detects it in 0.2 s; a new connection attaches to the same run.
         self.inject_fault("silent")
