--- a/tests/test_engine_http.py
+++ b/tests/test_engine_http.py
@@ -123,7 +123,7 @@
         self.assertIn("gap", outcome.detail)
         self.assertEqual(self.sender.received.text, whole_answer(PROMPT, 5))
 
-    def test_late_token_within_the_deadline_is_no_fault(self):
+    def test_late_token_within_the_deadline_is_accepted(self):
         self.inject_fault("late", late_s=0.1)
         self.assertIsInstance(self.sender.send(self.address, progress_s=1.0), RunDone)
         self.assert_complete()
