--- a/tests/test_engine_http.py
+++ b/tests/test_engine_http.py
@@ -144,7 +144,7 @@
             address = f"127.0.0.1:{free.getsockname()[1]}"
             self.assertIsInstance(self.sender.send(address), RunNotSent)
 
-    def test_closed_before_an_answer_is_not_called_unsent(self):
+    def test_closed_before_an_answer_is_a_cut(self):
         # The engine accepts the connection and the request, then dies without an answer. Whether
         # the run began is unknown, so the outcome is a cut and not a run that was not sent.
         with socket.create_server(("127.0.0.1", 0)) as server:
