--- a/tests/test_engine_http.py
+++ b/tests/test_engine_http.py
@@ -193,7 +193,7 @@
             time.sleep(0.02)
         return None
 
-    def test_cancel_ends_the_run_on_both_sides(self):
+    def test_cancel_ends_the_run_on_engine_and_router(self):
         sender = RunSender(call=chat_call(output_tokens=10_000))
         thread = sender.send_in_thread(self.address, overall_s=30.0)
         self.assertTrue(sender.first_token.wait(2))
