--- a/tests/test_engine_http.py
+++ b/tests/test_engine_http.py
@@ -258,7 +258,7 @@
         self.assertEqual(self.sender.ended.body, self.sender.received.body)
         self.assertEqual(list(self.service.record.as_dict()["runs"]), ["r.1"])
 
-    def test_cut_answer_is_never_whole(self):
+    def test_cut_answer_is_never_complete(self):
         # The service charged the member, then the connection broke within the answer: the caller
         # must get neither half an answer nor an error that says the charge was not run.
         self.inject_fault("cut")
