--- a/tests/test_engine_http.py
+++ b/tests/test_engine_http.py
@@ -277,7 +277,7 @@
         self.inject_fault("silent")
         self.assertEqual(self.send(plain_call(), first_s=0.2), RunSilent())
 
-    def test_errors_of_the_service_are_whole_answers(self):
+    def test_errors_of_the_service_are_complete_answers(self):
         self.service.faults.update({"reject_status": 409, "reject_count": 1})
         self.assertEqual(self.send(plain_call()), RunRejected(status=409))
         self.assertIn(b"refused", self.sender.received.body)
