--- a/tests/test_engine_http.py
+++ b/tests/test_engine_http.py
@@ -302,7 +302,7 @@
         self.assertIsInstance(self.send(call), RunNotSent)
         self.assertEqual(self.service.record.as_dict()["runs"], {})
 
-    def test_cancel_ends_this_side_and_asks_nothing_of_the_service(self):
+    def test_cancel_of_a_plain_run_sends_nothing_to_the_service(self):
         # A plain service has no cancel: a cancel sent to it would run as a request.
         self.inject_fault("silent")
         sender = RunSender(call=plain_call())
