--- a/tests/test_engine_http.py
+++ b/tests/test_engine_http.py
@@ -338,7 +338,7 @@
         self.assertIsNone(self.check.end())
         self.assertEqual(self.received.text, "".join(f"word{index} " for index in range(1, 8)))
 
-    def test_other_line_ends_and_no_blank(self):
+    def test_crlf_line_ends_and_no_space_after_the_colon(self):
         whole = b": hello\n\n" + b"".join(token_event(index) for index in range(1, 5)) + end_events(4)
         data = whole.replace(b"\n", b"\r\n").replace(b"data: ", b"data:")
         for position in range(len(data)):
