--- a/tests/test_engine_http.py
+++ b/tests/test_engine_http.py
@@ -346,7 +346,7 @@
         self.assertIsNone(self.check.end())
         self.assertEqual(len(self.received.tokens), 4)
 
-    def test_foreign_event_among_alike_ones(self):
+    def test_event_of_another_run_among_matching_ones(self):
         # Events like a checked one are accepted by comparing bytes, which another run's event must not pass.
         for index in range(1, 4):
             self.assertIsNone(self.check.feed(token_event(index)))
