--- a/tests/test_engine_http.py
+++ b/tests/test_engine_http.py
@@ -359,7 +359,7 @@
             self.assertIsNone(self.check.feed(token_event(index, text=text)))
         self.assertEqual(self.received.tokens, ["content", "r.1", '"},{"', "id", "content", "ñ", "finish_reason"])
 
-    def test_text_that_stands_twice_in_its_event(self):
+    def test_text_that_occurs_twice_in_its_event(self):
         # The first text equals the name of its field. If the event's frame were derived from the wrong
         # occurrence, the name of another field would be parsed as the next token's text.
         self.check.feed(token_event(1, text="content"))
