--- a/tests/test_engine_http.py
+++ b/tests/test_engine_http.py
@@ -367,7 +367,7 @@
         self.assertIn("no text", self.check.feed(other).detail)
         self.assertEqual(self.received.tokens, ["content"])
 
-    def test_alike_event_with_a_text_that_is_no_string(self):
+    def test_matching_event_with_a_text_that_is_no_string(self):
         self.check.feed(token_event(1))
         broken = token_event(2).replace(b'"word2 "', b'"word2 ","role":"x"')
         self.assertIsNone(self.check.feed(broken))
