--- a/tests/test_engine_http.py
+++ b/tests/test_engine_http.py
@@ -374,7 +374,7 @@
         self.assertEqual(self.received.tokens, ["word1 ", "word2 "])
         self.assertIsNotNone(self.check.feed(token_event(3).replace(b'"word3 "', b"7")))
 
-    def test_ends_that_are_not_whole(self):
+    def test_incomplete_ends(self):
         cases = {
             "no end mark": token_event(1),
             "count too high": token_event(1) + end_events(2),
