--- a/tests/test_engine_http.py
+++ b/tests/test_engine_http.py
@@ -389,7 +389,7 @@
     def test_end_mark_without_a_reason(self):
         self.assertIsNotNone(self.check.feed(token_event(1) + b"data: [DONE]\n\n"))
 
-    def test_end_of_an_earlier_run_says_nothing_of_this_one(self):
+    def test_end_of_an_earlier_run_does_not_apply_to_this_one(self):
         # A run ended as cancelled; the next run of the request is cut before its end. That run
         # must not count as cancelled, nor its answer as complete.
         self.check.feed(token_event(1) + end_events(1, reason="cancelled"))
