--- a/tests/test_engine_http.py
+++ b/tests/test_engine_http.py
@@ -339,8 +339,8 @@
         self.assertEqual(self.received.text, "".join(f"word{index} " for index in range(1, 8)))
 
     def test_crlf_line_ends_and_no_space_after_the_colon(self):
-        whole = b": hello\n\n" + b"".join(token_event(index) for index in range(1, 5)) + end_events(4)
-        data = whole.replace(b"\n", b"\r\n").replace(b"data: ", b"data:")
+        stream = b": hello\n\n" + b"".join(token_event(index) for index in range(1, 5)) + end_events(4)
+        data = stream.replace(b"\n", b"\r\n").replace(b"data: ", b"data:")
         for position in range(len(data)):
             self.assertIsNone(self.check.feed(data[position : position + 1]))
         self.assertIsNone(self.check.end())
