--- a/tests/test_rest_notices.py
+++ b/tests/test_rest_notices.py
@@ -79,8 +79,8 @@
         request.schedulers.sent.clear()
         await request.grant("e1")
         self.assertEqual(request.caller.starts, [])
-        told, *_, again = request.schedulers.sent
-        self.assertEqual((told.engine, told.entry), ("e1", request.entry.name))
+        sent_notice, *_, again = request.schedulers.sent
+        self.assertEqual((sent_notice.engine, sent_notice.entry), ("e1", request.entry.name))
         self.assertIsInstance(again, GrantRequest)
         self.assertEqual(again.excluded_engines, ())
         await asyncio.sleep(BACK_OFF_S)
