--- a/tests/test_rate_limit.py
+++ b/tests/test_rate_limit.py
@@ -182,8 +182,8 @@
         await asyncio.sleep(0.0)
         request.schedulers.sent.clear()
         request.entry.post("r1", notice(2.0))
-        (told,) = [message for message in request.schedulers.sent if isinstance(message, EngineNotice)]
-        self.assertEqual((told.engine, told.limit_per_s), ("e1", 2.0))
+        (sent_notice,) = [message for message in request.schedulers.sent if isinstance(message, EngineNotice)]
+        self.assertEqual((sent_notice.engine, sent_notice.limit_per_s), ("e1", 2.0))
         request.schedulers.sent.clear()
         await request.grant("e1")
         self.assertEqual(request.caller.starts, [])
