--- a/tests/test_rest_notices.py
+++ b/tests/test_rest_notices.py
@@ -79,10 +79,10 @@
         request.schedulers.sent.clear()
         await request.grant("e1")
         self.assertEqual(request.caller.starts, [])
-        sent_notice, *_, again = request.schedulers.sent
+        sent_notice, *_, repeated_request = request.schedulers.sent
         self.assertEqual((sent_notice.engine, sent_notice.entry), ("e1", request.entry.name))
-        self.assertIsInstance(again, GrantRequest)
-        self.assertEqual(again.excluded_engines, ())
+        self.assertIsInstance(repeated_request, GrantRequest)
+        self.assertEqual(repeated_request.excluded_engines, ())
         await asyncio.sleep(BACK_OFF_S)
         await request.grant("e1")
         self.assertEqual(len(request.caller.starts), 1)
