--- a/tests/test_rate_limit.py
+++ b/tests/test_rate_limit.py
@@ -84,7 +84,7 @@
                 self.assertLessEqual(most_within(times, WINDOW_S), limit_per_s * WINDOW_S + 1)
                 self.assertGreaterEqual(len(times), 0.5 * limit_per_s * 20.0)
 
-    # Guards against an engine that states a limit of 0 and gets no further request, in whose answer it could lift it.
+    # Guards against an engine that states a limit of 0 and gets no further request: only an answer can lift the limit.
     def test_engine_with_limit_0_is_probed_at_the_minimum_rate(self):
         cell = LoadedCell()
         cell.receive(notice(0.0))
