--- a/tests/test_engine_health.py
+++ b/tests/test_engine_health.py
@@ -5,14 +5,14 @@
 NAMES = tuple(f"engine-{number}" for number in range(9))
 
 
-def steady(health, *, start_s, end_s, slow=None, ratio=5.0):
-    """Every engine finishes twice a second; returns how often ``slow`` changed its share."""
+def finish_runs(health, *, start_s, end_s, slow=None, ratio=5.0):
+    """Finish a run on every engine twice a second; returns how often the share of ``slow`` changed."""
     changes = 0
     now = start_s
     while now < end_s:
         before = health.share(slow, now) if slow else 1.0
         for name in NAMES:
-            health.on_progress_rate(name, ratio if name == slow else 1.0, now)
+            health.on_slowdown(name, ratio if name == slow else 1.0, now)
         changes += bool(slow) and health.share(slow, now) != before
         now += 0.5
     return changes
@@ -40,15 +40,15 @@
             health.on_outcome(NAMES[0], "RunCut", 10.0)
         self.assertTrue(health.available(NAMES[0], 12.1))
 
-    def test_cancelled_runs_are_no_failures(self):
+    def test_cancelled_runs_are_not_failures(self):
         health = EngineHealth(engines=NAMES)
         for _ in range(20):
             health.on_outcome(NAMES[0], "RunCancelled", 10.0)
         self.assertEqual(health.share(NAMES[0], 10.0), 1.0)
 
-    def test_router_with_a_bad_link_of_its_own_keeps_most_engines(self):
-        # Callers of one router see runs fail on every engine, since its own link drops
-        # them. If it ejected all it would refuse everything; the engines are sound.
+    def test_router_with_a_faulty_link_keeps_most_engines(self):
+        # A router with a faulty network link sees runs fail on every engine although the
+        # engines are healthy. If it ejected all of them, it would refuse every request.
         health = EngineHealth(engines=NAMES)
         for now in range(60):
             for name in NAMES:
@@ -67,24 +67,24 @@
 class StragglerTest(unittest.TestCase):
     def test_straggler_loses_its_share_within_seconds_and_regains_it(self):
         health = EngineHealth(engines=NAMES)
-        steady(health, start_s=0.0, end_s=10.0)
-        changes = steady(health, start_s=10.0, end_s=14.0, slow=NAMES[0])
+        finish_runs(health, start_s=0.0, end_s=10.0)
+        changes = finish_runs(health, start_s=10.0, end_s=14.0, slow=NAMES[0])
         self.assertLessEqual(health.share(NAMES[0], 14.0), 0.25)
-        changes += steady(health, start_s=14.0, end_s=30.0, slow=NAMES[0])
+        changes += finish_runs(health, start_s=14.0, end_s=30.0, slow=NAMES[0])
         self.assertGreaterEqual(health.share(NAMES[0], 30.0), MIN_SHARE)
         self.assertLessEqual(changes, 4)
-        steady(health, start_s=30.0, end_s=50.0)
+        finish_runs(health, start_s=30.0, end_s=50.0)
         self.assertEqual(health.share(NAMES[0], 50.0), 1.0)
 
-    def test_engine_near_the_border_does_not_swing(self):
-        # Share lost and regained in turn moves work to and fro, and each move costs a
-        # prefill; between the two ratios nothing changes.
+    def test_share_near_the_threshold_does_not_oscillate(self):
+        # A share that oscillates moves work back and forth, and each move costs a
+        # prefill; between the two ratios the share stays as it is.
         health = EngineHealth(engines=NAMES)
-        self.assertEqual(steady(health, start_s=0.0, end_s=60.0, slow=NAMES[0], ratio=1.7), 0)
+        self.assertEqual(finish_runs(health, start_s=0.0, end_s=60.0, slow=NAMES[0], ratio=1.7), 0)
 
-    def test_all_slow_together_is_nobodys_fault(self):
+    def test_equally_slow_engines_are_not_stragglers(self):
         health = EngineHealth(engines=NAMES)
         for now in range(30):
             for name in NAMES:
-                health.on_progress_rate(name, 4.0, float(now))
+                health.on_slowdown(name, 4.0, float(now))
         self.assertEqual({health.share(name, 30.0) for name in NAMES}, {1.0})
--- a/tests/test_engine_http.py
+++ b/tests/test_engine_http.py
@@ -1,4 +1,4 @@
-"""One run over HTTP: each way it can end, against the stand-in's own record."""
+"""Runs over HTTP: each way in which one can end, compared with the stand-in's record."""
 
 import asyncio
 import socket
@@ -21,8 +21,8 @@
 from wagtailtrestle.engines.reports import EngineReports
 from wagtailtrestle.standins.prompts import whole_answer
 
-SHORT_S = 0.2
-"""Limit on silence of a run whose silence is to be found."""
+SILENCE_LIMIT_S = 0.2
+"""Silence deadline of a run whose silence must be detected."""
 
 
 class TestLanguageRun(unittest.TestCase):
@@ -31,7 +31,7 @@
         self.address = address_of(self.engine)
         self.sender = RunSender(call=chat_call())
 
-    def fail_next(self, kind, *, after_tokens=5, late_s=0.5):
+    def inject_fault(self, kind, *, after_tokens=5, late_s=0.5):
         self.engine.faults.update(
             {"stream_kind": kind, "stream_after_tokens": after_tokens, "stream_count": 1, "late_s": late_s}
         )
@@ -39,19 +39,19 @@
     def run_record(self, run_id="r.1"):
         return self.engine.record.as_dict()["runs"][run_id]
 
-    def assert_whole(self, output_tokens=20):
+    def assert_complete(self, output_tokens=20):
         self.assertEqual(self.sender.received.text, whole_answer(PROMPT, output_tokens))
         self.assertEqual([index for index, _ in self.sender.tokens], list(range(1, output_tokens + 1)))
 
-    def test_whole_answer(self):
+    def test_complete_answer(self):
         outcome = self.sender.send(self.address)
         self.assertEqual(outcome, RunDone(prompt_tokens=10, cached_tokens=0, output_tokens=20))
-        self.assert_whole()
+        self.assert_complete()
         self.assertIsInstance(self.sender.events[0], RunBegan)
         self.assertEqual(self.sender.events[0].prompt_tokens, 10)
         self.assertEqual(self.run_record()["caller_request_id"], "caller-1")
 
-    def test_progress_is_told_a_few_times_a_second(self):
+    def test_progress_events_are_limited_per_second(self):
         sender = RunSender(call=chat_call(output_tokens=600))
         sender.send(self.address)
         advanced = [event for event in sender.events if isinstance(event, RunAdvanced)]
@@ -59,31 +59,31 @@
         self.assertGreaterEqual(len(advanced), 1)
 
     def test_cut_stream_attaches_to_the_same_run(self):
-        # The caller sees nothing: the connection is cut after five tokens, the router attaches
-        # to the same run over a new one, and the engine's record shows one start.
-        self.fail_next("cut")
+        # The caller notices nothing: the connection is cut after five tokens, the router attaches
+        # to the same run over a new connection, and the engine's record shows one start.
+        self.inject_fault("cut")
         outcome = self.sender.send(self.address)
         self.assertIsInstance(outcome, RunCut)
         self.assertEqual((outcome.output_tokens, outcome.reached), (5, True))
         self.assertIsInstance(self.sender.send(self.address, attach=True), RunDone)
-        self.assert_whole()
+        self.assert_complete()
         self.assertEqual(self.run_record()["starts"], 1)
 
-    def test_silent_connection_is_found_and_a_new_one_works(self):
-        # The connection stays open and carries nothing more, as when a middle box forgot it.
-        # The progress deadline finds it in 0.2 s; a new connection attaches to the same run.
-        self.fail_next("silent")
+    def test_silent_connection_is_detected_and_a_new_one_works(self):
+        # The connection stays open and carries no more data, as when a middlebox dropped its state.
+        # The progress deadline detects it in 0.2 s; a new connection attaches to the same run.
+        self.inject_fault("silent")
         began_at = time.monotonic()
-        outcome = self.sender.send(self.address, progress_s=SHORT_S)
+        outcome = self.sender.send(self.address, progress_s=SILENCE_LIMIT_S)
         self.assertLess(time.monotonic() - began_at, 1.0)
         self.assertEqual(outcome, RunSilent(output_tokens=5, reached=True))
         self.assertIsInstance(self.sender.send(self.address, attach=True), RunDone)
-        self.assert_whole()
+        self.assert_complete()
         self.assertEqual(self.run_record()["starts"], 1)
 
     def test_attach_to_a_run_in_the_queue_is_silent_but_held(self):
-        # Another's run fills the engine, and this one waits in its queue. The first sending hears nothing, and
-        # so does the attach; but the attach is answered at once, which shows that the engine has the run.
+        # Another run occupies the engine, and this one waits in its queue. The first exchange gets no token, nor
+        # does the attach; but the attach is answered immediately, which shows that the engine has the run.
         address = address_of(start_engine(self, slots=1))
         other = RunSender(call=chat_call(output_tokens=100_000))
         other.send_in_thread(address, run_id="other.1", overall_s=30.0)
@@ -93,9 +93,9 @@
         self.assertEqual(self.sender.send(address, first_s=0.2, attach=True), RunSilent(reached=True, held=True))
 
     def test_every_open_connection_goes_silent(self):
-        # All connections open at one moment go silent together; the run is under way.
+        # All open connections go silent at the same moment; the run is in progress.
         sender = RunSender(call=chat_call(output_tokens=400))
-        thread = sender.send_in_thread(self.address, progress_s=SHORT_S)
+        thread = sender.send_in_thread(self.address, progress_s=SILENCE_LIMIT_S)
         self.assertTrue(sender.first_token.wait(2))
         self.engine.silence_open()
         thread.join(3)
@@ -104,33 +104,33 @@
         self.assertEqual(sender.received.text, whole_answer(PROMPT, 400))
 
     def test_crossed_answer_never_reaches_the_caller(self):
-        # From the sixth token on the connection carries another run's answer. The caller has
-        # five tokens of its own; not one foreign token is passed on.
-        self.fail_next("cross")
+        # From the sixth token on, the connection carries another run's answer. The caller gets
+        # the five tokens of its own run and none of the other.
+        self.inject_fault("cross")
         outcome = self.sender.send(self.address)
         self.assertIsInstance(outcome, RunCut)
         self.assertIn("crossed", outcome.detail)
         self.assertEqual(self.sender.received.text, whole_answer(PROMPT, 5))
 
     def test_duplicated_tokens_are_dropped(self):
-        self.fail_next("duplicate")
+        self.inject_fault("duplicate")
         self.assertIsInstance(self.sender.send(self.address), RunDone)
-        self.assert_whole()
+        self.assert_complete()
 
     def test_lost_token_is_a_cut(self):
-        self.fail_next("gap")
+        self.inject_fault("gap")
         outcome = self.sender.send(self.address)
         self.assertIn("gap", outcome.detail)
         self.assertEqual(self.sender.received.text, whole_answer(PROMPT, 5))
 
-    def test_late_token_within_the_deadline_is_no_fault(self):
-        self.fail_next("late", late_s=0.1)
+    def test_late_token_within_the_deadline_is_accepted(self):
+        self.inject_fault("late", late_s=0.1)
         self.assertIsInstance(self.sender.send(self.address, progress_s=1.0), RunDone)
-        self.assert_whole()
+        self.assert_complete()
 
     def test_late_token_past_the_deadline_is_silence(self):
-        self.fail_next("late", late_s=0.5)
-        self.assertIsInstance(self.sender.send(self.address, progress_s=SHORT_S), RunSilent)
+        self.inject_fault("late", late_s=0.5)
+        self.assertIsInstance(self.sender.send(self.address, progress_s=SILENCE_LIMIT_S), RunSilent)
 
     def test_overall_limit(self):
         sender = RunSender(call=chat_call(output_tokens=100_000))
@@ -144,9 +144,9 @@
             address = f"127.0.0.1:{free.getsockname()[1]}"
             self.assertIsInstance(self.sender.send(address), RunNotSent)
 
-    def test_closed_before_an_answer_is_not_called_unsent(self):
-        # The engine takes the connection and the request, then dies without a word. Nobody
-        # can tell whether it ran: a cut, never a run that was not sent.
+    def test_closed_before_an_answer_is_a_cut(self):
+        # The engine accepts the connection and the request, then dies without an answer. Whether
+        # the run began is unknown, so the outcome is a cut and not a run that was not sent.
         with socket.create_server(("127.0.0.1", 0)) as server:
             sender = RunSender(call=chat_call())
             thread = sender.send_in_thread(f"127.0.0.1:{server.getsockname()[1]}")
@@ -164,9 +164,9 @@
         self.assertNotIn("r.1", self.engine.record.as_dict()["runs"])
 
     def test_attach_after_a_crash_is_lost_and_resumes_elsewhere(self):
-        # The engine crashes in the middle and comes back without the run. Attaching finds it
-        # lost; another engine goes on from the tokens already had, and the caller's answer is
-        # the same as if nothing had happened.
+        # The engine crashes during the run and restarts without it. The attach finds the run
+        # lost; another engine resumes after the tokens already received, and the caller's answer
+        # is the same as without the crash.
         other = start_engine(self)
         sender = RunSender(call=chat_call(output_tokens=300))
         thread = sender.send_in_thread(self.address)
@@ -176,14 +176,14 @@
         thread.join(3)
         self.assertIsInstance(sender.ended.outcome, RunCut)
         had = len(sender.received.tokens)
-        self.assertIsInstance(self.attach_once_up(sender), RunLost)
+        self.assertIsInstance(self.attach_after_restart(sender), RunLost)
         self.assertIsInstance(sender.send(address_of(other), run_id="r.2"), RunDone)
         self.assertEqual(sender.received.text, whole_answer(PROMPT, 300))
         self.assertEqual(other.record.as_dict()["runs"]["r.2"]["output_tokens"], 300 - had)
 
-    def attach_once_up(self, sender):
-        # While the server goes down it resets what it had accepted; an entry attaches again then. A connection cut
-        # by an engine that is back would be another thing, and is returned.
+    def attach_after_restart(self, sender):
+        # While the server goes down it resets accepted connections, and an entry would attach again. A connection
+        # that is cut by the restarted engine is a different outcome, and is returned.
         until = time.monotonic() + 10
         while time.monotonic() < until:
             going_down = self.engine.is_down()
@@ -193,7 +193,7 @@
             time.sleep(0.02)
         return None
 
-    def test_cancel_ends_the_run_on_both_sides(self):
+    def test_cancel_ends_the_run_on_engine_and_router(self):
         sender = RunSender(call=chat_call(output_tokens=10_000))
         thread = sender.send_in_thread(self.address, overall_s=30.0)
         self.assertTrue(sender.first_token.wait(2))
@@ -203,9 +203,9 @@
         self.assertEqual(self.run_record()["cancelled"], 1)
 
     def test_cancel_of_a_silent_connection_does_not_wait_for_it(self):
-        # The run's connection went silent and its progress deadline is far. The cancel goes
-        # over a new connection, and the reading thread is freed within half a second.
-        self.fail_next("silent")
+        # The run's connection went silent and its progress deadline is far off. The cancel is sent
+        # over a new connection, and the reading thread is released within half a second.
+        self.inject_fault("silent")
         thread = self.sender.send_in_thread(self.address, progress_s=30.0, overall_s=30.0)
         self.assertTrue(self.sender.first_token.wait(2))
         self.sender.client.cancel(address=self.address, run_id="r.1")
@@ -214,9 +214,9 @@
         self.assertIsInstance(self.sender.ended.outcome, RunCancelled)
 
     def test_cancel_of_a_finished_run_does_not_wait_for_a_silent_connection(self):
-        # The run's connection went silent and the engine has finished the run when the cancel comes. It
-        # says so, and its answer never arrives: waited for, the place would be held until the deadline.
-        self.fail_next("silent")
+        # The run's connection went silent, and the engine has finished the run when it receives the cancel. It
+        # answers so, but the run's answer never arrives: waiting for it would occupy the slot until the deadline.
+        self.inject_fault("silent")
         thread = self.sender.send_in_thread(self.address, progress_s=30.0, overall_s=30.0)
         self.assertTrue(self.sender.first_token.wait(2))
         until = time.monotonic() + 10
@@ -246,10 +246,10 @@
         self.sender = RunSender(call=call)
         return self.sender.send(self.address, **options)
 
-    def fail_next(self, kind):
+    def inject_fault(self, kind):
         self.service.faults.update({"stream_kind": kind, "stream_count": 1})
 
-    def test_whole_answer(self):
+    def test_complete_answer(self):
         headers = {"Authorization": "Bearer secret", "x-request-id": "callers-own", "Content-Type": "text/plain"}
         call = plain_call(query="slot=7", body=b"beach", headers=headers)
         self.assertEqual(self.send(call), RunDone())
@@ -258,10 +258,10 @@
         self.assertEqual(self.sender.ended.body, self.sender.received.body)
         self.assertEqual(list(self.service.record.as_dict()["runs"]), ["r.1"])
 
-    def test_cut_answer_is_never_whole(self):
-        # The service charged the member, then the connection broke inside the answer: the
-        # caller must not read half an answer, nor hear that the charge was not run.
-        self.fail_next("cut")
+    def test_cut_answer_is_never_complete(self):
+        # The service charged the member, then the connection broke within the answer: the caller
+        # must get neither half an answer nor an error that says the charge was not run.
+        self.inject_fault("cut")
         outcome = self.send(plain_call())
         self.assertIsInstance(outcome, RunCut)
         self.assertTrue(outcome.reached)
@@ -269,22 +269,22 @@
         self.assertEqual(self.service.record.as_dict()["runs"]["r.1"]["finished"], 1)
 
     def test_crossed_answer(self):
-        self.fail_next("cross")
+        self.inject_fault("cross")
         self.assertIn("crossed", self.send(plain_call()).detail)
         self.assertEqual(self.sender.received.body, b"")
 
     def test_silence(self):
-        self.fail_next("silent")
+        self.inject_fault("silent")
         self.assertEqual(self.send(plain_call(), first_s=0.2), RunSilent())
 
-    def test_errors_of_the_service_are_whole_answers(self):
+    def test_errors_of_the_service_are_complete_answers(self):
         self.service.faults.update({"reject_status": 409, "reject_count": 1})
         self.assertEqual(self.send(plain_call()), RunRejected(status=409))
         self.assertIn(b"refused", self.sender.received.body)
 
     def test_refusal_counts_as_unsent_only_with_the_run_s_own_id(self):
-        # A stopping service promises that it did not begin the request. A promise that names
-        # another run is a late answer that says nothing of this one.
+        # A service that is stopping states that it did not start the request. With another run's
+        # id, the statement is a late answer and doesn't apply to this run.
         for answer_id, kind in (("r.1", RunNotSent), ("r.7", RunCut)):
             with self.subTest(answer_id), socket.create_server(("127.0.0.1", 0)) as server:
                 sender = RunSender(call=plain_call())
@@ -302,9 +302,9 @@
         self.assertIsInstance(self.send(call), RunNotSent)
         self.assertEqual(self.service.record.as_dict()["runs"], {})
 
-    def test_cancel_ends_this_side_and_asks_nothing_of_the_service(self):
-        # A plain service knows no cancel: a cancel sent to it would run as a request.
-        self.fail_next("silent")
+    def test_cancel_of_a_plain_run_sends_nothing_to_the_service(self):
+        # A plain service has no cancel: a cancel sent to it would run as a request.
+        self.inject_fault("silent")
         sender = RunSender(call=plain_call())
         thread = sender.send_in_thread(self.address, first_s=30.0, overall_s=30.0)
         while not self.service.record.as_dict()["totals"]["finished"]:
@@ -338,16 +338,16 @@
         self.assertIsNone(self.check.end())
         self.assertEqual(self.received.text, "".join(f"word{index} " for index in range(1, 8)))
 
-    def test_other_line_ends_and_no_blank(self):
-        whole = b": hello\n\n" + b"".join(token_event(index) for index in range(1, 5)) + end_events(4)
-        data = whole.replace(b"\n", b"\r\n").replace(b"data: ", b"data:")
+    def test_crlf_line_ends_and_no_space_after_the_colon(self):
+        stream = b": hello\n\n" + b"".join(token_event(index) for index in range(1, 5)) + end_events(4)
+        data = stream.replace(b"\n", b"\r\n").replace(b"data: ", b"data:")
         for position in range(len(data)):
             self.assertIsNone(self.check.feed(data[position : position + 1]))
         self.assertIsNone(self.check.end())
         self.assertEqual(len(self.received.tokens), 4)
 
-    def test_foreign_event_among_alike_ones(self):
-        # Events like a checked one are taken by comparing bytes; a foreign one is not like it.
+    def test_event_of_another_run_among_matching_ones(self):
+        # Events like a checked one are accepted by comparing bytes, which another run's event must not pass.
         for index in range(1, 4):
             self.assertIsNone(self.check.feed(token_event(index)))
         self.assertIn("crossed", self.check.feed(token_event(4, run_id="r.2")).detail)
@@ -359,22 +359,22 @@
             self.assertIsNone(self.check.feed(token_event(index, text=text)))
         self.assertEqual(self.received.tokens, ["content", "r.1", '"},{"', "id", "content", "ñ", "finish_reason"])
 
-    def test_text_that_stands_twice_in_its_event(self):
-        # The first text is also the name of its field. Were the event learnt around the wrong
-        # one of the two, the name of another field would be read as the next token's text.
+    def test_text_that_occurs_twice_in_its_event(self):
+        # The first text equals the name of its field. If the event's frame were derived from the wrong
+        # occurrence, the name of another field would be parsed as the next token's text.
         self.check.feed(token_event(1, text="content"))
         other = token_event(2, text="content").replace(b'"content":', b'"role":')
         self.assertIn("no text", self.check.feed(other).detail)
         self.assertEqual(self.received.tokens, ["content"])
 
-    def test_alike_event_with_a_text_that_is_no_string(self):
+    def test_matching_event_with_a_text_that_is_no_string(self):
         self.check.feed(token_event(1))
         broken = token_event(2).replace(b'"word2 "', b'"word2 ","role":"x"')
         self.assertIsNone(self.check.feed(broken))
         self.assertEqual(self.received.tokens, ["word1 ", "word2 "])
         self.assertIsNotNone(self.check.feed(token_event(3).replace(b'"word3 "', b"7")))
 
-    def test_ends_that_are_not_whole(self):
+    def test_incomplete_ends(self):
         cases = {
             "no end mark": token_event(1),
             "count too high": token_event(1) + end_events(2),
@@ -389,9 +389,9 @@
     def test_end_mark_without_a_reason(self):
         self.assertIsNotNone(self.check.feed(token_event(1) + b"data: [DONE]\n\n"))
 
-    def test_end_of_an_earlier_run_says_nothing_of_this_one(self):
-        # A run was cancelled and told so; the next run of the request is cut before its end.
-        # It must not be taken for cancelled, nor its answer for whole.
+    def test_end_of_an_earlier_run_does_not_apply_to_this_one(self):
+        # A run ended as cancelled; the next run of the request is cut before its end. That run
+        # must not count as cancelled, nor its answer as complete.
         self.check.feed(token_event(1) + end_events(1, reason="cancelled"))
         self.assertTrue(self.check.cancelled)
         again = AnswerCheck(run_id="r.2", received=self.received, on_token=lambda index, text: None)
@@ -404,7 +404,7 @@
         self.reports = []
 
     async def asyncSetUp(self):
-        # Stand-ins start and stop on the loop here; that it is held up meanwhile is no news.
+        # Stand-ins start and stop on this loop and block it meanwhile, which must not be logged as slow callbacks.
         asyncio.get_running_loop().slow_callback_duration = 5.0
 
     async def poll(self, standin, *, until, engines=None):
@@ -445,8 +445,8 @@
         self.assertTrue(self.seen(LoadUnreachable, engine="dead-3"))
 
     async def test_silent_pooled_connection_does_not_condemn_the_engine(self):
-        # The polling connection goes silent while new ones work: the poll times out on it,
-        # then asks again over a new one. The engine is never reported unreachable.
+        # The polling connection goes silent while new ones work: the poll times out on it and
+        # is repeated over a new one. The engine is never reported unreachable.
         engine = start_engine(self)
         silenced = []
 
--- a/tests/test_engine_model.py
+++ b/tests/test_engine_model.py
@@ -15,8 +15,8 @@
     return factor * (0.005 + 0.0002 * concurrency)
 
 
-def report(model, *, count, prefill_share, factor=1.0, seed=1):
-    """Reports of an engine of which a share of the time goes into steps with prefill."""
+def report_steps(model, *, count, prefill_share, factor=1.0, seed=1):
+    """Report steps of an engine, of which ``prefill_share`` contain prefill."""
     draw = random.Random(seed)
     for _ in range(count):
         running = draw.randint(4, 15)
@@ -27,38 +27,38 @@
 
 
 class StepTest(unittest.TestCase):
-    def test_cold_model_answers_by_the_declaration_and_says_so(self):
+    def test_cold_model_predicts_by_the_declaration_with_zero_confidence(self):
         model = make_model()
         self.assertAlmostEqual(model.step_s(1), 0.004, places=6)
         self.assertAlmostEqual(model.prefill_s(8000), 1.0)
         self.assertEqual(model.confidence(), 0.0)
 
-    def test_prefill_between_steps_is_not_taken_for_slow_steps(self):
-        # Callers see refusals though engines could serve them. Two thirds of the reported
-        # steps hold a chunk of somebody's prompt, 13 times an ordinary step; a mean would
-        # call the engine 9 times too slow. The low end of the samples is the clean step.
+    def test_prefill_between_steps_does_not_count_as_slow_steps(self):
+        # Guards against refusals of requests that engines could serve. Two thirds of the reported
+        # steps contain a chunk of another prompt and take 13 times an ordinary step; a mean would
+        # make the engine 9 times too slow. The low end of the samples is the clean step.
         model = make_model()
-        report(model, count=200, prefill_share=0.66)
+        report_steps(model, count=200, prefill_share=0.66)
         for concurrency in (4, 15):
             self.assertAlmostEqual(model.step_s(concurrency) / true_step_s(concurrency), 1.0, delta=0.12)
 
     def test_seconds_of_one_long_prompt_do_not_make_an_engine_slow(self):
-        # A prompt of 16,000 tokens keeps every reported step long for two seconds; an
-        # engine taken for slow by that gets no work and refuses what it could finish.
+        # A prompt of 16,000 tokens keeps every reported step long for two seconds. An engine
+        # judged slow by that gets no work, and requests that it could finish are refused.
         model = make_model()
-        report(model, count=100, prefill_share=0.3)
-        report(model, count=25, prefill_share=1.0)
+        report_steps(model, count=100, prefill_share=0.3)
+        report_steps(model, count=25, prefill_share=1.0)
         self.assertLess(model.step_s(10), 1.5 * true_step_s(10))
 
-    def test_straggler_is_believed_slow_within_a_window(self):
+    def test_straggler_is_detected_within_a_window(self):
         model = make_model()
-        report(model, count=100, prefill_share=0.3)
-        report(model, count=80, prefill_share=0.3, factor=5.0)
+        report_steps(model, count=100, prefill_share=0.3)
+        report_steps(model, count=80, prefill_share=0.3, factor=5.0)
         self.assertAlmostEqual(model.step_s(10) / true_step_s(10, 5.0), 1.0, delta=0.25)
-        report(model, count=80, prefill_share=0.3)
+        report_steps(model, count=80, prefill_share=0.3)
         self.assertAlmostEqual(model.step_s(10) / true_step_s(10), 1.0, delta=0.25)
 
-    def test_known_clean_steps_show_a_straggler_after_five(self):
+    def test_five_known_clean_steps_show_a_straggler(self):
         model = make_model()
         for _ in range(20):
             model.observe_report(step_s=true_step_s(10), running=10, prefilling=False)
@@ -67,8 +67,8 @@
             model.observe_report(step_s=CHUNK_STEP_S, running=10, prefilling=True)
         self.assertAlmostEqual(model.step_s(10) / true_step_s(10, 5.0), 1.0, delta=0.15)
 
-    def test_no_evidence_makes_a_step_negative_or_endless(self):
-        # Once a line that extrapolated below its points gave steps of 1e71 seconds.
+    def test_step_stays_positive_and_bounded_for_any_samples(self):
+        # A line extrapolated below its points once gave steps of 1e71 seconds.
         model = make_model()
         draw = random.Random(7)
         for _ in range(2000):
@@ -80,12 +80,12 @@
 
 
 class PredictionTest(unittest.TestCase):
-    def test_pace_includes_other_prompts_prefill(self):
+    def test_token_interval_includes_other_prompts_prefill(self):
         model = make_model()
         for _ in range(200):
             model.observe_finish(output_tokens=100, decode_s=100 * 2.0 * model.step_s(10), mean_concurrency=10)
-        self.assertAlmostEqual(model.pace_s(10) / model.step_s(10), 2.0, delta=0.1)
-        report(model, count=30, prefill_share=0.0)
+        self.assertAlmostEqual(model.token_interval_s(10) / model.step_s(10), 2.0, delta=0.1)
+        report_steps(model, count=30, prefill_share=0.0)
         self.assertGreater(model.confidence(), 0.9)
 
     def test_prefill_rate_counts_what_the_engine_prefills_first(self):
@@ -97,7 +97,7 @@
             )
         self.assertAlmostEqual(model.prefill_s(4000), 1.0, delta=0.1)
 
-    def test_limit_is_just_full(self):
+    def test_limit_is_the_saturation_concurrency(self):
         flat = make_model()
         self.assertEqual(flat.concurrency_limit(), 15)
         for _ in range(300):
@@ -107,7 +107,7 @@
 
 
 class PrefixCacheTest(unittest.TestCase):
-    def test_leading_part_is_kept_longest(self):
+    def test_leading_blocks_are_evicted_last(self):
         cache = PrefixCacheIndex(capacity_tokens=3 * BLOCK_TOKENS)
         cache.stored((1, 2, 3, 4))
         self.assertEqual(cache.cached_tokens((1, 2, 3, 4)), 3 * BLOCK_TOKENS)
@@ -116,9 +116,9 @@
         cache.clear()
         self.assertEqual(cache.cached_tokens((1,)), 0)
 
-    def test_parts_of_unlike_sizes_count_by_their_tokens(self):
-        # Callers name the parts of a prompt with their sizes: a few instructions that all share and a
-        # conversation of five thousand tokens. Counted as blocks of one size, the conversation would weigh little.
+    def test_blocks_of_different_sizes_count_by_their_tokens(self):
+        # Callers declare the parts of a prompt with their sizes: short instructions shared by all requests and a
+        # conversation of five thousand tokens. Counted as blocks of one size, the conversation would count too little.
         cache = PrefixCacheIndex(capacity_tokens=6000)
         cache.stored((1, 2), (500, 4870))
         self.assertEqual(cache.cached_tokens((1, 2, 3)), 5370)
--- a/tests/test_notice_reading.py
+++ b/tests/test_notice_reading.py
@@ -1,4 +1,4 @@
-"""What is read from the head of an answer, in the product's own dialect and in the platform's."""
+"""Notices parsed from the head of an answer, in the native dialect and in the platform's."""
 
 import math
 import unittest
@@ -25,22 +25,22 @@
     return SimpleNamespace(command=command, response=SimpleNamespace(status=status, headers=headers))
 
 
-class OwnDialectTest(unittest.TestCase):
+class NativeDialectTest(unittest.TestCase):
     def read(self, *, run_id=RUN_ID, status=200, **headers):
         headers = {name.replace("_", "-"): value for name, value in headers.items()}
         return plain_call().notice(answer({"X-Request-Id": run_id} | headers, status=status))
 
-    def test_all_that_an_engine_may_ask_for(self):
+    def test_all_notices_of_an_engine(self):
         notice = self.read(status=503, X_Rate_Limit="2.3", X_Leaving="yes", Retry_After="3")
         self.assertEqual((notice.engine, notice.start_ms), ("e1", START_MS))
         self.assertEqual((notice.limit_per_s, notice.leaving, notice.rest_s), (2.3, True, 3.0))
 
     # Guards against a service's Retry-After on an answer to a request that it ran.
-    def test_only_an_answer_that_turns_away_asks_for_a_rest(self):
+    def test_only_a_rejection_asks_for_a_back_off(self):
         self.assertFalse(self.read(status=200, Retry_After="3").asks_something)
 
-    # Guards against another run's answer, read on this connection, that binds this engine.
-    def test_a_stray_answer_says_nothing(self):
+    # Guards against a notice in another run's answer, received on this connection, that is applied to this engine.
+    def test_answer_to_another_run_gives_no_notice(self):
         self.assertIsNone(self.read(run_id="r.2", X_Leaving="yes"))
 
 
@@ -52,17 +52,17 @@
         headers = {name.replace("_", "-"): value for name, value in headers.items()}
         return call.notice(answer({"Request-Id": request_id} | headers, status=status))
 
-    def test_all_that_an_engine_may_ask_for(self):
+    def test_all_notices_of_an_engine(self):
         notice = self.read(status=503, Server_Limit="2.3", Server_Leaving="1", Retry_After="3")
         self.assertEqual((notice.limit_per_s, notice.leaving, notice.rest_s), (2.3, True, 3.0))
 
-    # Guards against another engine at the address, or another request's answer, that takes this engine out of use.
-    def test_an_answer_of_another_engine_or_request_says_nothing(self):
+    # Guards against another engine at the address, or another request's answer, that excludes this engine.
+    def test_answer_of_another_engine_or_request_gives_no_notice(self):
         self.assertIsNone(self.read(status=421, Server_Leaving="1"))
         self.assertIsNone(self.read(request_id="another", Server_Leaving="1"))
 
-    # Guards against a limit that nobody can read and that ends the one before it.
-    def test_a_limit_that_cannot_be_read_neither_holds_nor_ends(self):
+    # Guards against an invalid limit that ends the one before it.
+    def test_invalid_limit_neither_sets_nor_ends_one(self):
         for text in ("", "many", "-1", "nan", "inf"):
             with self.subTest(text=text):
                 self.assertIsNone(self.read(Server_Limit=text))
--- a/tests/test_output_lengths.py
+++ b/tests/test_output_lengths.py
@@ -1,9 +1,8 @@
-"""Load whose caps say nothing of its lengths, as callers send it.
+"""Expected lengths under a load whose caps are no indication of the answers' lengths.
 
-The pattern: every request of a kind asks for the same cap, a few answers reach it, and the mean is a
-tenth of it; callers add an estimate that is right at the median and off by a factor of two or so.
-Taken at its cap, work looks ten times what it is, and callers are told to come back ten times too
-late. Figures: caps 1,710, 1,200 and 510 tokens against means of 171, 120 and 51.
+All requests of a kind have the same cap, few answers reach it, and the mean is a tenth of it; callers' estimates
+are right at the median and off by a factor of about two. Judged by the caps, the work is overestimated tenfold, and
+callers get ten times too long a Retry-After. Figures: caps of 1,710, 1,200 and 510 tokens, means of 171, 120 and 51.
 """
 
 import random
@@ -35,29 +34,29 @@
         request = ask("new", team=team, tier=2, output_tokens=CAP, hinted_tokens=hinted_tokens, **changes)
         return self.lengths.expect(request).output_tokens
 
-    def test_a_cap_is_believed_until_answers_show_otherwise(self):
+    def test_cap_is_expected_without_answers(self):
         self.assertEqual(self.expected(), CAP)
 
-    def test_caps_are_seen_through_within_seconds(self):
+    def test_expected_length_drops_after_thirty_answers(self):
         self.observe(30)
         self.assertLess(self.expected(), 3 * MEAN)
 
-    def test_another_team_of_the_tier_is_taken_to_be_alike(self):
-        # Each team by itself would be judged by its caps for a flood's length.
+    def test_new_team_starts_from_the_mean_of_its_tier(self):
+        # Learned per team alone, a flood from a new team would be judged by its caps for its whole duration.
         self.observe(30)
         self.assertLess(self.expected(team="guests"), 3 * MEAN)
 
-    def test_an_estimate_counts_before_any_answer(self):
+    def test_estimate_is_used_before_any_answer(self):
         self.assertEqual(self.expected(hinted_tokens=60), 60)
 
-    def test_estimates_that_are_off_one_way_are_corrected(self):
+    def test_biased_estimates_are_corrected(self):
         self.observe(60, hint=lambda length: 2 * length)
         self.assertAlmostEqual(self.expected(hinted_tokens=200), 100, delta=25)
 
-    def test_an_estimate_beyond_the_cap_is_the_cap(self):
+    def test_estimate_is_limited_to_the_cap(self):
         self.assertEqual(self.expected(hinted_tokens=10 * CAP), CAP)
 
-    def test_what_a_run_has_given_already_is_taken_off(self):
+    def test_tokens_received_already_are_subtracted(self):
         self.assertEqual(self.expected(hinted_tokens=100, done_tokens=90), 10)
         self.assertEqual(self.expected(hinted_tokens=100, done_tokens=190), 1)
 
--- a/wagtailtrestle/capacity/admission.py
+++ b/wagtailtrestle/capacity/admission.py
@@ -271,7 +271,7 @@
 
     def update_occupancy(self):
         """Update whether the cell is full; called several times within ``GRANT_WINDOW_S``."""
-        self._grant_rate.set_full(not any(engine.room and not engine.rests for engine in self._engines))
+        self._grant_rate.set_full(not any(engine.free_slots and not engine.backs_off for engine in self._engines))
 
     def overflow(self) -> WaitingRequest | None:
         """Return a waiting request to refuse because too many wait, or ``None``.
@@ -413,7 +413,7 @@
         return any(engine.rate_limit.in_force for engine in self._engines)
 
     def _has_free_slot(self, request):
-        return any(engine.room and not engine.rest_s(request.entry) for engine in self._engines)
+        return any(engine.free_slots and not engine.rest_s(request.entry) for engine in self._engines)
 
     def _back_off_s(self, request):
         """Time until some engine's back-off for this entry ends; 0 if one accepts requests now."""
@@ -510,7 +510,7 @@
         return undisturbed_run_s(request, engine, concurrency, pending_prefill_tokens)
     predicted_s = run_s(request, engine, concurrency, pending_prefill_tokens)
     unexpected_tokens = LENGTH_MARGIN_SHARE * (waiting.asked_tokens - request.output_tokens)
-    return margin * (predicted_s + unexpected_tokens * engine.model.pace_s(concurrency))
+    return margin * (predicted_s + unexpected_tokens * engine.model.token_interval_s(concurrency))
 
 
 def tolerance(engine):
--- a/wagtailtrestle/capacity/run_table.py
+++ b/wagtailtrestle/capacity/run_table.py
@@ -57,17 +57,17 @@
     @property
     def usable_engines(self):
         """Engines that no rollout reserves."""
-        return [engine for engine in self.engines if not engine.held_back]
+        return [engine for engine in self.engines if not engine.reserved]
 
     def set_reserved(self, names):
         """Reserve these engines, and no others, for a rollout."""
         for engine in self.engines:
-            if engine.held_back != (engine.name in names):
-                engine.hold_back(engine.name in names)
+            if engine.reserved != (engine.name in names):
+                engine.set_reserved(engine.name in names)
 
     def sort_by_speed(self):
         """Sort engines by the speed at which the next run would get its tokens, fastest first."""
-        ordered = sorted(self.engines, key=lambda engine: engine.model.pace_s(engine.running + 1))
+        ordered = sorted(self.engines, key=lambda engine: engine.model.token_interval_s(engine.running + 1))
         self.engines_by_name = {engine.name: engine for engine in ordered}
 
     def declare(self, by_name):
@@ -82,7 +82,7 @@
                 self._discard_state(state)
                 state = None
             states[name] = state or EngineState(declared=declared, clock=self._clock)
-            states[name].declare(declared)
+            states[name].apply_declaration(declared)
         self._declared_by_name = dict(by_name)
         self.engines_by_name = states
         self._health.set_engines(states)
@@ -98,7 +98,7 @@
         logger.info("engine {} restarted; its previous state is discarded", state.name)
         for grant in list(state.grants_by_request_id.values()):
             self.end(grant)
-        self._health.forget(state.name)
+        self._health.reset(state.name)
 
     def hold(self, request, *, asked_tokens, engine_name, deadline):
         """Grant a slot to a request and count its run as not yet started."""
@@ -156,7 +156,7 @@
         restarted = report.start_ms > engine.start_ms
         if restarted:
             engine = self._replace_restarted(engine, report.start_ms)
-        for grant in engine.report(report):
+        for grant in engine.apply_report(report):
             self.end(grant)
         return restarted
 
@@ -172,12 +172,12 @@
         """Apply what an engine announced about itself in an answer."""
         engine = self.engines_by_name.get(notice.engine)
         if engine is not None:
-            engine.hear(notice)
+            engine.apply_notice(notice)
 
     def invalidate_reports(self):
         """Discard engines' reports from before now."""
         for engine in self.engines:
-            engine.distrust()
+            engine.invalidate_reports()
 
     def tick(self):
         """Refresh the engines, and free slots of runs whose end was not reported in time."""
@@ -233,8 +233,8 @@
         tokens = message.output_tokens or grant.request.output_tokens
         decode_s = message.duration_s - (message.first_token_s if message.output_tokens else 0.0)
         concurrency = grant.mean_concurrency
-        expected_s = tokens * engine.model.pace_s(concurrency)
-        self._health.on_progress_rate(engine.name, decode_s / expected_s, self._clock())
+        expected_s = tokens * engine.model.token_interval_s(concurrency)
+        self._health.on_slowdown(engine.name, decode_s / expected_s, self._clock())
         self.lengths.observe(
             request=grant.request, asked_tokens=grant.asked_tokens, output_tokens=message.output_tokens
         )
--- a/wagtailtrestle/capacity/scheduler.py
+++ b/wagtailtrestle/capacity/scheduler.py
@@ -275,7 +275,7 @@
         waiting_by_tier = self._queue.waiting_by_tier()
         tiers = [grant.request.tier for grant in self._runs.grants_by_request_id.values()] + list(waiting_by_tier)
         return CellDigest(
-            free=sum(engine.room for engine in self._runs.engines),
+            free=sum(engine.free_slots for engine in self._runs.engines),
             waiting_by_tier=waiting_by_tier,
             lowest_tier=max(tiers, default=None),
         )
@@ -460,7 +460,7 @@
     def _available_engines(self):
         recovering = self._registration.recovering
         engines = self._runs.engines
-        return [engine for engine in engines if engine.room and (engine.reported or not recovering)]
+        return [engine for engine in engines if engine.free_slots and (engine.reported or not recovering)]
 
     def _try_grant(self, waiting, available_engines):
         """Grant the request on one of the engines with free slots, park it, or refuse it."""
@@ -496,9 +496,9 @@
         tried = [
             engine
             for engine in self._runs.engines
-            if engine.held_back
+            if engine.reserved
             and self._rollout.is_target(engine.version)
-            and engine.spare
+            and engine.free_rollout_slots
             and not engine.rest_s(request.entry)
         ]
         return max(tried, key=lambda engine: (engine.running, engine.name), default=None)
--- a/wagtailtrestle/engines/answer_check.py
+++ b/wagtailtrestle/engines/answer_check.py
@@ -1,4 +1,4 @@
-"""Whether a streamed answer is whole and this run's own: pure, fed with bytes."""
+"""Incremental check that a streamed answer is complete and belongs to its run; does no I/O."""
 
 import json
 
@@ -8,31 +8,31 @@
 EVENT_END = b"\n\n"
 CARRIAGE_RETURN = b"\r"
 DONE_DATA = b"[DONE]"
-READ_JSON = json.JSONDecoder().raw_decode
+DECODE_JSON = json.JSONDecoder().raw_decode
 
 
 @record
 class AnswerFault:
-    """Why an answer can't be the whole answer of its run."""
+    """Reason why an answer is not the complete answer of its run."""
 
     detail: str
 
 
 class ReceivedAnswer:
-    """What was received of one request's answer, over all of its runs.
+    """Received parts of one request's answer, over all of its runs.
 
     Attributes
     ----------
     tokens : list of str
-        Text of the token with index ``i`` at ``i - 1``; checked, contiguous.
+        Texts of the checked tokens without gaps; the token with index ``i`` is at ``i - 1``.
     finish_reason : str
         Empty until the last chunk.
     prompt_tokens, cached_tokens, completion_tokens : int
-        Usage as the engine told it.
+        Usage as reported by the engine.
     done : bool
-        The end mark was received.
+        Whether the end mark was received.
     status, headers, body
-        Of a plain answer, or of an engine's error.
+        Those of a plain answer or of an engine's error.
     """
 
     __slots__ = (
@@ -72,11 +72,11 @@
 class AnswerCheck:
     """Checks the events of one run and adds its tokens to what was received.
 
-    Failures this guards against: an answer of another run on this connection (its id
-    differs), a token lost between engine and router (a gap in the indices), a token sent
-    twice (its index was had already: dropped), an answer that ends early (no reason, no
-    end mark, or a count that differs). Only a checked token reaches ``on_token``, so a
-    caller never reads a foreign one, not even at the start of a stream.
+    Detects an answer of another run on this connection (its id differs), a token lost
+    between engine and router (a gap in the indices), a token sent twice (its index is known
+    already: dropped) and an answer that ends early (no finish reason, no end mark, or a
+    different token count). Only checked tokens reach ``on_token``, so a caller never receives
+    a token of another run, not even at the start of a stream.
 
     Parameters
     ----------
@@ -86,39 +86,39 @@
         ``on_token(index, text)`` for each new token, in order.
     """
 
-    __slots__ = ("_run_id", "_received", "_on_token", "_rest", "_head", "_tail")
+    __slots__ = ("_run_id", "_received", "_on_token", "_unparsed", "_frame_prefix", "_frame_suffix")
 
     def __init__(self, *, run_id, received, on_token):
-        # The end of an earlier run (cancelled, or whole but for its count) says nothing of this one.
+        # The end of an earlier run (cancelled, or complete but for its token count) doesn't apply to this one.
         received.finish_reason = ""
         received.completion_tokens = 0
         received.done = False
         self._run_id = run_id
         self._received = received
         self._on_token = on_token
-        self._rest = b""
-        self._head = b""
-        self._tail = b""
+        self._unparsed = b""
+        self._frame_prefix = b""
+        self._frame_suffix = b""
 
     def feed(self, data) -> AnswerFault | None:
-        """Take bytes of the stream; return the first fault found."""
-        data = self._rest + data
+        """Process bytes of the stream; return the first fault found."""
+        data = self._unparsed + data
         if CARRIAGE_RETURN in data:
-            # Allowed line ends. None stands inside JSON; one cut off from its line feed
-            # here stays in the rest and is met again with it.
+            # CRLF line ends are allowed; JSON contains none. A carriage return that is separated
+            # from its line feed here stays in the unparsed bytes until the line feed arrives.
             data = data.replace(CARRIAGE_RETURN + b"\n", b"\n")
         events = data.split(EVENT_END)
-        self._rest = events.pop()
+        self._unparsed = events.pop()
         for event in events:
-            if self._head and self._take_alike(event):
+            if self._frame_prefix and self._apply_matching_event(event):
                 continue
-            fault = self._take_event(event)
+            fault = self._apply_event(event)
             if fault is not None:
                 return fault
         return None
 
     def end(self) -> AnswerFault | None:
-        """Tell whether the answer is whole now that the stream has ended."""
+        """Check that the answer is complete, at the end of the stream."""
         received = self._received
         if not received.done:
             return AnswerFault(detail="the stream ended without its end mark")
@@ -130,22 +130,22 @@
 
     @property
     def cancelled(self) -> bool:
-        """Whether the engine says that the run was cancelled."""
+        """Whether the engine reports that the run was cancelled."""
         return self._received.finish_reason == CANCELLED_REASON
 
-    def _take_alike(self, event) -> bool:
-        """Take a token whose event differs from a checked one in index and text alone.
+    def _apply_matching_event(self, event) -> bool:
+        """Apply a token whose event differs from a checked one only in its index and text.
 
-        Most of a router's work on a stream is reading its events, and all but two fields are
-        the same bytes each time. What is the same as in a checked event needs no second check.
+        Parsing events is most of a router's work on a stream, and all fields but two are the
+        same bytes each time. Bytes that equal those of a checked event need no second check.
         """
         index = len(self._received.tokens) + 1
-        head = b"id: %d\n%b" % (index, self._head)
-        if not (event.startswith(head) and event.endswith(self._tail)):
+        head = b"id: %d\n%b" % (index, self._frame_prefix)
+        if not (event.startswith(head) and event.endswith(self._frame_suffix)):
             return False
         try:
-            quoted = event[len(head) : -len(self._tail)].decode()
-            text, end = READ_JSON(quoted)
+            quoted = event[len(head) : -len(self._frame_suffix)].decode()
+            text, end = DECODE_JSON(quoted)
         except ValueError:
             return False
         if end != len(quoted) or not isinstance(text, str):
@@ -154,21 +154,21 @@
         self._on_token(index, text)
         return True
 
-    def _learn(self, data, text):
-        """Remember the bytes around the text of a checked event, if they can be told from it."""
+    def _learn_event_frame(self, data, text):
+        """Store the bytes around the text of a checked event, if the text occurs in it only once."""
         quoted = json.dumps(text).encode()
         if data.count(quoted) != 1 or b'"usage"' in data:
             return
         head, _, tail = data.partition(quoted)
-        self._head = b"data: " + head
-        self._tail = tail
+        self._frame_prefix = b"data: " + head
+        self._frame_suffix = tail
 
-    def _take_event(self, event) -> AnswerFault | None:
+    def _apply_event(self, event) -> AnswerFault | None:
         event_id, data = _split_event(event)
         if data is None:
             return None
         if data == DONE_DATA:
-            return self._take_done()
+            return self._apply_end_mark()
         try:
             chunk = json.loads(data)
             choice = chunk["choices"][0]
@@ -178,12 +178,12 @@
             return AnswerFault(detail="crossed: the answer carries another run's id")
         usage = chunk.get("usage")
         if usage:
-            self._take_usage(usage)
+            self._apply_usage(usage)
         if choice.get("finish_reason"):
-            return self._take_finish(choice["finish_reason"], usage)
-        return self._take_token(event_id, choice, data)
+            return self._apply_finish(choice["finish_reason"], usage)
+        return self._apply_token(event_id, choice, data)
 
-    def _take_token(self, event_id, choice, data) -> AnswerFault | None:
+    def _apply_token(self, event_id, choice, data) -> AnswerFault | None:
         tokens = self._received.tokens
         try:
             index = int(event_id)
@@ -198,22 +198,22 @@
             return AnswerFault(detail=f"token {index} has no text")
         tokens.append(text)
         self._on_token(index, text)
-        if not self._head:
-            self._learn(data, text)
+        if not self._frame_prefix:
+            self._learn_event_frame(data, text)
         return None
 
-    def _take_finish(self, reason, usage) -> AnswerFault | None:
+    def _apply_finish(self, reason, usage) -> AnswerFault | None:
         if not usage:
             return AnswerFault(detail="the last chunk counts nothing")
         self._received.finish_reason = reason
         self._received.completion_tokens = usage.get("completion_tokens", 0)
         return None
 
-    def _take_usage(self, usage):
+    def _apply_usage(self, usage):
         self._received.prompt_tokens = usage.get("prompt_tokens", 0)
         self._received.cached_tokens = usage.get("cached_tokens", 0)
 
-    def _take_done(self) -> AnswerFault | None:
+    def _apply_end_mark(self) -> AnswerFault | None:
         if not self._received.finish_reason:
             return AnswerFault(detail="end mark without a finish reason")
         self._received.done = True
--- a/wagtailtrestle/engines/model.py
+++ b/wagtailtrestle/engines/model.py
@@ -1,13 +1,14 @@
-"""Learned speed of one engine, with its uncertainty, starting from declared values.
+"""Online estimate of one engine's speed and its confidence, starting from declared values.
 
-Three things are learned. The *clean* decode step is a line in the number of runs batched
-together, ``base + slope * concurrency``. The *interference* is how much slower than that
-tokens really come, since the engine also prefills other prompts between them. The
-prefill rate is learned from times to first token.
+Three quantities are estimated. The *clean* decode step, one that prefills nothing, is a
+line in the number of runs batched together, ``base + slope * concurrency``. The
+*interference* is the factor by which tokens come slower than that, since the engine also
+prefills other prompts between them. The prefill rate is fitted to times to first token.
 
-A measured step or pace is never shorter than the clean step, and often much longer, for
-a step that prefills a chunk of a prompt takes tens of ordinary steps. A mean would call
-every engine with long prompts slow, so the line follows the low end of recent samples.
+A measured step or token interval is never shorter than the clean step, and often much
+longer, since a step that prefills a chunk of a prompt takes as long as tens of ordinary
+steps. A mean would make every engine with long prompts look slow, so the line follows the
+low end of recent samples.
 """
 
 from collections import deque
@@ -18,61 +19,61 @@
 """Assumed growth of a step for each further run, as a share of the declared step."""
 
 PRIOR_WEIGHT = 12.0
-"""How many observations the declared values count for."""
+"""Number of observations that the declared values count for."""
 
-FADE = 0.97
-"""Share of the old evidence's weight kept at each new observation."""
+DECAY = 0.97
+"""Factor applied to the weight of earlier evidence at each new observation."""
 
-WINDOW = 64
-"""Recent samples of which the low end shows the clean step. All of them must be slow before
-the engine is believed to have turned slow: one long prompt keeps every step slow for seconds."""
+SAMPLE_WINDOW = 64
+"""Recent samples whose low end estimates the clean step. All of them must be slow before the
+engine counts as slower: one long prompt keeps every step slow for seconds."""
 
 SHORT_WINDOW = 8
-"""Samples that are enough to see that an engine is faster than believed."""
+"""Samples needed to detect that an engine is faster than estimated."""
 
-LOW_RANK = 4
-"""Which of the window's samples, from the lowest, counts as its low end."""
+LOW_END_RANK = 4
+"""Rank, from the lowest, of the sample that is the window's low end."""
 
 CLEAN_WINDOW = 5
-"""Steps known to be clean whose median shows a change of speed."""
+"""Number of steps known to be clean whose median shows a change of speed."""
 
-CLEAN_RATIO = 1.15
-"""Samples within this factor of the low end are taken as clean steps."""
+MAX_CLEAN_RATIO = 1.15
+"""Samples within this factor of the low end count as clean steps."""
 
-STEP_CHANGE = 1.8
-"""If the low end of a whole window differs by this factor, the engine's speed has changed."""
+SPEED_CHANGE_RATIO = 1.8
+"""Factor by which the low end of a window must differ from the estimate for the engine's speed to have changed."""
 
-TRUST_SAMPLES = 1.0
-"""Clean steps, and finished runs, after which a model is half trusted."""
+HALF_CONFIDENCE_SAMPLES = 1.0
+"""Number of clean steps and of finished runs at which :meth:`EngineModel.confidence` is one half."""
 
-EARLY_RATIO = 1.6
-"""Until the window is full, samples so far above the believed step teach nothing."""
+MAX_EARLY_RATIO = 1.6
+"""Until the window is full, samples above the estimated step by more than this factor are ignored."""
 
 PRIOR_PREFILL_TOKENS = 2048.0
-"""How many prefilled tokens the declared rate counts for."""
+"""Number of prefilled tokens that the declared rate counts for."""
 
 PREFILL_MEMORY_TOKENS = 60_000.0
-"""Tokens over which old evidence on the prefill rate fades."""
+"""Prefilled tokens over which earlier evidence on the prefill rate decays."""
 
-PACE_MEMORY_S = 150.0
-"""Seconds of decoding over which old evidence on interference fades."""
+INTERFERENCE_MEMORY_S = 150.0
+"""Seconds of decoding over which earlier evidence on interference decays."""
 
 MAX_INTERFERENCE = 20.0
 
 CHUNK_TOKENS = 512
 """Prompt tokens an engine is assumed to prefill between two decode steps."""
 
-GOOD_THROUGHPUT_SHARE = 0.95
-"""An engine counts as full at the least concurrency that gives this share of its best."""
+SATURATED_THROUGHPUT_SHARE = 0.95
+"""An engine is saturated at the lowest concurrency that gives this share of its best throughput."""
 
 MAX_STEP_RATIO = 6.0
-"""Largest step time tolerated, as a multiple of the step with one run."""
+"""Longest acceptable step, as a multiple of the step with one run."""
 
 MIN_DURATION_S = 1e-6
 
 
 class EngineModel:
-    """What one scheduler believes of the speed of one engine.
+    """Estimated speed of one engine.
 
     Parameters
     ----------
@@ -89,13 +90,13 @@
         "_step",
         "_step_s_by_runs",
         "_limit",
-        "_levels",
+        "_normalized_samples",
         "_clean_ratios",
         "_prefill_s_per_token",
         "_prefill_tokens",
         "_interference",
-        "_paced_s",
-        "_finishes",
+        "_interference_weight_s",
+        "_finished_runs",
     )
 
     def __init__(self, *, slots, step_s, prefill_tokens_per_s):
@@ -104,74 +105,74 @@
             base=step_s * (1.0 - PRIOR_SLOPE_SHARE),
             slope=step_s * PRIOR_SLOPE_SHARE,
             weight=PRIOR_WEIGHT,
-            fade=FADE,
+            decay=DECAY,
             low=1.0,
             high=float(self.slots),
         )
         self._step_s_by_runs = ()
         self._limit = 1
-        self._lay_out()
-        self._levels = deque(maxlen=WINDOW)
+        self._tabulate_steps()
+        self._normalized_samples = deque(maxlen=SAMPLE_WINDOW)
         self._clean_ratios = deque(maxlen=CLEAN_WINDOW)
         self._prefill_s_per_token = 1.0 / prefill_tokens_per_s
         self._prefill_tokens = PRIOR_PREFILL_TOKENS
         self._interference = 1.0
-        self._paced_s = 1.0
-        self._finishes = 0
+        self._interference_weight_s = 1.0
+        self._finished_runs = 0
 
-    # What is measured.
+    # Measurements.
 
     def observe_first_token(self, *, first_token_s, uncached_tokens, concurrency, pending_prefill_tokens=0):
         """Learn the prefill rate from one run's time to its first token.
 
-        ``pending_prefill_tokens`` is what the engine still had to prefill for others
-        when the run was dispatched: it is computed first.
+        ``pending_prefill_tokens`` is what the engine still had to prefill for other runs
+        when this one was dispatched; it is computed first.
         """
         if uncached_tokens < 1:
             return
         tokens = uncached_tokens + pending_prefill_tokens
         steps_s = self.step_s(concurrency) * (1 + tokens / CHUNK_TOKENS)
-        spent_s = max(tokens * self._prefill_s_per_token / STEP_CHANGE, first_token_s - steps_s)
+        spent_s = max(tokens * self._prefill_s_per_token / SPEED_CHANGE_RATIO, first_token_s - steps_s)
         kept = self._prefill_tokens * max(0.0, 1.0 - tokens / PREFILL_MEMORY_TOKENS)
         self._prefill_s_per_token = (self._prefill_s_per_token * kept + spent_s) / (kept + tokens)
         self._prefill_tokens = kept + tokens
 
     def observe_finish(self, *, output_tokens, decode_s, mean_concurrency):
-        """Learn interference from one run's whole decode."""
+        """Learn interference from one run's complete decode."""
         if output_tokens < 1 or decode_s <= 0.0:
             return
-        pace_s = decode_s / output_tokens
-        ratio = min(MAX_INTERFERENCE, max(1.0, pace_s / self.step_s(mean_concurrency)))
-        kept = self._paced_s * max(0.0, 1.0 - decode_s / PACE_MEMORY_S)
+        token_interval_s = decode_s / output_tokens
+        ratio = min(MAX_INTERFERENCE, max(1.0, token_interval_s / self.step_s(mean_concurrency)))
+        kept = self._interference_weight_s * max(0.0, 1.0 - decode_s / INTERFERENCE_MEMORY_S)
         self._interference = (self._interference * kept + ratio * decode_s) / (kept + decode_s)
-        self._paced_s = kept + decode_s
-        self._finishes += 1
+        self._interference_weight_s = kept + decode_s
+        self._finished_runs += 1
 
     def observe_report(self, *, step_s, running, prefilling=None):
         """Learn the clean step from the engine's own load report.
 
-        ``prefilling`` tells whether a prompt was being prefilled at the report's time;
-        ``None`` when nobody knows. Known clean steps show a change of speed much sooner.
+        ``prefilling`` is whether a prompt was being prefilled at the report's time, or
+        ``None`` if unknown. Steps known to be clean show a change of speed much sooner.
 
-        Whole decodes are left out: the fuller an engine, the more prefill lies between
-        its tokens, and the line would take that for growth with the batch.
+        Complete decodes are not used: the fuller an engine, the more prefill lies between
+        its tokens, and the fit would mistake that for growth of the step with the batch.
         """
         if step_s <= 0.0 or running < 1 or prefilling:
             return
         concurrency = min(running, self.slots)
         if prefilling is None:
-            self._sample(concurrency, step_s)
+            self._add_sample(concurrency, step_s)
         else:
-            self._clean_sample(concurrency, step_s)
+            self._add_clean_sample(concurrency, step_s)
 
-    # What is believed.
+    # Estimates.
 
     def step_s(self, concurrency):
         """Expected seconds of one decode step that prefills nothing."""
         return self._step_s_by_runs[max(1, min(round(concurrency), self.slots)) - 1]
 
-    def pace_s(self, concurrency):
-        """Expected seconds from token to token, other prompts' prefill included."""
+    def token_interval_s(self, concurrency):
+        """Expected seconds between tokens, including the prefill of other prompts."""
         return self.step_s(concurrency) * self._interference
 
     def prefill_s(self, tokens):
@@ -190,19 +191,19 @@
             concurrency=concurrency,
             pending_prefill_tokens=pending_prefill_tokens,
         )
-        return first_s + max(0, output_tokens - 1) * self.pace_s(concurrency)
+        return first_s + max(0, output_tokens - 1) * self.token_interval_s(concurrency)
 
     def concurrency_limit(self):
-        """Least concurrency that keeps the engine just full, within its slots."""
+        """Lowest concurrency that saturates the engine, at most its slots."""
         return self._limit
 
     def confidence(self):
-        """How far, from 0 to 1, predictions rest on measurements and not on the declaration."""
-        measured = min(self._step.weight, self._finishes)
-        return measured / (measured + TRUST_SAMPLES)
+        """Degree, from 0 to 1, to which predictions rest on measurements rather than the declaration."""
+        measured = min(self._step.weight, self._finished_runs)
+        return measured / (measured + HALF_CONFIDENCE_SAMPLES)
 
     def dump(self):
-        """Return the believed figures for a state dump."""
+        """Return the current estimates for a state dump."""
         return {
             "slots": self.slots,
             "step_s_at_1": round(self.step_s(1), 6),
@@ -213,69 +214,71 @@
             "confidence": round(self.confidence(), 3),
         }
 
-    def _sample(self, concurrency, seconds):
-        """Take in one upper bound on the clean step at ``concurrency``.
+    def _add_sample(self, concurrency, seconds):
+        """Add one upper bound on the clean step at ``concurrency``.
 
-        Samples are compared through the declared shape and not the learned line: a line
-        that chose its own evidence would reject all that contradicts it.
+        Samples are normalized by the declared slope and not by the fitted line: a fit that
+        selected its own evidence would reject all samples that contradict it.
         """
         shape = 1.0 + PRIOR_SLOPE_SHARE * (concurrency - 1)
-        believed = self.step_s(concurrency) / shape
-        self._levels.append(seconds / shape)
-        low = _low_end(self._levels)
-        # An engine whose speed changed shows it in every sample; the line's shape still
-        # holds, so the whole line jumps instead of creeping there over many samples.
-        slower = len(self._levels) == WINDOW and low > STEP_CHANGE * believed
-        faster = len(self._levels) >= SHORT_WINDOW and low * STEP_CHANGE < believed
+        estimate = self.step_s(concurrency) / shape
+        self._normalized_samples.append(seconds / shape)
+        low = _low_end(self._normalized_samples)
+        # A change of the engine's speed shows in every sample and leaves the shape of the
+        # line as it was, so the line is rescaled immediately instead of being refitted over many samples.
+        slower = len(self._normalized_samples) == SAMPLE_WINDOW and low > SPEED_CHANGE_RATIO * estimate
+        faster = len(self._normalized_samples) >= SHORT_WINDOW and low * SPEED_CHANGE_RATIO < estimate
         if slower or faster:
-            self._rescale(low / believed)
-        elif self._levels[-1] <= CLEAN_RATIO * low and self._may_teach(believed):
+            self._rescale(low / estimate)
+        elif self._normalized_samples[-1] <= MAX_CLEAN_RATIO * low and self._is_plausible_sample(estimate):
             self._step.observe(x=concurrency, y=seconds, weight=1.0)
-            self._lay_out()
+            self._tabulate_steps()
 
-    def _clean_sample(self, concurrency, seconds):
-        """Take in one step that is known to have prefilled nothing."""
+    def _add_clean_sample(self, concurrency, seconds):
+        """Add one step that is known to have prefilled nothing."""
         self._clean_ratios.append(seconds / self.step_s(concurrency))
         middle = sorted(self._clean_ratios)[len(self._clean_ratios) // 2]
-        changed = middle > STEP_CHANGE or middle * STEP_CHANGE < 1.0
+        changed = middle > SPEED_CHANGE_RATIO or middle * SPEED_CHANGE_RATIO < 1.0
         if changed and len(self._clean_ratios) == CLEAN_WINDOW:
             self._rescale(middle)
             self._clean_ratios.clear()
         else:
             self._step.observe(x=concurrency, y=seconds, weight=1.0)
-            self._lay_out()
+            self._tabulate_steps()
 
-    def _lay_out(self):
-        """Lay the line out by concurrency: it is read far more often than it changes."""
+    def _tabulate_steps(self):
+        """Tabulate the line by concurrency: it is read far more often than it changes."""
         runs = range(1, self.slots + 1)
         self._step_s_by_runs = tuple(max(MIN_DURATION_S, self._step.at(number)) for number in runs)
-        self._limit = just_full(self._step_s_by_runs)
-
-    def _may_teach(self, believed):
-        # The first samples of an engine that starts under load may all be prefill: taken
-        # for its step they would make it look too slow for any request.
-        full = len(self._levels) == WINDOW
-        return full or (len(self._levels) >= LOW_RANK and self._levels[-1] <= EARLY_RATIO * believed)
+        self._limit = saturation_concurrency(self._step_s_by_runs)
+
+    def _is_plausible_sample(self, estimate):
+        # The first samples of an engine that starts under load may all contain prefill: used
+        # as clean steps, they would make it look too slow for any request.
+        full = len(self._normalized_samples) == SAMPLE_WINDOW
+        return full or (
+            len(self._normalized_samples) >= LOW_END_RANK and self._normalized_samples[-1] <= MAX_EARLY_RATIO * estimate
+        )
 
     def _rescale(self, factor):
         self._step.rescale(factor)
-        self._lay_out()
+        self._tabulate_steps()
         self._interference = max(1.0, self._interference / factor)
 
 
-def just_full(step_s_by_runs):
-    """Least number of runs that gives nearly the best throughput at a bearable step."""
+def saturation_concurrency(step_s_by_runs):
+    """Lowest number of runs that gives nearly the best throughput, or at which the step time reaches its limit."""
     slots = len(step_s_by_runs)
     best = slots / step_s_by_runs[-1]
     longest_s = MAX_STEP_RATIO * step_s_by_runs[0]
     for runs, step_s in enumerate(step_s_by_runs, start=1):
-        if runs / step_s >= GOOD_THROUGHPUT_SHARE * best:
+        if runs / step_s >= SATURATED_THROUGHPUT_SHARE * best:
             return runs
         if runs < slots and step_s_by_runs[runs] > longest_s:
             return runs
     return slots
 
 
-def _low_end(levels):
+def _low_end(samples):
     """Low end of a window of samples."""
-    return sorted(levels)[min(LOW_RANK, len(levels)) - 1]
+    return sorted(samples)[min(LOW_END_RANK, len(samples)) - 1]
--- a/wagtailtrestle/engines/native_call.py
+++ b/wagtailtrestle/engines/native_call.py
@@ -1,4 +1,4 @@
-"""What the product's own interface says to engines and plain services, and how it reads their answers."""
+"""Native dialect: requests to engines and plain services, and the parsing of their answers."""
 
 import json
 from urllib.parse import quote
@@ -20,14 +20,14 @@
 RUN_ID_HEADER = "X-Request-Id"
 CALLER_ID_HEADER = "X-Caller-Request-Id"
 RATE_LIMIT_HEADER = "X-Rate-Limit"
-"""On an answer: requests a second that the engine takes from all routers together."""
+"""Of an answer: requests per second that the engine accepts from all routers together."""
 RETRY_AFTER_HEADER = "Retry-After"
 LEAVING_HEADER = "X-Leaving"
-"""On an answer, with ``yes``: the engine leaves."""
+"""Of an answer, with ``yes``: the engine is draining."""
 LEAVING_YES = "yes"
-# The run's own id and length are set here; the others concern one connection only, and the
-# bearer key is the callers' secret with this system, not with the engine.
-UNFORWARDED = frozenset(
+# The run's id and the length are set here and the others apply to a single connection; the
+# bearer key is a secret between the caller and this system that engines must not receive.
+UNFORWARDED_HEADERS = frozenset(
     (
         "authorization",
         "connection",
@@ -46,8 +46,8 @@
 )
 
 
-class EngineCall:
-    """What is to be sent to an engine for one request.
+class NativeCall:
+    """One request as it is sent to an engine or a plain service.
 
     Parameters
     ----------
@@ -55,9 +55,9 @@
         ``language`` or ``plain``.
     method, path, query : str
     headers : dict of str to str
-        The caller's, for a plain service.
+        The caller's headers, for a plain service.
     body : bytes
-        As the caller sent it, for a plain service.
+        The caller's body, for a plain service.
     document : dict or None
         The parsed body of a language request.
     caller_request_id : str
@@ -77,15 +77,15 @@
 
     @property
     def is_streamed(self):
-        """Whether its answer comes token by token."""
+        """Whether the answer is streamed token by token."""
         return self.kind == LANGUAGE
 
     def cancel_path(self, run_id):
-        """Where an engine is told to cancel; a plain service would take the call for a request."""
+        """Path to cancel a run, or ``None`` for a plain service, which would treat the call as a request."""
         return f"/runs/{quote(run_id, safe='')}/cancel" if self.kind == LANGUAGE else None
 
     def head(self, command, received) -> CallHead:
-        """What to send for one run."""
+        """Return the HTTP request for one run."""
         headers = {RUN_ID_HEADER: command.run_id}
         if self.caller_request_id:
             headers[CALLER_ID_HEADER] = self.caller_request_id
@@ -95,12 +95,12 @@
         if self.kind == LANGUAGE:
             headers["Content-Type"] = "application/json"
             return CallHead(method="POST", target=self.path, headers=headers, body=self._language_body(received))
-        forwarded = {name: value for name, value in self.headers.items() if name.lower() not in UNFORWARDED}
+        forwarded = {name: value for name, value in self.headers.items() if name.lower() not in UNFORWARDED_HEADERS}
         target = f"{self.path}?{self.query}" if self.query else self.path
         return CallHead(method=self.method, target=target, headers={**forwarded, **headers}, body=self.body or None)
 
     def notice(self, exchange):
-        """What the answer's head says of its engine; a stray answer bears another run's id."""
+        """Return the engine's notice in the answer's head; ``None`` for an answer that carries another run's id."""
         headers = exchange.response.headers
         if headers.get(RUN_ID_HEADER) != exchange.command.run_id:
             return None
@@ -113,7 +113,7 @@
 
     def read(self, exchange):
         """Read the answer to its end."""
-        if _refused_unstarted(exchange):
+        if _refused_before_start(exchange):
             return RunNotSent(detail="the engine refused the run before it began")
         if self.kind == LANGUAGE:
             return _read_stream(exchange)
@@ -129,18 +129,18 @@
     def _read_plain(self, exchange):
         response = exchange.response
         exchange.reached = True
-        # A late or misrouted answer on this connection would be read as this caller's; the
-        # service repeats the run's id, so an answer without it is nobody's.
+        # A late or misrouted answer on this connection would be passed on to this caller. The
+        # service repeats the run's id, so an answer without it is not accepted.
         answer_id = response.headers.get(RUN_ID_HEADER)
         if answer_id != exchange.command.run_id:
             return exchange.cut(f"crossed: the answer carries {'another' if answer_id else 'no'} run's id")
         length = self._plain_length(response)
         if length is None:
-            return exchange.cut("the answer tells no length, so nobody can tell whether it is whole")
+            return exchange.cut("the answer has no Content-Length, so its completeness can't be checked")
         if length > MAX_PLAIN_BYTES:
             return exchange.cut(f"the answer is longer than {MAX_PLAIN_BYTES} bytes")
         exchange.progress.begin()
-        exchange.keep(exchange.read_body(length))
+        exchange.record_answer(exchange.read_body(length))
         if response.status >= FIRST_ERROR_STATUS:
             return RunRejected(status=response.status)
         return RunDone()
@@ -152,13 +152,13 @@
         return int(length) if length.isdecimal() else None
 
 
-CANCELLABLE = EngineCall(kind=LANGUAGE, method="POST", path="")
-"""Any language call: a run whose connection is gone is cancelled as any other."""
+CANCEL_CALL = NativeCall(kind=LANGUAGE, method="POST", path="")
+"""Call used to cancel runs whose connection has ended: the cancel request is the same for every language call."""
 
 
-def _refused_unstarted(exchange) -> bool:
-    # An engine about to stop promises that it did not begin the run it refuses. The
-    # promise counts only with the run's own id: a late answer to another run says nothing.
+def _refused_before_start(exchange) -> bool:
+    # An engine that is about to stop states that it did not start the run that it refuses.
+    # The statement counts only with this run's id: it may be a late answer to another run.
     headers = exchange.response.headers
     return (
         exchange.response.status == UNAVAILABLE
@@ -180,12 +180,12 @@
     check = AnswerCheck(run_id=exchange.command.run_id, received=received, on_token=exchange.on_token)
     chunks = exchange.chunks()
     while not received.done:
-        exchange.wait_at_most(exchange.progress.left_for_token_s())
+        exchange.set_read_timeout(exchange.progress.time_left_for_token_s())
         data = next(chunks, b"")
         if not data:
             break
         fault = check.feed(data)
-        exchange.progress.note()
+        exchange.progress.update()
         if fault is not None:
             return exchange.cut(fault.detail)
     if check.cancelled:
@@ -197,6 +197,6 @@
 
 
 def _rejected(exchange):
-    exchange.wait_at_most(exchange.progress.left_s(exchange.command.first_token_deadline_s))
-    exchange.keep(exchange.response.read(MAX_ERROR_BYTES, decode_content=False))
+    exchange.set_read_timeout(exchange.progress.time_left_s(exchange.command.first_token_deadline_s))
+    exchange.record_answer(exchange.response.read(MAX_ERROR_BYTES, decode_content=False))
     return RunRejected(status=exchange.response.status)
--- a/wagtailtrestle/engines/notices.py
+++ b/wagtailtrestle/engines/notices.py
@@ -1,4 +1,4 @@
-"""What engines say of themselves in the heads of their answers, as one router heard it."""
+"""Notices in the heads of engines' answers, as received by one router: rate limits, draining and back-off."""
 
 import math
 
@@ -6,39 +6,39 @@
 
 from wagtailtrestle.contracts.declaration import DeclaredEngine
 from wagtailtrestle.contracts.messages import EngineNotice, Granted
-from wagtailtrestle.engines.rate_limit import KEPT_S
+from wagtailtrestle.engines.rate_limit import LIMIT_NOTICE_TTL_S
 
-HEARD_SLACK_S = 0.5
-"""How much older than this router's own notice a scheduler's may be: grants that were on their way are used."""
+NOTICE_AGE_TOLERANCE_S = 0.5
+"""Amount by which a scheduler's notice may be older than this router's, so that grants in transit are used."""
 
-MAX_REST_S = 3600.0
-"""Longest rest that an engine is granted."""
+MAX_BACK_OFF_S = 3600.0
+"""Longest back-off that an engine may ask for; a longer one is shortened to it."""
 
-LEAVING_KEPT_S = 300.0
-"""Time for which a notice of leaving holds unless the engine tells another start; one that starts again under its name
-without telling so is used again after it."""
+LEAVING_NOTICE_TTL_S = 300.0
+"""Time for which a draining notice applies unless the engine reports a newer start; after it, an engine that restarted
+under the same name without reporting its start is used again."""
 
 
 def read_notice(command, *, limit, leaving, retry_after=None):
-    """Build the notice of an answer's head.
+    """Build the notice in an answer's head.
 
     Parameters
     ----------
     command : StartRun
-        What was answered.
+        The run that was answered.
     limit : str or None
-        Requests a second, as the engine wrote them.
+        Requests per second, as the header states them.
     leaving : bool
     retry_after : str or None
-        Seconds, of an answer by which the engine turned the request away.
+        Seconds, as the header states them, in an answer that rejects the request.
 
     Returns
     -------
     EngineNotice or None
-        ``None`` if nothing can be told from it: a limit that can't be read neither holds nor ends.
+        ``None`` if the head carries no valid notice: an invalid limit neither sets nor ends one.
     """
     limit_per_s = math.inf if limit is None else _read_number(limit)
-    rest_s = 0.0 if retry_after is None else min(MAX_REST_S, _read_number(retry_after) or 0.0)
+    rest_s = 0.0 if retry_after is None else min(MAX_BACK_OFF_S, _read_number(retry_after) or 0.0)
     if limit_per_s is None and not leaving and not rest_s:
         return None
     return EngineNotice(
@@ -51,7 +51,7 @@
 
 
 def _read_number(text):
-    """Return the decimal number that a header holds, or ``None`` if that is none, or below 0."""
+    """Return the decimal number in a header, or ``None`` if it is not a finite number or is negative."""
     try:
         number = float(text)
     except ValueError:
@@ -60,7 +60,7 @@
 
 
 class EngineNotices:
-    """What engines said lately in answers that this router read.
+    """Recent notices in answers that this router received.
 
     Parameters
     ----------
@@ -70,110 +70,116 @@
         Returns the loop's time in seconds.
     """
 
-    __slots__ = ("_clock", "_heard_by_engine", "_router")
+    __slots__ = ("_clock", "_received_by_engine", "_router")
 
     def __init__(self, *, router, clock):
         self._router = router
         self._clock = clock
-        self._heard_by_engine = {}
-
-    def take(self, notice: EngineNotice):
-        """Take in a notice that was read just now."""
-        self._forget_old()
-        heard = self._heard_by_engine.get(notice.engine)
-        if heard is None or is_of_before(heard.start_ms, notice.start_ms):
-            heard = self._heard_by_engine[notice.engine] = Heard(start_ms=notice.start_ms)
-        if is_of_before(notice.start_ms, heard.start_ms):
+        self._received_by_engine = {}
+
+    def process(self, notice: EngineNotice):
+        """Apply a notice that has just been received."""
+        self._remove_expired()
+        received = self._received_by_engine.get(notice.engine)
+        if received is None or is_earlier_start(received.start_ms, notice.start_ms):
+            received = self._received_by_engine[notice.engine] = ReceivedNotices(start_ms=notice.start_ms)
+        if is_earlier_start(notice.start_ms, received.start_ms):
             return
-        self._take_limit(notice, heard)
+        self._update_limit(notice, received)
         if notice.rest_s:
-            logger.bind(engine=notice.engine, rest_s=notice.rest_s).info("an engine asks this router for a rest")
-            if heard.rest_until <= self._clock():
-                heard.rest_from = self._clock()
-            heard.rest_until = max(heard.rest_until, self._clock() + notice.rest_s)
+            logger.bind(engine=notice.engine, rest_s=notice.rest_s).info("an engine asked this router to back off")
+            if received.back_off_until <= self._clock():
+                received.back_off_from = self._clock()
+            received.back_off_until = max(received.back_off_until, self._clock() + notice.rest_s)
         if notice.leaving:
-            if heard.leaving_at == -math.inf:
-                logger.bind(engine=notice.engine).info("an engine says in an answer that it leaves")
-            heard.leaving_at = self._clock()
+            if received.leaving_at == -math.inf:
+                logger.bind(engine=notice.engine).info("an engine announced in an answer that it is draining")
+            received.leaving_at = self._clock()
 
     def is_limited(self, engine) -> bool:
-        """Whether the engine named a limit when it was last heard."""
-        return self._limit_age_s(engine) < KEPT_S
+        """Whether the last answer of the engine stated a limit that has not expired."""
+        return self._limit_age_s(engine) < LIMIT_NOTICE_TTL_S
 
     def is_leaving(self, engine: DeclaredEngine) -> bool:
-        """Whether the engine said that it leaves, and hasn't started again since."""
-        heard = self._heard_by_engine.get(engine.name)
-        if heard is None or is_of_before(heard.start_ms, engine.start_ms):
+        """Whether the engine announced that it is draining and has not restarted since."""
+        received = self._received_by_engine.get(engine.name)
+        if received is None or is_earlier_start(received.start_ms, engine.start_ms):
             return False
-        return self._clock() - heard.leaving_at < LEAVING_KEPT_S
+        return self._clock() - received.leaving_at < LEAVING_NOTICE_TTL_S
 
     def rest_s(self, engine: DeclaredEngine) -> float:
-        """Time left in which the engine wants nothing from this router; not positive without a rest."""
-        heard = self._heard_by_engine.get(engine.name)
-        if heard is None or is_of_before(heard.start_ms, engine.start_ms):
+        """Time left of the back-off that the engine asked of this router; not positive without one."""
+        received = self._received_by_engine.get(engine.name)
+        if received is None or is_earlier_start(received.start_ms, engine.start_ms):
             return 0.0
-        return heard.rest_until - self._clock()
+        return received.back_off_until - self._clock()
 
     def rested_s(self, engine: DeclaredEngine) -> float:
-        """Time since the engine first asked for the rest that it is given; 0 without one."""
+        """Time since the start of the engine's current back-off; 0 without one."""
         if self.rest_s(engine) <= 0.0:
             return 0.0
-        return self._clock() - self._heard_by_engine[engine.name].rest_from
+        return self._clock() - self._received_by_engine[engine.name].back_off_from
 
-    def are_unknown_to(self, granted: Granted) -> bool:
-        """Whether a scheduler granted a place on an engine without having heard of the limit that it names."""
+    def are_newer_than(self, granted: Granted) -> bool:
+        """Whether a grant was made before its scheduler received the limit that the engine states."""
         age_s = self._limit_age_s(granted.engine)
-        return age_s < KEPT_S and granted.limit_age_s > age_s + HEARD_SLACK_S
+        return age_s < LIMIT_NOTICE_TTL_S and granted.limit_age_s > age_s + NOTICE_AGE_TOLERANCE_S
 
     @property
     def engines(self):
-        """Names of the engines that asked for something lately."""
-        return tuple(self._heard_by_engine)
+        """Names of the engines with a recent notice."""
+        return tuple(self._received_by_engine)
 
-    def of(self, engines):
-        """Notices of these engines to tell a scheduler, with their age."""
+    def for_engines(self, engines):
+        """Return the notices of these engines, with their ages, to send to a scheduler."""
         now = self._clock()
         notices = []
         for engine in engines:
-            heard = self._heard_by_engine.get(engine)
-            if heard is None:
+            received = self._received_by_engine.get(engine)
+            if received is None:
                 continue
-            told = {"engine": engine, "start_ms": heard.start_ms, "entry": self._router}
-            if now - heard.limit_at < KEPT_S:
-                notices.append(EngineNotice(**told, limit_per_s=heard.limit_per_s, age_s=now - heard.limit_at))
-            if now - heard.leaving_at < LEAVING_KEPT_S:
-                notices.append(EngineNotice(**told, leaving=True, age_s=now - heard.leaving_at))
-            if heard.rest_until > now:
-                notices.append(EngineNotice(**told, rest_s=heard.rest_until - now))
+            common_fields = {"engine": engine, "start_ms": received.start_ms, "entry": self._router}
+            if now - received.limit_at < LIMIT_NOTICE_TTL_S:
+                notices.append(
+                    EngineNotice(**common_fields, limit_per_s=received.limit_per_s, age_s=now - received.limit_at)
+                )
+            if now - received.leaving_at < LEAVING_NOTICE_TTL_S:
+                notices.append(EngineNotice(**common_fields, leaving=True, age_s=now - received.leaving_at))
+            if received.back_off_until > now:
+                notices.append(EngineNotice(**common_fields, rest_s=received.back_off_until - now))
         return tuple(notices)
 
     def dump(self):
         """Plain data for the state dump."""
-        return {engine: heard.dump(now=self._clock()) for engine, heard in self._heard_by_engine.items()}
+        return {engine: received.dump(now=self._clock()) for engine, received in self._received_by_engine.items()}
 
-    def _take_limit(self, notice, heard):
-        if notice.limit_per_s != heard.limit_per_s:
+    def _update_limit(self, notice, received):
+        if notice.limit_per_s != received.limit_per_s:
             logger.bind(
-                engine=notice.engine, limit_per_s=_shown(notice.limit_per_s), before_per_s=_shown(heard.limit_per_s)
-            ).info("an engine names another rate limit in its answers")
-        heard.limit_per_s = notice.limit_per_s
-        heard.limit_at = self._clock() if notice.names_limit else -math.inf
+                engine=notice.engine,
+                limit_per_s=_json_number(notice.limit_per_s),
+                before_per_s=_json_number(received.limit_per_s),
+            ).info("an engine states another rate limit in its answers")
+        received.limit_per_s = notice.limit_per_s
+        received.limit_at = self._clock() if notice.names_limit else -math.inf
 
     def _limit_age_s(self, engine):
-        heard = self._heard_by_engine.get(engine)
-        return math.inf if heard is None else self._clock() - heard.limit_at
+        received = self._received_by_engine.get(engine)
+        return math.inf if received is None else self._clock() - received.limit_at
 
-    def _forget_old(self):
+    def _remove_expired(self):
         now = self._clock()
-        self._heard_by_engine = {
-            engine: heard
-            for engine, heard in self._heard_by_engine.items()
-            if now - heard.limit_at < KEPT_S or now - heard.leaving_at < LEAVING_KEPT_S or heard.rest_until > now
+        self._received_by_engine = {
+            engine: received
+            for engine, received in self._received_by_engine.items()
+            if now - received.limit_at < LIMIT_NOTICE_TTL_S
+            or now - received.leaving_at < LEAVING_NOTICE_TTL_S
+            or received.back_off_until > now
         }
 
 
-class Heard:
-    """What one start of an engine said lately.
+class ReceivedNotices:
+    """Recent notices of one start of an engine.
 
     Parameters
     ----------
@@ -183,38 +189,39 @@
     Attributes
     ----------
     limit_per_s : float
-        Requests a second; infinite without a limit.
+        Requests per second; infinite without a limit.
     limit_at, leaving_at : float
-        When it named the limit, and when it said that it leaves, on the router's clock; minus infinity if it didn't.
-    rest_from, rest_until : float
-        Time in which it wants nothing from this router.
+        When it stated the limit and when it announced that it is draining, on the router's clock; minus infinity if it
+        did not.
+    back_off_from, back_off_until : float
+        Start and end of the back-off that it asked of this router.
     """
 
-    __slots__ = ("start_ms", "limit_per_s", "limit_at", "leaving_at", "rest_from", "rest_until")
+    __slots__ = ("start_ms", "limit_per_s", "limit_at", "leaving_at", "back_off_from", "back_off_until")
 
     def __init__(self, *, start_ms):
         self.start_ms = start_ms
         self.limit_per_s = math.inf
         self.limit_at = -math.inf
         self.leaving_at = -math.inf
-        self.rest_from = -math.inf
-        self.rest_until = -math.inf
+        self.back_off_from = -math.inf
+        self.back_off_until = -math.inf
 
     def dump(self, *, now):
         """Plain data for the state dump."""
         return {
-            "limit_per_s": _shown(self.limit_per_s),
-            "limit_age_s": _shown(now - self.limit_at),
-            "leaving_age_s": _shown(now - self.leaving_at),
-            "rest_s": _shown(max(0.0, self.rest_until - now)),
+            "limit_per_s": _json_number(self.limit_per_s),
+            "limit_age_s": _json_number(now - self.limit_at),
+            "leaving_age_s": _json_number(now - self.leaving_at),
+            "rest_s": _json_number(max(0.0, self.back_off_until - now)),
         }
 
 
-def is_of_before(start_ms, other_ms):
-    """Whether a start of an engine came before another; unknown starts are taken for the same."""
+def is_earlier_start(start_ms, other_ms):
+    """Whether a start of an engine precedes another; unknown starts count as the same."""
     return 0 < start_ms < other_ms
 
 
-def _shown(number):
+def _json_number(number):
     # JSON has no infinity.
     return None if number == math.inf else round(number, 3)
--- a/wagtailtrestle/engines/silence_limits.py
+++ b/wagtailtrestle/engines/silence_limits.py
@@ -1,35 +1,35 @@
-"""How long a granted run may stay silent before its entry gives it up."""
+"""Time-outs after which the entry abandons a granted run that stays silent."""
 
 from wagtailtrestle.contracts.messages import Granted
 
-PROGRESS_FLOOR_S = 1.0
-"""Least silence tolerated between tokens."""
+MIN_PROGRESS_DEADLINE_S = 1.0
+"""Minimum time-out between tokens."""
 
-FIRST_TOKEN_FLOOR_S = 2.0
-"""Least silence tolerated before the first token."""
+MIN_FIRST_TOKEN_DEADLINE_S = 2.0
+"""Minimum time-out of the first token."""
 
-SILENCE_FACTOR = 8.0
-"""How many times the predicted time a run may stay silent before it is given up."""
+SILENCE_TOLERANCE_FACTOR = 8.0
+"""Time-outs as a multiple of the predicted time."""
 
-CHUNK_TOKENS = 1024
-"""Prompt tokens of other runs that an engine may prefill between two tokens of one."""
+INTERLEAVED_PREFILL_TOKENS = 1024
+"""Prompt tokens of other runs that an engine may prefill between two tokens of a run."""
 
 
 def granted_message(grant, engine, *, retries_used_up=False):
-    """Tell the entry of its place on the engine, with the limits on its silence."""
+    """Build the message that grants an entry a slot on the engine, with the time-outs of the run."""
     model = engine.model
     first_token_s = model.predict_first_token_s(
         uncached_tokens=grant.prefill_tokens,
         concurrency=engine.slots,
         pending_prefill_tokens=engine.pending_prefill_tokens,
     )
-    step_s = model.step_s(engine.slots) + model.prefill_s(CHUNK_TOKENS)
+    step_s = model.step_s(engine.slots) + model.prefill_s(INTERLEAVED_PREFILL_TOKENS)
     return Granted(
         request_id=grant.request_id,
         attempt=grant.request.attempt,
         engine=grant.engine,
-        progress_deadline_s=max(PROGRESS_FLOOR_S, SILENCE_FACTOR * step_s),
-        first_token_deadline_s=max(FIRST_TOKEN_FLOOR_S, SILENCE_FACTOR * first_token_s),
+        progress_deadline_s=max(MIN_PROGRESS_DEADLINE_S, SILENCE_TOLERANCE_FACTOR * step_s),
+        first_token_deadline_s=max(MIN_FIRST_TOKEN_DEADLINE_S, SILENCE_TOLERANCE_FACTOR * first_token_s),
         limit_age_s=engine.rate_limit.age_s,
         retries_used_up=retries_used_up,
     )
--- a/wagtailtrestle/entry/entry.py
+++ b/wagtailtrestle/entry/entry.py
@@ -13,7 +13,7 @@
 from wagtailtrestle.contracts.exchange import AnswerRefusal
 from wagtailtrestle.contracts.messages import EngineDown, EngineNotice, Granted, Register, RunFinished, Withdraw
 from wagtailtrestle.contracts.outcomes import Executed, Reason, RunNotSent
-from wagtailtrestle.engines.notices import HEARD_SLACK_S, EngineNotices
+from wagtailtrestle.engines.notices import NOTICE_AGE_TOLERANCE_S, EngineNotices
 from wagtailtrestle.entry.cells import cells_of, choose_cell
 from wagtailtrestle.entry.final_answers import DEFAULT_RETRY_AFTER_S, refusal_of
 from wagtailtrestle.entry.request_task import Displaced, RequestState, RequestTask
@@ -94,7 +94,7 @@
     def is_informed(self, granted):
         """Whether the scheduler that granted a place knew of the limit or rest that the engine told this router."""
         declared = self._declaration().engines_by_name[granted.engine]
-        return self._notices.rest_s(declared) <= 0.0 and not self._notices.are_unknown_to(granted)
+        return self._notices.rest_s(declared) <= 0.0 and not self._notices.are_newer_than(granted)
 
     def retry_after_s(self, service):
         """Time until some engine of a service takes a request of this router again."""
@@ -104,7 +104,7 @@
 
     def tell_again(self, engine):
         """Tell the scheduler what an engine said lately, so that its next grant can be used."""
-        for notice in self._notices.of((engine,)):
+        for notice in self._notices.for_engines((engine,)):
             self.tell(notice)
 
     def tell(self, notice):
@@ -199,7 +199,7 @@
         """Give a caller's event to its request; late ones are dropped."""
         if isinstance(event, EngineNotice):
             self._count_broken_rest(event)
-            self._notices.take(event)
+            self._notices.process(event)
             self._context.tell(dataclasses.replace(event, entry=self.name))
             return
         task = self.tasks_by_id.get(request_id)
@@ -212,7 +212,7 @@
             return
         rested_s = self._notices.rested_s(engine)
         # What was on its way when the engine first asked is no fault.
-        if rested_s > HEARD_SLACK_S:
+        if rested_s > NOTICE_AGE_TOLERANCE_S:
             self._run_counts.note_rest_broken(engine=notice.engine, rested_s=rested_s)
 
     def displace(self, request_id):
@@ -248,7 +248,7 @@
     def _notices_of(self, cell):
         declared = self._declaration().engines_by_name
         heard = [engine for engine in self._notices.engines if engine in declared]
-        return self._notices.of([engine for engine in heard if declared[engine].cell == cell])
+        return self._notices.for_engines([engine for engine in heard if declared[engine].cell == cell])
 
     def cells_held(self):
         """Cells for which a request waits or runs."""
