--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -160,7 +160,7 @@
     async def test_direct_way_is_cut(self):
         # Only this router can't reach the scheduler. Its messages go through a third one, and so do answers.
         self.make("b")
-        self.membership.view.everyone = ("a", "b", "c")
+        self.membership.view.all_members = ("a", "b", "c")
         self.peers.unreachable_s_by_peer["b"] = 2.0
         self.send()
         helpers = {(peer, type(message), message.target) for peer, _, message in self.peers.sent}
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -96,7 +96,7 @@
         await asyncio.sleep(3)
         self.assert_views(names)
         woken = [view for _, name, view in self.net.changes if name == "r002"]
-        self.assertTrue(all(set(others) <= set(view.everyone) for view in woken))
+        self.assertTrue(all(set(others) <= set(view.all_members) for view in woken))
 
     @on_fast_loop
     async def test_paused_while_it_suspects(self):
@@ -114,7 +114,7 @@
         self.net.thaw("r001")
         await asyncio.sleep(3)
         self.assert_views(names)
-        self.assertFalse([view for _, name, view in self.net.changes if "r002" not in view.everyone])
+        self.assertFalse([view for _, name, view in self.net.changes if "r002" not in view.all_members])
 
     @on_fast_loop
     async def test_a_router_started_again_is_in_the_view_before_its_next_message(self):
@@ -221,7 +221,7 @@
         await asyncio.sleep(15)
         self.assert_views(names)
         for _, name, view in self.net.changes:
-            self.assertLessEqual(set(left if name in left else right), set(view.everyone))
+            self.assertLessEqual(set(left if name in left else right), set(view.all_members))
 
 
 class FleetSizeTest(MembershipCase):
@@ -234,7 +234,7 @@
         names = await self.net.add_all(6)
         self.net.cut = lambda one, other: one != other
         await asyncio.sleep(30.0)
-        self.assertEqual({len(self.net.by_name[name].view.everyone) for name in names}, {1})
+        self.assertEqual({len(self.net.by_name[name].view.all_members) for name in names}, {1})
         self.assertEqual(self.sizes(names), {6})
 
     @on_fast_loop
@@ -292,14 +292,14 @@
         # only late news; long after, it is the other side's knowledge and brings the router back.
         self.table.by_name["b"].set_state(MemberState.DEAD, 100.0)
         self.table.merge([self.say(MemberState.ALIVE)], 105.0, believe=False)
-        self.assertEqual(self.table.view(105.0).everyone, ("a",))
+        self.assertEqual(self.table.view(105.0).all_members, ("a",))
         self.table.merge([self.say(MemberState.ALIVE)], 111.0, believe=False)
-        self.assertEqual(self.table.view(111.0).everyone, ("a", "b"))
+        self.assertEqual(self.table.view(111.0).all_members, ("a", "b"))
 
     def test_called_dead_by_a_peer(self):
         # A peer's whole view has a router dead that is alive here: checked, not believed, unless this router
         # was away itself.
         _, doubted = self.table.merge([self.say(MemberState.DEAD)], 1.0, believe=False)
-        self.assertEqual((doubted, self.table.view(1.0).everyone), (["b"], ("a", "b")))
+        self.assertEqual((doubted, self.table.view(1.0).all_members), (["b"], ("a", "b")))
         self.table.merge([self.say(MemberState.DEAD)], 1.0, believe=True)
-        self.assertEqual(self.table.view(1.0).everyone, ("a",))
+        self.assertEqual(self.table.view(1.0).all_members, ("a",))
--- a/tests/utils/retry_fleet.py
+++ b/tests/utils/retry_fleet.py
@@ -70,7 +70,7 @@
         self.schedulers = SchedulerSet(
             clock=loop.time, entries=self.directory.entry_link, retry_limits=self._retry_limits
         )
-        self.schedulers.set_members(membership.view.everyone)
+        self.schedulers.set_members(membership.view.all_members)
         self.schedulers.set_declaration(fleet.declaration)
         self.entry = Entry(
             name=name,
--- a/wagtailtrestle/membership/membership.py
+++ b/wagtailtrestle/membership/membership.py
@@ -450,7 +450,7 @@
         self._recheck_at = self._table.next_hold_end(now)
         self._digest = self._table.digest()
         view = self._table.view(now)
-        if view.everyone != self._ring_names:
+        if view.all_members != self._ring_names:
             self._rewire(view)
         if view.digest == self.view.digest:
             return
@@ -459,10 +459,10 @@
             callback(view)
 
     def _rewire(self, view):
-        self._ring_names = view.everyone
-        ring = Ring(names=view.everyone)
+        self._ring_names = view.all_members
+        ring = Ring(names=view.all_members)
         self._heartbeat_s = self._mesh_heartbeat_s if ring.is_small else max(self._mesh_heartbeat_s, RING_HEARTBEAT_S)
-        if self.name in view.everyone:
+        if self.name in view.all_members:
             self._partners = ring.partners(self.name)
             self._fingers = ring.fingers(self.name)
         self._peers.keep(self._partners)
--- a/wagtailtrestle/membership/view.py
+++ b/wagtailtrestle/membership/view.py
@@ -21,12 +21,12 @@
         Equal for views of equal content, on whichever router.
     """
 
-    __slots__ = ("digest", "draining", "everyone", "incarnations_by_name", "members")
+    __slots__ = ("digest", "draining", "all_members", "incarnations_by_name", "members")
 
     def __init__(self, *, members, draining=(), incarnations_by_name=None):
         self.members = tuple(sorted(members))
         self.draining = tuple(sorted(draining))
-        self.everyone = tuple(sorted(self.members + self.draining))
+        self.all_members = tuple(sorted(self.members + self.draining))
         self.incarnations_by_name = dict(incarnations_by_name or {})
         self.digest = digest_of(self.members, self.draining, sorted(self.incarnations_by_name.items()))
 
--- a/wagtailtrestle/peers/directory.py
+++ b/wagtailtrestle/peers/directory.py
@@ -87,7 +87,7 @@
         self.name = name
         self._membership = membership
         self._peers = peers
-        self._routes = PeerRoutes(name=name, peers=peers, members=lambda: membership.view.everyone, loop=loop)
+        self._routes = PeerRoutes(name=name, peers=peers, members=lambda: membership.view.all_members, loop=loop)
         self._loop = loop
         self._deliver_to_scheduler = deliver_to_scheduler
         self._deliver_to_entry = deliver_to_entry
@@ -175,7 +175,7 @@
             # A scheduler of before still holds that everybody has registered, and would grant at once beside
             # all that was granted since: engines filled twice over.
             self._begin_cell(cell)
-        if before in self._membership.view.everyone:
+        if before in self._membership.view.all_members:
             # Without this a former scheduler that lives would hold this entry's places until told otherwise.
             self._send(before, cell, Register(entry=self.name, cell=cell, elsewhere=True))
         if scheduler is not None:
@@ -186,7 +186,7 @@
         holds_nothing = not registration.waiting and not registration.running and not registration.notices
         is_empty = holds_nothing and registration.retries.is_empty
         is_stranger = scheduler != self.name and not self._peers.connected(scheduler)
-        if is_empty and is_stranger and len(self._membership.view.everyone) > ANNOUNCE_LIMIT:
+        if is_empty and is_stranger and len(self._membership.view.all_members) > ANNOUNCE_LIMIT:
             return
         self._send(scheduler, cell, registration)
 
@@ -223,8 +223,8 @@
         restarted = self._note_incarnations(view)
         if restarted:
             # A new process of that name knows nothing of what its predecessor held: let that go first.
-            self._set_members(tuple(name for name in view.everyone if name not in restarted))
-        self._set_members(view.everyone)
+            self._set_members(tuple(name for name in view.all_members if name not in restarted))
+        self._set_members(view.all_members)
         self.refresh()
 
     def _note_incarnations(self, view):
--- a/wagtailtrestle/quotas/shared.py
+++ b/wagtailtrestle/quotas/shared.py
@@ -66,7 +66,7 @@
         return self.accounts.dump()
 
     def _count_members(self):
-        return len(self._membership.view.everyone)
+        return len(self._membership.view.all_members)
 
     def _on_ask(self, peer, ask, cell):
         self._peers.send(peer, self._owner.grant(ask))
--- a/wagtailtrestle/router.py
+++ b/wagtailtrestle/router.py
@@ -197,7 +197,7 @@
             runs_outlive_routers=self._adapter.ended_call is not None,
             retry_limits=self._retry_limits,
         )
-        self._schedulers.set_members(self._membership.view.everyone)
+        self._schedulers.set_members(self._membership.view.all_members)
         self._crashes = CrashWatch(
             table=CrashTable(clock=self._loop.time, reporter=name),
             detector=CrashDetector(clock=self._loop.time),
@@ -259,7 +259,7 @@
             ask=self._ask,
             shards=lambda: self._declaration().ledger_shards,
             retention_s=lambda: self._declaration().ledger_retention_s,
-            live_routers=lambda: len(self._membership.view.everyone),
+            live_routers=lambda: len(self._membership.view.all_members),
         )
         for question in (ClaimAsk, SettleAsk, NonceAsk):
             self._peers.on(question, lambda peer, message, cell: self._ledger.handle(message))
@@ -531,7 +531,7 @@
         )
 
     def _other_members(self):
-        return [name for name in self._membership.view.everyone if name != self._settings.name]
+        return [name for name in self._membership.view.all_members if name != self._settings.name]
 
     def _tell_crashes(self, peer):
         # A router that starts, or was cut off, has heard of no crash. Without this a request
@@ -547,7 +547,7 @@
     async def _ask(self, peer, message, timeout_s):
         if peer == self._settings.name:
             return await self._ledger.handle(message)
-        if peer not in self._membership.view.everyone:
+        if peer not in self._membership.view.all_members:
             return None
         answer = await self._peers.ask(peer, message, timeout_s)
         return None if isinstance(answer, PeerUnreachable) else answer
@@ -555,8 +555,8 @@
     def _end_questions(self, view):
         # A question queued for a router that was killed would wait out its whole time for a
         # connection that never comes, and the caller behind it would wait as long.
-        gone = self._asked_members - set(view.everyone)
-        self._asked_members = set(view.everyone)
+        gone = self._asked_members - set(view.all_members)
+        self._asked_members = set(view.all_members)
         for name in gone:
             self._peers.end_questions(name)
 
--- a/wagtailtrestle/slopes/member.py
+++ b/wagtailtrestle/slopes/member.py
@@ -28,7 +28,7 @@
         loop=loop,
         seeds=dict(seed.split("=") for seed in seeds),
     )
-    membership.on_view_change(lambda view: _tell(members=view.everyone))
+    membership.on_view_change(lambda view: _tell(members=view.all_members))
     await peers.start()
     await membership.start()
     _tell(address=peers.address)
--- a/wagtailtrestle/slopes/peers.py
+++ b/wagtailtrestle/slopes/peers.py
@@ -202,7 +202,7 @@
     for _ in range(rounds):
         view = table.view(1.0)
         table.digest()
-        ring = Ring(names=view.everyone)
+        ring = Ring(names=view.all_members)
         ring.partners("router-0")
         ring.fingers("router-0")
     return (time.process_time() - began) / rounds * 1e3
