--- a/wagtailtrestle/membership/partners.py
+++ b/wagtailtrestle/membership/partners.py
@@ -25,11 +25,11 @@
     names : iterable of str
     """
 
-    __slots__ = ("_order", "_place_by_name")
+    __slots__ = ("_order", "_index_by_name")
 
     def __init__(self, *, names):
         self._order = sorted(names, key=position_of)
-        self._place_by_name = {name: place for place, name in enumerate(self._order)}
+        self._index_by_name = {name: place for place, name in enumerate(self._order)}
 
     @property
     def is_mesh(self):
@@ -60,7 +60,7 @@
         return fingers
 
     def _at(self, name, step):
-        place = self._place_by_name[name] + step
+        place = self._index_by_name[name] + step
         return self._order[place % len(self._order)]
 
 
