--- a/wagtailtrestle/membership/partners.py
+++ b/wagtailtrestle/membership/partners.py
@@ -29,7 +29,7 @@
 
     def __init__(self, *, names):
         self._order = sorted(names, key=position_of)
-        self._index_by_name = {name: place for place, name in enumerate(self._order)}
+        self._index_by_name = {name: index for index, name in enumerate(self._order)}
 
     @property
     def is_mesh(self):
@@ -60,8 +60,8 @@
         return fingers
 
     def _at(self, name, step):
-        place = self._index_by_name[name] + step
-        return self._order[place % len(self._order)]
+        index = self._index_by_name[name] + step
+        return self._order[index % len(self._order)]
 
 
 def position_of(name):
