--- a/wagtailtrestle/membership/contacts.py
+++ b/wagtailtrestle/membership/contacts.py
@@ -1,6 +1,6 @@
 """Where routers listen, by seeds, the platform's list and peers; and contact with those out of the view."""
 
-FIRST_CONTACTS = 8
+INITIAL_CONTACTS = 8
 # Longer than regions lose each other for, so that both sides still try when the link is back.
 FORGET_AFTER_S = 7200.0
 ROUTER_ROLE = "router"
@@ -39,7 +39,7 @@
     def start(self):
         """Greet a few of the seeds."""
         self._peers.set_addresses(self._addresses_by_name)
-        self.greet_absent(FIRST_CONTACTS)
+        self.greet_absent(INITIAL_CONTACTS)
 
     def observe(self, vms):
         """Take the platform's list of VMs."""
@@ -52,7 +52,7 @@
         self._addresses_by_name.update(absent)
         self._peers.set_addresses(absent)
         self._drop_unlisted()
-        for name in new[:FIRST_CONTACTS]:
+        for name in new[:INITIAL_CONTACTS]:
             self._greet(name)
 
     def learn(self, name, address):
