--- a/wagtailtrestle/membership/contacts.py
+++ b/wagtailtrestle/membership/contacts.py
@@ -39,7 +39,7 @@
     def start(self):
         """Greet a few of the seeds."""
         self._peers.set_addresses(self._addresses_by_name)
-        self.greet_absent(INITIAL_CONTACTS)
+        self.contact_absent(INITIAL_CONTACTS)
 
     def observe(self, vms):
         """Take the platform's list of VMs."""
@@ -66,7 +66,7 @@
         for member in self._table.by_name.values():
             member.listed_leaving = member.name in self._leaving
 
-    def greet_absent(self, count):
+    def contact_absent(self, count):
         """Greet a few routers that exist but are not in the view: they may be back, or on the other side."""
         absent = [name for name in sorted(self._addresses_by_name) if self._is_absent(name)]
         for name in self._jitter.sample(absent, min(count, len(absent))):
