--- a/wagtailtrestle/membership/contacts.py
+++ b/wagtailtrestle/membership/contacts.py
@@ -53,7 +53,7 @@
         self._peers.set_addresses(absent)
         self._drop_unlisted()
         for name in new[:INITIAL_CONTACTS]:
-            self._greet(name)
+            self._contact(name)
 
     def learn(self, name, address):
         """Take an address that a router gave for itself; it outweighs the platform's lagging list."""
@@ -70,7 +70,7 @@
         """Greet a few routers that exist but are not in the view: they may be back, or on the other side."""
         absent = [name for name in sorted(self._addresses_by_name) if self._is_absent(name)]
         for name in self._jitter.sample(absent, min(count, len(absent))):
-            self._greet(name)
+            self._contact(name)
 
     def forget_old(self):
         """Drop what is held about routers gone for long."""
@@ -100,5 +100,5 @@
         member = self._table.by_name.get(name)
         return member is None or not member.present
 
-    def _greet(self, name):
+    def _contact(self, name):
         self._peers.send(name, self._table.own.event())
