--- a/wagtailtrestle/membership/contacts.py
+++ b/wagtailtrestle/membership/contacts.py
@@ -55,7 +55,7 @@
         for name in new[:INITIAL_CONTACTS]:
             self._contact(name)
 
-    def learn(self, name, address):
+    def update_address(self, name, address):
         """Take an address that a router gave for itself; it outweighs the platform's lagging list."""
         if address:
             self._addresses_by_name[name] = address
--- a/wagtailtrestle/membership/membership.py
+++ b/wagtailtrestle/membership/membership.py
@@ -236,7 +236,7 @@
             was_present = member.present
             member.restart(hello.incarnation, now)
             member.zone, member.address = hello.zone, hello.address
-            self._contacts.learn(peer, hello.address)
+            self._contacts.update_address(peer, hello.address)
             self._gossip(member.event(), but=peer)
             if was_present:
                 # Its next message speaks for a new process. Read by the view of the former one, a registration
@@ -299,7 +299,7 @@
         if event.name == self.name:
             self._about_self(event)
         elif self._table.apply(event, self._loop.time()):
-            self._contacts.learn(event.name, event.address)
+            self._contacts.update_address(event.name, event.address)
             self._suspicions.watch(self._table.by_name[event.name])
             self._gossip(event, but=peer)
             self._refresh_soon()
@@ -322,7 +322,7 @@
             if event.name == self.name:
                 self._about_self(event)
         for event in news:
-            self._contacts.learn(event.name, event.address)
+            self._contacts.update_address(event.name, event.address)
             self._suspicions.watch(self._table.by_name[event.name])
             if self.trusted:
                 self._gossip(event, but=peer)
