--- a/wagtailtrestle/membership/contacts.py
+++ b/wagtailtrestle/membership/contacts.py
@@ -72,7 +72,7 @@
         for name in self._jitter.sample(absent, min(count, len(absent))):
             self._contact(name)
 
-    def forget_old(self):
+    def remove_expired(self):
         """Drop what is held about routers gone for long."""
         now = self._loop.time()
         for name, member in list(self._table.by_name.items()):
--- a/wagtailtrestle/membership/membership.py
+++ b/wagtailtrestle/membership/membership.py
@@ -402,7 +402,7 @@
         if now >= self._contact_at:
             self._contact_at = now + CONTACT_INTERVAL_S * self._jitter.uniform(0.5, 1.0)
             self._contacts.contact_absent(1)
-            self._contacts.forget_old()
+            self._contacts.remove_expired()
             self._sync.check_doubted()
         if self._recheck_at is not None and now >= self._recheck_at:
             self._refresh()
