--- a/wagtailtrestle/membership/contacts.py
+++ b/wagtailtrestle/membership/contacts.py
@@ -2,7 +2,7 @@
 
 INITIAL_CONTACTS = 8
 # Longer than regions lose each other for, so that both sides still try when the link is back.
-FORGET_AFTER_S = 7200.0
+REMOVE_AFTER_S = 7200.0
 ROUTER_ROLE = "router"
 
 
@@ -77,7 +77,7 @@
         now = self._loop.time()
         for name, member in list(self._table.by_name.items()):
             is_listed = self._listed is not None and name in self._listed
-            if not member.present and not is_listed and now - member.state_since > FORGET_AFTER_S:
+            if not member.present and not is_listed and now - member.state_since > REMOVE_AFTER_S:
                 del self._table.by_name[name]
                 self._addresses_by_name.pop(name, None)
                 self._peers.forget(name)
