--- a/tests/utils/fake_routers.py
+++ b/tests/utils/fake_routers.py
@@ -51,7 +51,7 @@
     def set_addresses(self, addresses_by_name):
         pass
 
-    def forget(self, name):
+    def remove(self, name):
         pass
 
     def connected(self, peer):
--- a/wagtailtrestle/membership/contacts.py
+++ b/wagtailtrestle/membership/contacts.py
@@ -80,7 +80,7 @@
             if not member.present and not is_listed and now - member.state_since > REMOVE_AFTER_S:
                 del self._table.by_name[name]
                 self._addresses_by_name.pop(name, None)
-                self._peers.forget(name)
+                self._peers.remove(name)
 
     def dump(self):
         """State for the dump."""
@@ -94,7 +94,7 @@
         known = self._listed | set(self._seeds) | set(self._table.by_name)
         for name in set(self._addresses_by_name) - known:
             del self._addresses_by_name[name]
-            self._peers.forget(name)
+            self._peers.remove(name)
 
     def _is_absent(self, name):
         member = self._table.by_name.get(name)
--- a/wagtailtrestle/peers/peers_grpc.py
+++ b/wagtailtrestle/peers/peers_grpc.py
@@ -137,7 +137,7 @@
             state.kept = True
             self._links.dial_if_needed(state)
 
-    def forget(self, name):
+    def remove(self, name):
         """Drop all state of a peer that no longer exists."""
         state = self._states_by_name.pop(name, None)
         if state is None:
