--- a/wagtailtrestle/membership/member.py
+++ b/wagtailtrestle/membership/member.py
@@ -19,7 +19,7 @@
 
     __slots__ = (
         "address",
-        "claimed_dead",
+        "reported_dead",
         "draining",
         "flaps",
         "generation",
@@ -46,7 +46,7 @@
         self.state_since = now
         self.draining = False
         self.listed_leaving = False
-        self.claimed_dead = False
+        self.reported_dead = False
         self.own_suspicion = False
         self.suspect_again_at = now
         self.suspect_backoff_s = 0.0
@@ -61,7 +61,7 @@
 
     def key(self):
         """Order of statements about this router."""
-        state = MemberState.DEAD if self.claimed_dead else self.state
+        state = MemberState.DEAD if self.reported_dead else self.state
         return (self.incarnation, self.version, RANKS_BY_STATE[state])
 
     def eligible(self, now):
@@ -75,7 +75,7 @@
         was_dead = self.state is MemberState.DEAD
         if state is not MemberState.SUSPECT:
             self.own_suspicion = False
-            self.claimed_dead = False
+            self.reported_dead = False
         if was_dead and state is MemberState.ALIVE:
             self._hold(now)
         self.state = state
@@ -96,7 +96,7 @@
         self.version = 0
         self.state = MemberState.ALIVE
         self.state_since = now
-        self.own_suspicion = self.claimed_dead = self.draining = False
+        self.own_suspicion = self.reported_dead = self.draining = False
         self.suspect_again_at = now
         self.suspect_backoff_s = 0.0
         self.held_until = now
--- a/wagtailtrestle/membership/member_table.py
+++ b/wagtailtrestle/membership/member_table.py
@@ -68,7 +68,7 @@
         if member.state is MemberState.ALIVE:
             member.set_state(MemberState.SUSPECT, now)
         if member.state is MemberState.SUSPECT:
-            member.claimed_dead = True
+            member.reported_dead = True
 
     def merge(self, events, now, *, believe):
         """Take in all that a peer knows.
--- a/wagtailtrestle/membership/suspicion.py
+++ b/wagtailtrestle/membership/suspicion.py
@@ -61,7 +61,7 @@
         timer = self._timers_by_name.pop(member.name, None)
         if timer is not None:
             timer.cancel()
-        is_stood_by = member.own_suspicion or member.claimed_dead
+        is_stood_by = member.own_suspicion or member.reported_dead
         delay_s = REFUTE_S if is_stood_by else ORPHAN_S
         self._set_timer(member, max(0.0, member.state_since + delay_s - self._loop.time()))
 
@@ -76,7 +76,7 @@
         self.close()
         for member in self._table.by_name.values():
             if member.state is MemberState.SUSPECT:
-                member.own_suspicion = member.claimed_dead = False
+                member.own_suspicion = member.reported_dead = False
                 member.state_since = self._loop.time()
                 self.watch(member)
 
@@ -101,7 +101,7 @@
         now = self._loop.time()
         if (member.incarnation, member.version) != suspected:
             self.watch(member)
-        elif member.own_suspicion or member.claimed_dead:
+        elif member.own_suspicion or member.reported_dead:
             self._die(member, now)
         else:
             # Whoever suspected it never called it dead: it saw the refutation that was lost on the way here,
