--- a/wagtailtrestle/membership/member.py
+++ b/wagtailtrestle/membership/member.py
@@ -7,7 +7,7 @@
 STEADY_S = 300.0
 
 RANKS_BY_STATE = {MemberState.ALIVE: 0, MemberState.SUSPECT: 1, MemberState.DEAD: 2, MemberState.LEFT: 3}
-PRESENT = (MemberState.ALIVE, MemberState.SUSPECT)
+PRESENT_STATES = (MemberState.ALIVE, MemberState.SUSPECT)
 
 
 class Member:
@@ -57,7 +57,7 @@
     @property
     def present(self):
         """Whether it belongs to the view: alive, or suspected and given time to refute."""
-        return self.state in PRESENT
+        return self.state in PRESENT_STATES
 
     def key(self):
         """Order of statements about this router."""
