--- a/wagtailtrestle/membership/member.py
+++ b/wagtailtrestle/membership/member.py
@@ -23,7 +23,7 @@
         "draining",
         "flaps",
         "generation",
-        "held_until",
+        "hold_down_until",
         "incarnation",
         "listed_leaving",
         "name",
@@ -51,7 +51,7 @@
         self.suspect_again_at = now
         self.suspect_backoff_s = 0.0
         self.flaps = 0
-        self.held_until = now
+        self.hold_down_until = now
         self.generation = 0
 
     @property
@@ -66,7 +66,7 @@
 
     def eligible(self, now):
         """Whether it may be scheduler or shard owner."""
-        return self.present and not self.draining and not self.listed_leaving and now >= self.held_until
+        return self.present and not self.draining and not self.listed_leaving and now >= self.hold_down_until
 
     def set_state(self, state, now):
         """Change the state; note suspicion's time and count returns from the dead."""
@@ -88,7 +88,7 @@
         if now - self.state_since > STEADY_S:
             self.flaps = 0
         self.flaps += 1
-        self.held_until = now + min(HOLD_MAX_S, HOLD_FIRST_S * 2 ** (self.flaps - 1))
+        self.hold_down_until = now + min(HOLD_MAX_S, HOLD_FIRST_S * 2 ** (self.flaps - 1))
 
     def restart(self, incarnation, now):
         """Take a new process of that name; it owes nothing for what its predecessor did."""
@@ -99,7 +99,7 @@
         self.own_suspicion = self.reported_dead = self.draining = False
         self.suspect_again_at = now
         self.suspect_backoff_s = 0.0
-        self.held_until = now
+        self.hold_down_until = now
 
     def event(self):
         """Statement of what is believed now."""
@@ -125,7 +125,7 @@
             "generation": self.generation,
             "draining": self.draining,
             "listed_leaving": self.listed_leaving,
-            "held_s": round(max(0.0, self.held_until - now), 3),
+            "held_s": round(max(0.0, self.hold_down_until - now), 3),
             "flaps": self.flaps,
         }
 
--- a/wagtailtrestle/membership/member_table.py
+++ b/wagtailtrestle/membership/member_table.py
@@ -144,7 +144,11 @@
 
     def next_hold_end(self, now):
         """When the next member that is held back becomes eligible, or ``None``."""
-        ends = [member.held_until for member in self.by_name.values() if member.present and member.held_until > now]
+        ends = [
+            member.hold_down_until
+            for member in self.by_name.values()
+            if member.present and member.hold_down_until > now
+        ]
         return min(ends, default=None)
 
     def digest(self):
