--- a/wagtailtrestle/membership/member.py
+++ b/wagtailtrestle/membership/member.py
@@ -77,11 +77,11 @@
             self.own_suspicion = False
             self.reported_dead = False
         if was_dead and state is MemberState.ALIVE:
-            self._hold(now)
+            self._start_hold_down(now)
         self.state = state
         self.state_since = now
 
-    def _hold(self, now):
+    def _start_hold_down(self, now):
         # A router behind a bad link would go in and out of the view, and each time the cells it is scheduler
         # of move twice and every entry re-registers. Who comes back is alive at once but eligible only after
         # it stayed for a while, longer each time.
