--- a/wagtailtrestle/membership/member.py
+++ b/wagtailtrestle/membership/member.py
@@ -3,7 +3,7 @@
 from wagtailtrestle.contracts.peer_messages import MemberState, ViewEvent
 
 HOLD_DOWN_FIRST_S = 1.0
-HOLD_MAX_S = 30.0
+HOLD_DOWN_MAX_S = 30.0
 STEADY_S = 300.0
 
 RANKS_BY_STATE = {MemberState.ALIVE: 0, MemberState.SUSPECT: 1, MemberState.DEAD: 2, MemberState.LEFT: 3}
@@ -88,7 +88,7 @@
         if now - self.state_since > STEADY_S:
             self.flaps = 0
         self.flaps += 1
-        self.hold_down_until = now + min(HOLD_MAX_S, HOLD_DOWN_FIRST_S * 2 ** (self.flaps - 1))
+        self.hold_down_until = now + min(HOLD_DOWN_MAX_S, HOLD_DOWN_FIRST_S * 2 ** (self.flaps - 1))
 
     def restart(self, incarnation, now):
         """Take a new process of that name; it owes nothing for what its predecessor did."""
