--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -283,7 +283,7 @@
             self.table.by_name["b"].set_state(MemberState.DEAD, now)
             self.table.apply(self.say(MemberState.ALIVE, version=version), now)
             self.assertEqual(self.table.view(now).draining, ("b",))
-            held_s.append(self.table.next_hold_end(now) - now)
+            held_s.append(self.table.next_hold_down_end(now) - now)
         self.assertEqual(held_s, [1.0, 2.0, 4.0])
         self.assertEqual(self.table.view(34.0).members, ("a", "b"))
 
--- a/wagtailtrestle/membership/member_table.py
+++ b/wagtailtrestle/membership/member_table.py
@@ -142,7 +142,7 @@
             incarnations_by_name={member.name: member.incarnation for member in present},
         )
 
-    def next_hold_end(self, now):
+    def next_hold_down_end(self, now):
         """When the next member that is held back becomes eligible, or ``None``."""
         ends = [
             member.hold_down_until
--- a/wagtailtrestle/membership/membership.py
+++ b/wagtailtrestle/membership/membership.py
@@ -447,7 +447,7 @@
             self._refreshing = None
         now = self._loop.time()
         self._contacts.mark_leaving()
-        self._recheck_at = self._table.next_hold_end(now)
+        self._recheck_at = self._table.next_hold_down_end(now)
         self._digest = self._table.digest()
         view = self._table.view(now)
         if view.all_members != self._ring_names:
