--- a/wagtailtrestle/membership/member.py
+++ b/wagtailtrestle/membership/member.py
@@ -4,7 +4,7 @@
 
 HOLD_DOWN_FIRST_S = 1.0
 HOLD_DOWN_MAX_S = 30.0
-STEADY_S = 300.0
+STABLE_AFTER_S = 300.0
 
 RANKS_BY_STATE = {MemberState.ALIVE: 0, MemberState.SUSPECT: 1, MemberState.DEAD: 2, MemberState.LEFT: 3}
 PRESENT_STATES = (MemberState.ALIVE, MemberState.SUSPECT)
@@ -85,7 +85,7 @@
         # A router behind a bad link would go in and out of the view, and each time the cells it is scheduler
         # of move twice and every entry re-registers. Who comes back is alive at once but eligible only after
         # it stayed for a while, longer each time.
-        if now - self.state_since > STEADY_S:
+        if now - self.state_since > STABLE_AFTER_S:
             self.flaps = 0
         self.flaps += 1
         self.hold_down_until = now + min(HOLD_DOWN_MAX_S, HOLD_DOWN_FIRST_S * 2 ** (self.flaps - 1))
--- a/wagtailtrestle/membership/suspicion.py
+++ b/wagtailtrestle/membership/suspicion.py
@@ -9,7 +9,7 @@
 HEARD_AGAIN_S = 0.1
 BACKOFF_FIRST_S = 1.0
 BACKOFF_MAX_S = 30.0
-STEADY_S = 60.0
+STABLE_AFTER_S = 60.0
 
 
 class Suspicions:
@@ -44,7 +44,7 @@
             return
         # A router that only this one can't reach refutes each time, through the others. Telling everybody
         # again at every failed connection would keep all of them busy with one bad link.
-        if now - member.suspect_again_at > STEADY_S:
+        if now - member.suspect_again_at > STABLE_AFTER_S:
             member.suspect_backoff_s = 0.0
         member.suspect_backoff_s = min(BACKOFF_MAX_S, 2 * member.suspect_backoff_s or BACKOFF_FIRST_S)
         member.suspect_again_at = now + member.suspect_backoff_s
