--- a/wagtailtrestle/membership/member_table.py
+++ b/wagtailtrestle/membership/member_table.py
@@ -56,10 +56,10 @@
         member.address = event.address or member.address
         member.version = event.version
         member.draining = event.draining
-        self._take_state(member, event.state, now)
+        self._apply_state(member, event.state, now)
         return True
 
-    def _take_state(self, member, state, now):
+    def _apply_state(self, member, state, now):
         if state is not MemberState.DEAD:
             member.set_state(state, now)
             return
