--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -291,15 +291,15 @@
         # After a partition a peer tells of a router that this side held for dead. Soon after a death that is
         # only late news; long after, it is the other side's knowledge and brings the router back.
         self.table.by_name["b"].set_state(MemberState.DEAD, 100.0)
-        self.table.merge([self.say(MemberState.ALIVE)], 105.0, believe=False)
+        self.table.merge([self.say(MemberState.ALIVE)], 105.0, trust_peer=False)
         self.assertEqual(self.table.view(105.0).all_members, ("a",))
-        self.table.merge([self.say(MemberState.ALIVE)], 111.0, believe=False)
+        self.table.merge([self.say(MemberState.ALIVE)], 111.0, trust_peer=False)
         self.assertEqual(self.table.view(111.0).all_members, ("a", "b"))
 
     def test_called_dead_by_a_peer(self):
         # A peer's whole view has a router dead that is alive here: checked, not believed, unless this router
         # was away itself.
-        _, doubted = self.table.merge([self.say(MemberState.DEAD)], 1.0, believe=False)
+        _, doubted = self.table.merge([self.say(MemberState.DEAD)], 1.0, trust_peer=False)
         self.assertEqual((doubted, self.table.view(1.0).all_members), (["b"], ("a", "b")))
-        self.table.merge([self.say(MemberState.DEAD)], 1.0, believe=True)
+        self.table.merge([self.say(MemberState.DEAD)], 1.0, trust_peer=True)
         self.assertEqual(self.table.view(1.0).all_members, ("a",))
--- a/wagtailtrestle/membership/member_table.py
+++ b/wagtailtrestle/membership/member_table.py
@@ -70,7 +70,7 @@
         if member.state is MemberState.SUSPECT:
             member.reported_dead = True
 
-    def merge(self, events, now, *, believe):
+    def merge(self, events, now, *, trust_peer):
         """Take in all that a peer knows.
 
         Parameters
@@ -94,7 +94,7 @@
             if member is not None and self._revives(member, event, now):
                 member.set_state(MemberState.ALIVE, now)
             elif member is not None and self._calls_dead(member, event):
-                if believe:
+                if trust_peer:
                     member.version = event.version
                     member.set_state(MemberState.DEAD, now)
                 else:
--- a/wagtailtrestle/membership/view_sync.py
+++ b/wagtailtrestle/membership/view_sync.py
@@ -84,8 +84,8 @@
         answer = await self._peers.ask(peer, ViewAsk(), TIMEOUT_S)
         if type(answer) is not ViewText:
             return
-        believe = not self._is_trusted()
-        news, doubted = self._table.merge(answer.events, self._loop.time(), believe=believe)
+        trust_peer = not self._is_trusted()
+        news, doubted = self._table.merge(answer.events, self._loop.time(), trust_peer=trust_peer)
         self._doubted.update(doubted)
         self._on_events(peer, answer.events, news)
 
