--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -299,7 +299,7 @@
     def test_called_dead_by_a_peer(self):
         # A peer's whole view has a router dead that is alive here: checked, not believed, unless this router
         # was away itself.
-        _, doubted = self.table.merge([self.say(MemberState.DEAD)], 1.0, trust_peer=False)
-        self.assertEqual((doubted, self.table.view(1.0).all_members), (["b"], ("a", "b")))
+        _, disputed = self.table.merge([self.say(MemberState.DEAD)], 1.0, trust_peer=False)
+        self.assertEqual((disputed, self.table.view(1.0).all_members), (["b"], ("a", "b")))
         self.table.merge([self.say(MemberState.DEAD)], 1.0, trust_peer=True)
         self.assertEqual(self.table.view(1.0).all_members, ("a",))
--- a/wagtailtrestle/membership/member_table.py
+++ b/wagtailtrestle/membership/member_table.py
@@ -86,7 +86,7 @@
         doubted : list of str
             Routers that the peer calls dead and this one alive.
         """
-        news, doubted = [], []
+        news, disputed = [], []
         for event in events:
             member = self.by_name.get(event.name)
             if member is self.own:
@@ -98,10 +98,10 @@
                     member.version = event.version
                     member.set_state(MemberState.DEAD, now)
                 else:
-                    doubted.append(event.name)
+                    disputed.append(event.name)
             elif self.apply(event, now):
                 news.append(event)
-        return news, doubted
+        return news, disputed
 
     def _revives(self, member, event, now):
         # After a partition both sides hold the other's routers for dead. One router that came back refutes
--- a/wagtailtrestle/membership/view_sync.py
+++ b/wagtailtrestle/membership/view_sync.py
@@ -85,8 +85,8 @@
         if type(answer) is not ViewText:
             return
         trust_peer = not self._is_trusted()
-        news, doubted = self._table.merge(answer.events, self._loop.time(), trust_peer=trust_peer)
-        self._doubted.update(doubted)
+        news, disputed = self._table.merge(answer.events, self._loop.time(), trust_peer=trust_peer)
+        self._doubted.update(disputed)
         self._on_events(peer, answer.events, news)
 
     def _answer(self, peer, message, cell):
