--- a/wagtailtrestle/membership/view_sync.py
+++ b/wagtailtrestle/membership/view_sync.py
@@ -37,7 +37,17 @@
         ``(Member)``: a peer calls it dead, and it gives no sign of life.
     """
 
-    __slots__ = ("_by_peer", "_doubted", "_is_trusted", "_loop", "_on_events", "_on_lost", "_peers", "_table", "_tasks")
+    __slots__ = (
+        "_by_peer",
+        "_disputed",
+        "_is_trusted",
+        "_loop",
+        "_on_events",
+        "_on_lost",
+        "_peers",
+        "_table",
+        "_tasks",
+    )
 
     def __init__(self, *, table, peers, loop, is_trusted, on_events, on_lost):
         self._table = table
@@ -47,7 +57,7 @@
         self._on_events = on_events
         self._on_lost = on_lost
         self._by_peer = {}
-        self._doubted = set()
+        self._disputed = set()
         self._tasks = set()
         peers.on(ViewAsk, self._answer)
 
@@ -77,8 +87,8 @@
 
     def check_doubted(self):
         """Find out about one of the routers that a peer calls dead and this one alive."""
-        if self._doubted:
-            self._spawn(self._check(self._doubted.pop()))
+        if self._disputed:
+            self._spawn(self._check(self._disputed.pop()))
 
     async def _pull(self, peer):
         answer = await self._peers.ask(peer, ViewAsk(), TIMEOUT_S)
@@ -86,7 +96,7 @@
             return
         trust_peer = not self._is_trusted()
         news, disputed = self._table.merge(answer.events, self._loop.time(), trust_peer=trust_peer)
-        self._doubted.update(disputed)
+        self._disputed.update(disputed)
         self._on_events(peer, answer.events, news)
 
     def _answer(self, peer, message, cell):
