--- a/wagtailtrestle/membership/membership.py
+++ b/wagtailtrestle/membership/membership.py
@@ -403,7 +403,7 @@
             self._contact_at = now + CONTACT_INTERVAL_S * self._jitter.uniform(0.5, 1.0)
             self._contacts.contact_absent(1)
             self._contacts.remove_expired()
-            self._sync.check_doubted()
+            self._sync.check_disputed()
         if self._recheck_at is not None and now >= self._recheck_at:
             self._refresh()
 
--- a/wagtailtrestle/membership/view_sync.py
+++ b/wagtailtrestle/membership/view_sync.py
@@ -85,7 +85,7 @@
         """Ask a peer for all it knows."""
         self._spawn(self._pull(peer))
 
-    def check_doubted(self):
+    def check_disputed(self):
         """Find out about one of the routers that a peer calls dead and this one alive."""
         if self._disputed:
             self._spawn(self._check(self._disputed.pop()))
