--- a/wagtailtrestle/membership/member_table.py
+++ b/wagtailtrestle/membership/member_table.py
@@ -93,7 +93,7 @@
                 continue
             if member is not None and self._revives(member, event, now):
                 member.set_state(MemberState.ALIVE, now)
-            elif member is not None and self._calls_dead(member, event):
+            elif member is not None and self._reports_dead(member, event):
                 if trust_peer:
                     member.version = event.version
                     member.set_state(MemberState.DEAD, now)
@@ -113,7 +113,7 @@
             and now - member.state_since > RESURRECT_AFTER_S
         )
 
-    def _calls_dead(self, member, event):
+    def _reports_dead(self, member, event):
         return (
             member.present
             and event.state is MemberState.DEAD
