--- a/wagtailtrestle/membership/member_table.py
+++ b/wagtailtrestle/membership/member_table.py
@@ -5,7 +5,7 @@
 from wagtailtrestle.membership.view import View, digest_of
 
 # Long enough for the news of a death to have reached everybody who can be reached.
-RESURRECT_AFTER_S = 10.0
+REVIVE_AFTER_S = 10.0
 
 
 class MemberTable:
@@ -110,7 +110,7 @@
             member.state is MemberState.DEAD
             and event.state in (MemberState.ALIVE, MemberState.SUSPECT)
             and (event.incarnation, event.version) == (member.incarnation, member.version)
-            and now - member.state_since > RESURRECT_AFTER_S
+            and now - member.state_since > REVIVE_AFTER_S
         )
 
     def _reports_dead(self, member, event):
