--- a/wagtailtrestle/membership/membership.py
+++ b/wagtailtrestle/membership/membership.py
@@ -279,7 +279,7 @@
             # It lives but can't know that it is held for dead: without being told it would stay out for ever.
             self._peers.send(member.name, member.event())
         elif member.state is MemberState.SUSPECT:
-            self._suspicions.heard(member)
+            self._suspicions.on_sign_of_life(member)
 
     def _note_generation(self, member, generation):
         if generation != member.generation:
--- a/wagtailtrestle/membership/suspicion.py
+++ b/wagtailtrestle/membership/suspicion.py
@@ -65,7 +65,7 @@
         delay_s = REFUTE_S if is_stood_by else ORPHAN_S
         self._set_timer(member, max(0.0, member.state_since + delay_s - self._loop.time()))
 
-    def heard(self, member):
+    def on_sign_of_life(self, member):
         """Drop a suspicion since the suspect was heard; the next failed connection may raise it again."""
         now = self._loop.time()
         member.set_state(MemberState.ALIVE, now)
