--- a/wagtailtrestle/membership/suspicion.py
+++ b/wagtailtrestle/membership/suspicion.py
@@ -61,8 +61,8 @@
         timer = self._timers_by_name.pop(member.name, None)
         if timer is not None:
             timer.cancel()
-        is_stood_by = member.own_suspicion or member.reported_dead
-        delay_s = REFUTE_S if is_stood_by else ORPHAN_S
+        is_supported = member.own_suspicion or member.reported_dead
+        delay_s = REFUTE_S if is_supported else ORPHAN_S
         self._set_timer(member, max(0.0, member.state_since + delay_s - self._loop.time()))
 
     def on_sign_of_life(self, member):
