--- a/wagtailtrestle/membership/suspicion.py
+++ b/wagtailtrestle/membership/suspicion.py
@@ -6,7 +6,7 @@
 
 REFUTE_S = 0.25
 UNSUPPORTED_S = 3.0
-HEARD_AGAIN_S = 0.1
+SUSPECT_AGAIN_S = 0.1
 BACKOFF_FIRST_S = 1.0
 BACKOFF_MAX_S = 30.0
 STABLE_AFTER_S = 60.0
@@ -69,7 +69,7 @@
         """Drop a suspicion since the suspect was heard; the next failed connection may raise it again."""
         now = self._loop.time()
         member.set_state(MemberState.ALIVE, now)
-        member.suspect_again_at = min(member.suspect_again_at, now + HEARD_AGAIN_S)
+        member.suspect_again_at = min(member.suspect_again_at, now + SUSPECT_AGAIN_S)
 
     def restart(self):
         """Give every suspect its whole time anew: this process was paused meanwhile."""
