--- a/wagtailtrestle/membership/suspicion.py
+++ b/wagtailtrestle/membership/suspicion.py
@@ -88,9 +88,9 @@
 
     def _set_timer(self, member, delay_s):
         suspected = (member.incarnation, member.version)
-        self._timers_by_name[member.name] = self._loop.call_later(delay_s, self._due, member, suspected)
+        self._timers_by_name[member.name] = self._loop.call_later(delay_s, self._on_timeout, member, suspected)
 
-    def _due(self, member, suspected):
+    def _on_timeout(self, member, suspected):
         self._timers_by_name.pop(member.name, None)
         if member.state is not MemberState.SUSPECT or self._table.by_name.get(member.name) is not member:
             return
