--- a/wagtailtrestle/membership/suspicion.py
+++ b/wagtailtrestle/membership/suspicion.py
@@ -102,13 +102,13 @@
         if (member.incarnation, member.version) != suspected:
             self.watch(member)
         elif member.own_suspicion or member.reported_dead:
-            self._die(member, now)
+            self._declare_dead(member, now)
         else:
             # Whoever suspected it never called it dead: it saw the refutation that was lost on the way here,
             # or died itself. If the suspect is dead too, its other partners find out.
             member.set_state(MemberState.ALIVE, now)
 
-    def _die(self, member, now):
+    def _declare_dead(self, member, now):
         logger.warning("router {} is held for dead", member.name)
         is_first_hand = member.own_suspicion
         member.set_state(MemberState.DEAD, now)
