--- a/wagtailtrestle/membership/suspicion.py
+++ b/wagtailtrestle/membership/suspicion.py
@@ -110,8 +110,8 @@
 
     def _declare_dead(self, member, now):
         logger.warning("router {} is held for dead", member.name)
-        is_first_hand = member.own_suspicion
+        is_own_suspicion = member.own_suspicion
         member.set_state(MemberState.DEAD, now)
-        if is_first_hand:
+        if is_own_suspicion:
             self._gossip(member.event())
         self._on_change()
