--- a/wagtailtrestle/membership/announcement.py
+++ b/wagtailtrestle/membership/announcement.py
@@ -34,7 +34,7 @@
     def __init__(self, *, store, kind, name, value, jitter=None, epoch=None):
         self._is_withdrawn = False
         if epoch is not None:
-            epoch.on_return(self._announce_again)
+            epoch.on_return(self._reannounce)
         self._store = store
         self._kind = kind
         self._name = name
@@ -65,7 +65,7 @@
         except TimeoutError:
             logger.warning("the entry of this router stays in the store: no answer in {} s", WITHDRAW_TIMEOUT_S)
 
-    def _announce_again(self):
+    def _reannounce(self):
         if self._task is None or self._is_withdrawn:
             return
         self._task.cancel()
