--- a/wagtailtrestle/membership/announcement.py
+++ b/wagtailtrestle/membership/announcement.py
@@ -9,7 +9,7 @@
 
 RETRY_S = 0.3
 MAX_RETRY_S = 2.0
-SPREAD_S = 0.6
+REANNOUNCE_SPREAD_S = 0.6
 """Time over which routers write their entries again when the store came back from a copy, so that hundreds don't do so
 in the same moment."""
 WITHDRAW_TIMEOUT_S = 1.0
@@ -69,7 +69,9 @@
         if self._task is None or self._is_withdrawn:
             return
         self._task.cancel()
-        self._task = asyncio.get_running_loop().create_task(self._announce(after_s=SPREAD_S * self._jitter.random()))
+        self._task = asyncio.get_running_loop().create_task(
+            self._announce(after_s=REANNOUNCE_SPREAD_S * self._jitter.random())
+        )
 
     async def _announce(self, *, after_s=0.0):
         await asyncio.sleep(after_s)
