--- a/wagtailtrestle/membership/view_sync.py
+++ b/wagtailtrestle/membership/view_sync.py
@@ -5,7 +5,7 @@
 from wagtailtrestle.contracts.peer_messages import PeerUnreachable, Ping, ViewAsk, ViewText
 
 TIMEOUT_S = 0.5
-MISMATCHES = 2
+MIN_MISMATCHES = 2
 PAUSE_S = 1.0
 PAUSE_MAX_S = 60.0
 
@@ -75,7 +75,7 @@
         now = self._loop.time()
         disagreement = self._by_peer.setdefault(peer, _Disagreement(now=now))
         disagreement.count += 1
-        if disagreement.count >= MISMATCHES and now >= disagreement.next_pull_at:
+        if disagreement.count >= MIN_MISMATCHES and now >= disagreement.next_pull_at:
             # Pulls that settle nothing must not fill the link: each waits longer than the last.
             disagreement.next_pull_at = now + disagreement.pause_s
             disagreement.pause_s = min(PAUSE_MAX_S, 2 * disagreement.pause_s)
