--- a/wagtailtrestle/membership/view_sync.py
+++ b/wagtailtrestle/membership/view_sync.py
@@ -10,7 +10,7 @@
 PAUSE_MAX_S = 60.0
 
 
-class _Disagreement:
+class _DigestMismatch:
     """How long a peer's digest has differed, and when to pull from it next."""
 
     __slots__ = ("count", "next_pull_at", "pause_s")
@@ -73,7 +73,7 @@
             self._by_peer.pop(peer, None)
             return
         now = self._loop.time()
-        disagreement = self._by_peer.setdefault(peer, _Disagreement(now=now))
+        disagreement = self._by_peer.setdefault(peer, _DigestMismatch(now=now))
         disagreement.count += 1
         if disagreement.count >= MIN_MISMATCHES and now >= disagreement.next_pull_at:
             # Pulls that settle nothing must not fill the link: each waits longer than the last.
