--- a/wagtailtrestle/membership/view_sync.py
+++ b/wagtailtrestle/membership/view_sync.py
@@ -73,12 +73,12 @@
             self._by_peer.pop(peer, None)
             return
         now = self._loop.time()
-        disagreement = self._by_peer.setdefault(peer, _DigestMismatch(now=now))
-        disagreement.count += 1
-        if disagreement.count >= MIN_MISMATCHES and now >= disagreement.next_pull_at:
+        mismatch = self._by_peer.setdefault(peer, _DigestMismatch(now=now))
+        mismatch.count += 1
+        if mismatch.count >= MIN_MISMATCHES and now >= mismatch.next_pull_at:
             # Pulls that settle nothing must not fill the link: each waits longer than the last.
-            disagreement.next_pull_at = now + disagreement.pause_s
-            disagreement.pause_s = min(PAUSE_MAX_S, 2 * disagreement.pause_s)
+            mismatch.next_pull_at = now + mismatch.pause_s
+            mismatch.pause_s = min(PAUSE_MAX_S, 2 * mismatch.pause_s)
             self.pull(peer)
 
     def pull(self, peer):
