--- a/wagtailtrestle/membership/view_sync.py
+++ b/wagtailtrestle/membership/view_sync.py
@@ -38,7 +38,7 @@
     """
 
     __slots__ = (
-        "_by_peer",
+        "_mismatch_by_peer",
         "_disputed",
         "_is_trusted",
         "_loop",
@@ -56,7 +56,7 @@
         self._is_trusted = is_trusted
         self._on_events = on_events
         self._on_lost = on_lost
-        self._by_peer = {}
+        self._mismatch_by_peer = {}
         self._disputed = set()
         self._tasks = set()
         peers.on(ViewAsk, self._answer)
@@ -70,10 +70,10 @@
     def compare(self, peer, *, own, other):
         """Take the digest a heartbeat carried; pull the peer's view if it goes on to differ."""
         if own == other:
-            self._by_peer.pop(peer, None)
+            self._mismatch_by_peer.pop(peer, None)
             return
         now = self._loop.time()
-        mismatch = self._by_peer.setdefault(peer, _DigestMismatch(now=now))
+        mismatch = self._mismatch_by_peer.setdefault(peer, _DigestMismatch(now=now))
         mismatch.count += 1
         if mismatch.count >= MIN_MISMATCHES and now >= mismatch.next_pull_at:
             # Pulls that settle nothing must not fill the link: each waits longer than the last.
