--- a/wagtailtrestle/membership/view_sync.py
+++ b/wagtailtrestle/membership/view_sync.py
@@ -6,7 +6,7 @@
 
 TIMEOUT_S = 0.5
 MIN_MISMATCHES = 2
-PAUSE_S = 1.0
+PULL_INTERVAL_S = 1.0
 PAUSE_MAX_S = 60.0
 
 
@@ -18,7 +18,7 @@
     def __init__(self, *, now):
         self.count = 0
         self.next_pull_at = now
-        self.pause_s = PAUSE_S
+        self.pause_s = PULL_INTERVAL_S
 
 
 class ViewSync:
