--- a/wagtailtrestle/membership/view_sync.py
+++ b/wagtailtrestle/membership/view_sync.py
@@ -7,7 +7,7 @@
 TIMEOUT_S = 0.5
 MIN_MISMATCHES = 2
 PULL_INTERVAL_S = 1.0
-PAUSE_MAX_S = 60.0
+MAX_PULL_INTERVAL_S = 60.0
 
 
 class _DigestMismatch:
@@ -78,7 +78,7 @@
         if mismatch.count >= MIN_MISMATCHES and now >= mismatch.next_pull_at:
             # Pulls that settle nothing must not fill the link: each waits longer than the last.
             mismatch.next_pull_at = now + mismatch.pause_s
-            mismatch.pause_s = min(PAUSE_MAX_S, 2 * mismatch.pause_s)
+            mismatch.pause_s = min(MAX_PULL_INTERVAL_S, 2 * mismatch.pause_s)
             self.pull(peer)
 
     def pull(self, peer):
