--- a/wagtailtrestle/membership/view_sync.py
+++ b/wagtailtrestle/membership/view_sync.py
@@ -13,12 +13,12 @@
 class _DigestMismatch:
     """How long a peer's digest has differed, and when to pull from it next."""
 
-    __slots__ = ("count", "next_pull_at", "pause_s")
+    __slots__ = ("count", "next_pull_at", "pull_interval_s")
 
     def __init__(self, *, now):
         self.count = 0
         self.next_pull_at = now
-        self.pause_s = PULL_INTERVAL_S
+        self.pull_interval_s = PULL_INTERVAL_S
 
 
 class ViewSync:
@@ -77,8 +77,8 @@
         mismatch.count += 1
         if mismatch.count >= MIN_MISMATCHES and now >= mismatch.next_pull_at:
             # Pulls that settle nothing must not fill the link: each waits longer than the last.
-            mismatch.next_pull_at = now + mismatch.pause_s
-            mismatch.pause_s = min(MAX_PULL_INTERVAL_S, 2 * mismatch.pause_s)
+            mismatch.next_pull_at = now + mismatch.pull_interval_s
+            mismatch.pull_interval_s = min(MAX_PULL_INTERVAL_S, 2 * mismatch.pull_interval_s)
             self.pull(peer)
 
     def pull(self, peer):
