--- a/wagtailtrestle/membership/vm_list.py
+++ b/wagtailtrestle/membership/vm_list.py
@@ -89,7 +89,7 @@
         self._on_change = on_change
         self._interval_s = interval_s
         self._settled_s = max(settled_s, interval_s)
-        self._same_reads = 0
+        self._unchanged_reads = 0
         self._jitter = jitter or random.Random()
         self._version = None
         self._last_read = None
@@ -117,12 +117,12 @@
 
     def read_soon(self):
         """Read at the shorter interval again: the list may have changed without anybody telling."""
-        self._same_reads = 0
+        self._unchanged_reads = 0
 
     async def _poll(self):
         while True:
             await self._read()
-            interval_s = self._settled_s if self._same_reads >= SETTLED_READS else self._interval_s
+            interval_s = self._settled_s if self._unchanged_reads >= SETTLED_READS else self._interval_s
             await asyncio.sleep(interval_s * self._jitter.uniform(1 - JITTER, 1 + JITTER))
 
     async def _read(self):
@@ -134,11 +134,11 @@
         self._last_problem = ""
         self._last_read = asyncio.get_running_loop().time()
         self._version = outcome.version
-        self._same_reads += 1
+        self._unchanged_reads += 1
         if outcome.value is None:
             return
         by_id = {vm.id: vm for vm in outcome.value}
         if by_id != self.by_id:
-            self._same_reads = 0
+            self._unchanged_reads = 0
             self.by_id = by_id
             self._on_change(by_id)
