--- a/wagtailtrestle/membership/vm_list.py
+++ b/wagtailtrestle/membership/vm_list.py
@@ -115,7 +115,7 @@
             "interval_s": self._interval_s,
         }
 
-    def read_soon(self):
+    def resume_polling_interval(self):
         """Read at the shorter interval again: the list may have changed without anybody telling."""
         self._unchanged_reads = 0
 
