--- a/wagtailtrestle/membership/membership.py
+++ b/wagtailtrestle/membership/membership.py
@@ -36,7 +36,7 @@
 """With both neighbours a fan-out of three beside who told: four or five hops for some two hundred routers."""
 LATE_TICK_S = 0.25
 FROZEN_GAP_S = 0.8
-TRUST_WITHIN_S = 0.25
+TRUST_TIMEOUT_S = 0.25
 """Longest wait of a router that starts or woke for a peer's view: five times what a peer that lives needs
 (some 50 ms). Where all routers start at once nobody has a view to tell, and each of them serves nothing
 for so long."""
@@ -366,7 +366,7 @@
     def _doubt(self, now):
         self._doubt_since = now
         self.trusted = False
-        self._loop.call_later(TRUST_WITHIN_S, self._trust_alone, now)
+        self._loop.call_later(TRUST_TIMEOUT_S, self._trust_alone, now)
 
     def _trust_alone(self, doubted_at):
         """Go on with what is known: nobody told more, so this router is alone or cut off."""
