--- a/wagtailtrestle/membership/membership.py
+++ b/wagtailtrestle/membership/membership.py
@@ -29,7 +29,7 @@
 RING_HEARTBEAT_S = 0.4
 TICK_S = 0.1
 REFRESH_DELAY_S = 0.005
-REFRESH_DELAY_A_MEMBER_S = 0.0002
+REFRESH_DELAY_PER_MEMBER_S = 0.0002
 """News is gathered for so much longer for each member: a view of 195 costs some two milliseconds to make and act on,
 and where they all start together each hears of 194 others. 45 ms there are little beside a lost router's 0.25 s."""
 RELAY_FINGERS = 2
@@ -438,7 +438,7 @@
     def _refresh_soon(self):
         # When a zone fails, or a fleet starts, news comes by the dozen: one new view for all of a batch.
         if self._refreshing is None:
-            delay_s = REFRESH_DELAY_S + REFRESH_DELAY_A_MEMBER_S * len(self._table.by_name)
+            delay_s = REFRESH_DELAY_S + REFRESH_DELAY_PER_MEMBER_S * len(self._table.by_name)
             self._refreshing = self._loop.call_later(delay_s, self._refresh)
 
     def _refresh(self):
