--- a/wagtailtrestle/membership/membership.py
+++ b/wagtailtrestle/membership/membership.py
@@ -177,9 +177,9 @@
         half a minute around a ring of hundreds.
         """
         self.generation = generation
-        self.tell_at_once()
+        self.send_heartbeats()
 
-    def tell_at_once(self):
+    def send_heartbeats(self):
         """Send a heartbeat out of turn, for what it carries is news."""
         for peer in self.broadcast_targets():
             self._peers.send(peer, self._heartbeat())
--- a/wagtailtrestle/router.py
+++ b/wagtailtrestle/router.py
@@ -112,7 +112,7 @@
             heartbeat_s=settings.peer_heartbeat_s,
             epoch=self._store_epoch,
         )
-        self._store_epoch.on_return(self._membership.tell_at_once)
+        self._store_epoch.on_return(self._membership.send_heartbeats)
         self._broadcast = Broadcast(peers=self._peers, targets=self._membership.broadcast_targets)
 
     def _make_configuration(self):
