--- a/wagtailtrestle/membership/membership.py
+++ b/wagtailtrestle/membership/membership.py
@@ -245,7 +245,7 @@
             else:
                 self._refresh_soon()
         elif hello.incarnation == member.incarnation:
-            self._heard_directly(member)
+            self._on_sign_of_life(member)
 
     def _on_connected(self, peer):
         self._peers.send(peer, self._table.own.event())
@@ -269,12 +269,12 @@
             )
             self._on_view_event(peer, event, "")
         else:
-            self._heard_directly(member)
+            self._on_sign_of_life(member)
         self._note_generation(member, heartbeat.generation)
         self._epoch.hear(heartbeat.store_epoch, heartbeat.store_epoch_known_s)
         self._sync.compare(peer, own=self._digest, other=heartbeat.view_digest)
 
-    def _heard_directly(self, member):
+    def _on_sign_of_life(self, member):
         if not member.present:
             # It lives but can't know that it is held for dead: without being told it would stay out for ever.
             self._peers.send(member.name, member.event())
