--- a/wagtailtrestle/membership/membership.py
+++ b/wagtailtrestle/membership/membership.py
@@ -270,7 +270,7 @@
             self._on_view_event(peer, event, "")
         else:
             self._on_sign_of_life(member)
-        self._note_generation(member, heartbeat.generation)
+        self._update_generation(member, heartbeat.generation)
         self._epoch.hear(heartbeat.store_epoch, heartbeat.store_epoch_known_s)
         self._sync.compare(peer, own=self._digest, other=heartbeat.view_digest)
 
@@ -281,7 +281,7 @@
         elif member.state is MemberState.SUSPECT:
             self._suspicions.on_sign_of_life(member)
 
-    def _note_generation(self, member, generation):
+    def _update_generation(self, member, generation):
         if generation != member.generation:
             member.generation = generation
             for callback in self._generation_callbacks:
