--- a/wagtailtrestle/membership/membership.py
+++ b/wagtailtrestle/membership/membership.py
@@ -297,14 +297,14 @@
 
     def _on_view_event(self, peer, event, cell):
         if event.name == self.name:
-            self._about_self(event)
+            self._on_own_event(event)
         elif self._table.apply(event, self._loop.time()):
             self._contacts.update_address(event.name, event.address)
             self._suspicions.watch(self._table.by_name[event.name])
             self._gossip(event, but=peer)
             self._refresh_soon()
 
-    def _about_self(self, event):
+    def _on_own_event(self, event):
         own = self._table.own
         if event.incarnation > own.incarnation and not own.draining:
             # A later process of the same name runs. This one was paused or forgotten; were it to go on as
@@ -320,7 +320,7 @@
         """Go on from what a peer told of all members; ``news`` is what was not known here."""
         for event in events:
             if event.name == self.name:
-                self._about_self(event)
+                self._on_own_event(event)
         for event in news:
             self._contacts.update_address(event.name, event.address)
             self._suspicions.watch(self._table.by_name[event.name])
