--- a/wagtailtrestle/membership/membership.py
+++ b/wagtailtrestle/membership/membership.py
@@ -101,7 +101,7 @@
             peers=peers,
             loop=loop,
             is_trusted=lambda: self.trusted,
-            on_events=self._take_pulled,
+            on_events=self._on_pulled,
             on_lost=lambda member: self._suspicions.suspect(member, "called dead by a peer, and does not answer"),
         )
         self._contacts = Contacts(table=self._table, peers=peers, loop=loop, jitter=self._jitter, seeds=seeds or {})
@@ -316,7 +316,7 @@
             self._gossip(own.event())
             self._refresh_soon()
 
-    def _take_pulled(self, peer, events, news):
+    def _on_pulled(self, peer, events, news):
         """Go on from what a peer told of all members; ``news`` is what was not known here."""
         for event in events:
             if event.name == self.name:
