--- a/wagtailtrestle/membership/membership.py
+++ b/wagtailtrestle/membership/membership.py
@@ -451,14 +451,14 @@
         self._digest = self._table.digest()
         view = self._table.view(now)
         if view.all_members != self._ring_names:
-            self._rewire(view)
+            self._update_ring(view)
         if view.digest == self.view.digest:
             return
         self.view = view
         for callback in self._view_callbacks:
             callback(view)
 
-    def _rewire(self, view):
+    def _update_ring(self, view):
         self._ring_names = view.all_members
         ring = Ring(names=view.all_members)
         self._heartbeat_s = self._mesh_heartbeat_s if ring.is_small else max(self._mesh_heartbeat_s, RING_HEARTBEAT_S)
