--- a/wagtailtrestle/membership/membership.py
+++ b/wagtailtrestle/membership/membership.py
@@ -142,7 +142,7 @@
         now = self._loop.time()
         self._table.own.address = self._peers.address
         self._tick_at = self._heartbeat_at = self._contact_at = now
-        self._doubt(now)
+        self._distrust_view(now)
         self._contacts.start()
         self._timer = self._loop.call_later(TICK_S, self._on_tick)
 
@@ -356,14 +356,14 @@
             return True
         logger.warning("this process was paused for {:.1f} s; asking peers what happened", now - self._tick_at)
         self._tick_at = self._silence_from = now
-        self._doubt(now)
+        self._distrust_view(now)
         self._suspicions.restart()
         for peer in sorted(self._partners):
             if self._peers.connected(peer):
                 self._sync.pull(peer)
         return False
 
-    def _doubt(self, now):
+    def _distrust_view(self, now):
         self._doubt_since = now
         self.trusted = False
         self._loop.call_later(TRUST_TIMEOUT_S, self._trust_alone, now)
