--- a/wagtailtrestle/membership/membership.py
+++ b/wagtailtrestle/membership/membership.py
@@ -117,7 +117,7 @@
         self._heartbeat_at = loop.time()
         self._contact_at = loop.time()
         self._silence_from = loop.time()
-        self._doubt_since = loop.time()
+        self._distrusted_since = loop.time()
         self._recheck_at = None
         self._digest = self._table.digest()
         self.view = self._table.view(loop.time())
@@ -364,13 +364,13 @@
         return False
 
     def _distrust_view(self, now):
-        self._doubt_since = now
+        self._distrusted_since = now
         self.trusted = False
         self._loop.call_later(TRUST_TIMEOUT_S, self._trust_alone, now)
 
     def _trust_alone(self, doubted_at):
         """Go on with what is known: nobody told more, so this router is alone or cut off."""
-        if doubted_at == self._doubt_since:
+        if doubted_at == self._distrusted_since:
             self._trust()
 
     def _trust(self):
