--- a/wagtailtrestle/membership/membership.py
+++ b/wagtailtrestle/membership/membership.py
@@ -368,9 +368,9 @@
         self.trusted = False
         self._loop.call_later(TRUST_TIMEOUT_S, self._trust_alone, now)
 
-    def _trust_alone(self, doubted_at):
+    def _trust_alone(self, distrusted_at):
         """Go on with what is known: nobody told more, so this router is alone or cut off."""
-        if doubted_at == self._distrusted_since:
+        if distrusted_at == self._distrusted_since:
             self._trust()
 
     def _trust(self):
