--- a/wagtailtrestle/membership/membership.py
+++ b/wagtailtrestle/membership/membership.py
@@ -366,9 +366,9 @@
     def _distrust_view(self, now):
         self._distrusted_since = now
         self.trusted = False
-        self._loop.call_later(TRUST_TIMEOUT_S, self._trust_alone, now)
+        self._loop.call_later(TRUST_TIMEOUT_S, self._trust_without_peers, now)
 
-    def _trust_alone(self, distrusted_at):
+    def _trust_without_peers(self, distrusted_at):
         """Go on with what is known: nobody told more, so this router is alone or cut off."""
         if distrusted_at == self._distrusted_since:
             self._trust()
