--- a/wagtailtrestle/membership/membership.py
+++ b/wagtailtrestle/membership/membership.py
@@ -326,7 +326,7 @@
             self._suspicions.watch(self._table.by_name[event.name])
             if self.trusted:
                 self._gossip(event, but=peer)
-        self._trust()
+        self._trust_view()
         self._refresh_soon()
 
     def _gossip(self, event, but=None):
@@ -371,9 +371,9 @@
     def _trust_without_peers(self, distrusted_at):
         """Go on with what is known: nobody told more, so this router is alone or cut off."""
         if distrusted_at == self._distrusted_since:
-            self._trust()
+            self._trust_view()
 
-    def _trust(self):
+    def _trust_view(self):
         if self.trusted:
             return
         self.trusted = True
