--- a/wagtailtrestle/membership/membership.py
+++ b/wagtailtrestle/membership/membership.py
@@ -116,7 +116,7 @@
         self._tick_at = loop.time()
         self._heartbeat_at = loop.time()
         self._contact_at = loop.time()
-        self._silence_from = loop.time()
+        self._silence_counted_from = loop.time()
         self._distrusted_since = loop.time()
         self._recheck_at = None
         self._digest = self._table.digest()
@@ -355,7 +355,7 @@
         if now - self._tick_at <= FROZEN_GAP_S:
             return True
         logger.warning("this process was paused for {:.1f} s; asking peers what happened", now - self._tick_at)
-        self._tick_at = self._silence_from = now
+        self._tick_at = self._silence_counted_from = now
         self._distrust_view(now)
         self._suspicions.restart()
         for peer in sorted(self._partners):
@@ -391,7 +391,7 @@
     def _tick(self, now):
         if now - self._tick_at > LATE_TICK_S:
             # A pause too short to doubt the view: what arrived meanwhile may not be read yet.
-            self._silence_from = now
+            self._silence_counted_from = now
         self._tick_at = now
         if now >= self._heartbeat_at:
             self._heartbeat_at = now + self._heartbeat_s * self._jitter.uniform(0.9, 1.0)
@@ -428,7 +428,7 @@
             silent_s = self._peers.silent_s(peer)
             if silent_s is None:
                 continue
-            silent_s = min(silent_s, self._loop.time() - self._silence_from)
+            silent_s = min(silent_s, self._loop.time() - self._silence_counted_from)
             if silent_s > self._silent_after_s:
                 # The connection may be dead while the router lives: a new one tells them apart.
                 self._peers.replace(peer)
