--- a/wagtailtrestle/membership/membership.py
+++ b/wagtailtrestle/membership/membership.py
@@ -398,7 +398,7 @@
             for peer in self._partners:
                 self._send_heartbeat(peer)
         if self.trusted:
-            self._replace_silent()
+            self._replace_silent_links()
         if now >= self._contact_at:
             self._contact_at = now + CONTACT_INTERVAL_S * self._jitter.uniform(0.5, 1.0)
             self._contacts.contact_absent(1)
@@ -423,7 +423,7 @@
             store_epoch_known_s=self._epoch.known_s,
         )
 
-    def _replace_silent(self):
+    def _replace_silent_links(self):
         for peer in self._partners:
             silent_s = self._peers.silent_s(peer)
             if silent_s is None:
