--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -32,8 +32,8 @@
 
 
 class MembershipTest(MembershipCase):
-    def assert_views(self, members, but=(), draining=()):
-        for name, view in self.net.views(but).items():
+    def assert_views(self, members, exclude=(), draining=()):
+        for name, view in self.net.views(exclude).items():
             self.assertEqual((name, view.members, view.draining), (name, tuple(members), tuple(draining)))
 
     @on_fast_loop
@@ -69,7 +69,7 @@
         # And the death of one is still known to all within a second.
         self.net.kill("r045")
         await asyncio.sleep(1.0)
-        self.assert_views([name for name in names if name != "r045"], but=["r045"])
+        self.assert_views([name for name in names if name != "r045"], exclude=["r045"])
 
     @on_fast_loop
     async def test_killed_router(self):
@@ -78,7 +78,7 @@
         names = await self.net.add_all(6)
         self.net.kill("r002")
         await asyncio.sleep(0.5)
-        self.assert_views([name for name in names if name != "r002"], but=["r002"])
+        self.assert_views([name for name in names if name != "r002"], exclude=["r002"])
 
     @on_fast_loop
     async def test_frozen_router(self):
@@ -88,7 +88,7 @@
         others = [name for name in names if name != "r002"]
         self.net.freeze("r002")
         await asyncio.sleep(1.3)
-        self.assert_views(others, but=["r002"])
+        self.assert_views(others, exclude=["r002"])
         await asyncio.sleep(5)
         self.net.changes.clear()
         self.net.thaw("r002")
@@ -146,7 +146,7 @@
         self.assert_views(rest, draining=["r001"])
         await self.net.by_name["r001"].close()
         await asyncio.sleep(0.1)
-        self.assert_views(rest, but=["r001"])
+        self.assert_views(rest, exclude=["r001"])
 
     @on_fast_loop
     async def test_cut_off_from_a_few(self):
@@ -171,7 +171,7 @@
         for name in zone:
             self.net.freeze(name)
         await asyncio.sleep(1.3)
-        self.assert_views([name for name in names if name not in zone], but=zone)
+        self.assert_views([name for name in names if name not in zone], exclude=zone)
 
     @on_fast_loop
     async def test_many_routers(self):
@@ -187,7 +187,7 @@
         self.net.kill("r002")
         self.net.freeze("r005")
         await asyncio.sleep(1.4)
-        self.assert_views([name for name in names if name not in ("r002", "r005")], but=["r002", "r005"])
+        self.assert_views([name for name in names if name not in ("r002", "r005")], exclude=["r002", "r005"])
 
     def pass_on(self, name, generation, heard):
         if name not in heard:
--- a/tests/utils/fake_routers.py
+++ b/tests/utils/fake_routers.py
@@ -189,5 +189,5 @@
         for callback, args in held:
             callback(*args)
 
-    def views(self, but=()):
-        return {name: self.by_name[name].view for name in self.by_name if name not in but}
+    def views(self, exclude=()):
+        return {name: self.by_name[name].view for name in self.by_name if name not in exclude}
--- a/wagtailtrestle/membership/membership.py
+++ b/wagtailtrestle/membership/membership.py
@@ -237,7 +237,7 @@
             member.restart(hello.incarnation, now)
             member.zone, member.address = hello.zone, hello.address
             self._contacts.update_address(peer, hello.address)
-            self._gossip(member.event(), but=peer)
+            self._gossip(member.event(), exclude=peer)
             if was_present:
                 # Its next message speaks for a new process. Read by the view of the former one, a registration
                 # would count as that one's word on its runs.
@@ -301,7 +301,7 @@
         elif self._table.apply(event, self._loop.time()):
             self._contacts.update_address(event.name, event.address)
             self._suspicions.watch(self._table.by_name[event.name])
-            self._gossip(event, but=peer)
+            self._gossip(event, exclude=peer)
             self._refresh_soon()
 
     def _on_own_event(self, event):
@@ -325,21 +325,21 @@
             self._contacts.update_address(event.name, event.address)
             self._suspicions.watch(self._table.by_name[event.name])
             if self.trusted:
-                self._gossip(event, but=peer)
+                self._gossip(event, exclude=peer)
         self._trust_view()
         self._refresh_soon()
 
-    def _gossip(self, event, but=None):
+    def _gossip(self, event, exclude=None):
         """Tell an event of this router's own, or pass on what ``but`` told first.
 
         What is passed on goes to both neighbours, so that it reaches all along the ring whoever drops it, and to a
         few fingers. Passed to all fingers by each router, one event of a start of 195 came nine times to each.
         """
         fingers = sorted(self._fingers - self._partners)
-        if but is not None and len(fingers) > RELAY_FINGERS:
+        if exclude is not None and len(fingers) > RELAY_FINGERS:
             fingers = self._jitter.sample(fingers, RELAY_FINGERS)
         for name in (*self._partners, *fingers):
-            if name != but:
+            if name != exclude:
                 self._peers.send(name, event)
 
     # Trust in the own view.
