--- a/wagtailtrestle/membership/member_table.py
+++ b/wagtailtrestle/membership/member_table.py
@@ -86,7 +86,7 @@
         doubted : list of str
             Routers that the peer calls dead and this one alive.
         """
-        news, disputed = [], []
+        applied, disputed = [], []
         for event in events:
             member = self.by_name.get(event.name)
             if member is self.own:
@@ -100,8 +100,8 @@
                 else:
                     disputed.append(event.name)
             elif self.apply(event, now):
-                news.append(event)
-        return news, disputed
+                applied.append(event)
+        return applied, disputed
 
     def _revives(self, member, event, now):
         # After a partition both sides hold the other's routers for dead. One router that came back refutes
--- a/wagtailtrestle/membership/membership.py
+++ b/wagtailtrestle/membership/membership.py
@@ -316,12 +316,12 @@
             self._gossip(own.event())
             self._refresh_soon()
 
-    def _on_pulled(self, peer, events, news):
+    def _on_pulled(self, peer, events, applied):
         """Go on from what a peer told of all members; ``news`` is what was not known here."""
         for event in events:
             if event.name == self.name:
                 self._on_own_event(event)
-        for event in news:
+        for event in applied:
             self._contacts.update_address(event.name, event.address)
             self._suspicions.watch(self._table.by_name[event.name])
             if self.trusted:
--- a/wagtailtrestle/membership/view_sync.py
+++ b/wagtailtrestle/membership/view_sync.py
@@ -95,9 +95,9 @@
         if type(answer) is not ViewText:
             return
         trust_peer = not self._is_trusted()
-        news, disputed = self._table.merge(answer.events, self._loop.time(), trust_peer=trust_peer)
+        applied, disputed = self._table.merge(answer.events, self._loop.time(), trust_peer=trust_peer)
         self._disputed.update(disputed)
-        self._on_events(peer, answer.events, news)
+        self._on_events(peer, answer.events, applied)
 
     def _answer(self, peer, message, cell):
         if not self._is_trusted():
