--- a/wagtailtrestle/membership/__init__.py
+++ b/wagtailtrestle/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Which routers live."""
+"""Membership: failure detection and the view of live routers."""
--- a/wagtailtrestle/membership/view.py
+++ b/wagtailtrestle/membership/view.py
@@ -1,24 +1,26 @@
-"""The set of routers one router believes to be alive."""
+"""The view: the set of routers that one router believes to be alive."""
 
 from hashlib import blake2b
 
 
 class View:
-    """Immutable by convention; a change makes a new one.
+    """Routers believed alive. Immutable by convention: a change creates a new view.
 
     Parameters
     ----------
     members : iterable of str
-        Routers that may be scheduler or shard owner.
+        Routers eligible as scheduler or shard owner.
     draining : iterable of str
-        Routers that are alive but may not be: they leave, or came back too lately.
+        Routers that are alive but not eligible: they are draining or leaving, or in hold-down after a return.
     incarnations_by_name : dict of str to int, optional
-        Of all these routers.
+        Incarnation of each router in the view.
 
     Attributes
     ----------
+    all_members : tuple of str
+        ``members`` and ``draining`` together.
     digest : int
-        Equal for views of equal content, on whichever router.
+        Equal for views of equal content, whichever router computed it.
     """
 
     __slots__ = ("digest", "draining", "all_members", "incarnations_by_name", "members")
