--- a/wagtailtrestle/membership/partners.py
+++ b/wagtailtrestle/membership/partners.py
@@ -1,11 +1,11 @@
-"""Who exchanges heartbeats with whom, and who passes view events to whom.
+"""Heartbeat topology: which routers exchange heartbeats, and along which links view events spread.
 
-Up to ``MESH_LIMIT`` routers everybody is everybody's partner. Beyond that, heartbeats to
-all would cost more than a router may spend on control, so its partners are its neighbours
-on a hash ring, which mixes the availability zones: two on either side up to ``SMALL_LIMIT``
-routers, where a zone is a third of them, one on either side in larger fleets. When all fail
-together with it, those who become its neighbours find out. Events also travel along "fingers" that
-halve the ring, so that they reach everybody in a few hops.
+Up to ``MESH_LIMIT`` routers form a full mesh. In larger fleets heartbeats to all routers would
+exceed a router's budget for control traffic, so a router's partners are its neighbours on a
+hash ring, which mixes the availability zones: two on either side up to ``SMALL_LIMIT`` routers,
+where a zone is a third of the fleet, and one on either side beyond. If a router fails together
+with all its partners, the routers that become its new neighbours detect the failure. Events also
+travel along fingers that halve the ring, as in Chord, so that they reach every router in a few hops.
 """
 
 from hashlib import blake2b
@@ -33,16 +33,16 @@
 
     @property
     def is_mesh(self):
-        """Whether there are few enough for everybody to be everybody's partner."""
+        """Whether the fleet is small enough for a full mesh."""
         return len(self._order) <= MESH_LIMIT
 
     @property
     def is_small(self):
-        """Whether a router has few partners whatever their number, so that heartbeats may be frequent."""
+        """Whether the fleet is small enough for frequent heartbeats to all partners."""
         return len(self._order) <= SMALL_LIMIT
 
     def partners(self, name):
-        """Set of the routers that ``name`` exchanges heartbeats with; the relation is symmetric."""
+        """Set of the routers that ``name`` exchanges heartbeats with. The relation is symmetric."""
         if self.is_mesh:
             return set(self._order) - {name}
         steps = range(1, (SMALL_NEIGHBOURS if self.is_small else NEIGHBOURS) + 1)
@@ -65,5 +65,5 @@
 
 
 def position_of(name):
-    """Where a router stands on the ring."""
+    """Position of a router on the ring."""
     return blake2b(name.encode(), digest_size=8).digest()
