--- a/wagtailtrestle/membership/contacts.py
+++ b/wagtailtrestle/membership/contacts.py
@@ -1,13 +1,13 @@
-"""Where routers listen, by seeds, the platform's list and peers; and contact with those out of the view."""
+"""Known router addresses, from seeds, the platform's list and peers, and contact with routers outside the view."""
 
 INITIAL_CONTACTS = 8
-# Longer than regions lose each other for, so that both sides still try when the link is back.
+# Longer than a partition between regions lasts, so that both sides still retry when the link is restored.
 REMOVE_AFTER_S = 7200.0
 ROUTER_ROLE = "router"
 
 
 class Contacts:
-    """Addresses of all routers known to exist.
+    """Addresses of all known routers.
 
     Parameters
     ----------
@@ -16,7 +16,7 @@
     loop : asyncio event loop
     jitter : random.Random
     seeds : dict of str to str
-        Names and addresses from settings.
+        Addresses from the settings, by router name.
     """
 
     __slots__ = ("_addresses_by_name", "_jitter", "_leaving", "_listed", "_loop", "_peers", "_seeds", "_table")
@@ -33,16 +33,16 @@
 
     @property
     def listed(self):
-        """Names of the other routers on the platform's list, as it was last read."""
+        """Names of the other routers on the platform's list as last read."""
         return self._listed or frozenset()
 
     def start(self):
-        """Greet a few of the seeds."""
+        """Contact a few of the seeds."""
         self._peers.set_addresses(self._addresses_by_name)
         self.contact_absent(INITIAL_CONTACTS)
 
     def observe(self, vms):
-        """Take the platform's list of VMs."""
+        """Apply the platform's list of VMs."""
         routers = [vm for vm in vms if vm.role == ROUTER_ROLE]
         self._leaving = frozenset(vm.id for vm in routers if vm.leaving)
         addresses = {vm.id: vm.address for vm in routers if vm.id != self._table.own.name}
@@ -56,24 +56,24 @@
             self._contact(name)
 
     def update_address(self, name, address):
-        """Take an address that a router gave for itself; it outweighs the platform's lagging list."""
+        """Set the address that a router reported for itself; it takes precedence over the platform's lagging list."""
         if address:
             self._addresses_by_name[name] = address
             self._peers.set_addresses({name: address})
 
     def mark_leaving(self):
-        """Mark the members that the platform's list calls leaving."""
+        """Mark the members that the platform's list shows as leaving."""
         for member in self._table.by_name.values():
             member.listed_leaving = member.name in self._leaving
 
     def contact_absent(self, count):
-        """Greet a few routers that exist but are not in the view: they may be back, or on the other side."""
+        """Contact a few known routers outside the view: they may have restarted, or a partition may have healed."""
         absent = [name for name in sorted(self._addresses_by_name) if self._is_absent(name)]
         for name in self._jitter.sample(absent, min(count, len(absent))):
             self._contact(name)
 
     def remove_expired(self):
-        """Drop what is held about routers gone for long."""
+        """Remove routers that are off the platform's list and have been absent for ``REMOVE_AFTER_S``."""
         now = self._loop.time()
         for name, member in list(self._table.by_name.items()):
             is_listed = self._listed is not None and name in self._listed
@@ -83,7 +83,7 @@
                 self._peers.remove(name)
 
     def dump(self):
-        """State for the dump."""
+        """State for the state dump."""
         return {
             "listed": None if self._listed is None else sorted(self._listed),
             "listed_leaving": sorted(self._leaving),
