--- a/wagtailtrestle/membership/member.py
+++ b/wagtailtrestle/membership/member.py
@@ -1,4 +1,4 @@
-"""What one router believes of another, and the order in which statements outweigh each other."""
+"""State of one router as another sees it, and the order of precedence between events about it."""
 
 from wagtailtrestle.contracts.peer_messages import MemberState, ViewEvent
 
@@ -11,10 +11,10 @@
 
 
 class Member:
-    """One router as seen from another.
+    """One router as seen by another.
 
-    Only the router itself raises its ``version``; so at one version a worse state
-    outweighs a better one until the router itself refutes it with a higher version.
+    Only the router itself increments its ``version``. Within one version a worse state
+    overrides a better one, until the router itself refutes it with a higher version.
     """
 
     __slots__ = (
@@ -56,20 +56,20 @@
 
     @property
     def present(self):
-        """Whether it belongs to the view: alive, or suspected and given time to refute."""
+        """Whether it belongs to the view: alive, or suspected and still within the time to refute."""
         return self.state in PRESENT_STATES
 
     def key(self):
-        """Order of statements about this router."""
+        """Sort key that orders events about this router."""
         state = MemberState.DEAD if self.reported_dead else self.state
         return (self.incarnation, self.version, RANKS_BY_STATE[state])
 
     def eligible(self, now):
-        """Whether it may be scheduler or shard owner."""
+        """Whether it may become scheduler or shard owner."""
         return self.present and not self.draining and not self.listed_leaving and now >= self.hold_down_until
 
     def set_state(self, state, now):
-        """Change the state; note suspicion's time and count returns from the dead."""
+        """Change the state and its timestamp. A router that returns from ``DEAD`` enters hold-down."""
         if state == self.state:
             return
         was_dead = self.state is MemberState.DEAD
@@ -82,16 +82,16 @@
         self.state_since = now
 
     def _start_hold_down(self, now):
-        # A router behind a bad link would go in and out of the view, and each time the cells it is scheduler
-        # of move twice and every entry re-registers. Who comes back is alive at once but eligible only after
-        # it stayed for a while, longer each time.
+        # Flap damping. A router behind an unreliable link would leave and rejoin the view repeatedly; each time
+        # the cells it schedules would move twice and every entry would re-register. A returning router is alive
+        # immediately but becomes eligible only after a hold-down, which doubles with each flap.
         if now - self.state_since > STABLE_AFTER_S:
             self.flaps = 0
         self.flaps += 1
         self.hold_down_until = now + min(HOLD_DOWN_MAX_S, HOLD_DOWN_FIRST_S * 2 ** (self.flaps - 1))
 
     def restart(self, incarnation, now):
-        """Take a new process of that name; it owes nothing for what its predecessor did."""
+        """Reset for a new process of that name, which starts without its predecessor's suspicions and hold-down."""
         self.incarnation = incarnation
         self.version = 0
         self.state = MemberState.ALIVE
@@ -102,7 +102,7 @@
         self.hold_down_until = now
 
     def event(self):
-        """Statement of what is believed now."""
+        """View event with the state as currently known."""
         return ViewEvent(
             name=self.name,
             zone=self.zone,
@@ -114,7 +114,7 @@
         )
 
     def dump(self, now):
-        """State for the dump; ages in seconds."""
+        """State for the state dump; ages in seconds."""
         return {
             "state": self.state.value,
             "state_age_s": round(now - self.state_since, 3),
@@ -131,5 +131,5 @@
 
 
 def event_key(event):
-    """Order of statements, as ``Member.key``."""
+    """Sort key of an event, comparable with ``Member.key``."""
     return (event.incarnation, event.version, RANKS_BY_STATE[event.state])
