--- a/wagtailtrestle/membership/member_table.py
+++ b/wagtailtrestle/membership/member_table.py
@@ -1,15 +1,15 @@
-"""All that one router believes of the others, and how it takes in statements about them."""
+"""Table of all members known to one router, and how events about them are applied."""
 
 from wagtailtrestle.contracts.peer_messages import MemberState
 from wagtailtrestle.membership.member import RANKS_BY_STATE, Member, event_key
 from wagtailtrestle.membership.view import View, digest_of
 
-# Long enough for the news of a death to have reached everybody who can be reached.
+# Long enough for a death to have been reported to every reachable router.
 REVIVE_AFTER_S = 10.0
 
 
 class MemberTable:
-    """Members by name, this router's own record included.
+    """Members by name, including this router's own record.
 
     Parameters
     ----------
@@ -28,7 +28,7 @@
         self.by_name = {name: self.own}
 
     def get_or_add(self, name, now):
-        """The record of a router, made if it is new."""
+        """Record of a router, created if missing."""
         member = self.by_name.get(name)
         if member is None:
             member = self.by_name[name] = Member(name=name, now=now)
@@ -39,7 +39,7 @@
         return [member for member in self.by_name.values() if member.present]
 
     def apply(self, event, now):
-        """Take in a statement about another router; ``True`` if it was news."""
+        """Apply an event about another router. Return ``True`` if it changed anything."""
         member = self.by_name.get(event.name)
         if member is None:
             if event.state in (MemberState.DEAD, MemberState.LEFT):
@@ -50,7 +50,7 @@
         if event.incarnation > member.incarnation:
             member.restart(event.incarnation, now)
         elif event.version > member.version:
-            # It spoke for itself since the last suspicion, whatever is said of it now.
+            # Only the router itself raises its version, so it has been alive since the last suspicion.
             member.set_state(MemberState.ALIVE, now)
         member.zone = event.zone or member.zone
         member.address = event.address or member.address
@@ -63,28 +63,30 @@
         if state is not MemberState.DEAD:
             member.set_state(state, now)
             return
-        # Somebody else's word that a router is dead is treated as a suspicion: after a partition heals both
-        # sides call each other dead, and believing it at once would empty every view. Who lives refutes it.
+        # A report from another router that a member is dead counts only as a suspicion: after a partition heals
+        # both sides report each other dead, and applying that immediately would empty every view. Routers that
+        # are alive refute it.
         if member.state is MemberState.ALIVE:
             member.set_state(MemberState.SUSPECT, now)
         if member.state is MemberState.SUSPECT:
             member.reported_dead = True
 
     def merge(self, events, now, *, trust_peer):
-        """Take in all that a peer knows.
+        """Merge a peer's complete view.
 
         Parameters
         ----------
         events : iterable of ViewEvent
         now : float
-        believe : bool
-            Whether this router doubts its own view (it starts, or was paused), so that the peer's counts more.
+        trust_peer : bool
+            Whether the peer's view takes precedence, as this router has just started or was paused.
 
         Returns
         -------
-        news : list of ViewEvent
-        doubted : list of str
-            Routers that the peer calls dead and this one alive.
+        applied : list of ViewEvent
+            Events that changed this table.
+        disputed : list of str
+            Routers that the peer reports dead and this router considers alive.
         """
         applied, disputed = [], []
         for event in events:
@@ -104,8 +106,8 @@
         return applied, disputed
 
     def _revives(self, member, event, now):
-        # After a partition both sides hold the other's routers for dead. One router that came back refutes
-        # that for itself; this lets a whole side return without each of its routers telling everybody.
+        # After a partition each side considers the other's routers dead. A single router that returns refutes
+        # that itself; this lets a whole side return without each of its routers notifying all others.
         return (
             member.state is MemberState.DEAD
             and event.state in (MemberState.ALIVE, MemberState.SUSPECT)
@@ -122,19 +124,19 @@
         )
 
     def refute(self, event, now):
-        """Answer a statement about this router itself; ``True`` if there was something to refute."""
+        """Refute an event about this router itself. Return ``False`` if there is nothing to refute."""
         own = self.own
         if event.incarnation != own.incarnation or event.version < own.version or not RANKS_BY_STATE[event.state]:
             return False
         if event.state is MemberState.DEAD:
-            # It was out of the others' views, which hold it back for a while; so does it itself.
+            # The other routers removed it from their views and put it into hold-down; it applies the same to itself.
             own.set_state(MemberState.DEAD, now)
             own.set_state(MemberState.ALIVE, now)
         own.version = event.version + 1
         return True
 
     def view(self, now):
-        """The view that follows from the records."""
+        """View derived from the records."""
         present = self.present()
         return View(
             members=[member.name for member in present if member.eligible(now)],
@@ -143,7 +145,7 @@
         )
 
     def next_hold_down_end(self, now):
-        """When the next member that is held back becomes eligible, or ``None``."""
+        """Time at which the next hold-down ends, or ``None``."""
         ends = [
             member.hold_down_until
             for member in self.by_name.values()
@@ -152,6 +154,6 @@
         return min(ends, default=None)
 
     def digest(self):
-        """Equal for routers that believe the same, whatever they hold back."""
+        """Digest of the present members, equal on routers that agree on them. Hold-downs are not part of it."""
         facts = [(member.name, member.incarnation, member.draining) for member in self.present()]
         return digest_of(sorted(facts))
