--- a/wagtailtrestle/membership/suspicion.py
+++ b/wagtailtrestle/membership/suspicion.py
@@ -1,4 +1,4 @@
-"""First-hand suspicion of a router, and the time it has to refute before it is held for dead."""
+"""Suspicion of unreachable routers, and the time they have to refute it before they are declared dead."""
 
 from loguru import logger
 
@@ -13,18 +13,18 @@
 
 
 class Suspicions:
-    """Turns evidence into suspicion, and suspicion that nobody refutes into death.
+    """Suspects routers that cannot be reached, and declares them dead if they do not refute it in time.
 
     Parameters
     ----------
     table : MemberTable
     loop : asyncio event loop
     gossip : callable
-        ``(event)``: tells everybody.
+        ``(event)``: sends the event to all routers.
     on_change : callable
-        ``()``: called after a death.
+        ``()``: called after a router was declared dead.
     is_awake : callable
-        ``() -> bool``: false if this process was paused; then ``restart`` has been called.
+        ``() -> bool``: false if this process was paused, in which case ``restart`` has been called.
     """
 
     __slots__ = ("_gossip", "_is_awake", "_loop", "_on_change", "_table", "_timers_by_name")
@@ -38,12 +38,12 @@
         self._timers_by_name = {}
 
     def suspect(self, member, detail):
-        """Take first-hand evidence that a router can't be reached, even on a new connection."""
+        """Suspect a router to which this router could not open a new connection either."""
         now = self._loop.time()
         if not member.present or member.own_suspicion or now < member.suspect_again_at:
             return
-        # A router that only this one can't reach refutes each time, through the others. Telling everybody
-        # again at every failed connection would keep all of them busy with one bad link.
+        # A router that only this router cannot reach refutes each suspicion through the others. Notifying all
+        # routers after every failed connection would load all of them because of a single bad link.
         if now - member.suspect_again_at > STABLE_AFTER_S:
             member.suspect_backoff_s = 0.0
         member.suspect_backoff_s = min(BACKOFF_MAX_S, 2 * member.suspect_backoff_s or BACKOFF_FIRST_S)
@@ -55,7 +55,7 @@
         self.watch(member)
 
     def watch(self, member):
-        """Give a suspect its time to refute, once somebody stands by the suspicion."""
+        """Start the time to refute, which is longer without first-hand evidence or a report of the death."""
         if member.state is not MemberState.SUSPECT:
             return
         timer = self._timers_by_name.pop(member.name, None)
@@ -66,13 +66,13 @@
         self._set_timer(member, max(0.0, member.state_since + delay_s - self._loop.time()))
 
     def on_sign_of_life(self, member):
-        """Drop a suspicion since the suspect was heard; the next failed connection may raise it again."""
+        """Clear a suspicion after a message from the suspect. The next failed connection may raise it again."""
         now = self._loop.time()
         member.set_state(MemberState.ALIVE, now)
         member.suspect_again_at = min(member.suspect_again_at, now + SUSPECT_AGAIN_S)
 
     def restart(self):
-        """Give every suspect its whole time anew: this process was paused meanwhile."""
+        """Restart the timers of all suspects after a pause of this process."""
         self.close()
         for member in self._table.by_name.values():
             if member.state is MemberState.SUSPECT:
@@ -95,7 +95,7 @@
         if member.state is not MemberState.SUSPECT or self._table.by_name.get(member.name) is not member:
             return
         if not self._is_awake():
-            # The time to refute passed while this process was stopped and could hear nothing.
+            # The time to refute elapsed while this process was stopped and could not receive a refutation.
             self.watch(member)
             return
         now = self._loop.time()
@@ -104,12 +104,13 @@
         elif member.own_suspicion or member.reported_dead:
             self._declare_dead(member, now)
         else:
-            # Whoever suspected it never called it dead: it saw the refutation that was lost on the way here,
-            # or died itself. If the suspect is dead too, its other partners find out.
+            # The router that raised the suspicion never declared the suspect dead: either it received a refutation
+            # that was lost on the way to this router, or it died itself. If the suspect is dead too, its other
+            # partners detect that.
             member.set_state(MemberState.ALIVE, now)
 
     def _declare_dead(self, member, now):
-        logger.warning("router {} is held for dead", member.name)
+        logger.warning("router {} is declared dead", member.name)
         is_own_suspicion = member.own_suspicion
         member.set_state(MemberState.DEAD, now)
         if is_own_suspicion:
