--- a/wagtailtrestle/membership/announcement.py
+++ b/wagtailtrestle/membership/announcement.py
@@ -1,4 +1,4 @@
-"""Tells the platform's store where this router listens, where nobody else lists the routers."""
+"""Announces this router's address in the platform's store, for platforms that do not list the routers."""
 
 import asyncio
 import random
@@ -10,14 +10,14 @@
 RETRY_S = 0.3
 MAX_RETRY_S = 2.0
 REANNOUNCE_SPREAD_S = 0.6
-"""Time over which routers write their entries again when the store came back from a copy, so that hundreds don't do so
-in the same moment."""
+"""Time over which routers spread the rewriting of their entries after a store restore, so that hundreds of them don't
+write at the same moment."""
 WITHDRAW_TIMEOUT_S = 1.0
-"""Longest time that a leaving router spends on its entry: the others see it go by their heartbeats."""
+"""Longest time that a leaving router spends on its entry: the others detect its end by their heartbeats anyway."""
 
 
 class Announcement:
-    """Entry of this router in the store.
+    """Store entry of this router.
 
     Parameters
     ----------
@@ -26,7 +26,7 @@
     value : dict
     jitter : random.Random, optional
     epoch : StoreEpoch, optional
-        The entry is written again when the store came back from a copy, which may lack it.
+        The entry is written again after the store was restored from a backup, which may lack it.
     """
 
     __slots__ = ("_store", "_kind", "_name", "_value", "_version", "_jitter", "_task", "_is_withdrawn")
@@ -44,17 +44,17 @@
         self._task = None
 
     def start(self):
-        """Write the entry, again and again until the store has it."""
+        """Write the entry, retrying until the store has accepted it."""
         self._task = asyncio.get_running_loop().create_task(self._announce())
 
     async def close(self):
-        """Stop trying; the entry stays for a process of the same name that comes after."""
+        """Stop retrying. The entry stays for the next process of the same name."""
         if self._task is not None:
             self._task.cancel()
             await asyncio.gather(self._task, return_exceptions=True)
 
     async def withdraw(self):
-        """Delete the entry of a router that leaves."""
+        """Delete the entry when the router leaves."""
         self._is_withdrawn = True
         await self.close()
         if self._version is None:
@@ -63,7 +63,7 @@
             async with asyncio.timeout(WITHDRAW_TIMEOUT_S):
                 await self._store.delete(kind=self._kind, name=self._name, if_version=self._version)
         except TimeoutError:
-            logger.warning("the entry of this router stays in the store: no answer in {} s", WITHDRAW_TIMEOUT_S)
+            logger.warning("entry of this router remains in the store: no answer within {} s", WITHDRAW_TIMEOUT_S)
 
     def _reannounce(self):
         if self._task is None or self._is_withdrawn:
@@ -81,7 +81,7 @@
             retry_s = min(MAX_RETRY_S, 2 * retry_s)
 
     async def _write(self):
-        """Write once; whether the entry is known to stand as it should."""
+        """Write once. Return whether the entry is known to hold the right value."""
         outcome = await self._store.create(kind=self._kind, name=self._name, value=self._value)
         match outcome:
             case StoreDone(version=version):
@@ -92,8 +92,8 @@
         return False
 
     async def _replace(self, version, value):
-        # An entry of an earlier process of this name, or our own whose answer was lost. Where the refusal tells
-        # what stands there it is not read again: of hundreds that start at once each would.
+        # The entry is that of an earlier process of this name, or our own after a lost answer. It is read only if
+        # the conflict didn't include its value: hundreds of routers may start at once, and each would read.
         if value is None:
             found = await self._store.get(kind=self._kind, name=self._name)
             if not isinstance(found, StoreDone):
