--- a/wagtailtrestle/membership/view_sync.py
+++ b/wagtailtrestle/membership/view_sync.py
@@ -1,4 +1,4 @@
-"""Brings views that differ back together: routers compare digests and pull what a peer knows."""
+"""Anti-entropy between views: routers compare digests and pull a peer's view while they differ."""
 
 import asyncio
 
@@ -11,7 +11,7 @@
 
 
 class _DigestMismatch:
-    """How long a peer's digest has differed, and when to pull from it next."""
+    """How often a peer's digest has differed, and when to pull from it next."""
 
     __slots__ = ("count", "next_pull_at", "pull_interval_s")
 
@@ -22,7 +22,7 @@
 
 
 class ViewSync:
-    """Pulls and answers whole views.
+    """Pulls complete views from peers and answers their pulls.
 
     Parameters
     ----------
@@ -30,11 +30,11 @@
     peers : Peers
     loop : asyncio event loop
     is_trusted : callable
-        ``() -> bool``: whether this router's own view may be acted on, and told.
+        ``() -> bool``: whether this router's own view may be acted on and sent to peers.
     on_events : callable
-        ``(peer, events, news)``: called after the table took in a peer's view.
+        ``(peer, events, applied)``: called after a peer's view was merged into the table.
     on_lost : callable
-        ``(Member)``: a peer calls it dead, and it gives no sign of life.
+        ``(Member)``: a peer reports it dead, and it does not answer a ping.
     """
 
     __slots__ = (
@@ -62,13 +62,13 @@
         peers.on(ViewAsk, self._answer)
 
     async def close(self):
-        """End what is under way."""
+        """Cancel pulls and checks in progress."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
     def compare(self, peer, *, own, other):
-        """Take the digest a heartbeat carried; pull the peer's view if it goes on to differ."""
+        """Compare the digest of a peer's heartbeat with the own one; pull the peer's view if they keep differing."""
         if own == other:
             self._mismatch_by_peer.pop(peer, None)
             return
@@ -76,17 +76,17 @@
         mismatch = self._mismatch_by_peer.setdefault(peer, _DigestMismatch(now=now))
         mismatch.count += 1
         if mismatch.count >= MIN_MISMATCHES and now >= mismatch.next_pull_at:
-            # Pulls that settle nothing must not fill the link: each waits longer than the last.
+            # Pulls that do not resolve the difference must not saturate the link: their interval doubles.
             mismatch.next_pull_at = now + mismatch.pull_interval_s
             mismatch.pull_interval_s = min(MAX_PULL_INTERVAL_S, 2 * mismatch.pull_interval_s)
             self.pull(peer)
 
     def pull(self, peer):
-        """Ask a peer for all it knows."""
+        """Request a peer's complete view."""
         self._spawn(self._pull(peer))
 
     def check_disputed(self):
-        """Find out about one of the routers that a peer calls dead and this one alive."""
+        """Ping one of the routers that a peer reports dead and this router considers alive."""
         if self._disputed:
             self._spawn(self._check(self._disputed.pop()))
 
