--- a/wagtailtrestle/membership/vm_list.py
+++ b/wagtailtrestle/membership/vm_list.py
@@ -1,4 +1,4 @@
-"""The platform's lagging list of live and leaving VMs, polled and kept through outages."""
+"""The platform's lagging list of live and leaving VMs, polled, and retained during outages."""
 
 import asyncio
 import random
@@ -8,7 +8,7 @@
 DEFAULT_INTERVAL_S = 1.0
 JITTER = 0.25
 SETTLED_READS = 3
-"""Reads that show the same before the list counts as settled: a copy that lags may repeat itself once or twice."""
+"""Unchanged reads after which the list counts as settled: a lagging replica may repeat itself once or twice."""
 ROUTER = "router"
 ENGINE = "engine"
 
@@ -65,21 +65,21 @@
 
 
 class VMList:
-    """The last list the platform told, refreshed at a bounded rate.
+    """The platform's last known list, refreshed at a bounded rate.
 
-    An outage keeps the last list: the platform going quiet says nothing about the VMs,
-    and forgetting them would stop all traffic between healthy ones.
+    The last list is retained during an outage: a platform that does not answer says nothing
+    about the VMs, and dropping them would stop all traffic between healthy ones.
 
     Parameters
     ----------
     store : ObjectStore
     on_change : callable
-        ``on_change(by_id)``, called on the loop after each change.
+        ``(by_id)``: called on the loop after each change.
     interval_s : float
         Mean time between reads.
     settled_s : float
-        The same once the list has stayed as it was; 0 for ``interval_s`` always. Routers that know each other
-        tell who comes and goes, so that by then the list is read only for those whom nobody could tell of.
+        Mean time between reads once the list is settled; 0 for ``interval_s`` always. Routers that are in contact
+        report joins and departures to each other, so a settled list is needed only for VMs no router can report.
     jitter : random.Random, optional
     """
 
@@ -116,7 +116,7 @@
         }
 
     def resume_polling_interval(self):
-        """Read at the shorter interval again: the list may have changed without anybody telling."""
+        """Return to the shorter interval, as the list may have changed without a report from any router."""
         self._unchanged_reads = 0
 
     async def _poll(self):
@@ -126,7 +126,7 @@
             await asyncio.sleep(interval_s * self._jitter.uniform(1 - JITTER, 1 + JITTER))
 
     async def _read(self):
-        # The whole list at full size is over 100 KB; unchanged it costs some 300 bytes.
+        # The complete list at full size is over 100 KB; an unchanged answer costs some 300 bytes.
         outcome = await self._store.vms(unless_version=self._version)
         if not isinstance(outcome, StoreDone):
             self._last_problem = getattr(outcome, "detail", type(outcome).__name__)
