--- a/wagtailtrestle/membership/membership.py
+++ b/wagtailtrestle/membership/membership.py
@@ -1,9 +1,9 @@
-"""Which routers are alive: the platform's list says who exists, heartbeats who is suspected.
+"""Membership of the fleet: the platform's list says which routers exist, heartbeats which of them are alive.
 
-Each router exchanges heartbeats with its partners (``partners``). A partner that goes
-silent gets a new connection first; only when that fails too is it suspected, and the
-suspicion told to all. A suspect that lives refutes with a higher version of itself; one
-that doesn't within ``REFUTE_S`` is dead. See ``docs/design/membership.md``.
+Each router exchanges heartbeats with its partners (``partners``). If a partner goes silent,
+a new connection to it is opened first; only if that fails too is it suspected, and the
+suspicion sent to all routers. A suspect that is alive refutes with a higher version of itself;
+one that doesn't within ``REFUTE_S`` is declared dead. See ``docs/design/membership.md``.
 """
 
 import random
@@ -25,26 +25,27 @@
 
 HEARTBEAT_S = 0.3
 SILENT_HEARTBEATS = 2.2
-# Where there are many routers bytes count more; a late heartbeat costs a new connection, not a suspicion.
+# In large fleets traffic matters more; a late heartbeat costs only a new connection, not a suspicion.
 RING_HEARTBEAT_S = 0.4
 TICK_S = 0.1
 REFRESH_DELAY_S = 0.005
 REFRESH_DELAY_PER_MEMBER_S = 0.0002
-"""News is gathered for so much longer for each member: a view of 195 costs some two milliseconds to make and act on,
-and where they all start together each hears of 194 others. 45 ms there are little beside a lost router's 0.25 s."""
+"""Events are batched for this much longer per member: a view of 195 members costs some two milliseconds to build and
+apply, and in a fleet that starts at once each router receives events about 194 others. The resulting 45 ms are little
+compared to the 0.25 s until a lost router is declared dead."""
 RELAY_FINGERS = 2
-"""With both neighbours a fan-out of three beside who told: four or five hops for some two hundred routers."""
+"""With both neighbours this gives a fan-out of three, not counting the sender: four or five hops for some two hundred
+routers."""
 LATE_TICK_S = 0.25
 FROZEN_GAP_S = 0.8
 TRUST_TIMEOUT_S = 0.25
-"""Longest wait of a router that starts or woke for a peer's view: five times what a peer that lives needs
-(some 50 ms). Where all routers start at once nobody has a view to tell, and each of them serves nothing
-for so long."""
+"""Longest wait for a peer's view after a start or a pause: five times the some 50 ms within which a live peer answers.
+Where all routers start at once no router has a view to send, and none of them serves anything for this long."""
 CONTACT_INTERVAL_S = 1.0
 
 
 class Membership:
-    """The live view of routers.
+    """Maintains this router's view of the live routers.
 
     Parameters
     ----------
@@ -54,19 +55,19 @@
     peers : Peers
     loop : asyncio event loop
     seeds : dict of str to str
-        Names and addresses from settings, for when the platform is out at start.
+        Addresses from the settings by router name, for a start during an outage of the platform.
     heartbeat_s : float
         Time between heartbeats to one partner; at least ``RING_HEARTBEAT_S`` beyond a full mesh.
     jitter : random.Random, optional
     epoch : StoreEpoch, optional
-        Of the platform's store; heartbeats carry it.
+        Epoch of the platform's store, sent with each heartbeat.
 
     Attributes
     ----------
     view : View
     trusted : bool
-        Whether the view may be acted on: false for a moment at start and after a pause of
-        this process, until a peer told what happened meanwhile.
+        Whether the view may be acted on: false after a start or a pause of this process, until
+        a peer has sent its view or ``TRUST_TIMEOUT_S`` has passed.
     """
 
     def __init__(
@@ -102,7 +103,7 @@
             loop=loop,
             is_trusted=lambda: self.trusted,
             on_events=self._on_pulled,
-            on_lost=lambda member: self._suspicions.suspect(member, "called dead by a peer, and does not answer"),
+            on_lost=lambda member: self._suspicions.suspect(member, "reported dead by a peer, and does not answer"),
         )
         self._contacts = Contacts(table=self._table, peers=peers, loop=loop, jitter=self._jitter, seeds=seeds or {})
         self._partners = set()
@@ -130,15 +131,15 @@
         self._peers.on_reconnect(self._on_connected)
         self._peers.on_unreachable(self._on_unreachable)
 
-    # What the rest of the router uses.
+    # Public interface.
 
     @property
     def draining(self):
-        """Whether this router leaves."""
+        """Whether this router is draining."""
         return self._table.own.draining
 
     async def start(self):
-        """Contact the seeds and begin to exchange heartbeats."""
+        """Contact the seeds and start to exchange heartbeats."""
         now = self._loop.time()
         self._table.own.address = self._peers.address
         self._tick_at = self._heartbeat_at = self._contact_at = now
@@ -147,7 +148,7 @@
         self._timer = self._loop.call_later(TICK_S, self._on_tick)
 
     async def close(self):
-        """Tell the partners that this router ends, and stop."""
+        """Notify the other routers that this one leaves, and stop."""
         own = self._table.own
         own.version += 1
         own.set_state(MemberState.LEFT, self._loop.time())
@@ -159,33 +160,33 @@
         await self._sync.close()
 
     def on_view_change(self, callback):
-        """Have ``callback(view)`` called after each change of the view."""
+        """Register ``callback(view)``, called after each change of the view."""
         self._view_callbacks.append(callback)
 
     def on_trusted(self, callback):
-        """Have ``callback()`` called when the view may be acted on again, after start or a pause."""
+        """Register ``callback()``, called when the view becomes trusted after a start or a pause."""
         self._trusted_callbacks.append(callback)
 
     def on_generation(self, callback):
-        """Have ``callback(peer, generation)`` called when a peer tells a generation new for it."""
+        """Register ``callback(peer, generation)``, called when a peer reports another generation than before."""
         self._generation_callbacks.append(callback)
 
     def set_generation(self, generation):
-        """Tell peers which configuration generation this router has in force.
+        """Set the configuration generation that this router has in force, and send it to the peers.
 
-        It goes to the fingers at once too: from neighbour to neighbour alone it would take
-        half a minute around a ring of hundreds.
+        It is sent to the fingers immediately too: from neighbour to neighbour alone it would
+        take half a minute to go around a ring of hundreds.
         """
         self.generation = generation
         self.send_heartbeats()
 
     def send_heartbeats(self):
-        """Send a heartbeat out of turn, for what it carries is news."""
+        """Send a heartbeat immediately, when its content has changed."""
         for peer in self.broadcast_targets():
             self._peers.send(peer, self._heartbeat())
 
     def set_draining(self):
-        """Leave the set of routers that may be scheduler, and tell everybody."""
+        """Stop being eligible as scheduler, and notify all routers."""
         own = self._table.own
         own.draining = True
         own.version += 1
@@ -193,28 +194,28 @@
         self._refresh()
 
     def observe_vms(self, vms):
-        """Take the platform's list of VMs: who exists, where it listens, who leaves.
+        """Apply the platform's list of VMs: which routers exist, their addresses and which of them leave.
 
-        The list lags, so it takes nobody out of the view who still sends heartbeats.
+        The list lags, so it never removes a router from the view that still sends heartbeats.
         """
         self._contacts.observe(vms)
         self._refresh()
 
     def fleet_size(self):
-        """Routers that may be running: all that are not known to have left.
+        """Number of routers that may be running: all that are not known to have left.
 
-        Whoever can't be reached may be cut off and go on serving, so a cut makes no fleet smaller.
+        An unreachable router may be partitioned and still serving, so a partition doesn't reduce the number.
         """
         by_name = self._table.by_name
         left = {name for name, member in by_name.items() if member.state is MemberState.LEFT}
         return len((by_name.keys() | self._contacts.listed) - left)
 
     def broadcast_targets(self):
-        """Routers to which news for everybody is passed on."""
+        """Routers to which broadcasts are forwarded."""
         return self._partners | self._fingers
 
     def dump(self):
-        """State for the dump; ages in seconds."""
+        """State for the state dump; ages in seconds."""
         now = self._loop.time()
         return {
             "members": list(self.view.members),
@@ -239,8 +240,8 @@
             self._contacts.update_address(peer, hello.address)
             self._gossip(member.event(), exclude=peer)
             if was_present:
-                # Its next message speaks for a new process. Read by the view of the former one, a registration
-                # would count as that one's word on its runs.
+                # The next message comes from the new process. If the view still showed the former one, a
+                # registration would be taken for the former process's report of its runs.
                 self._refresh()
             else:
                 self._refresh_soon()
@@ -276,7 +277,7 @@
 
     def _on_sign_of_life(self, member):
         if not member.present:
-            # It lives but can't know that it is held for dead: without being told it would stay out for ever.
+            # It is alive but doesn't know that it was declared dead; unless notified it would stay out for ever.
             self._peers.send(member.name, member.event())
         elif member.state is MemberState.SUSPECT:
             self._suspicions.on_sign_of_life(member)
@@ -293,7 +294,7 @@
             return
         self._suspicions.suspect(member, detail)
 
-    # Statements about members.
+    # View events.
 
     def _on_view_event(self, peer, event, cell):
         if event.name == self.name:
@@ -307,9 +308,9 @@
     def _on_own_event(self, event):
         own = self._table.own
         if event.incarnation > own.incarnation and not own.draining:
-            # A later process of the same name runs. This one was paused or forgotten; were it to go on as
-            # scheduler, two processes would answer to one name.
-            logger.error("another process took the name {}; this one gives up its cells", self.name)
+            # A later process of the same name runs, so this one was paused or left running by mistake. If it
+            # continued as scheduler, two processes would act under one name.
+            logger.error("another process took the name {}; this one drains and releases its cells", self.name)
             own.draining = True
             self._refresh_soon()
         elif own.present and self._table.refute(event, self._loop.time()):
@@ -317,7 +318,7 @@
             self._refresh_soon()
 
     def _on_pulled(self, peer, events, applied):
-        """Go on from what a peer told of all members; ``news`` is what was not known here."""
+        """React to a merged view of a peer; ``applied`` are the events that changed the table."""
         for event in events:
             if event.name == self.name:
                 self._on_own_event(event)
@@ -330,10 +331,11 @@
         self._refresh_soon()
 
     def _gossip(self, event, exclude=None):
-        """Tell an event of this router's own, or pass on what ``but`` told first.
+        """Send an event of this router's own, or forward one received from ``exclude``.
 
-        What is passed on goes to both neighbours, so that it reaches all along the ring whoever drops it, and to a
-        few fingers. Passed to all fingers by each router, one event of a start of 195 came nine times to each.
+        A forwarded event goes to both neighbours, so that it reaches all routers along the ring even if some drop it,
+        and to a few fingers. When every router forwarded to all fingers, each event arrived nine times at each router
+        in a start of 195.
         """
         fingers = sorted(self._fingers - self._partners)
         if exclude is not None and len(fingers) > RELAY_FINGERS:
@@ -342,19 +344,19 @@
             if name != exclude:
                 self._peers.send(name, event)
 
-    # Trust in the own view.
+    # Trust in this router's view.
 
     def _is_awake(self):
-        """Whether this process ran lately; if not, its view is taken as stale first.
+        """Whether this process ran without a pause until now; after a pause its view is first marked as stale.
 
-        A process that was stopped wakes with timers that all seem due and with everybody
-        silent. Without this it would declare all others dead and make itself scheduler of
-        every cell, although it is the one that was away.
+        A process that was stopped resumes with all timers due and all peers apparently silent.
+        Without this check it would declare all others dead and make itself scheduler of every
+        cell, although only it was stopped.
         """
         now = self._loop.time()
         if now - self._tick_at <= FROZEN_GAP_S:
             return True
-        logger.warning("this process was paused for {:.1f} s; asking peers what happened", now - self._tick_at)
+        logger.warning("this process was paused for {:.1f} s; requesting the peers' views", now - self._tick_at)
         self._tick_at = self._silence_counted_from = now
         self._distrust_view(now)
         self._suspicions.restart()
@@ -369,7 +371,7 @@
         self._loop.call_later(TRUST_TIMEOUT_S, self._trust_without_peers, now)
 
     def _trust_without_peers(self, distrusted_at):
-        """Go on with what is known: nobody told more, so this router is alone or cut off."""
+        """Trust the own view after the time-out: no peer sent one, so this router is alone or partitioned."""
         if distrusted_at == self._distrusted_since:
             self._trust_view()
 
@@ -381,7 +383,7 @@
         for callback in self._trusted_callbacks:
             callback()
 
-    # Time.
+    # Periodic work.
 
     def _on_tick(self):
         self._timer = self._loop.call_later(TICK_S, self._on_tick)
@@ -390,7 +392,7 @@
 
     def _tick(self, now):
         if now - self._tick_at > LATE_TICK_S:
-            # A pause too short to doubt the view: what arrived meanwhile may not be read yet.
+            # The pause was too short to distrust the view, but messages that arrived meanwhile may still be unread.
             self._silence_counted_from = now
         self._tick_at = now
         if now >= self._heartbeat_at:
@@ -430,13 +432,13 @@
                 continue
             silent_s = min(silent_s, self._loop.time() - self._silence_counted_from)
             if silent_s > self._silent_after_s:
-                # The connection may be dead while the router lives: a new one tells them apart.
+                # The connection may be dead while the router is alive: opening a new one tells the two apart.
                 self._peers.replace(peer)
 
     # The view and the partners.
 
     def _refresh_soon(self):
-        # When a zone fails, or a fleet starts, news comes by the dozen: one new view for all of a batch.
+        # When a zone fails or a fleet starts, events arrive by the dozen: one new view is built per batch.
         if self._refreshing is None:
             delay_s = REFRESH_DELAY_S + REFRESH_DELAY_PER_MEMBER_S * len(self._table.by_name)
             self._refreshing = self._loop.call_later(delay_s, self._refresh)
