--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -266,7 +266,7 @@
     def say(self, state, version=0):
         return ViewEvent(name="b", zone="z", address="h:1", incarnation=1, version=version, state=state)
 
-    def test_dead_by_hearsay(self):
+    def test_death_reported_by_a_peer_counts_as_a_suspicion(self):
         # The other side of a partition calls a router dead that is in touch here. It stays in the view until it
         # had time to refute; else both sides would empty each other's views when the link comes back.
         self.table.apply(self.say(MemberState.DEAD), 1.0)
