--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -274,7 +274,7 @@
         self.table.apply(self.say(MemberState.ALIVE, version=1), 1.1)
         self.assertEqual(self.table.by_name["b"].state, MemberState.ALIVE)
 
-    def test_coming_back_again_and_again(self):
+    def test_hold_down_doubles_with_each_flap(self):
         # A router behind a bad link is lost and comes back three times. Each time it is alive at once, but
         # scheduler only after a longer while, so that its cells do not move to and fro with the link.
         held_s = []
