--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -287,7 +287,7 @@
         self.assertEqual(held_s, [1.0, 2.0, 4.0])
         self.assertEqual(self.table.view(34.0).members, ("a", "b"))
 
-    def test_alive_on_the_other_side(self):
+    def test_dead_member_is_revived_after_a_partition(self):
         # After a partition a peer tells of a router that this side held for dead. Soon after a death that is
         # only late news; long after, it is the other side's knowledge and brings the router back.
         self.table.by_name["b"].set_state(MemberState.DEAD, 100.0)
