--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -296,7 +296,7 @@
         self.table.merge([self.say(MemberState.ALIVE)], 111.0, trust_peer=False)
         self.assertEqual(self.table.view(111.0).all_members, ("a", "b"))
 
-    def test_called_dead_by_a_peer(self):
+    def test_death_in_the_view_of_a_peer_is_disputed(self):
         # A peer's whole view has a router dead that is alive here: checked, not believed, unless this router
         # was away itself.
         _, disputed = self.table.merge([self.say(MemberState.DEAD)], 1.0, trust_peer=False)
