--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -251,7 +251,7 @@
 
     # Guards against a router that starts behind a cut and takes itself for the whole fleet.
     @on_fast_loop
-    async def test_a_router_that_has_met_nobody_goes_by_the_list(self):
+    async def test_router_without_contacts_counts_the_listed_routers(self):
         self.net.cut = lambda one, other: one != other
         await self.net.add("r000", seeds=("r001",))
         self.net.by_name["r000"].observe_vms([self.vm(f"r{number:03d}") for number in range(9)])
