--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -261,17 +261,17 @@
 class MemberTableTest(unittest.TestCase):
     def setUp(self):
         self.table = MemberTable(name="a", zone="z", incarnation=1, now=0.0)
-        self.table.apply(self.say(MemberState.ALIVE), 0.0)
+        self.table.apply(self.event(MemberState.ALIVE), 0.0)
 
-    def say(self, state, version=0):
+    def event(self, state, version=0):
         return ViewEvent(name="b", zone="z", address="h:1", incarnation=1, version=version, state=state)
 
     def test_death_reported_by_a_peer_counts_as_a_suspicion(self):
         # The other side of a partition calls a router dead that is in touch here. It stays in the view until it
         # had time to refute; else both sides would empty each other's views when the link comes back.
-        self.table.apply(self.say(MemberState.DEAD), 1.0)
+        self.table.apply(self.event(MemberState.DEAD), 1.0)
         self.assertEqual(self.table.view(1.0).members, ("a", "b"))
-        self.table.apply(self.say(MemberState.ALIVE, version=1), 1.1)
+        self.table.apply(self.event(MemberState.ALIVE, version=1), 1.1)
         self.assertEqual(self.table.by_name["b"].state, MemberState.ALIVE)
 
     def test_hold_down_doubles_with_each_flap(self):
@@ -281,7 +281,7 @@
         for version in (1, 2, 3):
             now = 10.0 * version
             self.table.by_name["b"].set_state(MemberState.DEAD, now)
-            self.table.apply(self.say(MemberState.ALIVE, version=version), now)
+            self.table.apply(self.event(MemberState.ALIVE, version=version), now)
             self.assertEqual(self.table.view(now).draining, ("b",))
             held_s.append(self.table.next_hold_down_end(now) - now)
         self.assertEqual(held_s, [1.0, 2.0, 4.0])
@@ -291,15 +291,15 @@
         # After a partition a peer tells of a router that this side held for dead. Soon after a death that is
         # only late news; long after, it is the other side's knowledge and brings the router back.
         self.table.by_name["b"].set_state(MemberState.DEAD, 100.0)
-        self.table.merge([self.say(MemberState.ALIVE)], 105.0, trust_peer=False)
+        self.table.merge([self.event(MemberState.ALIVE)], 105.0, trust_peer=False)
         self.assertEqual(self.table.view(105.0).all_members, ("a",))
-        self.table.merge([self.say(MemberState.ALIVE)], 111.0, trust_peer=False)
+        self.table.merge([self.event(MemberState.ALIVE)], 111.0, trust_peer=False)
         self.assertEqual(self.table.view(111.0).all_members, ("a", "b"))
 
     def test_death_in_the_view_of_a_peer_is_disputed(self):
         # A peer's whole view has a router dead that is alive here: checked, not believed, unless this router
         # was away itself.
-        _, disputed = self.table.merge([self.say(MemberState.DEAD)], 1.0, trust_peer=False)
+        _, disputed = self.table.merge([self.event(MemberState.DEAD)], 1.0, trust_peer=False)
         self.assertEqual((disputed, self.table.view(1.0).all_members), (["b"], ("a", "b")))
-        self.table.merge([self.say(MemberState.DEAD)], 1.0, trust_peer=True)
+        self.table.merge([self.event(MemberState.DEAD)], 1.0, trust_peer=True)
         self.assertEqual(self.table.view(1.0).all_members, ("a",))
