--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -178,20 +178,20 @@
         # Too many for everybody to watch everybody: each has two partners, and yet a death, a frozen router
         # and a generation are known to all as soon as among few.
         names = await self.net.add_all(24)
-        heard = set()
+        received = set()
         for name in names:
-            self.net.by_name[name].on_generation(lambda peer, number, name=name: self.pass_on(name, number, heard))
+            self.net.by_name[name].on_generation(lambda peer, number, name=name: self.pass_on(name, number, received))
         self.net.by_name["r000"].set_generation(7)
         await asyncio.sleep(0.2)
-        self.assertEqual(len(heard), 24)
+        self.assertEqual(len(received), 24)
         self.net.kill("r002")
         self.net.freeze("r005")
         await asyncio.sleep(1.4)
         self.assert_views([name for name in names if name not in ("r002", "r005")], exclude=["r002", "r005"])
 
-    def pass_on(self, name, generation, heard):
-        if name not in heard:
-            heard.add(name)
+    def pass_on(self, name, generation, received):
+        if name not in received:
+            received.add(name)
             self.net.by_name[name].set_generation(generation)
 
     @on_fast_loop
