--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -180,7 +180,7 @@
         names = await self.net.add_all(24)
         received = set()
         for name in names:
-            self.net.by_name[name].on_generation(lambda peer, number, name=name: self.pass_on(name, number, received))
+            self.net.by_name[name].on_generation(lambda peer, number, name=name: self.forward(name, number, received))
         self.net.by_name["r000"].set_generation(7)
         await asyncio.sleep(0.2)
         self.assertEqual(len(received), 24)
@@ -189,7 +189,7 @@
         await asyncio.sleep(1.4)
         self.assert_views([name for name in names if name not in ("r002", "r005")], exclude=["r002", "r005"])
 
-    def pass_on(self, name, generation, received):
+    def forward(self, name, generation, received):
         if name not in received:
             received.add(name)
             self.net.by_name[name].set_generation(generation)
