--- a/tests/utils/fake_routers.py
+++ b/tests/utils/fake_routers.py
@@ -35,7 +35,7 @@
 class FakePeers:
     def __init__(self, net, name, loop):
         self.net, self.name, self.loop, self.address = net, name, loop, name
-        self.alive, self.kept, self.heard_at_by_peer = True, set(), {}
+        self.alive, self.kept, self.received_at_by_peer = True, set(), {}
         self.handlers_by_type, self.connected_callbacks, self.unreachable_callbacks = {}, [], []
         self.sent = 0
 
@@ -55,10 +55,10 @@
         pass
 
     def connected(self, peer):
-        return peer in self.heard_at_by_peer
+        return peer in self.received_at_by_peer
 
     def silent_s(self, peer):
-        return self.loop.time() - self.heard_at_by_peer[peer] if self.connected(peer) else None
+        return self.loop.time() - self.received_at_by_peer[peer] if self.connected(peer) else None
 
     def keep(self, names):
         self.kept = set(names)
@@ -66,7 +66,7 @@
             self.dial(name)
 
     def replace(self, peer):
-        self.heard_at_by_peer.pop(peer, None)
+        self.received_at_by_peer.pop(peer, None)
         self.dial(peer)
 
     def dial(self, peer):
@@ -82,7 +82,7 @@
             other.linked(self)
 
     def linked(self, other):
-        self.heard_at_by_peer[other.name] = self.loop.time()
+        self.received_at_by_peer[other.name] = self.loop.time()
         membership = self.net.by_name[other.name]
         hello = Hello(
             name=other.name,
@@ -163,9 +163,9 @@
         peers.loop.run(self.receive, peers, source, message, cell)
 
     def receive(self, peers, source, message, cell):
-        if source not in peers.heard_at_by_peer:
+        if source not in peers.received_at_by_peer:
             return  # as on TCP, nothing comes after the end of the connection
-        peers.heard_at_by_peer[source] = self.loop.time()
+        peers.received_at_by_peer[source] = self.loop.time()
         handler = peers.handlers_by_type.get(type(message))
         if handler is not None and type(message) is not Ping:
             handler(source, message, cell)
@@ -174,7 +174,7 @@
         self.peers_by_name[name].alive = False
         self.by_name[name]._timer.cancel()
         for peers in self.peers_by_name.values():
-            if peers.heard_at_by_peer.pop(name, None) is not None and name in peers.kept:
+            if peers.received_at_by_peer.pop(name, None) is not None and name in peers.kept:
                 peers.dial(name)
 
     def freeze(self, name):
