--- a/tests/utils/fake_routers.py
+++ b/tests/utils/fake_routers.py
@@ -7,7 +7,7 @@
 from wagtailtrestle.membership.membership import Membership
 
 DELAY_S = 0.001
-DIAL_S = 0.25
+DIAL_TIMEOUT_S = 0.25
 
 
 class FreezableLoop:
@@ -76,7 +76,7 @@
         if other is None or not other.alive:
             self.loop.call_later(DELAY_S, self.failed, peer, "refused")
         elif other.loop.frozen or self.net.is_cut(self.name, peer):
-            self.loop.call_later(DIAL_S, self.failed, peer, "no answer")
+            self.loop.call_later(DIAL_TIMEOUT_S, self.failed, peer, "no answer")
         else:
             self.linked(other)
             other.linked(self)
