--- a/tests/utils/fake_routers.py
+++ b/tests/utils/fake_routers.py
@@ -78,10 +78,10 @@
         elif other.loop.frozen or self.net.is_cut(self.name, peer):
             self.loop.call_later(DIAL_TIMEOUT_S, self.failed, peer, "no answer")
         else:
-            self.linked(other)
-            other.linked(self)
+            self.on_linked(other)
+            other.on_linked(self)
 
-    def linked(self, other):
+    def on_linked(self, other):
         self.received_at_by_peer[other.name] = self.loop.time()
         membership = self.net.by_name[other.name]
         hello = Hello(
