--- a/tests/utils/fake_routers.py
+++ b/tests/utils/fake_routers.py
@@ -74,9 +74,9 @@
             return
         other = self.net.peers_by_name.get(peer)
         if other is None or not other.alive:
-            self.loop.call_later(DELAY_S, self.failed, peer, "refused")
+            self.loop.call_later(DELAY_S, self.on_failed, peer, "refused")
         elif other.loop.frozen or self.net.is_cut(self.name, peer):
-            self.loop.call_later(DIAL_TIMEOUT_S, self.failed, peer, "no answer")
+            self.loop.call_later(DIAL_TIMEOUT_S, self.on_failed, peer, "no answer")
         else:
             self.on_linked(other)
             other.on_linked(self)
@@ -94,7 +94,7 @@
         for callback in self.connected_callbacks:
             self.loop.run(callback, other.name)
 
-    def failed(self, peer, detail):
+    def on_failed(self, peer, detail):
         if self.connected(peer) or not self.alive:
             return
         for callback in self.unreachable_callbacks:
