--- a/tests/utils/fake_routers.py
+++ b/tests/utils/fake_routers.py
@@ -1,4 +1,4 @@
-"""Memberships joined by a fake of ``Peers`` on one loop whose time the tests advance."""
+"""Memberships connected by a fake of ``Peers``, on one event loop whose clock the tests advance."""
 
 import asyncio
 import random
@@ -11,7 +11,7 @@
 
 
 class FreezableLoop:
-    """The loop as one process sees it: while frozen, its timers wait."""
+    """The event loop as seen by one process: its timers wait while the process is frozen."""
 
     def __init__(self, loop):
         self._loop, self.frozen, self.held = loop, False, []
@@ -120,11 +120,11 @@
         if other is None or not other.alive or other.loop.frozen or self.net.is_cut(self.name, peer):
             return PeerUnreachable(peer=peer, detail="no answer")
         answer = Pong() if type(message) is Ping else other.handlers_by_type[type(message)](self.name, message, "")
-        return answer or PeerUnreachable(peer=peer, detail="nothing to say")
+        return answer or PeerUnreachable(peer=peer, detail="the peer has no answer")
 
 
 class FakeNet:
-    """Routers by name, with links that tests cut."""
+    """Routers by name, with links that tests can cut."""
 
     def __init__(self, loop):
         self.loop, self.by_name, self.peers_by_name = loop, {}, {}
@@ -164,7 +164,7 @@
 
     def receive(self, peers, source, message, cell):
         if source not in peers.received_at_by_peer:
-            return  # as on TCP, nothing comes after the end of the connection
+            return  # as on TCP, nothing is received after the connection has ended
         peers.received_at_by_peer[source] = self.loop.time()
         handler = peers.handlers_by_type.get(type(message))
         if handler is not None and type(message) is not Ping:
@@ -184,7 +184,7 @@
         loop = self.peers_by_name[name].loop
         loop.frozen = False
         held, loop.held = loop.held, []
-        # Timers that fell due run at once; what came meanwhile is still in the sockets and is read later.
+        # Timers that are due run first; messages that arrived meanwhile are still in the sockets and are read later.
         held.sort(key=lambda call: call[0] == self.receive)
         for callback, args in held:
             callback(*args)
