--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -44,8 +44,8 @@
 
     @on_fast_loop
     async def test_a_fleet_that_starts_together_serves_within_half_a_second(self):
-        # All routers lost power and are back at the same moment. None has a view to tell, so each waits
-        # for one in vain; for as long callers are told "not ready", by every router.
+        # All routers lose power and restart at the same moment. None has a view to send, so each of them waits for one
+        # until the time-out, and during that time every router answers callers with "not ready".
         names = [f"r{number:03d}" for number in range(6)]
         for name in names:
             await self.net.add(name)
@@ -54,9 +54,9 @@
 
     @on_fast_loop
     async def test_a_large_fleet_that_starts_together_costs_each_router_little(self):
-        # Ninety routers lose power and start within a second, each with the list of those that announced
-        # themselves before it. Told to all of ten targets, a start comes nine times to each router, and a new view
-        # made for each piece of news costs more processor time than reading the program.
+        # Ninety routers lose power and start within a second, each with the list of the routers announced before it.
+        # If each router forwarded events to all of its ten targets, every start would reach each router nine times,
+        # and building a view per event would cost more processor time than loading the program.
         names = [f"r{number:03d}" for number in range(90)]
         for number, name in enumerate(names):
             await self.net.add(name)
@@ -66,15 +66,15 @@
         self.assert_views(names)
         self.assertLessEqual(len(self.net.changes) / len(names), 32)
         self.assertLessEqual(sum(peers.sent for peers in self.net.peers_by_name.values()) / len(names), 3.6 * 90)
-        # And the death of one is still known to all within a second.
+        # The death of one router is still known to all within a second.
         self.net.kill("r045")
         await asyncio.sleep(1.0)
         self.assert_views([name for name in names if name != "r045"], exclude=["r045"])
 
     @on_fast_loop
     async def test_killed_router(self):
-        # A scheduler is killed. Its peers see their connections end and new ones refused; within half a second
-        # all have it out of their views, so that its cells move and callers wait no longer than that.
+        # A scheduler is killed. Its peers see their connections end and new ones refused. Within half a second all
+        # have removed it from their views, so that its cells move and callers wait no longer than that.
         names = await self.net.add_all(6)
         self.net.kill("r002")
         await asyncio.sleep(0.5)
@@ -82,8 +82,8 @@
 
     @on_fast_loop
     async def test_frozen_router(self):
-        # A scheduler freezes: connections stay open, nothing comes. Peers open new connections, get no answer,
-        # and drop it within about 1.2 s. When it wakes it must not believe that all others died.
+        # A scheduler freezes: its connections stay open but carry nothing. Peers open new connections, get no answer
+        # and remove it within about 1.2 s. When it resumes it must not declare all others dead.
         names = await self.net.add_all(6)
         others = [name for name in names if name != "r002"]
         self.net.freeze("r002")
@@ -100,8 +100,8 @@
 
     @on_fast_loop
     async def test_paused_while_it_suspects(self):
-        # A router suspects another and is itself stopped just before the time to refute is over. When it wakes
-        # that timer comes first, before any news is read; it must not hold a living router for dead.
+        # A router suspects another and is itself stopped just before the time to refute ends. When it resumes, that
+        # timer fires before any message is read; it must not declare a live router dead.
         names = await self.net.add_all(6)
         watcher = self.net.by_name["r001"]
         self.net.cut = lambda one, other: one == "r001"
@@ -118,9 +118,9 @@
 
     @on_fast_loop
     async def test_a_router_started_again_is_in_the_view_before_its_next_message(self):
-        # A router is killed and started again within a tenth of a second, before anybody missed it. Its first
-        # message after the hello is a registration that it holds nothing. Were the view still that of its
-        # predecessor, the scheduler would take it for the same process's word, and free places whose runs go on.
+        # A router is killed and restarted within a tenth of a second, before any peer detected its death. Its first
+        # message after the hello is a registration without runs. If the view still showed its predecessor, the
+        # scheduler would take the registration for the same process's and free slots whose runs continue.
         names = await self.net.add_all(3)
         again = Hello(name=names[1], incarnation=2, zone="z1", address=names[1])
         self.net.peers_by_name[names[0]].handlers_by_type[Hello](names[1], again, "")
@@ -128,7 +128,7 @@
 
     @on_fast_loop
     async def test_restarted_router(self):
-        # A router is killed and started again under its name: it is back in every view within a second.
+        # A router is killed and restarted under its name: it is back in every view within a second.
         names = await self.net.add_all(6)
         self.net.kill("r002")
         await asyncio.sleep(2)
@@ -150,8 +150,8 @@
 
     @on_fast_loop
     async def test_cut_off_from_a_few(self):
-        # Two of six routers can't reach a third, the other three can. The third stays in every view: each
-        # suspicion is refuted through the others; and suspicions become rarer, so nobody flaps.
+        # Two of six routers can't reach a third, the other three can. The third stays in every view, as each suspicion
+        # is refuted through the others, and suspicions become rarer, so no router flaps.
         await self.net.add_all(6)
         self.net.cut = lambda one, other: one == "r000" and other in ("r001", "r002")
         self.net.changes.clear()
@@ -162,8 +162,8 @@
 
     @on_fast_loop
     async def test_zone_of_nine_freezes(self):
-        # Nine routers watch four neighbours each. Three that sit side by side on the ring, as badly as a zone can
-        # fall, freeze at once: each still has a watcher outside, so all are dropped as soon as one would be.
+        # Nine routers have four partners each. Three adjacent ones on the ring, the worst position for a zone, freeze
+        # at once. Each still has a partner outside the zone, so all are removed as soon as a single one would be.
         names = await self.net.add_all(9)
         ring = sorted(names, key=position_of)
         zone = ring[3:6]
@@ -175,8 +175,8 @@
 
     @on_fast_loop
     async def test_many_routers(self):
-        # Too many for everybody to watch everybody: each has two partners, and yet a death, a frozen router
-        # and a generation are known to all as soon as among few.
+        # Too many routers for a full mesh: each has two partners, and still a death, a frozen router and a new
+        # generation are known to all as soon as in a small fleet.
         names = await self.net.add_all(24)
         received = set()
         for name in names:
@@ -208,8 +208,8 @@
 
     @on_fast_loop
     async def test_two_regions_lose_each_other(self):
-        # Each side goes on with its own view; when the link is back, both come to one view without any
-        # router losing sight of its own side.
+        # Each side continues with its own view. When the link is restored, both converge to one view, and no router
+        # removes any router of its own side meanwhile.
         names = await self.net.add_all(8)
         left, right = names[:4], names[4:]
         self.net.cut = lambda one, other: (one in left) != (other in left)
@@ -228,7 +228,7 @@
     def sizes(self, names):
         return {self.net.by_name[name].fleet_size() for name in names}
 
-    # Guards against a router that is cut off and takes itself for the whole fleet.
+    # Guards against a partitioned router that takes itself for the whole fleet.
     @on_fast_loop
     async def test_routers_that_cannot_be_reached_still_count(self):
         names = await self.net.add_all(6)
@@ -249,7 +249,7 @@
         await asyncio.sleep(5.0)
         self.assertEqual(self.sizes(names[2:]), {5})
 
-    # Guards against a router that starts behind a cut and takes itself for the whole fleet.
+    # Guards against a router that starts during a partition and takes itself for the whole fleet.
     @on_fast_loop
     async def test_router_without_contacts_counts_the_listed_routers(self):
         self.net.cut = lambda one, other: one != other
@@ -267,16 +267,16 @@
         return ViewEvent(name="b", zone="z", address="h:1", incarnation=1, version=version, state=state)
 
     def test_death_reported_by_a_peer_counts_as_a_suspicion(self):
-        # The other side of a partition calls a router dead that is in touch here. It stays in the view until it
-        # had time to refute; else both sides would empty each other's views when the link comes back.
+        # The other side of a partition reports a router dead that is connected here. It stays in the view until it had
+        # time to refute; otherwise both sides would empty each other's views when the link is restored.
         self.table.apply(self.event(MemberState.DEAD), 1.0)
         self.assertEqual(self.table.view(1.0).members, ("a", "b"))
         self.table.apply(self.event(MemberState.ALIVE, version=1), 1.1)
         self.assertEqual(self.table.by_name["b"].state, MemberState.ALIVE)
 
     def test_hold_down_doubles_with_each_flap(self):
-        # A router behind a bad link is lost and comes back three times. Each time it is alive at once, but
-        # scheduler only after a longer while, so that its cells do not move to and fro with the link.
+        # A router behind an unreliable link is lost and returns three times. Each time it is alive immediately, but
+        # eligible as scheduler only after a longer hold-down, so that its cells do not move with each flap.
         held_s = []
         for version in (1, 2, 3):
             now = 10.0 * version
@@ -288,8 +288,8 @@
         self.assertEqual(self.table.view(34.0).members, ("a", "b"))
 
     def test_dead_member_is_revived_after_a_partition(self):
-        # After a partition a peer tells of a router that this side held for dead. Soon after a death that is
-        # only late news; long after, it is the other side's knowledge and brings the router back.
+        # After a partition a peer reports a router alive that this side declared dead. Shortly after the death the
+        # report is only outdated; long after, it is the other side's current state and revives the router.
         self.table.by_name["b"].set_state(MemberState.DEAD, 100.0)
         self.table.merge([self.event(MemberState.ALIVE)], 105.0, trust_peer=False)
         self.assertEqual(self.table.view(105.0).all_members, ("a",))
@@ -297,8 +297,8 @@
         self.assertEqual(self.table.view(111.0).all_members, ("a", "b"))
 
     def test_death_in_the_view_of_a_peer_is_disputed(self):
-        # A peer's whole view has a router dead that is alive here: checked, not believed, unless this router
-        # was away itself.
+        # A peer's complete view shows a router as dead that is alive here. It is checked rather than accepted, unless
+        # this router itself has just started or was paused.
         _, disputed = self.table.merge([self.event(MemberState.DEAD)], 1.0, trust_peer=False)
         self.assertEqual((disputed, self.table.view(1.0).all_members), (["b"], ("a", "b")))
         self.table.merge([self.event(MemberState.DEAD)], 1.0, trust_peer=True)
