--- a/tests/test_engine_relay.py
+++ b/tests/test_engine_relay.py
@@ -57,7 +57,7 @@
     def on(self, message_type, handler):
         self._network.handlers_by_router[self._name] = handler
 
-    async def ask(self, peer, message, timeout_s):
+    async def query(self, peer, message, timeout_s):
         try:
             async with asyncio.timeout(timeout_s):
                 await asyncio.sleep(self._network.way_s)
--- a/tests/test_peer_configuration.py
+++ b/tests/test_peer_configuration.py
@@ -29,7 +29,7 @@
             if message_type is ConfigurationAsk:
                 self.answer_by_name[name] = handler
 
-        peers = SimpleNamespace(on=on, ask=self._ask)
+        peers = SimpleNamespace(on=on, query=self._ask)
         return PeerConfiguration(peers=peers, members=lambda: NAMES, in_force=lambda: held)
 
     async def _ask(self, name, message, timeout_s):
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -95,8 +95,8 @@
     async def test_ask(self):
         a, b = await self.pair()
         b.on(ConfigurationAsk, lambda peer, message, cell: ConfigurationText(generation=3, packed=b"x"))
-        self.assertEqual(await a.ask("b", ConfigurationAsk(), 1), ConfigurationText(generation=3, packed=b"x"))
-        self.assertIsInstance(await b.ask("a", ConfigurationAsk(), 1), PeerUnreachable)
+        self.assertEqual(await a.query("b", ConfigurationAsk(), 1), ConfigurationText(generation=3, packed=b"x"))
+        self.assertIsInstance(await b.query("a", ConfigurationAsk(), 1), PeerUnreachable)
 
     async def test_connection_goes_silent(self):
         # Something between the ends loses track of an open connection: it stays open and carries nothing.
@@ -178,7 +178,7 @@
         a, b = await self.pair()
         asked = asyncio.Event()
         b.on(ConfigurationAsk, lambda peer, message, cell: asked.set() or asyncio.sleep(60))
-        answer = asyncio.create_task(a.ask("b", ConfigurationAsk(), 60))
+        answer = asyncio.create_task(a.query("b", ConfigurationAsk(), 60))
         await asked.wait()
         await b.close()
         self.assertIsInstance(await asyncio.wait_for(answer, 5), PeerUnreachable)
--- a/tests/utils/fake_routers.py
+++ b/tests/utils/fake_routers.py
@@ -113,7 +113,7 @@
     def unreachable_s(self, peer):
         return None
 
-    async def ask(self, peer, message, timeout_s):
+    async def query(self, peer, message, timeout_s):
         other = self.net.peers_by_name.get(peer)
         self.send(peer, message)
         await asyncio.sleep(2 * DELAY_S)
--- a/wagtailtrestle/configuration/engine_relay.py
+++ b/wagtailtrestle/configuration/engine_relay.py
@@ -158,7 +158,7 @@
         """Ask one reader; ``None`` if its answer can't be believed."""
         self.asked_total += 1
         asked_at = self._clock()
-        answer = await self._peers.ask(reader, EnginesAsk(version=version, wait_s=wait_s), wait_s + ANSWER_WITHIN_S)
+        answer = await self._peers.query(reader, EnginesAsk(version=version, wait_s=wait_s), wait_s + ANSWER_WITHIN_S)
         # All of the way counts as age: an answer held up on a link looks as fresh as when it left.
         way_s = max(0.0, self._clock() - asked_at - getattr(answer, "waited_s", 0.0))
         problem = self._problem(answer, way_s, version)
--- a/wagtailtrestle/configuration/peer_configuration.py
+++ b/wagtailtrestle/configuration/peer_configuration.py
@@ -69,7 +69,7 @@
 
     async def ask_confirmation(self, reader):
         """Ask a router how lately the platform confirmed its configuration; a ``Confirmation`` or ``None``."""
-        answer = await self._peers.ask(reader, ConfirmationAsk(), CONFIRM_TIMEOUT_S)
+        answer = await self._peers.query(reader, ConfirmationAsk(), CONFIRM_TIMEOUT_S)
         return answer if isinstance(answer, Confirmation) else None
 
     def _confirm(self, peer, message, cell):
@@ -80,7 +80,7 @@
         return Confirmation(generation=in_force.generation, age_s=age_s)
 
     async def _ask_one(self, name):
-        answer = await self._peers.ask(name, ConfigurationAsk(), ASK_TIMEOUT_S)
+        answer = await self._peers.query(name, ConfigurationAsk(), ASK_TIMEOUT_S)
         if not isinstance(answer, ConfigurationText):
             return None
         try:
--- a/wagtailtrestle/membership/view_sync.py
+++ b/wagtailtrestle/membership/view_sync.py
@@ -91,7 +91,7 @@
             self._spawn(self._check(self._disputed.pop()))
 
     async def _pull(self, peer):
-        answer = await self._peers.ask(peer, ViewAsk(), TIMEOUT_S)
+        answer = await self._peers.query(peer, ViewAsk(), TIMEOUT_S)
         if type(answer) is not ViewText:
             return
         trust_peer = not self._is_trusted()
@@ -109,7 +109,7 @@
         member = self._table.by_name.get(name)
         if member is None or not member.present:
             return
-        answer = await self._peers.ask(name, Ping(), TIMEOUT_S)
+        answer = await self._peers.query(name, Ping(), TIMEOUT_S)
         if isinstance(answer, PeerUnreachable):
             self._on_lost(member)
 
--- a/wagtailtrestle/peers/peers_grpc.py
+++ b/wagtailtrestle/peers/peers_grpc.py
@@ -152,7 +152,7 @@
         item = encode(message, cell=cell)
         return self._enqueue(peer, item, about=getattr(message, "request_id", ""), delay=delay_of(message))
 
-    async def ask(self, peer, message, timeout_s, *, cell=""):
+    async def query(self, peer, message, timeout_s, *, cell=""):
         """Ask a peer and wait for its answer, or ``PeerUnreachable``."""
         number, answer = self._questions.begin(peer)
         try:
--- a/wagtailtrestle/router.py
+++ b/wagtailtrestle/router.py
@@ -549,7 +549,7 @@
             return await self._ledger.handle(message)
         if peer not in self._membership.view.all_members:
             return None
-        answer = await self._peers.ask(peer, message, timeout_s)
+        answer = await self._peers.query(peer, message, timeout_s)
         return None if isinstance(answer, PeerUnreachable) else answer
 
     def _end_questions(self, view):
