--- a/wagtailtrestle/peers/delays.py
+++ b/wagtailtrestle/peers/delays.py
@@ -32,7 +32,7 @@
     patience_s: float | None = 0.0
 
 
-AT_ONCE = Delay()
+IMMEDIATE = Delay()
 
 DELAY_BY_TYPE = {
     # The scheduler counts a prompt as still to be prefilled until this comes: soon, not at once.
@@ -56,4 +56,4 @@
 
 def delay_of(message):
     """Return the delay of a message's type."""
-    return DELAY_BY_TYPE.get(type(message), AT_ONCE)
+    return DELAY_BY_TYPE.get(type(message), IMMEDIATE)
--- a/wagtailtrestle/peers/outbox.py
+++ b/wagtailtrestle/peers/outbox.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from wagtailtrestle.peers.delays import AT_ONCE
+from wagtailtrestle.peers.delays import IMMEDIATE
 
 MAX_BATCH_BYTES = 64 * 1024
 MAX_QUEUED_BYTES = 4 * 1024 * 1024
@@ -70,7 +70,7 @@
     def __len__(self):
         return len(self._queued_by_number)
 
-    def put(self, item, *, about="", delay=AT_ONCE):
+    def put(self, item, *, about="", delay=IMMEDIATE):
         """Queue an item; ``False`` if the queue is full.
 
         Parameters
--- a/wagtailtrestle/peers/peers_grpc.py
+++ b/wagtailtrestle/peers/peers_grpc.py
@@ -18,7 +18,7 @@
 from wagtailtrestle.contracts.peer_messages import Hello, NoAnswer, PeerUnreachable, Ping, Pong
 from wagtailtrestle.generated import peers_pb2 as pb
 from wagtailtrestle.peers.codec import decode, encode
-from wagtailtrestle.peers.delays import AT_ONCE, delay_of
+from wagtailtrestle.peers.delays import IMMEDIATE, delay_of
 from wagtailtrestle.peers.links import PeerLinks
 from wagtailtrestle.peers.questions import Questions
 from wagtailtrestle.peers.state import PeerState
@@ -213,7 +213,7 @@
             state = self._states_by_name[name] = PeerState(name=name, loop=self._loop)
         return state
 
-    def _enqueue(self, peer, item, *, about="", delay=AT_ONCE):
+    def _enqueue(self, peer, item, *, about="", delay=IMMEDIATE):
         state = self._state(peer)
         if self._closed or (state.link is None and state.address is None):
             return False
