--- a/wagtailtrestle/peers/link.py
+++ b/wagtailtrestle/peers/link.py
@@ -93,7 +93,7 @@
         if self._writer is not None:
             self._writer.cancel()
 
-    def forgive(self, now):
+    def reset_silence(self, now):
         """Count silence anew from now: this process itself was paused."""
         self.last_received = now
         if self.awaiting_since is not None:
--- a/wagtailtrestle/peers/watch.py
+++ b/wagtailtrestle/peers/watch.py
@@ -49,7 +49,7 @@
             looked_at = now
             for state in self._states():
                 if state.link is not None and was_paused:
-                    state.link.forgive(now)
+                    state.link.reset_silence(now)
                 elif state.link is not None:
                     self._look(state, now)
 
