--- a/wagtailtrestle/peers/link.py
+++ b/wagtailtrestle/peers/link.py
@@ -119,12 +119,12 @@
                 await asyncio.sleep(early_s)
             items = self._outbox.take()
             flushed_at = self._loop.time()
-            self._expect_a_sign(flushed_at)
+            self._expect_response(flushed_at)
             await self._stream.send_message(pb.Batch(items=items))
             self.batches_sent += 1
             self.items_sent += len(items)
 
-    def _expect_a_sign(self, now):
+    def _expect_response(self, now):
         """Note from when on the peer's silence tells something, if what was just taken asks for a sign."""
         patience_s = self._outbox.patience_s
         if patience_s is not None and (self.awaiting_since is None or now + patience_s < self.awaiting_since):
