--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -310,15 +310,15 @@
     def put(self, outbox, message):
         self.assertTrue(outbox.put(encode(message), about=message.request_id, delay=delay_of(message)))
 
-    def take(self, outbox):
-        return [decode(item) for item in outbox.take()]
+    def take_batch(self, outbox):
+        return [decode(item) for item in outbox.take_batch()]
 
     def test_batches_are_bounded_and_in_order(self):
         async def test(outbox):
             items = [encode(Withdraw(request_id=f"{number}" + "x" * 30_000)) for number in range(5)]
             for item in items:
                 outbox.put(item)
-            batches = [outbox.take(), outbox.take(), outbox.take()]
+            batches = [outbox.take_batch(), outbox.take_batch(), outbox.take_batch()]
             self.assertEqual([len(batch) for batch in batches], [2, 2, 1])
             self.assertEqual(sum(batches, []), items)
             self.assertEqual((len(outbox), outbox.queued_bytes), (0, 0))
@@ -335,7 +335,7 @@
             for expected, at_s in ((RunStarted, 0.1), (RunProgress, 8.0)):
                 await asyncio.wait_for(outbox.wait(), 60)
                 self.assertAlmostEqual(asyncio.get_running_loop().time() - began, at_s, places=2)
-                self.assertEqual([type(message) for message in self.take(outbox)], [expected])
+                self.assertEqual([type(message) for message in self.take_batch(outbox)], [expected])
 
         self.run_on_fast_loop(test)
 
@@ -351,11 +351,11 @@
             self.put(outbox, finished)
             self.put(outbox, grant_request("a"))
             await asyncio.wait_for(outbox.wait(), 0.001)
-            self.assertEqual(self.take(outbox), [started, finished, grant_request("a")])
+            self.assertEqual(self.take_batch(outbox), [started, finished, grant_request("a")])
             await asyncio.sleep(4.1)
             self.put(outbox, Withdraw(request_id="c"))
             self.assertEqual(
-                self.take(outbox), [RunProgress(request_id="b", output_tokens=6), Withdraw(request_id="c")]
+                self.take_batch(outbox), [RunProgress(request_id="b", output_tokens=6), Withdraw(request_id="c")]
             )
             self.assertEqual((len(outbox), outbox.queued_bytes), (0, 0))
 
@@ -371,7 +371,7 @@
                 await asyncio.sleep(0.25)
             await asyncio.wait_for(outbox.wait(), 1)
             self.assertAlmostEqual(asyncio.get_running_loop().time() - began, 8.0, places=2)
-            self.assertEqual(self.take(outbox), [RunProgress(request_id="a", output_tokens=31)])
+            self.assertEqual(self.take_batch(outbox), [RunProgress(request_id="a", output_tokens=31)])
 
         self.run_on_fast_loop(test)
 
@@ -381,7 +381,7 @@
             self.put(outbox, RunProgress(request_id="a", output_tokens=5))
             outbox.release()
             await asyncio.wait_for(outbox.wait(), 0.001)
-            self.assertEqual(len(self.take(outbox)), 1)
+            self.assertEqual(len(self.take_batch(outbox)), 1)
 
         self.run_on_fast_loop(test)
 
@@ -390,11 +390,11 @@
         async def test(outbox):
             self.put(outbox, RunStarted(request_id="a", engine="e", first_token_s=0.1))
             self.put(outbox, RunFinished(request_id="b", engine="e", result="RunDone", duration_s=0.2))
-            self.take(outbox)
+            self.take_batch(outbox)
             patience_s = outbox.patience_s
             self.put(outbox, RunFinished(request_id="c", engine="e", result="RunDone", duration_s=0.2))
             self.put(outbox, grant_request())
-            self.take(outbox)
+            self.take_batch(outbox)
             self.assertEqual((patience_s, outbox.patience_s), (2.0, 0.0))
 
         self.run_on_fast_loop(test)
@@ -406,6 +406,6 @@
             self.assertEqual(outbox.clear(), 1)
             self.put(outbox, RunProgress(request_id="a", output_tokens=6))
             await asyncio.wait_for(outbox.wait(), 9)
-            self.assertEqual(self.take(outbox), [RunProgress(request_id="a", output_tokens=6)])
+            self.assertEqual(self.take_batch(outbox), [RunProgress(request_id="a", output_tokens=6)])
 
         self.run_on_fast_loop(test)
--- a/wagtailtrestle/peers/link.py
+++ b/wagtailtrestle/peers/link.py
@@ -117,7 +117,7 @@
             early_s = flushed_at + FLUSH_INTERVAL_S - self._loop.time()
             if early_s > 0:
                 await asyncio.sleep(early_s)
-            items = self._outbox.take()
+            items = self._outbox.take_batch()
             flushed_at = self._loop.time()
             self._expect_response(flushed_at)
             await self._stream.send_message(pb.Batch(items=items))
--- a/wagtailtrestle/peers/outbox.py
+++ b/wagtailtrestle/peers/outbox.py
@@ -106,7 +106,7 @@
         """Wait until an item must leave."""
         await self._wake.wait()
 
-    def take(self):
+    def take_batch(self):
         """Remove and return the oldest items that may leave now, up to one batch."""
         now = self._loop.time()
         batch, batch_bytes = [], 0
