--- a/wagtailtrestle/peers/outbox.py
+++ b/wagtailtrestle/peers/outbox.py
@@ -119,7 +119,7 @@
             batch.append(self._remove(number).item)
             batch_bytes += queued.size
             self._note_patience(queued.patience_s)
-        self._sleep(now)
+        self._schedule_next_wake(now)
         return batch
 
     def release(self):
@@ -134,7 +134,7 @@
         self._queued_by_number.clear()
         self._replaceable_by_about.clear()
         self.queued_bytes = 0
-        self._sleep(self._loop.time())
+        self._schedule_next_wake(self._loop.time())
         return dropped
 
     def _remove(self, number):
@@ -150,7 +150,7 @@
 
     # Waking the writer.
 
-    def _sleep(self, now):
+    def _schedule_next_wake(self, now):
         """Wake again only when one of the items left must leave."""
         self._wake.clear()
         self._cancel_timer()
