--- a/wagtailtrestle/peers/outbox.py
+++ b/wagtailtrestle/peers/outbox.py
@@ -118,7 +118,7 @@
                 break
             batch.append(self._remove(number).item)
             batch_bytes += queued.size
-            self._note_patience(queued.patience_s)
+            self._update_patience(queued.patience_s)
         self._schedule_next_wake(now)
         return batch
 
@@ -144,7 +144,7 @@
             del self._replaceable_by_request_id[queued.about]
         return queued
 
-    def _note_patience(self, patience_s):
+    def _update_patience(self, patience_s):
         if patience_s is not None and (self.patience_s is None or patience_s < self.patience_s):
             self.patience_s = patience_s
 
