--- a/wagtailtrestle/peers/peers_grpc.py
+++ b/wagtailtrestle/peers/peers_grpc.py
@@ -20,7 +20,7 @@
 from wagtailtrestle.peers.codec import decode, encode
 from wagtailtrestle.peers.delays import IMMEDIATE, delay_of
 from wagtailtrestle.peers.links import PeerLinks
-from wagtailtrestle.peers.questions import Questions
+from wagtailtrestle.peers.questions import PendingQueries
 from wagtailtrestle.peers.state import PeerState
 from wagtailtrestle.peers.watch import LinkWatch
 
@@ -52,7 +52,7 @@
         self._handlers_by_type = {}
         self._reconnect_callbacks = []
         self._unreachable_callbacks = []
-        self._questions = Questions(loop=loop)
+        self._questions = PendingQueries(loop=loop)
         self._tasks = set()
         self._closed = False
         self._watching = None
--- a/wagtailtrestle/peers/questions.py
+++ b/wagtailtrestle/peers/questions.py
@@ -3,7 +3,7 @@
 from wagtailtrestle.contracts.peer_messages import NoAnswer, PeerUnreachable
 
 
-class Questions:
+class PendingQueries:
     """Pairs questions with answers by number.
 
     Parameters
