--- a/wagtailtrestle/peers/peers_grpc.py
+++ b/wagtailtrestle/peers/peers_grpc.py
@@ -52,7 +52,7 @@
         self._handlers_by_type = {}
         self._reconnect_callbacks = []
         self._unreachable_callbacks = []
-        self._questions = PendingQueries(loop=loop)
+        self._pending_queries = PendingQueries(loop=loop)
         self._tasks = set()
         self._closed = False
         self._watching = None
@@ -67,7 +67,7 @@
             state_of=self._state,
             deliver=self._deliver,
             on_linked=self._linked,
-            on_lost=lambda state, detail: self._questions.fail(state.name, detail),
+            on_lost=lambda state, detail: self._pending_queries.fail(state.name, detail),
             on_failed=self._failed,
             seed=seed,
         )
@@ -154,7 +154,7 @@
 
     async def query(self, peer, message, timeout_s, *, cell=""):
         """Ask a peer and wait for its answer, or ``PeerUnreachable``."""
-        number, answer = self._questions.begin(peer)
+        number, answer = self._pending_queries.begin(peer)
         try:
             if not self._enqueue(peer, encode(message, cell=cell, question=number)):
                 return PeerUnreachable(peer=peer, detail="no connection")
@@ -163,7 +163,7 @@
         except TimeoutError:
             return PeerUnreachable(peer=peer, detail=f"no answer in {timeout_s} s")
         finally:
-            self._questions.end(number)
+            self._pending_queries.end(number)
 
     def connected(self, peer):
         """Whether a link to the peer is up."""
@@ -186,7 +186,7 @@
 
     def end_questions(self, peer):
         """Answer every open question to a peer that is gone with ``PeerUnreachable``."""
-        self._questions.fail(peer, "not in the view any more")
+        self._pending_queries.fail(peer, "not in the view any more")
 
     def deliver_relayed(self, source, data):
         """Take an encoded item that another router passed on for ``source``."""
@@ -269,7 +269,7 @@
             return
         message = decode(item)
         if item.answer_to:
-            self._questions.answered(peer, item.answer_to, message)
+            self._pending_queries.answered(peer, item.answer_to, message)
             return
         if type(message) is Ping:
             state.outbox.put(encode(Pong(), answer_to=item.question), delay=delay_of(Pong()))
