--- a/wagtailtrestle/peers/peers_grpc.py
+++ b/wagtailtrestle/peers/peers_grpc.py
@@ -184,7 +184,7 @@
             return None
         return self._loop.time() - state.unreachable_since
 
-    def end_questions(self, peer):
+    def fail_queries(self, peer):
         """Answer every open question to a peer that is gone with ``PeerUnreachable``."""
         self._pending_queries.fail(peer, "not in the view any more")
 
--- a/wagtailtrestle/router.py
+++ b/wagtailtrestle/router.py
@@ -558,7 +558,7 @@
         gone = self._asked_members - set(view.all_members)
         self._asked_members = set(view.all_members)
         for name in gone:
-            self._peers.end_questions(name)
+            self._peers.fail_queries(name)
 
     async def _tick(self):
         while True:
