--- a/wagtailtrestle/peers/questions.py
+++ b/wagtailtrestle/peers/questions.py
@@ -32,8 +32,8 @@
 
     def answered(self, peer, number, message):
         """Take an answer; ``None`` stands for one of a type unknown here."""
-        asked, answer = self._waiting_by_number.get(number, (None, None))
-        if asked != peer or answer.done():
+        expected_peer, answer = self._waiting_by_number.get(number, (None, None))
+        if expected_peer != peer or answer.done():
             return
         if message is None or type(message) is NoAnswer:
             message = PeerUnreachable(peer=peer, detail="the peer has no answer to this question")
@@ -41,6 +41,6 @@
 
     def fail(self, peer, detail):
         """End all questions to a peer whose connection was lost: their answers can't come any more."""
-        for asked, answer in self._waiting_by_number.values():
-            if asked == peer and not answer.done():
+        for expected_peer, answer in self._waiting_by_number.values():
+            if expected_peer == peer and not answer.done():
                 answer.set_result(PeerUnreachable(peer=peer, detail=detail))
