--- a/wagtailtrestle/peers/directory.py
+++ b/wagtailtrestle/peers/directory.py
@@ -99,7 +99,7 @@
         self._scheduler_by_cell = {}
         self._incarnations_by_name = dict(membership.view.incarnations_by_name)
         self._detours = set()
-        self._asked_at = {}
+        self._registration_requested_at = {}
         self.scheduler_link = _SchedulerSide(directory=self)
         self.entry_link = _EntrySide(directory=self)
         for message_type in ENTRY_MESSAGES:
@@ -130,9 +130,9 @@
         """Ask entries that a local scheduler waits for to register, at a bounded rate."""
         now = self._loop.time()
         for entry in entries:
-            if now < self._asked_at.get((cell, entry), 0.0):
+            if now < self._registration_requested_at.get((cell, entry), 0.0):
                 continue
-            self._asked_at[cell, entry] = now + ASK_PAUSE_S
+            self._registration_requested_at[cell, entry] = now + ASK_PAUSE_S
             if entry == self.name:
                 self._loop.call_soon(self._deliver_to_scheduler, cell, self._registration(cell, self.name))
             else:
