--- a/tests/utils/retry_fleet.py
+++ b/tests/utils/retry_fleet.py
@@ -92,7 +92,7 @@
             await asyncio.sleep(TICK_S)
             self.schedulers.tick()
             for cell, scheduler in self.schedulers.by_cell.items():
-                self.directory.ask_to_register(cell=cell, entries=scheduler.awaited_entries)
+                self.directory.request_registrations(cell=cell, entries=scheduler.awaited_entries)
 
     async def close(self):
         self.ticking.cancel()
--- a/wagtailtrestle/peers/directory.py
+++ b/wagtailtrestle/peers/directory.py
@@ -126,7 +126,7 @@
         for cell in cells:
             self._check_scheduler(cell)
 
-    def ask_to_register(self, *, cell, entries):
+    def request_registrations(self, *, cell, entries):
         """Ask entries that a local scheduler waits for to register, at a bounded rate."""
         now = self._loop.time()
         for entry in entries:
--- a/wagtailtrestle/router.py
+++ b/wagtailtrestle/router.py
@@ -565,7 +565,7 @@
             await asyncio.sleep(TICK_S)
             self._schedulers.tick()
             for cell, scheduler in self._schedulers.by_cell.items():
-                self._directory.ask_to_register(cell=cell, entries=scheduler.awaited_entries)
+                self._directory.request_registrations(cell=cell, entries=scheduler.awaited_entries)
             if self._in_force is not None:
                 self._quotas.tick()
             if self._rollouts is not None:
