--- a/wagtailtrestle/peers/directory.py
+++ b/wagtailtrestle/peers/directory.py
@@ -43,7 +43,7 @@
 # a scheduler there waits out its bounded time of caution.
 ANNOUNCE_LIMIT = 32
 DETOUR_REGISTER_S = 1.0
-ASK_PAUSE_S = 0.3
+REGISTRATION_REQUEST_INTERVAL_S = 0.3
 
 
 class Directory:
@@ -132,7 +132,7 @@
         for entry in entries:
             if now < self._registration_requested_at.get((cell, entry), 0.0):
                 continue
-            self._registration_requested_at[cell, entry] = now + ASK_PAUSE_S
+            self._registration_requested_at[cell, entry] = now + REGISTRATION_REQUEST_INTERVAL_S
             if entry == self.name:
                 self._loop.call_soon(self._deliver_to_scheduler, cell, self._registration(cell, self.name))
             else:
