--- a/wagtailtrestle/peers/directory.py
+++ b/wagtailtrestle/peers/directory.py
@@ -190,9 +190,9 @@
             return
         self._send(scheduler, cell, registration)
 
-    def _registration(self, cell, asker):
+    def _registration(self, cell, requester):
         """What this entry holds at ``asker``: nothing, if it has another scheduler for the cell."""
-        if self.scheduler_of(cell) == asker:
+        if self.scheduler_of(cell) == requester:
             return self._register(cell)
         return Register(entry=self.name, cell=cell, elsewhere=True)
 
