--- a/wagtailtrestle/peers/connection.py
+++ b/wagtailtrestle/peers/connection.py
@@ -39,7 +39,7 @@
         self.stream = None
         self.hello = None
 
-    async def greet(self, own_hello):
+    async def exchange_hello(self, own_hello):
         """Send this router's ``Hello`` and wait for the peer's, ``None`` if it is none."""
         self.stream = await self._context.__aenter__()
         try:
@@ -72,7 +72,7 @@
     connection = Connection(channel=channel, context=PeersStub(channel).Link.open())
     try:
         async with asyncio.timeout(HELLO_TIMEOUT_S):
-            await connection.greet(own_hello)
+            await connection.exchange_hello(own_hello)
     except CONNECTION_ERRORS as error:
         connection.close()
         return str(error) or type(error).__name__
