--- a/wagtailtrestle/peers/watch.py
+++ b/wagtailtrestle/peers/watch.py
@@ -51,9 +51,9 @@
                 if state.link is not None and was_paused:
                     state.link.reset_silence(now)
                 elif state.link is not None:
-                    self._look(state, now)
+                    self._check(state, now)
 
-    def _look(self, state, now):
+    def _check(self, state, now):
         link = state.link
         if link.awaiting_since is not None:
             self._look_at_silence(state, now - link.awaiting_since)
