--- a/wagtailtrestle/peers/watch.py
+++ b/wagtailtrestle/peers/watch.py
@@ -56,11 +56,11 @@
     def _check(self, state, now):
         link = state.link
         if link.awaiting_since is not None:
-            self._look_at_silence(state, now - link.awaiting_since)
+            self._check_silence(state, now - link.awaiting_since)
         elif not state.kept and now - state.used_at > IDLE_CLOSE_S and link.dialed_by == self._name:
             self._on_idle(state)
 
-    def _look_at_silence(self, state, waited_s):
+    def _check_silence(self, state, waited_s):
         # A connection that something between the ends has lost track of stays open and carries nothing.
         # Without this the peer looks alive and every message to it vanishes; a new connection works.
         if waited_s > SILENT_AFTER_S:
