--- a/wagtailtrestle/peers/watch.py
+++ b/wagtailtrestle/peers/watch.py
@@ -40,13 +40,13 @@
 
     async def run(self):
         """Watch until cancelled."""
-        looked_at = self._loop.time()
+        checked_at = self._loop.time()
         while True:
             await asyncio.sleep(INTERVAL_S)
             now = self._loop.time()
             # After a pause of this process what peers sent still waits unread: it is this end that was silent.
-            was_paused = now - looked_at > PAUSED_AFTER_S
-            looked_at = now
+            was_paused = now - checked_at > PAUSED_AFTER_S
+            checked_at = now
             for state in self._states():
                 if state.link is not None and was_paused:
                     state.link.reset_silence(now)
