--- a/wagtailtrestle/peers/routes.py
+++ b/wagtailtrestle/peers/routes.py
@@ -11,7 +11,7 @@
 from wagtailtrestle.contracts.peer_messages import Relayed
 from wagtailtrestle.peers.codec import encode
 
-DETOUR_AFTER_S = 0.5
+RELAY_AFTER_S = 0.5
 DETOUR_CHANGES_S = 1.0
 
 
@@ -39,7 +39,7 @@
     def is_cut(self, peer):
         """Whether the direct way to a router that lives has been broken for a while."""
         unreachable_s = self._peers.unreachable_s(peer)
-        return unreachable_s is not None and unreachable_s > DETOUR_AFTER_S and peer in self._members()
+        return unreachable_s is not None and unreachable_s > RELAY_AFTER_S and peer in self._members()
 
     def send(self, peer, message, *, cell=""):
         """Queue a message; ``False`` if there is no way now."""
