--- a/wagtailtrestle/peers/routes.py
+++ b/wagtailtrestle/peers/routes.py
@@ -12,7 +12,7 @@
 from wagtailtrestle.peers.codec import encode
 
 RELAY_AFTER_S = 0.5
-DETOUR_CHANGES_S = 1.0
+RELAY_ROTATION_S = 1.0
 
 
 class PeerRoutes:
@@ -57,7 +57,7 @@
         connected = [name for name in others if self._peers.connected(name)]
         if not connected:
             return None
-        return connected[int(self._loop.time() / DETOUR_CHANGES_S) % len(connected)]
+        return connected[int(self._loop.time() / RELAY_ROTATION_S) % len(connected)]
 
     def _on_relayed(self, peer, message, cell):
         if message.target == self._name:
