--- a/wagtailtrestle/peers/routes.py
+++ b/wagtailtrestle/peers/routes.py
@@ -45,13 +45,13 @@
         """Queue a message; ``False`` if there is no way now."""
         if not self.is_cut(peer):
             return self._peers.send(peer, message, cell=cell)
-        helper = self._helper(peer)
+        helper = self._choose_relay(peer)
         if helper is None:
             return False
         item = encode(message, cell=cell).SerializeToString()
         return self._peers.send(helper, Relayed(source=self._name, target=peer, item=item))
 
-    def _helper(self, target):
+    def _choose_relay(self, target):
         """A connected router, another one each second, as any one may be cut off from the target too."""
         others = (name for name in self._members() if name not in (self._name, target))
         connected = [name for name in others if self._peers.connected(name)]
