--- a/wagtailtrestle/peers/directory.py
+++ b/wagtailtrestle/peers/directory.py
@@ -98,7 +98,7 @@
         self._rendezvous = Rendezvous()
         self._scheduler_by_cell = {}
         self._incarnations_by_name = dict(membership.view.incarnations_by_name)
-        self._detours = set()
+        self._relayed_cells = set()
         self._registration_requested_at = {}
         self.scheduler_link = _SchedulerSide(directory=self)
         self.entry_link = _EntrySide(directory=self)
@@ -205,12 +205,12 @@
         return self._routes.send(scheduler, message, cell=cell)
 
     def _register_during_detour(self, cell):
-        if cell not in self._detours:
-            self._detours.add(cell)
+        if cell not in self._relayed_cells:
+            self._relayed_cells.add(cell)
             self._loop.call_later(DETOUR_REGISTER_S, self._register_again, cell)
 
     def _register_again(self, cell):
-        self._detours.discard(cell)
+        self._relayed_cells.discard(cell)
         scheduler = self._scheduler_by_cell.get(cell)
         if scheduler not in (None, self.name) and self._routes.is_cut(scheduler):
             self._send(scheduler, cell, self._register(cell))
