--- a/wagtailtrestle/peers/directory.py
+++ b/wagtailtrestle/peers/directory.py
@@ -42,7 +42,7 @@
 # soon knows it has heard everybody. Beyond, that would be a connection from every router to every scheduler;
 # a scheduler there waits out its bounded time of caution.
 ANNOUNCE_LIMIT = 32
-DETOUR_REGISTER_S = 1.0
+RELAYED_REGISTER_INTERVAL_S = 1.0
 REGISTRATION_REQUEST_INTERVAL_S = 0.3
 
 
@@ -207,7 +207,7 @@
     def _register_during_detour(self, cell):
         if cell not in self._relayed_cells:
             self._relayed_cells.add(cell)
-            self._loop.call_later(DETOUR_REGISTER_S, self._register_again, cell)
+            self._loop.call_later(RELAYED_REGISTER_INTERVAL_S, self._register_again, cell)
 
     def _register_again(self, cell):
         self._relayed_cells.discard(cell)
