--- a/wagtailtrestle/peers/directory.py
+++ b/wagtailtrestle/peers/directory.py
@@ -201,10 +201,10 @@
             self._loop.call_soon(self._deliver_to_scheduler, cell, message)
             return True
         if self._routes.is_cut(scheduler):
-            self._register_during_detour(cell)
+            self._register_while_relayed(cell)
         return self._routes.send(scheduler, message, cell=cell)
 
-    def _register_during_detour(self, cell):
+    def _register_while_relayed(self, cell):
         if cell not in self._relayed_cells:
             self._relayed_cells.add(cell)
             self._loop.call_later(RELAYED_REGISTER_INTERVAL_S, self._register_again, cell)
@@ -249,7 +249,7 @@
         # If the peer stays in the view all the same, the way to it is cut: what it didn't get goes round.
         for cell, scheduler in self._scheduler_by_cell.items():
             if scheduler == peer:
-                self._register_during_detour(cell)
+                self._register_while_relayed(cell)
 
     # Receiving.
 
