--- a/wagtailtrestle/peers/directory.py
+++ b/wagtailtrestle/peers/directory.py
@@ -207,9 +207,9 @@
     def _register_while_relayed(self, cell):
         if cell not in self._relayed_cells:
             self._relayed_cells.add(cell)
-            self._loop.call_later(RELAYED_REGISTER_INTERVAL_S, self._register_again, cell)
+            self._loop.call_later(RELAYED_REGISTER_INTERVAL_S, self._repeat_registration, cell)
 
-    def _register_again(self, cell):
+    def _repeat_registration(self, cell):
         self._relayed_cells.discard(cell)
         scheduler = self._scheduler_by_cell.get(cell)
         if scheduler not in (None, self.name) and self._routes.is_cut(scheduler):
