--- a/wagtailtrestle/peers/directory.py
+++ b/wagtailtrestle/peers/directory.py
@@ -200,7 +200,7 @@
         if scheduler == self.name:
             self._loop.call_soon(self._deliver_to_scheduler, cell, message)
             return True
-        if self._routes.is_cut(scheduler):
+        if self._routes.needs_relay(scheduler):
             self._register_while_relayed(cell)
         return self._routes.send(scheduler, message, cell=cell)
 
@@ -212,7 +212,7 @@
     def _repeat_registration(self, cell):
         self._relayed_cells.discard(cell)
         scheduler = self._scheduler_by_cell.get(cell)
-        if scheduler not in (None, self.name) and self._routes.is_cut(scheduler):
+        if scheduler not in (None, self.name) and self._routes.needs_relay(scheduler):
             self._send(scheduler, cell, self._register(cell))
 
     # Changes.
--- a/wagtailtrestle/peers/routes.py
+++ b/wagtailtrestle/peers/routes.py
@@ -36,14 +36,14 @@
         self.relayed = 0
         peers.on(Relayed, self._on_relayed)
 
-    def is_cut(self, peer):
+    def needs_relay(self, peer):
         """Whether the direct way to a router that lives has been broken for a while."""
         unreachable_s = self._peers.unreachable_s(peer)
         return unreachable_s is not None and unreachable_s > RELAY_AFTER_S and peer in self._members()
 
     def send(self, peer, message, *, cell=""):
         """Queue a message; ``False`` if there is no way now."""
-        if not self.is_cut(peer):
+        if not self.needs_relay(peer):
             return self._peers.send(peer, message, cell=cell)
         relay = self._choose_relay(peer)
         if relay is None:
