--- a/wagtailtrestle/peers/links.py
+++ b/wagtailtrestle/peers/links.py
@@ -193,7 +193,7 @@
         if old is not None and self._keeps_old(old, link):
             link.retire()
             return True
-        state.linked(link)
+        state.set_link(link)
         if old is not None:
             self._retire(state, old)
         self._on_linked(state)
--- a/wagtailtrestle/peers/state.py
+++ b/wagtailtrestle/peers/state.py
@@ -57,7 +57,7 @@
         self.unreachable_since = None
         self.recover_until = self.used_at = loop.time()
 
-    def linked(self, link):
+    def set_link(self, link):
         """Take a new link."""
         self.link = link
         self.incarnation = link.hello.incarnation
