--- a/wagtailtrestle/peers/state.py
+++ b/wagtailtrestle/peers/state.py
@@ -67,7 +67,7 @@
         self.last_error = ""
         self.reconnects += 1
 
-    def failed(self, error, now):
+    def record_failure(self, error, now):
         """Note a connection that could not be opened."""
         self.failures += 1
         self.last_error = error
