--- a/wagtailtrestle/peers/links.py
+++ b/wagtailtrestle/peers/links.py
@@ -110,7 +110,7 @@
 
     async def _dial_until_linked(self, state):
         try:
-            while state.link is None and state.wants_link(self._loop.time()):
+            while state.link is None and state.needs_link(self._loop.time()):
                 if await self._dial(state):
                     return
                 if state.link is None:
@@ -229,5 +229,5 @@
             # A message may have been lost, and there may be no other to send: a request would wait for its
             # grant until its deadline. A new connection makes both ends register; none at all is evidence.
             state.recover_until = now + RECOVER_FOR_S
-        if state.wants_link(now):
+        if state.needs_link(now):
             self.dial_if_needed(state)
--- a/wagtailtrestle/peers/state.py
+++ b/wagtailtrestle/peers/state.py
@@ -80,7 +80,7 @@
         self.backoff_s = min(BACKOFF_MAX_S, backoff_s * 2)
         return backoff_s
 
-    def wants_link(self, now):
+    def needs_link(self, now):
         """Whether a connection is to be opened while there is none."""
         return self.kept or bool(len(self.outbox)) or now < self.recover_until
 
