--- a/wagtailtrestle/peers/links.py
+++ b/wagtailtrestle/peers/links.py
@@ -8,7 +8,7 @@
 from wagtailtrestle.peers.link import Link
 
 SIMULTANEOUS_S = 1.0
-USED_LATELY_S = 30.0
+RECENT_USE_S = 30.0
 RECOVER_FOR_S = 3.0
 QUEUE_HOLD_S = 1.0
 
@@ -225,7 +225,7 @@
     def _recover(self, state, detail):
         self._on_lost(state, detail)
         now = self._loop.time()
-        if now - state.used_at < USED_LATELY_S:
+        if now - state.used_at < RECENT_USE_S:
             # A message may have been lost, and there may be no other to send: a request would wait for its
             # grant until its deadline. A new connection makes both ends register; none at all is evidence.
             state.recover_until = now + RECOVER_FOR_S
