--- a/wagtailtrestle/peers/links.py
+++ b/wagtailtrestle/peers/links.py
@@ -7,7 +7,7 @@
 from wagtailtrestle.peers.connection import Listener, connect, receive_hello
 from wagtailtrestle.peers.link import Link
 
-SIMULTANEOUS_S = 1.0
+SIMULTANEOUS_DIAL_S = 1.0
 RECENT_USE_S = 30.0
 RECOVER_FOR_S = 3.0
 QUEUE_HOLD_S = 1.0
@@ -205,7 +205,7 @@
         return (
             old.hello.incarnation == new.hello.incarnation
             and old.dialed_by != new.dialed_by
-            and self._loop.time() - old.up_since < SIMULTANEOUS_S
+            and self._loop.time() - old.up_since < SIMULTANEOUS_DIAL_S
             and old.dialed_by < new.dialed_by
         )
 
