--- a/wagtailtrestle/peers/links.py
+++ b/wagtailtrestle/peers/links.py
@@ -10,7 +10,7 @@
 SIMULTANEOUS_DIAL_S = 1.0
 RECENT_USE_S = 30.0
 RECOVER_FOR_S = 3.0
-QUEUE_HOLD_S = 1.0
+QUEUE_RETENTION_S = 1.0
 
 
 class PeerLinks:
@@ -121,7 +121,7 @@
     async def _back_off(self, state):
         delay_s = state.next_backoff_s() * self._random.uniform(0.5, 1.0)
         # Items for a peer that stays away are of no use later: everything is re-registered on reconnect.
-        if state.unreachable_since is not None and self._loop.time() - state.unreachable_since > QUEUE_HOLD_S:
+        if state.unreachable_since is not None and self._loop.time() - state.unreachable_since > QUEUE_RETENTION_S:
             state.outbox.clear()
         await asyncio.sleep(delay_s)
 
