--- a/wagtailtrestle/peers/broadcast.py
+++ b/wagtailtrestle/peers/broadcast.py
@@ -42,11 +42,11 @@
     def send(self, message):
         """Tell everybody."""
         if self._is_news(message):
-            self._pass_on(message)
+            self._forward(message)
 
     def _received(self, peer, message, cell):
         if self._is_news(message):
-            self._pass_on(message, but=peer)
+            self._forward(message, but=peer)
             _, handler = self._rules_by_type[type(message)]
             handler(message)
 
@@ -60,7 +60,7 @@
             self._seen.popitem(last=False)
         return True
 
-    def _pass_on(self, message, but=None):
+    def _forward(self, message, but=None):
         for name in self._targets():
             if name != but:
                 self._peers.send(name, message)
