--- a/wagtailtrestle/peers/broadcast.py
+++ b/wagtailtrestle/peers/broadcast.py
@@ -41,16 +41,16 @@
 
     def send(self, message):
         """Tell everybody."""
-        if self._is_news(message):
+        if self._mark_seen(message):
             self._forward(message)
 
     def _received(self, peer, message, cell):
-        if self._is_news(message):
+        if self._mark_seen(message):
             self._forward(message, but=peer)
             _, handler = self._rules_by_type[type(message)]
             handler(message)
 
-    def _is_news(self, message):
+    def _mark_seen(self, message):
         key, _ = self._rules_by_type[type(message)]
         name = (type(message), key(message))
         if name in self._seen:
