--- a/wagtailtrestle/peers/broadcast.py
+++ b/wagtailtrestle/peers/broadcast.py
@@ -37,14 +37,14 @@
         handler : callable
         """
         self._rules_by_type[message_type] = (key, handler)
-        self._peers.on(message_type, self._received)
+        self._peers.on(message_type, self._on_message)
 
     def send(self, message):
         """Tell everybody."""
         if self._mark_seen(message):
             self._forward(message)
 
-    def _received(self, peer, message, cell):
+    def _on_message(self, peer, message, cell):
         if self._mark_seen(message):
             self._forward(message, but=peer)
             _, handler = self._rules_by_type[type(message)]
