--- a/wagtailtrestle/peers/broadcast.py
+++ b/wagtailtrestle/peers/broadcast.py
@@ -46,7 +46,7 @@
 
     def _on_message(self, peer, message, cell):
         if self._mark_seen(message):
-            self._forward(message, but=peer)
+            self._forward(message, exclude=peer)
             _, handler = self._rules_by_type[type(message)]
             handler(message)
 
@@ -60,7 +60,7 @@
             self._seen.popitem(last=False)
         return True
 
-    def _forward(self, message, but=None):
+    def _forward(self, message, exclude=None):
         for name in self._targets():
-            if name != but:
+            if name != exclude:
                 self._peers.send(name, message)
