--- a/wagtailtrestle/peers/broadcast.py
+++ b/wagtailtrestle/peers/broadcast.py
@@ -2,7 +2,7 @@
 
 from collections import OrderedDict
 
-KEPT_KEYS = 4096
+MAX_SEEN_KEYS = 4096
 
 
 class Broadcast:
@@ -56,7 +56,7 @@
         if name in self._seen:
             return False
         self._seen[name] = None
-        if len(self._seen) > KEPT_KEYS:
+        if len(self._seen) > MAX_SEEN_KEYS:
             self._seen.popitem(last=False)
         return True
 
