--- a/wagtailtrestle/peers/peers_grpc.py
+++ b/wagtailtrestle/peers/peers_grpc.py
@@ -25,7 +25,7 @@
 from wagtailtrestle.peers.watch import LinkWatch
 
 FLUSH_TIMEOUT_S = 0.5
-FLUSH_LOOK_S = 0.005
+FLUSH_POLL_INTERVAL_S = 0.005
 
 
 class Peers:
@@ -254,7 +254,7 @@
             states = self._states_by_name.values()
             is_empty = not any(state.link is not None and len(state.outbox) for state in states)
             # Once more, since the last batch taken may still be on its way into the socket.
-            await asyncio.sleep(FLUSH_LOOK_S)
+            await asyncio.sleep(FLUSH_POLL_INTERVAL_S)
             if is_empty:
                 return
 
