--- a/tests/utils/fake_routers.py
+++ b/tests/utils/fake_routers.py
@@ -60,7 +60,7 @@
     def silent_s(self, peer):
         return self.loop.time() - self.received_at_by_peer[peer] if self.connected(peer) else None
 
-    def keep(self, names):
+    def keep_open(self, names):
         self.kept = set(names)
         for name in names:
             self.dial(name)
--- a/wagtailtrestle/membership/membership.py
+++ b/wagtailtrestle/membership/membership.py
@@ -467,4 +467,4 @@
         if self.name in view.all_members:
             self._partners = ring.partners(self.name)
             self._fingers = ring.fingers(self.name)
-        self._peers.keep(self._partners)
+        self._peers.keep_open(self._partners)
--- a/wagtailtrestle/peers/peers_grpc.py
+++ b/wagtailtrestle/peers/peers_grpc.py
@@ -128,7 +128,7 @@
             if name != self.name:
                 self._state(name).address = address
 
-    def keep(self, names):
+    def keep_open(self, names):
         """Hold links to exactly these peers open also while nothing is sent."""
         for state in self._states_by_name.values():
             state.kept = state.name in names
--- a/wagtailtrestle/slopes/control_node.py
+++ b/wagtailtrestle/slopes/control_node.py
@@ -142,7 +142,7 @@
         self.entry = self._entry(directory.scheduler_link)
         await peers.start()
         peers.set_addresses(self._addresses_by_name)
-        peers.keep(set(self._addresses_by_name))
+        peers.keep_open(set(self._addresses_by_name))
         directory.refresh()
         self._next()
 
--- a/wagtailtrestle/slopes/peers.py
+++ b/wagtailtrestle/slopes/peers.py
@@ -57,7 +57,7 @@
 
 async def _link(hub, others):
     hub.set_addresses({other.name: other.address for other in others})
-    hub.keep({other.name for other in others})
+    hub.keep_open({other.name for other in others})
     while not all(other.connected("hub") for other in others):
         await asyncio.sleep(0.01)
 
