--- a/tests/utils/fake_routers.py
+++ b/tests/utils/fake_routers.py
@@ -65,7 +65,7 @@
         for name in names:
             self.dial(name)
 
-    def replace(self, peer):
+    def reopen(self, peer):
         self.received_at_by_peer.pop(peer, None)
         self.dial(peer)
 
--- a/wagtailtrestle/membership/membership.py
+++ b/wagtailtrestle/membership/membership.py
@@ -433,7 +433,7 @@
             silent_s = min(silent_s, self._loop.time() - self._silence_counted_from)
             if silent_s > self._silent_after_s:
                 # The connection may be dead while the router is alive: opening a new one tells the two apart.
-                self._peers.replace(peer)
+                self._peers.reopen(peer)
 
     # The view and the partners.
 
--- a/wagtailtrestle/peers/peers_grpc.py
+++ b/wagtailtrestle/peers/peers_grpc.py
@@ -195,7 +195,7 @@
         if message is not None and not item.question and not item.answer_to:
             self._deliver_message(source, message, item)
 
-    def replace(self, peer):
+    def reopen(self, peer):
         """Give up the present link, which seems silent, and open a new one."""
         state = self._state(peer)
         if state.link is not None:
