--- a/wagtailtrestle/peers/peers_grpc.py
+++ b/wagtailtrestle/peers/peers_grpc.py
@@ -66,7 +66,7 @@
             loop=loop,
             state_of=self._state,
             deliver=self._deliver,
-            on_linked=self._linked,
+            on_linked=self._on_linked,
             on_lost=lambda state, detail: self._pending_queries.fail(state.name, detail),
             on_failed=self._failed,
             seed=seed,
@@ -235,7 +235,7 @@
             self._links.drop(state, "queue overflow")
         self._failed(state, "queue overflow")
 
-    def _linked(self, state):
+    def _on_linked(self, state):
         handler = self._handlers_by_type.get(Hello)
         if handler is not None:
             handler(state.name, state.link.hello, "")
