--- a/wagtailtrestle/peers/peers_grpc.py
+++ b/wagtailtrestle/peers/peers_grpc.py
@@ -68,7 +68,7 @@
             deliver=self._deliver,
             on_linked=self._on_linked,
             on_lost=lambda state, detail: self._pending_queries.fail(state.name, detail),
-            on_failed=self._failed,
+            on_failed=self._on_failed,
             seed=seed,
         )
         self._watch = LinkWatch(
@@ -233,7 +233,7 @@
         state.outbox.clear()
         if state.link is not None:
             self._links.drop(state, "queue overflow")
-        self._failed(state, "queue overflow")
+        self._on_failed(state, "queue overflow")
 
     def _on_linked(self, state):
         handler = self._handlers_by_type.get(Hello)
@@ -242,7 +242,7 @@
         for callback in self._reconnect_callbacks:
             callback(state.name)
 
-    def _failed(self, state, detail):
+    def _on_failed(self, state, detail):
         for callback in self._unreachable_callbacks:
             callback(state.name, detail)
 
