--- a/wagtailtrestle/peers/directory.py
+++ b/wagtailtrestle/peers/directory.py
@@ -100,7 +100,7 @@
         self._incarnations_by_name = dict(membership.view.incarnations_by_name)
         self._relayed_cells = set()
         self._registration_requested_at = {}
-        self.scheduler_link = _SchedulerSide(directory=self)
+        self.scheduler_link = _SchedulerLink(directory=self)
         self.entry_link = _EntrySide(directory=self)
         for message_type in ENTRY_MESSAGES:
             peers.on(message_type, self._from_entry)
@@ -269,7 +269,7 @@
             self._routes.send(peer, self._registration(cell, peer), cell=cell)
 
 
-class _SchedulerSide:
+class _SchedulerLink:
     """``ports.SchedulerLink``."""
 
     __slots__ = ("_directory",)
