--- a/wagtailtrestle/peers/directory.py
+++ b/wagtailtrestle/peers/directory.py
@@ -101,7 +101,7 @@
         self._relayed_cells = set()
         self._registration_requested_at = {}
         self.scheduler_link = _SchedulerLink(directory=self)
-        self.entry_link = _EntrySide(directory=self)
+        self.entry_link = _EntryLink(directory=self)
         for message_type in ENTRY_MESSAGES:
             peers.on(message_type, self._from_entry)
         for message_type in SCHEDULER_MESSAGES:
@@ -282,7 +282,7 @@
         return self._directory.send_to_scheduler(cell=cell, message=message)
 
 
-class _EntrySide:
+class _EntryLink:
     """``ports.EntryLink``."""
 
     __slots__ = ("_directory",)
