--- a/wagtailtrestle/peers/directory.py
+++ b/wagtailtrestle/peers/directory.py
@@ -41,7 +41,7 @@
 # Up to so many routers each entry registers also for the cells it holds nothing for, so that a new scheduler
 # soon knows it has heard everybody. Beyond, that would be a connection from every router to every scheduler;
 # a scheduler there waits out its bounded time of caution.
-ANNOUNCE_LIMIT = 32
+EMPTY_REGISTRATION_LIMIT = 32
 RELAYED_REGISTER_INTERVAL_S = 1.0
 REGISTRATION_REQUEST_INTERVAL_S = 0.3
 
@@ -186,7 +186,7 @@
         holds_nothing = not registration.waiting and not registration.running and not registration.notices
         is_empty = holds_nothing and registration.retries.is_empty
         is_stranger = scheduler != self.name and not self._peers.connected(scheduler)
-        if is_empty and is_stranger and len(self._membership.view.all_members) > ANNOUNCE_LIMIT:
+        if is_empty and is_stranger and len(self._membership.view.all_members) > EMPTY_REGISTRATION_LIMIT:
             return
         self._send(scheduler, cell, registration)
 
