--- a/wagtailtrestle/peers/directory.py
+++ b/wagtailtrestle/peers/directory.py
@@ -220,14 +220,14 @@
     def _view_changed(self, view):
         if not self._membership.trusted:
             return
-        restarted = self._note_incarnations(view)
+        restarted = self._update_incarnations(view)
         if restarted:
             # A new process of that name knows nothing of what its predecessor held: let that go first.
             self._set_members(tuple(name for name in view.all_members if name not in restarted))
         self._set_members(view.all_members)
         self.refresh()
 
-    def _note_incarnations(self, view):
+    def _update_incarnations(self, view):
         before, self._incarnations_by_name = self._incarnations_by_name, view.incarnations_by_name
         return {name for name, number in view.incarnations_by_name.items() if before.get(name, number) != number}
 
