--- a/wagtailtrestle/peers/directory.py
+++ b/wagtailtrestle/peers/directory.py
@@ -179,9 +179,9 @@
             # Without this a former scheduler that lives would hold this entry's places until told otherwise.
             self._send(before, cell, Register(entry=self.name, cell=cell, elsewhere=True))
         if scheduler is not None:
-            self._announce(scheduler, cell)
+            self._send_registration(scheduler, cell)
 
-    def _announce(self, scheduler, cell):
+    def _send_registration(self, scheduler, cell):
         registration = self._register(cell)
         holds_nothing = not registration.waiting and not registration.running and not registration.notices
         is_empty = holds_nothing and registration.retries.is_empty
@@ -235,7 +235,7 @@
         self._view_changed(self._membership.view)
         for cell, scheduler in self._scheduler_by_cell.items():
             if scheduler is not None:
-                self._announce(scheduler, cell)
+                self._send_registration(scheduler, cell)
 
     def _reconnected(self, peer):
         # What was written to the old connection may be lost, in both directions.
@@ -243,7 +243,7 @@
             return
         for cell, scheduler in self._scheduler_by_cell.items():
             if scheduler == peer:
-                self._announce(peer, cell)
+                self._send_registration(peer, cell)
 
     def _unreachable(self, peer, detail):
         # If the peer stays in the view all the same, the way to it is cut: what it didn't get goes round.
