--- a/wagtailtrestle/peers/directory.py
+++ b/wagtailtrestle/peers/directory.py
@@ -185,8 +185,8 @@
         registration = self._register(cell)
         holds_nothing = not registration.waiting and not registration.running and not registration.notices
         is_empty = holds_nothing and registration.retries.is_empty
-        is_stranger = scheduler != self.name and not self._peers.connected(scheduler)
-        if is_empty and is_stranger and len(self._membership.view.all_members) > EMPTY_REGISTRATION_LIMIT:
+        is_unconnected = scheduler != self.name and not self._peers.connected(scheduler)
+        if is_empty and is_unconnected and len(self._membership.view.all_members) > EMPTY_REGISTRATION_LIMIT:
             return
         self._send(scheduler, cell, registration)
 
