--- a/wagtailtrestle/peers/directory.py
+++ b/wagtailtrestle/peers/directory.py
@@ -110,7 +110,7 @@
         peers.on_reconnect(self._reconnected)
         peers.on_unreachable(self._unreachable)
         membership.on_view_change(self._view_changed)
-        membership.on_trusted(self._trusted_again)
+        membership.on_trusted(self._on_trusted)
 
     def scheduler_of(self, cell):
         """Name of the router that is scheduler of a cell in the present view, or ``None``."""
@@ -231,7 +231,7 @@
         before, self._incarnations_by_name = self._incarnations_by_name, view.incarnations_by_name
         return {name for name, number in view.incarnations_by_name.items() if before.get(name, number) != number}
 
-    def _trusted_again(self):
+    def _on_trusted(self):
         self._view_changed(self._membership.view)
         for cell, scheduler in self._scheduler_by_cell.items():
             if scheduler is not None:
