--- a/wagtailtrestle/peers/directory.py
+++ b/wagtailtrestle/peers/directory.py
@@ -109,7 +109,7 @@
         peers.on(RegisterAsk, self._on_register_ask)
         peers.on_reconnect(self._reconnected)
         peers.on_unreachable(self._unreachable)
-        membership.on_view_change(self._view_changed)
+        membership.on_view_change(self._on_view_change)
         membership.on_trusted(self._on_trusted)
 
     def scheduler_of(self, cell):
@@ -217,7 +217,7 @@
 
     # Changes.
 
-    def _view_changed(self, view):
+    def _on_view_change(self, view):
         if not self._membership.trusted:
             return
         restarted = self._update_incarnations(view)
@@ -232,7 +232,7 @@
         return {name for name, number in view.incarnations_by_name.items() if before.get(name, number) != number}
 
     def _on_trusted(self):
-        self._view_changed(self._membership.view)
+        self._on_view_change(self._membership.view)
         for cell, scheduler in self._scheduler_by_cell.items():
             if scheduler is not None:
                 self._send_registration(scheduler, cell)
