--- a/wagtailtrestle/peers/directory.py
+++ b/wagtailtrestle/peers/directory.py
@@ -107,7 +107,7 @@
         for message_type in SCHEDULER_MESSAGES:
             peers.on(message_type, self._from_scheduler)
         peers.on(RegisterAsk, self._on_register_ask)
-        peers.on_reconnect(self._reconnected)
+        peers.on_reconnect(self._on_reconnect)
         peers.on_unreachable(self._unreachable)
         membership.on_view_change(self._on_view_change)
         membership.on_trusted(self._on_trusted)
@@ -237,7 +237,7 @@
             if scheduler is not None:
                 self._send_registration(scheduler, cell)
 
-    def _reconnected(self, peer):
+    def _on_reconnect(self, peer):
         # What was written to the old connection may be lost, in both directions.
         if not self._membership.trusted:
             return
