--- a/wagtailtrestle/peers/directory.py
+++ b/wagtailtrestle/peers/directory.py
@@ -108,7 +108,7 @@
             peers.on(message_type, self._from_scheduler)
         peers.on(RegisterAsk, self._on_register_ask)
         peers.on_reconnect(self._on_reconnect)
-        peers.on_unreachable(self._unreachable)
+        peers.on_unreachable(self._on_unreachable)
         membership.on_view_change(self._on_view_change)
         membership.on_trusted(self._on_trusted)
 
@@ -245,7 +245,7 @@
             if scheduler == peer:
                 self._send_registration(peer, cell)
 
-    def _unreachable(self, peer, detail):
+    def _on_unreachable(self, peer, detail):
         # If the peer stays in the view all the same, the way to it is cut: what it didn't get goes round.
         for cell, scheduler in self._scheduler_by_cell.items():
             if scheduler == peer:
