--- a/wagtailtrestle/peers/directory.py
+++ b/wagtailtrestle/peers/directory.py
@@ -103,7 +103,7 @@
         self.scheduler_link = _SchedulerLink(directory=self)
         self.entry_link = _EntryLink(directory=self)
         for message_type in ENTRY_MESSAGES:
-            peers.on(message_type, self._from_entry)
+            peers.on(message_type, self._on_entry_message)
         for message_type in SCHEDULER_MESSAGES:
             peers.on(message_type, self._from_scheduler)
         peers.on(RegisterAsk, self._on_register_ask)
@@ -253,7 +253,7 @@
 
     # Receiving.
 
-    def _from_entry(self, peer, message, cell):
+    def _on_entry_message(self, peer, message, cell):
         if self._membership.draining:
             scheduler = self.scheduler_of(cell)
             if scheduler not in (None, self.name):
