--- a/wagtailtrestle/peers/directory.py
+++ b/wagtailtrestle/peers/directory.py
@@ -105,7 +105,7 @@
         for message_type in ENTRY_MESSAGES:
             peers.on(message_type, self._on_entry_message)
         for message_type in SCHEDULER_MESSAGES:
-            peers.on(message_type, self._from_scheduler)
+            peers.on(message_type, self._on_scheduler_message)
         peers.on(RegisterAsk, self._on_register_ask)
         peers.on_reconnect(self._on_reconnect)
         peers.on_unreachable(self._on_unreachable)
@@ -261,7 +261,7 @@
                 return
         self._deliver_to_scheduler(cell, message)
 
-    def _from_scheduler(self, peer, message, cell):
+    def _on_scheduler_message(self, peer, message, cell):
         self._deliver_to_entry(message)
 
     def _on_register_ask(self, peer, message, cell):
