--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -58,7 +58,7 @@
 class DirectoryTest(unittest.IsolatedAsyncioTestCase):
     def make(self, *members, **more):
         self.peers, self.membership = FakePeers(), FakeMembership(*members)
-        self.to_scheduler, self.members_told = [], []
+        self.to_scheduler, self.members_set = [], []
         self.directory = Directory(
             name="a",
             membership=self.membership,
@@ -68,7 +68,7 @@
             deliver_to_entry=lambda message: None,
             register=lambda cell: HELD,
             cells=lambda: ["c1"],
-            set_members=self.members_told.append,
+            set_members=self.members_set.append,
             **more,
         )
 
@@ -147,9 +147,9 @@
         # A router restarts so fast that it never left the view. What its former process held is let go.
         self.make("a", "b")
         self.membership.change("a", "b", incarnations_by_name={"a": 1, "b": 1})
-        self.members_told.clear()
+        self.members_set.clear()
         self.membership.change("a", "b", incarnations_by_name={"a": 1, "b": 2})
-        self.assertEqual(self.members_told, [("a",), ("a", "b")])
+        self.assertEqual(self.members_set, [("a",), ("a", "b")])
 
     async def test_asked_to_register_by_another_than_the_scheduler(self):
         self.make("b")
