--- a/tests/test_store_readers.py
+++ b/tests/test_store_readers.py
@@ -74,7 +74,7 @@
     def readers(self):
         return StoreReaders(name="", members=lambda: self.names).names()
 
-    async def ask(self, source, name, message, timeout_s):
+    async def query(self, source, name, message, timeout_s):
         await asyncio.sleep(WAY_S)
         if name in self.silent or source in self.silent:
             await asyncio.sleep(timeout_s)
@@ -91,7 +91,7 @@
         self.peers = PeerConfiguration(
             peers=SimpleNamespace(
                 on=lambda message_type, handler: None,
-                ask=lambda peer, message, timeout_s: fleet.ask(name, peer, message, timeout_s),
+                query=lambda peer, message, timeout_s: fleet.query(name, peer, message, timeout_s),
             ),
             members=lambda: fleet.names,
             in_force=lambda: SimpleNamespace(generation=GENERATION),
