--- a/wagtailtrestle/peers/links.py
+++ b/wagtailtrestle/peers/links.py
@@ -148,7 +148,7 @@
             self._link_ended(state, link)
 
     def _dial_failed(self, state, error):
-        state.failed(error, self._loop.time())
+        state.record_failure(error, self._loop.time())
         if state.link is None:
             self._on_failed(state, error)
 
