--- a/wagtailtrestle/peers/peers_grpc.py
+++ b/wagtailtrestle/peers/peers_grpc.py
@@ -310,8 +310,8 @@
         if question:
             self._answer(peer, message, question)
 
-    def _report(self, error, about):
-        what = f"handling {type(about).__name__} from a peer failed"
+    def _report(self, error, subject):
+        what = f"handling {type(subject).__name__} from a peer failed"
         self._loop.call_exception_handler({"message": what, "exception": error})
 
     def _answer(self, peer, message, question):
