--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -308,7 +308,7 @@
             runner.run(test(Outbox(loop=runner.get_loop())))
 
     def put(self, outbox, message):
-        self.assertTrue(outbox.put(encode(message), about=message.request_id, delay=delay_of(message)))
+        self.assertTrue(outbox.put(encode(message), related_request=message.request_id, delay=delay_of(message)))
 
     def take_batch(self, outbox):
         return [decode(item) for item in outbox.take_batch()]
--- a/wagtailtrestle/peers/outbox.py
+++ b/wagtailtrestle/peers/outbox.py
@@ -11,12 +11,12 @@
 class _Queued:
     """One item that waits."""
 
-    __slots__ = ("about", "item", "leaves_at", "patience_s", "rides_at", "size")
+    __slots__ = ("related_request", "item", "leaves_at", "patience_s", "rides_at", "size")
 
-    def __init__(self, *, item, size, about, delay, now):
+    def __init__(self, *, item, size, related_request, delay, now):
         self.item = item
         self.size = size
-        self.about = about
+        self.related_request = related_request
         self.rides_at = now + delay.ride_after_s
         self.leaves_at = now + delay.leave_within_s
         self.patience_s = delay.patience_s
@@ -70,7 +70,7 @@
     def __len__(self):
         return len(self._queued_by_number)
 
-    def put(self, item, *, about="", delay=IMMEDIATE):
+    def put(self, item, *, related_request="", delay=IMMEDIATE):
         """Queue an item; ``False`` if the queue is full.
 
         Parameters
@@ -84,15 +84,15 @@
         if self.queued_bytes + size > self._max_bytes:
             return False
         now = self._loop.time()
-        queued = _Queued(item=item, size=size, about=about, delay=delay, now=now)
-        older = self._replaceable_by_request_id.pop(about, None)
+        queued = _Queued(item=item, size=size, related_request=related_request, delay=delay, now=now)
+        older = self._replaceable_by_request_id.pop(related_request, None)
         if older is not None:
             self._supersede(older, queued, delay)
         self._number += 1
         self._queued_by_number[self._number] = queued
         self.queued_bytes += size
         if delay.is_replaceable:
-            self._replaceable_by_request_id[about] = self._number
+            self._replaceable_by_request_id[related_request] = self._number
         self._wake_at(queued.leaves_at, now)
         return True
 
@@ -140,8 +140,8 @@
     def _remove(self, number):
         queued = self._queued_by_number.pop(number)
         self.queued_bytes -= queued.size
-        if self._replaceable_by_request_id.get(queued.about) == number:
-            del self._replaceable_by_request_id[queued.about]
+        if self._replaceable_by_request_id.get(queued.related_request) == number:
+            del self._replaceable_by_request_id[queued.related_request]
         return queued
 
     def _update_patience(self, patience_s):
--- a/wagtailtrestle/peers/peers_grpc.py
+++ b/wagtailtrestle/peers/peers_grpc.py
@@ -150,7 +150,7 @@
     def send(self, peer, message, *, cell=""):
         """Queue a message; ``False`` if there is no way to reach the peer now."""
         item = encode(message, cell=cell)
-        return self._enqueue(peer, item, about=getattr(message, "request_id", ""), delay=delay_of(message))
+        return self._enqueue(peer, item, related_request=getattr(message, "request_id", ""), delay=delay_of(message))
 
     async def query(self, peer, message, timeout_s, *, cell=""):
         """Ask a peer and wait for its answer, or ``PeerUnreachable``."""
@@ -213,12 +213,12 @@
             state = self._states_by_name[name] = PeerState(name=name, loop=self._loop)
         return state
 
-    def _enqueue(self, peer, item, *, about="", delay=IMMEDIATE):
+    def _enqueue(self, peer, item, *, related_request="", delay=IMMEDIATE):
         state = self._state(peer)
         if self._closed or (state.link is None and state.address is None):
             return False
         state.used_at = self._loop.time()
-        if not state.outbox.put(item, about=about, delay=delay):
+        if not state.outbox.put(item, related_request=related_request, delay=delay):
             self._overflow(state)
             return False
         self._links.dial_if_needed(state)
