--- a/wagtailtrestle/peers/outbox.py
+++ b/wagtailtrestle/peers/outbox.py
@@ -48,7 +48,7 @@
         "_max_bytes",
         "_number",
         "_queued_by_number",
-        "_replaceable_by_request_id",
+        "_replaceable_by_request",
         "_timer",
         "_wake",
         "patience_s",
@@ -60,7 +60,7 @@
         self._max_bytes = max_bytes
         self._number = 0
         self._queued_by_number = {}
-        self._replaceable_by_request_id = {}
+        self._replaceable_by_request = {}
         self._timer = None
         self._wake = asyncio.Event()
         self._is_released = False
@@ -85,14 +85,14 @@
             return False
         now = self._loop.time()
         queued = _Queued(item=item, size=size, related_request=related_request, delay=delay, now=now)
-        older = self._replaceable_by_request_id.pop(related_request, None)
+        older = self._replaceable_by_request.pop(related_request, None)
         if older is not None:
             self._supersede(older, queued, delay)
         self._number += 1
         self._queued_by_number[self._number] = queued
         self.queued_bytes += size
         if delay.is_replaceable:
-            self._replaceable_by_request_id[related_request] = self._number
+            self._replaceable_by_request[related_request] = self._number
         self._wake_at(queued.leaves_at, now)
         return True
 
@@ -132,7 +132,7 @@
         """Drop everything queued; return how many items that was."""
         dropped = len(self._queued_by_number)
         self._queued_by_number.clear()
-        self._replaceable_by_request_id.clear()
+        self._replaceable_by_request.clear()
         self.queued_bytes = 0
         self._schedule_next_wake(self._loop.time())
         return dropped
@@ -140,8 +140,8 @@
     def _remove(self, number):
         queued = self._queued_by_number.pop(number)
         self.queued_bytes -= queued.size
-        if self._replaceable_by_request_id.get(queued.related_request) == number:
-            del self._replaceable_by_request_id[queued.related_request]
+        if self._replaceable_by_request.get(queued.related_request) == number:
+            del self._replaceable_by_request[queued.related_request]
         return queued
 
     def _update_patience(self, patience_s):
