--- a/wagtailtrestle/peers/routes.py
+++ b/wagtailtrestle/peers/routes.py
@@ -45,11 +45,11 @@
         """Queue a message; ``False`` if there is no way now."""
         if not self.needs_relay(peer):
             return self._peers.send(peer, message, cell=cell)
-        relay = self._choose_relay(peer)
-        if relay is None:
+        helper = self._choose_relay(peer)
+        if helper is None:
             return False
         item = encode(message, cell=cell).SerializeToString()
-        return self._peers.send(relay, Relayed(source=self._name, target=peer, item=item))
+        return self._peers.send(helper, Relayed(source=self._name, target=peer, item=item))
 
     def _choose_relay(self, target):
         """A connected router, another one each second, as any one may be cut off from the target too."""
