--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -92,7 +92,7 @@
         await until(lambda: len(got_by_a) >= 300 and len(got_by_b) >= 300)
         self.assertEqual((got_by_a, got_by_b), (numbers, numbers))
 
-    async def test_ask(self):
+    async def test_query(self):
         a, b = await self.pair()
         b.on(ConfigurationAsk, lambda peer, message, cell: ConfigurationText(generation=3, packed=b"x"))
         self.assertEqual(await a.query("b", ConfigurationAsk(), 1), ConfigurationText(generation=3, packed=b"x"))
