--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -173,7 +173,7 @@
         await asyncio.sleep(1.5)
         self.assertEqual(a.dump()["b"]["link"]["items_received"], 1)
 
-    async def test_question_in_flight_when_the_connection_is_lost(self):
+    async def test_query_in_flight_when_the_connection_is_lost(self):
         # The peer dies after it got the question. The asker must not wait out its timeout.
         a, b = await self.pair()
         asked = asyncio.Event()
