--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -137,7 +137,7 @@
         a.send("b", RunFinished(request_id="lost", engine="e", result="RunDone", duration_s=1.0))
         await until(lambda: len(reconnected) == 2)
 
-    async def test_what_only_informs_asks_for_no_sign(self):
+    async def test_informational_items_are_not_acknowledged(self):
         # A run's progress and heartbeats go one way for a while. Were each answered by a sign of life, there
         # would be three messages for one.
         a, b = await self.pair()
