--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -325,7 +325,7 @@
 
         self.run_on_fast_loop(test)
 
-    def test_news_waits_for_company_for_a_bounded_time(self):
+    def test_informational_items_wait_for_a_batch_for_a_bounded_time(self):
         # Nothing else goes to that peer: the first token is told within 0.1 s all the same, the progress
         # within 8 s. Were either held for company alone, the scheduler would never hear of it.
         async def test(outbox):
