--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -339,7 +339,7 @@
 
         self.run_on_fast_loop(test)
 
-    def test_news_rides_in_order_with_what_leaves_at_once(self):
+    def test_informational_items_keep_their_order_with_immediate_ones(self):
         # A run ends before its start was told. The end frees the place, so it leaves at once; it must not
         # overtake the start, nor leave the older progress behind to be told of a later run.
         async def test(outbox):
