--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -361,7 +361,7 @@
 
         self.run_on_fast_loop(test)
 
-    def test_newer_progress_replaces_older_without_waiting_anew(self):
+    def test_newer_progress_replaces_older_without_a_longer_wait(self):
         # Four times a second a run tells how far it is. One message has the latest; and if each put off the
         # last one's time to leave, none would ever leave.
         async def test(outbox):
