--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -375,7 +375,7 @@
 
         self.run_on_fast_loop(test)
 
-    def test_close_holds_nothing_back(self):
+    def test_release_sends_waiting_items_immediately(self):
         # The router drains: what waits for company goes out before the connections end.
         async def test(outbox):
             self.put(outbox, RunProgress(request_id="a", output_tokens=5))
