--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -399,7 +399,7 @@
 
         self.run_on_fast_loop(test)
 
-    def test_clear_drops_what_is_held_too(self):
+    def test_clear_drops_waiting_items_too(self):
         # The link is dropped after an overflow; a later progress must not look for one that is gone.
         async def test(outbox):
             self.put(outbox, RunProgress(request_id="a", output_tokens=5))
