--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -75,7 +75,7 @@
     def send(self):
         return self.directory.scheduler_link.send(cell="c1", message=Withdraw(request_id="x"))
 
-    async def test_scheduler_goes(self):
+    async def test_scheduler_leaves_the_view(self):
         # The scheduler of a cell goes out of the view. The entry's waiting requests must be known to the next
         # scheduler without any request being sent again by hand, or they would wait for ever.
         self.make("b")
