--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -83,7 +83,7 @@
         self.membership.change("c")
         self.assertEqual(self.peers.sent[2:], [("c", "c1", HELD)])
 
-    async def test_scheduler_changes_but_lives(self):
+    async def test_former_scheduler_stays_alive(self):
         # Another router joins and becomes scheduler. The former one must let this entry's places go.
         self.make("b")
         self.send()
