--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -90,7 +90,7 @@
         self.membership.change("c", draining=["b"])
         self.assertEqual(self.peers.sent[2:], [("b", "c1", NOTHING), ("c", "c1", HELD)])
 
-    async def test_a_router_that_becomes_scheduler_again_begins_anew(self):
+    async def test_router_that_becomes_scheduler_again_begins_the_cell_again(self):
         # What a scheduler of before holds says nothing of what the one between granted.
         begun = []
         self.make("a", begin_cell=begun.append)
