--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -123,7 +123,7 @@
         self.assertEqual(self.to_scheduler, [("c1", grant_request())])
         self.assertEqual(self.peers.sent, [])
 
-    async def test_draining_router_passes_on(self):
+    async def test_draining_router_forwards(self):
         # The router leaves and grants nothing more; a peer that doesn't know yet still asks it.
         self.make("b")
         self.membership.draining = True
