--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -131,7 +131,7 @@
         self.assertEqual(self.peers.sent, [("b", "c1", grant_request())])
         self.assertEqual(self.to_scheduler, [])
 
-    async def test_paused_router_waits_for_the_present_view(self):
+    async def test_paused_router_waits_for_the_current_view(self):
         # The process was stopped for long. What it sends by its old view would reach a former scheduler, so it
         # sends nothing until a peer told the view, and then registers everything.
         self.make("b")
