--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -143,7 +143,7 @@
         self.membership.trusted_again()
         self.assertIn(("c", "c1", HELD), self.peers.sent)
 
-    async def test_entry_restarts_unnoticed(self):
+    async def test_entry_restarts_without_leaving_the_view(self):
         # A router restarts so fast that it never left the view. What its former process held is let go.
         self.make("a", "b")
         self.membership.change("a", "b", incarnations_by_name={"a": 1, "b": 1})
