--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -151,7 +151,7 @@
         self.membership.change("a", "b", incarnations_by_name={"a": 1, "b": 2})
         self.assertEqual(self.members_set, [("a",), ("a", "b")])
 
-    async def test_asked_to_register_by_another_than_the_scheduler(self):
+    async def test_registration_requested_by_another_than_the_scheduler(self):
         self.make("b")
         self.peers.receive("b", RegisterAsk())
         self.peers.receive("c", RegisterAsk())
