--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -157,7 +157,7 @@
         self.peers.receive("c", RegisterAsk())
         self.assertEqual(self.peers.sent, [("b", "c1", HELD), ("c", "c1", NOTHING)])
 
-    async def test_direct_way_is_cut(self):
+    async def test_direct_path_is_cut(self):
         # Only this router can't reach the scheduler. Its messages go through a third one, and so do answers.
         self.make("b")
         self.membership.view.all_members = ("a", "b", "c")
