--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -8,7 +8,7 @@
 from wagtailtrestle.peers.directory import Directory
 from wagtailtrestle.peers.rendezvous import Rendezvous
 
-HELD = Register(entry="a", cell="c1", waiting=(grant_request(),))
+REGISTRATION = Register(entry="a", cell="c1", waiting=(grant_request(),))
 NOTHING = Register(entry="a", cell="c1", elsewhere=True)
 
 
@@ -66,7 +66,7 @@
             loop=asyncio.get_running_loop(),
             deliver_to_scheduler=lambda cell, message: self.to_scheduler.append((cell, message)),
             deliver_to_entry=lambda message: None,
-            register=lambda cell: HELD,
+            register=lambda cell: REGISTRATION,
             cells=lambda: ["c1"],
             set_members=self.members_set.append,
             **more,
@@ -81,14 +81,14 @@
         self.make("b")
         self.send()
         self.membership.change("c")
-        self.assertEqual(self.peers.sent[2:], [("c", "c1", HELD)])
+        self.assertEqual(self.peers.sent[2:], [("c", "c1", REGISTRATION)])
 
     async def test_former_scheduler_stays_alive(self):
         # Another router joins and becomes scheduler. The former one must let this entry's places go.
         self.make("b")
         self.send()
         self.membership.change("c", draining=["b"])
-        self.assertEqual(self.peers.sent[2:], [("b", "c1", NOTHING), ("c", "c1", HELD)])
+        self.assertEqual(self.peers.sent[2:], [("b", "c1", NOTHING), ("c", "c1", REGISTRATION)])
 
     async def test_router_that_becomes_scheduler_again_begins_the_cell_again(self):
         # What a scheduler of before holds says nothing of what the one between granted.
@@ -104,7 +104,7 @@
         self.make("a")
         self.send()
         await asyncio.sleep(0)
-        self.assertEqual(self.to_scheduler, [("c1", HELD), ("c1", Withdraw(request_id="x"))])
+        self.assertEqual(self.to_scheduler, [("c1", REGISTRATION), ("c1", Withdraw(request_id="x"))])
         self.assertEqual(self.peers.sent, [])
 
     async def test_reconnect(self):
@@ -113,7 +113,7 @@
         self.send()
         self.peers.sent.clear()
         self.peers.reconnect("b")
-        self.assertEqual(self.peers.sent, [("b", "c1", HELD)])
+        self.assertEqual(self.peers.sent, [("b", "c1", REGISTRATION)])
 
     async def test_views_differ(self):
         # A peer takes this router for the scheduler, this router takes another. It serves the request all the
@@ -141,7 +141,7 @@
         self.assertEqual(self.peers.sent, [])
         self.membership.trusted = True
         self.membership.trusted_again()
-        self.assertIn(("c", "c1", HELD), self.peers.sent)
+        self.assertIn(("c", "c1", REGISTRATION), self.peers.sent)
 
     async def test_entry_restarts_without_leaving_the_view(self):
         # A router restarts so fast that it never left the view. What its former process held is let go.
@@ -155,7 +155,7 @@
         self.make("b")
         self.peers.receive("b", RegisterAsk())
         self.peers.receive("c", RegisterAsk())
-        self.assertEqual(self.peers.sent, [("b", "c1", HELD), ("c", "c1", NOTHING)])
+        self.assertEqual(self.peers.sent, [("b", "c1", REGISTRATION), ("c", "c1", NOTHING)])
 
     async def test_direct_path_is_cut(self):
         # Only this router can't reach the scheduler. Its messages go through a third one, and so do answers.
