--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -9,7 +9,7 @@
 from wagtailtrestle.peers.rendezvous import Rendezvous
 
 REGISTRATION = Register(entry="a", cell="c1", waiting=(grant_request(),))
-NOTHING = Register(entry="a", cell="c1", elsewhere=True)
+EMPTY_REGISTRATION = Register(entry="a", cell="c1", elsewhere=True)
 
 
 class FakePeers:
@@ -88,7 +88,7 @@
         self.make("b")
         self.send()
         self.membership.change("c", draining=["b"])
-        self.assertEqual(self.peers.sent[2:], [("b", "c1", NOTHING), ("c", "c1", REGISTRATION)])
+        self.assertEqual(self.peers.sent[2:], [("b", "c1", EMPTY_REGISTRATION), ("c", "c1", REGISTRATION)])
 
     async def test_router_that_becomes_scheduler_again_begins_the_cell_again(self):
         # What a scheduler of before holds says nothing of what the one between granted.
@@ -155,7 +155,7 @@
         self.make("b")
         self.peers.receive("b", RegisterAsk())
         self.peers.receive("c", RegisterAsk())
-        self.assertEqual(self.peers.sent, [("b", "c1", REGISTRATION), ("c", "c1", NOTHING)])
+        self.assertEqual(self.peers.sent, [("b", "c1", REGISTRATION), ("c", "c1", EMPTY_REGISTRATION)])
 
     async def test_direct_path_is_cut(self):
         # Only this router can't reach the scheduler. Its messages go through a third one, and so do answers.
