--- a/wagtailtrestle/peers/outbox.py
+++ b/wagtailtrestle/peers/outbox.py
@@ -11,13 +11,13 @@
 class _Queued:
     """One item that waits."""
 
-    __slots__ = ("related_request", "item", "leaves_at", "patience_s", "rides_at", "size")
+    __slots__ = ("related_request", "item", "leaves_at", "patience_s", "may_send_at", "size")
 
     def __init__(self, *, item, size, related_request, delay, now):
         self.item = item
         self.size = size
         self.related_request = related_request
-        self.rides_at = now + delay.ride_after_s
+        self.may_send_at = now + delay.ride_after_s
         self.leaves_at = now + delay.leave_within_s
         self.patience_s = delay.patience_s
 
@@ -100,7 +100,7 @@
         """Drop a replaceable item; a newer one of its kind leaves when it would have left."""
         older = self._remove(number)
         if delay.is_replaceable:
-            newer.rides_at, newer.leaves_at = older.rides_at, older.leaves_at
+            newer.may_send_at, newer.leaves_at = older.may_send_at, older.leaves_at
 
     async def wait(self):
         """Wait until an item must leave."""
@@ -112,7 +112,7 @@
         batch, batch_bytes = [], 0
         self.patience_s = None
         for number, queued in list(self._queued_by_number.items()):
-            if queued.rides_at > now and not self._is_released:
+            if queued.may_send_at > now and not self._is_released:
                 continue
             if batch and batch_bytes + queued.size > MAX_BATCH_BYTES:
                 break
