--- a/wagtailtrestle/peers/outbox.py
+++ b/wagtailtrestle/peers/outbox.py
@@ -11,14 +11,14 @@
 class _Queued:
     """One item that waits."""
 
-    __slots__ = ("related_request", "item", "leaves_at", "patience_s", "may_send_at", "size")
+    __slots__ = ("related_request", "item", "must_send_at", "patience_s", "may_send_at", "size")
 
     def __init__(self, *, item, size, related_request, delay, now):
         self.item = item
         self.size = size
         self.related_request = related_request
         self.may_send_at = now + delay.ride_after_s
-        self.leaves_at = now + delay.leave_within_s
+        self.must_send_at = now + delay.leave_within_s
         self.patience_s = delay.patience_s
 
 
@@ -93,14 +93,14 @@
         self.queued_bytes += size
         if delay.is_replaceable:
             self._replaceable_by_request[related_request] = self._number
-        self._wake_at(queued.leaves_at, now)
+        self._wake_at(queued.must_send_at, now)
         return True
 
     def _supersede(self, number, newer, delay):
         """Drop a replaceable item; a newer one of its kind leaves when it would have left."""
         older = self._remove(number)
         if delay.is_replaceable:
-            newer.may_send_at, newer.leaves_at = older.may_send_at, older.leaves_at
+            newer.may_send_at, newer.must_send_at = older.may_send_at, older.must_send_at
 
     async def wait(self):
         """Wait until an item must leave."""
@@ -155,15 +155,15 @@
         self._wake.clear()
         self._cancel_timer()
         if self._queued_by_number:
-            self._wake_at(min(queued.leaves_at for queued in self._queued_by_number.values()), now)
+            self._wake_at(min(queued.must_send_at for queued in self._queued_by_number.values()), now)
 
-    def _wake_at(self, leaves_at, now):
-        if leaves_at <= now or self._is_released:
+    def _wake_at(self, must_send_at, now):
+        if must_send_at <= now or self._is_released:
             self._cancel_timer()
             self._wake.set()
-        elif not self._wake.is_set() and (self._timer is None or leaves_at < self._timer.when()):
+        elif not self._wake.is_set() and (self._timer is None or must_send_at < self._timer.when()):
             self._cancel_timer()
-            self._timer = self._loop.call_at(leaves_at, self._wake.set)
+            self._timer = self._loop.call_at(must_send_at, self._wake.set)
 
     def _cancel_timer(self):
         if self._timer is not None:
