--- a/wagtailtrestle/peers/connection.py
+++ b/wagtailtrestle/peers/connection.py
@@ -50,7 +50,7 @@
             if error.name != LOST_ATTRIBUTE:
                 raise
             raise ConnectionResetError("connection lost before it was used") from error
-        self.hello = hello_in(await self.stream.recv_message())
+        self.hello = hello_from(await self.stream.recv_message())
 
     def close(self):
         """End the connection at once."""
@@ -89,7 +89,7 @@
     """Take the ``Hello`` of a router that connected and answer it; ``None`` if it gave none."""
     try:
         async with asyncio.timeout(HELLO_TIMEOUT_S):
-            hello = hello_in(await stream.recv_message())
+            hello = hello_from(await stream.recv_message())
             if hello is not None and hello.name != own_hello.name:
                 await stream.send_message(pb.Batch(items=[encode(own_hello)]))
                 return hello
@@ -98,7 +98,7 @@
     return None
 
 
-def hello_in(batch):
+def hello_from(batch):
     """The ``Hello`` that a first batch holds, or ``None``."""
     if batch is None or not batch.items:
         return None
