--- a/wagtailtrestle/peers/peers_grpc.py
+++ b/wagtailtrestle/peers/peers_grpc.py
@@ -193,7 +193,7 @@
         item = pb.Item.FromString(data)
         message = decode(item)
         if message is not None and not item.question and not item.answer_to:
-            self._deliver_message(source, message, item)
+            self._dispatch(source, message, item)
 
     def reopen(self, peer):
         """Give up the present link, which seems silent, and open a new one."""
@@ -277,9 +277,9 @@
         if type(message) is Pong:
             return
         state.used_at = self._loop.time()
-        self._deliver_message(peer, message, item)
+        self._dispatch(peer, message, item)
 
-    def _deliver_message(self, peer, message, item):
+    def _dispatch(self, peer, message, item):
         handler = self._handlers_by_type.get(type(message))
         if handler is None:
             # A newer peer's item, or one for a part this router doesn't run.
