--- a/wagtailtrestle/peers/peers_grpc.py
+++ b/wagtailtrestle/peers/peers_grpc.py
@@ -288,7 +288,7 @@
         else:
             result = self._handle(handler, peer, message, item.cell)
         if inspect.isawaitable(result):
-            self._spawn(self._answer_later(peer, result, item.question))
+            self._spawn(self._answer_when_done(peer, result, item.question))
         elif item.question:
             self._answer(peer, result, item.question)
 
@@ -301,7 +301,7 @@
             self._report(error, message)
             return NoAnswer()
 
-    async def _answer_later(self, peer, result, question):
+    async def _answer_when_done(self, peer, result, question):
         try:
             message = await result
         except Exception as error:
