--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -228,9 +228,9 @@
 
     async def read(self, name, process):
         async for line in process.stdout:
-            told = json.loads(line)
-            if "members" in told:
-                self.views_by_name[name].append(told["members"])
+            record = json.loads(line)
+            if "members" in record:
+                self.views_by_name[name].append(record["members"])
 
     async def stop(self, process):
         if process.returncode is None:
