--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -176,10 +176,10 @@
     async def test_query_in_flight_when_the_connection_is_lost(self):
         # The peer dies after it got the question. The asker must not wait out its timeout.
         a, b = await self.pair()
-        asked = asyncio.Event()
-        b.on(ConfigurationAsk, lambda peer, message, cell: asked.set() or asyncio.sleep(60))
+        received = asyncio.Event()
+        b.on(ConfigurationAsk, lambda peer, message, cell: received.set() or asyncio.sleep(60))
         answer = asyncio.create_task(a.query("b", ConfigurationAsk(), 60))
-        await asked.wait()
+        await received.wait()
         await b.close()
         self.assertIsInstance(await asyncio.wait_for(answer, 5), PeerUnreachable)
 
