--- a/wagtailtrestle/peers/peers_grpc.py
+++ b/wagtailtrestle/peers/peers_grpc.py
@@ -20,7 +20,7 @@
 from wagtailtrestle.peers.codec import decode, encode
 from wagtailtrestle.peers.delays import IMMEDIATE, delay_of
 from wagtailtrestle.peers.links import PeerLinks
-from wagtailtrestle.peers.questions import PendingQueries
+from wagtailtrestle.peers.pending_queries import PendingQueries
 from wagtailtrestle.peers.state import PeerState
 from wagtailtrestle.peers.watch import LinkWatch
 
