--- a/wagtailtrestle/peers/delays.py
+++ b/wagtailtrestle/peers/delays.py
@@ -1,8 +1,8 @@
-"""How long a message to a peer may wait for company, and for a sign that it arrived.
+"""How long a message to a peer may wait to be batched with others, and how soon a response is expected.
 
-What takes or frees a place leaves at once. What only informs the scheduler waits for a batch
-that leaves anyway: at full size a router asks some thirty schedulers, half a request a second
-each, and a batch of its own costs far more than an item in one.
+A message that takes or frees a slot is sent immediately. One that only informs the scheduler
+waits for a batch that is sent anyway: at full size a router sends requests to some thirty
+schedulers, half a request per second to each, and a batch costs far more than an item in one.
 """
 
 from wagtailtrestle.contracts.messages import Granted, RunFinished, RunProgress, RunStarted
@@ -12,18 +12,19 @@
 
 @record
 class Delay:
-    """What a type of message may wait for.
+    """Batching delay and response time-out of a message type.
 
     Parameters
     ----------
     ride_after_s : float
-        Age from which it leaves with any batch.
+        Age from which it is included in any batch that is sent.
     leave_within_s : float
-        Age at which it leaves on its own.
+        Age at which it is sent even without other items.
     is_replaceable : bool
-        Whether a later message about the same request makes it void.
+        Whether a later message about the same request supersedes it.
     patience_s : float or None
-        Time without any sign of the peer after which one is asked for; ``None`` for never.
+        Time after sending from which the peer's silence counts (``LinkWatch``); ``None`` if the message
+        expects no response.
     """
 
     ride_after_s: float = 0.0
@@ -35,21 +36,22 @@
 IMMEDIATE = Delay()
 
 DELAY_BY_TYPE = {
-    # The scheduler counts a prompt as still to be prefilled until this comes: soon, not at once.
+    # The scheduler counts the prompt as not yet prefilled until this arrives: needed soon, not immediately.
     RunStarted: Delay(leave_within_s=0.1, patience_s=None),
-    # The scheduler goes on by the clock from the last one; only preemption's price, tokens thrown away, lags.
+    # The scheduler extrapolates from the last one by the clock; only the cost of preemption, the tokens it would
+    # discard, is out of date meanwhile.
     RunProgress: Delay(ride_after_s=4.0, leave_within_s=8.0, is_replaceable=True, patience_s=None),
-    # The first token answers it, mostly before this. An ask just made is watched by the entry itself.
+    # Usually answered by the first token before this time. The entry itself watches a request it has just sent.
     Granted: Delay(patience_s=0.5),
-    # Lost on a connection gone silent, it leaves a place taken that is free. Between two routers at full size
-    # something comes back of itself within about a second; a sign asked for each end of a run would double them.
+    # If it is lost on a silent connection, a free slot stays marked as taken. At full size two routers exchange
+    # some message within about a second anyway; a ping for each finished run would double their number.
     RunFinished: Delay(patience_s=2.0),
-    # Partners watch each other's heartbeats, and replace a connection on which they stop.
+    # Partners watch each other's heartbeats, and replace a connection on which these stop.
     Heartbeat: Delay(patience_s=None),
-    # The asker gives the question up by itself, and soon.
+    # The requester has a short time-out of its own.
     EnginesAsk: Delay(patience_s=None),
     EnginesAnswer: Delay(patience_s=None),
-    # Were a sign of life to ask for one, both ends would go on for ever.
+    # If a pong expected a response, both ends would ping each other forever.
     Pong: Delay(patience_s=None),
 }
 
