--- a/wagtailtrestle/peers/codec.py
+++ b/wagtailtrestle/peers/codec.py
@@ -1,7 +1,7 @@
-"""Maps the frozen dataclasses that routers exchange to protobuf and back, by one table.
+"""Converts the frozen dataclasses that routers exchange to protobuf and back, driven by one table.
 
-A dataclass and its protobuf message have the same field names, so the table only pairs
-the types; the rest follows from the protobuf descriptors.
+A dataclass and its protobuf message have the same field names, so the table only pairs the
+types; the conversion follows from the protobuf descriptors.
 """
 
 from dataclasses import fields
@@ -57,15 +57,15 @@
     quota_messages.QuotaGrant: ("quota_grant", pb.QuotaGrant),
 }
 
-# Types that appear only inside others.
+# Types that occur only as fields of others.
 PARTS = {
     messages.RunningRecord: pb.RunningRecord,
     messages.RetryHistory: pb.RetryHistory,
     peer_messages.EngineEntry: pb.EngineEntry,
 }
 
-# What an enumeration's unknown value from a newer peer is read as. A refusal for a reason this router
-# doesn't know is still a refusal: dropping it would leave its request waiting for ever.
+# Replacement for an enumeration value unknown here, sent by a newer peer. A refusal for an unknown reason is still
+# a refusal: dropping it would leave its request waiting forever.
 UNKNOWN_BY_ENUM = {
     Reason: Reason.OVERLOADED,
     MemberState: MemberState.ALIVE,
@@ -157,9 +157,9 @@
     message : dataclass instance
         Its type is a key of ``BODIES``.
     cell : str
-        Cell it concerns, for scheduler messages.
+        Cell that the message concerns, for messages to a scheduler.
     question, answer_to : int
-        Number that pairs a question with its answer on one connection; 0 for none.
+        Number that matches a query with its answer on one connection; 0 for none.
     """
     cls = type(message)
     body, _ = BODIES[cls]
