--- a/wagtailtrestle/peers/link.py
+++ b/wagtailtrestle/peers/link.py
@@ -1,4 +1,4 @@
-"""One stream to one peer: a reader and a writer, and what is known of its health."""
+"""One stream to one peer: reader, writer and the state of the connection."""
 
 import asyncio
 
@@ -9,17 +9,17 @@
 
 
 class Link:
-    """One established connection; lives as long as :meth:`run`.
+    """One established connection, open while :meth:`run` runs.
 
     Parameters
     ----------
     stream : grpclib stream of either end
     hello : Hello
-        What the peer said first.
+        The peer's first message.
     dialed_by : str
         Name of the router that opened the connection.
     outbox : Outbox
-        The peer's, shared by successive links.
+        Outbox of the peer, shared by successive links.
     deliver : callable
         Called with ``(link, item)`` for each ``pb.Item`` received.
     loop : asyncio event loop
@@ -72,7 +72,7 @@
         if not self.retired:
             self._writer = self._loop.create_task(self._write())
         try:
-            # A writer that fails (connection lost) is seen by the reader too.
+            # The reader also ends when the writer fails, as the connection is then lost.
             await asyncio.wait({self._reader})
         finally:
             self.reset()
@@ -80,21 +80,21 @@
             await asyncio.gather(*tasks, return_exceptions=True)
 
     def reset(self):
-        """End the connection now; what the peer has not read is lost."""
+        """End the connection immediately; what the peer has not read is lost."""
         self.closed = True
         for task in (self._reader, self._writer):
             if task is not None:
                 task.cancel()
 
     def retire(self):
-        """Send nothing more but read on for a while: the peer may have written to this connection already."""
+        """Stop sending but keep reading for a while, as the peer may already have written to this connection."""
         self.retired = True
         self._loop.call_later(RETIRE_AFTER_S, self.reset)
         if self._writer is not None:
             self._writer.cancel()
 
     def reset_silence(self, now):
-        """Count silence anew from now: this process itself was paused."""
+        """Measure the peer's silence from now on, after a pause of this process."""
         self.last_received = now
         if self.awaiting_since is not None:
             self.awaiting_since = now
@@ -113,7 +113,7 @@
         flushed_at = self._loop.time() - FLUSH_INTERVAL_S
         while True:
             await self._outbox.wait()
-            # The first item of a burst leaves at once; the rest of it shares the next batch.
+            # The first item of a burst is sent immediately; the others share the next batch.
             early_s = flushed_at + FLUSH_INTERVAL_S - self._loop.time()
             if early_s > 0:
                 await asyncio.sleep(early_s)
@@ -125,13 +125,13 @@
             self.items_sent += len(items)
 
     def _expect_response(self, now):
-        """Note from when on the peer's silence tells something, if what was just taken asks for a sign."""
+        """Set the time from which silence counts against the peer, if the batch just taken expects a response."""
         patience_s = self._outbox.patience_s
         if patience_s is not None and (self.awaiting_since is None or now + patience_s < self.awaiting_since):
             self.awaiting_since = now + patience_s
 
     def dump(self):
-        """State for the dump: ages in seconds."""
+        """State for the state dump; ages in seconds."""
         now = self._loop.time()
         return {
             "dialed_by": self.dialed_by,
