--- a/wagtailtrestle/peers/pending_queries.py
+++ b/wagtailtrestle/peers/pending_queries.py
@@ -1,10 +1,10 @@
-"""Questions to peers that wait for their answers."""
+"""Queries to peers that wait for their answers."""
 
 from wagtailtrestle.contracts.peer_messages import NoAnswer, PeerUnreachable
 
 
 class PendingQueries:
-    """Pairs questions with answers by number.
+    """Matches answers to queries by number.
 
     Parameters
     ----------
@@ -19,7 +19,7 @@
         self._waiting_by_number = {}
 
     def begin(self, peer):
-        """Number a question to ``peer``; return the number and the future of its answer."""
+        """Register a query to ``peer``; return its number and the future of its answer."""
         number = self._next_number
         self._next_number += 1
         answer = self._loop.create_future()
@@ -27,11 +27,11 @@
         return number, answer
 
     def end(self, number):
-        """Forget a question; a late answer to it is dropped."""
+        """Remove a query; a late answer to it is dropped."""
         del self._waiting_by_number[number]
 
     def answered(self, peer, number, message):
-        """Take an answer; ``None`` stands for one of a type unknown here."""
+        """Complete a query with its answer; ``None`` stands for one of a type unknown here."""
         expected_peer, answer = self._waiting_by_number.get(number, (None, None))
         if expected_peer != peer or answer.done():
             return
@@ -40,7 +40,7 @@
         answer.set_result(message)
 
     def fail(self, peer, detail):
-        """End all questions to a peer whose connection was lost: their answers can't come any more."""
+        """Complete all queries to a peer with ``PeerUnreachable``, as their answers can no longer arrive."""
         for expected_peer, answer in self._waiting_by_number.values():
             if expected_peer == peer and not answer.done():
                 answer.set_result(PeerUnreachable(peer=peer, detail=detail))
