--- a/wagtailtrestle/peers/connection.py
+++ b/wagtailtrestle/peers/connection.py
@@ -1,4 +1,4 @@
-"""Opens and takes grpclib connections between routers, up to the exchange of ``Hello``."""
+"""Opens and accepts grpclib connections between routers, up to the exchange of ``Hello``."""
 
 import asyncio
 import socket
@@ -22,13 +22,13 @@
 
 
 class Connection:
-    """A connection this router opened.
+    """A connection that this router opened.
 
     Parameters
     ----------
     channel : grpclib.client.Channel
     context : grpclib.client.Stream
-        Its one stream, before and after it was entered.
+        The only stream of the connection, as a context manager.
     """
 
     __slots__ = ("_channel", "_context", "hello", "stream")
@@ -40,20 +40,20 @@
         self.hello = None
 
     async def exchange_hello(self, own_hello):
-        """Send this router's ``Hello`` and wait for the peer's, ``None`` if it is none."""
+        """Send this router's ``Hello`` and wait for the peer's; ``hello`` is ``None`` if it sent something else."""
         self.stream = await self._context.__aenter__()
         try:
             await self.stream.send_message(pb.Batch(items=[encode(own_hello)]))
         except AttributeError as error:
-            # The library drops a lost connection's transport; one lost between opening and first use shows as
-            # this. Uncaught, dialing would end unreported and never be tried again.
+            # grpclib drops the transport of a lost connection, so one lost between opening and first use raises this
+            # error. Uncaught, it would end dialing without a report, and no further attempt would be made.
             if error.name != LOST_ATTRIBUTE:
                 raise
             raise ConnectionResetError("connection lost before it was used") from error
         self.hello = hello_from(await self.stream.recv_message())
 
     def close(self):
-        """End the connection at once."""
+        """End the connection immediately."""
         self._channel.close()
 
 
@@ -63,7 +63,7 @@
     Returns
     -------
     Connection or str
-        What went wrong, if it is a text.
+        A string is the reason of a failure.
     """
     host, _, port = address.rpartition(":")
     if not port.isdigit():
@@ -86,7 +86,7 @@
 
 
 async def receive_hello(stream, *, own_hello):
-    """Take the ``Hello`` of a router that connected and answer it; ``None`` if it gave none."""
+    """Receive the ``Hello`` of a router that connected, and answer it; ``None`` if it sent none."""
     try:
         async with asyncio.timeout(HELLO_TIMEOUT_S):
             hello = hello_from(await stream.recv_message())
@@ -99,7 +99,7 @@
 
 
 def hello_from(batch):
-    """The ``Hello`` that a first batch holds, or ``None``."""
+    """``Hello`` in a first batch, or ``None``."""
     if batch is None or not batch.items:
         return None
     message = decode(batch.items[0])
@@ -117,12 +117,12 @@
 
 
 class Listener:
-    """Takes connections from other routers.
+    """Accepts connections from other routers.
 
     Parameters
     ----------
     address : str
-        ``host:port``; port 0 picks one.
+        ``host:port``; port 0 selects a free one.
     accept : coroutine function
         Called with the stream of each connection.
     """
@@ -135,7 +135,7 @@
         self._server = None
 
     async def start(self):
-        """Listen; ``address`` then holds the true port."""
+        """Listen; ``address`` then has the actual port."""
         host, _, port = self.address.rpartition(":")
         listener = _listening_socket(host=host, port=int(port))
         self._server = Server([_Service(accept=self._accept)])
@@ -143,7 +143,7 @@
         self.address = f"{host}:{listener.getsockname()[1]}"
 
     async def close(self):
-        """Stop listening and end the connections taken."""
+        """Stop listening and close the accepted connections."""
         if self._server is not None:
             self._server.close()
             await self._server.wait_closed()
@@ -152,8 +152,8 @@
 def _listening_socket(*, host, port):
     listener = socket.socket(socket.AF_INET6 if ":" in host else socket.AF_INET, socket.SOCK_STREAM)
     listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-    # Accepted sockets inherit these. The router that opened a connection replaces it when it goes silent; the
-    # other end would keep the dead socket for ever, as grpclib gives a server no way to close one.
+    # Accepted sockets inherit these options. The router that opened a connection replaces it when it goes silent;
+    # without keepalive the other end would keep the dead socket forever, as a grpclib server can't close one.
     listener.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     listener.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_S)
     listener.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_S)
