--- a/wagtailtrestle/peers/watch.py
+++ b/wagtailtrestle/peers/watch.py
@@ -1,4 +1,4 @@
-"""Watches open links for silence and for want of use."""
+"""Detects silent and idle links."""
 
 import asyncio
 
@@ -13,19 +13,19 @@
 
 
 class LinkWatch:
-    """Looks at all links at a short interval.
+    """Checks all links at a short interval.
 
-    A link nothing is sent on costs nothing; once something was sent and nothing came back
-    for a while, the peer is asked for a sign of life on that very connection.
+    A link without traffic costs nothing. If something was sent and nothing was received for
+    a while, the peer is pinged on the same connection.
 
     Parameters
     ----------
     states : callable
         ``() -> list of PeerState``.
     on_silent, on_idle : callable
-        ``(PeerState)``: its link is silent, or is not worth keeping.
+        ``(PeerState)``: its link is silent, or idle.
     name : str
-        This router; only who opened a link closes it for want of use.
+        This router. Only the router that opened a link closes it when idle.
     loop : asyncio event loop
     """
 
@@ -44,7 +44,7 @@
         while True:
             await asyncio.sleep(INTERVAL_S)
             now = self._loop.time()
-            # After a pause of this process what peers sent still waits unread: it is this end that was silent.
+            # After a pause of this process the peers' messages are still unread: this end was silent, not theirs.
             was_paused = now - checked_at > PAUSED_AFTER_S
             checked_at = now
             for state in self._states():
@@ -61,8 +61,8 @@
             self._on_idle(state)
 
     def _check_silence(self, state, waited_s):
-        # A connection that something between the ends has lost track of stays open and carries nothing.
-        # Without this the peer looks alive and every message to it vanishes; a new connection works.
+        # A connection whose state a device between the ends has lost stays open but carries nothing. Without this
+        # check the peer appears alive while every message to it is lost; a new connection works.
         if waited_s > SILENT_AFTER_S:
             self._on_silent(state)
         elif waited_s > PING_AFTER_S and not state.link.pinged:
