--- a/wagtailtrestle/peers/rendezvous.py
+++ b/wagtailtrestle/peers/rendezvous.py
@@ -1,7 +1,7 @@
 """Rendezvous (highest random weight) hashing: which router is responsible for a key.
 
-Every router computes the same choice from the same members, without any agreement. When a
-member goes, only its keys move, and they spread evenly over the rest.
+Every router computes the same choice from the same members, without coordination. When a
+member leaves, only its keys move, and they are spread evenly over the remaining members.
 """
 
 from hashlib import blake2b
@@ -15,9 +15,9 @@
 
 
 class Rendezvous:
-    """Chooses members for keys; hashes each pair of key and member once.
+    """Chooses members for keys, hashing each pair of key and member once.
 
-    The ranking of all members for a key is kept until the members change.
+    The ranking of all members for a key is cached until the members change.
     """
 
     __slots__ = ("_members", "_ranked_by_key", "_weights_by_key")
@@ -28,7 +28,7 @@
         self._weights_by_key = {}
 
     def ranked(self, *, key, members):
-        """All members, the responsible one first.
+        """Rank all members for a key, the responsible one first.
 
         Parameters
         ----------
@@ -38,7 +38,7 @@
         Returns
         -------
         tuple of str
-            The second is who takes over if the first goes, and so on.
+            The second takes over if the first leaves, and so on.
         """
         if members != self._members:
             self._set_members(members)
@@ -48,7 +48,7 @@
         return ranked
 
     def choose(self, *, key, members):
-        """The responsible member, or ``None`` without members."""
+        """Responsible member, or ``None`` if there are no members."""
         ranked = self.ranked(key=key, members=members)
         return ranked[0] if ranked else None
 
