--- a/wagtailtrestle/peers/routes.py
+++ b/wagtailtrestle/peers/routes.py
@@ -1,11 +1,11 @@
-"""Sends to a peer directly, or through a third router while only the direct way is cut.
+"""Sends to a peer directly, or relayed by a third router while only the direct path is broken.
 
 The failure: one router can't reach another that all others reach (a lost route, a firewall's
-state). It stays in every view, so it stays scheduler of its cells, and this router's requests
-for them would wait until their deadlines. Choosing another scheduler for this router alone
-would give the cell two accounts for as long as the cut lasts, so the messages take a detour
-of one hop instead. The detour promises nothing; who uses it repeats itself (``Directory``
-registers again each second).
+state). The unreachable router stays in every view and therefore scheduler of its cells, and
+this router's requests for them would wait until their deadlines. Choosing another scheduler
+for this router alone would give the cell two schedulers while the failure lasts, so the
+messages are relayed over one hop instead. Relayed delivery is not reliable, so its users
+repeat their messages (``Directory`` registers again each second).
 """
 
 from wagtailtrestle.contracts.peer_messages import Relayed
@@ -16,7 +16,7 @@
 
 
 class PeerRoutes:
-    """Ways to the peers.
+    """Direct and relayed paths to the peers.
 
     Parameters
     ----------
@@ -37,12 +37,12 @@
         peers.on(Relayed, self._on_relayed)
 
     def needs_relay(self, peer):
-        """Whether the direct way to a router that lives has been broken for a while."""
+        """Whether the direct path to a live router has been broken for a while."""
         unreachable_s = self._peers.unreachable_s(peer)
         return unreachable_s is not None and unreachable_s > RELAY_AFTER_S and peer in self._members()
 
     def send(self, peer, message, *, cell=""):
-        """Queue a message; ``False`` if there is no way now."""
+        """Queue a message; ``False`` if there is no path to the peer now."""
         if not self.needs_relay(peer):
             return self._peers.send(peer, message, cell=cell)
         helper = self._choose_relay(peer)
@@ -52,7 +52,7 @@
         return self._peers.send(helper, Relayed(source=self._name, target=peer, item=item))
 
     def _choose_relay(self, target):
-        """A connected router, another one each second, as any one may be cut off from the target too."""
+        """Choose a connected router, rotating each second, as any one may be unable to reach the target too."""
         others = (name for name in self._members() if name not in (self._name, target))
         connected = [name for name in others if self._peers.connected(name)]
         if not connected:
@@ -63,6 +63,6 @@
         if message.target == self._name:
             self._peers.deliver_relayed(message.source, message.item)
         elif peer == message.source and self._peers.connected(message.target):
-            # One hop only: routers that can't reach the target must not pass the item around.
+            # One hop only: routers that can't reach the target must not forward the item in circles.
             self.relayed += 1
             self._peers.send(message.target, message)
