--- a/wagtailtrestle/peers/state.py
+++ b/wagtailtrestle/peers/state.py
@@ -1,4 +1,4 @@
-"""What this router holds about one peer."""
+"""State that this router keeps for one peer."""
 
 from wagtailtrestle.peers.outbox import Outbox
 
@@ -7,18 +7,18 @@
 
 
 class PeerState:
-    """Address, queue, current link and dialing.
+    """Address, outgoing queue, current link and dialing state of a peer.
 
     Attributes
     ----------
     kept : bool
-        Whether its link stays open while nothing is sent.
+        Whether its link stays open while idle.
     recover_until : float
-        Loop time until which a lost connection is replaced even if nothing is queued.
+        Loop time until which a lost connection is reopened even if nothing is queued.
     unreachable_since : float or None
         When connections to it began to fail.
     used_at : float
-        When something else than a sign of life was last sent or received.
+        When a message other than a ping or pong was last sent or received.
     """
 
     __slots__ = (
@@ -58,7 +58,7 @@
         self.recover_until = self.used_at = loop.time()
 
     def set_link(self, link):
-        """Take a new link."""
+        """Set the new link and reset the failure state."""
         self.link = link
         self.incarnation = link.hello.incarnation
         self.address = link.hello.address or self.address
@@ -68,24 +68,24 @@
         self.reconnects += 1
 
     def record_failure(self, error, now):
-        """Note a connection that could not be opened."""
+        """Record a failed attempt to connect."""
         self.failures += 1
         self.last_error = error
         if self.unreachable_since is None:
             self.unreachable_since = now
 
     def next_backoff_s(self):
-        """Longest wait before the next try; doubles each time."""
+        """Maximum wait before the next attempt, doubled each time."""
         backoff_s = self.backoff_s
         self.backoff_s = min(BACKOFF_MAX_S, backoff_s * 2)
         return backoff_s
 
     def needs_link(self, now):
-        """Whether a connection is to be opened while there is none."""
+        """Whether a connection should be opened if there is none."""
         return self.kept or bool(len(self.outbox)) or now < self.recover_until
 
     def dump(self):
-        """State for the dump."""
+        """State for the state dump."""
         return {
             "address": self.address,
             "incarnation": self.incarnation,
