--- a/wagtailtrestle/peers/links.py
+++ b/wagtailtrestle/peers/links.py
@@ -1,4 +1,4 @@
-"""Opens, takes, chooses and ends the links to peers."""
+"""Opens, accepts, selects and closes the links to peers."""
 
 import asyncio
 import random
@@ -14,7 +14,7 @@
 
 
 class PeerLinks:
-    """Keeps each peer's link as ``PeerState`` wants it.
+    """Maintains the link of each peer as its ``PeerState`` requires.
 
     Parameters
     ----------
@@ -22,16 +22,16 @@
     incarnation : int
     listen_address : str
     advertised_address : str
-        Told to peers; empty for the one listened on.
+        Address sent to peers; empty for ``listen_address``.
     loop : asyncio event loop
     state_of : callable
-        ``(name) -> PeerState``, made if it is new.
+        ``(name) -> PeerState``, created if missing.
     deliver : callable
         ``(Link, pb.Item)``.
     on_linked : callable
         ``(PeerState)``: it has a new link.
     on_lost : callable
-        ``(PeerState, detail)``: what was under way on its link is lost.
+        ``(PeerState, detail)``: its link was lost, with all messages in flight.
     on_failed : callable
         ``(PeerState, detail)``: no connection could be opened.
     seed : int, optional
@@ -70,7 +70,7 @@
 
     @property
     def address(self):
-        """Where peers reach this router."""
+        """Address at which peers reach this router."""
         return self._advertised_address or self._listener.address
 
     @address.setter
@@ -82,7 +82,7 @@
         await self._listener.start()
 
     async def close(self, states):
-        """End every link and connection under way."""
+        """Close every link, and every connection being opened."""
         self._closed = True
         for state in states:
             if state.link is not None:
@@ -94,13 +94,13 @@
         await self._listener.close()
 
     def dial_if_needed(self, state):
-        """Begin to open a connection, unless there is one or one is being opened."""
+        """Start to open a connection, unless there is one or one is being opened."""
         if self._closed or state.link is not None or state.dialing is not None or state.address is None:
             return
         state.dialing = self._loop.create_task(self._dial_until_linked(state))
 
     def drop(self, state, detail):
-        """End a peer's link at once, and open another if it is wanted."""
+        """Close a peer's link immediately, and open another if one is needed."""
         link, state.link = state.link, None
         state.last_error = detail
         link.reset()
@@ -120,13 +120,13 @@
 
     async def _back_off(self, state):
         delay_s = state.next_backoff_s() * self._random.uniform(0.5, 1.0)
-        # Items for a peer that stays away are of no use later: everything is re-registered on reconnect.
+        # Items queued for a peer that stays unreachable are useless later: everything is re-registered on reconnect.
         if state.unreachable_since is not None and self._loop.time() - state.unreachable_since > QUEUE_RETENTION_S:
             state.outbox.clear()
         await asyncio.sleep(delay_s)
 
     async def _dial(self, state):
-        """Try once; ``True`` when a link is up."""
+        """Make one attempt; ``True`` if a link is up."""
         connection = await connect(address=state.address, name=state.name, own_hello=self._hello())
         if isinstance(connection, str):
             self._dial_failed(state, connection)
@@ -152,7 +152,7 @@
         if state.link is None:
             self._on_failed(state, error)
 
-    # Taking connections.
+    # Accepting connections.
 
     async def _accept(self, stream):
         hello = await receive_hello(stream, own_hello=self._hello())
@@ -180,13 +180,13 @@
             loop=self._loop,
         )
 
-    # Choosing.
+    # Selecting one of several connections.
 
     def _adopt(self, state, link):
-        """Make a new link the peer's, or only read it if it lost a tie; ``False`` to refuse it."""
+        """Make a new link the peer's current one, or only read from it if it lost a tie; ``False`` to reject it."""
         if link.hello.incarnation < state.incarnation:
-            # A connection of a process that was replaced (delayed in the network, or frozen and woken):
-            # its messages would undo what its successor said.
+            # The connection is from a process that was since replaced (delayed in the network, or resumed after a
+            # freeze): its messages would overwrite those of its successor.
             state.stale_dropped += 1
             return False
         old = state.link
@@ -200,8 +200,8 @@
         return True
 
     def _keeps_old(self, old, new):
-        # Both ends dialed at the same moment: each would otherwise drop the connection that the other
-        # kept, and go on dialing. Both keep the one that the router with the lower name opened.
+        # Both ends dialed at the same moment. Without a rule each would drop the connection that the other keeps,
+        # and dial again. Both keep the one opened by the router with the lower name.
         return (
             old.hello.incarnation == new.hello.incarnation
             and old.dialed_by != new.dialed_by
@@ -215,7 +215,7 @@
         else:
             link.retire()
 
-    # Links that end.
+    # Lost links.
 
     def _link_ended(self, state, link):
         if state.link is link:
@@ -226,8 +226,8 @@
         self._on_lost(state, detail)
         now = self._loop.time()
         if now - state.used_at < RECENT_USE_S:
-            # A message may have been lost, and there may be no other to send: a request would wait for its
-            # grant until its deadline. A new connection makes both ends register; none at all is evidence.
+            # A message may have been lost, and no other may follow: a request would wait for its grant until its
+            # deadline. A new connection makes both ends register; a failed one is evidence for a suspicion.
             state.recover_until = now + RECOVER_FOR_S
         if state.needs_link(now):
             self.dial_if_needed(state)
