--- a/wagtailtrestle/peers/broadcast.py
+++ b/wagtailtrestle/peers/broadcast.py
@@ -1,4 +1,4 @@
-"""Brings a message to every router by passing it on, for what all must learn and few say."""
+"""Broadcast by flooding: messages that few routers send and all must receive."""
 
 from collections import OrderedDict
 
@@ -6,10 +6,10 @@
 
 
 class Broadcast:
-    """Passes each message on once, along the targets that the membership names.
+    """Forwards each message once to the targets given by the membership.
 
-    Sending to all of 370 routers oneself would open a connection to each; along the ring
-    and its fingers a message reaches all in a few hops, over connections that are there.
+    Sending directly to all of 370 routers would open a connection to each. Along the ring and
+    its fingers a message reaches all routers in a few hops over existing connections.
 
     Parameters
     ----------
@@ -27,20 +27,20 @@
         self._seen = OrderedDict()
 
     def on(self, message_type, *, key, handler):
-        """Have ``handler(message)`` called once for each message from elsewhere.
+        """Register ``handler(message)``, called once for each message from other routers.
 
         Parameters
         ----------
         message_type : type
         key : callable
-            ``(message)``: equal for messages that are the same.
+            ``(message)``: equal for copies of the same message.
         handler : callable
         """
         self._rules_by_type[message_type] = (key, handler)
         self._peers.on(message_type, self._on_message)
 
     def send(self, message):
-        """Tell everybody."""
+        """Send a message to all routers."""
         if self._mark_seen(message):
             self._forward(message)
 
@@ -51,6 +51,7 @@
             handler(message)
 
     def _mark_seen(self, message):
+        """Record a message as seen; ``False`` if it was seen before."""
         key, _ = self._rules_by_type[type(message)]
         name = (type(message), key(message))
         if name in self._seen:
