--- a/wagtailtrestle/peers/outbox.py
+++ b/wagtailtrestle/peers/outbox.py
@@ -1,4 +1,4 @@
-"""Bounded queue of encoded items on their way to one peer."""
+"""Bounded queue of encoded items to one peer."""
 
 import asyncio
 
@@ -9,7 +9,7 @@
 
 
 class _Queued:
-    """One item that waits."""
+    """One queued item."""
 
     __slots__ = ("related_request", "item", "must_send_at", "patience_s", "may_send_at", "size")
 
@@ -23,23 +23,23 @@
 
 
 class Outbox:
-    """Items that wait for a connection to one peer, oldest first.
+    """Items queued for one peer, oldest first.
 
-    An item that only informs may wait a while for a batch that leaves anyway
-    (``peers.delays``). One that is replaceable waits longer, and whatever is queued about the
-    same request after it takes its place, so nothing overtakes what was said before.
+    An item that only informs may wait for a batch that is sent anyway (``peers.delays``). A
+    replaceable item waits longer, and any later item about the same request removes it, so
+    an outdated one is never sent after a newer one.
 
     Parameters
     ----------
     loop : asyncio event loop
     max_bytes : int
-        Bound of what is queued; an item beyond it is not taken.
+        Limit of the queued bytes; an item beyond it is rejected.
 
     Attributes
     ----------
     queued_bytes : int
     patience_s : float or None
-        How long the batch taken last may go without a sign of life; ``None`` if it asks for none.
+        Time after sending the last batch from which the peer's silence counts; ``None`` if it expects no response.
     """
 
     __slots__ = (
@@ -76,8 +76,8 @@
         Parameters
         ----------
         item : pb.Item
-        about : str
-            Request that the item concerns, if any.
+        related_request : str
+            ID of the request that the item concerns, if any.
         delay : Delay
         """
         size = item.ByteSize()
@@ -97,17 +97,17 @@
         return True
 
     def _supersede(self, number, newer, delay):
-        """Drop a replaceable item; a newer one of its kind leaves when it would have left."""
+        """Drop a replaceable item. A newer replaceable one inherits its times, so that it isn't postponed forever."""
         older = self._remove(number)
         if delay.is_replaceable:
             newer.may_send_at, newer.must_send_at = older.may_send_at, older.must_send_at
 
     async def wait(self):
-        """Wait until an item must leave."""
+        """Wait until an item must be sent."""
         await self._wake.wait()
 
     def take_batch(self):
-        """Remove and return the oldest items that may leave now, up to one batch."""
+        """Remove and return the oldest items that may be sent now, up to one batch."""
         now = self._loop.time()
         batch, batch_bytes = [], 0
         self.patience_s = None
@@ -123,13 +123,13 @@
         return batch
 
     def release(self):
-        """Hold nothing back any more: this end closes."""
+        """Send all items without waiting from now on, as this end closes."""
         self._is_released = True
         if self._queued_by_number:
             self._wake.set()
 
     def clear(self):
-        """Drop everything queued; return how many items that was."""
+        """Drop all queued items and return their number."""
         dropped = len(self._queued_by_number)
         self._queued_by_number.clear()
         self._replaceable_by_request.clear()
@@ -151,7 +151,7 @@
     # Waking the writer.
 
     def _schedule_next_wake(self, now):
-        """Wake again only when one of the items left must leave."""
+        """Wake the writer when the next of the remaining items must be sent."""
         self._wake.clear()
         self._cancel_timer()
         if self._queued_by_number:
