--- a/wagtailtrestle/peers/peers_grpc.py
+++ b/wagtailtrestle/peers/peers_grpc.py
@@ -1,14 +1,14 @@
-"""Links to the other routers: one long-lived grpclib stream per pair, batched items.
+"""Links to the other routers: one long-lived grpclib stream per pair, with batched items.
 
-``Peers`` owns the server, the connections and the outgoing queues. Whoever first has
-something to say opens the connection; both directions use it.
+``Peers`` owns the server, the connections and the outgoing queues. The router that first has
+a message to send opens the connection; both directions use it.
 
 What a broken connection may lose
 ---------------------------------
-Items that were written but not read when a connection ends are lost, and a whole queue is
-dropped when it overflows. Grants, finishes and everything else between entries and
-schedulers are covered by the re-registration that ``on_reconnect`` triggers at both ends: a
-``Register`` replaces all that the scheduler knew of that entry. Questions in flight end in
+Items that were written but not read when a connection ends are lost, and a queue that
+overflows is dropped completely. Grants, finished runs and all other messages between entries
+and schedulers are covered by the re-registration that ``on_reconnect`` triggers at both ends:
+a ``Register`` replaces all that the scheduler knew of that entry. Queries in flight end in
 ``PeerUnreachable``. View events and generations are repeated by later heartbeats.
 """
 
@@ -29,20 +29,20 @@
 
 
 class Peers:
-    """Connections to every router this one talks to.
+    """Connections to the other routers.
 
     Parameters
     ----------
     name : str
         This router's name.
     incarnation : int
-        Larger than that of any earlier process of this name.
+        Greater than that of any earlier process of this name.
     listen_address : str
-        ``host:port`` to take connections on; port 0 picks one, see ``address``.
+        ``host:port`` to accept connections on; port 0 selects a free one, see ``address``.
     loop : asyncio event loop
     zone : str
     advertised_address : str
-        ``host:port`` told to peers, if it is not the one listened on.
+        ``host:port`` sent to peers, if it differs from ``listen_address``.
     """
 
     def __init__(self, *, name, incarnation, listen_address, loop, zone="", advertised_address="", seed=None):
@@ -81,7 +81,7 @@
 
     @property
     def address(self):
-        """``host:port`` told to peers."""
+        """``host:port`` sent to peers."""
         return self._links.address
 
     @address.setter
@@ -89,12 +89,12 @@
         self._links.address = address
 
     async def start(self):
-        """Listen and begin to watch the links."""
+        """Listen and start to watch the links."""
         await self._links.start()
         self._watching = self._loop.create_task(self._watch.run())
 
     async def close(self):
-        """Send what is queued on open links, then end every connection."""
+        """Send the items queued on open links, then close every connection."""
         await self._flush(timeout_s=FLUSH_TIMEOUT_S)
         self._closed = True
         tasks = list(self._tasks)
@@ -105,31 +105,31 @@
         await asyncio.gather(*tasks, return_exceptions=True)
         await self._links.close(list(self._states_by_name.values()))
 
-    # What the rest of the router uses.
+    # Public interface.
 
     def on(self, message_type, handler):
-        """Have ``handler(peer, message, cell)`` called for each message of a type.
+        """Register ``handler(peer, message, cell)`` for a message type.
 
-        What it returns, or what the awaitable it returns gives, answers a question.
+        Its result, awaited if it is awaitable, is the answer if the message is a query.
         """
         self._handlers_by_type[message_type] = handler
 
     def on_reconnect(self, callback):
-        """Have ``callback(peer)`` called after each new connection, whoever opened it."""
+        """Register ``callback(peer)``, called after each new connection, whichever end opened it."""
         self._reconnect_callbacks.append(callback)
 
     def on_unreachable(self, callback):
-        """Have ``callback(peer, detail)`` called when a new connection to a peer failed too."""
+        """Register ``callback(peer, detail)``, called when a new connection to a peer failed too."""
         self._unreachable_callbacks.append(callback)
 
     def set_addresses(self, addresses_by_name):
-        """Learn or correct where peers listen; links that are up stay."""
+        """Set or correct the addresses of peers. Open links are not affected."""
         for name, address in addresses_by_name.items():
             if name != self.name:
                 self._state(name).address = address
 
     def keep_open(self, names):
-        """Hold links to exactly these peers open also while nothing is sent."""
+        """Keep links to exactly these peers open while idle."""
         for state in self._states_by_name.values():
             state.kept = state.name in names
         for name in names:
@@ -148,12 +148,12 @@
             state.dialing.cancel()
 
     def send(self, peer, message, *, cell=""):
-        """Queue a message; ``False`` if there is no way to reach the peer now."""
+        """Queue a message; ``False`` if the peer can't be reached now."""
         item = encode(message, cell=cell)
         return self._enqueue(peer, item, related_request=getattr(message, "request_id", ""), delay=delay_of(message))
 
     async def query(self, peer, message, timeout_s, *, cell=""):
-        """Ask a peer and wait for its answer, or ``PeerUnreachable``."""
+        """Send a query to a peer; return its answer, or ``PeerUnreachable``."""
         number, answer = self._pending_queries.begin(peer)
         try:
             if not self._enqueue(peer, encode(message, cell=cell, question=number)):
@@ -171,38 +171,38 @@
         return state is not None and state.link is not None
 
     def silent_s(self, peer):
-        """Seconds since the peer was last heard on its present link, or ``None`` without one."""
+        """Seconds since the last item was received on the peer's current link, or ``None`` without one."""
         state = self._states_by_name.get(peer)
         if state is None or state.link is None:
             return None
         return self._loop.time() - state.link.last_received
 
     def unreachable_s(self, peer):
-        """Seconds since connections to the peer began to fail, or ``None`` if they don't."""
+        """Seconds since connections to the peer began to fail, or ``None`` if they don't fail."""
         state = self._states_by_name.get(peer)
         if state is None or state.link is not None or state.unreachable_since is None:
             return None
         return self._loop.time() - state.unreachable_since
 
     def fail_queries(self, peer):
-        """Answer every open question to a peer that is gone with ``PeerUnreachable``."""
-        self._pending_queries.fail(peer, "not in the view any more")
+        """Complete every open query to a peer that left the view with ``PeerUnreachable``."""
+        self._pending_queries.fail(peer, "no longer in the view")
 
     def deliver_relayed(self, source, data):
-        """Take an encoded item that another router passed on for ``source``."""
+        """Deliver an encoded item that another router relayed for ``source``."""
         item = pb.Item.FromString(data)
         message = decode(item)
         if message is not None and not item.question and not item.answer_to:
             self._dispatch(source, message, item)
 
     def reopen(self, peer):
-        """Give up the present link, which seems silent, and open a new one."""
+        """Close the current link, which seems silent, and open a new one."""
         state = self._state(peer)
         if state.link is not None:
             self._links.drop(state, "silent")
 
     def dump(self):
-        """State for the dump, by peer."""
+        """State for the state dump, by peer."""
         return {name: state.dump() for name, state in sorted(self._states_by_name.items())}
 
     # Links and sending.
@@ -225,10 +225,10 @@
         return True
 
     def _overflow(self, state):
-        # A peer that stops reading (frozen, or too slow) would make this router hold its messages without
-        # bound. Dropping the whole queue and the link is safe because nothing in it is kept only there: after
-        # the reconnect each entry re-registers all it holds, and a question's asker gets PeerUnreachable.
-        # Dropping single items and keeping the link would not be: neither end would know to re-register.
+        # A peer that stops reading (frozen, or too slow) would make this router buffer messages without bound.
+        # Dropping the complete queue and the link is safe because the queue is never the only copy: after the
+        # reconnect each entry re-registers all that it holds, and the sender of a query gets PeerUnreachable.
+        # Dropping single items and keeping the link would not be safe: neither end would know to re-register.
         state.overflows += 1
         state.outbox.clear()
         if state.link is not None:
@@ -253,7 +253,7 @@
         while self._loop.time() < deadline:
             states = self._states_by_name.values()
             is_empty = not any(state.link is not None and len(state.outbox) for state in states)
-            # Once more, since the last batch taken may still be on its way into the socket.
+            # Wait once more, since the last batch taken may not have been written to the socket yet.
             await asyncio.sleep(FLUSH_POLL_INTERVAL_S)
             if is_empty:
                 return
@@ -282,7 +282,7 @@
     def _dispatch(self, peer, message, item):
         handler = self._handlers_by_type.get(type(message))
         if handler is None:
-            # A newer peer's item, or one for a part this router doesn't run.
+            # An item of a newer peer, or one for a part that this router doesn't run.
             self.unknown_items += 1
             result = NoAnswer()
         else:
@@ -293,8 +293,8 @@
             self._answer(peer, result, item.question)
 
     def _handle(self, handler, peer, message, cell):
-        # A defect in one handler must not end the link: the same message would come again after each
-        # reconnect. The loop's exception handler decides whether the process goes on.
+        # An exception in a handler must not end the link: the same message would arrive again after each
+        # reconnect. The loop's exception handler decides whether the process continues.
         try:
             return handler(peer, message, cell)
         except Exception as error:
