--- a/wagtailtrestle/peers/__init__.py
+++ b/wagtailtrestle/peers/__init__.py
@@ -1,1 +1,1 @@
-"""Links between routers and who is reached by them."""
+"""Links between routers, and the delivery of messages to schedulers and entries."""
--- a/wagtailtrestle/peers/directory.py
+++ b/wagtailtrestle/peers/directory.py
@@ -1,20 +1,20 @@
-"""Finds the scheduler of a cell and the entry of a request, and carries messages to them.
-
-Implements ``ports.SchedulerLink`` and ``ports.EntryLink`` over membership and peers, with a
-local short cut. Nothing depends on a single message getting through: all that an entry
-holds for a cell is registered anew when the cell's scheduler changes, after each reconnect,
-after a pause of this process, and each second while messages take a detour.
-
-A message for a cell whose scheduler is, in this router's own view, someone else
--------------------------------------------------------------------------------
-Views may differ for a moment. Ways weighed: (1) bounce it: the sender, whose view still
-names this router, would send it here again, and the request hangs until views agree;
-(2) pass it on: two routers that each believe the other to be scheduler would pass it in
+"""Locates the scheduler of a cell and the entry of a request, and delivers messages to them.
+
+Implements ``ports.SchedulerLink`` and ``ports.EntryLink`` over membership and peers; messages
+within this router are delivered directly. No single message has to arrive: all that an entry
+holds for a cell is registered again when the cell's scheduler changes, after each reconnect,
+after a pause of this process, and each second while messages are relayed.
+
+A message for a cell that has another scheduler in this router's view
+---------------------------------------------------------------------
+Views may differ for a short time. Alternatives: (1) reject it: the sender, whose view still
+names this router, would send it here again, and the request would hang until the views agree;
+(2) forward it: two routers that each consider the other the scheduler would forward it in
 circles; (3) act as scheduler anyway. We do (3): a grant is capacity, not identity, so two
 schedulers may overfill an engine for the second or so that views differ, but only the entry
 dispatches, once per request. When the sender's view changes, it registers with the new
-scheduler and sends the old one an empty registration, which frees what was held here. A
-draining router alone does (2), since it grants nothing more: it passes the message to the
+scheduler and sends the old one an empty registration, which releases what was held here. Only
+a draining router does (2), since it grants nothing more: it forwards the message to the
 scheduler in its own view, which is never itself.
 """
 
@@ -38,9 +38,9 @@
 ENTRY_MESSAGES = (GrantRequest, Withdraw, RunStarted, RunProgress, RunFinished, Register, EngineNotice)
 SCHEDULER_MESSAGES = (Granted, Refused, Preempt, EngineDown)
 
-# Up to so many routers each entry registers also for the cells it holds nothing for, so that a new scheduler
-# soon knows it has heard everybody. Beyond, that would be a connection from every router to every scheduler;
-# a scheduler there waits out its bounded time of caution.
+# Up to this number of routers each entry also registers for cells for which it holds nothing, so that a new scheduler
+# soon knows that all entries have registered. In larger fleets this would need a connection from every router to every
+# scheduler; there a new scheduler waits until its bounded recovery time is over.
 EMPTY_REGISTRATION_LIMIT = 32
 RELAYED_REGISTER_INTERVAL_S = 1.0
 REGISTRATION_REQUEST_INTERVAL_S = 0.3
@@ -65,7 +65,7 @@
     cells : callable
         ``() -> iterable of str``: the cells of the configuration in force.
     set_members : callable, optional
-        ``(tuple of str)``: names of all entries alive, told to the local schedulers.
+        ``(tuple of str)``: sets the names of all live entries at the local schedulers.
     begin_cell : callable, optional
         ``(cell)``: this router has become scheduler of the cell.
     """
@@ -113,11 +113,11 @@
         membership.on_trusted(self._on_trusted)
 
     def scheduler_of(self, cell):
-        """Name of the router that is scheduler of a cell in the present view, or ``None``."""
+        """Name of the router that is scheduler of a cell in the current view, or ``None``."""
         return self._rendezvous.choose(key=cell, members=self._membership.view.members)
 
     def refresh(self):
-        """Register the cells whose scheduler changed; also call it when the configuration changed."""
+        """Register the cells whose scheduler changed. Must also be called after a change of the configuration."""
         if not self._membership.trusted:
             return
         cells = set(self._cells())
@@ -127,7 +127,7 @@
             self._check_scheduler(cell)
 
     def request_registrations(self, *, cell, entries):
-        """Ask entries that a local scheduler waits for to register, at a bounded rate."""
+        """Request registrations, at a bounded rate, from entries that a local scheduler waits for."""
         now = self._loop.time()
         for entry in entries:
             if now < self._registration_requested_at.get((cell, entry), 0.0):
@@ -139,14 +139,14 @@
                 self._routes.send(entry, RegisterAsk(), cell=cell)
 
     def dump(self):
-        """State for the dump: the scheduler of each cell."""
+        """State for the state dump: the scheduler of each cell."""
         return {cell: self.scheduler_of(cell) for cell in sorted(self._cells())}
 
     def send_to_scheduler(self, *, cell, message):
-        """Carry an entry's message; ``False`` if there is no scheduler now."""
+        """Send an entry's message; ``False`` if there is no scheduler now."""
         if not self._membership.trusted:
-            # This process starts or was paused, so its view may name a scheduler of long ago. What is not sent
-            # now is in the registration that follows as soon as a peer has told the present view.
+            # This process has just started or was paused, so its view may name a former scheduler. What is not
+            # sent now is part of the registration that follows as soon as a peer has sent the current view.
             return True
         scheduler = self._check_scheduler(cell)
         if scheduler is None:
@@ -154,7 +154,7 @@
         return self._send(scheduler, cell, message)
 
     def send_to_entry(self, *, entry, message):
-        """Carry a scheduler's message; ``False`` if the entry can't be reached now."""
+        """Send a scheduler's message; ``False`` if the entry can't be reached now."""
         if entry == self.name:
             self._loop.call_soon(self._deliver_to_entry, message)
             return True
@@ -172,11 +172,11 @@
     def _change_scheduler(self, cell, before, scheduler):
         self._scheduler_by_cell[cell] = scheduler
         if scheduler == self.name:
-            # A scheduler of before still holds that everybody has registered, and would grant at once beside
-            # all that was granted since: engines filled twice over.
+            # If this router was scheduler of the cell before, its scheduler still assumes that all entries have
+            # registered. It would grant immediately on top of what was granted since, and fill engines twice.
             self._begin_cell(cell)
         if before in self._membership.view.all_members:
-            # Without this a former scheduler that lives would hold this entry's places until told otherwise.
+            # Otherwise a former scheduler that is alive would keep this entry's slots occupied.
             self._send(before, cell, Register(entry=self.name, cell=cell, elsewhere=True))
         if scheduler is not None:
             self._send_registration(scheduler, cell)
@@ -191,7 +191,7 @@
         self._send(scheduler, cell, registration)
 
     def _registration(self, cell, requester):
-        """What this entry holds at ``asker``: nothing, if it has another scheduler for the cell."""
+        """Registration of this entry for ``requester``; empty if the cell has another scheduler in its view."""
         if self.scheduler_of(cell) == requester:
             return self._register(cell)
         return Register(entry=self.name, cell=cell, elsewhere=True)
@@ -222,7 +222,7 @@
             return
         restarted = self._update_incarnations(view)
         if restarted:
-            # A new process of that name knows nothing of what its predecessor held: let that go first.
+            # A new process doesn't know what its predecessor of the same name held, so that is released first.
             self._set_members(tuple(name for name in view.all_members if name not in restarted))
         self._set_members(view.all_members)
         self.refresh()
@@ -246,7 +246,7 @@
                 self._send_registration(peer, cell)
 
     def _on_unreachable(self, peer, detail):
-        # If the peer stays in the view all the same, the way to it is cut: what it didn't get goes round.
+        # If the peer stays in the view nevertheless, only the path to it is broken: relay what it didn't receive.
         for cell, scheduler in self._scheduler_by_cell.items():
             if scheduler == peer:
                 self._register_while_relayed(cell)
