--- a/wagtailtrestle/membership/membership.py
+++ b/wagtailtrestle/membership/membership.py
@@ -31,7 +31,7 @@
 REFRESH_DELAY_S = 0.005
 REFRESH_DELAY_PER_MEMBER_S = 0.0002
 """Events are batched for this much longer per member: a view of 195 members costs some two milliseconds to build and
-apply, and in a fleet that starts at once each router receives events about 194 others. The resulting 45 ms are little
+apply, and when a whole fleet starts each router receives events about 194 others. The resulting 45 ms are little
 compared to the 0.25 s until a lost router is declared dead."""
 RELAY_FINGERS = 2
 """With both neighbours this gives a fan-out of three, not counting the sender: four or five hops for some two hundred
@@ -39,8 +39,8 @@
 LATE_TICK_S = 0.25
 FROZEN_GAP_S = 0.8
 TRUST_TIMEOUT_S = 0.25
-"""Longest wait for a peer's view after a start or a pause: five times the some 50 ms within which a live peer answers.
-Where all routers start at once no router has a view to send, and none of them serves anything for this long."""
+"""Longest wait for a peer's view after a start or a pause: five times the roughly 50 ms that a live peer takes to
+answer. If all routers start simultaneously none has a view to send, and none serves anything for this long."""
 CONTACT_INTERVAL_S = 1.0
 
 
@@ -277,7 +277,7 @@
 
     def _on_sign_of_life(self, member):
         if not member.present:
-            # It is alive but doesn't know that it was declared dead; unless notified it would stay out for ever.
+            # It is alive but doesn't know that it was declared dead; unless notified it would stay out forever.
             self._peers.send(member.name, member.event())
         elif member.state is MemberState.SUSPECT:
             self._suspicions.on_sign_of_life(member)
--- a/wagtailtrestle/membership/view_sync.py
+++ b/wagtailtrestle/membership/view_sync.py
@@ -68,7 +68,7 @@
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
     def compare(self, peer, *, own, other):
-        """Compare the digest of a peer's heartbeat with the own one; pull the peer's view if they keep differing."""
+        """Compare this router's digest with that of a peer's heartbeat; pull the peer's view if they keep differing."""
         if own == other:
             self._mismatch_by_peer.pop(peer, None)
             return
