--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -81,8 +81,8 @@
         return got
 
     async def test_both_dial_at_once(self):
-        # Both routers dial at the same moment, so two connections come up and one is given up.
-        # Neither end may lose or repeat what was already written to the one that goes.
+        # Both routers dial at the same moment, so two connections are opened and one is closed again. Neither end may
+        # lose or repeat what was already written to the one that is closed.
         a, b = await self.pair()
         got_by_a, got_by_b = self.received_by(a), self.received_by(b)
         numbers = [str(number) for number in range(300)]
@@ -99,8 +99,8 @@
         self.assertIsInstance(await b.query("a", ConfigurationAsk(), 1), PeerUnreachable)
 
     async def test_connection_goes_silent(self):
-        # Something between the ends loses track of an open connection: it stays open and carries nothing.
-        # The sender hears nothing back, asks for a sign of life, and opens a new connection, which works.
+        # A device between the ends loses the state of an open connection, which stays open but carries nothing. The
+        # sender receives nothing, pings the peer, and opens a new connection, which works.
         a, b = await self.make("a"), await self.make("b")
         forwarder = TcpForwarder(target=b.address)
         await forwarder.start()
@@ -121,8 +121,9 @@
         self.assertEqual((forwarder.connections, unreachable), (2, []))
 
     async def test_end_of_a_run_is_lost_on_a_silent_connection(self):
-        # The scheduler never hears that a place is free, and nothing else is said on that connection. The end of a
-        # run waits longer than others for a sign, but not for ever: then a new connection makes the entry register.
+        # The scheduler never learns that a slot is free, and nothing else is sent on that connection. A finished run
+        # waits longer than other messages for a response, but not forever: then a new connection makes the entry
+        # register.
         a, b = await self.make("a"), await self.make("b")
         forwarder = TcpForwarder(target=b.address)
         await forwarder.start()
@@ -138,8 +139,8 @@
         await until(lambda: len(reconnected) == 2)
 
     async def test_informational_items_are_not_acknowledged(self):
-        # A run's progress and heartbeats go one way for a while. Were each answered by a sign of life, there
-        # would be three messages for one.
+        # The start of a run and heartbeats are sent in one direction for a while. If each triggered a ping and a pong,
+        # there would be three messages instead of one.
         a, b = await self.pair()
         a.send("b", RunStarted(request_id="x", engine="e", first_token_s=0.1))
         await until(lambda: a.connected("b"))
@@ -149,8 +150,8 @@
         self.assertEqual((a.dump()["b"]["link"]["items_received"], a.dump()["b"]["link"]["items_sent"]), (0, 2))
 
     async def test_connection_ends_between_opening_and_use(self):
-        # A peer dies just after it took the connection. Dialing must end as failed like any other: were it to end
-        # with an error, nobody would be told that the peer can't be reached, and nobody would try again.
+        # A peer dies just after it accepted the connection. The attempt must end as failed like any other: if it raised
+        # an error, the peer would not be reported as unreachable, and no further attempt would be made.
         b = await self.make("b")
         connect_channel = Channel.__connect__
 
@@ -164,8 +165,8 @@
             self.assertIsInstance(await connect(address=b.address, name="b", own_hello=hello), str)
 
     async def test_used_link_falls_quiet(self):
-        # One message is sent and none comes back, so the sender asks once for a sign of life. That sign needs
-        # none in return: otherwise both ends would ask each other for ever on every link once used.
+        # One message is sent and none is received, so the sender pings the peer once. The pong needs no response:
+        # otherwise both ends would ping each other forever on every link once used.
         a, b = await self.pair()
         got = self.received_by(b)
         a.send("b", Withdraw(request_id="x"))
@@ -174,7 +175,7 @@
         self.assertEqual(a.dump()["b"]["link"]["items_received"], 1)
 
     async def test_query_in_flight_when_the_connection_is_lost(self):
-        # The peer dies after it got the question. The asker must not wait out its timeout.
+        # The peer dies after it received the query. The requester must not wait until its time-out.
         a, b = await self.pair()
         received = asyncio.Event()
         b.on(ConfigurationAsk, lambda peer, message, cell: received.set() or asyncio.sleep(60))
@@ -184,8 +185,8 @@
         self.assertIsInstance(await asyncio.wait_for(answer, 5), PeerUnreachable)
 
     async def test_queue_overflows(self):
-        # A peer takes nothing. The queue for it is bounded; when full, all of it goes and the peer is reported,
-        # so that both ends know to register anew, rather than some messages going unnoticed.
+        # A peer reads nothing. The queue to it is bounded; when it is full, it is dropped completely and the peer is
+        # reported, so that both ends register again instead of missing some messages unnoticed.
         a = await self.make("a")
         a.set_addresses({"b": "127.0.0.1:1"})
         suspects = []
@@ -196,7 +197,7 @@
         self.assertIn("queue overflow", suspects)
 
     async def test_restarted_peer_and_its_late_predecessor(self):
-        # A router restarts; then a connection of the process before it turns up. What that one says is old.
+        # A router restarts; then a connection of its former process arrives late. The messages on it are outdated.
         a = await self.make("a")
         got = self.received_by(a)
         new = await self.make("b", incarnation=2)
@@ -241,8 +242,9 @@
         return all(self.views_by_name[name][-1:] == [members] for name in by)
 
     async def test_kill_freeze_wake(self):
-        # Three processes. One is stopped: the others drop it, and when it runs again it is taken back and never
-        # believes that the others died. Then one is killed and dropped. Times are held by the fast-loop tests.
+        # Three processes. One is stopped: the others remove it from their views, and when it resumes they add it again,
+        # and it never declares the others dead. Then one is killed and removed. The times are checked by the tests on
+        # the fast loop.
         seed = await free_address()
         await self.launch("a", address=seed)
         await self.launch("b", f"a={seed}")
@@ -267,7 +269,7 @@
 
 
 def example(cls):
-    """An instance of a message class with a telling value in each field."""
+    """Instance of a message class with a non-default value in each field."""
     values = {}
     for name, hint in typing.get_type_hints(cls).items():
         if isinstance(hint, type) and issubclass(hint, Enum):
@@ -296,7 +298,7 @@
         self.assertEqual(decode(encode(register, cell="c1")), register)
 
     def test_newer_peer(self):
-        # A newer router sends an item unknown here: it is skipped. A refusal for an unknown reason still refuses.
+        # A newer router sends an item unknown here, which is skipped. A refusal for an unknown reason is still one.
         self.assertIsNone(decode(pb.Item(cell="c")))
         refused = pb.Item(refused=pb.Refused(request_id="a/1", attempt=1, reason="of_tomorrow"))
         self.assertEqual(decode(refused).reason, Reason.OVERLOADED)
@@ -326,8 +328,8 @@
         self.run_on_fast_loop(test)
 
     def test_informational_items_wait_for_a_batch_for_a_bounded_time(self):
-        # Nothing else goes to that peer: the first token is told within 0.1 s all the same, the progress
-        # within 8 s. Were either held for company alone, the scheduler would never hear of it.
+        # Nothing else is sent to that peer: the first token is still reported within 0.1 s, and the progress within
+        # 8 s. If either waited only for a batch, the scheduler would never receive it.
         async def test(outbox):
             began = asyncio.get_running_loop().time()
             self.put(outbox, RunStarted(request_id="a", engine="e", first_token_s=0.1))
@@ -340,8 +342,8 @@
         self.run_on_fast_loop(test)
 
     def test_informational_items_keep_their_order_with_immediate_ones(self):
-        # A run ends before its start was told. The end frees the place, so it leaves at once; it must not
-        # overtake the start, nor leave the older progress behind to be told of a later run.
+        # A run ends before its start was reported. The end frees the slot, so it is sent immediately; it must not
+        # overtake the start, nor leave the older progress queued, to be taken for that of a later run.
         async def test(outbox):
             started = RunStarted(request_id="a", engine="e", first_token_s=0.1)
             finished = RunFinished(request_id="a", engine="e", result="RunCancelled", duration_s=0.2)
@@ -362,8 +364,8 @@
         self.run_on_fast_loop(test)
 
     def test_newer_progress_replaces_older_without_a_longer_wait(self):
-        # Four times a second a run tells how far it is. One message has the latest; and if each put off the
-        # last one's time to leave, none would ever leave.
+        # A run reports its progress four times a second. One message with the latest state is sent; if each update
+        # reset the wait of the previous one, none would ever be sent.
         async def test(outbox):
             began = asyncio.get_running_loop().time()
             for number in range(32):
@@ -376,7 +378,7 @@
         self.run_on_fast_loop(test)
 
     def test_release_sends_waiting_items_immediately(self):
-        # The router drains: what waits for company goes out before the connections end.
+        # The router drains: items that wait for a batch are sent before the connections are closed.
         async def test(outbox):
             self.put(outbox, RunProgress(request_id="a", output_tokens=5))
             outbox.release()
@@ -386,7 +388,7 @@
         self.run_on_fast_loop(test)
 
     def test_batch_has_the_patience_of_its_most_urgent_item(self):
-        # An ask for a place rides with the end of a run: the peer's silence is noticed as soon as for the ask.
+        # A grant request is batched with the end of a run: the peer's silence counts as soon as for the request alone.
         async def test(outbox):
             self.put(outbox, RunStarted(request_id="a", engine="e", first_token_s=0.1))
             self.put(outbox, RunFinished(request_id="b", engine="e", result="RunDone", duration_s=0.2))
@@ -400,7 +402,7 @@
         self.run_on_fast_loop(test)
 
     def test_clear_drops_waiting_items_too(self):
-        # The link is dropped after an overflow; a later progress must not look for one that is gone.
+        # The link is dropped after an overflow; a later progress must not refer to one that was cleared.
         async def test(outbox):
             self.put(outbox, RunProgress(request_id="a", output_tokens=5))
             self.assertEqual(outbox.clear(), 1)
