--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -76,22 +76,22 @@
         return self.directory.scheduler_link.send(cell="c1", message=Withdraw(request_id="x"))
 
     async def test_scheduler_leaves_the_view(self):
-        # The scheduler of a cell goes out of the view. The entry's waiting requests must be known to the next
-        # scheduler without any request being sent again by hand, or they would wait for ever.
+        # The scheduler of a cell leaves the view. The entry's waiting requests must be registered with the next
+        # scheduler without any further message from the entry, or they would wait forever.
         self.make("b")
         self.send()
         self.membership.change("c")
         self.assertEqual(self.peers.sent[2:], [("c", "c1", REGISTRATION)])
 
     async def test_former_scheduler_stays_alive(self):
-        # Another router joins and becomes scheduler. The former one must let this entry's places go.
+        # Another router joins and becomes scheduler. The former one must release this entry's slots.
         self.make("b")
         self.send()
         self.membership.change("c", draining=["b"])
         self.assertEqual(self.peers.sent[2:], [("b", "c1", EMPTY_REGISTRATION), ("c", "c1", REGISTRATION)])
 
     async def test_router_that_becomes_scheduler_again_begins_the_cell_again(self):
-        # What a scheduler of before holds says nothing of what the one between granted.
+        # The state from its first time as scheduler lacks what the scheduler in between granted.
         begun = []
         self.make("a", begin_cell=begun.append)
         self.directory.refresh()
@@ -108,7 +108,7 @@
         self.assertEqual(self.peers.sent, [])
 
     async def test_reconnect(self):
-        # The connection to the scheduler broke and came back; grants on it may be lost, so the entry tells all.
+        # The connection to the scheduler was lost and reopened; grants on it may be lost, so the entry registers again.
         self.make("b")
         self.send()
         self.peers.sent.clear()
@@ -116,15 +116,15 @@
         self.assertEqual(self.peers.sent, [("b", "c1", REGISTRATION)])
 
     async def test_views_differ(self):
-        # A peer takes this router for the scheduler, this router takes another. It serves the request all the
-        # same: bounced or passed on, it could go round until its deadline.
+        # A peer considers this router the scheduler, this router another one. It serves the request nevertheless:
+        # rejected or forwarded, the request could circulate until its deadline.
         self.make("b")
         self.peers.receive("c", grant_request())
         self.assertEqual(self.to_scheduler, [("c1", grant_request())])
         self.assertEqual(self.peers.sent, [])
 
     async def test_draining_router_forwards(self):
-        # The router leaves and grants nothing more; a peer that doesn't know yet still asks it.
+        # The router leaves and grants nothing more; a peer that doesn't know this yet still sends it a request.
         self.make("b")
         self.membership.draining = True
         self.peers.receive("c", grant_request())
@@ -132,8 +132,8 @@
         self.assertEqual(self.to_scheduler, [])
 
     async def test_paused_router_waits_for_the_current_view(self):
-        # The process was stopped for long. What it sends by its old view would reach a former scheduler, so it
-        # sends nothing until a peer told the view, and then registers everything.
+        # The process was paused for long. Messages sent by its old view would reach a former scheduler, so it sends
+        # nothing until a peer has sent the current view, and then registers everything.
         self.make("b")
         self.membership.trusted = False
         self.assertTrue(self.send())
@@ -144,7 +144,7 @@
         self.assertIn(("c", "c1", REGISTRATION), self.peers.sent)
 
     async def test_entry_restarts_without_leaving_the_view(self):
-        # A router restarts so fast that it never left the view. What its former process held is let go.
+        # A router restarts so fast that it never left the view. What its former process held is released.
         self.make("a", "b")
         self.membership.change("a", "b", incarnations_by_name={"a": 1, "b": 1})
         self.members_set.clear()
@@ -158,7 +158,7 @@
         self.assertEqual(self.peers.sent, [("b", "c1", REGISTRATION), ("c", "c1", EMPTY_REGISTRATION)])
 
     async def test_direct_path_is_cut(self):
-        # Only this router can't reach the scheduler. Its messages go through a third one, and so do answers.
+        # Only this router can't reach the scheduler. Its messages are relayed by a third one, and so are the answers.
         self.make("b")
         self.membership.view.all_members = ("a", "b", "c")
         self.peers.unreachable_s_by_peer["b"] = 2.0
