--- a/wagtailtrestle/membership/vm_list.py
+++ b/wagtailtrestle/membership/vm_list.py
@@ -115,7 +115,7 @@
             "interval_s": self._interval_s,
         }
 
-    def resume_polling_interval(self):
+    def resume_fast_polling(self):
         """Return to the shorter interval, as the list may have changed without a report from any router."""
         self._unchanged_reads = 0
 
--- a/wagtailtrestle/router.py
+++ b/wagtailtrestle/router.py
@@ -160,7 +160,7 @@
             interval_s=self._settings.vm_list_interval_s,
             settled_s=self._settings.vm_list_settled_s,
         )
-        self._store_epoch.on_return(self._vm_list.resume_polling_interval)
+        self._store_epoch.on_return(self._vm_list.resume_fast_polling)
         self._store_epoch.on_return(lambda: self._metrics.count("store_returns"))
         self._membership.on_generation(lambda peer, generation: self._configuration.heard(generation, peer))
         self._membership.on_view_change(self._end_questions)
