--- a/wagtailtrestle/membership/suspicion.py
+++ b/wagtailtrestle/membership/suspicion.py
@@ -5,7 +5,7 @@
 from wagtailtrestle.contracts.peer_messages import MemberState
 
 REFUTE_S = 0.25
-UNSUPPORTED_S = 3.0
+REFUTE_UNSUPPORTED_S = 3.0
 SUSPECT_AGAIN_S = 0.1
 BACKOFF_FIRST_S = 1.0
 BACKOFF_MAX_S = 30.0
@@ -62,7 +62,7 @@
         if timer is not None:
             timer.cancel()
         is_supported = member.own_suspicion or member.reported_dead
-        delay_s = REFUTE_S if is_supported else UNSUPPORTED_S
+        delay_s = REFUTE_S if is_supported else REFUTE_UNSUPPORTED_S
         self._set_timer(member, max(0.0, member.state_since + delay_s - self._loop.time()))
 
     def on_sign_of_life(self, member):
