--- a/wagtailtrestle/membership/membership.py
+++ b/wagtailtrestle/membership/membership.py
@@ -95,7 +95,11 @@
         self._jitter = jitter or random.Random()
         self._table = MemberTable(name=name, zone=zone, incarnation=incarnation, now=loop.time())
         self._suspicions = Suspicions(
-            table=self._table, loop=loop, gossip=self._gossip, on_change=self._refresh_soon, is_awake=self._is_awake
+            table=self._table,
+            loop=loop,
+            gossip=self._gossip,
+            on_change=self._refresh_soon,
+            ran_continuously=self._is_awake,
         )
         self._sync = ViewSync(
             table=self._table,
--- a/wagtailtrestle/membership/suspicion.py
+++ b/wagtailtrestle/membership/suspicion.py
@@ -29,12 +29,12 @@
 
     __slots__ = ("_gossip", "_is_awake", "_loop", "_on_change", "_table", "_timers_by_name")
 
-    def __init__(self, *, table, loop, gossip, on_change, is_awake):
+    def __init__(self, *, table, loop, gossip, on_change, ran_continuously):
         self._table = table
         self._loop = loop
         self._gossip = gossip
         self._on_change = on_change
-        self._is_awake = is_awake
+        self._is_awake = ran_continuously
         self._timers_by_name = {}
 
     def suspect(self, member, detail):
