--- a/wagtailtrestle/membership/membership.py
+++ b/wagtailtrestle/membership/membership.py
@@ -99,7 +99,7 @@
             loop=loop,
             gossip=self._gossip,
             on_change=self._refresh_soon,
-            ran_continuously=self._is_awake,
+            ran_continuously=self._ran_continuously,
         )
         self._sync = ViewSync(
             table=self._table,
@@ -294,7 +294,7 @@
 
     def _on_unreachable(self, peer, detail):
         member = self._table.by_name.get(peer)
-        if member is None or not self._is_awake() or not self.trusted:
+        if member is None or not self._ran_continuously() or not self.trusted:
             return
         self._suspicions.suspect(member, detail)
 
@@ -350,7 +350,7 @@
 
     # Trust in this router's view.
 
-    def _is_awake(self):
+    def _ran_continuously(self):
         """Whether this process ran without a pause until now; after a pause its view is first marked as stale.
 
         A process that was stopped resumes with all timers due and all peers apparently silent.
@@ -391,7 +391,7 @@
 
     def _on_tick(self):
         self._timer = self._loop.call_later(TICK_S, self._on_tick)
-        if self._is_awake():
+        if self._ran_continuously():
             self._tick(self._loop.time())
 
     def _tick(self, now):
--- a/wagtailtrestle/membership/suspicion.py
+++ b/wagtailtrestle/membership/suspicion.py
@@ -27,14 +27,14 @@
         ``() -> bool``: false if this process was paused, in which case ``restart`` has been called.
     """
 
-    __slots__ = ("_gossip", "_is_awake", "_loop", "_on_change", "_table", "_timers_by_name")
+    __slots__ = ("_gossip", "_ran_continuously", "_loop", "_on_change", "_table", "_timers_by_name")
 
     def __init__(self, *, table, loop, gossip, on_change, ran_continuously):
         self._table = table
         self._loop = loop
         self._gossip = gossip
         self._on_change = on_change
-        self._is_awake = ran_continuously
+        self._ran_continuously = ran_continuously
         self._timers_by_name = {}
 
     def suspect(self, member, detail):
@@ -94,7 +94,7 @@
         self._timers_by_name.pop(member.name, None)
         if member.state is not MemberState.SUSPECT or self._table.by_name.get(member.name) is not member:
             return
-        if not self._is_awake():
+        if not self._ran_continuously():
             # The time to refute elapsed while this process was stopped and could not receive a refutation.
             self.watch(member)
             return
