--- a/wagtailtrestle/membership/membership.py
+++ b/wagtailtrestle/membership/membership.py
@@ -37,7 +37,7 @@
 """With both neighbours this gives a fan-out of three, not counting the sender: four or five hops for some two hundred
 routers."""
 LATE_TICK_S = 0.25
-FROZEN_GAP_S = 0.8
+PAUSED_AFTER_S = 0.8
 TRUST_TIMEOUT_S = 0.25
 """Longest wait for a peer's view after a start or a pause: five times the roughly 50 ms that a live peer takes to
 answer. If all routers start simultaneously none has a view to send, and none serves anything for this long."""
@@ -358,7 +358,7 @@
         cell, although only it was stopped.
         """
         now = self._loop.time()
-        if now - self._tick_at <= FROZEN_GAP_S:
+        if now - self._tick_at <= PAUSED_AFTER_S:
             return True
         logger.warning("this process was paused for {:.1f} s; requesting the peers' views", now - self._tick_at)
         self._tick_at = self._silence_counted_from = now
