--- a/wagtailtrestle/membership/membership.py
+++ b/wagtailtrestle/membership/membership.py
@@ -91,7 +91,7 @@
         self._peers = peers
         self._loop = loop
         self._mesh_heartbeat_s = self._heartbeat_s = heartbeat_s
-        self._silent_after_s = SILENT_HEARTBEATS * heartbeat_s
+        self._max_silence_s = SILENT_HEARTBEATS * heartbeat_s
         self._jitter = jitter or random.Random()
         self._table = MemberTable(name=name, zone=zone, incarnation=incarnation, now=loop.time())
         self._suspicions = Suspicions(
@@ -435,7 +435,7 @@
             if silent_s is None:
                 continue
             silent_s = min(silent_s, self._loop.time() - self._silence_counted_from)
-            if silent_s > self._silent_after_s:
+            if silent_s > self._max_silence_s:
                 # The connection may be dead while the router is alive: opening a new one tells the two apart.
                 self._peers.reopen(peer)
 
