--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -95,8 +95,8 @@
         self.assertFalse(self.net.by_name["r002"].trusted)
         await asyncio.sleep(3)
         self.assert_views(names)
-        woken = [view for _, name, view in self.net.changes if name == "r002"]
-        self.assertTrue(all(set(others) <= set(view.all_members) for view in woken))
+        resumed = [view for _, name, view in self.net.changes if name == "r002"]
+        self.assertTrue(all(set(others) <= set(view.all_members) for view in resumed))
 
     @on_fast_loop
     async def test_paused_while_it_suspects(self):
