--- a/wagtailtrestle/peers/directory.py
+++ b/wagtailtrestle/peers/directory.py
@@ -191,7 +191,7 @@
         self._send(scheduler, cell, registration)
 
     def _registration(self, cell, requester):
-        """Registration of this entry for ``requester``; empty if the cell has another scheduler in its view."""
+        """Registration of this entry for ``requester``; empty if this router's view names another scheduler."""
         if self.scheduler_of(cell) == requester:
             return self._register(cell)
         return Register(entry=self.name, cell=cell, elsewhere=True)
--- a/wagtailtrestle/peers/watch.py
+++ b/wagtailtrestle/peers/watch.py
@@ -44,7 +44,7 @@
         while True:
             await asyncio.sleep(INTERVAL_S)
             now = self._loop.time()
-            # After a pause of this process the peers' messages are still unread: this end was silent, not theirs.
+            # After a pause of this process the peers' messages are still unread: this end was silent, not the peers.
             was_paused = now - checked_at > PAUSED_AFTER_S
             checked_at = now
             for state in self._states():
