--- a/wagtailtrestle/membership/suspicion.py
+++ b/wagtailtrestle/membership/suspicion.py
@@ -23,7 +23,7 @@
         ``(event)``: sends the event to all routers.
     on_change : callable
         ``()``: called after a router was declared dead.
-    is_awake : callable
+    ran_continuously : callable
         ``() -> bool``: false if this process was paused, in which case ``restart`` has been called.
     """
 
