--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -77,7 +77,7 @@
 
     async def test_scheduler_leaves_the_view(self):
         # The scheduler of a cell leaves the view. The entry's waiting requests must be registered with the next
-        # scheduler without any further message from the entry, or they would wait forever.
+        # scheduler without any request being sent again, or they would wait forever.
         self.make("b")
         self.send()
         self.membership.change("c")
