--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -163,7 +163,7 @@
     @on_fast_loop
     async def test_zone_of_nine_freezes(self):
         # Nine routers have four partners each. Three adjacent ones on the ring, the worst position for a zone, freeze
-        # simultaneously. Each still has a partner outside the zone, so all are removed as soon as a single one would be.
+        # simultaneously. Each still has a partner outside the zone, so all are removed as soon as one would be.
         names = await self.net.add_all(9)
         ring = sorted(names, key=position_of)
         zone = ring[3:6]
