--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -8,8 +8,8 @@
 from wagtailtrestle.peers.directory import Directory
 from wagtailtrestle.peers.rendezvous import Rendezvous
 
-HELD = Register(entry="a", cell="c1", waiting=(grant_request(),))
-NOTHING = Register(entry="a", cell="c1", elsewhere=True)
+REGISTRATION = Register(entry="a", cell="c1", waiting=(grant_request(),))
+EMPTY_REGISTRATION = Register(entry="a", cell="c1", elsewhere=True)
 
 
 class FakePeers:
@@ -58,7 +58,7 @@
 class DirectoryTest(unittest.IsolatedAsyncioTestCase):
     def make(self, *members, **more):
         self.peers, self.membership = FakePeers(), FakeMembership(*members)
-        self.to_scheduler, self.members_told = [], []
+        self.to_scheduler, self.members_set = [], []
         self.directory = Directory(
             name="a",
             membership=self.membership,
@@ -66,32 +66,32 @@
             loop=asyncio.get_running_loop(),
             deliver_to_scheduler=lambda cell, message: self.to_scheduler.append((cell, message)),
             deliver_to_entry=lambda message: None,
-            register=lambda cell: HELD,
+            register=lambda cell: REGISTRATION,
             cells=lambda: ["c1"],
-            set_members=self.members_told.append,
+            set_members=self.members_set.append,
             **more,
         )
 
     def send(self):
         return self.directory.scheduler_link.send(cell="c1", message=Withdraw(request_id="x"))
 
-    async def test_scheduler_goes(self):
-        # The scheduler of a cell goes out of the view. The entry's waiting requests must be known to the next
-        # scheduler without any request being sent again by hand, or they would wait for ever.
+    async def test_scheduler_leaves_the_view(self):
+        # The scheduler of a cell leaves the view. The entry's waiting requests must be registered with the next
+        # scheduler without any request being sent again, or they would wait forever.
         self.make("b")
         self.send()
         self.membership.change("c")
-        self.assertEqual(self.peers.sent[2:], [("c", "c1", HELD)])
+        self.assertEqual(self.peers.sent[2:], [("c", "c1", REGISTRATION)])
 
-    async def test_scheduler_changes_but_lives(self):
-        # Another router joins and becomes scheduler. The former one must let this entry's places go.
+    async def test_former_scheduler_stays_alive(self):
+        # Another router joins and becomes scheduler. The former one must release this entry's slots.
         self.make("b")
         self.send()
         self.membership.change("c", draining=["b"])
-        self.assertEqual(self.peers.sent[2:], [("b", "c1", NOTHING), ("c", "c1", HELD)])
+        self.assertEqual(self.peers.sent[2:], [("b", "c1", EMPTY_REGISTRATION), ("c", "c1", REGISTRATION)])
 
-    async def test_a_router_that_becomes_scheduler_again_begins_anew(self):
-        # What a scheduler of before holds says nothing of what the one between granted.
+    async def test_router_that_becomes_scheduler_again_begins_the_cell_again(self):
+        # The state from its first time as scheduler lacks what the scheduler in between granted.
         begun = []
         self.make("a", begin_cell=begun.append)
         self.directory.refresh()
@@ -104,36 +104,36 @@
         self.make("a")
         self.send()
         await asyncio.sleep(0)
-        self.assertEqual(self.to_scheduler, [("c1", HELD), ("c1", Withdraw(request_id="x"))])
+        self.assertEqual(self.to_scheduler, [("c1", REGISTRATION), ("c1", Withdraw(request_id="x"))])
         self.assertEqual(self.peers.sent, [])
 
     async def test_reconnect(self):
-        # The connection to the scheduler broke and came back; grants on it may be lost, so the entry tells all.
+        # The connection to the scheduler was lost and reopened; grants on it may be lost, so the entry registers again.
         self.make("b")
         self.send()
         self.peers.sent.clear()
         self.peers.reconnect("b")
-        self.assertEqual(self.peers.sent, [("b", "c1", HELD)])
+        self.assertEqual(self.peers.sent, [("b", "c1", REGISTRATION)])
 
     async def test_views_differ(self):
-        # A peer takes this router for the scheduler, this router takes another. It serves the request all the
-        # same: bounced or passed on, it could go round until its deadline.
+        # A peer considers this router the scheduler, this router another one. It serves the request nevertheless:
+        # rejected or forwarded, the request could circulate until its deadline.
         self.make("b")
         self.peers.receive("c", grant_request())
         self.assertEqual(self.to_scheduler, [("c1", grant_request())])
         self.assertEqual(self.peers.sent, [])
 
-    async def test_draining_router_passes_on(self):
-        # The router leaves and grants nothing more; a peer that doesn't know yet still asks it.
+    async def test_draining_router_forwards(self):
+        # The router leaves and grants nothing more; a peer that doesn't know this yet still sends it a request.
         self.make("b")
         self.membership.draining = True
         self.peers.receive("c", grant_request())
         self.assertEqual(self.peers.sent, [("b", "c1", grant_request())])
         self.assertEqual(self.to_scheduler, [])
 
-    async def test_paused_router_waits_for_the_present_view(self):
-        # The process was stopped for long. What it sends by its old view would reach a former scheduler, so it
-        # sends nothing until a peer told the view, and then registers everything.
+    async def test_paused_router_waits_for_the_current_view(self):
+        # The process was paused for long. Messages sent by its old view would reach a former scheduler, so it sends
+        # nothing until a peer has sent the current view, and then registers everything.
         self.make("b")
         self.membership.trusted = False
         self.assertTrue(self.send())
@@ -141,26 +141,26 @@
         self.assertEqual(self.peers.sent, [])
         self.membership.trusted = True
         self.membership.trusted_again()
-        self.assertIn(("c", "c1", HELD), self.peers.sent)
+        self.assertIn(("c", "c1", REGISTRATION), self.peers.sent)
 
-    async def test_entry_restarts_unnoticed(self):
-        # A router restarts so fast that it never left the view. What its former process held is let go.
+    async def test_entry_restarts_without_leaving_the_view(self):
+        # A router restarts so fast that it never left the view. What its former process held is released.
         self.make("a", "b")
         self.membership.change("a", "b", incarnations_by_name={"a": 1, "b": 1})
-        self.members_told.clear()
+        self.members_set.clear()
         self.membership.change("a", "b", incarnations_by_name={"a": 1, "b": 2})
-        self.assertEqual(self.members_told, [("a",), ("a", "b")])
+        self.assertEqual(self.members_set, [("a",), ("a", "b")])
 
-    async def test_asked_to_register_by_another_than_the_scheduler(self):
+    async def test_registration_requested_by_another_than_the_scheduler(self):
         self.make("b")
         self.peers.receive("b", RegisterAsk())
         self.peers.receive("c", RegisterAsk())
-        self.assertEqual(self.peers.sent, [("b", "c1", HELD), ("c", "c1", NOTHING)])
+        self.assertEqual(self.peers.sent, [("b", "c1", REGISTRATION), ("c", "c1", EMPTY_REGISTRATION)])
 
-    async def test_direct_way_is_cut(self):
-        # Only this router can't reach the scheduler. Its messages go through a third one, and so do answers.
+    async def test_direct_path_is_cut(self):
+        # Only this router can't reach the scheduler. Its messages are relayed by a third one, and so are the answers.
         self.make("b")
-        self.membership.view.everyone = ("a", "b", "c")
+        self.membership.view.all_members = ("a", "b", "c")
         self.peers.unreachable_s_by_peer["b"] = 2.0
         self.send()
         helpers = {(peer, type(message), message.target) for peer, _, message in self.peers.sent}
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -81,8 +81,8 @@
         return got
 
     async def test_both_dial_at_once(self):
-        # Both routers dial at the same moment, so two connections come up and one is given up.
-        # Neither end may lose or repeat what was already written to the one that goes.
+        # Both routers dial at the same moment, so two connections are opened and one is closed again. Neither end may
+        # lose or repeat what was already written to the one that is closed.
         a, b = await self.pair()
         got_by_a, got_by_b = self.received_by(a), self.received_by(b)
         numbers = [str(number) for number in range(300)]
@@ -92,15 +92,15 @@
         await until(lambda: len(got_by_a) >= 300 and len(got_by_b) >= 300)
         self.assertEqual((got_by_a, got_by_b), (numbers, numbers))
 
-    async def test_ask(self):
+    async def test_query(self):
         a, b = await self.pair()
         b.on(ConfigurationAsk, lambda peer, message, cell: ConfigurationText(generation=3, packed=b"x"))
-        self.assertEqual(await a.ask("b", ConfigurationAsk(), 1), ConfigurationText(generation=3, packed=b"x"))
-        self.assertIsInstance(await b.ask("a", ConfigurationAsk(), 1), PeerUnreachable)
+        self.assertEqual(await a.query("b", ConfigurationAsk(), 1), ConfigurationText(generation=3, packed=b"x"))
+        self.assertIsInstance(await b.query("a", ConfigurationAsk(), 1), PeerUnreachable)
 
     async def test_connection_goes_silent(self):
-        # Something between the ends loses track of an open connection: it stays open and carries nothing.
-        # The sender hears nothing back, asks for a sign of life, and opens a new connection, which works.
+        # A device between the ends loses the state of an open connection, which stays open but carries nothing. The
+        # sender receives nothing, pings the peer, and opens a new connection, which works.
         a, b = await self.make("a"), await self.make("b")
         forwarder = TcpForwarder(target=b.address)
         await forwarder.start()
@@ -121,8 +121,9 @@
         self.assertEqual((forwarder.connections, unreachable), (2, []))
 
     async def test_end_of_a_run_is_lost_on_a_silent_connection(self):
-        # The scheduler never hears that a place is free, and nothing else is said on that connection. The end of a
-        # run waits longer than others for a sign, but not for ever: then a new connection makes the entry register.
+        # The scheduler never learns that a slot is free, and nothing else is sent on that connection. A finished run
+        # waits longer than other messages for a response, but not forever: then a new connection makes the entry
+        # register.
         a, b = await self.make("a"), await self.make("b")
         forwarder = TcpForwarder(target=b.address)
         await forwarder.start()
@@ -137,9 +138,9 @@
         a.send("b", RunFinished(request_id="lost", engine="e", result="RunDone", duration_s=1.0))
         await until(lambda: len(reconnected) == 2)
 
-    async def test_what_only_informs_asks_for_no_sign(self):
-        # A run's progress and heartbeats go one way for a while. Were each answered by a sign of life, there
-        # would be three messages for one.
+    async def test_informational_items_are_not_acknowledged(self):
+        # The start of a run and heartbeats are sent in one direction for a while. If each triggered a ping and a pong,
+        # there would be three messages instead of one.
         a, b = await self.pair()
         a.send("b", RunStarted(request_id="x", engine="e", first_token_s=0.1))
         await until(lambda: a.connected("b"))
@@ -149,8 +150,8 @@
         self.assertEqual((a.dump()["b"]["link"]["items_received"], a.dump()["b"]["link"]["items_sent"]), (0, 2))
 
     async def test_connection_ends_between_opening_and_use(self):
-        # A peer dies just after it took the connection. Dialing must end as failed like any other: were it to end
-        # with an error, nobody would be told that the peer can't be reached, and nobody would try again.
+        # A peer dies just after it accepted the connection. The attempt must end as failed like any other: if it raised
+        # an error, the peer would not be reported as unreachable, and no further attempt would be made.
         b = await self.make("b")
         connect_channel = Channel.__connect__
 
@@ -164,8 +165,8 @@
             self.assertIsInstance(await connect(address=b.address, name="b", own_hello=hello), str)
 
     async def test_used_link_falls_quiet(self):
-        # One message is sent and none comes back, so the sender asks once for a sign of life. That sign needs
-        # none in return: otherwise both ends would ask each other for ever on every link once used.
+        # One message is sent and none is received, so the sender pings the peer once. The pong needs no response:
+        # otherwise both ends would ping each other forever on every link once used.
         a, b = await self.pair()
         got = self.received_by(b)
         a.send("b", Withdraw(request_id="x"))
@@ -173,19 +174,19 @@
         await asyncio.sleep(1.5)
         self.assertEqual(a.dump()["b"]["link"]["items_received"], 1)
 
-    async def test_question_in_flight_when_the_connection_is_lost(self):
-        # The peer dies after it got the question. The asker must not wait out its timeout.
+    async def test_query_in_flight_when_the_connection_is_lost(self):
+        # The peer dies after it received the query. The requester must not wait until its time-out.
         a, b = await self.pair()
-        asked = asyncio.Event()
-        b.on(ConfigurationAsk, lambda peer, message, cell: asked.set() or asyncio.sleep(60))
-        answer = asyncio.create_task(a.ask("b", ConfigurationAsk(), 60))
-        await asked.wait()
+        received = asyncio.Event()
+        b.on(ConfigurationAsk, lambda peer, message, cell: received.set() or asyncio.sleep(60))
+        answer = asyncio.create_task(a.query("b", ConfigurationAsk(), 60))
+        await received.wait()
         await b.close()
         self.assertIsInstance(await asyncio.wait_for(answer, 5), PeerUnreachable)
 
     async def test_queue_overflows(self):
-        # A peer takes nothing. The queue for it is bounded; when full, all of it goes and the peer is reported,
-        # so that both ends know to register anew, rather than some messages going unnoticed.
+        # A peer reads nothing. The queue to it is bounded; when it is full, it is dropped completely and the peer is
+        # reported, so that both ends register again instead of missing some messages unnoticed.
         a = await self.make("a")
         a.set_addresses({"b": "127.0.0.1:1"})
         suspects = []
@@ -196,7 +197,7 @@
         self.assertIn("queue overflow", suspects)
 
     async def test_restarted_peer_and_its_late_predecessor(self):
-        # A router restarts; then a connection of the process before it turns up. What that one says is old.
+        # A router restarts; then a connection of its former process arrives late. The messages on it are outdated.
         a = await self.make("a")
         got = self.received_by(a)
         new = await self.make("b", incarnation=2)
@@ -228,9 +229,9 @@
 
     async def read(self, name, process):
         async for line in process.stdout:
-            told = json.loads(line)
-            if "members" in told:
-                self.views_by_name[name].append(told["members"])
+            record = json.loads(line)
+            if "members" in record:
+                self.views_by_name[name].append(record["members"])
 
     async def stop(self, process):
         if process.returncode is None:
@@ -241,8 +242,9 @@
         return all(self.views_by_name[name][-1:] == [members] for name in by)
 
     async def test_kill_freeze_wake(self):
-        # Three processes. One is stopped: the others drop it, and when it runs again it is taken back and never
-        # believes that the others died. Then one is killed and dropped. Times are held by the fast-loop tests.
+        # Three processes. One is stopped: the others remove it from their views, and when it resumes they add it again,
+        # and it never declares the others dead. Then one is killed and removed. The times are checked by the tests on
+        # the fast loop.
         seed = await free_address()
         await self.launch("a", address=seed)
         await self.launch("b", f"a={seed}")
@@ -267,7 +269,7 @@
 
 
 def example(cls):
-    """An instance of a message class with a telling value in each field."""
+    """Instance of a message class with a non-default value in each field."""
     values = {}
     for name, hint in typing.get_type_hints(cls).items():
         if isinstance(hint, type) and issubclass(hint, Enum):
@@ -296,7 +298,7 @@
         self.assertEqual(decode(encode(register, cell="c1")), register)
 
     def test_newer_peer(self):
-        # A newer router sends an item unknown here: it is skipped. A refusal for an unknown reason still refuses.
+        # A newer router sends an item unknown here, which is skipped. A refusal for an unknown reason is still one.
         self.assertIsNone(decode(pb.Item(cell="c")))
         refused = pb.Item(refused=pb.Refused(request_id="a/1", attempt=1, reason="of_tomorrow"))
         self.assertEqual(decode(refused).reason, Reason.OVERLOADED)
@@ -308,26 +310,26 @@
             runner.run(test(Outbox(loop=runner.get_loop())))
 
     def put(self, outbox, message):
-        self.assertTrue(outbox.put(encode(message), about=message.request_id, delay=delay_of(message)))
+        self.assertTrue(outbox.put(encode(message), related_request=message.request_id, delay=delay_of(message)))
 
-    def take(self, outbox):
-        return [decode(item) for item in outbox.take()]
+    def take_batch(self, outbox):
+        return [decode(item) for item in outbox.take_batch()]
 
     def test_batches_are_bounded_and_in_order(self):
         async def test(outbox):
             items = [encode(Withdraw(request_id=f"{number}" + "x" * 30_000)) for number in range(5)]
             for item in items:
                 outbox.put(item)
-            batches = [outbox.take(), outbox.take(), outbox.take()]
+            batches = [outbox.take_batch(), outbox.take_batch(), outbox.take_batch()]
             self.assertEqual([len(batch) for batch in batches], [2, 2, 1])
             self.assertEqual(sum(batches, []), items)
             self.assertEqual((len(outbox), outbox.queued_bytes), (0, 0))
 
         self.run_on_fast_loop(test)
 
-    def test_news_waits_for_company_for_a_bounded_time(self):
-        # Nothing else goes to that peer: the first token is told within 0.1 s all the same, the progress
-        # within 8 s. Were either held for company alone, the scheduler would never hear of it.
+    def test_informational_items_wait_for_a_batch_for_a_bounded_time(self):
+        # Nothing else is sent to that peer: the first token is still reported within 0.1 s, and the progress within
+        # 8 s. If either waited only for a batch, the scheduler would never receive it.
         async def test(outbox):
             began = asyncio.get_running_loop().time()
             self.put(outbox, RunStarted(request_id="a", engine="e", first_token_s=0.1))
@@ -335,13 +337,13 @@
             for expected, at_s in ((RunStarted, 0.1), (RunProgress, 8.0)):
                 await asyncio.wait_for(outbox.wait(), 60)
                 self.assertAlmostEqual(asyncio.get_running_loop().time() - began, at_s, places=2)
-                self.assertEqual([type(message) for message in self.take(outbox)], [expected])
+                self.assertEqual([type(message) for message in self.take_batch(outbox)], [expected])
 
         self.run_on_fast_loop(test)
 
-    def test_news_rides_in_order_with_what_leaves_at_once(self):
-        # A run ends before its start was told. The end frees the place, so it leaves at once; it must not
-        # overtake the start, nor leave the older progress behind to be told of a later run.
+    def test_informational_items_keep_their_order_with_immediate_ones(self):
+        # A run ends before its start was reported. The end frees the slot, so it is sent immediately; it must not
+        # overtake the start, nor leave the older progress queued, to be taken for that of a later run.
         async def test(outbox):
             started = RunStarted(request_id="a", engine="e", first_token_s=0.1)
             finished = RunFinished(request_id="a", engine="e", result="RunCancelled", duration_s=0.2)
@@ -351,19 +353,19 @@
             self.put(outbox, finished)
             self.put(outbox, grant_request("a"))
             await asyncio.wait_for(outbox.wait(), 0.001)
-            self.assertEqual(self.take(outbox), [started, finished, grant_request("a")])
+            self.assertEqual(self.take_batch(outbox), [started, finished, grant_request("a")])
             await asyncio.sleep(4.1)
             self.put(outbox, Withdraw(request_id="c"))
             self.assertEqual(
-                self.take(outbox), [RunProgress(request_id="b", output_tokens=6), Withdraw(request_id="c")]
+                self.take_batch(outbox), [RunProgress(request_id="b", output_tokens=6), Withdraw(request_id="c")]
             )
             self.assertEqual((len(outbox), outbox.queued_bytes), (0, 0))
 
         self.run_on_fast_loop(test)
 
-    def test_newer_progress_replaces_older_without_waiting_anew(self):
-        # Four times a second a run tells how far it is. One message has the latest; and if each put off the
-        # last one's time to leave, none would ever leave.
+    def test_newer_progress_replaces_older_without_a_longer_wait(self):
+        # A run reports its progress four times a second. One message with the latest state is sent; if each update
+        # reset the wait of the previous one, none would ever be sent.
         async def test(outbox):
             began = asyncio.get_running_loop().time()
             for number in range(32):
@@ -371,41 +373,41 @@
                 await asyncio.sleep(0.25)
             await asyncio.wait_for(outbox.wait(), 1)
             self.assertAlmostEqual(asyncio.get_running_loop().time() - began, 8.0, places=2)
-            self.assertEqual(self.take(outbox), [RunProgress(request_id="a", output_tokens=31)])
+            self.assertEqual(self.take_batch(outbox), [RunProgress(request_id="a", output_tokens=31)])
 
         self.run_on_fast_loop(test)
 
-    def test_close_holds_nothing_back(self):
-        # The router drains: what waits for company goes out before the connections end.
+    def test_release_sends_waiting_items_immediately(self):
+        # The router drains: items that wait for a batch are sent before the connections are closed.
         async def test(outbox):
             self.put(outbox, RunProgress(request_id="a", output_tokens=5))
             outbox.release()
             await asyncio.wait_for(outbox.wait(), 0.001)
-            self.assertEqual(len(self.take(outbox)), 1)
+            self.assertEqual(len(self.take_batch(outbox)), 1)
 
         self.run_on_fast_loop(test)
 
     def test_batch_has_the_patience_of_its_most_urgent_item(self):
-        # An ask for a place rides with the end of a run: the peer's silence is noticed as soon as for the ask.
+        # A grant request is batched with the end of a run: the peer's silence counts as soon as for the request alone.
         async def test(outbox):
             self.put(outbox, RunStarted(request_id="a", engine="e", first_token_s=0.1))
             self.put(outbox, RunFinished(request_id="b", engine="e", result="RunDone", duration_s=0.2))
-            self.take(outbox)
+            self.take_batch(outbox)
             patience_s = outbox.patience_s
             self.put(outbox, RunFinished(request_id="c", engine="e", result="RunDone", duration_s=0.2))
             self.put(outbox, grant_request())
-            self.take(outbox)
+            self.take_batch(outbox)
             self.assertEqual((patience_s, outbox.patience_s), (2.0, 0.0))
 
         self.run_on_fast_loop(test)
 
-    def test_clear_drops_what_is_held_too(self):
-        # The link is dropped after an overflow; a later progress must not look for one that is gone.
+    def test_clear_drops_waiting_items_too(self):
+        # The link is dropped after an overflow; a later progress must not refer to one that was cleared.
         async def test(outbox):
             self.put(outbox, RunProgress(request_id="a", output_tokens=5))
             self.assertEqual(outbox.clear(), 1)
             self.put(outbox, RunProgress(request_id="a", output_tokens=6))
             await asyncio.wait_for(outbox.wait(), 9)
-            self.assertEqual(self.take(outbox), [RunProgress(request_id="a", output_tokens=6)])
+            self.assertEqual(self.take_batch(outbox), [RunProgress(request_id="a", output_tokens=6)])
 
         self.run_on_fast_loop(test)
--- a/tests/utils/fake_routers.py
+++ b/tests/utils/fake_routers.py
@@ -1,4 +1,4 @@
-"""Memberships joined by a fake of ``Peers`` on one loop whose time the tests advance."""
+"""Memberships connected by a fake of ``Peers``, on one event loop whose clock the tests advance."""
 
 import asyncio
 import random
@@ -7,11 +7,11 @@
 from wagtailtrestle.membership.membership import Membership
 
 DELAY_S = 0.001
-DIAL_S = 0.25
+DIAL_TIMEOUT_S = 0.25
 
 
 class FreezableLoop:
-    """The loop as one process sees it: while frozen, its timers wait."""
+    """The event loop as seen by one process: its timers wait while the process is frozen."""
 
     def __init__(self, loop):
         self._loop, self.frozen, self.held = loop, False, []
@@ -35,7 +35,7 @@
 class FakePeers:
     def __init__(self, net, name, loop):
         self.net, self.name, self.loop, self.address = net, name, loop, name
-        self.alive, self.kept, self.heard_at_by_peer = True, set(), {}
+        self.alive, self.kept, self.received_at_by_peer = True, set(), {}
         self.handlers_by_type, self.connected_callbacks, self.unreachable_callbacks = {}, [], []
         self.sent = 0
 
@@ -51,22 +51,22 @@
     def set_addresses(self, addresses_by_name):
         pass
 
-    def forget(self, name):
+    def remove(self, name):
         pass
 
     def connected(self, peer):
-        return peer in self.heard_at_by_peer
+        return peer in self.received_at_by_peer
 
     def silent_s(self, peer):
-        return self.loop.time() - self.heard_at_by_peer[peer] if self.connected(peer) else None
+        return self.loop.time() - self.received_at_by_peer[peer] if self.connected(peer) else None
 
-    def keep(self, names):
+    def keep_open(self, names):
         self.kept = set(names)
         for name in names:
             self.dial(name)
 
-    def replace(self, peer):
-        self.heard_at_by_peer.pop(peer, None)
+    def reopen(self, peer):
+        self.received_at_by_peer.pop(peer, None)
         self.dial(peer)
 
     def dial(self, peer):
@@ -74,15 +74,15 @@
             return
         other = self.net.peers_by_name.get(peer)
         if other is None or not other.alive:
-            self.loop.call_later(DELAY_S, self.failed, peer, "refused")
+            self.loop.call_later(DELAY_S, self.on_failed, peer, "refused")
         elif other.loop.frozen or self.net.is_cut(self.name, peer):
-            self.loop.call_later(DIAL_S, self.failed, peer, "no answer")
+            self.loop.call_later(DIAL_TIMEOUT_S, self.on_failed, peer, "no answer")
         else:
-            self.linked(other)
-            other.linked(self)
+            self.on_linked(other)
+            other.on_linked(self)
 
-    def linked(self, other):
-        self.heard_at_by_peer[other.name] = self.loop.time()
+    def on_linked(self, other):
+        self.received_at_by_peer[other.name] = self.loop.time()
         membership = self.net.by_name[other.name]
         hello = Hello(
             name=other.name,
@@ -94,7 +94,7 @@
         for callback in self.connected_callbacks:
             self.loop.run(callback, other.name)
 
-    def failed(self, peer, detail):
+    def on_failed(self, peer, detail):
         if self.connected(peer) or not self.alive:
             return
         for callback in self.unreachable_callbacks:
@@ -113,18 +113,18 @@
     def unreachable_s(self, peer):
         return None
 
-    async def ask(self, peer, message, timeout_s):
+    async def query(self, peer, message, timeout_s):
         other = self.net.peers_by_name.get(peer)
         self.send(peer, message)
         await asyncio.sleep(2 * DELAY_S)
         if other is None or not other.alive or other.loop.frozen or self.net.is_cut(self.name, peer):
             return PeerUnreachable(peer=peer, detail="no answer")
         answer = Pong() if type(message) is Ping else other.handlers_by_type[type(message)](self.name, message, "")
-        return answer or PeerUnreachable(peer=peer, detail="nothing to say")
+        return answer or PeerUnreachable(peer=peer, detail="the peer has no answer")
 
 
 class FakeNet:
-    """Routers by name, with links that tests cut."""
+    """Routers by name, with links that tests can cut."""
 
     def __init__(self, loop):
         self.loop, self.by_name, self.peers_by_name = loop, {}, {}
@@ -163,9 +163,9 @@
         peers.loop.run(self.receive, peers, source, message, cell)
 
     def receive(self, peers, source, message, cell):
-        if source not in peers.heard_at_by_peer:
-            return  # as on TCP, nothing comes after the end of the connection
-        peers.heard_at_by_peer[source] = self.loop.time()
+        if source not in peers.received_at_by_peer:
+            return  # as on TCP, nothing is received after the connection has ended
+        peers.received_at_by_peer[source] = self.loop.time()
         handler = peers.handlers_by_type.get(type(message))
         if handler is not None and type(message) is not Ping:
             handler(source, message, cell)
@@ -174,7 +174,7 @@
         self.peers_by_name[name].alive = False
         self.by_name[name]._timer.cancel()
         for peers in self.peers_by_name.values():
-            if peers.heard_at_by_peer.pop(name, None) is not None and name in peers.kept:
+            if peers.received_at_by_peer.pop(name, None) is not None and name in peers.kept:
                 peers.dial(name)
 
     def freeze(self, name):
@@ -184,10 +184,10 @@
         loop = self.peers_by_name[name].loop
         loop.frozen = False
         held, loop.held = loop.held, []
-        # Timers that fell due run at once; what came meanwhile is still in the sockets and is read later.
+        # Timers that are due run first; messages that arrived meanwhile are still in the sockets and are read later.
         held.sort(key=lambda call: call[0] == self.receive)
         for callback, args in held:
             callback(*args)
 
-    def views(self, but=()):
-        return {name: self.by_name[name].view for name in self.by_name if name not in but}
+    def views(self, exclude=()):
+        return {name: self.by_name[name].view for name in self.by_name if name not in exclude}
--- a/tests/utils/retry_fleet.py
+++ b/tests/utils/retry_fleet.py
@@ -70,7 +70,7 @@
         self.schedulers = SchedulerSet(
             clock=loop.time, entries=self.directory.entry_link, retry_limits=self._retry_limits
         )
-        self.schedulers.set_members(membership.view.everyone)
+        self.schedulers.set_members(membership.view.all_members)
         self.schedulers.set_declaration(fleet.declaration)
         self.entry = Entry(
             name=name,
@@ -92,7 +92,7 @@
             await asyncio.sleep(TICK_S)
             self.schedulers.tick()
             for cell, scheduler in self.schedulers.by_cell.items():
-                self.directory.ask_to_register(cell=cell, entries=scheduler.awaited_entries)
+                self.directory.request_registrations(cell=cell, entries=scheduler.awaited_entries)
 
     async def close(self):
         self.ticking.cancel()
--- a/wagtailtrestle/membership/contacts.py
+++ b/wagtailtrestle/membership/contacts.py
@@ -1,13 +1,13 @@
-"""Where routers listen, by seeds, the platform's list and peers; and contact with those out of the view."""
+"""Known router addresses, from seeds, the platform's list and peers, and contact with routers outside the view."""
 
-FIRST_CONTACTS = 8
-# Longer than regions lose each other for, so that both sides still try when the link is back.
-FORGET_AFTER_S = 7200.0
+INITIAL_CONTACTS = 8
+# Longer than a partition between regions lasts, so that both sides still retry when the link is restored.
+REMOVE_AFTER_S = 7200.0
 ROUTER_ROLE = "router"
 
 
 class Contacts:
-    """Addresses of all routers known to exist.
+    """Addresses of all known routers.
 
     Parameters
     ----------
@@ -16,7 +16,7 @@
     loop : asyncio event loop
     jitter : random.Random
     seeds : dict of str to str
-        Names and addresses from settings.
+        Addresses from the settings, by router name.
     """
 
     __slots__ = ("_addresses_by_name", "_jitter", "_leaving", "_listed", "_loop", "_peers", "_seeds", "_table")
@@ -33,16 +33,16 @@
 
     @property
     def listed(self):
-        """Names of the other routers on the platform's list, as it was last read."""
+        """Names of the other routers on the platform's list as last read."""
         return self._listed or frozenset()
 
     def start(self):
-        """Greet a few of the seeds."""
+        """Contact a few of the seeds."""
         self._peers.set_addresses(self._addresses_by_name)
-        self.greet_absent(FIRST_CONTACTS)
+        self.contact_absent(INITIAL_CONTACTS)
 
     def observe(self, vms):
-        """Take the platform's list of VMs."""
+        """Apply the platform's list of VMs."""
         routers = [vm for vm in vms if vm.role == ROUTER_ROLE]
         self._leaving = frozenset(vm.id for vm in routers if vm.leaving)
         addresses = {vm.id: vm.address for vm in routers if vm.id != self._table.own.name}
@@ -52,38 +52,38 @@
         self._addresses_by_name.update(absent)
         self._peers.set_addresses(absent)
         self._drop_unlisted()
-        for name in new[:FIRST_CONTACTS]:
-            self._greet(name)
+        for name in new[:INITIAL_CONTACTS]:
+            self._contact(name)
 
-    def learn(self, name, address):
-        """Take an address that a router gave for itself; it outweighs the platform's lagging list."""
+    def update_address(self, name, address):
+        """Set the address that a router reported for itself; it takes precedence over the platform's lagging list."""
         if address:
             self._addresses_by_name[name] = address
             self._peers.set_addresses({name: address})
 
     def mark_leaving(self):
-        """Mark the members that the platform's list calls leaving."""
+        """Mark the members that the platform's list shows as leaving."""
         for member in self._table.by_name.values():
             member.listed_leaving = member.name in self._leaving
 
-    def greet_absent(self, count):
-        """Greet a few routers that exist but are not in the view: they may be back, or on the other side."""
+    def contact_absent(self, count):
+        """Contact a few known routers outside the view: they may have restarted, or a partition may have healed."""
         absent = [name for name in sorted(self._addresses_by_name) if self._is_absent(name)]
         for name in self._jitter.sample(absent, min(count, len(absent))):
-            self._greet(name)
+            self._contact(name)
 
-    def forget_old(self):
-        """Drop what is held about routers gone for long."""
+    def remove_expired(self):
+        """Remove routers that are off the platform's list and have been absent for ``REMOVE_AFTER_S``."""
         now = self._loop.time()
         for name, member in list(self._table.by_name.items()):
             is_listed = self._listed is not None and name in self._listed
-            if not member.present and not is_listed and now - member.state_since > FORGET_AFTER_S:
+            if not member.present and not is_listed and now - member.state_since > REMOVE_AFTER_S:
                 del self._table.by_name[name]
                 self._addresses_by_name.pop(name, None)
-                self._peers.forget(name)
+                self._peers.remove(name)
 
     def dump(self):
-        """State for the dump."""
+        """State for the state dump."""
         return {
             "listed": None if self._listed is None else sorted(self._listed),
             "listed_leaving": sorted(self._leaving),
@@ -94,11 +94,11 @@
         known = self._listed | set(self._seeds) | set(self._table.by_name)
         for name in set(self._addresses_by_name) - known:
             del self._addresses_by_name[name]
-            self._peers.forget(name)
+            self._peers.remove(name)
 
     def _is_absent(self, name):
         member = self._table.by_name.get(name)
         return member is None or not member.present
 
-    def _greet(self, name):
+    def _contact(self, name):
         self._peers.send(name, self._table.own.event())
--- a/wagtailtrestle/membership/member.py
+++ b/wagtailtrestle/membership/member.py
@@ -1,29 +1,29 @@
-"""What one router believes of another, and the order in which statements outweigh each other."""
+"""State of one router as another sees it, and the order of precedence between events about it."""
 
 from wagtailtrestle.contracts.peer_messages import MemberState, ViewEvent
 
-HOLD_FIRST_S = 1.0
-HOLD_MAX_S = 30.0
-STEADY_S = 300.0
+HOLD_DOWN_FIRST_S = 1.0
+HOLD_DOWN_MAX_S = 30.0
+STABLE_AFTER_S = 300.0
 
 RANKS_BY_STATE = {MemberState.ALIVE: 0, MemberState.SUSPECT: 1, MemberState.DEAD: 2, MemberState.LEFT: 3}
-PRESENT = (MemberState.ALIVE, MemberState.SUSPECT)
+PRESENT_STATES = (MemberState.ALIVE, MemberState.SUSPECT)
 
 
 class Member:
-    """One router as seen from another.
+    """One router as seen by another.
 
-    Only the router itself raises its ``version``; so at one version a worse state
-    outweighs a better one until the router itself refutes it with a higher version.
+    Only the router itself increments its ``version``. Within one version a worse state
+    overrides a better one, until the router itself refutes it with a higher version.
     """
 
     __slots__ = (
         "address",
-        "claimed_dead",
+        "reported_dead",
         "draining",
         "flaps",
         "generation",
-        "held_until",
+        "hold_down_until",
         "incarnation",
         "listed_leaving",
         "name",
@@ -46,63 +46,63 @@
         self.state_since = now
         self.draining = False
         self.listed_leaving = False
-        self.claimed_dead = False
+        self.reported_dead = False
         self.own_suspicion = False
         self.suspect_again_at = now
         self.suspect_backoff_s = 0.0
         self.flaps = 0
-        self.held_until = now
+        self.hold_down_until = now
         self.generation = 0
 
     @property
     def present(self):
-        """Whether it belongs to the view: alive, or suspected and given time to refute."""
-        return self.state in PRESENT
+        """Whether it belongs to the view: alive, or suspected and still within the time to refute."""
+        return self.state in PRESENT_STATES
 
     def key(self):
-        """Order of statements about this router."""
-        state = MemberState.DEAD if self.claimed_dead else self.state
+        """Sort key that orders events about this router."""
+        state = MemberState.DEAD if self.reported_dead else self.state
         return (self.incarnation, self.version, RANKS_BY_STATE[state])
 
     def eligible(self, now):
-        """Whether it may be scheduler or shard owner."""
-        return self.present and not self.draining and not self.listed_leaving and now >= self.held_until
+        """Whether it may become scheduler or shard owner."""
+        return self.present and not self.draining and not self.listed_leaving and now >= self.hold_down_until
 
     def set_state(self, state, now):
-        """Change the state; note suspicion's time and count returns from the dead."""
+        """Change the state and its timestamp. A router that returns from ``DEAD`` enters hold-down."""
         if state == self.state:
             return
         was_dead = self.state is MemberState.DEAD
         if state is not MemberState.SUSPECT:
             self.own_suspicion = False
-            self.claimed_dead = False
+            self.reported_dead = False
         if was_dead and state is MemberState.ALIVE:
-            self._hold(now)
+            self._start_hold_down(now)
         self.state = state
         self.state_since = now
 
-    def _hold(self, now):
-        # A router behind a bad link would go in and out of the view, and each time the cells it is scheduler
-        # of move twice and every entry re-registers. Who comes back is alive at once but eligible only after
-        # it stayed for a while, longer each time.
-        if now - self.state_since > STEADY_S:
+    def _start_hold_down(self, now):
+        # Flap damping. A router behind an unreliable link would leave and rejoin the view repeatedly; each time
+        # the cells it schedules would move twice and every entry would re-register. A returning router is alive
+        # immediately but becomes eligible only after a hold-down, which doubles with each flap.
+        if now - self.state_since > STABLE_AFTER_S:
             self.flaps = 0
         self.flaps += 1
-        self.held_until = now + min(HOLD_MAX_S, HOLD_FIRST_S * 2 ** (self.flaps - 1))
+        self.hold_down_until = now + min(HOLD_DOWN_MAX_S, HOLD_DOWN_FIRST_S * 2 ** (self.flaps - 1))
 
     def restart(self, incarnation, now):
-        """Take a new process of that name; it owes nothing for what its predecessor did."""
+        """Reset for a new process of that name, which starts without its predecessor's suspicions and hold-down."""
         self.incarnation = incarnation
         self.version = 0
         self.state = MemberState.ALIVE
         self.state_since = now
-        self.own_suspicion = self.claimed_dead = self.draining = False
+        self.own_suspicion = self.reported_dead = self.draining = False
         self.suspect_again_at = now
         self.suspect_backoff_s = 0.0
-        self.held_until = now
+        self.hold_down_until = now
 
     def event(self):
-        """Statement of what is believed now."""
+        """View event with the state as currently known."""
         return ViewEvent(
             name=self.name,
             zone=self.zone,
@@ -114,7 +114,7 @@
         )
 
     def dump(self, now):
-        """State for the dump; ages in seconds."""
+        """State for the state dump; ages in seconds."""
         return {
             "state": self.state.value,
             "state_age_s": round(now - self.state_since, 3),
@@ -125,11 +125,11 @@
             "generation": self.generation,
             "draining": self.draining,
             "listed_leaving": self.listed_leaving,
-            "held_s": round(max(0.0, self.held_until - now), 3),
+            "held_s": round(max(0.0, self.hold_down_until - now), 3),
             "flaps": self.flaps,
         }
 
 
 def event_key(event):
-    """Order of statements, as ``Member.key``."""
+    """Sort key of an event, comparable with ``Member.key``."""
     return (event.incarnation, event.version, RANKS_BY_STATE[event.state])
--- a/wagtailtrestle/membership/view_sync.py
+++ b/wagtailtrestle/membership/view_sync.py
@@ -1,28 +1,28 @@
-"""Brings views that differ back together: routers compare digests and pull what a peer knows."""
+"""Anti-entropy between views: routers compare digests and pull a peer's view while they differ."""
 
 import asyncio
 
 from wagtailtrestle.contracts.peer_messages import PeerUnreachable, Ping, ViewAsk, ViewText
 
 TIMEOUT_S = 0.5
-MISMATCHES = 2
-PAUSE_S = 1.0
-PAUSE_MAX_S = 60.0
+MIN_MISMATCHES = 2
+PULL_INTERVAL_S = 1.0
+MAX_PULL_INTERVAL_S = 60.0
 
 
-class _Disagreement:
-    """How long a peer's digest has differed, and when to pull from it next."""
+class _DigestMismatch:
+    """How often a peer's digest has differed, and when to pull from it next."""
 
-    __slots__ = ("count", "next_pull_at", "pause_s")
+    __slots__ = ("count", "next_pull_at", "pull_interval_s")
 
     def __init__(self, *, now):
         self.count = 0
         self.next_pull_at = now
-        self.pause_s = PAUSE_S
+        self.pull_interval_s = PULL_INTERVAL_S
 
 
 class ViewSync:
-    """Pulls and answers whole views.
+    """Pulls complete views from peers and answers their pulls.
 
     Parameters
     ----------
@@ -30,14 +30,24 @@
     peers : Peers
     loop : asyncio event loop
     is_trusted : callable
-        ``() -> bool``: whether this router's own view may be acted on, and told.
+        ``() -> bool``: whether this router's own view may be acted on and sent to peers.
     on_events : callable
-        ``(peer, events, news)``: called after the table took in a peer's view.
+        ``(peer, events, applied)``: called after a peer's view was merged into the table.
     on_lost : callable
-        ``(Member)``: a peer calls it dead, and it gives no sign of life.
+        ``(Member)``: a peer reports it dead, and it does not answer a ping.
     """
 
-    __slots__ = ("_by_peer", "_doubted", "_is_trusted", "_loop", "_on_events", "_on_lost", "_peers", "_table", "_tasks")
+    __slots__ = (
+        "_mismatch_by_peer",
+        "_disputed",
+        "_is_trusted",
+        "_loop",
+        "_on_events",
+        "_on_lost",
+        "_peers",
+        "_table",
+        "_tasks",
+    )
 
     def __init__(self, *, table, peers, loop, is_trusted, on_events, on_lost):
         self._table = table
@@ -46,48 +56,48 @@
         self._is_trusted = is_trusted
         self._on_events = on_events
         self._on_lost = on_lost
-        self._by_peer = {}
-        self._doubted = set()
+        self._mismatch_by_peer = {}
+        self._disputed = set()
         self._tasks = set()
         peers.on(ViewAsk, self._answer)
 
     async def close(self):
-        """End what is under way."""
+        """Cancel pulls and checks in progress."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
     def compare(self, peer, *, own, other):
-        """Take the digest a heartbeat carried; pull the peer's view if it goes on to differ."""
+        """Compare this router's digest with that of a peer's heartbeat; pull the peer's view if they keep differing."""
         if own == other:
-            self._by_peer.pop(peer, None)
+            self._mismatch_by_peer.pop(peer, None)
             return
         now = self._loop.time()
-        disagreement = self._by_peer.setdefault(peer, _Disagreement(now=now))
-        disagreement.count += 1
-        if disagreement.count >= MISMATCHES and now >= disagreement.next_pull_at:
-            # Pulls that settle nothing must not fill the link: each waits longer than the last.
-            disagreement.next_pull_at = now + disagreement.pause_s
-            disagreement.pause_s = min(PAUSE_MAX_S, 2 * disagreement.pause_s)
+        mismatch = self._mismatch_by_peer.setdefault(peer, _DigestMismatch(now=now))
+        mismatch.count += 1
+        if mismatch.count >= MIN_MISMATCHES and now >= mismatch.next_pull_at:
+            # Pulls that do not resolve the difference must not saturate the link: their interval doubles.
+            mismatch.next_pull_at = now + mismatch.pull_interval_s
+            mismatch.pull_interval_s = min(MAX_PULL_INTERVAL_S, 2 * mismatch.pull_interval_s)
             self.pull(peer)
 
     def pull(self, peer):
-        """Ask a peer for all it knows."""
+        """Request a peer's complete view."""
         self._spawn(self._pull(peer))
 
-    def check_doubted(self):
-        """Find out about one of the routers that a peer calls dead and this one alive."""
-        if self._doubted:
-            self._spawn(self._check(self._doubted.pop()))
+    def check_disputed(self):
+        """Ping one of the routers that a peer reports dead and this router considers alive."""
+        if self._disputed:
+            self._spawn(self._check(self._disputed.pop()))
 
     async def _pull(self, peer):
-        answer = await self._peers.ask(peer, ViewAsk(), TIMEOUT_S)
+        answer = await self._peers.query(peer, ViewAsk(), TIMEOUT_S)
         if type(answer) is not ViewText:
             return
-        believe = not self._is_trusted()
-        news, doubted = self._table.merge(answer.events, self._loop.time(), believe=believe)
-        self._doubted.update(doubted)
-        self._on_events(peer, answer.events, news)
+        trust_peer = not self._is_trusted()
+        applied, disputed = self._table.merge(answer.events, self._loop.time(), trust_peer=trust_peer)
+        self._disputed.update(disputed)
+        self._on_events(peer, answer.events, applied)
 
     def _answer(self, peer, message, cell):
         if not self._is_trusted():
@@ -99,7 +109,7 @@
         member = self._table.by_name.get(name)
         if member is None or not member.present:
             return
-        answer = await self._peers.ask(name, Ping(), TIMEOUT_S)
+        answer = await self._peers.query(name, Ping(), TIMEOUT_S)
         if isinstance(answer, PeerUnreachable):
             self._on_lost(member)
 
--- a/wagtailtrestle/peers/broadcast.py
+++ b/wagtailtrestle/peers/broadcast.py
@@ -1,15 +1,15 @@
-"""Brings a message to every router by passing it on, for what all must learn and few say."""
+"""Broadcast by flooding: messages that few routers send and all must receive."""
 
 from collections import OrderedDict
 
-KEPT_KEYS = 4096
+MAX_SEEN_KEYS = 4096
 
 
 class Broadcast:
-    """Passes each message on once, along the targets that the membership names.
+    """Forwards each message once to the targets given by the membership.
 
-    Sending to all of 370 routers oneself would open a connection to each; along the ring
-    and its fingers a message reaches all in a few hops, over connections that are there.
+    Sending directly to all of 370 routers would open a connection to each. Along the ring and
+    its fingers a message reaches all routers in a few hops over existing connections.
 
     Parameters
     ----------
@@ -27,40 +27,41 @@
         self._seen = OrderedDict()
 
     def on(self, message_type, *, key, handler):
-        """Have ``handler(message)`` called once for each message from elsewhere.
+        """Register ``handler(message)``, called once for each message from other routers.
 
         Parameters
         ----------
         message_type : type
         key : callable
-            ``(message)``: equal for messages that are the same.
+            ``(message)``: equal for copies of the same message.
         handler : callable
         """
         self._rules_by_type[message_type] = (key, handler)
-        self._peers.on(message_type, self._received)
+        self._peers.on(message_type, self._on_message)
 
     def send(self, message):
-        """Tell everybody."""
-        if self._is_news(message):
-            self._pass_on(message)
+        """Send a message to all routers."""
+        if self._mark_seen(message):
+            self._forward(message)
 
-    def _received(self, peer, message, cell):
-        if self._is_news(message):
-            self._pass_on(message, but=peer)
+    def _on_message(self, peer, message, cell):
+        if self._mark_seen(message):
+            self._forward(message, exclude=peer)
             _, handler = self._rules_by_type[type(message)]
             handler(message)
 
-    def _is_news(self, message):
+    def _mark_seen(self, message):
+        """Record a message as seen; ``False`` if it was seen before."""
         key, _ = self._rules_by_type[type(message)]
         name = (type(message), key(message))
         if name in self._seen:
             return False
         self._seen[name] = None
-        if len(self._seen) > KEPT_KEYS:
+        if len(self._seen) > MAX_SEEN_KEYS:
             self._seen.popitem(last=False)
         return True
 
-    def _pass_on(self, message, but=None):
+    def _forward(self, message, exclude=None):
         for name in self._targets():
-            if name != but:
+            if name != exclude:
                 self._peers.send(name, message)
--- a/wagtailtrestle/peers/directory.py
+++ b/wagtailtrestle/peers/directory.py
@@ -1,20 +1,20 @@
-"""Finds the scheduler of a cell and the entry of a request, and carries messages to them.
-
-Implements ``ports.SchedulerLink`` and ``ports.EntryLink`` over membership and peers, with a
-local short cut. Nothing depends on a single message getting through: all that an entry
-holds for a cell is registered anew when the cell's scheduler changes, after each reconnect,
-after a pause of this process, and each second while messages take a detour.
-
-A message for a cell whose scheduler is, in this router's own view, someone else
--------------------------------------------------------------------------------
-Views may differ for a moment. Ways weighed: (1) bounce it: the sender, whose view still
-names this router, would send it here again, and the request hangs until views agree;
-(2) pass it on: two routers that each believe the other to be scheduler would pass it in
+"""Locates the scheduler of a cell and the entry of a request, and delivers messages to them.
+
+Implements ``ports.SchedulerLink`` and ``ports.EntryLink`` over membership and peers; messages
+within this router are delivered directly. No single message has to arrive: all that an entry
+holds for a cell is registered again when the cell's scheduler changes, after each reconnect,
+after a pause of this process, and each second while messages are relayed.
+
+A message for a cell that has another scheduler in this router's view
+---------------------------------------------------------------------
+Views may differ for a short time. Alternatives: (1) reject it: the sender, whose view still
+names this router, would send it here again, and the request would hang until the views agree;
+(2) forward it: two routers that each consider the other the scheduler would forward it in
 circles; (3) act as scheduler anyway. We do (3): a grant is capacity, not identity, so two
 schedulers may overfill an engine for the second or so that views differ, but only the entry
 dispatches, once per request. When the sender's view changes, it registers with the new
-scheduler and sends the old one an empty registration, which frees what was held here. A
-draining router alone does (2), since it grants nothing more: it passes the message to the
+scheduler and sends the old one an empty registration, which releases what was held here. Only
+a draining router does (2), since it grants nothing more: it forwards the message to the
 scheduler in its own view, which is never itself.
 """
 
@@ -38,12 +38,12 @@
 ENTRY_MESSAGES = (GrantRequest, Withdraw, RunStarted, RunProgress, RunFinished, Register, EngineNotice)
 SCHEDULER_MESSAGES = (Granted, Refused, Preempt, EngineDown)
 
-# Up to so many routers each entry registers also for the cells it holds nothing for, so that a new scheduler
-# soon knows it has heard everybody. Beyond, that would be a connection from every router to every scheduler;
-# a scheduler there waits out its bounded time of caution.
-ANNOUNCE_LIMIT = 32
-DETOUR_REGISTER_S = 1.0
-ASK_PAUSE_S = 0.3
+# Up to this number of routers each entry also registers for cells for which it holds nothing, so that a new scheduler
+# soon knows that all entries have registered. In larger fleets this would need a connection from every router to every
+# scheduler; there a new scheduler waits until its bounded recovery time is over.
+EMPTY_REGISTRATION_LIMIT = 32
+RELAYED_REGISTER_INTERVAL_S = 1.0
+REGISTRATION_REQUEST_INTERVAL_S = 0.3
 
 
 class Directory:
@@ -65,7 +65,7 @@
     cells : callable
         ``() -> iterable of str``: the cells of the configuration in force.
     set_members : callable, optional
-        ``(tuple of str)``: names of all entries alive, told to the local schedulers.
+        ``(tuple of str)``: sets the names of all live entries at the local schedulers.
     begin_cell : callable, optional
         ``(cell)``: this router has become scheduler of the cell.
     """
@@ -87,7 +87,7 @@
         self.name = name
         self._membership = membership
         self._peers = peers
-        self._routes = PeerRoutes(name=name, peers=peers, members=lambda: membership.view.everyone, loop=loop)
+        self._routes = PeerRoutes(name=name, peers=peers, members=lambda: membership.view.all_members, loop=loop)
         self._loop = loop
         self._deliver_to_scheduler = deliver_to_scheduler
         self._deliver_to_entry = deliver_to_entry
@@ -98,26 +98,26 @@
         self._rendezvous = Rendezvous()
         self._scheduler_by_cell = {}
         self._incarnations_by_name = dict(membership.view.incarnations_by_name)
-        self._detours = set()
-        self._asked_at = {}
-        self.scheduler_link = _SchedulerSide(directory=self)
-        self.entry_link = _EntrySide(directory=self)
+        self._relayed_cells = set()
+        self._registration_requested_at = {}
+        self.scheduler_link = _SchedulerLink(directory=self)
+        self.entry_link = _EntryLink(directory=self)
         for message_type in ENTRY_MESSAGES:
-            peers.on(message_type, self._from_entry)
+            peers.on(message_type, self._on_entry_message)
         for message_type in SCHEDULER_MESSAGES:
-            peers.on(message_type, self._from_scheduler)
+            peers.on(message_type, self._on_scheduler_message)
         peers.on(RegisterAsk, self._on_register_ask)
-        peers.on_reconnect(self._reconnected)
-        peers.on_unreachable(self._unreachable)
-        membership.on_view_change(self._view_changed)
-        membership.on_trusted(self._trusted_again)
+        peers.on_reconnect(self._on_reconnect)
+        peers.on_unreachable(self._on_unreachable)
+        membership.on_view_change(self._on_view_change)
+        membership.on_trusted(self._on_trusted)
 
     def scheduler_of(self, cell):
-        """Name of the router that is scheduler of a cell in the present view, or ``None``."""
+        """Name of the router that is scheduler of a cell in the current view, or ``None``."""
         return self._rendezvous.choose(key=cell, members=self._membership.view.members)
 
     def refresh(self):
-        """Register the cells whose scheduler changed; also call it when the configuration changed."""
+        """Register the cells whose scheduler changed. Must also be called after a change of the configuration."""
         if not self._membership.trusted:
             return
         cells = set(self._cells())
@@ -126,27 +126,27 @@
         for cell in cells:
             self._check_scheduler(cell)
 
-    def ask_to_register(self, *, cell, entries):
-        """Ask entries that a local scheduler waits for to register, at a bounded rate."""
+    def request_registrations(self, *, cell, entries):
+        """Request registrations, at a bounded rate, from entries that a local scheduler waits for."""
         now = self._loop.time()
         for entry in entries:
-            if now < self._asked_at.get((cell, entry), 0.0):
+            if now < self._registration_requested_at.get((cell, entry), 0.0):
                 continue
-            self._asked_at[cell, entry] = now + ASK_PAUSE_S
+            self._registration_requested_at[cell, entry] = now + REGISTRATION_REQUEST_INTERVAL_S
             if entry == self.name:
                 self._loop.call_soon(self._deliver_to_scheduler, cell, self._registration(cell, self.name))
             else:
                 self._routes.send(entry, RegisterAsk(), cell=cell)
 
     def dump(self):
-        """State for the dump: the scheduler of each cell."""
+        """State for the state dump: the scheduler of each cell."""
         return {cell: self.scheduler_of(cell) for cell in sorted(self._cells())}
 
     def send_to_scheduler(self, *, cell, message):
-        """Carry an entry's message; ``False`` if there is no scheduler now."""
+        """Send an entry's message; ``False`` if there is no scheduler now."""
         if not self._membership.trusted:
-            # This process starts or was paused, so its view may name a scheduler of long ago. What is not sent
-            # now is in the registration that follows as soon as a peer has told the present view.
+            # This process has just started or was paused, so its view may name a former scheduler. What is not
+            # sent now is part of the registration that follows as soon as a peer has sent the current view.
             return True
         scheduler = self._check_scheduler(cell)
         if scheduler is None:
@@ -154,7 +154,7 @@
         return self._send(scheduler, cell, message)
 
     def send_to_entry(self, *, entry, message):
-        """Carry a scheduler's message; ``False`` if the entry can't be reached now."""
+        """Send a scheduler's message; ``False`` if the entry can't be reached now."""
         if entry == self.name:
             self._loop.call_soon(self._deliver_to_entry, message)
             return True
@@ -172,27 +172,27 @@
     def _change_scheduler(self, cell, before, scheduler):
         self._scheduler_by_cell[cell] = scheduler
         if scheduler == self.name:
-            # A scheduler of before still holds that everybody has registered, and would grant at once beside
-            # all that was granted since: engines filled twice over.
+            # If this router was scheduler of the cell before, its scheduler still assumes that all entries have
+            # registered. It would grant immediately on top of what was granted since, and fill engines twice.
             self._begin_cell(cell)
-        if before in self._membership.view.everyone:
-            # Without this a former scheduler that lives would hold this entry's places until told otherwise.
+        if before in self._membership.view.all_members:
+            # Otherwise a former scheduler that is alive would keep this entry's slots occupied.
             self._send(before, cell, Register(entry=self.name, cell=cell, elsewhere=True))
         if scheduler is not None:
-            self._announce(scheduler, cell)
+            self._send_registration(scheduler, cell)
 
-    def _announce(self, scheduler, cell):
+    def _send_registration(self, scheduler, cell):
         registration = self._register(cell)
         holds_nothing = not registration.waiting and not registration.running and not registration.notices
         is_empty = holds_nothing and registration.retries.is_empty
-        is_stranger = scheduler != self.name and not self._peers.connected(scheduler)
-        if is_empty and is_stranger and len(self._membership.view.everyone) > ANNOUNCE_LIMIT:
+        is_unconnected = scheduler != self.name and not self._peers.connected(scheduler)
+        if is_empty and is_unconnected and len(self._membership.view.all_members) > EMPTY_REGISTRATION_LIMIT:
             return
         self._send(scheduler, cell, registration)
 
-    def _registration(self, cell, asker):
-        """What this entry holds at ``asker``: nothing, if it has another scheduler for the cell."""
-        if self.scheduler_of(cell) == asker:
+    def _registration(self, cell, requester):
+        """Registration of this entry for ``requester``; empty if this router's view names another scheduler."""
+        if self.scheduler_of(cell) == requester:
             return self._register(cell)
         return Register(entry=self.name, cell=cell, elsewhere=True)
 
@@ -200,60 +200,60 @@
         if scheduler == self.name:
             self._loop.call_soon(self._deliver_to_scheduler, cell, message)
             return True
-        if self._routes.is_cut(scheduler):
-            self._register_during_detour(cell)
+        if self._routes.needs_relay(scheduler):
+            self._register_while_relayed(cell)
         return self._routes.send(scheduler, message, cell=cell)
 
-    def _register_during_detour(self, cell):
-        if cell not in self._detours:
-            self._detours.add(cell)
-            self._loop.call_later(DETOUR_REGISTER_S, self._register_again, cell)
+    def _register_while_relayed(self, cell):
+        if cell not in self._relayed_cells:
+            self._relayed_cells.add(cell)
+            self._loop.call_later(RELAYED_REGISTER_INTERVAL_S, self._repeat_registration, cell)
 
-    def _register_again(self, cell):
-        self._detours.discard(cell)
+    def _repeat_registration(self, cell):
+        self._relayed_cells.discard(cell)
         scheduler = self._scheduler_by_cell.get(cell)
-        if scheduler not in (None, self.name) and self._routes.is_cut(scheduler):
+        if scheduler not in (None, self.name) and self._routes.needs_relay(scheduler):
             self._send(scheduler, cell, self._register(cell))
 
     # Changes.
 
-    def _view_changed(self, view):
+    def _on_view_change(self, view):
         if not self._membership.trusted:
             return
-        restarted = self._note_incarnations(view)
+        restarted = self._update_incarnations(view)
         if restarted:
-            # A new process of that name knows nothing of what its predecessor held: let that go first.
-            self._set_members(tuple(name for name in view.everyone if name not in restarted))
-        self._set_members(view.everyone)
+            # A new process doesn't know what its predecessor of the same name held, so that is released first.
+            self._set_members(tuple(name for name in view.all_members if name not in restarted))
+        self._set_members(view.all_members)
         self.refresh()
 
-    def _note_incarnations(self, view):
+    def _update_incarnations(self, view):
         before, self._incarnations_by_name = self._incarnations_by_name, view.incarnations_by_name
         return {name for name, number in view.incarnations_by_name.items() if before.get(name, number) != number}
 
-    def _trusted_again(self):
-        self._view_changed(self._membership.view)
+    def _on_trusted(self):
+        self._on_view_change(self._membership.view)
         for cell, scheduler in self._scheduler_by_cell.items():
             if scheduler is not None:
-                self._announce(scheduler, cell)
+                self._send_registration(scheduler, cell)
 
-    def _reconnected(self, peer):
+    def _on_reconnect(self, peer):
         # What was written to the old connection may be lost, in both directions.
         if not self._membership.trusted:
             return
         for cell, scheduler in self._scheduler_by_cell.items():
             if scheduler == peer:
-                self._announce(peer, cell)
+                self._send_registration(peer, cell)
 
-    def _unreachable(self, peer, detail):
-        # If the peer stays in the view all the same, the way to it is cut: what it didn't get goes round.
+    def _on_unreachable(self, peer, detail):
+        # If the peer stays in the view nevertheless, only the path to it is broken: relay what it didn't receive.
         for cell, scheduler in self._scheduler_by_cell.items():
             if scheduler == peer:
-                self._register_during_detour(cell)
+                self._register_while_relayed(cell)
 
     # Receiving.
 
-    def _from_entry(self, peer, message, cell):
+    def _on_entry_message(self, peer, message, cell):
         if self._membership.draining:
             scheduler = self.scheduler_of(cell)
             if scheduler not in (None, self.name):
@@ -261,7 +261,7 @@
                 return
         self._deliver_to_scheduler(cell, message)
 
-    def _from_scheduler(self, peer, message, cell):
+    def _on_scheduler_message(self, peer, message, cell):
         self._deliver_to_entry(message)
 
     def _on_register_ask(self, peer, message, cell):
@@ -269,7 +269,7 @@
             self._routes.send(peer, self._registration(cell, peer), cell=cell)
 
 
-class _SchedulerSide:
+class _SchedulerLink:
     """``ports.SchedulerLink``."""
 
     __slots__ = ("_directory",)
@@ -282,7 +282,7 @@
         return self._directory.send_to_scheduler(cell=cell, message=message)
 
 
-class _EntrySide:
+class _EntryLink:
     """``ports.EntryLink``."""
 
     __slots__ = ("_directory",)
--- a/wagtailtrestle/peers/questions.py
+++ b/wagtailtrestle/peers/pending_queries.py
@@ -1,10 +1,10 @@
-"""Questions to peers that wait for their answers."""
+"""Queries to peers that wait for their answers."""
 
 from wagtailtrestle.contracts.peer_messages import NoAnswer, PeerUnreachable
 
 
-class Questions:
-    """Pairs questions with answers by number.
+class PendingQueries:
+    """Matches answers to queries by number.
 
     Parameters
     ----------
@@ -19,7 +19,7 @@
         self._waiting_by_number = {}
 
     def begin(self, peer):
-        """Number a question to ``peer``; return the number and the future of its answer."""
+        """Register a query to ``peer``; return its number and the future of its answer."""
         number = self._next_number
         self._next_number += 1
         answer = self._loop.create_future()
@@ -27,20 +27,20 @@
         return number, answer
 
     def end(self, number):
-        """Forget a question; a late answer to it is dropped."""
+        """Remove a query; a late answer to it is dropped."""
         del self._waiting_by_number[number]
 
     def answered(self, peer, number, message):
-        """Take an answer; ``None`` stands for one of a type unknown here."""
-        asked, answer = self._waiting_by_number.get(number, (None, None))
-        if asked != peer or answer.done():
+        """Complete a query with its answer; ``None`` stands for one of a type unknown here."""
+        expected_peer, answer = self._waiting_by_number.get(number, (None, None))
+        if expected_peer != peer or answer.done():
             return
         if message is None or type(message) is NoAnswer:
             message = PeerUnreachable(peer=peer, detail="the peer has no answer to this question")
         answer.set_result(message)
 
     def fail(self, peer, detail):
-        """End all questions to a peer whose connection was lost: their answers can't come any more."""
-        for asked, answer in self._waiting_by_number.values():
-            if asked == peer and not answer.done():
+        """Complete all queries to a peer with ``PeerUnreachable``, as their answers can no longer arrive."""
+        for expected_peer, answer in self._waiting_by_number.values():
+            if expected_peer == peer and not answer.done():
                 answer.set_result(PeerUnreachable(peer=peer, detail=detail))
--- a/wagtailtrestle/router.py
+++ b/wagtailtrestle/router.py
@@ -112,7 +112,7 @@
             heartbeat_s=settings.peer_heartbeat_s,
             epoch=self._store_epoch,
         )
-        self._store_epoch.on_return(self._membership.tell_at_once)
+        self._store_epoch.on_return(self._membership.send_heartbeats)
         self._broadcast = Broadcast(peers=self._peers, targets=self._membership.broadcast_targets)
 
     def _make_configuration(self):
@@ -160,7 +160,7 @@
             interval_s=self._settings.vm_list_interval_s,
             settled_s=self._settings.vm_list_settled_s,
         )
-        self._store_epoch.on_return(self._vm_list.read_soon)
+        self._store_epoch.on_return(self._vm_list.resume_fast_polling)
         self._store_epoch.on_return(lambda: self._metrics.count("store_returns"))
         self._membership.on_generation(lambda peer, generation: self._configuration.heard(generation, peer))
         self._membership.on_view_change(self._end_questions)
@@ -197,7 +197,7 @@
             runs_outlive_routers=self._adapter.ended_call is not None,
             retry_limits=self._retry_limits,
         )
-        self._schedulers.set_members(self._membership.view.everyone)
+        self._schedulers.set_members(self._membership.view.all_members)
         self._crashes = CrashWatch(
             table=CrashTable(clock=self._loop.time, reporter=name),
             detector=CrashDetector(clock=self._loop.time),
@@ -259,7 +259,7 @@
             ask=self._ask,
             shards=lambda: self._declaration().ledger_shards,
             retention_s=lambda: self._declaration().ledger_retention_s,
-            live_routers=lambda: len(self._membership.view.everyone),
+            live_routers=lambda: len(self._membership.view.all_members),
         )
         for question in (ClaimAsk, SettleAsk, NonceAsk):
             self._peers.on(question, lambda peer, message, cell: self._ledger.handle(message))
@@ -531,7 +531,7 @@
         )
 
     def _other_members(self):
-        return [name for name in self._membership.view.everyone if name != self._settings.name]
+        return [name for name in self._membership.view.all_members if name != self._settings.name]
 
     def _tell_crashes(self, peer):
         # A router that starts, or was cut off, has heard of no crash. Without this a request
@@ -547,25 +547,25 @@
     async def _ask(self, peer, message, timeout_s):
         if peer == self._settings.name:
             return await self._ledger.handle(message)
-        if peer not in self._membership.view.everyone:
+        if peer not in self._membership.view.all_members:
             return None
-        answer = await self._peers.ask(peer, message, timeout_s)
+        answer = await self._peers.query(peer, message, timeout_s)
         return None if isinstance(answer, PeerUnreachable) else answer
 
     def _end_questions(self, view):
         # A question queued for a router that was killed would wait out its whole time for a
         # connection that never comes, and the caller behind it would wait as long.
-        gone = self._asked_members - set(view.everyone)
-        self._asked_members = set(view.everyone)
+        gone = self._asked_members - set(view.all_members)
+        self._asked_members = set(view.all_members)
         for name in gone:
-            self._peers.end_questions(name)
+            self._peers.fail_queries(name)
 
     async def _tick(self):
         while True:
             await asyncio.sleep(TICK_S)
             self._schedulers.tick()
             for cell, scheduler in self._schedulers.by_cell.items():
-                self._directory.ask_to_register(cell=cell, entries=scheduler.awaited_entries)
+                self._directory.request_registrations(cell=cell, entries=scheduler.awaited_entries)
             if self._in_force is not None:
                 self._quotas.tick()
             if self._rollouts is not None:
--- a/wagtailtrestle/slopes/peers.py
+++ b/wagtailtrestle/slopes/peers.py
@@ -57,7 +57,7 @@
 
 async def _link(hub, others):
     hub.set_addresses({other.name: other.address for other in others})
-    hub.keep({other.name for other in others})
+    hub.keep_open({other.name for other in others})
     while not all(other.connected("hub") for other in others):
         await asyncio.sleep(0.01)
 
@@ -202,7 +202,7 @@
     for _ in range(rounds):
         view = table.view(1.0)
         table.digest()
-        ring = Ring(names=view.everyone)
+        ring = Ring(names=view.all_members)
         ring.partners("router-0")
         ring.fingers("router-0")
     return (time.process_time() - began) / rounds * 1e3
