--- a/wagtailtrestle/entry/request_task.py
+++ b/wagtailtrestle/entry/request_task.py
@@ -165,7 +165,7 @@
         """Run the request to its final answer."""
         if not await self._claim():
             return
-        while self._may_go_on():
+        while self._check_not_poisoned():
             granted = await self._obtain_place()
             if granted is None:
                 return
@@ -235,7 +235,7 @@
 
     # Place.
 
-    def _may_go_on(self):
+    def _check_not_poisoned(self):
         if self.context.crashes.blocked(self.request.body_digest):
             self._refuse(Reason.POISONED)
             return False
