--- a/wagtailtrestle/entry/request_task.py
+++ b/wagtailtrestle/entry/request_task.py
@@ -166,7 +166,7 @@
         if not await self._claim():
             return
         while self._check_not_poisoned():
-            granted = await self._obtain_place()
+            granted = await self._acquire_slot()
             if granted is None:
                 return
             ended = await self._run_on(granted)
@@ -241,7 +241,7 @@
             return False
         return True
 
-    async def _obtain_place(self):
+    async def _acquire_slot(self):
         self.state = RequestState.QUEUED
         self.attempt += 1
         self._alone = self.context.crashes.runs_alone(self.request.body_digest)
