--- a/wagtailtrestle/entry/request_task.py
+++ b/wagtailtrestle/entry/request_task.py
@@ -250,11 +250,11 @@
             message = await self._next_message(until=self.request.deadline)
             match message:
                 case None:
-                    return self._give_up_waiting(Reason.DEADLINE_EXCEEDED)
+                    return self._withdraw_and_refuse(Reason.DEADLINE_EXCEEDED)
                 case CallerGone():
-                    return self._give_up_waiting(Reason.CALLER_GONE)
+                    return self._withdraw_and_refuse(Reason.CALLER_GONE)
                 case Displaced(retry_after_s=retry_after_s):
-                    return self._give_up_waiting(Reason.ROUTER_FULL, retry_after_s)
+                    return self._withdraw_and_refuse(Reason.ROUTER_FULL, retry_after_s)
                 case Refused(attempt=self.attempt, reason=reason, retry_after_s=retry_after_s):
                     return self._take_refusal(reason, retry_after_s)
                 case Granted(attempt=self.attempt):
@@ -276,7 +276,7 @@
                     self.attempt += 1
                     self.context.send(self.cell, self.grant_request())
 
-    def _give_up_waiting(self, reason, retry_after_s=None):
+    def _withdraw_and_refuse(self, reason, retry_after_s=None):
         self.context.send(self.cell, Withdraw(request_id=self.request.request_id))
         self._refuse(reason, retry_after_s=retry_after_s)
 
