--- a/wagtailtrestle/entry/request_task.py
+++ b/wagtailtrestle/entry/request_task.py
@@ -256,7 +256,7 @@
                 case Displaced(retry_after_s=retry_after_s):
                     return self._withdraw_and_refuse(Reason.ROUTER_FULL, retry_after_s)
                 case Refused(attempt=self.attempt, reason=reason, retry_after_s=retry_after_s):
-                    return self._take_refusal(reason, retry_after_s)
+                    return self._handle_refusal(reason, retry_after_s)
                 case Granted(attempt=self.attempt):
                     is_in_use = self.context.is_in_use(message.engine)
                     if is_in_use and self.context.is_informed(message):
@@ -280,7 +280,7 @@
         self.context.send(self.cell, Withdraw(request_id=self.request.request_id))
         self._refuse(reason, retry_after_s=retry_after_s)
 
-    def _take_refusal(self, reason, retry_after_s):
+    def _handle_refusal(self, reason, retry_after_s):
         if self._preempted and reason in (Reason.OVERLOADED, Reason.DEADLINE_UNREACHABLE):
             reason = Reason.PREEMPTED
         if reason is Reason.RETRY_BUDGET:
