--- a/wagtailtrestle/entry/request_task.py
+++ b/wagtailtrestle/entry/request_task.py
@@ -169,7 +169,7 @@
             granted = await self._acquire_slot()
             if granted is None:
                 return
-            ended = await self._run_on(granted)
+            ended = await self._run_on_engine(granted)
             if self._settled(ended):
                 return
 
@@ -289,7 +289,7 @@
 
     # Run.
 
-    async def _run_on(self, granted):
+    async def _run_on_engine(self, granted):
         self.engine = granted.engine
         self.runs += 1
         self.runs_begun += 1
