--- a/wagtailtrestle/entry/request_task.py
+++ b/wagtailtrestle/entry/request_task.py
@@ -296,7 +296,7 @@
         self._begin_run(granted, attach=False)
         attached = False
         while True:
-            ended = await self._until_run_ends(granted)
+            ended = await self._wait_for_run_end(granted)
             if attached and self._attaches.may_be_unread(ended.outcome, is_last=not self._may_go_elsewhere()):
                 await asyncio.sleep(UNREAD_PAUSE_S)
                 self._begin_run(granted, attach=True)
@@ -351,7 +351,7 @@
         if crashes >= CRASH_LIMIT and not attach:
             counts.note_crashing(request_id=request.request_id, service=request.service, crashes=crashes)
 
-    async def _until_run_ends(self, granted):
+    async def _wait_for_run_end(self, granted):
         until = self.request.deadline
         while True:
             message = await self._next_message(until=until)
