--- a/wagtailtrestle/entry/request_task.py
+++ b/wagtailtrestle/entry/request_task.py
@@ -301,7 +301,7 @@
                 await asyncio.sleep(UNREAD_PAUSE_S)
                 self._begin_run(granted, attach=True)
                 continue
-            self._note_crash(ended.outcome, was_sent=attached)
+            self._update_crash_watch(ended.outcome, was_sent=attached)
             if not self._can_attach(ended):
                 return ended
             attached = True
@@ -391,7 +391,7 @@
         if self._service_can("cancellable"):
             self.caller.cancel_run(run_id=self._run_id(), engine=self.engine, address=self._address)
 
-    def _note_crash(self, outcome, *, was_sent):
+    def _update_crash_watch(self, outcome, *, was_sent):
         self.context.crashes.note(
             engine=self.engine,
             body_digest=self.request.body_digest,
