--- a/wagtailtrestle/entry/request_task.py
+++ b/wagtailtrestle/entry/request_task.py
@@ -170,7 +170,7 @@
             if granted is None:
                 return
             ended = await self._run_on_engine(granted)
-            if self._settled(ended):
+            if self._handle_run_end(ended):
                 return
 
     # What others are told of this request.
@@ -408,7 +408,7 @@
 
     # What follows a run.
 
-    def _settled(self, ended):
+    def _handle_run_end(self, ended):
         """Tell the scheduler, then answer the caller or return ``False`` to ask again."""
         self._reports.finished(self.engine, ended)
         outcome = ended.outcome
