--- a/wagtailtrestle/entry/request_task.py
+++ b/wagtailtrestle/entry/request_task.py
@@ -113,7 +113,7 @@
         "_next_kind",
         "_losses",
         "_retries_used_up",
-        "_given_back",
+        "_declined_engines",
         "_evidence",
         "_not_sent",
         "_attaches",
@@ -145,7 +145,7 @@
         self._next_kind = RunKind.FIRST
         self._losses = 0
         self._retries_used_up = False
-        self._given_back = set()
+        self._declined_engines = set()
         self._evidence = ExecutionEvidence()
         self._not_sent = 0
         self._attaches = Attaches()
@@ -270,9 +270,9 @@
                     self.context.tell_again(message.engine)
                     self._reports.gave_back(message.engine)
                     # A scheduler that grants it again after it was told may know a later start of the engine.
-                    if not is_in_use or message.engine in self._given_back:
+                    if not is_in_use or message.engine in self._declined_engines:
                         self._excluded.add(message.engine)
-                    self._given_back.add(message.engine)
+                    self._declined_engines.add(message.engine)
                     self.attempt += 1
                     self.context.send(self.cell, self.grant_request())
 
