--- a/wagtailtrestle/entry/execution_evidence.py
+++ b/wagtailtrestle/entry/execution_evidence.py
@@ -6,10 +6,10 @@
 class ExecutionEvidence:
     """Whether some run of a request may have, or is known to have, reached an engine."""
 
-    __slots__ = ("maybe", "known")
+    __slots__ = ("possibly_executed", "known")
 
     def __init__(self):
-        self.maybe = False
+        self.possibly_executed = False
         self.known = False
 
     def note(self, outcome):
@@ -18,13 +18,13 @@
             case RunNotSent():
                 return
             case RunCut(reached=False) | RunSilent(reached=False) | RunLost() | RunRejected():
-                self.maybe = True
+                self.possibly_executed = True
             case _:
-                self.maybe = True
+                self.possibly_executed = True
                 self.known = True
 
     def executed(self):
         """What the caller is told; ``no`` only if no byte ever reached an engine."""
         if self.known:
             return Executed.YES
-        return Executed.UNKNOWN if self.maybe else Executed.NO
+        return Executed.UNKNOWN if self.possibly_executed else Executed.NO
--- a/wagtailtrestle/entry/request_task.py
+++ b/wagtailtrestle/entry/request_task.py
@@ -372,7 +372,7 @@
                     self._cancel()
                 case RunBegan():
                     self._attaches.confirm()
-                    self._evidence.maybe = self._evidence.known = True
+                    self._evidence.possibly_executed = self._evidence.known = True
                     self._reports.began(self.engine, message)
                 case RunAdvanced(output_tokens=output_tokens):
                     self.run_tokens = output_tokens
@@ -459,7 +459,7 @@
             self.runs_begun -= 1
             if self._next_kind in RETRIES:
                 self.context.retries.take_back(self.cell)
-        if self._evidence.maybe and not self.request.repeatable:
+        if self._evidence.possibly_executed and not self.request.repeatable:
             return self._lost()
         if self._not_sent >= MAX_NOT_SENT:
             return self._refuse(Reason.NO_ENGINE, retry_after_s=self.context.retry_after_s(self.request.service))
