--- a/wagtailtrestle/entry/execution_evidence.py
+++ b/wagtailtrestle/entry/execution_evidence.py
@@ -6,11 +6,11 @@
 class ExecutionEvidence:
     """Whether some run of a request may have, or is known to have, reached an engine."""
 
-    __slots__ = ("possibly_executed", "known")
+    __slots__ = ("possibly_executed", "known_executed")
 
     def __init__(self):
         self.possibly_executed = False
-        self.known = False
+        self.known_executed = False
 
     def note(self, outcome):
         """Take in how one run ended."""
@@ -21,10 +21,10 @@
                 self.possibly_executed = True
             case _:
                 self.possibly_executed = True
-                self.known = True
+                self.known_executed = True
 
     def executed(self):
         """What the caller is told; ``no`` only if no byte ever reached an engine."""
-        if self.known:
+        if self.known_executed:
             return Executed.YES
         return Executed.UNKNOWN if self.possibly_executed else Executed.NO
--- a/wagtailtrestle/entry/request_task.py
+++ b/wagtailtrestle/entry/request_task.py
@@ -372,7 +372,7 @@
                     self._cancel()
                 case RunBegan():
                     self._attaches.confirm()
-                    self._evidence.possibly_executed = self._evidence.known = True
+                    self._evidence.possibly_executed = self._evidence.known_executed = True
                     self._reports.began(self.engine, message)
                 case RunAdvanced(output_tokens=output_tokens):
                     self.run_tokens = output_tokens
