--- a/wagtailtrestle/entry/execution_evidence.py
+++ b/wagtailtrestle/entry/execution_evidence.py
@@ -12,7 +12,7 @@
         self.possibly_executed = False
         self.known_executed = False
 
-    def note(self, outcome):
+    def update(self, outcome):
         """Take in how one run ended."""
         match outcome:
             case RunNotSent():
--- a/wagtailtrestle/entry/request_task.py
+++ b/wagtailtrestle/entry/request_task.py
@@ -381,7 +381,7 @@
                     # A second scheduler granted the same ask; the place is not needed.
                     self._reports.gave_back(engine)
                 case RunEnded():
-                    self._evidence.note(message.outcome)
+                    self._evidence.update(message.outcome)
                     return message
 
     def _cancel(self):
