--- a/wagtailtrestle/entry/request_task.py
+++ b/wagtailtrestle/entry/request_task.py
@@ -115,7 +115,7 @@
         "_retries_used_up",
         "_declined_engines",
         "_evidence",
-        "_not_sent",
+        "_not_sent_count",
         "_attaches",
         "_preempted",
         "_cancelling",
@@ -147,7 +147,7 @@
         self._retries_used_up = False
         self._declined_engines = set()
         self._evidence = ExecutionEvidence()
-        self._not_sent = 0
+        self._not_sent_count = 0
         self._attaches = Attaches()
         self._preempted = False
         self._cancelling = False
@@ -453,7 +453,7 @@
         ).info("a run ended early")
 
     def _after_not_sent(self, outcome):
-        self._not_sent += 1
+        self._not_sent_count += 1
         self._excluded.add(self.engine)
         if not outcome.arrived:
             self.runs_begun -= 1
@@ -461,7 +461,7 @@
                 self.context.retries.take_back(self.cell)
         if self._evidence.possibly_executed and not self.request.repeatable:
             return self._lost()
-        if self._not_sent >= MAX_NOT_SENT:
+        if self._not_sent_count >= MAX_NOT_SENT:
             return self._refuse(Reason.NO_ENGINE, retry_after_s=self.context.retry_after_s(self.request.service))
         # What an engine refused cost it a connection and a look: sent on and on to full engines,
         # the refusals alone would keep them busy.
