--- a/wagtailtrestle/entry/request_task.py
+++ b/wagtailtrestle/entry/request_task.py
@@ -119,7 +119,7 @@
         "_attaches",
         "_preempted",
         "_cancelling",
-        "_key",
+        "_request_claim",
         "_caller_gone",
         "_address",
         "_alone",
@@ -151,7 +151,7 @@
         self._attaches = Attaches()
         self._preempted = False
         self._cancelling = False
-        self._key = RequestClaim(request=request, claims=context.claims, remaining=self._remaining)
+        self._request_claim = RequestClaim(request=request, claims=context.claims, remaining=self._remaining)
         self._caller_gone = False
         self._address = ""
         self._alone = False
@@ -215,12 +215,12 @@
     # Claim.
 
     async def _claim(self):
-        if not self._key.is_needed:
+        if not self._request_claim.is_needed:
             return True
         # A caller that sends again through another router must not make a second
         # run. The claim is proved in the platform's store before the first dispatch;
         # without that proof nothing is dispatched, so the refusal is true.
-        match await self._key.win():
+        match await self._request_claim.win():
             case ClaimWon():
                 return True
             case ClaimFinished(status=status, content_type=content_type, body=body):
@@ -506,7 +506,7 @@
         if isinstance(ended.outcome, RunDone):
             self.context.retries.note_success(self.cell)
         self._finish(AnswerWhole())
-        self._key.finish(ended)
+        self._request_claim.finish(ended)
         return True
 
     # Messages out.
@@ -518,7 +518,7 @@
     def _refuse(self, reason, *, executed=None, retry_after_s=None, status=None):
         """Give the final answer at once; returns ``True`` as the request is settled."""
         executed = executed or self._evidence.executed()
-        self._key.give_up(executed)
+        self._request_claim.give_up(executed)
         self.state = RequestState.UNKNOWN if executed is Executed.UNKNOWN else RequestState.REFUSED
         refusal = refusal_of(reason, executed=executed, retry_after_s=retry_after_s, status=status)
         self.caller.post(AnswerRefusal(refusal=refusal))
