--- a/wagtailtrestle/entry/request_claim.py
+++ b/wagtailtrestle/entry/request_claim.py
@@ -41,32 +41,34 @@
     def finish(self, ended):
         """Record a whole answer."""
         if self._is_won:
-            self._claims.finish(**self._named(), status=ended.status, content_type=ended.content_type, body=ended.body)
+            self._claims.finish(
+                **self._claim_identity(), status=ended.status, content_type=ended.content_type, body=ended.body
+            )
 
     def give_up(self, executed):
         """Record that there is no whole answer: a request that never ran frees its key."""
         if not self._is_won:
             return
         if executed is Executed.NO:
-            self._claims.release(**self._named())
+            self._claims.release(**self._claim_identity())
         else:
-            self._claims.finish_unknown(**self._named())
+            self._claims.finish_unknown(**self._claim_identity())
 
     async def _claim_within_deadline(self):
         # The ledger must answer within the deadline itself: it alone knows whether an earlier
         # request holds the key. Cut off here, a re-send would be told that nothing was run
         # while the first run of its key goes on.
         claim = self._claims.claim(
-            **self._named(),
+            **self._claim_identity(),
             body_digest=self._request.body_digest,
             wait_s=min(max(self._remaining() - CLAIM_ROOM_S, 0.0), CLAIM_LIMIT_S),
         )
         try:
             return await asyncio.wait_for(claim, timeout=max(self._remaining(), 0.0))
         except TimeoutError:
-            self._claims.release(**self._named())
+            self._claims.release(**self._claim_identity())
             return ClaimUnavailable(detail="no answer from the ledger within the deadline")
 
-    def _named(self):
+    def _claim_identity(self):
         request = self._request
         return {"team": request.team, "key": request.idempotency_key, "nonce": request.request_id}
