--- a/wagtailtrestle/entry/request_claim.py
+++ b/wagtailtrestle/entry/request_claim.py
@@ -5,7 +5,7 @@
 from wagtailtrestle.contracts.outcomes import ClaimUnavailable, ClaimWon, Executed
 
 CLAIM_TIMEOUT_S = 10.0
-CLAIM_ROOM_S = 0.5
+CLAIM_MARGIN_S = 0.5
 
 
 class RequestClaim:
@@ -61,7 +61,7 @@
         claim = self._claims.claim(
             **self._claim_identity(),
             body_digest=self._request.body_digest,
-            wait_s=min(max(self._remaining() - CLAIM_ROOM_S, 0.0), CLAIM_TIMEOUT_S),
+            wait_s=min(max(self._remaining() - CLAIM_MARGIN_S, 0.0), CLAIM_TIMEOUT_S),
         )
         try:
             return await asyncio.wait_for(claim, timeout=max(self._remaining(), 0.0))
