--- a/wagtailtrestle/entry/request_task.py
+++ b/wagtailtrestle/entry/request_task.py
@@ -51,7 +51,7 @@
 from wagtailtrestle.record import record
 
 MAX_NOT_SENT = 4
-ATTACH_ROOM_S = 0.05
+MIN_ATTACH_TIME_S = 0.05
 CANCEL_GRACE_S = 2.0
 COUNTED_RUN_SILENCE_S = 3.0
 """Least silence after which a run is given up where runs are counted. Engines that prefill several long
@@ -321,7 +321,7 @@
                 self.context.retries.note_retry(self.cell)
         self.state = RequestState.DISPATCHED
         self._count_run(attach=attach)
-        overall_s = max(self._remaining(), ATTACH_ROOM_S)
+        overall_s = max(self._remaining(), MIN_ATTACH_TIME_S)
         # A run that is the last this request may have is not given up for silence: there is nothing
         # to gain, and an engine that only paused, or a service that turned slow, would have finished it: bookings
         # that took 3 s ended as lost after 2 s, though each was made. Where an engine can be asked for a
@@ -402,7 +402,7 @@
     def _can_attach(self, ended):
         if self._cancelling:
             return False
-        if self._remaining() < ATTACH_ROOM_S or not self._service_can("attachable"):
+        if self._remaining() < MIN_ATTACH_TIME_S or not self._service_can("attachable"):
             return False
         return self._attaches.may_try(ended.outcome)
 
