--- a/wagtailtrestle/entry/request_task.py
+++ b/wagtailtrestle/entry/request_task.py
@@ -431,7 +431,7 @@
             case RunRejected(status=status) | RunFailed(status=status):
                 return self._refuse(Reason.ENGINE_ERROR, status=rejected_status(status))
             case RunCancelled() if self._preempted:
-                self._keep_tokens(outcome)
+                self._update_done_tokens(outcome)
                 self._next_kind = RunKind.AFTER_PREEMPTION
                 return False
             case _:
@@ -483,7 +483,7 @@
         return self._service_can("passes_errors") and not self.done_tokens and not self.run_tokens
 
     def _after_loss(self, outcome):
-        self._keep_tokens(outcome)
+        self._update_done_tokens(outcome)
         # One byte sent may have started the run. A second dispatch of a request that
         # may not be repeated could charge a caller twice, so it ends here as unknown.
         if not self._may_run_again():
@@ -498,7 +498,7 @@
     def _lost(self):
         return self._refuse(Reason.ENGINE_LOST)
 
-    def _keep_tokens(self, outcome):
+    def _update_done_tokens(self, outcome):
         tokens = getattr(outcome, "output_tokens", 0)
         self.done_tokens = max(self.done_tokens, tokens)
 
