--- a/wagtailtrestle/entry/request_task.py
+++ b/wagtailtrestle/entry/request_task.py
@@ -415,7 +415,7 @@
         if not isinstance(outcome, RunDone):
             self._log_early_end(ended)
         if isinstance(outcome, RunDone):
-            return self._answer_whole(ended)
+            return self._answer_complete(ended)
         if self._caller_gone:
             return self._refuse(Reason.CALLER_GONE)
         if self._remaining() <= 0:
@@ -427,7 +427,7 @@
                 return self._after_loss(outcome)
             case RunRejected() | RunFailed() if self._passes_errors():
                 # A plain service's own refusal (a slot taken) is its whole answer.
-                return self._answer_whole(ended)
+                return self._answer_complete(ended)
             case RunRejected(status=status) | RunFailed(status=status):
                 return self._refuse(Reason.ENGINE_ERROR, status=rejected_status(status))
             case RunCancelled() if self._preempted:
@@ -502,7 +502,7 @@
         tokens = getattr(outcome, "output_tokens", 0)
         self.done_tokens = max(self.done_tokens, tokens)
 
-    def _answer_whole(self, ended):
+    def _answer_complete(self, ended):
         if isinstance(ended.outcome, RunDone):
             self.context.retries.note_success(self.cell)
         self._finish(AnswerWhole())
