--- a/wagtailtrestle/entry/request_task.py
+++ b/wagtailtrestle/entry/request_task.py
@@ -460,7 +460,7 @@
             if self._next_kind in RETRIES:
                 self.context.retries.take_back(self.cell)
         if self._evidence.possibly_executed and not self.request.repeatable:
-            return self._lost()
+            return self._refuse_as_lost()
         if self._not_sent_count >= MAX_NOT_SENT:
             return self._refuse(Reason.NO_ENGINE, retry_after_s=self.context.retry_after_s(self.request.service))
         # What an engine refused cost it a connection and a look: sent on and on to full engines,
@@ -487,7 +487,7 @@
         # One byte sent may have started the run. A second dispatch of a request that
         # may not be repeated could charge a caller twice, so it ends here as unknown.
         if not self._may_run_again():
-            return self._lost()
+            return self._refuse_as_lost()
         self._next_kind = RunKind.AFTER_LOSS
         self._losses += 1
         self._excluded.add(self.engine)
@@ -495,7 +495,7 @@
         self._preempted = False
         return False
 
-    def _lost(self):
+    def _refuse_as_lost(self):
         return self._refuse(Reason.ENGINE_LOST)
 
     def _update_done_tokens(self, outcome):
