--- a/wagtailtrestle/entry/request_task.py
+++ b/wagtailtrestle/entry/request_task.py
@@ -297,7 +297,7 @@
         attached = False
         while True:
             ended = await self._wait_for_run_end(granted)
-            if attached and self._attaches.may_be_unread(ended.outcome, is_last=not self._may_go_elsewhere()):
+            if attached and self._attaches.may_be_unread(ended.outcome, is_last=not self._may_retry_now()):
                 await asyncio.sleep(UNREAD_PAUSE_S)
                 self._begin_run(granted, attach=True)
                 continue
@@ -307,7 +307,7 @@
             attached = True
             # The stream broke but the engine may still hold the run: attaching to it
             # gives the rest of the same run, which is no second dispatch.
-            self._attaches.note(ended.outcome, is_last=not self._may_go_elsewhere())
+            self._attaches.note(ended.outcome, is_last=not self._may_retry_now())
             self._begin_run(granted, attach=True)
 
     def _begin_run(self, granted, *, attach):
@@ -326,7 +326,7 @@
         # to gain, and an engine that only paused, or a service that turned slow, would have finished it: bookings
         # that took 3 s ended as lost after 2 s, though each was made. Where an engine can be asked for a
         # run, the limit stays, and what follows it is the question. A dead VM shows by the connection's probes.
-        is_last = not self._service_can("attachable") and not self._may_go_elsewhere()
+        is_last = not self._service_can("attachable") and not self._may_retry_now()
         floor_s = 0.0 if self.request.max_runs is None else COUNTED_RUN_SILENCE_S
         self.caller.post(
             StartRun(
@@ -469,7 +469,7 @@
             self._next_kind = RunKind.AFTER_REFUSAL
         return False
 
-    def _may_go_elsewhere(self):
+    def _may_retry_now(self):
         """Whether giving a run up could gain its caller an answer of another engine now."""
         return self._may_run_again() and not self._retries_used_up
 
