--- a/wagtailtrestle/entry/request_task.py
+++ b/wagtailtrestle/entry/request_task.py
@@ -186,7 +186,7 @@
             cell=self.cell,
             team=request.team,
             tier=request.tier,
-            repeatable=request.repeatable and self._service_can("preemptable"),
+            repeatable=request.repeatable and self._service_supports("preemptable"),
             prompt_tokens=request.prompt_tokens,
             output_tokens=max(request.output_tokens - self.done_tokens, 1),
             remaining_s=max(self._remaining(), 0.0),
@@ -326,7 +326,7 @@
         # to gain, and an engine that only paused, or a service that turned slow, would have finished it: bookings
         # that took 3 s ended as lost after 2 s, though each was made. Where an engine can be asked for a
         # run, the limit stays, and what follows it is the question. A dead VM shows by the connection's probes.
-        is_last = not self._service_can("attachable") and not self._may_retry_now()
+        is_last = not self._service_supports("attachable") and not self._may_retry_now()
         floor_s = 0.0 if self.request.max_runs is None else COUNTED_RUN_SILENCE_S
         self.caller.post(
             StartRun(
@@ -388,7 +388,7 @@
         if self._cancelling:
             return
         self._cancelling = True
-        if self._service_can("cancellable"):
+        if self._service_supports("cancellable"):
             self.caller.cancel_run(run_id=self._run_id(), engine=self.engine, address=self._address)
 
     def _update_crash_watch(self, outcome, *, was_sent):
@@ -402,7 +402,7 @@
     def _can_attach(self, ended):
         if self._cancelling:
             return False
-        if self._remaining() < MIN_ATTACH_TIME_S or not self._service_can("attachable"):
+        if self._remaining() < MIN_ATTACH_TIME_S or not self._service_supports("attachable"):
             return False
         return self._attaches.may_try(ended.outcome)
 
@@ -480,7 +480,7 @@
 
     def _passes_errors(self):
         # Once a part of an answer has been sent, an error can't be put in its place.
-        return self._service_can("passes_errors") and not self.done_tokens and not self.run_tokens
+        return self._service_supports("passes_errors") and not self.done_tokens and not self.run_tokens
 
     def _after_loss(self, outcome):
         self._update_done_tokens(outcome)
@@ -536,7 +536,7 @@
         except TimeoutError:
             return None
 
-    def _service_can(self, ability):
+    def _service_supports(self, ability):
         service = self.context.service(self.request.service)
         return service is not None and getattr(service, ability)
 
