--- a/wagtailtrestle/entry/request_task.py
+++ b/wagtailtrestle/entry/request_task.py
@@ -475,8 +475,8 @@
 
     def _may_run_again(self):
         """Whether another engine may still be tried after one that ran the request."""
-        most = self.request.max_runs
-        return self.request.repeatable and (most is None or self.runs_begun < most)
+        run_limit = self.request.max_runs
+        return self.request.repeatable and (run_limit is None or self.runs_begun < run_limit)
 
     def _passes_errors(self):
         # Once a part of an answer has been sent, an error can't be put in its place.
