--- a/wagtailtrestle/entry/request_task.py
+++ b/wagtailtrestle/entry/request_task.py
@@ -327,14 +327,14 @@
         # that took 3 s ended as lost after 2 s, though each was made. Where an engine can be asked for a
         # run, the limit stays, and what follows it is the question. A dead VM shows by the connection's probes.
         is_last = not self._service_supports("attachable") and not self._may_retry_now()
-        floor_s = 0.0 if self.request.max_runs is None else COUNTED_RUN_SILENCE_S
+        min_silence_s = 0.0 if self.request.max_runs is None else COUNTED_RUN_SILENCE_S
         self.caller.post(
             StartRun(
                 run_id=self._run_id(),
                 engine=granted.engine,
                 address=self._address,
-                first_token_deadline_s=overall_s if is_last else max(floor_s, granted.first_token_deadline_s),
-                progress_deadline_s=overall_s if is_last else max(floor_s, granted.progress_deadline_s),
+                first_token_deadline_s=overall_s if is_last else max(min_silence_s, granted.first_token_deadline_s),
+                progress_deadline_s=overall_s if is_last else max(min_silence_s, granted.progress_deadline_s),
                 overall_s=overall_s,
                 attach=attach,
                 start_ms=self.context.start_of(granted.engine),
