--- a/wagtailtrestle/entry/request_task.py
+++ b/wagtailtrestle/entry/request_task.py
@@ -268,7 +268,7 @@
                     # request would be lost with the engine: the place goes back, and the next
                     # ask leaves the engine out.
                     self.context.tell_again(message.engine)
-                    self._reports.gave_back(message.engine)
+                    self._reports.returned_slot(message.engine)
                     # A scheduler that grants it again after it was told may know a later start of the engine.
                     if not is_in_use or message.engine in self._declined_engines:
                         self._excluded.add(message.engine)
@@ -379,7 +379,7 @@
                     self._reports.advanced(output_tokens)
                 case Granted(engine=engine) if engine != self.engine:
                     # A second scheduler granted the same ask; the place is not needed.
-                    self._reports.gave_back(engine)
+                    self._reports.returned_slot(engine)
                 case RunEnded():
                     self._evidence.update(message.outcome)
                     return message
--- a/wagtailtrestle/entry/run_reports.py
+++ b/wagtailtrestle/entry/run_reports.py
@@ -53,7 +53,7 @@
             )
         )
 
-    def gave_back(self, engine):
+    def returned_slot(self, engine):
         """Give a place back that no run was begun in."""
         self._send(
             RunFinished(
