--- a/wagtailtrestle/entry/attaches.py
+++ b/wagtailtrestle/entry/attaches.py
@@ -12,7 +12,7 @@
 """Time until it is: an engine that wakes reads what its connections hold within some ten milliseconds."""
 
 
-class Attaches:
+class AttachAttempts:
     """Counts what was tried on one request's present run."""
 
     __slots__ = ("_count", "_tokens", "_unread", "_is_confirmed")
--- a/wagtailtrestle/entry/request_task.py
+++ b/wagtailtrestle/entry/request_task.py
@@ -41,7 +41,7 @@
     RunNotSent,
     RunRejected,
 )
-from wagtailtrestle.entry.attaches import UNREAD_PAUSE_S, Attaches
+from wagtailtrestle.entry.attaches import UNREAD_PAUSE_S, AttachAttempts
 from wagtailtrestle.entry.execution_evidence import ExecutionEvidence
 from wagtailtrestle.entry.final_answers import DEFAULT_RETRY_AFTER_S, refusal_of, rejected_status
 from wagtailtrestle.entry.poison import CRASH_LIMIT
@@ -148,7 +148,7 @@
         self._declined_engines = set()
         self._evidence = ExecutionEvidence()
         self._not_sent_count = 0
-        self._attaches = Attaches()
+        self._attaches = AttachAttempts()
         self._preempted = False
         self._cancelling = False
         self._request_claim = RequestClaim(request=request, claims=context.claims, remaining=self._remaining)
