--- a/wagtailtrestle/entry/request_task.py
+++ b/wagtailtrestle/entry/request_task.py
@@ -116,7 +116,7 @@
         "_declined_engines",
         "_evidence",
         "_not_sent_count",
-        "_attaches",
+        "_attach_attempts",
         "_preempted",
         "_cancelling",
         "_request_claim",
@@ -148,7 +148,7 @@
         self._declined_engines = set()
         self._evidence = ExecutionEvidence()
         self._not_sent_count = 0
-        self._attaches = AttachAttempts()
+        self._attach_attempts = AttachAttempts()
         self._preempted = False
         self._cancelling = False
         self._request_claim = RequestClaim(request=request, claims=context.claims, remaining=self._remaining)
@@ -297,7 +297,7 @@
         attached = False
         while True:
             ended = await self._wait_for_run_end(granted)
-            if attached and self._attaches.may_be_unread(ended.outcome, is_last=not self._may_retry_now()):
+            if attached and self._attach_attempts.may_be_unread(ended.outcome, is_last=not self._may_retry_now()):
                 await asyncio.sleep(UNREAD_PAUSE_S)
                 self._begin_run(granted, attach=True)
                 continue
@@ -307,7 +307,7 @@
             attached = True
             # The stream broke but the engine may still hold the run: attaching to it
             # gives the rest of the same run, which is no second dispatch.
-            self._attaches.note(ended.outcome, is_last=not self._may_retry_now())
+            self._attach_attempts.note(ended.outcome, is_last=not self._may_retry_now())
             self._begin_run(granted, attach=True)
 
     def _begin_run(self, granted, *, attach):
@@ -371,7 +371,7 @@
                     self._preempted = True
                     self._cancel()
                 case RunBegan():
-                    self._attaches.confirm()
+                    self._attach_attempts.confirm()
                     self._evidence.possibly_executed = self._evidence.known_executed = True
                     self._reports.began(self.engine, message)
                 case RunAdvanced(output_tokens=output_tokens):
@@ -404,7 +404,7 @@
             return False
         if self._remaining() < MIN_ATTACH_TIME_S or not self._service_supports("attachable"):
             return False
-        return self._attaches.may_try(ended.outcome)
+        return self._attach_attempts.may_try(ended.outcome)
 
     # What follows a run.
 
@@ -491,7 +491,7 @@
         self._next_kind = RunKind.AFTER_LOSS
         self._losses += 1
         self._excluded.add(self.engine)
-        self._attaches.begin_anew()
+        self._attach_attempts.begin_anew()
         self._preempted = False
         return False
 
