--- a/tests/test_attach.py
+++ b/tests/test_attach.py
@@ -6,7 +6,7 @@
 
 from wagtailtrestle.contracts.exchange import AnswerRefusal, AnswerWhole, RunEnded, StartRun
 from wagtailtrestle.contracts.outcomes import Executed, Reason, RunCut, RunDone, RunLost, RunNotSent, RunSilent
-from wagtailtrestle.entry.attaches import MAX_ATTACHES, MAX_UNREAD
+from wagtailtrestle.entry.attaches import MAX_ATTACHES_WITHOUT_PROGRESS, MAX_UNREAD
 from wagtailtrestle.slopes.entry import InstantCaller, make_entry, make_request
 
 DEADLINE_S = 30.0
@@ -81,7 +81,7 @@
     def test_engine_that_wakes_within_the_deadline_loses_nothing(self):
         # The caller gets its whole answer. The engine was paused for longer than three limits on silence, answered no
         # attach meanwhile, and goes on. Given up after the third limit, the run ended for nobody.
-        caller = self.serve([silent(0)] * (MAX_ATTACHES + 2) + [RunDone(output_tokens=15)])
+        caller = self.serve([silent(0)] * (MAX_ATTACHES_WITHOUT_PROGRESS + 2) + [RunDone(output_tokens=15)])
         self.assertIsInstance(caller.answer, AnswerWhole)
         self.assertEqual(sum(not start.attach for start in caller.starts), 1)
 
@@ -117,9 +117,11 @@
     def test_engine_that_resets_each_attach_is_lost(self):
         # The caller is told after the attaches that are allowed. An engine that ends each connection itself lives and
         # doesn't go on with the run.
-        caller = self.serve([RunCut(detail="reset", output_tokens=3, reached=True)] * (MAX_ATTACHES + 2))
+        caller = self.serve(
+            [RunCut(detail="reset", output_tokens=3, reached=True)] * (MAX_ATTACHES_WITHOUT_PROGRESS + 2)
+        )
         self.assertEqual(caller.answer.refusal.reason, Reason.ENGINE_LOST)
-        self.assertEqual(len(caller.starts), 1 + MAX_ATTACHES)
+        self.assertEqual(len(caller.starts), 1 + MAX_ATTACHES_WITHOUT_PROGRESS)
 
     def test_run_in_the_queue_of_an_engine_that_answers_is_waited_for(self):
         # The caller gets its answer after ten limits on silence. Others' runs fill the engine, and this one
@@ -132,19 +134,25 @@
     def test_engine_that_stops_to_answer_after_it_confirmed_the_run_is_waited_for_as_well(self):
         # The caller gets its answer. What an engine said some attaches ago is no proof that it still lives, but to
         # give the run up would gain nothing: it may go nowhere else.
-        caller = self.serve([silent(0)] + [held(0)] * 5 + [silent(0)] * MAX_ATTACHES + [RunDone(output_tokens=15)])
+        caller = self.serve(
+            [silent(0)] + [held(0)] * 5 + [silent(0)] * MAX_ATTACHES_WITHOUT_PROGRESS + [RunDone(output_tokens=15)]
+        )
         self.assertIsInstance(caller.answer, AnswerWhole)
 
     def test_silent_run_that_another_engine_may_repeat_goes_elsewhere(self):
         # The caller of what may be repeated doesn't wait for a paused engine.
-        caller = self.serve([silent(0)] * (1 + MAX_ATTACHES) + [RunDone(output_tokens=15)], repeatable=True)
+        caller = self.serve(
+            [silent(0)] * (1 + MAX_ATTACHES_WITHOUT_PROGRESS) + [RunDone(output_tokens=15)], repeatable=True
+        )
         self.assertIsInstance(caller.answer, AnswerWhole)
         self.assertEqual(len({start.run_id for start in caller.starts}), 2)
 
     def test_held_run_that_another_engine_may_repeat_goes_elsewhere(self):
         # The caller of what may be repeated doesn't wait behind the queue: after as many silent tries as for
         # any other run, another engine gets it.
-        caller = self.serve([silent(0)] + [held(0)] * MAX_ATTACHES + [RunDone(output_tokens=15)], repeatable=True)
+        caller = self.serve(
+            [silent(0)] + [held(0)] * MAX_ATTACHES_WITHOUT_PROGRESS + [RunDone(output_tokens=15)], repeatable=True
+        )
         self.assertIsInstance(caller.answer, AnswerWhole)
         self.assertEqual(len({start.run_id for start in caller.starts}), 2)
 
--- a/wagtailtrestle/entry/attaches.py
+++ b/wagtailtrestle/entry/attaches.py
@@ -2,7 +2,7 @@
 
 from wagtailtrestle.contracts.outcomes import RunCut, RunLost, RunSilent
 
-MAX_ATTACHES = 2
+MAX_ATTACHES_WITHOUT_PROGRESS = 2
 """Attaches in a row that bring no token, after which a run is given up where another engine may go on with it."""
 
 MAX_UNREAD = 2
@@ -41,7 +41,7 @@
 
     def may_try(self, outcome) -> bool:
         """Whether a run that ended so may be attached to once more."""
-        return self._count < MAX_ATTACHES and isinstance(outcome, RunCut | RunSilent)
+        return self._count < MAX_ATTACHES_WITHOUT_PROGRESS and isinstance(outcome, RunCut | RunSilent)
 
     def note(self, outcome, *, is_last):
         """Count the attach that follows an outcome; ``is_last`` if no other engine may go on with the run."""
