--- a/tests/test_attach.py
+++ b/tests/test_attach.py
@@ -6,7 +6,7 @@
 
 from wagtailtrestle.contracts.exchange import AnswerRefusal, AnswerWhole, RunEnded, StartRun
 from wagtailtrestle.contracts.outcomes import Executed, Reason, RunCut, RunDone, RunLost, RunNotSent, RunSilent
-from wagtailtrestle.entry.attaches import MAX_ATTACHES_WITHOUT_PROGRESS, MAX_UNREAD
+from wagtailtrestle.entry.attaches import MAX_ATTACHES_WITHOUT_PROGRESS, MAX_UNREAD_RETRIES
 from wagtailtrestle.slopes.entry import InstantCaller, make_entry, make_request
 
 DEADLINE_S = 30.0
@@ -103,10 +103,10 @@
     def test_engine_that_never_read_the_run_is_lost_soon(self):
         # The caller is told within a second that the outcome isn't known: the engine has started again and will not
         # read what its former process had not.
-        caller = self.serve([RunSilent(output_tokens=0, reached=False)] + [RunLost()] * (2 + MAX_UNREAD))
+        caller = self.serve([RunSilent(output_tokens=0, reached=False)] + [RunLost()] * (2 + MAX_UNREAD_RETRIES))
         self.assertEqual(caller.answer.refusal.reason, Reason.ENGINE_LOST)
         self.assertEqual(caller.answer.refusal.executed, Executed.UNKNOWN)
-        self.assertEqual(len(caller.starts), 2 + MAX_UNREAD)
+        self.assertEqual(len(caller.starts), 2 + MAX_UNREAD_RETRIES)
 
     def test_engine_that_knows_a_run_no_more_has_lost_it(self):
         # The caller is told at once: the engine confirmed the run and has started again since.
--- a/wagtailtrestle/entry/attaches.py
+++ b/wagtailtrestle/entry/attaches.py
@@ -5,7 +5,7 @@
 MAX_ATTACHES_WITHOUT_PROGRESS = 2
 """Attaches in a row that bring no token, after which a run is given up where another engine may go on with it."""
 
-MAX_UNREAD = 2
+MAX_UNREAD_RETRIES = 2
 """Times an engine that doesn't know a run, of which it never gave a sign, is asked again."""
 
 UNREAD_PAUSE_S = 0.2
@@ -34,7 +34,7 @@
         run itself, whose caller then heard that it was lost while the engine began it. An engine that gave a sign of
         the run and knows it no more has started again.
         """
-        if not (is_last and isinstance(outcome, RunLost)) or self._is_confirmed or self._unread >= MAX_UNREAD:
+        if not (is_last and isinstance(outcome, RunLost)) or self._is_confirmed or self._unread >= MAX_UNREAD_RETRIES:
             return False
         self._unread += 1
         return True
