--- a/wagtailtrestle/entry/attaches.py
+++ b/wagtailtrestle/entry/attaches.py
@@ -8,7 +8,7 @@
 MAX_UNREAD_RETRIES = 2
 """Times an engine that doesn't know a run, of which it never gave a sign, is asked again."""
 
-UNREAD_PAUSE_S = 0.2
+UNREAD_RETRY_DELAY_S = 0.2
 """Time until it is: an engine that wakes reads what its connections hold within some ten milliseconds."""
 
 
--- a/wagtailtrestle/entry/request_task.py
+++ b/wagtailtrestle/entry/request_task.py
@@ -41,7 +41,7 @@
     RunNotSent,
     RunRejected,
 )
-from wagtailtrestle.entry.attaches import UNREAD_PAUSE_S, AttachAttempts
+from wagtailtrestle.entry.attaches import UNREAD_RETRY_DELAY_S, AttachAttempts
 from wagtailtrestle.entry.execution_evidence import ExecutionEvidence
 from wagtailtrestle.entry.final_answers import DEFAULT_RETRY_AFTER_S, refusal_of, rejected_status
 from wagtailtrestle.entry.poison import CRASH_LIMIT
@@ -298,7 +298,7 @@
         while True:
             ended = await self._wait_for_run_end(granted)
             if attached and self._attach_attempts.may_be_unread(ended.outcome, is_last=not self._may_retry_now()):
-                await asyncio.sleep(UNREAD_PAUSE_S)
+                await asyncio.sleep(UNREAD_RETRY_DELAY_S)
                 self._begin_run(granted, attach=True)
                 continue
             self._update_crash_watch(ended.outcome, was_sent=attached)
