--- a/wagtailtrestle/entry/attaches.py
+++ b/wagtailtrestle/entry/attaches.py
@@ -27,7 +27,7 @@
         """Note that the engine gave a sign of the run."""
         self._is_confirmed = True
 
-    def may_be_unread(self, outcome, *, is_last) -> bool:
+    def retry_unread(self, outcome, *, is_last) -> bool:
         """Whether an engine that doesn't know the run is asked once more.
 
         An engine that was paused takes up its connections in any order when it wakes. The attach may be read before the
--- a/wagtailtrestle/entry/request_task.py
+++ b/wagtailtrestle/entry/request_task.py
@@ -297,7 +297,7 @@
         attached = False
         while True:
             ended = await self._wait_for_run_end(granted)
-            if attached and self._attach_attempts.may_be_unread(ended.outcome, is_last=not self._may_retry_now()):
+            if attached and self._attach_attempts.retry_unread(ended.outcome, is_last=not self._may_retry_now()):
                 await asyncio.sleep(UNREAD_RETRY_DELAY_S)
                 self._begin_run(granted, attach=True)
                 continue
