--- a/wagtailtrestle/entry/attaches.py
+++ b/wagtailtrestle/entry/attaches.py
@@ -39,7 +39,7 @@
         self._unread += 1
         return True
 
-    def may_try(self, outcome) -> bool:
+    def may_attach(self, outcome) -> bool:
         """Whether a run that ended so may be attached to once more."""
         return self._count < MAX_ATTACHES_WITHOUT_PROGRESS and isinstance(outcome, RunCut | RunSilent)
 
--- a/wagtailtrestle/entry/request_task.py
+++ b/wagtailtrestle/entry/request_task.py
@@ -404,7 +404,7 @@
             return False
         if self._remaining() < MIN_ATTACH_TIME_S or not self._service_supports("attachable"):
             return False
-        return self._attach_attempts.may_try(ended.outcome)
+        return self._attach_attempts.may_attach(ended.outcome)
 
     # What follows a run.
 
