--- a/wagtailtrestle/entry/attaches.py
+++ b/wagtailtrestle/entry/attaches.py
@@ -43,7 +43,7 @@
         """Whether a run that ended so may be attached to once more."""
         return self._count < MAX_ATTACHES_WITHOUT_PROGRESS and isinstance(outcome, RunCut | RunSilent)
 
-    def note(self, outcome, *, is_last):
+    def record_attempt(self, outcome, *, is_last):
         """Count the attach that follows an outcome; ``is_last`` if no other engine may go on with the run."""
         if isinstance(outcome, RunSilent) and outcome.held:
             self._is_confirmed = True
--- a/wagtailtrestle/entry/request_task.py
+++ b/wagtailtrestle/entry/request_task.py
@@ -307,7 +307,7 @@
             attached = True
             # The stream broke but the engine may still hold the run: attaching to it
             # gives the rest of the same run, which is no second dispatch.
-            self._attach_attempts.note(ended.outcome, is_last=not self._may_retry_now())
+            self._attach_attempts.record_attempt(ended.outcome, is_last=not self._may_retry_now())
             self._begin_run(granted, attach=True)
 
     def _begin_run(self, granted, *, attach):
