--- a/wagtailtrestle/entry/attaches.py
+++ b/wagtailtrestle/entry/attaches.py
@@ -57,7 +57,7 @@
         if not (is_last and isinstance(outcome, RunSilent)):
             self._count += 1
 
-    def begin_anew(self):
+    def reset(self):
         """Count from nothing: another engine goes on."""
         self._count = 0
         self._unread = 0
--- a/wagtailtrestle/entry/request_task.py
+++ b/wagtailtrestle/entry/request_task.py
@@ -491,7 +491,7 @@
         self._next_kind = RunKind.AFTER_LOSS
         self._losses += 1
         self._excluded.add(self.engine)
-        self._attach_attempts.begin_anew()
+        self._attach_attempts.reset()
         self._preempted = False
         return False
 
