--- a/wagtailtrestle/entry/entry.py
+++ b/wagtailtrestle/entry/entry.py
@@ -73,7 +73,7 @@
         declared = self._declaration().engines_by_name.get(engine)
         return declared.address if declared else None
 
-    def start_of(self, engine):
+    def start_ms_of(self, engine):
         """Which start of a declared engine is known here; 0 where engines don't tell."""
         declared = self._declaration().engines_by_name.get(engine)
         return declared.start_ms if declared else 0
--- a/wagtailtrestle/entry/request_task.py
+++ b/wagtailtrestle/entry/request_task.py
@@ -337,7 +337,7 @@
                 progress_deadline_s=overall_s if is_last else max(min_silence_s, granted.progress_deadline_s),
                 overall_s=overall_s,
                 attach=attach,
-                start_ms=self.context.start_of(granted.engine),
+                start_ms=self.context.start_ms_of(granted.engine),
                 was_limited=self.context.was_limited(granted),
             )
         )
