--- a/wagtailtrestle/entry/entry.py
+++ b/wagtailtrestle/entry/entry.py
@@ -78,7 +78,7 @@
         declared = self._declaration().engines_by_name.get(engine)
         return declared.start_ms if declared else 0
 
-    def is_in_use(self, engine):
+    def is_available(self, engine):
         """Whether an engine is known here and does not leave, as far as this router knows.
 
         Its own notice takes precedence over its entry, which may be older: the store can be unreachable, or restored
--- a/wagtailtrestle/entry/request_task.py
+++ b/wagtailtrestle/entry/request_task.py
@@ -258,8 +258,8 @@
                 case Refused(attempt=self.attempt, reason=reason, retry_after_s=retry_after_s):
                     return self._handle_refusal(reason, retry_after_s)
                 case Granted(attempt=self.attempt):
-                    is_in_use = self.context.is_in_use(message.engine)
-                    if is_in_use and self.context.is_informed(message):
+                    is_available = self.context.is_available(message.engine)
+                    if is_available and self.context.is_informed(message):
                         self.state = RequestState.GRANTED
                         self._retries_used_up = message.retries_used_up
                         return message
@@ -270,7 +270,7 @@
                     self.context.tell_again(message.engine)
                     self._reports.returned_slot(message.engine)
                     # A scheduler that grants it again after it was told may know a later start of the engine.
-                    if not is_in_use or message.engine in self._declined_engines:
+                    if not is_available or message.engine in self._declined_engines:
                         self._excluded.add(message.engine)
                     self._declined_engines.add(message.engine)
                     self.attempt += 1
