--- a/wagtailtrestle/entry/entry.py
+++ b/wagtailtrestle/entry/entry.py
@@ -91,7 +91,7 @@
         """Whether an engine named a rate limit lately, as this router or the scheduler heard."""
         return self._notices.is_limited(granted.engine) or granted.limit_age_s != math.inf
 
-    def is_informed(self, granted):
+    def scheduler_is_informed(self, granted):
         """Whether the scheduler that granted a place knew of the limit or rest that the engine told this router."""
         declared = self._declaration().engines_by_name[granted.engine]
         return self._notices.rest_s(declared) <= 0.0 and not self._notices.are_unknown_to(granted)
--- a/wagtailtrestle/entry/request_task.py
+++ b/wagtailtrestle/entry/request_task.py
@@ -259,7 +259,7 @@
                     return self._handle_refusal(reason, retry_after_s)
                 case Granted(attempt=self.attempt):
                     is_available = self.context.is_available(message.engine)
-                    if is_available and self.context.is_informed(message):
+                    if is_available and self.context.scheduler_is_informed(message):
                         self.state = RequestState.GRANTED
                         self._retries_used_up = message.retries_used_up
                         return message
