--- a/wagtailtrestle/entry/entry.py
+++ b/wagtailtrestle/entry/entry.py
@@ -102,7 +102,7 @@
         rests = [self._notices.rest_s(engine) for engine in engines if engine.service == service]
         return max(DEFAULT_RETRY_AFTER_S, min(rests, default=0.0))
 
-    def tell_again(self, engine):
+    def resend_notices(self, engine):
         """Tell the scheduler what an engine said lately, so that its next grant can be used."""
         for notice in self._notices.of((engine,)):
             self.tell(notice)
--- a/wagtailtrestle/entry/request_task.py
+++ b/wagtailtrestle/entry/request_task.py
@@ -267,7 +267,7 @@
                     # engine leaves, or know one that this router does not. Sent there, the
                     # request would be lost with the engine: the place goes back, and the next
                     # ask leaves the engine out.
-                    self.context.tell_again(message.engine)
+                    self.context.resend_notices(message.engine)
                     self._reports.returned_slot(message.engine)
                     # A scheduler that grants it again after it was told may know a later start of the engine.
                     if not is_available or message.engine in self._declined_engines:
