--- a/wagtailtrestle/entry/entry.py
+++ b/wagtailtrestle/entry/entry.py
@@ -105,9 +105,9 @@
     def resend_notices(self, engine):
         """Tell the scheduler what an engine said lately, so that its next grant can be used."""
         for notice in self._notices.of((engine,)):
-            self.tell(notice)
+            self.forward_notice(notice)
 
-    def tell(self, notice):
+    def forward_notice(self, notice):
         """Tell the scheduler what one of its engines said."""
         engine = self._declaration().engines_by_name.get(notice.engine)
         if engine is not None:
@@ -200,7 +200,7 @@
         if isinstance(event, EngineNotice):
             self._count_broken_rest(event)
             self._notices.take(event)
-            self._context.tell(dataclasses.replace(event, entry=self.name))
+            self._context.forward_notice(dataclasses.replace(event, entry=self.name))
             return
         task = self.tasks_by_id.get(request_id)
         if task is not None:
