--- a/wagtailtrestle/entry/entry.py
+++ b/wagtailtrestle/entry/entry.py
@@ -198,7 +198,7 @@
     def post(self, request_id, event):
         """Give a caller's event to its request; late ones are dropped."""
         if isinstance(event, EngineNotice):
-            self._count_broken_rest(event)
+            self._count_broken_back_off(event)
             self._notices.take(event)
             self._context.forward_notice(dataclasses.replace(event, entry=self.name))
             return
@@ -206,7 +206,7 @@
         if task is not None:
             task.post(event)
 
-    def _count_broken_rest(self, notice):
+    def _count_broken_back_off(self, notice):
         engine = self._declaration().engines_by_name.get(notice.engine)
         if engine is None or not notice.rest_s:
             return
