--- a/wagtailtrestle/entry/entry.py
+++ b/wagtailtrestle/entry/entry.py
@@ -213,7 +213,7 @@
         rested_s = self._notices.rested_s(engine)
         # What was on its way when the engine first asked is no fault.
         if rested_s > HEARD_SLACK_S:
-            self._run_counts.note_rest_broken(engine=notice.engine, rested_s=rested_s)
+            self._run_counts.count_broken_back_off(engine=notice.engine, rested_s=rested_s)
 
     def displace(self, request_id):
         """Give up a waiting request, for a higher tier needs its room in the router."""
--- a/wagtailtrestle/entry/run_counts.py
+++ b/wagtailtrestle/entry/run_counts.py
@@ -47,7 +47,7 @@
             "a request runs again that was running when several engines crashed"
         )
 
-    def note_rest_broken(self, *, engine, rested_s):
+    def count_broken_back_off(self, *, engine, rested_s):
         """Count a request that reached an engine within a rest that it had asked for."""
         self._count("requests_within_rest", engine=engine)
         logger.bind(engine=engine, rested_s=round(rested_s, 3)).warning("a request reached an engine that rests")
