--- a/wagtailtrestle/entry/request_task.py
+++ b/wagtailtrestle/entry/request_task.py
@@ -344,7 +344,7 @@
 
     def _count_run(self, *, attach):
         request, counts = self.request, self.context.run_counts
-        counts.note_sent(service=request.service, kind=RunKind.ATTACH if attach else self._next_kind)
+        counts.count_run(service=request.service, kind=RunKind.ATTACH if attach else self._next_kind)
         if request.max_runs is not None and self._losses >= request.max_runs:
             counts.note_beyond_limit(request_id=request.request_id, service=request.service, runs=self._losses + 1)
         crashes = self.context.crashes.crashes_of(request.body_digest)
--- a/wagtailtrestle/entry/run_counts.py
+++ b/wagtailtrestle/entry/run_counts.py
@@ -29,7 +29,7 @@
     def __init__(self, *, count):
         self._count = count
 
-    def note_sent(self, *, service, kind):
+    def count_run(self, *, service, kind):
         """Count a run that is sent to an engine."""
         self._count("runs", service=service, kind=kind.value)
 
