--- a/wagtailtrestle/entry/run_counts.py
+++ b/wagtailtrestle/entry/run_counts.py
@@ -33,7 +33,7 @@
         """Count a run that is sent to an engine."""
         self._count("runs", service=service, kind=kind.value)
 
-    def note_beyond_limit(self, *, request_id, service, runs):
+    def count_run_beyond_limit(self, *, request_id, service, runs):
         """Count a run beyond the number that its route allows."""
         self._count("runs_beyond_limit", service=service)
         logger.bind(request_id=request_id, service=service, runs=runs).error(
