--- a/wagtailtrestle/entry/request_task.py
+++ b/wagtailtrestle/entry/request_task.py
@@ -349,7 +349,7 @@
             counts.count_run_beyond_limit(request_id=request.request_id, service=request.service, runs=self._losses + 1)
         crashes = self.context.crashes.crashes_of(request.body_digest)
         if crashes >= CRASH_LIMIT and not attach:
-            counts.note_crashing(request_id=request.request_id, service=request.service, crashes=crashes)
+            counts.count_crashing_run(request_id=request.request_id, service=request.service, crashes=crashes)
 
     async def _wait_for_run_end(self, granted):
         until = self.request.deadline
--- a/wagtailtrestle/entry/run_counts.py
+++ b/wagtailtrestle/entry/run_counts.py
@@ -40,7 +40,7 @@
             "a request has more runs than its route allows"
         )
 
-    def note_crashing(self, *, request_id, service, crashes):
+    def count_crashing_run(self, *, request_id, service, crashes):
         """Count a run of a request that was running when several engines crashed."""
         self._count("runs_of_crashing_requests", service=service)
         logger.bind(request_id=request_id, service=service, crashes=crashes).warning(
