--- a/wagtailtrestle/entry/request_task.py
+++ b/wagtailtrestle/entry/request_task.py
@@ -284,7 +284,7 @@
         if self._preempted and reason in (Reason.OVERLOADED, Reason.DEADLINE_UNREACHABLE):
             reason = Reason.PREEMPTED
         if reason is Reason.RETRY_BUDGET:
-            self.context.run_counts.note_retry_refused(service=self.request.service)
+            self.context.run_counts.count_refused_retry(service=self.request.service)
         self._refuse(reason, retry_after_s=retry_after_s)
 
     # Run.
--- a/wagtailtrestle/entry/run_counts.py
+++ b/wagtailtrestle/entry/run_counts.py
@@ -52,6 +52,6 @@
         self._count("requests_within_rest", engine=engine)
         logger.bind(engine=engine, rested_s=round(rested_s, 3)).warning("a request reached an engine that rests")
 
-    def note_retry_refused(self, *, service):
+    def count_refused_retry(self, *, service):
         """Count a retry for which the cell's budget had no room."""
         self._count("retries_refused", service=service)
