--- a/wagtailtrestle/entry/entry.py
+++ b/wagtailtrestle/entry/entry.py
@@ -250,7 +250,7 @@
         heard = [engine for engine in self._notices.engines if engine in declared]
         return self._notices.of([engine for engine in heard if declared[engine].cell == cell])
 
-    def cells_held(self):
+    def cells_in_use(self):
         """Cells for which a request waits or runs."""
         return {task.cell for task in self.tasks_by_id.values()}
 
