--- a/wagtailtrestle/entry/entry.py
+++ b/wagtailtrestle/entry/entry.py
@@ -295,7 +295,7 @@
         if task is None:
             self._withdraw(granted)
             return
-        give_back = RunFinished(
+        slot_return = RunFinished(
             request_id=granted.request_id,
             engine=granted.engine,
             result=RunNotSent.__name__,
@@ -303,7 +303,7 @@
             never_sent=True,
         )
         if task.state is RequestState.DISPATCHED and task.engine != granted.engine:
-            self._context.send(task.cell, give_back)
+            self._context.send(task.cell, slot_return)
         self._context.send(task.cell, self.register(task.cell))
 
     def _withdraw(self, granted):
