--- a/wagtailtrestle/entry/entry.py
+++ b/wagtailtrestle/entry/entry.py
@@ -247,8 +247,8 @@
 
     def _notices_of(self, cell):
         declared = self._declaration().engines_by_name
-        heard = [engine for engine in self._notices.engines if engine in declared]
-        return self._notices.of([engine for engine in heard if declared[engine].cell == cell])
+        known = [engine for engine in self._notices.engines if engine in declared]
+        return self._notices.of([engine for engine in known if declared[engine].cell == cell])
 
     def cells_in_use(self):
         """Cells for which a request waits or runs."""
