--- a/wagtailtrestle/entry/entry.py
+++ b/wagtailtrestle/entry/entry.py
@@ -193,7 +193,7 @@
         self._idle.clear()
         running = self._loop.create_task(task.serve())
         self._running_by_id[request.request_id] = running
-        running.add_done_callback(lambda done: self._forget(request.request_id, done))
+        running.add_done_callback(lambda done: self._remove_task(request.request_id, done))
 
     def post(self, request_id, event):
         """Give a caller's event to its request; late ones are dropped."""
@@ -311,7 +311,7 @@
         if engine is not None:
             self._context.send(engine.cell, Withdraw(request_id=granted.request_id))
 
-    def _forget(self, request_id, done):
+    def _remove_task(self, request_id, done):
         self.tasks_by_id.pop(request_id, None)
         self._running_by_id.pop(request_id, None)
         if not self.tasks_by_id:
