--- a/wagtailtrestle/entry/entry.py
+++ b/wagtailtrestle/entry/entry.py
@@ -293,7 +293,7 @@
         # withdrawal. The place must go back or its engine looks busy for ever; a
         # running request's true place is told again so that its account stays exact.
         if task is None:
-            self._withdraw(granted)
+            self._withdraw_grant(granted)
             return
         slot_return = RunFinished(
             request_id=granted.request_id,
@@ -306,7 +306,7 @@
             self._context.send(task.cell, slot_return)
         self._context.send(task.cell, self.register(task.cell))
 
-    def _withdraw(self, granted):
+    def _withdraw_grant(self, granted):
         engine = self._declaration().engines_by_name.get(granted.engine)
         if engine is not None:
             self._context.send(engine.cell, Withdraw(request_id=granted.request_id))
