--- a/wagtailtrestle/entry/request_task.py
+++ b/wagtailtrestle/entry/request_task.py
@@ -318,7 +318,7 @@
             self._cancelling = False
             self._preempted = False
             if self._next_kind in RETRIES:
-                self.context.retries.note_retry(self.cell)
+                self.context.retries.record_retry(self.cell)
         self.state = RequestState.DISPATCHED
         self._count_run(attach=attach)
         overall_s = max(self._remaining(), MIN_ATTACH_TIME_S)
--- a/wagtailtrestle/entry/retry_record.py
+++ b/wagtailtrestle/entry/retry_record.py
@@ -26,7 +26,7 @@
         self._retries_by_cell = defaultdict(RecentTimes)
         self._successes_by_cell = defaultdict(RecentTimes)
 
-    def note_retry(self, cell):
+    def record_retry(self, cell):
         """Count a retry that is sent."""
         self._retries_by_cell[cell].note(self._clock())
         self._forget_old(self._retries_by_cell[cell])
