--- a/wagtailtrestle/entry/request_task.py
+++ b/wagtailtrestle/entry/request_task.py
@@ -504,7 +504,7 @@
 
     def _answer_complete(self, ended):
         if isinstance(ended.outcome, RunDone):
-            self.context.retries.note_success(self.cell)
+            self.context.retries.record_success(self.cell)
         self._finish(AnswerWhole())
         self._request_claim.finish(ended)
         return True
--- a/wagtailtrestle/entry/retry_record.py
+++ b/wagtailtrestle/entry/retry_record.py
@@ -35,7 +35,7 @@
         """Forget the last retry: no connection was made for it."""
         self._retries_by_cell[cell].take_back()
 
-    def note_success(self, cell):
+    def record_success(self, cell):
         """Count a request that was answered whole."""
         self._successes_by_cell[cell].note(self._clock())
         self._forget_old(self._successes_by_cell[cell])
