--- a/wagtailtrestle/entry/request_task.py
+++ b/wagtailtrestle/entry/request_task.py
@@ -458,7 +458,7 @@
         if not outcome.arrived:
             self.runs_begun -= 1
             if self._next_kind in RETRIES:
-                self.context.retries.take_back(self.cell)
+                self.context.retries.revert_retry(self.cell)
         if self._evidence.possibly_executed and not self.request.repeatable:
             return self._refuse_as_lost()
         if self._not_sent_count >= MAX_NOT_SENT:
--- a/wagtailtrestle/entry/retry_record.py
+++ b/wagtailtrestle/entry/retry_record.py
@@ -31,7 +31,7 @@
         self._retries_by_cell[cell].note(self._clock())
         self._forget_old(self._retries_by_cell[cell])
 
-    def take_back(self, cell):
+    def revert_retry(self, cell):
         """Forget the last retry: no connection was made for it."""
         self._retries_by_cell[cell].take_back()
 
