--- a/wagtailtrestle/entry/retry_record.py
+++ b/wagtailtrestle/entry/retry_record.py
@@ -17,12 +17,12 @@
         Returns the time for which they count.
     """
 
-    __slots__ = ("_began_at", "_clock", "_window_s", "_retries_by_cell", "_successes_by_cell")
+    __slots__ = ("_started_at", "_clock", "_window_s", "_retries_by_cell", "_successes_by_cell")
 
     def __init__(self, *, clock, window_s):
         self._clock = clock
         self._window_s = window_s
-        self._began_at = clock()
+        self._started_at = clock()
         self._retries_by_cell = defaultdict(RecentTimes)
         self._successes_by_cell = defaultdict(RecentTimes)
 
@@ -43,7 +43,7 @@
     def history(self, cell):
         """What a scheduler is told."""
         return RetryHistory(
-            up_s=self._clock() - self._began_at,
+            up_s=self._clock() - self._started_at,
             retries_by_age_s=self._by_age_s(self._retries_by_cell[cell]),
             successes_by_age_s=self._by_age_s(self._successes_by_cell[cell]),
         )
