--- a/wagtailtrestle/entry/retry_record.py
+++ b/wagtailtrestle/entry/retry_record.py
@@ -29,7 +29,7 @@
     def record_retry(self, cell):
         """Count a retry that is sent."""
         self._retries_by_cell[cell].note(self._clock())
-        self._forget_old(self._retries_by_cell[cell])
+        self._drop_expired(self._retries_by_cell[cell])
 
     def revert_retry(self, cell):
         """Forget the last retry: no connection was made for it."""
@@ -38,7 +38,7 @@
     def record_success(self, cell):
         """Count a request that was answered whole."""
         self._successes_by_cell[cell].note(self._clock())
-        self._forget_old(self._successes_by_cell[cell])
+        self._drop_expired(self._successes_by_cell[cell])
 
     def history(self, cell):
         """What a scheduler is told."""
@@ -49,8 +49,8 @@
         )
 
     def _by_age_s(self, times):
-        self._forget_old(times)
+        self._drop_expired(times)
         return times.by_age_s(self._clock())
 
-    def _forget_old(self, times):
+    def _drop_expired(self, times):
         times.forget_before(self._clock() - self._window_s())
