--- a/tests/test_isolation.py
+++ b/tests/test_isolation.py
@@ -6,7 +6,7 @@
 from wagtailtrestle.capacity.isolation import MAX_SUSPECTS
 from wagtailtrestle.contracts.messages import Granted, Refused, Withdraw
 from wagtailtrestle.contracts.outcomes import Reason
-from wagtailtrestle.entry.poison import ALONE_AFTER, SAME_CRASH_S, CrashTable
+from wagtailtrestle.entry.poison import MIN_CRASHES_TO_ISOLATE, SAME_CRASH_S, CrashTable
 
 
 def granted_on(cell):
@@ -119,7 +119,7 @@
         cell = Cell(slots=4)
         table = CrashTable(clock=cell.clock, reporter="r1")
         crashes, answered = 0, False
-        for sending in range(2 * ALONE_AFTER + 2):
+        for sending in range(2 * MIN_CRASHES_TO_ISOLATE + 2):
             bodies = [body for body in ("poison", "innocent") if not table.blocked(body)]
             cell.receive(*[ask(f"{body}{sending}", alone=table.runs_alone(body)) for body in bodies])
             for _ in bodies:
@@ -135,7 +135,7 @@
                 cell.advance(2 * SAME_CRASH_S)
         self.assertTrue(table.blocked("poison") and answered)
         self.assertFalse(table.blocked("innocent"))
-        self.assertEqual(crashes, ALONE_AFTER + 1)
+        self.assertEqual(crashes, MIN_CRASHES_TO_ISOLATE + 1)
 
 
 if __name__ == "__main__":
--- a/wagtailtrestle/entry/poison.py
+++ b/wagtailtrestle/entry/poison.py
@@ -18,7 +18,7 @@
 CRASH_LIMIT = 3
 """Blame at which a fingerprint is refused: whole crashes that only it explains."""
 
-ALONE_AFTER = 2
+MIN_CRASHES_TO_ISOLATE = 2
 """Crashes after which a suspect runs beside no other.
 
 After one crash as many are suspected as ran there, nearly all of them innocent, and an engine
@@ -202,7 +202,7 @@
         if not self.is_suspect(fingerprint):
             return False
         blamed = self._blame_by_fingerprint[fingerprint] > 0.0
-        return blamed and self._crashes_by_fingerprint[fingerprint] >= ALONE_AFTER
+        return blamed and self._crashes_by_fingerprint[fingerprint] >= MIN_CRASHES_TO_ISOLATE
 
     def blocked(self, fingerprint) -> bool:
         """Whether it is to blame for so many crashes that no engine may run it."""
