--- a/wagtailtrestle/entry/poison.py
+++ b/wagtailtrestle/entry/poison.py
@@ -25,7 +25,7 @@
 may fail of itself; they run as ever and most are cleared by their own answers.
 """
 
-EARLY_CLEARANCES = 1024
+MAX_EARLY_CLEARANCES = 1024
 """Clearances kept for crashes that this router hasn't heard of yet."""
 
 CRASH_WINDOW_S = 600.0
@@ -188,7 +188,7 @@
             # A clearance may overtake the report of its crash on another way through the
             # routers. Dropped, it would leave an innocent request suspected here alone.
             self._early_by_incident.setdefault(name, set()).add(clearance.fingerprint)
-        while len(self._early_by_incident) > EARLY_CLEARANCES:
+        while len(self._early_by_incident) > MAX_EARLY_CLEARANCES:
             self._early_by_incident.popitem(last=False)
         self._assign_blame()
 
