--- a/tests/test_crash_signs.py
+++ b/tests/test_crash_signs.py
@@ -7,7 +7,7 @@
 from wagtailtrestle.contracts.messages import EngineDown
 from wagtailtrestle.contracts.outcomes import RunCut, RunDone
 from wagtailtrestle.entry.crash_watch import CrashWatch
-from wagtailtrestle.entry.poison import CRASH_LIMIT, SAME_CRASH_S, TOLD_WINDOW_S, CrashDetector, CrashTable
+from wagtailtrestle.entry.poison import CRASH_LIMIT, SAME_CRASH_WINDOW_S, TOLD_WINDOW_S, CrashDetector, CrashTable
 
 
 class SchedulerTest(unittest.TestCase):
@@ -44,7 +44,7 @@
         self.crashes.note(engine=engine, body_digest=body, outcome=RunCut(detail="cut", reached=True), was_sent=False)
         self.clock.now += told_after_s
         self.crashes.note_down(engine)
-        self.clock.now += SAME_CRASH_S
+        self.clock.now += SAME_CRASH_WINDOW_S
 
     def test_what_crashed_three_engines_that_went_down_is_refused(self):
         for number in range(CRASH_LIMIT):
--- a/tests/test_isolation.py
+++ b/tests/test_isolation.py
@@ -6,7 +6,7 @@
 from wagtailtrestle.capacity.isolation import MAX_SUSPECTS
 from wagtailtrestle.contracts.messages import Granted, Refused, Withdraw
 from wagtailtrestle.contracts.outcomes import Reason
-from wagtailtrestle.entry.poison import MIN_CRASHES_TO_ISOLATE, SAME_CRASH_S, CrashTable
+from wagtailtrestle.entry.poison import MIN_CRASHES_TO_ISOLATE, SAME_CRASH_WINDOW_S, CrashTable
 
 
 def granted_on(cell):
@@ -132,7 +132,7 @@
                     answered = True
                     table.note_success("innocent")
                 cell.receive(*[finished(name, result="RunCut" if crashed else "RunDone") for name in on_engine])
-                cell.advance(2 * SAME_CRASH_S)
+                cell.advance(2 * SAME_CRASH_WINDOW_S)
         self.assertTrue(table.blocked("poison") and answered)
         self.assertFalse(table.blocked("innocent"))
         self.assertEqual(crashes, MIN_CRASHES_TO_ISOLATE + 1)
--- a/tests/test_poison.py
+++ b/tests/test_poison.py
@@ -10,7 +10,7 @@
     CRASH_WINDOW_S,
     CUT_WINDOW_S,
     RESTART_WINDOW_S,
-    SAME_CRASH_S,
+    SAME_CRASH_WINDOW_S,
     CrashClearance,
     CrashDetector,
     CrashReport,
@@ -25,7 +25,7 @@
         self.table = CrashTable(clock=self.clock, reporter="r1")
 
     def crash(self, engine, *running):
-        self.clock.now += SAME_CRASH_S + 1.0
+        self.clock.now += SAME_CRASH_WINDOW_S + 1.0
         return self.table.note_crash(engine, dict.fromkeys(running, 1))
 
     def test_what_crashes_alone_is_refused_after_the_limit(self):
@@ -84,7 +84,7 @@
         clock = Clock()
         books = [CrashTable(clock=clock, reporter=f"r{number}") for number in range(CRASH_LIMIT)]
         for number, table in enumerate(books):
-            clock.now += SAME_CRASH_S + 1.0
+            clock.now += SAME_CRASH_WINDOW_S + 1.0
             told = table.note_crash(f"e{number}", {"poison": 1})
             for other in books:
                 other.merge(told)
@@ -114,7 +114,7 @@
         told = table.note_crash("e1", {"a": 1, "b": 1})
         table.note_success("a")
         for _ in range(CRASH_LIMIT):
-            clock.now += 2 * SAME_CRASH_S
+            clock.now += 2 * SAME_CRASH_WINDOW_S
             table.merge(told)
         self.assertFalse(table.is_suspect("a") or table.blocked("b"))
         other = CrashTable(clock=clock)
@@ -130,7 +130,7 @@
         here, there = (CrashTable(clock=clock, reporter=name) for name in ("r1", "r2"))
         told = []
         for engine in ("e1", "e2"):
-            clock.now += 2 * SAME_CRASH_S
+            clock.now += 2 * SAME_CRASH_WINDOW_S
             told.append(here.note_crash(engine, {"poison": 1, "innocent": 1}))
         there.merge(told[0])
         clearance = here.note_success("innocent")
@@ -139,7 +139,7 @@
         self.assertFalse(there.is_suspect("innocent"))
         self.assertTrue(there.runs_alone("poison"))
         self.assertIsNone(here.note_success("innocent"))
-        clock.now += 2 * SAME_CRASH_S
+        clock.now += 2 * SAME_CRASH_WINDOW_S
         there.note_crash("e3", {"innocent": 1})
         there.merge_clearance(clearance)
         self.assertTrue(there.is_suspect("innocent"))
--- a/wagtailtrestle/entry/poison.py
+++ b/wagtailtrestle/entry/poison.py
@@ -31,7 +31,7 @@
 CRASH_WINDOW_S = 600.0
 """How long a crash is held against what ran there."""
 
-SAME_CRASH_S = 5.0
+SAME_CRASH_WINDOW_S = 5.0
 """Reports on one engine within this time speak of one crash, whoever makes them."""
 
 CUTS_OF_A_CRASH = 2
@@ -241,7 +241,7 @@
             # Each router reports a crash by itself, and one router as often as its runs
             # or its attempts to attach fail. Counted apart, a single crash would look
             # like several and block a request that ran once.
-            if incident.engine == report.engine and abs(incident.at - at) <= SAME_CRASH_S:
+            if incident.engine == report.engine and abs(incident.at - at) <= SAME_CRASH_WINDOW_S:
                 return incident
         incident = _Incident(engine=report.engine, at=at)
         self._incidents.append(incident)
