--- a/wagtailtrestle/entry/poison.py
+++ b/wagtailtrestle/entry/poison.py
@@ -34,7 +34,7 @@
 SAME_CRASH_WINDOW_S = 5.0
 """Reports on one engine within this time speak of one crash, whoever makes them."""
 
-CUTS_OF_A_CRASH = 2
+MIN_CUTS_FOR_CRASH = 2
 """Runs of one engine cut within the window that make a crash rather than a broken connection."""
 
 CUT_WINDOW_S = 0.5
@@ -291,7 +291,7 @@
         """
         self._note(engine, fingerprint)
         recent = self._since(engine, CUT_WINDOW_S)
-        return self._crash(engine, recent) if len(recent) >= CUTS_OF_A_CRASH else set()
+        return self._crash(engine, recent) if len(recent) >= MIN_CUTS_FOR_CRASH else set()
 
     def on_gone(self, engine, fingerprint=None, *, within_s=RESTART_WINDOW_S):
         """Note that the engine does not know a run, or refuses connections.
