--- a/tests/test_crash_signs.py
+++ b/tests/test_crash_signs.py
@@ -7,7 +7,13 @@
 from wagtailtrestle.contracts.messages import EngineDown
 from wagtailtrestle.contracts.outcomes import RunCut, RunDone
 from wagtailtrestle.entry.crash_watch import CrashWatch
-from wagtailtrestle.entry.poison import CRASH_LIMIT, SAME_CRASH_WINDOW_S, TOLD_WINDOW_S, CrashDetector, CrashTable
+from wagtailtrestle.entry.poison import (
+    CRASH_LIMIT,
+    REPORTED_DOWN_WINDOW_S,
+    SAME_CRASH_WINDOW_S,
+    CrashDetector,
+    CrashTable,
+)
 
 
 class SchedulerTest(unittest.TestCase):
@@ -57,7 +63,7 @@
         for number in range(CRASH_LIMIT):
             self.crashes.note_down(f"e{number}")
             self.crashes.note(engine=f"e{number}", body_digest="sound", outcome=RunDone(), was_sent=False)
-            self.cut(f"e{number}", "sound", told_after_s=TOLD_WINDOW_S + 1.0)
+            self.cut(f"e{number}", "sound", told_after_s=REPORTED_DOWN_WINDOW_S + 1.0)
         self.assertFalse(self.crashes.blocked("sound"))
 
 
--- a/wagtailtrestle/entry/crash_watch.py
+++ b/wagtailtrestle/entry/crash_watch.py
@@ -1,7 +1,7 @@
 """Watches how runs end for engines that crash, and shares what it learns with all routers."""
 
 from wagtailtrestle.contracts.outcomes import RunCut, RunDone, RunLost, RunNotSent
-from wagtailtrestle.entry.poison import TOLD_WINDOW_S, fingerprint_of
+from wagtailtrestle.entry.poison import REPORTED_DOWN_WINDOW_S, fingerprint_of
 
 
 class CrashWatch:
@@ -55,7 +55,7 @@
 
     def note_down(self, engine):
         """Take in that an engine went down, as the scheduler or the engines' list tells."""
-        self._report(engine, self._detector.on_gone(engine, within_s=TOLD_WINDOW_S))
+        self._report(engine, self._detector.on_gone(engine, within_s=REPORTED_DOWN_WINDOW_S))
 
     def merge(self, report):
         """Take in another router's report."""
--- a/wagtailtrestle/entry/poison.py
+++ b/wagtailtrestle/entry/poison.py
@@ -42,7 +42,7 @@
 RESTART_WINDOW_S = 5.0
 """A run lost, or a connection refused, this soon after a cut shows that the engine went down."""
 
-TOLD_WINDOW_S = 10.0
+REPORTED_DOWN_WINDOW_S = 10.0
 """The same for word of it: an engine that is silent leaves the list only after some heartbeats."""
 
 
@@ -304,7 +304,7 @@
         return self._crash(engine, self._since(engine, within_s))
 
     def _note(self, engine, fingerprint):
-        recent = self._since(engine, TOLD_WINDOW_S)
+        recent = self._since(engine, REPORTED_DOWN_WINDOW_S)
         cuts = self._cuts_by_engine.get(engine, {})
         kept = {name: at for name, at in cuts.items() if name in recent}
         self._cuts_by_engine[engine] = kept | {fingerprint: self._clock()}
