--- a/tests/test_isolation.py
+++ b/tests/test_isolation.py
@@ -127,7 +127,7 @@
                 crashed = f"poison{sending}" in on_engine
                 if crashed:
                     crashes += 1
-                    table.note_crash("e1", [name.rstrip("0123456789") for name in on_engine])
+                    table.record_crash("e1", [name.rstrip("0123456789") for name in on_engine])
                 elif on_engine:
                     answered = True
                     table.note_success("innocent")
--- a/tests/test_poison.py
+++ b/tests/test_poison.py
@@ -26,7 +26,7 @@
 
     def crash(self, engine, *running):
         self.clock.now += SAME_CRASH_WINDOW_S + 1.0
-        return self.table.note_crash(engine, dict.fromkeys(running, 1))
+        return self.table.record_crash(engine, dict.fromkeys(running, 1))
 
     def test_what_crashes_alone_is_refused_after_the_limit(self):
         for number in range(CRASH_LIMIT):
@@ -85,7 +85,7 @@
         books = [CrashTable(clock=clock, reporter=f"r{number}") for number in range(CRASH_LIMIT)]
         for number, table in enumerate(books):
             clock.now += SAME_CRASH_WINDOW_S + 1.0
-            told = table.note_crash(f"e{number}", {"poison": 1})
+            told = table.record_crash(f"e{number}", {"poison": 1})
             for other in books:
                 other.merge(told)
         self.assertTrue(all(table.blocked("poison") for table in books))
@@ -93,7 +93,7 @@
     def test_one_crash_told_by_three_routers_is_one(self):
         clock = Clock()
         table = CrashTable(clock=clock, reporter="r1")
-        table.note_crash("e1", {"a": 1})
+        table.record_crash("e1", {"a": 1})
         for number in range(2, 2 + CRASH_LIMIT):
             clock.now += 0.1
             table.merge(CrashReport(engine="e1", incident=f"r{number}/x/1", suspects=("a",)))
@@ -105,13 +105,13 @@
         table = CrashTable(clock=clock)
         for _ in range(CRASH_LIMIT):
             clock.now += 0.5
-            table.note_crash("e1", {"a": 1})
+            table.record_crash("e1", {"a": 1})
         self.assertFalse(table.blocked("a"))
 
     def test_merging_again_changes_nothing_and_does_not_undo_a_clearance(self):
         clock = Clock()
         table = CrashTable(clock=clock)
-        told = table.note_crash("e1", {"a": 1, "b": 1})
+        told = table.record_crash("e1", {"a": 1, "b": 1})
         table.note_success("a")
         for _ in range(CRASH_LIMIT):
             clock.now += 2 * SAME_CRASH_WINDOW_S
@@ -131,7 +131,7 @@
         told = []
         for engine in ("e1", "e2"):
             clock.now += 2 * SAME_CRASH_WINDOW_S
-            told.append(here.note_crash(engine, {"poison": 1, "innocent": 1}))
+            told.append(here.record_crash(engine, {"poison": 1, "innocent": 1}))
         there.merge(told[0])
         clearance = here.note_success("innocent")
         there.merge_clearance(clearance)
@@ -140,7 +140,7 @@
         self.assertTrue(there.runs_alone("poison"))
         self.assertIsNone(here.note_success("innocent"))
         clock.now += 2 * SAME_CRASH_WINDOW_S
-        there.note_crash("e3", {"innocent": 1})
+        there.record_crash("e3", {"innocent": 1})
         there.merge_clearance(clearance)
         self.assertTrue(there.is_suspect("innocent"))
 
--- a/wagtailtrestle/entry/crash_watch.py
+++ b/wagtailtrestle/entry/crash_watch.py
@@ -80,4 +80,4 @@
 
     def _report(self, engine, suspects):
         if suspects:
-            self._broadcast(self._table.note_crash(engine, suspects))
+            self._broadcast(self._table.record_crash(engine, suspects))
--- a/wagtailtrestle/entry/poison.py
+++ b/wagtailtrestle/entry/poison.py
@@ -140,7 +140,7 @@
         self._crashes_by_fingerprint = {}
         self._early_by_incident = OrderedDict()
 
-    def note_crash(self, engine, by_fingerprint_running) -> CrashReport:
+    def record_crash(self, engine, by_fingerprint_running) -> CrashReport:
         """Count a crash seen here; ``by_fingerprint_running`` holds what this router ran there."""
         self._count += 1
         report = CrashReport(
