--- a/tests/test_isolation.py
+++ b/tests/test_isolation.py
@@ -130,7 +130,7 @@
                     table.record_crash("e1", [name.rstrip("0123456789") for name in on_engine])
                 elif on_engine:
                     answered = True
-                    table.note_success("innocent")
+                    table.record_success("innocent")
                 cell.receive(*[finished(name, result="RunCut" if crashed else "RunDone") for name in on_engine])
                 cell.advance(2 * SAME_CRASH_WINDOW_S)
         self.assertTrue(table.blocked("poison") and answered)
--- a/tests/test_poison.py
+++ b/tests/test_poison.py
@@ -55,7 +55,7 @@
 
     def test_a_whole_answer_clears(self):
         self.crash("e1", "poison", "innocent")
-        self.table.note_success("innocent")
+        self.table.record_success("innocent")
         self.assertFalse(self.table.is_suspect("innocent"))
         self.assertTrue(self.table.is_suspect("poison"))
 
@@ -112,7 +112,7 @@
         clock = Clock()
         table = CrashTable(clock=clock)
         told = table.record_crash("e1", {"a": 1, "b": 1})
-        table.note_success("a")
+        table.record_success("a")
         for _ in range(CRASH_LIMIT):
             clock.now += 2 * SAME_CRASH_WINDOW_S
             table.merge(told)
@@ -133,12 +133,12 @@
             clock.now += 2 * SAME_CRASH_WINDOW_S
             told.append(here.record_crash(engine, {"poison": 1, "innocent": 1}))
         there.merge(told[0])
-        clearance = here.note_success("innocent")
+        clearance = here.record_success("innocent")
         there.merge_clearance(clearance)
         there.merge(told[1])
         self.assertFalse(there.is_suspect("innocent"))
         self.assertTrue(there.runs_alone("poison"))
-        self.assertIsNone(here.note_success("innocent"))
+        self.assertIsNone(here.record_success("innocent"))
         clock.now += 2 * SAME_CRASH_WINDOW_S
         there.record_crash("e3", {"innocent": 1})
         there.merge_clearance(clearance)
--- a/wagtailtrestle/entry/crash_watch.py
+++ b/wagtailtrestle/entry/crash_watch.py
@@ -74,7 +74,7 @@
         return self._table.dump()
 
     def _clear(self, fingerprint):
-        clearance = self._table.note_success(fingerprint)
+        clearance = self._table.record_success(fingerprint)
         if clearance is not None:
             self._broadcast(clearance)
 
--- a/wagtailtrestle/entry/poison.py
+++ b/wagtailtrestle/entry/poison.py
@@ -160,7 +160,7 @@
         incident.cleared |= self._early_by_incident.pop(report.incident, set())
         self._assign_blame()
 
-    def note_success(self, fingerprint) -> CrashClearance | None:
+    def record_success(self, fingerprint) -> CrashClearance | None:
         """Clear a request that ran whole: it does not crash what runs it.
 
         Returns
