--- a/tests/test_crash_signs.py
+++ b/tests/test_crash_signs.py
@@ -54,9 +54,9 @@
 
     def test_what_crashed_three_engines_that_went_down_is_refused(self):
         for number in range(CRASH_LIMIT):
-            self.assertFalse(self.crashes.blocked("poison"))
+            self.assertFalse(self.crashes.is_blocked("poison"))
             self.cut(f"e{number}")
-        self.assertTrue(self.crashes.blocked("poison"))
+        self.assertTrue(self.crashes.is_blocked("poison"))
 
     # Guards against a request that is blamed for engines which left in order, or which it did not run on.
     def test_an_engine_that_leaves_blames_nobody(self):
@@ -64,7 +64,7 @@
             self.crashes.note_down(f"e{number}")
             self.crashes.note(engine=f"e{number}", body_digest="sound", outcome=RunDone(), was_sent=False)
             self.cut(f"e{number}", "sound", told_after_s=REPORTED_DOWN_WINDOW_S + 1.0)
-        self.assertFalse(self.crashes.blocked("sound"))
+        self.assertFalse(self.crashes.is_blocked("sound"))
 
 
 if __name__ == "__main__":
--- a/tests/test_isolation.py
+++ b/tests/test_isolation.py
@@ -120,7 +120,7 @@
         table = CrashTable(clock=cell.clock, reporter="r1")
         crashes, answered = 0, False
         for sending in range(2 * MIN_CRASHES_TO_ISOLATE + 2):
-            bodies = [body for body in ("poison", "innocent") if not table.blocked(body)]
+            bodies = [body for body in ("poison", "innocent") if not table.is_blocked(body)]
             cell.receive(*[ask(f"{body}{sending}", alone=table.runs_alone(body)) for body in bodies])
             for _ in bodies:
                 on_engine = list(cell.scheduler._runs.grants_by_request_id)
@@ -133,8 +133,8 @@
                     table.record_success("innocent")
                 cell.receive(*[finished(name, result="RunCut" if crashed else "RunDone") for name in on_engine])
                 cell.advance(2 * SAME_CRASH_WINDOW_S)
-        self.assertTrue(table.blocked("poison") and answered)
-        self.assertFalse(table.blocked("innocent"))
+        self.assertTrue(table.is_blocked("poison") and answered)
+        self.assertFalse(table.is_blocked("innocent"))
         self.assertEqual(crashes, MIN_CRASHES_TO_ISOLATE + 1)
 
 
--- a/tests/test_poison.py
+++ b/tests/test_poison.py
@@ -30,9 +30,9 @@
 
     def test_what_crashes_alone_is_refused_after_the_limit(self):
         for number in range(CRASH_LIMIT):
-            self.assertFalse(self.table.blocked("poison"))
+            self.assertFalse(self.table.is_blocked("poison"))
             self.crash(f"e{number}", "poison")
-        self.assertTrue(self.table.blocked("poison"))
+        self.assertTrue(self.table.is_blocked("poison"))
 
     def test_those_that_died_beside_it_are_not_blamed(self):
         # The poisoned request crashes three engines; other requests die each time, one of
@@ -40,18 +40,18 @@
         self.crash("e1", "poison", "a", "unlucky")
         self.crash("e2", "poison", "b", "unlucky")
         self.crash("e3", "poison", "c")
-        self.assertTrue(self.table.blocked("poison"))
+        self.assertTrue(self.table.is_blocked("poison"))
         for innocent in ("a", "b", "c", "unlucky"):
-            self.assertFalse(self.table.blocked(innocent), innocent)
+            self.assertFalse(self.table.is_blocked(innocent), innocent)
 
     def test_two_that_always_died_together_are_told_apart_by_running_alone(self):
         for number in range(CRASH_LIMIT):
             self.crash(f"e{number}", "poison", "innocent")
-        self.assertFalse(self.table.blocked("poison") or self.table.blocked("innocent"))
+        self.assertFalse(self.table.is_blocked("poison") or self.table.is_blocked("innocent"))
         self.assertTrue(self.table.is_suspect("poison") and self.table.is_suspect("innocent"))
         self.crash("e9", "poison")
-        self.assertTrue(self.table.blocked("poison"))
-        self.assertFalse(self.table.blocked("innocent"))
+        self.assertTrue(self.table.is_blocked("poison"))
+        self.assertFalse(self.table.is_blocked("innocent"))
 
     def test_a_whole_answer_clears(self):
         self.crash("e1", "poison", "innocent")
@@ -74,7 +74,7 @@
         for number in range(CRASH_LIMIT):
             self.crash(f"e{number}", "poison")
         self.clock.now += CRASH_WINDOW_S + 1.0
-        self.assertFalse(self.table.blocked("poison") or self.table.is_suspect("poison"))
+        self.assertFalse(self.table.is_blocked("poison") or self.table.is_suspect("poison"))
 
 
 class SharedTest(unittest.TestCase):
@@ -88,7 +88,7 @@
             told = table.record_crash(f"e{number}", {"poison": 1})
             for other in books:
                 other.merge(told)
-        self.assertTrue(all(table.blocked("poison") for table in books))
+        self.assertTrue(all(table.is_blocked("poison") for table in books))
 
     def test_one_crash_told_by_three_routers_is_one(self):
         clock = Clock()
@@ -97,7 +97,7 @@
         for number in range(2, 2 + CRASH_LIMIT):
             clock.now += 0.1
             table.merge(CrashReport(engine="e1", incident=f"r{number}/x/1", suspects=("a",)))
-        self.assertFalse(table.blocked("a"))
+        self.assertFalse(table.is_blocked("a"))
 
     def test_one_crash_told_again_by_its_router_is_one(self):
         # A cut, then two attempts to attach that find the engine down: one crash.
@@ -106,7 +106,7 @@
         for _ in range(CRASH_LIMIT):
             clock.now += 0.5
             table.record_crash("e1", {"a": 1})
-        self.assertFalse(table.blocked("a"))
+        self.assertFalse(table.is_blocked("a"))
 
     def test_merging_again_changes_nothing_and_does_not_undo_a_clearance(self):
         clock = Clock()
@@ -116,7 +116,7 @@
         for _ in range(CRASH_LIMIT):
             clock.now += 2 * SAME_CRASH_WINDOW_S
             table.merge(told)
-        self.assertFalse(table.is_suspect("a") or table.blocked("b"))
+        self.assertFalse(table.is_suspect("a") or table.is_blocked("b"))
         other = CrashTable(clock=clock)
         for known in table.reports():
             other.merge(known)
--- a/tests/utils/scheduling_replay.py
+++ b/tests/utils/scheduling_replay.py
@@ -187,7 +187,7 @@
 class QuietCrashes:
     """Blames nobody."""
 
-    def blocked(self, body_digest):
+    def is_blocked(self, body_digest):
         return False
 
     def runs_alone(self, body_digest):
--- a/wagtailtrestle/entry/crash_watch.py
+++ b/wagtailtrestle/entry/crash_watch.py
@@ -22,9 +22,9 @@
         self._detector = detector
         self._broadcast = broadcast
 
-    def blocked(self, body_digest):
+    def is_blocked(self, body_digest):
         """Whether a request with this body must not run again."""
-        return self._table.blocked(fingerprint_of(body_digest))
+        return self._table.is_blocked(fingerprint_of(body_digest))
 
     def runs_alone(self, body_digest):
         """Whether a request with this body must run beside no other."""
--- a/wagtailtrestle/entry/poison.py
+++ b/wagtailtrestle/entry/poison.py
@@ -195,7 +195,7 @@
     def is_suspect(self, fingerprint) -> bool:
         """Whether it ran in a crash of which it was not cleared."""
         self._forget_old()
-        return fingerprint in self._blame_by_fingerprint and not self.blocked(fingerprint)
+        return fingerprint in self._blame_by_fingerprint and not self.is_blocked(fingerprint)
 
     def runs_alone(self, fingerprint) -> bool:
         """Whether it shares the blame for several crashes, so that it must run beside no other."""
@@ -204,7 +204,7 @@
         blamed = self._blame_by_fingerprint[fingerprint] > 0.0
         return blamed and self._crashes_by_fingerprint[fingerprint] >= MIN_CRASHES_TO_ISOLATE
 
-    def blocked(self, fingerprint) -> bool:
+    def is_blocked(self, fingerprint) -> bool:
         """Whether it is to blame for so many crashes that no engine may run it."""
         self._forget_old()
         return self._blame_by_fingerprint.get(fingerprint, 0.0) >= self._limit
--- a/wagtailtrestle/entry/request_task.py
+++ b/wagtailtrestle/entry/request_task.py
@@ -236,7 +236,7 @@
     # Place.
 
     def _check_not_poisoned(self):
-        if self.context.crashes.blocked(self.request.body_digest):
+        if self.context.crashes.is_blocked(self.request.body_digest):
             self._refuse(Reason.POISONED)
             return False
         return True
