--- a/tests/test_isolation.py
+++ b/tests/test_isolation.py
@@ -121,7 +121,7 @@
         crashes, answered = 0, False
         for sending in range(2 * MIN_CRASHES_TO_ISOLATE + 2):
             bodies = [body for body in ("poison", "innocent") if not table.is_blocked(body)]
-            cell.receive(*[ask(f"{body}{sending}", alone=table.runs_alone(body)) for body in bodies])
+            cell.receive(*[ask(f"{body}{sending}", alone=table.must_run_alone(body)) for body in bodies])
             for _ in bodies:
                 on_engine = list(cell.scheduler._runs.grants_by_request_id)
                 crashed = f"poison{sending}" in on_engine
--- a/tests/test_poison.py
+++ b/tests/test_poison.py
@@ -63,12 +63,12 @@
         # After one crash everything that ran there is suspected. Run alone, each would need an
         # engine to itself because of a crash that has most often nothing to do with it.
         self.crash("e1", "poison", "neighbour", "unlucky")
-        self.assertFalse(self.table.runs_alone("poison"))
+        self.assertFalse(self.table.must_run_alone("poison"))
         self.crash("e2", "poison", "unlucky")
-        alone = [name for name in ("poison", "neighbour", "unlucky") if self.table.runs_alone(name)]
+        alone = [name for name in ("poison", "neighbour", "unlucky") if self.table.must_run_alone(name)]
         self.assertEqual(alone, ["poison", "unlucky"])
         self.crash("e3", "poison")
-        self.assertFalse(self.table.runs_alone("unlucky") or self.table.runs_alone("poison"))
+        self.assertFalse(self.table.must_run_alone("unlucky") or self.table.must_run_alone("poison"))
 
     def test_crashes_are_forgotten(self):
         for number in range(CRASH_LIMIT):
@@ -137,7 +137,7 @@
         there.merge_clearance(clearance)
         there.merge(told[1])
         self.assertFalse(there.is_suspect("innocent"))
-        self.assertTrue(there.runs_alone("poison"))
+        self.assertTrue(there.must_run_alone("poison"))
         self.assertIsNone(here.record_success("innocent"))
         clock.now += 2 * SAME_CRASH_WINDOW_S
         there.record_crash("e3", {"innocent": 1})
--- a/tests/utils/scheduling_replay.py
+++ b/tests/utils/scheduling_replay.py
@@ -190,7 +190,7 @@
     def is_blocked(self, body_digest):
         return False
 
-    def runs_alone(self, body_digest):
+    def must_run_alone(self, body_digest):
         return False
 
     def crashes_of(self, body_digest):
--- a/wagtailtrestle/entry/crash_watch.py
+++ b/wagtailtrestle/entry/crash_watch.py
@@ -26,9 +26,9 @@
         """Whether a request with this body must not run again."""
         return self._table.is_blocked(fingerprint_of(body_digest))
 
-    def runs_alone(self, body_digest):
+    def must_run_alone(self, body_digest):
         """Whether a request with this body must run beside no other."""
-        return self._table.runs_alone(fingerprint_of(body_digest))
+        return self._table.must_run_alone(fingerprint_of(body_digest))
 
     def crashes_of(self, body_digest):
         """Crashes in which a request with this body ran, and of which it was not cleared."""
--- a/wagtailtrestle/entry/poison.py
+++ b/wagtailtrestle/entry/poison.py
@@ -197,7 +197,7 @@
         self._forget_old()
         return fingerprint in self._blame_by_fingerprint and not self.is_blocked(fingerprint)
 
-    def runs_alone(self, fingerprint) -> bool:
+    def must_run_alone(self, fingerprint) -> bool:
         """Whether it shares the blame for several crashes, so that it must run beside no other."""
         if not self.is_suspect(fingerprint):
             return False
--- a/wagtailtrestle/entry/request_task.py
+++ b/wagtailtrestle/entry/request_task.py
@@ -244,7 +244,7 @@
     async def _acquire_slot(self):
         self.state = RequestState.QUEUED
         self.attempt += 1
-        self._alone = self.context.crashes.runs_alone(self.request.body_digest)
+        self._alone = self.context.crashes.must_run_alone(self.request.body_digest)
         self.context.send(self.cell, self.grant_request())
         while True:
             message = await self._next_message(until=self.request.deadline)
