--- a/tests/test_run_counts.py
+++ b/tests/test_run_counts.py
@@ -23,7 +23,7 @@
 
 
 class CrashedOften(QuietCrashes):
-    def crashes_of(self, body_digest):
+    def crash_count(self, body_digest):
         return CRASH_LIMIT
 
 
--- a/tests/utils/scheduling_replay.py
+++ b/tests/utils/scheduling_replay.py
@@ -193,7 +193,7 @@
     def must_run_alone(self, body_digest):
         return False
 
-    def crashes_of(self, body_digest):
+    def crash_count(self, body_digest):
         return 0
 
     def note(self, **_):
--- a/wagtailtrestle/entry/crash_watch.py
+++ b/wagtailtrestle/entry/crash_watch.py
@@ -30,9 +30,9 @@
         """Whether a request with this body must run beside no other."""
         return self._table.must_run_alone(fingerprint_of(body_digest))
 
-    def crashes_of(self, body_digest):
+    def crash_count(self, body_digest):
         """Crashes in which a request with this body ran, and of which it was not cleared."""
-        return self._table.crashes_of(fingerprint_of(body_digest))
+        return self._table.crash_count(fingerprint_of(body_digest))
 
     def note(self, *, engine, body_digest, outcome, was_sent):
         """Take in the end of one run, or of one try to attach to it.
--- a/wagtailtrestle/entry/poison.py
+++ b/wagtailtrestle/entry/poison.py
@@ -209,7 +209,7 @@
         self._forget_old()
         return self._blame_by_fingerprint.get(fingerprint, 0.0) >= self._limit
 
-    def crashes_of(self, fingerprint) -> int:
+    def crash_count(self, fingerprint) -> int:
         """Crashes in which it ran and of which it was not cleared."""
         self._forget_old()
         return self._crashes_by_fingerprint.get(fingerprint, 0)
--- a/wagtailtrestle/entry/request_task.py
+++ b/wagtailtrestle/entry/request_task.py
@@ -347,7 +347,7 @@
         counts.count_run(service=request.service, kind=RunKind.ATTACH if attach else self._next_kind)
         if request.max_runs is not None and self._losses >= request.max_runs:
             counts.count_run_beyond_limit(request_id=request.request_id, service=request.service, runs=self._losses + 1)
-        crashes = self.context.crashes.crashes_of(request.body_digest)
+        crashes = self.context.crashes.crash_count(request.body_digest)
         if crashes >= CRASH_LIMIT and not attach:
             counts.count_crashing_run(request_id=request.request_id, service=request.service, crashes=crashes)
 
