--- a/wagtailtrestle/entry/poison.py
+++ b/wagtailtrestle/entry/poison.py
@@ -154,7 +154,7 @@
     def merge(self, report: CrashReport):
         """Take in a crash seen by any router; twice the same incident is one."""
         self._forget_old()
-        incident = self._incident_of(report)
+        incident = self._find_or_add_incident(report)
         known = incident.suspects_by_report.setdefault(report.incident, set())
         known.update(report.suspects)
         incident.cleared |= self._early_by_incident.pop(report.incident, set())
@@ -232,7 +232,7 @@
         """Return a plain view for the state dump."""
         return {"incidents": len(self._incidents), "blame": dict(self._blame_by_fingerprint)}
 
-    def _incident_of(self, report):
+    def _find_or_add_incident(self, report):
         at = self._clock() - report.age_s
         for incident in self._incidents:
             if report.incident in incident.suspects_by_report:
