--- a/wagtailtrestle/entry/poison.py
+++ b/wagtailtrestle/entry/poison.py
@@ -126,7 +126,7 @@
         "_incidents",
         "_blame_by_fingerprint",
         "_crashes_by_fingerprint",
-        "_early_by_incident",
+        "_early_clearances_by_incident",
     )
 
     def __init__(self, *, clock, limit=CRASH_LIMIT, window_s=CRASH_WINDOW_S, reporter=""):
@@ -138,7 +138,7 @@
         self._incidents = []
         self._blame_by_fingerprint = {}
         self._crashes_by_fingerprint = {}
-        self._early_by_incident = OrderedDict()
+        self._early_clearances_by_incident = OrderedDict()
 
     def record_crash(self, engine, by_fingerprint_running) -> CrashReport:
         """Count a crash seen here; ``by_fingerprint_running`` holds what this router ran there."""
@@ -157,7 +157,7 @@
         incident = self._find_or_add_incident(report)
         known = incident.suspects_by_report.setdefault(report.incident, set())
         known.update(report.suspects)
-        incident.cleared |= self._early_by_incident.pop(report.incident, set())
+        incident.cleared |= self._early_clearances_by_incident.pop(report.incident, set())
         self._assign_blame()
 
     def record_success(self, fingerprint) -> CrashClearance | None:
@@ -187,9 +187,9 @@
         for name in unknown:
             # A clearance may overtake the report of its crash on another way through the
             # routers. Dropped, it would leave an innocent request suspected here alone.
-            self._early_by_incident.setdefault(name, set()).add(clearance.fingerprint)
-        while len(self._early_by_incident) > MAX_EARLY_CLEARANCES:
-            self._early_by_incident.popitem(last=False)
+            self._early_clearances_by_incident.setdefault(name, set()).add(clearance.fingerprint)
+        while len(self._early_clearances_by_incident) > MAX_EARLY_CLEARANCES:
+            self._early_clearances_by_incident.popitem(last=False)
         self._assign_blame()
 
     def is_suspect(self, fingerprint) -> bool:
