--- a/wagtailtrestle/entry/poison.py
+++ b/wagtailtrestle/entry/poison.py
@@ -153,7 +153,7 @@
 
     def merge(self, report: CrashReport):
         """Take in a crash seen by any router; twice the same incident is one."""
-        self._forget_old()
+        self._drop_expired()
         incident = self._find_or_add_incident(report)
         known = incident.suspects_by_report.setdefault(report.incident, set())
         known.update(report.suspects)
@@ -178,7 +178,7 @@
 
     def merge_clearance(self, clearance: CrashClearance):
         """Clear a request of the crashes named, by any router's word; twice is as once."""
-        self._forget_old()
+        self._drop_expired()
         unknown = set(clearance.incidents)
         for incident in self._incidents:
             if unknown & incident.suspects_by_report.keys():
@@ -194,7 +194,7 @@
 
     def is_suspect(self, fingerprint) -> bool:
         """Whether it ran in a crash of which it was not cleared."""
-        self._forget_old()
+        self._drop_expired()
         return fingerprint in self._blame_by_fingerprint and not self.is_blocked(fingerprint)
 
     def must_run_alone(self, fingerprint) -> bool:
@@ -206,12 +206,12 @@
 
     def is_blocked(self, fingerprint) -> bool:
         """Whether it is to blame for so many crashes that no engine may run it."""
-        self._forget_old()
+        self._drop_expired()
         return self._blame_by_fingerprint.get(fingerprint, 0.0) >= self._limit
 
     def crash_count(self, fingerprint) -> int:
         """Crashes in which it ran and of which it was not cleared."""
-        self._forget_old()
+        self._drop_expired()
         return self._crashes_by_fingerprint.get(fingerprint, 0)
 
     def reports(self):
@@ -259,7 +259,7 @@
         self._blame_by_fingerprint = blame
         self._crashes_by_fingerprint = counts
 
-    def _forget_old(self):
+    def _drop_expired(self):
         horizon = self._clock() - self._window_s
         kept = [incident for incident in self._incidents if incident.at >= horizon]
         if len(kept) != len(self._incidents):
