--- a/tests/test_poison.py
+++ b/tests/test_poison.py
@@ -178,16 +178,16 @@
     def test_a_cut_and_then_a_refused_connection_is_a_crash(self):
         self.detector.on_cut("e1", "a")
         self.clock.now += 1.0
-        self.assertEqual(self.detector.on_gone("e1"), {"a"})
+        self.assertEqual(self.detector.on_engine_down("e1"), {"a"})
 
     def test_a_refused_connection_alone_blames_nobody(self):
-        self.assertEqual(self.detector.on_gone("e1"), set())
+        self.assertEqual(self.detector.on_engine_down("e1"), set())
         self.detector.on_cut("e1", "a")
         self.clock.now += RESTART_WINDOW_S + 0.1
-        self.assertEqual(self.detector.on_gone("e1"), set())
+        self.assertEqual(self.detector.on_engine_down("e1"), set())
 
     def test_a_run_the_engine_forgot_is_a_crash(self):
-        self.assertEqual(self.detector.on_gone("e1", "a"), {"a"})
+        self.assertEqual(self.detector.on_engine_down("e1", "a"), {"a"})
 
 
 if __name__ == "__main__":
--- a/wagtailtrestle/entry/crash_watch.py
+++ b/wagtailtrestle/entry/crash_watch.py
@@ -49,13 +49,13 @@
             case RunCut():
                 self._report(engine, self._detector.on_cut(engine, fingerprint))
             case RunLost():
-                self._report(engine, self._detector.on_gone(engine, fingerprint))
+                self._report(engine, self._detector.on_engine_down(engine, fingerprint))
             case RunNotSent():
-                self._report(engine, self._detector.on_gone(engine, fingerprint if was_sent else None))
+                self._report(engine, self._detector.on_engine_down(engine, fingerprint if was_sent else None))
 
     def note_down(self, engine):
         """Take in that an engine went down, as the scheduler or the engines' list tells."""
-        self._report(engine, self._detector.on_gone(engine, within_s=REPORTED_DOWN_WINDOW_S))
+        self._report(engine, self._detector.on_engine_down(engine, within_s=REPORTED_DOWN_WINDOW_S))
 
     def merge(self, report):
         """Take in another router's report."""
--- a/wagtailtrestle/entry/poison.py
+++ b/wagtailtrestle/entry/poison.py
@@ -293,7 +293,7 @@
         recent = self._since(engine, CUT_WINDOW_S)
         return self._crash(engine, recent) if len(recent) >= MIN_CUTS_FOR_CRASH else set()
 
-    def on_gone(self, engine, fingerprint=None, *, within_s=RESTART_WINDOW_S):
+    def on_engine_down(self, engine, fingerprint=None, *, within_s=RESTART_WINDOW_S):
         """Note that the engine does not know a run, or refuses connections.
 
         After a cut this shows that the engine went down; without one it shows nothing
