--- a/wagtailtrestle/entry/poison.py
+++ b/wagtailtrestle/entry/poison.py
@@ -289,7 +289,7 @@
         set of str
             Fingerprints to report as one crash; empty if it may be a broken connection.
         """
-        self._note(engine, fingerprint)
+        self._record_cut(engine, fingerprint)
         recent = self._since(engine, CUT_WINDOW_S)
         return self._crash(engine, recent) if len(recent) >= MIN_CUTS_FOR_CRASH else set()
 
@@ -300,10 +300,10 @@
         about what ran there.
         """
         if fingerprint is not None:
-            self._note(engine, fingerprint)
+            self._record_cut(engine, fingerprint)
         return self._crash(engine, self._since(engine, within_s))
 
-    def _note(self, engine, fingerprint):
+    def _record_cut(self, engine, fingerprint):
         recent = self._since(engine, REPORTED_DOWN_WINDOW_S)
         cuts = self._cuts_by_engine.get(engine, {})
         kept = {name: at for name, at in cuts.items() if name in recent}
