--- a/wagtailtrestle/entry/poison.py
+++ b/wagtailtrestle/entry/poison.py
@@ -290,7 +290,7 @@
             Fingerprints to report as one crash; empty if it may be a broken connection.
         """
         self._record_cut(engine, fingerprint)
-        recent = self._since(engine, CUT_WINDOW_S)
+        recent = self._recent_cuts(engine, CUT_WINDOW_S)
         return self._crash(engine, recent) if len(recent) >= MIN_CUTS_FOR_CRASH else set()
 
     def on_engine_down(self, engine, fingerprint=None, *, within_s=RESTART_WINDOW_S):
@@ -301,15 +301,15 @@
         """
         if fingerprint is not None:
             self._record_cut(engine, fingerprint)
-        return self._crash(engine, self._since(engine, within_s))
+        return self._crash(engine, self._recent_cuts(engine, within_s))
 
     def _record_cut(self, engine, fingerprint):
-        recent = self._since(engine, REPORTED_DOWN_WINDOW_S)
+        recent = self._recent_cuts(engine, REPORTED_DOWN_WINDOW_S)
         cuts = self._cuts_by_engine.get(engine, {})
         kept = {name: at for name, at in cuts.items() if name in recent}
         self._cuts_by_engine[engine] = kept | {fingerprint: self._clock()}
 
-    def _since(self, engine, window_s):
+    def _recent_cuts(self, engine, window_s):
         horizon = self._clock() - window_s
         return {name for name, at in self._cuts_by_engine.get(engine, {}).items() if at >= horizon}
 
