--- a/wagtailtrestle/entry/poison.py
+++ b/wagtailtrestle/entry/poison.py
@@ -291,7 +291,7 @@
         """
         self._record_cut(engine, fingerprint)
         recent = self._recent_cuts(engine, CUT_WINDOW_S)
-        return self._crash(engine, recent) if len(recent) >= MIN_CUTS_FOR_CRASH else set()
+        return self._confirm_crash(engine, recent) if len(recent) >= MIN_CUTS_FOR_CRASH else set()
 
     def on_engine_down(self, engine, fingerprint=None, *, within_s=RESTART_WINDOW_S):
         """Note that the engine does not know a run, or refuses connections.
@@ -301,7 +301,7 @@
         """
         if fingerprint is not None:
             self._record_cut(engine, fingerprint)
-        return self._crash(engine, self._recent_cuts(engine, within_s))
+        return self._confirm_crash(engine, self._recent_cuts(engine, within_s))
 
     def _record_cut(self, engine, fingerprint):
         recent = self._recent_cuts(engine, REPORTED_DOWN_WINDOW_S)
@@ -313,7 +313,7 @@
         horizon = self._clock() - window_s
         return {name for name, at in self._cuts_by_engine.get(engine, {}).items() if at >= horizon}
 
-    def _crash(self, engine, suspects):
+    def _confirm_crash(self, engine, suspects):
         if suspects:
             self._cuts_by_engine.pop(engine, None)
         return suspects
