--- a/wagtailtrestle/entry/poison.py
+++ b/wagtailtrestle/entry/poison.py
@@ -252,8 +252,8 @@
         counts = Counter(itertools.chain.from_iterable(suspects_by_incident))
         blame = dict.fromkeys(counts, 0.0)
         for suspects in suspects_by_incident:
-            most = max((counts[fingerprint] for fingerprint in suspects), default=0)
-            guilty = [fingerprint for fingerprint in suspects if counts[fingerprint] == most]
+            max_count = max((counts[fingerprint] for fingerprint in suspects), default=0)
+            guilty = [fingerprint for fingerprint in suspects if counts[fingerprint] == max_count]
             for fingerprint in guilty:
                 blame[fingerprint] += 1.0 / len(guilty)
         self._blame_by_fingerprint = blame
