--- a/wagtailtrestle/entry/poison.py
+++ b/wagtailtrestle/entry/poison.py
@@ -155,8 +155,8 @@
         """Take in a crash seen by any router; twice the same incident is one."""
         self._drop_expired()
         incident = self._find_or_add_incident(report)
-        known = incident.suspects_by_report.setdefault(report.incident, set())
-        known.update(report.suspects)
+        reported = incident.suspects_by_report.setdefault(report.incident, set())
+        reported.update(report.suspects)
         incident.cleared |= self._early_clearances_by_incident.pop(report.incident, set())
         self._assign_blame()
 
