--- a/tests/test_crash_signs.py
+++ b/tests/test_crash_signs.py
@@ -47,7 +47,9 @@
         )
 
     def cut(self, engine, body="poison", *, told_after_s=1.0):
-        self.crashes.note(engine=engine, body_digest=body, outcome=RunCut(detail="cut", reached=True), was_sent=False)
+        self.crashes.record_run_end(
+            engine=engine, body_digest=body, outcome=RunCut(detail="cut", reached=True), was_sent=False
+        )
         self.clock.now += told_after_s
         self.crashes.note_down(engine)
         self.clock.now += SAME_CRASH_WINDOW_S
@@ -62,7 +64,7 @@
     def test_an_engine_that_leaves_blames_nobody(self):
         for number in range(CRASH_LIMIT):
             self.crashes.note_down(f"e{number}")
-            self.crashes.note(engine=f"e{number}", body_digest="sound", outcome=RunDone(), was_sent=False)
+            self.crashes.record_run_end(engine=f"e{number}", body_digest="sound", outcome=RunDone(), was_sent=False)
             self.cut(f"e{number}", "sound", told_after_s=REPORTED_DOWN_WINDOW_S + 1.0)
         self.assertFalse(self.crashes.is_blocked("sound"))
 
--- a/tests/test_poison.py
+++ b/tests/test_poison.py
@@ -149,10 +149,10 @@
         table = CrashTable(clock=Clock())
         watch = CrashWatch(table=table, detector=CrashDetector(clock=Clock()), broadcast=sent.append)
         for body_digest in ("a", "b"):
-            watch.note(engine="e1", body_digest=body_digest, outcome=RunCut(detail="cut"), was_sent=True)
+            watch.record_run_end(engine="e1", body_digest=body_digest, outcome=RunCut(detail="cut"), was_sent=True)
         done = RunDone(prompt_tokens=1, cached_tokens=0, output_tokens=1)
-        watch.note(engine="e2", body_digest="a", outcome=done, was_sent=True)
-        watch.note(engine="e2", body_digest="a", outcome=done, was_sent=True)
+        watch.record_run_end(engine="e2", body_digest="a", outcome=done, was_sent=True)
+        watch.record_run_end(engine="e2", body_digest="a", outcome=done, was_sent=True)
         self.assertEqual([type(message) for message in sent], [CrashReport, CrashClearance])
 
     def test_fingerprint_hides_the_digest(self):
--- a/tests/utils/scheduling_replay.py
+++ b/tests/utils/scheduling_replay.py
@@ -196,7 +196,7 @@
     def crash_count(self, body_digest):
         return 0
 
-    def note(self, **_):
+    def record_run_end(self, **_):
         return None
 
     def note_down(self, engine):
--- a/wagtailtrestle/entry/crash_watch.py
+++ b/wagtailtrestle/entry/crash_watch.py
@@ -34,7 +34,7 @@
         """Crashes in which a request with this body ran, and of which it was not cleared."""
         return self._table.crash_count(fingerprint_of(body_digest))
 
-    def note(self, *, engine, body_digest, outcome, was_sent):
+    def record_run_end(self, *, engine, body_digest, outcome, was_sent):
         """Take in the end of one run, or of one try to attach to it.
 
         Parameters
--- a/wagtailtrestle/entry/request_task.py
+++ b/wagtailtrestle/entry/request_task.py
@@ -392,7 +392,7 @@
             self.caller.cancel_run(run_id=self._run_id(), engine=self.engine, address=self._address)
 
     def _update_crash_watch(self, outcome, *, was_sent):
-        self.context.crashes.note(
+        self.context.crashes.record_run_end(
             engine=self.engine,
             body_digest=self.request.body_digest,
             outcome=outcome,
