--- a/tests/test_crash_signs.py
+++ b/tests/test_crash_signs.py
@@ -51,7 +51,7 @@
             engine=engine, body_digest=body, outcome=RunCut(detail="cut", reached=True), was_sent=False
         )
         self.clock.now += told_after_s
-        self.crashes.note_down(engine)
+        self.crashes.record_engine_down(engine)
         self.clock.now += SAME_CRASH_WINDOW_S
 
     def test_what_crashed_three_engines_that_went_down_is_refused(self):
@@ -63,7 +63,7 @@
     # Guards against a request that is blamed for engines which left in order, or which it did not run on.
     def test_an_engine_that_leaves_blames_nobody(self):
         for number in range(CRASH_LIMIT):
-            self.crashes.note_down(f"e{number}")
+            self.crashes.record_engine_down(f"e{number}")
             self.crashes.record_run_end(engine=f"e{number}", body_digest="sound", outcome=RunDone(), was_sent=False)
             self.cut(f"e{number}", "sound", told_after_s=REPORTED_DOWN_WINDOW_S + 1.0)
         self.assertFalse(self.crashes.is_blocked("sound"))
--- a/tests/utils/scheduling_replay.py
+++ b/tests/utils/scheduling_replay.py
@@ -199,7 +199,7 @@
     def record_run_end(self, **_):
         return None
 
-    def note_down(self, engine):
+    def record_engine_down(self, engine):
         return None
 
 
--- a/wagtailtrestle/entry/crash_watch.py
+++ b/wagtailtrestle/entry/crash_watch.py
@@ -53,7 +53,7 @@
             case RunNotSent():
                 self._report(engine, self._detector.on_engine_down(engine, fingerprint if was_sent else None))
 
-    def note_down(self, engine):
+    def record_engine_down(self, engine):
         """Take in that an engine went down, as the scheduler or the engines' list tells."""
         self._report(engine, self._detector.on_engine_down(engine, within_s=REPORTED_DOWN_WINDOW_S))
 
--- a/wagtailtrestle/entry/entry.py
+++ b/wagtailtrestle/entry/entry.py
@@ -222,7 +222,7 @@
     def on_scheduler_message(self, message):
         """Give a scheduler's message to its request; what it says of an engine is for all requests."""
         if isinstance(message, EngineDown):
-            self._context.crashes.note_down(message.engine)
+            self._context.crashes.record_engine_down(message.engine)
             return
         task = self.tasks_by_id.get(message.request_id)
         if isinstance(message, Granted) and not _awaits(task, message):
--- a/wagtailtrestle/router.py
+++ b/wagtailtrestle/router.py
@@ -458,7 +458,7 @@
 
     def _take_engines(self, by_name):
         for name in self._listed_engines - by_name.keys():
-            self._crashes.note_down(name)
+            self._crashes.record_engine_down(name)
         self._listed_engines = by_name.keys()
         if self._configuration.in_force is not None:
             self._use_declaration(self._configuration.in_force)
