--- a/wagtailtrestle/entry/poison.py
+++ b/wagtailtrestle/entry/poison.py
@@ -253,9 +253,9 @@
         blame = dict.fromkeys(counts, 0.0)
         for suspects in suspects_by_incident:
             max_count = max((counts[fingerprint] for fingerprint in suspects), default=0)
-            guilty = [fingerprint for fingerprint in suspects if counts[fingerprint] == max_count]
-            for fingerprint in guilty:
-                blame[fingerprint] += 1.0 / len(guilty)
+            top_suspects = [fingerprint for fingerprint in suspects if counts[fingerprint] == max_count]
+            for fingerprint in top_suspects:
+                blame[fingerprint] += 1.0 / len(top_suspects)
         self._blame_by_fingerprint = blame
         self._crashes_by_fingerprint = counts
 
