--- a/wagtailtrestle/quotas/accounts.py
+++ b/wagtailtrestle/quotas/accounts.py
@@ -4,7 +4,7 @@
 
 from wagtailtrestle.contracts.quota_messages import QuotaAsk
 
-AHEAD_S = 0.3
+PREFETCH_S = 0.3
 """Credits are fetched for the demand of so long: three rounds of asking, so that one may be lost."""
 
 WAIT_S = 0.35
@@ -112,7 +112,7 @@
     def ahead(self, now):
         """Units worth having in hand."""
         kept = max(0.0, 1.0 - (now - self.demand_at) / DEMAND_WINDOW_S)
-        return self.demand_per_s * kept * AHEAD_S
+        return self.demand_per_s * kept * PREFETCH_S
 
     def spare(self, now, *, share):
         """Units in hand that nobody here is going to need; a second's own share may stay for small requests."""
