--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -132,7 +132,7 @@
         fleet.cut = {3}
         fleet.clock.now += SILENT_S
         # No answer comes, so that a shorter real wait changes nothing but the time that the test takes.
-        with mock.patch.object(accounts_module, "WAIT_S", 0.05):
+        with mock.patch.object(accounts_module, "MAX_WAIT_S", 0.05):
             used = fleet.spend(10.0, books=[3])
         self.assertGreater(used, 0.5 * 10.0 * QUOTA.rate_per_s / 4)
         self.assertLess(used, 1.3 * 10.0 * QUOTA.rate_per_s / 4)
--- a/wagtailtrestle/quotas/accounts.py
+++ b/wagtailtrestle/quotas/accounts.py
@@ -7,7 +7,7 @@
 PREFETCH_S = 0.3
 """Credits are fetched for the demand of so long: three rounds of asking, so that one may be lost."""
 
-WAIT_S = 0.35
+MAX_WAIT_S = 0.35
 """Longest time that a request waits for an owner's answer: the time in which a dead owner is replaced, and a
 second question. To a caller that waits a second for its first token this is better than a false refusal."""
 
@@ -315,7 +315,7 @@
         credit.unasked.append(units)
         self._call_soon(self.ask)
         try:
-            return self._wait_until(credit, units, now + WAIT_S)
+            return self._wait_until(credit, units, now + MAX_WAIT_S)
         finally:
             credit.waiting.remove(units)
             if units in credit.unasked:
