--- a/wagtailtrestle/quotas/accounts.py
+++ b/wagtailtrestle/quotas/accounts.py
@@ -11,7 +11,7 @@
 """Longest time that a request waits for an owner's answer: the time in which a dead owner is replaced, and a
 second question. To a caller that waits a second for its first token this is better than a false refusal."""
 
-REPEAT_S = 0.2
+RESEND_AFTER_S = 0.2
 """An ask that was not answered for so long is taken for lost; an answer takes some milliseconds."""
 
 SILENT_S = 0.4
@@ -129,7 +129,7 @@
 
     def is_answer_due(self, now):
         """Whether the last ask may still be answered, or was."""
-        return self.asked_at is None or now - self.sent_at < REPEAT_S
+        return self.asked_at is None or now - self.sent_at < RESEND_AFTER_S
 
     def note_asked(self, now):
         """Note that the owner is asked; its silence counts from the first ask without an answer."""
