--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -11,7 +11,7 @@
 from wagtailtrestle.contracts.outcomes import Executed, Reason
 from wagtailtrestle.contracts.quota_messages import QuotaAsk
 from wagtailtrestle.quotas import accounts as accounts_module
-from wagtailtrestle.quotas.accounts import SILENT_S, QuotaAccounts, QuotaCharge, QuotaRefused
+from wagtailtrestle.quotas.accounts import OWNER_TIMEOUT_S, QuotaAccounts, QuotaCharge, QuotaRefused
 from wagtailtrestle.quotas.charging import charge_team
 from wagtailtrestle.quotas.owner import ABSENT_KEPT_S, TAKEOVER_SHARE, QuotaOwner, Tolerance
 
@@ -130,7 +130,7 @@
         fleet = Fleet(books=4)
         fleet.spend(1.0, books=[3])
         fleet.cut = {3}
-        fleet.clock.now += SILENT_S
+        fleet.clock.now += OWNER_TIMEOUT_S
         # No answer comes, so that a shorter real wait changes nothing but the time that the test takes.
         with mock.patch.object(accounts_module, "MAX_WAIT_S", 0.05):
             used = fleet.spend(10.0, books=[3])
--- a/wagtailtrestle/quotas/accounts.py
+++ b/wagtailtrestle/quotas/accounts.py
@@ -14,7 +14,7 @@
 RESEND_AFTER_S = 0.2
 """An ask that was not answered for so long is taken for lost; an answer takes some milliseconds."""
 
-SILENT_S = 0.4
+OWNER_TIMEOUT_S = 0.4
 """An owner that answers nothing for so long can't be reached: this router goes on with its own share."""
 
 MIN_RETRY_S = 0.05
@@ -327,7 +327,7 @@
             if credit.is_exhausted(units, now):
                 return self._refused(credit, now, retry_after_s=credit.exhausted_until - now)
             if now >= until or not self._changed.wait(until - now):
-                return self._refused(credit, now, retry_after_s=SILENT_S)
+                return self._refused(credit, now, retry_after_s=OWNER_TIMEOUT_S)
         return None
 
     def _refused(self, credit, now, *, retry_after_s):
@@ -340,7 +340,7 @@
         # more than their shares, which the owner leaves out of what it grants.
         elapsed_s = min(SHARE_HELD_S, now - credit.shared_at)
         credit.shared_at = now
-        if credit.asked_at is None or now - credit.asked_at < SILENT_S:
+        if credit.asked_at is None or now - credit.asked_at < OWNER_TIMEOUT_S:
             return
         share_per_s = self._share_of(quota)
         credit.balance = min(credit.balance + elapsed_s * share_per_s, SHARE_HELD_S * share_per_s)
