--- a/wagtailtrestle/quotas/accounts.py
+++ b/wagtailtrestle/quotas/accounts.py
@@ -17,7 +17,7 @@
 OWNER_TIMEOUT_S = 0.4
 """An owner that answers nothing for so long can't be reached: this router goes on with its own share."""
 
-MIN_RETRY_S = 0.05
+MIN_RETRY_AFTER_S = 0.05
 """A request that the owner refused is not asked for again sooner; also not one too large for its quota."""
 
 SHARE_HELD_S = 1.0
@@ -282,7 +282,7 @@
             credit.asked_at = None
             credit.left, credit.left_at = grant.left, now
             if grant.refused_units:
-                credit.exhausted_until = now + max(MIN_RETRY_S, grant.retry_after_s)
+                credit.exhausted_until = now + max(MIN_RETRY_AFTER_S, grant.retry_after_s)
                 credit.exhausted_units = grant.refused_units
             self._changed.notify_all()
 
