--- a/wagtailtrestle/quotas/accounts.py
+++ b/wagtailtrestle/quotas/accounts.py
@@ -20,7 +20,7 @@
 MIN_RETRY_AFTER_S = 0.05
 """A request that the owner refused is not asked for again sooner; also not one too large for its quota."""
 
-SHARE_HELD_S = 1.0
+MAX_SHARE_S = 1.0
 """Credits of the own share that may gather while the owner is out, in seconds of that share."""
 
 DEMAND_WINDOW_S = 1.0
@@ -338,12 +338,12 @@
     def _share_alone(self, quota, credit, now):
         # The owner died, or the way to it is cut. All routers that can't reach it together give out no
         # more than their shares, which the owner leaves out of what it grants.
-        elapsed_s = min(SHARE_HELD_S, now - credit.shared_at)
+        elapsed_s = min(MAX_SHARE_S, now - credit.shared_at)
         credit.shared_at = now
         if credit.asked_at is None or now - credit.asked_at < OWNER_TIMEOUT_S:
             return
         share_per_s = self._share_of(quota)
-        credit.balance = min(credit.balance + elapsed_s * share_per_s, SHARE_HELD_S * share_per_s)
+        credit.balance = min(credit.balance + elapsed_s * share_per_s, MAX_SHARE_S * share_per_s)
         self._changed.notify_all()
 
     def _share_of(self, quota):
