--- a/wagtailtrestle/quotas/accounts.py
+++ b/wagtailtrestle/quotas/accounts.py
@@ -71,7 +71,7 @@
         self._units = 0
 
 
-class _Credit:
+class _TeamAccount:
     """Credits of one team in hand, and what is asked of its owner."""
 
     __slots__ = (
@@ -189,7 +189,9 @@
         with self._changed:
             self._quota_by_team = dict(quota_by_team)
             now = self._clock()
-            self._credit_by_team = {team: self._credit_by_team.get(team) or _Credit(now=now) for team in quota_by_team}
+            self._credit_by_team = {
+                team: self._credit_by_team.get(team) or _TeamAccount(now=now) for team in quota_by_team
+            }
             self._active_teams &= self._credit_by_team.keys()
 
     def take(self, team, units):
