--- a/wagtailtrestle/quotas/accounts.py
+++ b/wagtailtrestle/quotas/accounts.py
@@ -167,7 +167,7 @@
         "_send_ask",
         "_members",
         "_quota_by_team",
-        "_credit_by_team",
+        "_account_by_team",
         "_active_teams",
         "_changed",
     )
@@ -178,7 +178,7 @@
         self._send_ask = send_ask
         self._members = members
         self._quota_by_team = {}
-        self._credit_by_team = {}
+        self._account_by_team = {}
         # Of 1,700 teams a router serves a few dozen at a time: looked through ten times a second, all of
         # them would take a third of the processor time that a router may use at rest.
         self._active_teams = set()
@@ -189,10 +189,10 @@
         with self._changed:
             self._quota_by_team = dict(quota_by_team)
             now = self._clock()
-            self._credit_by_team = {
-                team: self._credit_by_team.get(team) or _TeamAccount(now=now) for team in quota_by_team
+            self._account_by_team = {
+                team: self._account_by_team.get(team) or _TeamAccount(now=now) for team in quota_by_team
             }
-            self._active_teams &= self._credit_by_team.keys()
+            self._active_teams &= self._account_by_team.keys()
 
     def take(self, team, units):
         """Take a request's units from its team's quota.
@@ -203,7 +203,7 @@
             ``None`` for a team without a quota.
         """
         with self._changed:
-            credit = self._credit_by_team.get(team)
+            credit = self._account_by_team.get(team)
             if credit is None:
                 return None
             now = self._clock()
@@ -221,7 +221,7 @@
     def give_back(self, team, units):
         """Take back what a request did not use."""
         with self._changed:
-            credit = self._credit_by_team.get(team)
+            credit = self._account_by_team.get(team)
             if credit is not None:
                 credit.balance += units
                 self._active_teams.add(team)
@@ -277,7 +277,7 @@
         """Take in an owner's answer."""
         now = self._clock()
         with self._changed:
-            credit = self._credit_by_team.get(grant.team)
+            credit = self._account_by_team.get(grant.team)
             if credit is None:
                 return
             credit.balance += grant.units
@@ -299,14 +299,14 @@
         self.ask()
 
     def _active(self):
-        return [(team, self._credit_by_team[team]) for team in self._active_teams]
+        return [(team, self._account_by_team[team]) for team in self._active_teams]
 
     def dump(self):
         """Plain data for the state dump."""
         with self._changed:
             return {
                 team: {"balance": int(credit.balance), "demand_per_s": int(credit.demand_per_s)}
-                for team, credit in self._credit_by_team.items()
+                for team, credit in self._account_by_team.items()
             }
 
     def _wait_for(self, credit, units, now):
