--- a/wagtailtrestle/quotas/accounts.py
+++ b/wagtailtrestle/quotas/accounts.py
@@ -203,98 +203,98 @@
             ``None`` for a team without a quota.
         """
         with self._changed:
-            credit = self._account_by_team.get(team)
-            if credit is None:
+            account = self._account_by_team.get(team)
+            if account is None:
                 return None
             now = self._clock()
             self._active_teams.add(team)
-            credit.note_demand(units, now)
-            if credit.balance < units:
-                refused = self._wait_for(credit, units, now)
+            account.note_demand(units, now)
+            if account.balance < units:
+                refused = self._wait_for(account, units, now)
                 if refused is not None:
                     return refused
-            credit.balance -= units
-            if credit.balance < credit.ahead(now) / 2:
+            account.balance -= units
+            if account.balance < account.ahead(now) / 2:
                 self._call_soon(self.ask)
         return QuotaCharge(accounts=self, team=team, units=units)
 
     def give_back(self, team, units):
         """Take back what a request did not use."""
         with self._changed:
-            credit = self._account_by_team.get(team)
-            if credit is not None:
-                credit.balance += units
+            account = self._account_by_team.get(team)
+            if account is not None:
+                account.balance += units
                 self._active_teams.add(team)
 
     def ask(self):
         """Ask owners for what is needed or worth having, and give back what is neither."""
         now = self._clock()
         with self._changed:
-            asks = [ask for team, credit in self._active() if (ask := self._ask_of(team, credit, now))]
+            asks = [ask for team, account in self._active() if (ask := self._ask_of(team, account, now))]
         for ask in asks:
             self._send_ask(ask)
 
-    def _ask_of(self, team, credit, now):
+    def _ask_of(self, team, account, now):
         """What to ask of the owner of one team now, or ``None``."""
-        needed = credit.to_ask(now)
+        needed = account.to_ask(now)
         # While requests are refused, what comes in is theirs, not for the next moment.
-        ahead = int(credit.ahead(now)) if now >= credit.exhausted_until else 0
+        ahead = int(account.ahead(now)) if now >= account.exhausted_until else 0
         if needed:
-            in_hand = self._hand_in(credit)
-            credit.note_asked(now)
+            in_hand = self._hand_in(account)
+            account.note_asked(now)
             return QuotaAsk(team=team, needed=needed, ahead=ahead, returned=in_hand)
-        if credit.asked_at is not None and credit.is_answer_due(now):
+        if account.asked_at is not None and account.is_answer_due(now):
             return None
-        if credit.balance < ahead / 2:
-            credit.note_asked(now)
-            return QuotaAsk(team=team, ahead=ahead - int(credit.balance))
-        return self._returned(team, credit, now)
+        if account.balance < ahead / 2:
+            account.note_asked(now)
+            return QuotaAsk(team=team, ahead=ahead - int(account.balance))
+        return self._returned(team, account, now)
 
     @staticmethod
-    def _hand_in(credit):
+    def _hand_in(account):
         """Take what is in hand, to be sent back with an ask for more."""
         # A request is granted whole or not at all, by one bucket. Kept here, what is in hand would count for
         # nothing: with 1,200 units here and 800 at the owner, a request of 2,000 was refused. An owner that
         # has not answered the last ask may be out of reach: then it stays, as it is all that there is.
-        if credit.asked_at is not None:
+        if account.asked_at is not None:
             return 0
-        in_hand = int(max(0.0, credit.balance))
-        credit.balance -= in_hand
+        in_hand = int(max(0.0, account.balance))
+        account.balance -= in_hand
         return in_hand
 
-    def _returned(self, team, credit, now):
+    def _returned(self, team, account, now):
         """Give back what is spare, while the owner can be reached."""
-        spare = self._spare(team, credit, now)
-        if spare <= 0 or credit.asked_at is not None:
+        spare = self._spare(team, account, now)
+        if spare <= 0 or account.asked_at is not None:
             return None
-        credit.balance -= spare
+        account.balance -= spare
         return QuotaAsk(team=team, returned=spare)
 
-    def _spare(self, team, credit, now):
-        return credit.spare(now, share=self._share_of(self._quota_by_team[team]))
+    def _spare(self, team, account, now):
+        return account.spare(now, share=self._share_of(self._quota_by_team[team]))
 
     def on_grant(self, grant):
         """Take in an owner's answer."""
         now = self._clock()
         with self._changed:
-            credit = self._account_by_team.get(grant.team)
-            if credit is None:
+            account = self._account_by_team.get(grant.team)
+            if account is None:
                 return
-            credit.balance += grant.units
-            credit.asked_at = None
-            credit.left, credit.left_at = grant.left, now
+            account.balance += grant.units
+            account.asked_at = None
+            account.left, account.left_at = grant.left, now
             if grant.refused_units:
-                credit.exhausted_until = now + max(MIN_RETRY_AFTER_S, grant.retry_after_s)
-                credit.exhausted_units = grant.refused_units
+                account.exhausted_until = now + max(MIN_RETRY_AFTER_S, grant.retry_after_s)
+                account.exhausted_units = grant.refused_units
             self._changed.notify_all()
 
     def tick(self):
         """Fetch ahead, give back what is not used, and go on alone where an owner is silent."""
         now = self._clock()
         with self._changed:
-            for team, credit in self._active():
-                self._share_alone(self._quota_by_team[team], credit, now)
-                if credit.is_idle(now) and not self._spare(team, credit, now):
+            for team, account in self._active():
+                self._share_alone(self._quota_by_team[team], account, now)
+                if account.is_idle(now) and not self._spare(team, account, now):
                     self._active_teams.discard(team)
         self.ask()
 
@@ -305,47 +305,47 @@
         """Plain data for the state dump."""
         with self._changed:
             return {
-                team: {"balance": int(credit.balance), "demand_per_s": int(credit.demand_per_s)}
-                for team, credit in self._account_by_team.items()
+                team: {"balance": int(account.balance), "demand_per_s": int(account.demand_per_s)}
+                for team, account in self._account_by_team.items()
             }
 
-    def _wait_for(self, credit, units, now):
+    def _wait_for(self, account, units, now):
         """Wait until the owner has answered; ``None`` once there is enough, else the refusal."""
-        if credit.is_exhausted(units, now):
-            return self._refused(credit, now, retry_after_s=credit.exhausted_until - now)
-        credit.waiting.append(units)
-        credit.unasked.append(units)
+        if account.is_exhausted(units, now):
+            return self._refused(account, now, retry_after_s=account.exhausted_until - now)
+        account.waiting.append(units)
+        account.unasked.append(units)
         self._call_soon(self.ask)
         try:
-            return self._wait_until(credit, units, now + MAX_WAIT_S)
+            return self._wait_until(account, units, now + MAX_WAIT_S)
         finally:
-            credit.waiting.remove(units)
-            if units in credit.unasked:
-                credit.unasked.remove(units)
+            account.waiting.remove(units)
+            if units in account.unasked:
+                account.unasked.remove(units)
 
-    def _wait_until(self, credit, units, until):
-        while credit.balance < units:
+    def _wait_until(self, account, units, until):
+        while account.balance < units:
             now = self._clock()
-            if credit.is_exhausted(units, now):
-                return self._refused(credit, now, retry_after_s=credit.exhausted_until - now)
+            if account.is_exhausted(units, now):
+                return self._refused(account, now, retry_after_s=account.exhausted_until - now)
             if now >= until or not self._changed.wait(until - now):
-                return self._refused(credit, now, retry_after_s=OWNER_TIMEOUT_S)
+                return self._refused(account, now, retry_after_s=OWNER_TIMEOUT_S)
         return None
 
-    def _refused(self, credit, now, *, retry_after_s):
+    def _refused(self, account, now, *, retry_after_s):
         return QuotaRefused(
-            retry_after_s=retry_after_s, left=credit.left, left_age_s=now - credit.left_at, held=int(credit.balance)
+            retry_after_s=retry_after_s, left=account.left, left_age_s=now - account.left_at, held=int(account.balance)
         )
 
-    def _share_alone(self, quota, credit, now):
+    def _share_alone(self, quota, account, now):
         # The owner died, or the way to it is cut. All routers that can't reach it together give out no
         # more than their shares, which the owner leaves out of what it grants.
-        elapsed_s = min(MAX_SHARE_S, now - credit.shared_at)
-        credit.shared_at = now
-        if credit.asked_at is None or now - credit.asked_at < OWNER_TIMEOUT_S:
+        elapsed_s = min(MAX_SHARE_S, now - account.shared_at)
+        account.shared_at = now
+        if account.asked_at is None or now - account.asked_at < OWNER_TIMEOUT_S:
             return
         share_per_s = self._share_of(quota)
-        credit.balance = min(credit.balance + elapsed_s * share_per_s, MAX_SHARE_S * share_per_s)
+        account.balance = min(account.balance + elapsed_s * share_per_s, MAX_SHARE_S * share_per_s)
         self._changed.notify_all()
 
     def _share_of(self, quota):
