--- a/wagtailtrestle/quotas/accounts.py
+++ b/wagtailtrestle/quotas/accounts.py
@@ -77,7 +77,7 @@
     __slots__ = (
         "balance",
         "waiting",
-        "unasked",
+        "unrequested",
         "demand_per_s",
         "demand_at",
         "asked_at",
@@ -92,7 +92,7 @@
     def __init__(self, *, now):
         self.balance = 0.0
         self.waiting = []
-        self.unasked = []
+        self.unrequested = []
         self.demand_per_s = 0.0
         self.demand_at = now
         self.asked_at = None
@@ -139,8 +139,8 @@
 
     def to_ask(self, now):
         """Sizes of the requests that wait and have not been asked for, or in vain."""
-        sizes = self.unasked if self.is_answer_due(now) else self.waiting
-        self.unasked = []
+        sizes = self.unrequested if self.is_answer_due(now) else self.waiting
+        self.unrequested = []
         return tuple(sizes)
 
 
@@ -314,14 +314,14 @@
         if account.is_exhausted(units, now):
             return self._refused(account, now, retry_after_s=account.exhausted_until - now)
         account.waiting.append(units)
-        account.unasked.append(units)
+        account.unrequested.append(units)
         self._call_soon(self.ask)
         try:
             return self._wait_until(account, units, now + MAX_WAIT_S)
         finally:
             account.waiting.remove(units)
-            if units in account.unasked:
-                account.unasked.remove(units)
+            if units in account.unrequested:
+                account.unrequested.remove(units)
 
     def _wait_until(self, account, units, until):
         while account.balance < units:
