--- a/wagtailtrestle/quotas/accounts.py
+++ b/wagtailtrestle/quotas/accounts.py
@@ -80,7 +80,7 @@
         "unrequested",
         "demand_per_s",
         "demand_at",
-        "asked_at",
+        "requested_at",
         "sent_at",
         "exhausted_until",
         "exhausted_units",
@@ -95,7 +95,7 @@
         self.unrequested = []
         self.demand_per_s = 0.0
         self.demand_at = now
-        self.asked_at = None
+        self.requested_at = None
         self.sent_at = now
         self.exhausted_until = now
         self.exhausted_units = 0
@@ -125,17 +125,17 @@
 
     def is_idle(self, now):
         """Whether nothing is asked, held for the next moment or waited for."""
-        return self.asked_at is None and not self.waiting and now - self.demand_at > 2 * DEMAND_WINDOW_S
+        return self.requested_at is None and not self.waiting and now - self.demand_at > 2 * DEMAND_WINDOW_S
 
     def is_answer_due(self, now):
         """Whether the last ask may still be answered, or was."""
-        return self.asked_at is None or now - self.sent_at < RESEND_AFTER_S
+        return self.requested_at is None or now - self.sent_at < RESEND_AFTER_S
 
     def note_asked(self, now):
         """Note that the owner is asked; its silence counts from the first ask without an answer."""
         self.sent_at = now
-        if self.asked_at is None:
-            self.asked_at = now
+        if self.requested_at is None:
+            self.requested_at = now
 
     def to_ask(self, now):
         """Sizes of the requests that wait and have not been asked for, or in vain."""
@@ -243,7 +243,7 @@
             in_hand = self._hand_in(account)
             account.note_asked(now)
             return QuotaAsk(team=team, needed=needed, ahead=ahead, returned=in_hand)
-        if account.asked_at is not None and account.is_answer_due(now):
+        if account.requested_at is not None and account.is_answer_due(now):
             return None
         if account.balance < ahead / 2:
             account.note_asked(now)
@@ -256,7 +256,7 @@
         # A request is granted whole or not at all, by one bucket. Kept here, what is in hand would count for
         # nothing: with 1,200 units here and 800 at the owner, a request of 2,000 was refused. An owner that
         # has not answered the last ask may be out of reach: then it stays, as it is all that there is.
-        if account.asked_at is not None:
+        if account.requested_at is not None:
             return 0
         in_hand = int(max(0.0, account.balance))
         account.balance -= in_hand
@@ -265,7 +265,7 @@
     def _returned(self, team, account, now):
         """Give back what is spare, while the owner can be reached."""
         spare = self._spare(team, account, now)
-        if spare <= 0 or account.asked_at is not None:
+        if spare <= 0 or account.requested_at is not None:
             return None
         account.balance -= spare
         return QuotaAsk(team=team, returned=spare)
@@ -281,7 +281,7 @@
             if account is None:
                 return
             account.balance += grant.units
-            account.asked_at = None
+            account.requested_at = None
             account.left, account.left_at = grant.left, now
             if grant.refused_units:
                 account.exhausted_until = now + max(MIN_RETRY_AFTER_S, grant.retry_after_s)
@@ -342,7 +342,7 @@
         # more than their shares, which the owner leaves out of what it grants.
         elapsed_s = min(MAX_SHARE_S, now - account.shared_at)
         account.shared_at = now
-        if account.asked_at is None or now - account.asked_at < OWNER_TIMEOUT_S:
+        if account.requested_at is None or now - account.requested_at < OWNER_TIMEOUT_S:
             return
         share_per_s = self._share_of(quota)
         account.balance = min(account.balance + elapsed_s * share_per_s, MAX_SHARE_S * share_per_s)
