--- a/wagtailtrestle/quotas/accounts.py
+++ b/wagtailtrestle/quotas/accounts.py
@@ -86,7 +86,7 @@
         "exhausted_units",
         "left",
         "left_at",
-        "shared_at",
+        "share_credited_at",
     )
 
     def __init__(self, *, now):
@@ -101,7 +101,7 @@
         self.exhausted_units = 0
         self.left = None
         self.left_at = now
-        self.shared_at = now
+        self.share_credited_at = now
 
     def note_demand(self, units, now):
         """Average the demand over the window, refused requests included."""
@@ -340,8 +340,8 @@
     def _share_alone(self, quota, account, now):
         # The owner died, or the way to it is cut. All routers that can't reach it together give out no
         # more than their shares, which the owner leaves out of what it grants.
-        elapsed_s = min(MAX_SHARE_S, now - account.shared_at)
-        account.shared_at = now
+        elapsed_s = min(MAX_SHARE_S, now - account.share_credited_at)
+        account.share_credited_at = now
         if account.requested_at is None or now - account.requested_at < OWNER_TIMEOUT_S:
             return
         share_per_s = self._share_of(quota)
