--- a/wagtailtrestle/quotas/accounts.py
+++ b/wagtailtrestle/quotas/accounts.py
@@ -103,7 +103,7 @@
         self.left_at = now
         self.share_credited_at = now
 
-    def note_demand(self, units, now):
+    def record_demand(self, units, now):
         """Average the demand over the window, refused requests included."""
         kept = max(0.0, 1.0 - (now - self.demand_at) / DEMAND_WINDOW_S)
         self.demand_per_s = self.demand_per_s * kept + units / DEMAND_WINDOW_S
@@ -208,7 +208,7 @@
                 return None
             now = self._clock()
             self._active_teams.add(team)
-            account.note_demand(units, now)
+            account.record_demand(units, now)
             if account.balance < units:
                 refused = self._wait_for(account, units, now)
                 if refused is not None:
