--- a/wagtailtrestle/quotas/accounts.py
+++ b/wagtailtrestle/quotas/accounts.py
@@ -131,7 +131,7 @@
         """Whether the last ask may still be answered, or was."""
         return self.requested_at is None or now - self.sent_at < RESEND_AFTER_S
 
-    def note_asked(self, now):
+    def mark_requested(self, now):
         """Note that the owner is asked; its silence counts from the first ask without an answer."""
         self.sent_at = now
         if self.requested_at is None:
@@ -241,12 +241,12 @@
         ahead = int(account.ahead(now)) if now >= account.exhausted_until else 0
         if needed:
             in_hand = self._hand_in(account)
-            account.note_asked(now)
+            account.mark_requested(now)
             return QuotaAsk(team=team, needed=needed, ahead=ahead, returned=in_hand)
         if account.requested_at is not None and account.is_answer_due(now):
             return None
         if account.balance < ahead / 2:
-            account.note_asked(now)
+            account.mark_requested(now)
             return QuotaAsk(team=team, ahead=ahead - int(account.balance))
         return self._returned(team, account, now)
 
