--- a/wagtailtrestle/quotas/accounts.py
+++ b/wagtailtrestle/quotas/accounts.py
@@ -137,7 +137,7 @@
         if self.requested_at is None:
             self.requested_at = now
 
-    def to_ask(self, now):
+    def sizes_to_request(self, now):
         """Sizes of the requests that wait and have not been asked for, or in vain."""
         sizes = self.unrequested if self.is_answer_due(now) else self.waiting
         self.unrequested = []
@@ -236,7 +236,7 @@
 
     def _ask_of(self, team, account, now):
         """What to ask of the owner of one team now, or ``None``."""
-        needed = account.to_ask(now)
+        needed = account.sizes_to_request(now)
         # While requests are refused, what comes in is theirs, not for the next moment.
         ahead = int(account.ahead(now)) if now >= account.exhausted_until else 0
         if needed:
