--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -72,7 +72,7 @@
             for number in books if books is not None else range(len(self.books)):
                 book = self.books[number]
                 book.tick()
-                while isinstance(charge := book.take("club", units), QuotaCharge):
+                while isinstance(charge := book.acquire("club", units), QuotaCharge):
                     used += units
                 assert isinstance(charge, QuotaRefused)
         return used
@@ -94,35 +94,35 @@
     def test_a_refusal_says_when_there_is_room(self):
         fleet = Fleet(books=1)
         fleet.spend(0.1)
-        refused = fleet.books[0].take("club", 500)
+        refused = fleet.books[0].acquire("club", 500)
         self.assertIsInstance(refused, QuotaRefused)
         self.assertGreater(refused.retry_after_s, 0.0)
         self.assertLess(refused.retry_after_s, 1.0)
 
     def test_a_request_that_did_not_run_gives_back(self):
         fleet = Fleet(books=1)
-        charge = fleet.books[0].take("club", 2000)
+        charge = fleet.books[0].acquire("club", 2000)
         self.assertIsInstance(charge, QuotaCharge)
         charge.refund()
         charge.refund()
-        self.assertIsInstance(fleet.books[0].take("club", 2000), QuotaCharge)
-        self.assertIsInstance(fleet.books[0].take("club", 100), QuotaRefused)
+        self.assertIsInstance(fleet.books[0].acquire("club", 2000), QuotaCharge)
+        self.assertIsInstance(fleet.books[0].acquire("club", 100), QuotaRefused)
 
     def test_credits_in_hand_count_for_a_request_that_needs_more(self):
         # A caller sees 429 though its team's quota is untouched. A request that did not run gave its units back, and
         # the next look returned a part of them to the owner: 1,200 in hand, 800 there. A request of 2,000 was asked
         # for as if nothing were in hand, and the owner, which had 800, refused it.
         fleet = Fleet(books=1)
-        fleet.books[0].take("club", 2000).refund()
+        fleet.books[0].acquire("club", 2000).refund()
         fleet.pass_time(0.0)
-        self.assertIsInstance(fleet.books[0].take("club", 2000), QuotaCharge)
+        self.assertIsInstance(fleet.books[0].acquire("club", 2000), QuotaCharge)
 
     def test_credits_in_hand_are_not_counted_twice(self):
         fleet = Fleet(books=1)
-        fleet.books[0].take("club", 2000).refund()
+        fleet.books[0].acquire("club", 2000).refund()
         fleet.pass_time(0.0)
-        fleet.books[0].take("club", 2000)
-        self.assertIsInstance(fleet.books[0].take("club", 100), QuotaRefused)
+        fleet.books[0].acquire("club", 2000)
+        self.assertIsInstance(fleet.books[0].acquire("club", 100), QuotaRefused)
 
     def test_a_router_cut_off_from_the_owner_goes_on_with_its_share(self):
         # The way to the owner is cut. Refusing everything would fail the team's callers here;
@@ -163,7 +163,7 @@
         self.assertLess(fleet.spend(10.0, units=10), 100.0 * 10.0 + 1000.0)
 
     def test_a_team_without_a_quota_is_not_counted(self):
-        self.assertIsNone(Fleet().books[0].take("others", 10**9))
+        self.assertIsNone(Fleet().books[0].acquire("others", 10**9))
 
     def test_the_owner_answers_for_a_team_it_does_not_know(self):
         # Its configuration is older than the asker's. Without an answer the asker would refuse
@@ -198,7 +198,7 @@
             while due <= fleet.clock.now:
                 due += gap_s * chance.uniform(0.5, 1.5)
                 units = chance.choice(self.SIZES)
-                charge = chance.choice(fleet.books).take("club", units)
+                charge = chance.choice(fleet.books).acquire("club", units)
                 if isinstance(charge, QuotaCharge):
                     admitted += units
                 else:
@@ -226,40 +226,40 @@
     def test_a_refusal_tells_when_the_request_passes(self):
         fleet, _, _ = self.play(routers=20, share=3.0, seconds=20.0)
         units = max(self.SIZES)
-        while isinstance(refusal := fleet.books[0].take("club", units), QuotaCharge):
+        while isinstance(refusal := fleet.books[0].acquire("club", units), QuotaCharge):
             pass
         fleet.pass_time(refusal.retry_after_s + TICK_S)
-        self.assertIsInstance(fleet.books[3].take("club", units), QuotaCharge)
+        self.assertIsInstance(fleet.books[3].acquire("club", units), QuotaCharge)
 
     def test_a_small_request_passes_where_a_large_one_does_not_fit(self):
         # What was kept in hand for more of them comes back within a second and serves another router.
         quota = TokenQuota(rate_per_s=10.0, burst=2000.0, counts_tokens=True)
         fleet = Fleet(books=2, quota=quota)
-        self.assertIsInstance(fleet.books[0].take("club", 1500), QuotaCharge)
-        self.assertIsInstance(fleet.books[0].take("club", 800), QuotaRefused)
-        self.assertIsInstance(fleet.books[0].take("club", 300), QuotaCharge)
+        self.assertIsInstance(fleet.books[0].acquire("club", 1500), QuotaCharge)
+        self.assertIsInstance(fleet.books[0].acquire("club", 800), QuotaRefused)
+        self.assertIsInstance(fleet.books[0].acquire("club", 300), QuotaCharge)
         fleet.pass_time(1.1)
-        self.assertIsInstance(fleet.books[1].take("club", 190), QuotaCharge)
+        self.assertIsInstance(fleet.books[1].acquire("club", 190), QuotaCharge)
 
     def test_units_given_back_serve_another_router(self):
         # A request was charged and then refused for want of a place; the next one of the team comes
         # to another router.
         quota = TokenQuota(rate_per_s=10.0, burst=2000.0, counts_tokens=True)
         fleet = Fleet(books=2, quota=quota)
-        fleet.books[0].take("club", 2000).refund()
+        fleet.books[0].acquire("club", 2000).refund()
         fleet.pass_time(1.1)
-        self.assertIsInstance(fleet.books[1].take("club", 1900), QuotaCharge)
+        self.assertIsInstance(fleet.books[1].acquire("club", 1900), QuotaCharge)
 
     def test_a_request_larger_than_the_burst_passes_a_full_bucket_and_is_made_up_for(self):
         # It lies within what the quota allows in the operator's window, but a bucket never holds so much.
         quota = TokenQuota(rate_per_s=1000.0, burst=2000.0, counts_tokens=True)
         fleet = Fleet(books=1, quota=quota, tolerance=Tolerance(window_s=8.0))
-        self.assertIsInstance(fleet.books[0].take("club", 5000), QuotaCharge)
+        self.assertIsInstance(fleet.books[0].acquire("club", 5000), QuotaCharge)
         fleet.pass_time(2.0)
-        self.assertIsInstance(fleet.books[0].take("club", 100), QuotaRefused)
+        self.assertIsInstance(fleet.books[0].acquire("club", 100), QuotaRefused)
         fleet.pass_time(1.5)
-        self.assertIsInstance(fleet.books[0].take("club", 100), QuotaCharge)
-        self.assertIsInstance(fleet.books[0].take("club", 20_000), QuotaRefused)
+        self.assertIsInstance(fleet.books[0].acquire("club", 100), QuotaCharge)
+        self.assertIsInstance(fleet.books[0].acquire("club", 20_000), QuotaRefused)
 
 
 class OwnersChangeTest(unittest.TestCase):
--- a/wagtailtrestle/quotas/accounts.py
+++ b/wagtailtrestle/quotas/accounts.py
@@ -194,7 +194,7 @@
             }
             self._active_teams &= self._account_by_team.keys()
 
-    def take(self, team, units):
+    def acquire(self, team, units):
         """Take a request's units from its team's quota.
 
         Returns
--- a/wagtailtrestle/quotas/charging.py
+++ b/wagtailtrestle/quotas/charging.py
@@ -23,7 +23,7 @@
     if team is None or team.quota is None:
         return None
     units = team.quota.cost(tokens=tokens)
-    charge = accounts.take(team.name, units)
+    charge = accounts.acquire(team.name, units)
     if not isinstance(charge, QuotaRefused):
         return charge
     return refusal_of(
