--- a/wagtailtrestle/quotas/accounts.py
+++ b/wagtailtrestle/quotas/accounts.py
@@ -67,7 +67,7 @@
 
     def refund(self):
         """Give it back, since the request was not run."""
-        self._accounts.give_back(self._team, self._units)
+        self._accounts.return_units(self._team, self._units)
         self._units = 0
 
 
@@ -218,7 +218,7 @@
                 self._call_soon(self.ask)
         return QuotaCharge(accounts=self, team=team, units=units)
 
-    def give_back(self, team, units):
+    def return_units(self, team, units):
         """Take back what a request did not use."""
         with self._changed:
             account = self._account_by_team.get(team)
