--- a/wagtailtrestle/quotas/accounts.py
+++ b/wagtailtrestle/quotas/accounts.py
@@ -215,7 +215,7 @@
                     return refused
             account.balance -= units
             if account.balance < account.ahead(now) / 2:
-                self._call_soon(self.ask)
+                self._call_soon(self.request_credits)
         return QuotaCharge(accounts=self, team=team, units=units)
 
     def return_units(self, team, units):
@@ -226,7 +226,7 @@
                 account.balance += units
                 self._active_teams.add(team)
 
-    def ask(self):
+    def request_credits(self):
         """Ask owners for what is needed or worth having, and give back what is neither."""
         now = self._clock()
         with self._changed:
@@ -296,7 +296,7 @@
                 self._share_alone(self._quota_by_team[team], account, now)
                 if account.is_idle(now) and not self._spare(team, account, now):
                     self._active_teams.discard(team)
-        self.ask()
+        self.request_credits()
 
     def _active(self):
         return [(team, self._account_by_team[team]) for team in self._active_teams]
@@ -315,7 +315,7 @@
             return self._refused(account, now, retry_after_s=account.exhausted_until - now)
         account.waiting.append(units)
         account.unrequested.append(units)
-        self._call_soon(self.ask)
+        self._call_soon(self.request_credits)
         try:
             return self._wait_until(account, units, now + MAX_WAIT_S)
         finally:
