--- a/wagtailtrestle/quotas/accounts.py
+++ b/wagtailtrestle/quotas/accounts.py
@@ -230,11 +230,11 @@
         """Ask owners for what is needed or worth having, and give back what is neither."""
         now = self._clock()
         with self._changed:
-            asks = [ask for team, account in self._active() if (ask := self._ask_of(team, account, now))]
+            asks = [ask for team, account in self._active() if (ask := self._next_request(team, account, now))]
         for ask in asks:
             self._send_ask(ask)
 
-    def _ask_of(self, team, account, now):
+    def _next_request(self, team, account, now):
         """What to ask of the owner of one team now, or ``None``."""
         needed = account.sizes_to_request(now)
         # While requests are refused, what comes in is theirs, not for the next moment.
