--- a/wagtailtrestle/quotas/accounts.py
+++ b/wagtailtrestle/quotas/accounts.py
@@ -240,7 +240,7 @@
         # While requests are refused, what comes in is theirs, not for the next moment.
         ahead = int(account.ahead(now)) if now >= account.exhausted_until else 0
         if needed:
-            in_hand = self._hand_in(account)
+            in_hand = self._collect_balance(account)
             account.mark_requested(now)
             return QuotaAsk(team=team, needed=needed, ahead=ahead, returned=in_hand)
         if account.requested_at is not None and account.is_answer_due(now):
@@ -251,7 +251,7 @@
         return self._returned(team, account, now)
 
     @staticmethod
-    def _hand_in(account):
+    def _collect_balance(account):
         """Take what is in hand, to be sent back with an ask for more."""
         # A request is granted whole or not at all, by one bucket. Kept here, what is in hand would count for
         # nothing: with 1,200 units here and 800 at the owner, a request of 2,000 was refused. An owner that
