--- a/wagtailtrestle/quotas/accounts.py
+++ b/wagtailtrestle/quotas/accounts.py
@@ -248,7 +248,7 @@
         if account.balance < ahead / 2:
             account.mark_requested(now)
             return QuotaAsk(team=team, ahead=ahead - int(account.balance))
-        return self._returned(team, account, now)
+        return self._return_spare(team, account, now)
 
     @staticmethod
     def _collect_balance(account):
@@ -262,7 +262,7 @@
         account.balance -= in_hand
         return in_hand
 
-    def _returned(self, team, account, now):
+    def _return_spare(self, team, account, now):
         """Give back what is spare, while the owner can be reached."""
         spare = self._spare(team, account, now)
         if spare <= 0 or account.requested_at is not None:
