--- a/wagtailtrestle/quotas/accounts.py
+++ b/wagtailtrestle/quotas/accounts.py
@@ -293,7 +293,7 @@
         now = self._clock()
         with self._changed:
             for team, account in self._active():
-                self._share_alone(self._quota_by_team[team], account, now)
+                self._credit_own_share(self._quota_by_team[team], account, now)
                 if account.is_idle(now) and not self._spare(team, account, now):
                     self._active_teams.discard(team)
         self.request_credits()
@@ -337,7 +337,7 @@
             retry_after_s=retry_after_s, left=account.left, left_age_s=now - account.left_at, held=int(account.balance)
         )
 
-    def _share_alone(self, quota, account, now):
+    def _credit_own_share(self, quota, account, now):
         # The owner died, or the way to it is cut. All routers that can't reach it together give out no
         # more than their shares, which the owner leaves out of what it grants.
         elapsed_s = min(MAX_SHARE_S, now - account.share_credited_at)
