--- a/wagtailtrestle/quotas/accounts.py
+++ b/wagtailtrestle/quotas/accounts.py
@@ -230,7 +230,7 @@
         """Ask owners for what is needed or worth having, and give back what is neither."""
         now = self._clock()
         with self._changed:
-            asks = [ask for team, account in self._active() if (ask := self._next_request(team, account, now))]
+            asks = [ask for team, account in self._active_accounts() if (ask := self._next_request(team, account, now))]
         for ask in asks:
             self._send_ask(ask)
 
@@ -292,13 +292,13 @@
         """Fetch ahead, give back what is not used, and go on alone where an owner is silent."""
         now = self._clock()
         with self._changed:
-            for team, account in self._active():
+            for team, account in self._active_accounts():
                 self._credit_own_share(self._quota_by_team[team], account, now)
                 if account.is_idle(now) and not self._spare(team, account, now):
                     self._active_teams.discard(team)
         self.request_credits()
 
-    def _active(self):
+    def _active_accounts(self):
         return [(team, self._account_by_team[team]) for team in self._active_teams]
 
     def dump(self):
