--- a/wagtailtrestle/quotas/accounts.py
+++ b/wagtailtrestle/quotas/accounts.py
@@ -210,7 +210,7 @@
             self._active_teams.add(team)
             account.record_demand(units, now)
             if account.balance < units:
-                refused = self._wait_for(account, units, now)
+                refused = self._wait_for_units(account, units, now)
                 if refused is not None:
                     return refused
             account.balance -= units
@@ -309,7 +309,7 @@
                 for team, account in self._account_by_team.items()
             }
 
-    def _wait_for(self, account, units, now):
+    def _wait_for_units(self, account, units, now):
         """Wait until the owner has answered; ``None`` once there is enough, else the refusal."""
         if account.is_exhausted(units, now):
             return self._refused(account, now, retry_after_s=account.exhausted_until - now)
