--- a/wagtailtrestle/quotas/accounts.py
+++ b/wagtailtrestle/quotas/accounts.py
@@ -312,7 +312,7 @@
     def _wait_for_units(self, account, units, now):
         """Wait until the owner has answered; ``None`` once there is enough, else the refusal."""
         if account.is_exhausted(units, now):
-            return self._refused(account, now, retry_after_s=account.exhausted_until - now)
+            return self._refusal(account, now, retry_after_s=account.exhausted_until - now)
         account.waiting.append(units)
         account.unrequested.append(units)
         self._call_soon(self.request_credits)
@@ -327,12 +327,12 @@
         while account.balance < units:
             now = self._clock()
             if account.is_exhausted(units, now):
-                return self._refused(account, now, retry_after_s=account.exhausted_until - now)
+                return self._refusal(account, now, retry_after_s=account.exhausted_until - now)
             if now >= until or not self._changed.wait(until - now):
-                return self._refused(account, now, retry_after_s=OWNER_TIMEOUT_S)
+                return self._refusal(account, now, retry_after_s=OWNER_TIMEOUT_S)
         return None
 
-    def _refused(self, account, now, *, retry_after_s):
+    def _refusal(self, account, now, *, retry_after_s):
         return QuotaRefused(
             retry_after_s=retry_after_s, left=account.left, left_age_s=now - account.left_at, held=int(account.balance)
         )
