--- a/wagtailtrestle/quotas/accounts.py
+++ b/wagtailtrestle/quotas/accounts.py
@@ -230,8 +230,10 @@
         """Ask owners for what is needed or worth having, and give back what is neither."""
         now = self._clock()
         with self._changed:
-            asks = [ask for team, account in self._active_accounts() if (ask := self._next_request(team, account, now))]
-        for ask in asks:
+            requests = [
+                ask for team, account in self._active_accounts() if (ask := self._next_request(team, account, now))
+            ]
+        for ask in requests:
             self._send_ask(ask)
 
     def _next_request(self, team, account, now):
