--- a/wagtailtrestle/quotas/accounts.py
+++ b/wagtailtrestle/quotas/accounts.py
@@ -231,10 +231,12 @@
         now = self._clock()
         with self._changed:
             requests = [
-                ask for team, account in self._active_accounts() if (ask := self._next_request(team, account, now))
+                request
+                for team, account in self._active_accounts()
+                if (request := self._next_request(team, account, now))
             ]
-        for ask in requests:
-            self._send_ask(ask)
+        for request in requests:
+            self._send_ask(request)
 
     def _next_request(self, team, account, now):
         """What to ask of the owner of one team now, or ``None``."""
