--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -13,7 +13,7 @@
 from wagtailtrestle.quotas import accounts as accounts_module
 from wagtailtrestle.quotas.accounts import OWNER_TIMEOUT_S, QuotaAccounts, QuotaCharge, QuotaRefused
 from wagtailtrestle.quotas.charging import charge_team
-from wagtailtrestle.quotas.owner import ABSENT_KEPT_S, TAKEOVER_SHARE, QuotaOwner, Tolerance
+from wagtailtrestle.quotas.owner import ABSENT_ROUTER_RETENTION_S, TAKEOVER_SHARE, QuotaOwner, Tolerance
 
 TICK_S = 0.1
 QUOTA = TokenQuota(rate_per_s=1000.0, burst=2000.0, counts_tokens=True)
@@ -144,7 +144,7 @@
         fleet.clock.now += 0.1
         used = fleet.spend(10.0)
         self.assertLess(used, 1.2 * 10.0 * QUOTA.rate_per_s / 2)
-        fleet.clock.now += ABSENT_KEPT_S
+        fleet.clock.now += ABSENT_ROUTER_RETENTION_S
         self.assertGreater(fleet.spend(10.0), 0.9 * 10.0 * QUOTA.rate_per_s)
 
     def test_a_part_of_the_tolerance_is_given_out(self):
--- a/wagtailtrestle/quotas/owner.py
+++ b/wagtailtrestle/quotas/owner.py
@@ -8,7 +8,7 @@
 """Part of the burst that an owner begins with after another was it: with the whole burst, each
 change to and fro would grant it once more; with none, a quiet team would be refused."""
 
-ABSENT_KEPT_S = 20.0
+ABSENT_ROUTER_RETENTION_S = 20.0
 """How long a router that left the view is still reckoned with: cut off, it serves on its share alone."""
 
 
@@ -200,7 +200,7 @@
         if 2 * present <= fleet_size:
             # It is likelier that this side is cut off than that most routers died: each other side may be as large.
             return present / fleet_size
-        while self._counts and now - self._counts[0][0] > ABSENT_KEPT_S:
+        while self._counts and now - self._counts[0][0] > ABSENT_ROUTER_RETENTION_S:
             self._counts.popleft()
         if not self._counts or self._counts[-1][1] != present:
             self._counts.append((now, present))
