--- a/wagtailtrestle/quotas/owner.py
+++ b/wagtailtrestle/quotas/owner.py
@@ -12,7 +12,7 @@
 """How long a router that left the view is still reckoned with: cut off, it serves on its share alone."""
 
 
-GIVEN_TOLERANCE = 0.6
+GRANTED_TOLERANCE_SHARE = 0.6
 """Part of the operator's tolerance that is given out as credits. An operator who tolerates an excess
 would rather see idle engines used than a team refused at the very limit; the rest of the tolerance
 is for what this module can't know: credits of a former owner, and shares of routers cut off."""
@@ -47,7 +47,7 @@
         if not self._window_s:
             return quota.rate_per_s
         allowed = quota.rate_per_s * self._window_s + quota.burst
-        return quota.rate_per_s + GIVEN_TOLERANCE * (self._share * allowed + self._units) / self._window_s
+        return quota.rate_per_s + GRANTED_TOLERANCE_SHARE * (self._share * allowed + self._units) / self._window_s
 
 
 class Bucket:
