--- a/wagtailtrestle/quotas/owner.py
+++ b/wagtailtrestle/quotas/owner.py
@@ -38,7 +38,7 @@
         self._share = share
         self._units = units
 
-    def largest(self, quota):
+    def max_request_units(self, quota):
         """Units of the largest request that may ever pass: what the quota allows within the window."""
         return quota.burst + quota.rate_per_s * self._window_s
 
@@ -78,13 +78,13 @@
         """Units to give; negative while it makes up for a request larger than the burst."""
         return int(self._level)
 
-    def take_whole(self, units, *, largest):
+    def take_whole(self, units, *, max_request_units):
         """Take all of so many units; whether they were there.
 
         More than the burst will never be there. Such a request, up to ``largest``, passes while the
         bucket is full, and what it took beyond that is made up for before anything else passes.
         """
-        if units > largest or self._level < min(units, self._burst):
+        if units > max_request_units or self._level < min(units, self._burst):
             return False
         self._level -= units
         return True
@@ -156,8 +156,8 @@
         bucket = self._bucket(ask.team, quota)
         bucket.fill(now=self._clock(), share=self._share())
         bucket.give_back(ask.returned)
-        largest = self._tolerance().largest(quota)
-        refused = [units for units in ask.needed if not bucket.take_whole(units, largest=largest)]
+        max_request_units = self._tolerance().max_request_units(quota)
+        refused = [units for units in ask.needed if not bucket.take_whole(units, max_request_units=max_request_units)]
         granted = sum(ask.needed) - sum(refused)
         if not refused:
             granted += bucket.take_part(ask.ahead)
