--- a/wagtailtrestle/quotas/owner.py
+++ b/wagtailtrestle/quotas/owner.py
@@ -67,7 +67,7 @@
         self._burst = burst
         self._level = min(self._level, burst)
 
-    def fill(self, *, now, share):
+    def refill(self, *, now, share):
         """Add what came since the last look; ``share`` of the rate is this owner's to give."""
         elapsed_s = max(0.0, now - self._at)
         self._level = min(self._burst, self._level + elapsed_s * self._rate_per_s * share)
@@ -154,7 +154,7 @@
         if quota is None:
             return QuotaGrant(team=ask.team, units=sum(ask.needed) + ask.ahead)
         bucket = self._bucket(ask.team, quota)
-        bucket.fill(now=self._clock(), share=self._share())
+        bucket.refill(now=self._clock(), share=self._share())
         bucket.give_back(ask.returned)
         max_request_units = self._tolerance().max_request_units(quota)
         refused = [units for units in ask.needed if not bucket.take_whole(units, max_request_units=max_request_units)]
