--- a/wagtailtrestle/quotas/owner.py
+++ b/wagtailtrestle/quotas/owner.py
@@ -78,7 +78,7 @@
         """Units to give; negative while it makes up for a request larger than the burst."""
         return int(self._level)
 
-    def take_whole(self, units, *, max_request_units):
+    def consume_all(self, units, *, max_request_units):
         """Take all of so many units; whether they were there.
 
         More than the burst will never be there. Such a request, up to ``largest``, passes while the
@@ -157,7 +157,7 @@
         bucket.refill(now=self._clock(), share=self._share())
         bucket.give_back(ask.returned)
         max_request_units = self._tolerance().max_request_units(quota)
-        refused = [units for units in ask.needed if not bucket.take_whole(units, max_request_units=max_request_units)]
+        refused = [units for units in ask.needed if not bucket.consume_all(units, max_request_units=max_request_units)]
         granted = sum(ask.needed) - sum(refused)
         if not refused:
             granted += bucket.take_part(ask.ahead)
