--- a/wagtailtrestle/quotas/owner.py
+++ b/wagtailtrestle/quotas/owner.py
@@ -89,7 +89,7 @@
         self._level -= units
         return True
 
-    def take_part(self, units):
+    def consume_up_to(self, units):
         """Take up to so many units; returns how many."""
         taken = int(max(0.0, min(units, self._level)))
         self._level -= taken
@@ -160,7 +160,7 @@
         refused = [units for units in ask.needed if not bucket.consume_all(units, max_request_units=max_request_units)]
         granted = sum(ask.needed) - sum(refused)
         if not refused:
-            granted += bucket.take_part(ask.ahead)
+            granted += bucket.consume_up_to(ask.ahead)
         smallest = min(refused, default=0)
         return QuotaGrant(
             team=ask.team,
