--- a/wagtailtrestle/quotas/owner.py
+++ b/wagtailtrestle/quotas/owner.py
@@ -95,7 +95,7 @@
         self._level -= taken
         return taken
 
-    def give_back(self, units):
+    def return_units(self, units):
         """Take back units that were granted and not used."""
         self._level = min(self._burst, self._level + units)
 
@@ -155,7 +155,7 @@
             return QuotaGrant(team=ask.team, units=sum(ask.needed) + ask.ahead)
         bucket = self._bucket(ask.team, quota)
         bucket.refill(now=self._clock(), share=self._share())
-        bucket.give_back(ask.returned)
+        bucket.return_units(ask.returned)
         max_request_units = self._tolerance().max_request_units(quota)
         refused = [units for units in ask.needed if not bucket.consume_all(units, max_request_units=max_request_units)]
         granted = sum(ask.needed) - sum(refused)
