--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -286,8 +286,8 @@
         clock = Clock()
         owner = self.owner(clock)
         owner.grant(QuotaAsk(team="club", needed=(100,)))
-        owner.keep(lambda team: False)
-        owner.keep(lambda team: True)
+        owner.drop_unowned(lambda team: False)
+        owner.drop_unowned(lambda team: True)
         self.assertEqual(owner.grant(QuotaAsk(team="club", ahead=2000)).units, QUOTA.burst * TAKEOVER_SHARE)
 
 
--- a/wagtailtrestle/quotas/owner.py
+++ b/wagtailtrestle/quotas/owner.py
@@ -175,7 +175,7 @@
         self._owned_elsewhere.add(team)
         self._bucket_by_team.pop(team, None)
 
-    def keep(self, is_owner):
+    def drop_unowned(self, is_owner):
         """Let go of the buckets of teams that another router owns now."""
         for team in list(self._bucket_by_team):
             if not is_owner(team):
--- a/wagtailtrestle/quotas/shared.py
+++ b/wagtailtrestle/quotas/shared.py
@@ -44,7 +44,7 @@
             send_ask=self._send_ask,
             members=self._count_members,
         )
-        membership.on_view_change(lambda view: self._owner.keep(self._is_owner))
+        membership.on_view_change(lambda view: self._owner.drop_unowned(self._is_owner))
         membership.on_trusted(self._trusted_again)
         peers.on(QuotaAsk, self._on_ask)
         peers.on(QuotaGrant, lambda peer, grant, cell: self.accounts.on_grant(grant))
@@ -80,7 +80,7 @@
     def _trusted_again(self):
         # This process was paused, and others may have been owners meanwhile: by its own account
         # credits gathered all the time.
-        self._owner.keep(lambda team: False)
+        self._owner.drop_unowned(lambda team: False)
 
     def _send_ask(self, ask):
         """Ask the team's owner; whether there is one that can be asked."""
