--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -279,7 +279,7 @@
     def test_a_next_owner_does_not_grant_the_burst_again(self):
         clock = Clock()
         owner = self.owner(clock)
-        owner.note_other_owner("club")
+        owner.mark_owned_elsewhere("club")
         self.assertEqual(owner.grant(QuotaAsk(team="club", ahead=2000)).units, QUOTA.burst * TAKEOVER_SHARE)
 
     def test_an_owner_that_lost_a_team_and_got_it_back_begins_anew(self):
--- a/wagtailtrestle/quotas/owner.py
+++ b/wagtailtrestle/quotas/owner.py
@@ -170,7 +170,7 @@
             left=bucket.level,
         )
 
-    def note_other_owner(self, team):
+    def mark_owned_elsewhere(self, team):
         """Note that another router is this team's owner: what it gave out is not known here."""
         self._owned_elsewhere.add(team)
         self._bucket_by_team.pop(team, None)
@@ -179,7 +179,7 @@
         """Let go of the buckets of teams that another router owns now."""
         for team in list(self._bucket_by_team):
             if not is_owner(team):
-                self.note_other_owner(team)
+                self.mark_owned_elsewhere(team)
 
     def _bucket(self, team, quota):
         bucket = self._bucket_by_team.get(team)
--- a/wagtailtrestle/quotas/shared.py
+++ b/wagtailtrestle/quotas/shared.py
@@ -88,5 +88,5 @@
         if owner == self._name:
             self._loop.call_soon(lambda: self.accounts.on_grant(self._owner.grant(ask)))
             return True
-        self._owner.note_other_owner(ask.team)
+        self._owner.mark_owned_elsewhere(ask.team)
         return owner is not None and self._peers.send(owner, ask)
