--- a/wagtailtrestle/quotas/owner.py
+++ b/wagtailtrestle/quotas/owner.py
@@ -125,7 +125,7 @@
         "_tolerance",
         "_quota_by_team",
         "_bucket_by_team",
-        "_owned_elsewhere",
+        "_teams_owned_elsewhere",
         "_counts",
     )
 
@@ -136,7 +136,7 @@
         self._tolerance = tolerance
         self._quota_by_team = {}
         self._bucket_by_team = {}
-        self._owned_elsewhere = set()
+        self._teams_owned_elsewhere = set()
         self._counts = deque()
 
     def set_quotas(self, quota_by_team):
@@ -172,7 +172,7 @@
 
     def mark_owned_elsewhere(self, team):
         """Note that another router is this team's owner: what it gave out is not known here."""
-        self._owned_elsewhere.add(team)
+        self._teams_owned_elsewhere.add(team)
         self._bucket_by_team.pop(team, None)
 
     def drop_unowned(self, is_owner):
@@ -185,7 +185,7 @@
         bucket = self._bucket_by_team.get(team)
         if bucket is None:
             now = self._clock()
-            level = quota.burst * (TAKEOVER_SHARE if team in self._owned_elsewhere else 1.0) * self._share()
+            level = quota.burst * (TAKEOVER_SHARE if team in self._teams_owned_elsewhere else 1.0) * self._share()
             rate_per_s = self._tolerance().rate_per_s(quota)
             bucket = Bucket(rate_per_s=rate_per_s, burst=quota.burst, level=level, now=now)
             self._bucket_by_team[team] = bucket
