--- a/wagtailtrestle/quotas/owner.py
+++ b/wagtailtrestle/quotas/owner.py
@@ -126,7 +126,7 @@
         "_quota_by_team",
         "_bucket_by_team",
         "_teams_owned_elsewhere",
-        "_counts",
+        "_member_counts",
     )
 
     def __init__(self, *, clock, members, fleet_size=lambda: 1, tolerance=Tolerance):
@@ -137,7 +137,7 @@
         self._quota_by_team = {}
         self._bucket_by_team = {}
         self._teams_owned_elsewhere = set()
-        self._counts = deque()
+        self._member_counts = deque()
 
     def set_quotas(self, quota_by_team):
         """Put the declared quotas in force; credits that are left stay, within the new burst."""
@@ -200,8 +200,8 @@
         if 2 * present <= fleet_size:
             # It is likelier that this side is cut off than that most routers died: each other side may be as large.
             return present / fleet_size
-        while self._counts and now - self._counts[0][0] > ABSENT_ROUTER_RETENTION_S:
-            self._counts.popleft()
-        if not self._counts or self._counts[-1][1] != present:
-            self._counts.append((now, present))
-        return present / max(count for _, count in self._counts)
+        while self._member_counts and now - self._member_counts[0][0] > ABSENT_ROUTER_RETENTION_S:
+            self._member_counts.popleft()
+        if not self._member_counts or self._member_counts[-1][1] != present:
+            self._member_counts.append((now, present))
+        return present / max(count for _, count in self._member_counts)
