--- a/wagtailtrestle/quotas/owner.py
+++ b/wagtailtrestle/quotas/owner.py
@@ -148,22 +148,24 @@
             quota = quota_by_team[team]
             bucket.limit(rate_per_s=self._tolerance().rate_per_s(quota), burst=quota.burst)
 
-    def grant(self, ask) -> QuotaGrant:
+    def grant(self, request) -> QuotaGrant:
         """Answer one ask; what requests wait for is granted before what is asked ahead."""
-        quota = self._quota_by_team.get(ask.team)
+        quota = self._quota_by_team.get(request.team)
         if quota is None:
-            return QuotaGrant(team=ask.team, units=sum(ask.needed) + ask.ahead)
-        bucket = self._bucket(ask.team, quota)
+            return QuotaGrant(team=request.team, units=sum(request.needed) + request.ahead)
+        bucket = self._bucket(request.team, quota)
         bucket.refill(now=self._clock(), share=self._share())
-        bucket.return_units(ask.returned)
+        bucket.return_units(request.returned)
         max_request_units = self._tolerance().max_request_units(quota)
-        refused = [units for units in ask.needed if not bucket.consume_all(units, max_request_units=max_request_units)]
-        granted = sum(ask.needed) - sum(refused)
+        refused = [
+            units for units in request.needed if not bucket.consume_all(units, max_request_units=max_request_units)
+        ]
+        granted = sum(request.needed) - sum(refused)
         if not refused:
-            granted += bucket.consume_up_to(ask.ahead)
+            granted += bucket.consume_up_to(request.ahead)
         smallest = min(refused, default=0)
         return QuotaGrant(
-            team=ask.team,
+            team=request.team,
             units=granted,
             retry_after_s=bucket.wait_s(smallest) if refused else 0.0,
             refused_units=smallest,
