--- a/wagtailtrestle/quotas/shared.py
+++ b/wagtailtrestle/quotas/shared.py
@@ -46,7 +46,7 @@
         )
         membership.on_view_change(lambda view: self._owner.drop_unowned(self._is_owner))
         membership.on_trusted(self._trusted_again)
-        peers.on(QuotaAsk, self._on_ask)
+        peers.on(QuotaAsk, self._on_request)
         peers.on(QuotaGrant, lambda peer, grant, cell: self.accounts.on_grant(grant))
 
     def set_declaration(self, declaration):
@@ -68,7 +68,7 @@
     def _count_members(self):
         return len(self._membership.view.everyone)
 
-    def _on_ask(self, peer, ask, cell):
+    def _on_request(self, peer, ask, cell):
         self._peers.send(peer, self._owner.grant(ask))
 
     def _owner_of(self, team):
