--- a/wagtailtrestle/quotas/shared.py
+++ b/wagtailtrestle/quotas/shared.py
@@ -68,8 +68,8 @@
     def _count_members(self):
         return len(self._membership.view.everyone)
 
-    def _on_request(self, peer, ask, cell):
-        self._peers.send(peer, self._owner.grant(ask))
+    def _on_request(self, peer, request, cell):
+        self._peers.send(peer, self._owner.grant(request))
 
     def _owner_of(self, team):
         return self._rendezvous.choose(key=f"quota/{team}", members=self._membership.view.members)
@@ -82,11 +82,11 @@
         # credits gathered all the time.
         self._owner.drop_unowned(lambda team: False)
 
-    def _send_ask(self, ask):
+    def _send_ask(self, request):
         """Ask the team's owner; whether there is one that can be asked."""
-        owner = self._owner_of(ask.team)
+        owner = self._owner_of(request.team)
         if owner == self._name:
-            self._loop.call_soon(lambda: self.accounts.on_grant(self._owner.grant(ask)))
+            self._loop.call_soon(lambda: self.accounts.on_grant(self._owner.grant(request)))
             return True
-        self._owner.mark_owned_elsewhere(ask.team)
-        return owner is not None and self._peers.send(owner, ask)
+        self._owner.mark_owned_elsewhere(request.team)
+        return owner is not None and self._peers.send(owner, request)
