--- a/wagtailtrestle/quotas/shared.py
+++ b/wagtailtrestle/quotas/shared.py
@@ -45,7 +45,7 @@
             members=self._count_members,
         )
         membership.on_view_change(lambda view: self._owner.drop_unowned(self._is_owner))
-        membership.on_trusted(self._trusted_again)
+        membership.on_trusted(self._on_trusted_again)
         peers.on(QuotaAsk, self._on_request)
         peers.on(QuotaGrant, lambda peer, grant, cell: self.accounts.on_grant(grant))
 
@@ -77,7 +77,7 @@
     def _is_owner(self, team):
         return self._owner_of(team) == self._name
 
-    def _trusted_again(self):
+    def _on_trusted_again(self):
         # This process was paused, and others may have been owners meanwhile: by its own account
         # credits gathered all the time.
         self._owner.drop_unowned(lambda team: False)
