--- a/tests/test_attach.py
+++ b/tests/test_attach.py
@@ -67,7 +67,7 @@
         self.assertEqual([start.attach for start in caller.starts], [False, True, True, True, True])
         self.assertEqual(len({start.run_id for start in caller.starts}), 1)
 
-    def test_engine_that_says_nothing_is_waited_for_to_the_deadline(self):
+    def test_silent_engine_is_waited_for_until_the_deadline(self):
         # The caller of what may not be repeated is told at its deadline that the run was executed, and no sooner:
         # the engine accepts each new connection, so its VM lives, and a process that was paused for ten limits on
         # silence still finishes the run. It is never sent a second time.
