--- a/tests/test_attach.py
+++ b/tests/test_attach.py
@@ -78,7 +78,7 @@
         self.assertAlmostEqual(caller.answered_at, DEADLINE_S, delta=1.0)
         self.assertEqual(sum(not start.attach for start in caller.starts), 1)
 
-    def test_engine_that_wakes_within_the_deadline_loses_nothing(self):
+    def test_engine_that_resumes_within_the_deadline_keeps_the_run(self):
         # The caller gets its whole answer. The engine was paused for longer than three limits on silence, answered no
         # attach meanwhile, and goes on. Given up after the third limit, the run ended for nobody.
         caller = self.serve([silent(0)] * (MAX_ATTACHES_WITHOUT_PROGRESS + 2) + [RunDone(output_tokens=15)])
