--- a/tests/test_attach.py
+++ b/tests/test_attach.py
@@ -85,7 +85,7 @@
         self.assertIsInstance(caller.answer, AnswerWhole)
         self.assertEqual(sum(not start.attach for start in caller.starts), 1)
 
-    def test_engine_to_which_no_connection_is_established_is_lost_at_once(self):
+    def test_engine_that_accepts_no_connection_is_lost_immediately(self):
         # The caller learns at once what it can't change by waiting: the VM is gone, so that the attach is not sent.
         caller = self.serve([silent(3), RunNotSent(detail="no connection")])
         self.assertEqual(caller.answer.refusal.reason, Reason.ENGINE_LOST)
