--- a/tests/test_attach.py
+++ b/tests/test_attach.py
@@ -92,7 +92,7 @@
         self.assertEqual(caller.answer.refusal.executed, Executed.YES)
         self.assertAlmostEqual(caller.answered_at, 2.0, delta=0.1)
 
-    def test_engine_that_wakes_and_reads_the_attach_before_the_run_keeps_it(self):
+    def test_engine_that_reads_the_attach_before_the_run_keeps_the_run(self):
         # The caller gets its answer. The engine was paused before it read the run; it wakes, takes up the attach first
         # and says that it knows no such run, then reads the run and begins it. Told as lost, the run ended for nobody.
         unsent = RunSilent(output_tokens=0, reached=False)
