--- a/tests/test_attach.py
+++ b/tests/test_attach.py
@@ -100,7 +100,7 @@
         self.assertIsInstance(caller.answer, AnswerWhole)
         self.assertEqual(sum(not start.attach for start in caller.starts), 1)
 
-    def test_engine_that_never_read_the_run_is_lost_soon(self):
+    def test_engine_that_never_read_the_run_is_lost_after_the_retries(self):
         # The caller is told within a second that the outcome isn't known: the engine has started again and will not
         # read what its former process had not.
         caller = self.serve([RunSilent(output_tokens=0, reached=False)] + [RunLost()] * (2 + MAX_UNREAD_RETRIES))
