--- a/tests/test_attach.py
+++ b/tests/test_attach.py
@@ -108,7 +108,7 @@
         self.assertEqual(caller.answer.refusal.executed, Executed.UNKNOWN)
         self.assertEqual(len(caller.starts), 2 + MAX_UNREAD_RETRIES)
 
-    def test_engine_that_knows_a_run_no_more_has_lost_it(self):
+    def test_engine_that_no_longer_knows_a_confirmed_run_has_lost_it(self):
         # The caller is told at once: the engine confirmed the run and has started again since.
         caller = self.serve([silent(0), held(0), RunLost()])
         self.assertEqual(caller.answer.refusal.reason, Reason.ENGINE_LOST)
