--- a/tests/test_attach.py
+++ b/tests/test_attach.py
@@ -131,7 +131,7 @@
         self.assertIsInstance(caller.answer, AnswerWhole)
         self.assertEqual(len({start.run_id for start in caller.starts}), 1)
 
-    def test_engine_that_stops_to_answer_after_it_confirmed_the_run_is_waited_for_as_well(self):
+    def test_engine_that_goes_silent_after_it_confirmed_the_run_is_waited_for(self):
         # The caller gets its answer. What an engine said some attaches ago is no proof that it still lives, but to
         # give the run up would gain nothing: it may go nowhere else.
         caller = self.serve(
