--- a/tests/test_attach.py
+++ b/tests/test_attach.py
@@ -139,7 +139,7 @@
         )
         self.assertIsInstance(caller.answer, AnswerWhole)
 
-    def test_silent_run_that_another_engine_may_repeat_goes_elsewhere(self):
+    def test_repeatable_silent_run_moves_to_another_engine(self):
         # The caller of what may be repeated doesn't wait for a paused engine.
         caller = self.serve(
             [silent(0)] * (1 + MAX_ATTACHES_WITHOUT_PROGRESS) + [RunDone(output_tokens=15)], repeatable=True
