--- a/tests/test_attach.py
+++ b/tests/test_attach.py
@@ -147,7 +147,7 @@
         self.assertIsInstance(caller.answer, AnswerWhole)
         self.assertEqual(len({start.run_id for start in caller.starts}), 2)
 
-    def test_held_run_that_another_engine_may_repeat_goes_elsewhere(self):
+    def test_repeatable_queued_run_moves_to_another_engine(self):
         # The caller of what may be repeated doesn't wait behind the queue: after as many silent tries as for
         # any other run, another engine gets it.
         caller = self.serve(
