--- a/tests/test_poison.py
+++ b/tests/test_poison.py
@@ -82,13 +82,13 @@
         # The caller sends it again through another router each time, so no router sees
         # more than one crash. Told of the others', each refuses the fourth.
         clock = Clock()
-        books = [CrashTable(clock=clock, reporter=f"r{number}") for number in range(CRASH_LIMIT)]
-        for number, table in enumerate(books):
+        tables = [CrashTable(clock=clock, reporter=f"r{number}") for number in range(CRASH_LIMIT)]
+        for number, table in enumerate(tables):
             clock.now += SAME_CRASH_WINDOW_S + 1.0
             told = table.record_crash(f"e{number}", {"poison": 1})
-            for other in books:
+            for other in tables:
                 other.merge(told)
-        self.assertTrue(all(table.is_blocked("poison") for table in books))
+        self.assertTrue(all(table.is_blocked("poison") for table in tables))
 
     def test_one_crash_told_by_three_routers_is_one(self):
         clock = Clock()
