--- a/tests/test_poison.py
+++ b/tests/test_poison.py
@@ -85,9 +85,9 @@
         tables = [CrashTable(clock=clock, reporter=f"r{number}") for number in range(CRASH_LIMIT)]
         for number, table in enumerate(tables):
             clock.now += SAME_CRASH_WINDOW_S + 1.0
-            told = table.record_crash(f"e{number}", {"poison": 1})
+            report = table.record_crash(f"e{number}", {"poison": 1})
             for other in tables:
-                other.merge(told)
+                other.merge(report)
         self.assertTrue(all(table.is_blocked("poison") for table in tables))
 
     def test_one_crash_told_by_three_routers_is_one(self):
@@ -111,11 +111,11 @@
     def test_merging_again_changes_nothing_and_does_not_undo_a_clearance(self):
         clock = Clock()
         table = CrashTable(clock=clock)
-        told = table.record_crash("e1", {"a": 1, "b": 1})
+        report = table.record_crash("e1", {"a": 1, "b": 1})
         table.record_success("a")
         for _ in range(CRASH_LIMIT):
             clock.now += 2 * SAME_CRASH_WINDOW_S
-            table.merge(told)
+            table.merge(report)
         self.assertFalse(table.is_suspect("a") or table.is_blocked("b"))
         other = CrashTable(clock=clock)
         for known in table.reports():
@@ -128,14 +128,14 @@
         # beside which it happens to run. The word may overtake a report, and come twice.
         clock = Clock()
         here, there = (CrashTable(clock=clock, reporter=name) for name in ("r1", "r2"))
-        told = []
+        report = []
         for engine in ("e1", "e2"):
             clock.now += 2 * SAME_CRASH_WINDOW_S
-            told.append(here.record_crash(engine, {"poison": 1, "innocent": 1}))
-        there.merge(told[0])
+            report.append(here.record_crash(engine, {"poison": 1, "innocent": 1}))
+        there.merge(report[0])
         clearance = here.record_success("innocent")
         there.merge_clearance(clearance)
-        there.merge(told[1])
+        there.merge(report[1])
         self.assertFalse(there.is_suspect("innocent"))
         self.assertTrue(there.must_run_alone("poison"))
         self.assertIsNone(here.record_success("innocent"))
