--- a/tests/test_poison.py
+++ b/tests/test_poison.py
@@ -90,7 +90,7 @@
                 other.merge(report)
         self.assertTrue(all(table.is_blocked("poison") for table in tables))
 
-    def test_one_crash_told_by_three_routers_is_one(self):
+    def test_one_crash_reported_by_several_routers_counts_once(self):
         clock = Clock()
         table = CrashTable(clock=clock, reporter="r1")
         table.record_crash("e1", {"a": 1})
