--- a/tests/test_poison.py
+++ b/tests/test_poison.py
@@ -99,7 +99,7 @@
             table.merge(CrashReport(engine="e1", incident=f"r{number}/x/1", suspects=("a",)))
         self.assertFalse(table.is_blocked("a"))
 
-    def test_one_crash_told_again_by_its_router_is_one(self):
+    def test_one_crash_reported_repeatedly_by_one_router_counts_once(self):
         # A cut, then two attempts to attach that find the engine down: one crash.
         clock = Clock()
         table = CrashTable(clock=clock)
