--- a/tests/test_poison.py
+++ b/tests/test_poison.py
@@ -144,7 +144,7 @@
         there.merge_clearance(clearance)
         self.assertTrue(there.is_suspect("innocent"))
 
-    def test_whole_answers_are_told_to_the_others(self):
+    def test_complete_answers_are_broadcast(self):
         sent = []
         table = CrashTable(clock=Clock())
         watch = CrashWatch(table=table, detector=CrashDetector(clock=Clock()), broadcast=sent.append)
