--- a/tests/test_poison.py
+++ b/tests/test_poison.py
@@ -53,7 +53,7 @@
         self.assertTrue(self.table.is_blocked("poison"))
         self.assertFalse(self.table.is_blocked("innocent"))
 
-    def test_a_whole_answer_clears(self):
+    def test_a_complete_answer_clears_a_suspect(self):
         self.crash("e1", "poison", "innocent")
         self.table.record_success("innocent")
         self.assertFalse(self.table.is_suspect("innocent"))
