--- a/tests/test_poison.py
+++ b/tests/test_poison.py
@@ -122,7 +122,7 @@
             other.merge(known)
         self.assertEqual(other.dump(), table.dump())
 
-    def test_a_clearance_on_one_router_is_one_on_all(self):
+    def test_a_clearance_applies_on_all_routers(self):
         # An innocent request dies beside the poison twice, then runs whole through r1. Without
         # the word of r1, r2 would go on suspecting it, and refuse it after the next two crashes
         # beside which it happens to run. The word may overtake a report, and come twice.
