--- a/tests/test_poison.py
+++ b/tests/test_poison.py
@@ -70,7 +70,7 @@
         self.crash("e3", "poison")
         self.assertFalse(self.table.must_run_alone("unlucky") or self.table.must_run_alone("poison"))
 
-    def test_crashes_are_forgotten(self):
+    def test_crashes_expire(self):
         for number in range(CRASH_LIMIT):
             self.crash(f"e{number}", "poison")
         self.clock.now += CRASH_WINDOW_S + 1.0
