--- a/tests/test_counted_runs.py
+++ b/tests/test_counted_runs.py
@@ -63,7 +63,7 @@
         await asyncio.sleep(STEP_S)
 
     @property
-    def asks(self):
+    def grant_requests(self):
         return [message for message in self.schedulers.sent if isinstance(message, GrantRequest)]
 
 
@@ -96,7 +96,7 @@
         request = OneRequest(leaving=["e1"], max_runs=1)
         await request.grant("e1")
         self.assertEqual(request.caller.starts, [])
-        self.assertIn("e1", request.asks[-1].excluded_engines)
+        self.assertIn("e1", request.grant_requests[-1].excluded_engines)
         await request.grant("e2")
         self.assertEqual(request.caller.starts[-1].engine, "e2")
 
@@ -107,7 +107,7 @@
         request = OneRequest(max_runs=1, repeatable=False)
         await request.grant("e1")
         await request.end(RunNotSent(detail="full", arrived=True))
-        self.assertIn("e1", request.asks[-1].excluded_engines)
+        self.assertIn("e1", request.grant_requests[-1].excluded_engines)
         await request.grant("e2")
         await request.end(RunDone())
         self.assertIsInstance(request.caller.answer, AnswerWhole)
--- a/tests/test_run_counts.py
+++ b/tests/test_run_counts.py
@@ -58,7 +58,7 @@
         request = self.request()
         await request.grant("e1")
         await request.end(LOST)
-        asked = request.asks[-1]
+        asked = request.grant_requests[-1]
         self.assertTrue(asked.is_retry)
         refused = {"reason": Reason.RETRY_BUDGET, "retry_after_s": 1.0}
         request.entry.on_scheduler_message(Refused(request_id="r1", attempt=asked.attempt, **refused))
