--- a/tests/test_counted_runs.py
+++ b/tests/test_counted_runs.py
@@ -69,7 +69,7 @@
 
 class SilenceTest(unittest.TestCase):
     @on_paused_clock
-    async def test_the_last_run_is_not_given_up_for_silence(self):
+    async def test_the_last_run_has_no_silence_limit(self):
         # The request may run once. Its engine pauses for seconds as it prefills beside; given up
         # after one, the caller's stream would end broken though the engine was about to go on.
         request = OneRequest(max_runs=1, repeatable=False)
