--- a/tests/test_counted_runs.py
+++ b/tests/test_counted_runs.py
@@ -79,7 +79,7 @@
         self.assertGreater(start.first_token_deadline_s, TIME_S - 1.0)
 
     @on_paused_clock
-    async def test_a_run_that_may_be_repeated_is_given_up_after_a_while(self):
+    async def test_a_repeatable_run_has_a_silence_limit(self):
         request = OneRequest(max_runs=2)
         await request.grant("e1")
         self.assertEqual(request.caller.starts[-1].progress_deadline_s, COUNTED_RUN_SILENCE_S)
