--- a/tests/test_counted_runs.py
+++ b/tests/test_counted_runs.py
@@ -90,7 +90,7 @@
 
 class LeavingEngineTest(unittest.TestCase):
     @on_paused_clock
-    async def test_a_grant_on_an_engine_known_to_leave_is_given_back(self):
+    async def test_a_grant_on_an_engine_known_to_drain_is_returned(self):
         # The scheduler is cut off from the platform and grants an engine that this router knows to
         # leave. Sent there, the request would be lost when the engine goes.
         request = OneRequest(leaving=["e1"], max_runs=1)
