--- a/tests/test_run_counts.py
+++ b/tests/test_run_counts.py
@@ -58,10 +58,10 @@
         request = self.request()
         await request.grant("e1")
         await request.end(LOST)
-        asked = request.grant_requests[-1]
-        self.assertTrue(asked.is_retry)
+        grant_request = request.grant_requests[-1]
+        self.assertTrue(grant_request.is_retry)
         refused = {"reason": Reason.RETRY_BUDGET, "retry_after_s": 1.0}
-        request.entry.on_scheduler_message(Refused(request_id="r1", attempt=asked.attempt, **refused))
+        request.entry.on_scheduler_message(Refused(request_id="r1", attempt=grant_request.attempt, **refused))
         await asyncio.sleep(0.0)
         self.assertEqual(request.caller.answer.refusal.reason, Reason.RETRY_BUDGET)
         self.assertEqual(self.counts[("retries_refused", "asistente")], 1)
