--- a/tests/test_run_counts.py
+++ b/tests/test_run_counts.py
@@ -73,7 +73,7 @@
         self.assertEqual(self.counts[("runs_of_crashing_requests", "asistente")], 1)
 
     @on_paused_clock
-    async def test_a_rest_asked_for_again_late_counts_as_broken(self):
+    async def test_a_request_after_the_grace_period_counts_as_a_broken_back_off(self):
         request = self.request()
         for wait_s, broken in ((0.0, 0), (0.3, 0), (0.4, 1)):
             await asyncio.sleep(wait_s)
