--- a/tests/test_run_reports.py
+++ b/tests/test_run_reports.py
@@ -37,7 +37,7 @@
         self.end_runs(RunSilent(reached=True, held=True))
         self.assertTrue(self.is_used())
 
-    def test_an_engine_that_said_nothing_is_ejected(self):
+    def test_an_engine_that_stayed_silent_is_ejected(self):
         self.end_runs(RunSilent(reached=True))
         self.assertFalse(self.is_used())
 
