--- a/tests/test_quiet_crashes.py
+++ b/tests/test_quiet_crashes.py
@@ -9,7 +9,7 @@
 
 ROUTERS = 8
 ENGINES = 6
-AGAIN_S = 0.6
+RESEND_INTERVAL_S = 0.6
 WATCHED_S = 16.0
 CRASHES = 3
 CONTACT_S = 4.0
@@ -44,7 +44,7 @@
         while time.monotonic() < until:
             senders.append(threading.Thread(target=self.send, args=(world, method, path, len(senders))))
             senders[-1].start()
-            time.sleep(AGAIN_S)
+            time.sleep(RESEND_INTERVAL_S)
         for sender in senders:
             sender.join()
         crashes = sorted(at for engine in world.engines.values() for at in engine.crashes)
