--- a/tests/test_quiet_crashes.py
+++ b/tests/test_quiet_crashes.py
@@ -10,7 +10,7 @@
 ROUTERS = 8
 ENGINES = 6
 RESEND_INTERVAL_S = 0.6
-WATCHED_S = 16.0
+OBSERVATION_S = 16.0
 CRASHES = 3
 CONTACT_S = 4.0
 """Time after the third crash in which the fleet learns which request it is."""
@@ -40,7 +40,7 @@
         """Send one request through each router in turn, and see how often it runs once it has crashed three engines."""
         world = self.world()
         senders = []
-        until = time.monotonic() + WATCHED_S
+        until = time.monotonic() + OBSERVATION_S
         while time.monotonic() < until:
             senders.append(threading.Thread(target=self.send, args=(world, method, path, len(senders))))
             senders[-1].start()
