--- a/tests/test_quiet_crashes.py
+++ b/tests/test_quiet_crashes.py
@@ -12,7 +12,7 @@
 RESEND_INTERVAL_S = 0.6
 OBSERVATION_S = 16.0
 CRASHES = 3
-CONTACT_S = 4.0
+PROPAGATION_S = 4.0
 """Time after the third crash in which the fleet learns which request it is."""
 MAX_AFTER = 3
 
@@ -49,7 +49,7 @@
             sender.join()
         crashes = sorted(at for engine in world.engines.values() for at in engine.crashes)
         arrivals = sorted(at for engine in world.engines.values() for at in engine.arrivals_of_poison)
-        after = [at for at in arrivals if at > crashes[CRASHES - 1] + CONTACT_S]
+        after = [at for at in arrivals if at > crashes[CRASHES - 1] + PROPAGATION_S]
         self.assertLessEqual(len(after), MAX_AFTER)
 
     # Guards against a crash that no router tells from a broken connection, as each has one run on the engine.
