--- a/tests/test_slow_service.py
+++ b/tests/test_slow_service.py
@@ -13,7 +13,7 @@
 from wagtailtrestle.contracts.outcomes import RunDone, RunSilent
 from wagtailtrestle.slopes.entry import make_entry, make_request
 
-SLOWED = 150.0
+SLOWDOWN_FACTOR = 150.0
 """From 20 ms for a booking to 3 s, within the 5 s that its caller has."""
 BOOKINGS = 4
 
@@ -54,7 +54,7 @@
         running = Running(routers=2).start()
         self.addCleanup(running.close)
         seen = [running.send(BOOKING, router=running.routers[0])]
-        running.faults("reservas-1", straggle=SLOWED)
+        running.faults("reservas-1", straggle=SLOWDOWN_FACTOR)
         senders = [
             threading.Thread(target=lambda: seen.append(running.send(BOOKING, router=running.routers[0])))
             for _ in range(BOOKINGS)
