--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -22,23 +22,23 @@
 class Fleet:
     """Routers that share one owner; asks arrive at once unless the way is cut."""
 
-    def __init__(self, *, books=2, quota=QUOTA, tolerance=None):
+    def __init__(self, *, peers=2, quota=QUOTA, tolerance=None):
         self.clock = Clock()
         self.threads = []
-        self.present = books
+        self.present = peers
         self.cut = set()
         self.owner = QuotaOwner(
             clock=self.clock, members=lambda: self.present, tolerance=lambda: tolerance or Tolerance()
         )
         self.owner.set_quotas({"club": quota})
-        self.books = [self._book(number) for number in range(books)]
-        for book in self.books:
+        self.peers = [self._book(number) for number in range(peers)]
+        for book in self.peers:
             book.set_quotas({"club": quota})
 
     def _book(self, number):
         def send(ask):
             if number not in self.cut:
-                self.books[number].on_grant(self.owner.grant(ask))
+                self.peers[number].on_grant(self.owner.grant(ask))
 
         # ``take`` holds its lock while it asks, as the loop's thread would wait for it: a thread carries it, and
         # as on the loop each begins when the one before has ended.
@@ -53,7 +53,7 @@
             self.threads.append(threading.Thread(target=run))
             self.threads[-1].start()
 
-        return QuotaAccounts(clock=self.clock, call_soon=soon, send_ask=send, members=lambda: len(self.books))
+        return QuotaAccounts(clock=self.clock, call_soon=soon, send_ask=send, members=lambda: len(self.peers))
 
     def pass_time(self, seconds):
         """Let the clock go on once all that was asked is answered."""
@@ -61,16 +61,16 @@
             thread.join()
         self.threads.clear()
         self.clock.now += seconds
-        for book in self.books:
+        for book in self.peers:
             book.tick()
 
-    def spend(self, seconds, *, units=100, tick_s=0.1, books=None):
+    def spend(self, seconds, *, units=100, tick_s=0.1, peers=None):
         """Take as much as there is for some time; the units that went through."""
         used = 0
         for _ in range(round(seconds / tick_s)):
             self.clock.now += tick_s
-            for number in books if books is not None else range(len(self.books)):
-                book = self.books[number]
+            for number in peers if peers is not None else range(len(self.peers)):
+                book = self.peers[number]
                 book.tick()
                 while isinstance(charge := book.acquire("club", units), QuotaCharge):
                     used += units
@@ -88,57 +88,57 @@
 
     def test_one_router_may_use_all_of_it(self):
         # A team's callers all reach one router. A fixed share would refuse what the quota allows.
-        used = Fleet(books=5).spend(10.0, books=[0])
+        used = Fleet(peers=5).spend(10.0, peers=[0])
         self.assertGreater(used, 0.9 * 10.0 * QUOTA.rate_per_s)
 
     def test_a_refusal_says_when_there_is_room(self):
-        fleet = Fleet(books=1)
+        fleet = Fleet(peers=1)
         fleet.spend(0.1)
-        refused = fleet.books[0].acquire("club", 500)
+        refused = fleet.peers[0].acquire("club", 500)
         self.assertIsInstance(refused, QuotaRefused)
         self.assertGreater(refused.retry_after_s, 0.0)
         self.assertLess(refused.retry_after_s, 1.0)
 
     def test_a_request_that_did_not_run_gives_back(self):
-        fleet = Fleet(books=1)
-        charge = fleet.books[0].acquire("club", 2000)
+        fleet = Fleet(peers=1)
+        charge = fleet.peers[0].acquire("club", 2000)
         self.assertIsInstance(charge, QuotaCharge)
         charge.refund()
         charge.refund()
-        self.assertIsInstance(fleet.books[0].acquire("club", 2000), QuotaCharge)
-        self.assertIsInstance(fleet.books[0].acquire("club", 100), QuotaRefused)
+        self.assertIsInstance(fleet.peers[0].acquire("club", 2000), QuotaCharge)
+        self.assertIsInstance(fleet.peers[0].acquire("club", 100), QuotaRefused)
 
     def test_credits_in_hand_count_for_a_request_that_needs_more(self):
         # A caller sees 429 though its team's quota is untouched. A request that did not run gave its units back, and
         # the next look returned a part of them to the owner: 1,200 in hand, 800 there. A request of 2,000 was asked
         # for as if nothing were in hand, and the owner, which had 800, refused it.
-        fleet = Fleet(books=1)
-        fleet.books[0].acquire("club", 2000).refund()
+        fleet = Fleet(peers=1)
+        fleet.peers[0].acquire("club", 2000).refund()
         fleet.pass_time(0.0)
-        self.assertIsInstance(fleet.books[0].acquire("club", 2000), QuotaCharge)
+        self.assertIsInstance(fleet.peers[0].acquire("club", 2000), QuotaCharge)
 
     def test_credits_in_hand_are_not_counted_twice(self):
-        fleet = Fleet(books=1)
-        fleet.books[0].acquire("club", 2000).refund()
+        fleet = Fleet(peers=1)
+        fleet.peers[0].acquire("club", 2000).refund()
         fleet.pass_time(0.0)
-        fleet.books[0].acquire("club", 2000)
-        self.assertIsInstance(fleet.books[0].acquire("club", 100), QuotaRefused)
+        fleet.peers[0].acquire("club", 2000)
+        self.assertIsInstance(fleet.peers[0].acquire("club", 100), QuotaRefused)
 
     def test_a_router_cut_off_from_the_owner_goes_on_with_its_share(self):
         # The way to the owner is cut. Refusing everything would fail the team's callers here;
         # serving freely would exceed the quota beside the owner, who gives out the rest.
-        fleet = Fleet(books=4)
-        fleet.spend(1.0, books=[3])
+        fleet = Fleet(peers=4)
+        fleet.spend(1.0, peers=[3])
         fleet.cut = {3}
         fleet.clock.now += OWNER_TIMEOUT_S
         # No answer comes, so that a shorter real wait changes nothing but the time that the test takes.
         with mock.patch.object(accounts_module, "MAX_WAIT_S", 0.05):
-            used = fleet.spend(10.0, books=[3])
+            used = fleet.spend(10.0, peers=[3])
         self.assertGreater(used, 0.5 * 10.0 * QUOTA.rate_per_s / 4)
         self.assertLess(used, 1.3 * 10.0 * QUOTA.rate_per_s / 4)
 
     def test_the_owner_leaves_out_the_share_of_who_vanished(self):
-        fleet = Fleet(books=4)
+        fleet = Fleet(peers=4)
         fleet.spend(2.0)
         fleet.present = 2
         fleet.clock.now += 0.1
@@ -149,21 +149,21 @@
 
     def test_a_part_of_the_tolerance_is_given_out(self):
         tolerance = Tolerance(window_s=8.0, share=0.1, units=4000.0)
-        used = Fleet(books=1, tolerance=tolerance).spend(8.0)
+        used = Fleet(peers=1, tolerance=tolerance).spend(8.0)
         strict = 8.0 * QUOTA.rate_per_s + QUOTA.burst
         self.assertGreater(used, strict)
         self.assertLess(used, 1.1 * strict + 4000.0)
 
     def test_a_lower_quota_holds_at_once(self):
-        fleet = Fleet(books=1)
+        fleet = Fleet(peers=1)
         fleet.spend(1.0)
         lower = TokenQuota(rate_per_s=100.0, burst=100.0, counts_tokens=True)
         fleet.owner.set_quotas({"club": lower})
-        fleet.books[0].set_quotas({"club": lower})
+        fleet.peers[0].set_quotas({"club": lower})
         self.assertLess(fleet.spend(10.0, units=10), 100.0 * 10.0 + 1000.0)
 
     def test_a_team_without_a_quota_is_not_counted(self):
-        self.assertIsNone(Fleet().books[0].acquire("others", 10**9))
+        self.assertIsNone(Fleet().peers[0].acquire("others", 10**9))
 
     def test_the_owner_answers_for_a_team_it_does_not_know(self):
         # Its configuration is older than the asker's. Without an answer the asker would refuse
@@ -188,7 +188,7 @@
     def play(self, *, routers, share, seconds, seed=5):
         """Ask for ``share`` of the rate; what was admitted, how many were refused, and the last refusals."""
         quota = TokenQuota(rate_per_s=self.RATE_PER_S, burst=self.BURST, counts_tokens=True)
-        fleet = Fleet(books=routers, quota=quota)
+        fleet = Fleet(peers=routers, quota=quota)
         chance = random.Random(seed)
         admitted, refused = 0, []
         gap_s = sum(self.SIZES) / len(self.SIZES) / (share * self.RATE_PER_S)
@@ -198,7 +198,7 @@
             while due <= fleet.clock.now:
                 due += gap_s * chance.uniform(0.5, 1.5)
                 units = chance.choice(self.SIZES)
-                charge = chance.choice(fleet.books).acquire("club", units)
+                charge = chance.choice(fleet.peers).acquire("club", units)
                 if isinstance(charge, QuotaCharge):
                     admitted += units
                 else:
@@ -226,40 +226,40 @@
     def test_a_refusal_tells_when_the_request_passes(self):
         fleet, _, _ = self.play(routers=20, share=3.0, seconds=20.0)
         units = max(self.SIZES)
-        while isinstance(refusal := fleet.books[0].acquire("club", units), QuotaCharge):
+        while isinstance(refusal := fleet.peers[0].acquire("club", units), QuotaCharge):
             pass
         fleet.pass_time(refusal.retry_after_s + TICK_S)
-        self.assertIsInstance(fleet.books[3].acquire("club", units), QuotaCharge)
+        self.assertIsInstance(fleet.peers[3].acquire("club", units), QuotaCharge)
 
     def test_a_small_request_passes_where_a_large_one_does_not_fit(self):
         # What was kept in hand for more of them comes back within a second and serves another router.
         quota = TokenQuota(rate_per_s=10.0, burst=2000.0, counts_tokens=True)
-        fleet = Fleet(books=2, quota=quota)
-        self.assertIsInstance(fleet.books[0].acquire("club", 1500), QuotaCharge)
-        self.assertIsInstance(fleet.books[0].acquire("club", 800), QuotaRefused)
-        self.assertIsInstance(fleet.books[0].acquire("club", 300), QuotaCharge)
+        fleet = Fleet(peers=2, quota=quota)
+        self.assertIsInstance(fleet.peers[0].acquire("club", 1500), QuotaCharge)
+        self.assertIsInstance(fleet.peers[0].acquire("club", 800), QuotaRefused)
+        self.assertIsInstance(fleet.peers[0].acquire("club", 300), QuotaCharge)
         fleet.pass_time(1.1)
-        self.assertIsInstance(fleet.books[1].acquire("club", 190), QuotaCharge)
+        self.assertIsInstance(fleet.peers[1].acquire("club", 190), QuotaCharge)
 
     def test_units_given_back_serve_another_router(self):
         # A request was charged and then refused for want of a place; the next one of the team comes
         # to another router.
         quota = TokenQuota(rate_per_s=10.0, burst=2000.0, counts_tokens=True)
-        fleet = Fleet(books=2, quota=quota)
-        fleet.books[0].acquire("club", 2000).refund()
+        fleet = Fleet(peers=2, quota=quota)
+        fleet.peers[0].acquire("club", 2000).refund()
         fleet.pass_time(1.1)
-        self.assertIsInstance(fleet.books[1].acquire("club", 1900), QuotaCharge)
+        self.assertIsInstance(fleet.peers[1].acquire("club", 1900), QuotaCharge)
 
     def test_a_request_larger_than_the_burst_passes_a_full_bucket_and_is_made_up_for(self):
         # It lies within what the quota allows in the operator's window, but a bucket never holds so much.
         quota = TokenQuota(rate_per_s=1000.0, burst=2000.0, counts_tokens=True)
-        fleet = Fleet(books=1, quota=quota, tolerance=Tolerance(window_s=8.0))
-        self.assertIsInstance(fleet.books[0].acquire("club", 5000), QuotaCharge)
+        fleet = Fleet(peers=1, quota=quota, tolerance=Tolerance(window_s=8.0))
+        self.assertIsInstance(fleet.peers[0].acquire("club", 5000), QuotaCharge)
         fleet.pass_time(2.0)
-        self.assertIsInstance(fleet.books[0].acquire("club", 100), QuotaRefused)
+        self.assertIsInstance(fleet.peers[0].acquire("club", 100), QuotaRefused)
         fleet.pass_time(1.5)
-        self.assertIsInstance(fleet.books[0].acquire("club", 100), QuotaCharge)
-        self.assertIsInstance(fleet.books[0].acquire("club", 20_000), QuotaRefused)
+        self.assertIsInstance(fleet.peers[0].acquire("club", 100), QuotaCharge)
+        self.assertIsInstance(fleet.peers[0].acquire("club", 20_000), QuotaRefused)
 
 
 class OwnersChangeTest(unittest.TestCase):
@@ -295,7 +295,7 @@
     def test_a_request_beyond_the_quota_is_refused_as_not_run_with_its_cause(self):
         fleet = Fleet()
         team = SimpleNamespace(name="club", quota=QUOTA)
-        refusal = charge_team(accounts=fleet.books[0], team=team, tokens=50_000)
+        refusal = charge_team(accounts=fleet.peers[0], team=team, tokens=50_000)
         self.assertEqual((refusal.reason, refusal.executed), (Reason.QUOTA, Executed.NO))
         self.assertGreater(refusal.retry_after_s, 0.0)
         self.assertEqual(
@@ -307,9 +307,9 @@
     def test_what_fits_is_charged_and_no_quota_charges_nothing(self):
         fleet = Fleet()
         team = SimpleNamespace(name="club", quota=QUOTA)
-        self.assertIsInstance(charge_team(accounts=fleet.books[0], team=team, tokens=100), QuotaCharge)
+        self.assertIsInstance(charge_team(accounts=fleet.peers[0], team=team, tokens=100), QuotaCharge)
         for free in (None, SimpleNamespace(name="club", quota=None)):
-            self.assertIsNone(charge_team(accounts=fleet.books[0], team=free, tokens=100))
+            self.assertIsNone(charge_team(accounts=fleet.peers[0], team=free, tokens=100))
 
 
 if __name__ == "__main__":
