--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -31,11 +31,11 @@
             clock=self.clock, members=lambda: self.present, tolerance=lambda: tolerance or Tolerance()
         )
         self.owner.set_quotas({"club": quota})
-        self.peers = [self._book(number) for number in range(peers)]
+        self.peers = [self._make_accounts(number) for number in range(peers)]
         for book in self.peers:
             book.set_quotas({"club": quota})
 
-    def _book(self, number):
+    def _make_accounts(self, number):
         def send(ask):
             if number not in self.cut:
                 self.peers[number].on_grant(self.owner.grant(ask))
