--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -32,8 +32,8 @@
         )
         self.owner.set_quotas({"club": quota})
         self.peers = [self._make_accounts(number) for number in range(peers)]
-        for book in self.peers:
-            book.set_quotas({"club": quota})
+        for router_accounts in self.peers:
+            router_accounts.set_quotas({"club": quota})
 
     def _make_accounts(self, number):
         def send(ask):
@@ -61,8 +61,8 @@
             thread.join()
         self.threads.clear()
         self.clock.now += seconds
-        for book in self.peers:
-            book.tick()
+        for router_accounts in self.peers:
+            router_accounts.tick()
 
     def spend(self, seconds, *, units=100, tick_s=0.1, peers=None):
         """Take as much as there is for some time; the units that went through."""
@@ -70,9 +70,9 @@
         for _ in range(round(seconds / tick_s)):
             self.clock.now += tick_s
             for number in peers if peers is not None else range(len(self.peers)):
-                book = self.peers[number]
-                book.tick()
-                while isinstance(charge := book.acquire("club", units), QuotaCharge):
+                router_accounts = self.peers[number]
+                router_accounts.tick()
+                while isinstance(charge := router_accounts.acquire("club", units), QuotaCharge):
                     used += units
                 assert isinstance(charge, QuotaRefused)
         return used
