--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -36,9 +36,9 @@
             router_accounts.set_quotas({"club": quota})
 
     def _make_accounts(self, number):
-        def send(ask):
+        def send(request):
             if number not in self.cut:
-                self.peers[number].on_grant(self.owner.grant(ask))
+                self.peers[number].on_grant(self.owner.grant(request))
 
         # ``take`` holds its lock while it asks, as the loop's thread would wait for it: a thread carries it, and
         # as on the loop each begins when the one before has ended.
