--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -64,7 +64,7 @@
         for router_accounts in self.peers:
             router_accounts.tick()
 
-    def spend(self, seconds, *, units=100, tick_s=0.1, peers=None):
+    def use_up(self, seconds, *, units=100, tick_s=0.1, peers=None):
         """Take as much as there is for some time; the units that went through."""
         used = 0
         for _ in range(round(seconds / tick_s)):
@@ -82,18 +82,18 @@
     def test_all_routers_together_keep_to_the_quota(self):
         # Two routers are flooded by one team. Each by itself keeping to the quota would let
         # twice as much through.
-        used = Fleet().spend(10.0)
+        used = Fleet().use_up(10.0)
         self.assertLessEqual(used, 10.0 * QUOTA.rate_per_s + QUOTA.burst + 200)
         self.assertGreater(used, 0.9 * 10.0 * QUOTA.rate_per_s)
 
     def test_one_router_may_use_all_of_it(self):
         # A team's callers all reach one router. A fixed share would refuse what the quota allows.
-        used = Fleet(peers=5).spend(10.0, peers=[0])
+        used = Fleet(peers=5).use_up(10.0, peers=[0])
         self.assertGreater(used, 0.9 * 10.0 * QUOTA.rate_per_s)
 
     def test_a_refusal_says_when_there_is_room(self):
         fleet = Fleet(peers=1)
-        fleet.spend(0.1)
+        fleet.use_up(0.1)
         refused = fleet.peers[0].acquire("club", 500)
         self.assertIsInstance(refused, QuotaRefused)
         self.assertGreater(refused.retry_after_s, 0.0)
@@ -128,39 +128,39 @@
         # The way to the owner is cut. Refusing everything would fail the team's callers here;
         # serving freely would exceed the quota beside the owner, who gives out the rest.
         fleet = Fleet(peers=4)
-        fleet.spend(1.0, peers=[3])
+        fleet.use_up(1.0, peers=[3])
         fleet.cut = {3}
         fleet.clock.now += OWNER_TIMEOUT_S
         # No answer comes, so that a shorter real wait changes nothing but the time that the test takes.
         with mock.patch.object(accounts_module, "MAX_WAIT_S", 0.05):
-            used = fleet.spend(10.0, peers=[3])
+            used = fleet.use_up(10.0, peers=[3])
         self.assertGreater(used, 0.5 * 10.0 * QUOTA.rate_per_s / 4)
         self.assertLess(used, 1.3 * 10.0 * QUOTA.rate_per_s / 4)
 
     def test_the_owner_leaves_out_the_share_of_who_vanished(self):
         fleet = Fleet(peers=4)
-        fleet.spend(2.0)
+        fleet.use_up(2.0)
         fleet.present = 2
         fleet.clock.now += 0.1
-        used = fleet.spend(10.0)
+        used = fleet.use_up(10.0)
         self.assertLess(used, 1.2 * 10.0 * QUOTA.rate_per_s / 2)
         fleet.clock.now += ABSENT_ROUTER_RETENTION_S
-        self.assertGreater(fleet.spend(10.0), 0.9 * 10.0 * QUOTA.rate_per_s)
+        self.assertGreater(fleet.use_up(10.0), 0.9 * 10.0 * QUOTA.rate_per_s)
 
     def test_a_part_of_the_tolerance_is_given_out(self):
         tolerance = Tolerance(window_s=8.0, share=0.1, units=4000.0)
-        used = Fleet(peers=1, tolerance=tolerance).spend(8.0)
+        used = Fleet(peers=1, tolerance=tolerance).use_up(8.0)
         strict = 8.0 * QUOTA.rate_per_s + QUOTA.burst
         self.assertGreater(used, strict)
         self.assertLess(used, 1.1 * strict + 4000.0)
 
     def test_a_lower_quota_holds_at_once(self):
         fleet = Fleet(peers=1)
-        fleet.spend(1.0)
+        fleet.use_up(1.0)
         lower = TokenQuota(rate_per_s=100.0, burst=100.0, counts_tokens=True)
         fleet.owner.set_quotas({"club": lower})
         fleet.peers[0].set_quotas({"club": lower})
-        self.assertLess(fleet.spend(10.0, units=10), 100.0 * 10.0 + 1000.0)
+        self.assertLess(fleet.use_up(10.0, units=10), 100.0 * 10.0 + 1000.0)
 
     def test_a_team_without_a_quota_is_not_counted(self):
         self.assertIsNone(Fleet().peers[0].acquire("others", 10**9))
