--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -137,7 +137,7 @@
         self.assertGreater(used, 0.5 * 10.0 * QUOTA.rate_per_s / 4)
         self.assertLess(used, 1.3 * 10.0 * QUOTA.rate_per_s / 4)
 
-    def test_the_owner_leaves_out_the_share_of_who_vanished(self):
+    def test_the_owner_withholds_the_share_of_routers_that_vanished(self):
         fleet = Fleet(peers=4)
         fleet.use_up(2.0)
         fleet.present = 2
