--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -147,7 +147,7 @@
         fleet.clock.now += ABSENT_ROUTER_RETENTION_S
         self.assertGreater(fleet.use_up(10.0), 0.9 * 10.0 * QUOTA.rate_per_s)
 
-    def test_a_part_of_the_tolerance_is_given_out(self):
+    def test_part_of_the_tolerance_is_granted(self):
         tolerance = Tolerance(window_s=8.0, share=0.1, units=4000.0)
         used = Fleet(peers=1, tolerance=tolerance).use_up(8.0)
         strict = 8.0 * QUOTA.rate_per_s + QUOTA.burst
