--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -154,7 +154,7 @@
         self.assertGreater(used, strict)
         self.assertLess(used, 1.1 * strict + 4000.0)
 
-    def test_a_lower_quota_holds_at_once(self):
+    def test_a_lower_quota_applies_immediately(self):
         fleet = Fleet(peers=1)
         fleet.use_up(1.0)
         lower = TokenQuota(rate_per_s=100.0, burst=100.0, counts_tokens=True)
