--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -223,7 +223,7 @@
                 self.assertGreater(admitted, 0.93 * allowed)
                 self.assertGreater(len(refused), 10)
 
-    def test_a_refusal_tells_when_the_request_passes(self):
+    def test_a_request_passes_after_the_reported_retry_time(self):
         fleet, _, _ = self.play(routers=20, share=3.0, seconds=20.0)
         units = max(self.SIZES)
         while isinstance(refusal := fleet.peers[0].acquire("club", units), QuotaCharge):
