--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -241,7 +241,7 @@
         fleet.pass_time(1.1)
         self.assertIsInstance(fleet.peers[1].acquire("club", 190), QuotaCharge)
 
-    def test_units_given_back_serve_another_router(self):
+    def test_returned_units_serve_another_router(self):
         # A request was charged and then refused for want of a place; the next one of the team comes
         # to another router.
         quota = TokenQuota(rate_per_s=10.0, burst=2000.0, counts_tokens=True)
