--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -214,7 +214,7 @@
                 _, _, refused = self.play(routers=routers, share=0.95, seconds=30.0)
                 self.assertEqual(refused, [])
 
-    def test_what_is_beyond_is_refused_and_the_rest_served_whole(self):
+    def test_requests_beyond_the_quota_are_refused_and_the_rest_admitted(self):
         for routers in (20, 200):
             with self.subTest(routers=routers):
                 _, admitted, refused = self.play(routers=routers, share=2.0, seconds=30.0)
