--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -282,7 +282,7 @@
         owner.mark_owned_elsewhere("club")
         self.assertEqual(owner.grant(QuotaAsk(team="club", ahead=2000)).units, QUOTA.burst * TAKEOVER_SHARE)
 
-    def test_an_owner_that_lost_a_team_and_got_it_back_begins_anew(self):
+    def test_an_owner_that_regains_a_team_starts_with_the_takeover_share(self):
         clock = Clock()
         owner = self.owner(clock)
         owner.grant(QuotaAsk(team="club", needed=(100,)))
