--- a/tests/test_quota_fleet.py
+++ b/tests/test_quota_fleet.py
@@ -15,7 +15,7 @@
 BURST = 200.0
 ROUTERS = 8
 WINDOW_S = 8.0
-ASK_EVERY_S = 0.1
+REQUEST_INTERVAL_S = 0.1
 CUT_S = 30.0
 """Longer than a router that left the view was once reckoned with."""
 
@@ -49,8 +49,8 @@
     async def given_out(self, shared):
         """Units that all routers grant themselves within one window."""
         units = 0
-        for _ in range(int(WINDOW_S / ASK_EVERY_S)):
-            await asyncio.sleep(ASK_EVERY_S)
+        for _ in range(int(WINDOW_S / REQUEST_INTERVAL_S)):
+            await asyncio.sleep(REQUEST_INTERVAL_S)
             units += sum(quotas._owner.grant(QuotaAsk(team=TEAM, needed=(10,) * 10)).units for quotas in shared)
         return units
 
