--- a/tests/test_quota_fleet.py
+++ b/tests/test_quota_fleet.py
@@ -46,7 +46,7 @@
             quotas.set_declaration(declaration)
         return shared
 
-    async def given_out(self, shared):
+    async def granted_units(self, shared):
         """Units that all routers grant themselves within one window."""
         units = 0
         for _ in range(int(WINDOW_S / REQUEST_INTERVAL_S)):
@@ -61,7 +61,7 @@
         shared = await self.routers(net, await net.add_all(ROUTERS))
         net.cut = lambda one, other: one != other
         await asyncio.sleep(CUT_S)
-        self.assertLessEqual(await self.given_out(shared), RATE_PER_S * WINDOW_S + BURST)
+        self.assertLessEqual(await self.granted_units(shared), RATE_PER_S * WINDOW_S + BURST)
 
 
 if __name__ == "__main__":
