--- a/wagtailtrestle/entry/request_task.py
+++ b/wagtailtrestle/entry/request_task.py
@@ -1,7 +1,7 @@
 """The state machine of one request, owned by the router that took the call.
 
 ``queued -> granted -> dispatched -> finished | refused | unknown``. Only this task
-may dispatch its request, so no crossed message can make it run twice.
+may dispatch its request, so messages that cross on the network can't make it run twice.
 """
 
 import asyncio
@@ -54,19 +54,19 @@
 MIN_ATTACH_TIME_S = 0.05
 CANCEL_GRACE_S = 2.0
 COUNTED_RUN_SILENCE_S = 3.0
-"""Least silence after which a run is given up where runs are counted. Engines that prefill several long
-prompts pause for a second or two; taken for lost, their runs would be begun again elsewhere, at the
-price of their prompts, just when engines are busiest."""
+"""Minimum silence limit for runs of a request that limits its number of runs. Engines that prefill several
+long prompts pause for a second or two; with a shorter limit their runs would be repeated on other engines,
+which prefill the prompts again just when load is highest."""
 MIN_FIRST_TOKEN_S = 0.001
-"""A hope that has passed: distinct from 0, which stands for none."""
+"""Stands for a target time to first token that has passed, since 0 means that there is no target."""
 
 
 RETRIES = frozenset({RunKind.AFTER_LOSS, RunKind.AFTER_REFUSAL})
-"""Runs that count against the budget of retries; a run after a preemption was asked for by the scheduler."""
+"""Runs that count against the retry budget; a run after a preemption does not, since the scheduler caused it."""
 
 
 class RequestState(StrEnum):
-    """Where a request stands; the last three are final."""
+    """State of a request; the last three are final."""
 
     QUEUED = "queued"
     GRANTED = "granted"
@@ -78,20 +78,20 @@
 
 @record
 class Displaced:
-    """The router needs this waiting request's room for a higher tier."""
+    """The router drops this waiting request to admit one of a higher tier."""
 
     retry_after_s: float = DEFAULT_RETRY_AFTER_S
 
 
 class RequestTask:
-    """Serves one request from its claim to its one final answer.
+    """Serves one request from its claim to its single final answer.
 
     Parameters
     ----------
     request : CallerRequest
     caller : CallerLink
     context : RequestContext
-        What the owning entry offers: schedulers, claims, budgets, addresses.
+        Services of the owning entry: schedulers, claims, budgets, addresses.
     """
 
     __slots__ = (
@@ -158,7 +158,7 @@
         self._arrived_at = context.now()
 
     def post(self, message):
-        """Queue a message for this task."""
+        """Queue a message to this task."""
         self._inbox.put_nowait(message)
 
     async def serve(self):
@@ -173,10 +173,10 @@
             if self._handle_run_end(ended):
                 return
 
-    # What others are told of this request.
+    # Messages that describe this request.
 
     def grant_request(self):
-        """Build the ask for a place as it stands now."""
+        """Build the request for a slot from the present state."""
         request = self.request
         return GrantRequest(
             request_id=request.request_id,
@@ -217,9 +217,9 @@
     async def _claim(self):
         if not self._request_claim.is_needed:
             return True
-        # A caller that sends again through another router must not make a second
-        # run. The claim is proved in the platform's store before the first dispatch;
-        # without that proof nothing is dispatched, so the refusal is true.
+        # A caller that resends through another router must not cause a second run. The
+        # claim is confirmed in the platform's store before the first dispatch; without that
+        # confirmation nothing is dispatched, so a refusal as not executed is accurate.
         match await self._request_claim.win():
             case ClaimWon():
                 return True
@@ -233,7 +233,7 @@
                 self._refuse(Reason.LEDGER_UNAVAILABLE, executed=Executed.NO)
         return False
 
-    # Place.
+    # Slot.
 
     def _check_not_poisoned(self):
         if self.context.crashes.is_blocked(self.request.body_digest):
@@ -263,13 +263,14 @@
                         self.state = RequestState.GRANTED
                         self._retries_used_up = message.retries_used_up
                         return message
-                    # The scheduler may be cut off from the platform, and not know yet that an
-                    # engine leaves, or know one that this router does not. Sent there, the
-                    # request would be lost with the engine: the place goes back, and the next
-                    # ask leaves the engine out.
+                    # A scheduler that is partitioned from the platform may grant an engine that is
+                    # draining, or one that this router doesn't know. Sent there, the request would be
+                    # lost with the engine: the slot is returned, and the next grant request excludes
+                    # the engine.
                     self.context.resend_notices(message.engine)
                     self._reports.returned_slot(message.engine)
-                    # A scheduler that grants it again after it was told may know a later start of the engine.
+                    # A scheduler that grants the engine again although the notices were resent may know of a later
+                    # start of it; the engine is then excluded as well.
                     if not is_available or message.engine in self._declined_engines:
                         self._excluded.add(message.engine)
                     self._declined_engines.add(message.engine)
@@ -305,8 +306,8 @@
             if not self._can_attach(ended):
                 return ended
             attached = True
-            # The stream broke but the engine may still hold the run: attaching to it
-            # gives the rest of the same run, which is no second dispatch.
+            # The stream broke but the engine may still hold the run. Attaching returns the
+            # rest of the same run and is not a second dispatch.
             self._attach_attempts.record_attempt(ended.outcome, is_last=not self._may_retry_now())
             self._begin_run(granted, attach=True)
 
@@ -322,10 +323,10 @@
         self.state = RequestState.DISPATCHED
         self._count_run(attach=attach)
         overall_s = max(self._remaining(), MIN_ATTACH_TIME_S)
-        # A run that is the last this request may have is not given up for silence: there is nothing
-        # to gain, and an engine that only paused, or a service that turned slow, would have finished it: bookings
-        # that took 3 s ended as lost after 2 s, though each was made. Where an engine can be asked for a
-        # run, the limit stays, and what follows it is the question. A dead VM shows by the connection's probes.
+        # The last run that this request may have gets no silence limit: cancelling it gains nothing, and an
+        # engine that paused or a service that became slow would have finished it. With a limit of 2 s, bookings
+        # that took 3 s were answered as lost although they were made. Where the service supports attaching, the
+        # limit stays, and reaching it leads to an attach. A dead VM is detected by the connection's probes.
         is_last = not self._service_supports("attachable") and not self._may_retry_now()
         min_silence_s = 0.0 if self.request.max_runs is None else COUNTED_RUN_SILENCE_S
         self.caller.post(
@@ -358,8 +359,8 @@
             match message:
                 case None:
                     if self._cancelling:
-                        # The engine did not confirm; the caller's side ends its own
-                        # read at the overall limit, so this can't wait for ever.
+                        # The engine did not confirm the cancellation. The caller's side stops
+                        # reading at the overall limit, so this wait is bounded.
                         until = None
                         continue
                     until = self.context.now() + CANCEL_GRACE_S
@@ -378,7 +379,7 @@
                     self.run_tokens = output_tokens
                     self._reports.advanced(output_tokens)
                 case Granted(engine=engine) if engine != self.engine:
-                    # A second scheduler granted the same ask; the place is not needed.
+                    # A second scheduler granted the same request; its slot is not needed.
                     self._reports.returned_slot(engine)
                 case RunEnded():
                     self._evidence.update(message.outcome)
@@ -406,10 +407,10 @@
             return False
         return self._attach_attempts.may_attach(ended.outcome)
 
-    # What follows a run.
+    # After a run.
 
     def _handle_run_end(self, ended):
-        """Tell the scheduler, then answer the caller or return ``False`` to ask again."""
+        """Report to the scheduler, then answer the caller or return ``False`` to request another slot."""
         self._reports.finished(self.engine, ended)
         outcome = ended.outcome
         if not isinstance(outcome, RunDone):
@@ -426,7 +427,7 @@
             case RunFailed() if self._may_run_again():
                 return self._after_loss(outcome)
             case RunRejected() | RunFailed() if self._passes_errors():
-                # A plain service's own refusal (a slot taken) is its whole answer.
+                # An error of a plain service, such as a booking that is taken, is the complete answer.
                 return self._answer_complete(ended)
             case RunRejected(status=status) | RunFailed(status=status):
                 return self._refuse(Reason.ENGINE_ERROR, status=rejected_status(status))
@@ -463,28 +464,28 @@
             return self._refuse_as_lost()
         if self._not_sent_count >= MAX_NOT_SENT:
             return self._refuse(Reason.NO_ENGINE, retry_after_s=self.context.retry_after_s(self.request.service))
-        # What an engine refused cost it a connection and a look: sent on and on to full engines,
-        # the refusals alone would keep them busy.
+        # A refusal costs the engine a connection and the parsing of the request. The next run counts as a
+        # retry; without that limit, refusals alone could keep full engines busy.
         if outcome.arrived:
             self._next_kind = RunKind.AFTER_REFUSAL
         return False
 
     def _may_retry_now(self):
-        """Whether giving a run up could gain its caller an answer of another engine now."""
+        """Whether another engine could answer the request now if this run were cancelled."""
         return self._may_run_again() and not self._retries_used_up
 
     def _may_run_again(self):
-        """Whether another engine may still be tried after one that ran the request."""
+        """Whether the request may be run on another engine after it ran on one."""
         run_limit = self.request.max_runs
         return self.request.repeatable and (run_limit is None or self.runs_begun < run_limit)
 
     def _passes_errors(self):
-        # Once a part of an answer has been sent, an error can't be put in its place.
+        # An error can't replace an answer of which a part has been sent.
         return self._service_supports("passes_errors") and not self.done_tokens and not self.run_tokens
 
     def _after_loss(self, outcome):
         self._update_done_tokens(outcome)
-        # One byte sent may have started the run. A second dispatch of a request that
+        # A single byte sent may have started the run. A second dispatch of a request that
         # may not be repeated could charge a caller twice, so it ends here as unknown.
         if not self._may_run_again():
             return self._refuse_as_lost()
@@ -509,14 +510,14 @@
         self._request_claim.finish(ended)
         return True
 
-    # Messages out.
+    # Final answers.
 
     def _finish(self, command):
         self.state = RequestState.FINISHED
         self.caller.post(command)
 
     def _refuse(self, reason, *, executed=None, retry_after_s=None, status=None):
-        """Give the final answer at once; returns ``True`` as the request is settled."""
+        """Send the refusal as the final answer; always returns ``True``, since the request is then finished."""
         executed = executed or self._evidence.executed()
         self._request_claim.give_up(executed)
         self.state = RequestState.UNKNOWN if executed is Executed.UNKNOWN else RequestState.REFUSED
@@ -527,7 +528,7 @@
     # Helpers.
 
     async def _next_message(self, *, until):
-        """Next message, or ``None`` once ``until`` (loop time) has passed."""
+        """Return the next message, or ``None`` once ``until`` (loop time) has passed."""
         if not self._inbox.empty():
             return self._inbox.get_nowait()
         try:
@@ -541,7 +542,7 @@
         return service is not None and getattr(service, ability)
 
     def _first_token_within_s(self):
-        """Time left to the first token that the caller hopes for; 0 where there is no such hope."""
+        """Time left until the caller's target for the first token; 0 without a target."""
         within_s = self.request.first_token_within_s
         if within_s is None or self.runs_begun:
             return 0.0
