--- a/wagtailtrestle/entry/entry.py
+++ b/wagtailtrestle/entry/entry.py
@@ -1,4 +1,4 @@
-"""The entry: owns every request that callers gave to this router.
+"""The entry: owns every request that callers sent to this router.
 
 Runs one :class:`wagtailtrestle.entry.request_task.RequestTask` per request and routes the
 messages of callers and schedulers to them.
@@ -22,7 +22,7 @@
 
 
 class RequestContext:
-    """What a request's task may use of its router.
+    """Services of the router that a request's task may use.
 
     Parameters
     ----------
@@ -33,9 +33,9 @@
     crashes : CrashWatch
     retries : RetryRecord
     declaration : Callable
-        Gives the declaration in force.
+        Returns the declaration in force.
     notices : EngineNotices
-        What engines said of themselves to this router.
+        Notices that this router received from engines.
     run_counts : RunCounts
     now : Callable
         The loop's clock, seconds.
@@ -65,7 +65,7 @@
         self._notices = notices
 
     def send(self, cell, message):
-        """Send to the cell's scheduler; a lost message is made good by registering."""
+        """Send to the cell's scheduler; registering again recovers a lost message."""
         self._schedulers.send(cell=cell, message=message)
 
     def address_of(self, engine):
@@ -74,52 +74,52 @@
         return declared.address if declared else None
 
     def start_ms_of(self, engine):
-        """Which start of a declared engine is known here; 0 where engines don't tell."""
+        """Start time of a declared engine as known here; 0 where engines don't report it."""
         declared = self._declaration().engines_by_name.get(engine)
         return declared.start_ms if declared else 0
 
     def is_available(self, engine):
-        """Whether an engine is known here and does not leave, as far as this router knows.
+        """Whether an engine is declared and not draining, as far as this router knows.
 
-        Its own notice takes precedence over its entry, which may be older: the store can be unreachable, or restored
-        from a copy.
+        The engine's own notice takes precedence over its entry in the store, which may be older: the store can be
+        unreachable or restored from a backup.
         """
         declared = self._declaration().engines_by_name.get(engine)
         return declared is not None and not declared.leaving and not self._notices.is_leaving(declared)
 
     def was_limited(self, granted):
-        """Whether an engine named a rate limit lately, as this router or the scheduler heard."""
+        """Whether this router or the scheduler recently received a rate limit from an engine."""
         return self._notices.is_limited(granted.engine) or granted.limit_age_s != math.inf
 
     def scheduler_is_informed(self, granted):
-        """Whether the scheduler that granted a place knew of the limit or rest that the engine told this router."""
+        """Whether the scheduler knew of the rate limit or back-off that the granted engine sent to this router."""
         declared = self._declaration().engines_by_name[granted.engine]
         return self._notices.rest_s(declared) <= 0.0 and not self._notices.are_unknown_to(granted)
 
     def retry_after_s(self, service):
-        """Time until some engine of a service takes a request of this router again."""
+        """Time until some engine of a service accepts requests of this router again, with a minimum."""
         engines = self._declaration().engines_by_name.values()
         rests = [self._notices.rest_s(engine) for engine in engines if engine.service == service]
         return max(DEFAULT_RETRY_AFTER_S, min(rests, default=0.0))
 
     def resend_notices(self, engine):
-        """Tell the scheduler what an engine said lately, so that its next grant can be used."""
+        """Send an engine's recent notices to the scheduler again, so that its next grant accounts for them."""
         for notice in self._notices.of((engine,)):
             self.forward_notice(notice)
 
     def forward_notice(self, notice):
-        """Tell the scheduler what one of its engines said."""
+        """Forward an engine's notice to the scheduler of its cell."""
         engine = self._declaration().engines_by_name.get(notice.engine)
         if engine is not None:
             self.send(engine.cell, notice)
 
     def service(self, name):
-        """What is declared of a service now, or ``None``."""
+        """Present declaration of a service, or ``None``."""
         return self._declaration().services_by_name.get(name)
 
 
 class Entry:
-    """Owner of the requests this router took from callers.
+    """Owner of the requests this router received from callers.
 
     Parameters
     ----------
@@ -129,7 +129,7 @@
         See :class:`RequestContext`.
     loop : asyncio.AbstractEventLoop
     retry_window_s : callable, optional
-        Returns the time for which retries count.
+        Returns the length of the retry budget's window.
     count : callable, optional
         See :class:`wagtailtrestle.entry.run_counts.RunCounts`.
     """
@@ -182,7 +182,7 @@
         )
 
     def submit(self, request, caller):
-        """Take ownership of a request and start serving it."""
+        """Start serving a request that this router owns from now on."""
         cells = cells_of(self._declaration(), request.service)
         cell = choose_cell(cells=cells, prefix_blocks=request.prefix_blocks, request_id=request.request_id)
         if cell is None:
@@ -196,7 +196,7 @@
         running.add_done_callback(lambda done: self._remove_task(request.request_id, done))
 
     def post(self, request_id, event):
-        """Give a caller's event to its request; late ones are dropped."""
+        """Deliver an event of a caller's exchange to its request; events of a finished request are dropped."""
         if isinstance(event, EngineNotice):
             self._count_broken_back_off(event)
             self._notices.take(event)
@@ -211,16 +211,16 @@
         if engine is None or not notice.rest_s:
             return
         rested_s = self._notices.rested_s(engine)
-        # What was on its way when the engine first asked is no fault.
+        # Requests already in flight when the engine first asked for the back-off are no fault.
         if rested_s > HEARD_SLACK_S:
             self._run_counts.count_broken_back_off(engine=notice.engine, rested_s=rested_s)
 
     def displace(self, request_id):
-        """Give up a waiting request, for a higher tier needs its room in the router."""
+        """Drop a waiting request to admit one of a higher tier."""
         self.post(request_id, Displaced())
 
     def on_scheduler_message(self, message):
-        """Give a scheduler's message to its request; what it says of an engine is for all requests."""
+        """Deliver a scheduler's message to its request; a message about an engine concerns all requests."""
         if isinstance(message, EngineDown):
             self._context.crashes.record_engine_down(message.engine)
             return
@@ -232,7 +232,7 @@
             task.post(message)
 
     def register(self, cell):
-        """Everything this entry holds for ``cell``, for a new scheduler."""
+        """Build the registration of this entry's requests and notices of ``cell`` for a new scheduler."""
         tasks = [task for task in self.tasks_by_id.values() if task.cell == cell]
         waiting = [task.grant_request() for task in tasks if task.state is RequestState.QUEUED and task.attempt]
         running = [task.running_record() for task in tasks if task.state is RequestState.DISPATCHED]
@@ -251,15 +251,15 @@
         return self._notices.of([engine for engine in known if declared[engine].cell == cell])
 
     def cells_in_use(self):
-        """Cells for which a request waits or runs."""
+        """Cells that have a waiting or running request."""
         return {task.cell for task in self.tasks_by_id.values()}
 
     async def drained(self):
-        """Wait until no request is held."""
+        """Wait until no request is left."""
         await self._idle.wait()
 
     async def close(self):
-        """Stop every request's task; used when the process ends after its drain."""
+        """Cancel every request's task; used when the process ends after its drain."""
         running = list(self._running_by_id.values())
         for task in running:
             task.cancel()
@@ -290,8 +290,8 @@
 
     def _return_grant(self, task, granted):
         # Two schedulers may serve one cell for a moment, or a grant may cross a
-        # withdrawal. The place must go back or its engine looks busy for ever; a
-        # running request's true place is told again so that its account stays exact.
+        # withdrawal. The slot must be returned, or its engine looks busy for ever; the entry
+        # registers again so that the scheduler's record of a running request's slot stays exact.
         if task is None:
             self._withdraw_grant(granted)
             return
