--- a/wagtailtrestle/entry/poison.py
+++ b/wagtailtrestle/entry/poison.py
@@ -1,11 +1,11 @@
-"""Requests that crash the engines that run them, told from those that die beside them.
-
-A request is known by its fingerprint, the SHA-256 of its body's digest, so that it is
-recognised when its caller sends it again through another router. Each crash of an
-engine is an incident; whatever ran there is a suspect, and one of them is to blame. Blame
-for an incident goes to the suspects that were in the most incidents, in equal parts: an
-innocent request that died beside the poisoned one once or twice is cleared as soon as
-the poisoned one dies without it. Suspects of two crashes run alone, which makes that quick.
+"""Detection of poison requests: those that crash the engines that run them.
+
+A request is identified by its fingerprint, the SHA-256 of its body's digest, so that it is
+recognised when its caller resends it through another router. Each crash of an engine is an
+incident; every request that ran there is a suspect, and one of them is to blame. The blame for
+an incident is split equally among the suspects that were in the most incidents: an innocent
+request that was lost beside the poison request once or twice is cleared as soon as the poison
+request crashes an engine without it. Suspects of two crashes run alone, which speeds that up.
 """
 
 import hashlib
@@ -16,51 +16,51 @@
 from wagtailtrestle.record import record
 
 CRASH_LIMIT = 3
-"""Blame at which a fingerprint is refused: whole crashes that only it explains."""
+"""Blame at which a fingerprint is refused: the number of crashes that it alone explains."""
 
 MIN_CRASHES_TO_ISOLATE = 2
-"""Crashes after which a suspect runs beside no other.
+"""Crashes after which a suspect runs alone on its engine.
 
-After one crash as many are suspected as ran there, nearly all of them innocent, and an engine
-may fail of itself; they run as ever and most are cleared by their own answers.
+After one crash every request that ran there is a suspect, nearly all of them innocent, and the engine
+may have failed by itself. They run as before, and most are cleared by their own answers.
 """
 
 MAX_EARLY_CLEARANCES = 1024
-"""Clearances kept for crashes that this router hasn't heard of yet."""
+"""Maximum number of crashes without a report here for which clearances are kept."""
 
 CRASH_WINDOW_S = 600.0
-"""How long a crash is held against what ran there."""
+"""Time for which a crash counts against the requests that ran there."""
 
 SAME_CRASH_WINDOW_S = 5.0
-"""Reports on one engine within this time speak of one crash, whoever makes them."""
+"""Reports on one engine within this time, by any router, are of the same crash."""
 
 MIN_CUTS_FOR_CRASH = 2
-"""Runs of one engine cut within the window that make a crash rather than a broken connection."""
+"""Runs of one engine cut within ``CUT_WINDOW_S`` that are taken for a crash rather than a broken connection."""
 
 CUT_WINDOW_S = 0.5
 
 RESTART_WINDOW_S = 5.0
-"""A run lost, or a connection refused, this soon after a cut shows that the engine went down."""
+"""A lost run or a refused connection within this time after a cut shows that the engine went down."""
 
 REPORTED_DOWN_WINDOW_S = 10.0
-"""The same for word of it: an engine that is silent leaves the list only after some heartbeats."""
+"""The same for a report that the engine is down: a silent engine leaves the list only after some heartbeats."""
 
 
 def fingerprint_of(body_digest: str) -> str:
-    """Name of a request body by which crashes are counted; the body can't be read from it."""
+    """Identifier of a request body by which crashes are counted; it does not reveal the body."""
     return hashlib.sha256(body_digest.encode()).hexdigest()
 
 
 @record
 class CrashReport:
-    """One router's word on one crash, for all other routers.
+    """One router's report of a crash, sent to all other routers.
 
     Parameters
     ----------
     incident : str
-        Unique for ever; merging the same incident twice changes nothing.
+        Globally unique; merging the same incident twice has no effect.
     suspects : tuple of str
-        Fingerprints of what the reporting router ran on the engine.
+        Fingerprints of the requests that the reporting router ran on the engine.
     age_s : float
         Time since the crash.
     """
@@ -73,12 +73,12 @@
 
 @record
 class CrashClearance:
-    """One router's word that a request ran whole, so that it caused none of these crashes.
+    """One router's message that a request ran to completion, so that it caused none of these crashes.
 
     Parameters
     ----------
     incidents : tuple of str
-        Only these: a crash that comes later is not cleared by a late copy of this message.
+        Only these incidents: a late copy of this message does not clear the request of later crashes.
     """
 
     fingerprint: str
@@ -86,7 +86,7 @@
 
 
 class _Incident:
-    """One crash: when, of which engine, who ran there by which report, and who was cleared."""
+    """One crash: its engine and time, the suspects named by each report, and those cleared since."""
 
     __slots__ = ("engine", "at", "suspects_by_report", "cleared")
 
@@ -98,23 +98,23 @@
 
     @property
     def suspects(self):
-        """Everything that ran there and did not run whole since."""
+        """Every request that ran there and was not cleared since."""
         return set().union(*self.suspects_by_report.values()) - self.cleared
 
 
 class CrashTable:
-    """Crashes of engines and who is to blame for them.
+    """Crashes of engines and the requests that are to blame for them.
 
     Parameters
     ----------
     clock : callable
         Returns the loop's time in seconds.
     limit : int
-        Crashes after which a request is refused.
+        Blame at which a request is refused.
     window_s : float
-        How long a crash counts.
+        Time for which a crash counts.
     reporter : str
-        Name of this router, part of its incidents' ids; made up if left out.
+        Name of this router, part of its incidents' ids.
     """
 
     __slots__ = (
@@ -141,7 +141,14 @@
         self._early_clearances_by_incident = OrderedDict()
 
     def record_crash(self, engine, by_fingerprint_running) -> CrashReport:
-        """Count a crash seen here; ``by_fingerprint_running`` holds what this router ran there."""
+        """Record a crash seen by this router.
+
+        Parameters
+        ----------
+        engine : str
+        by_fingerprint_running : iterable of str
+            Fingerprints of the requests that this router ran there.
+        """
         self._count += 1
         report = CrashReport(
             engine=engine,
@@ -152,7 +159,7 @@
         return report
 
     def merge(self, report: CrashReport):
-        """Take in a crash seen by any router; twice the same incident is one."""
+        """Apply a crash report of any router; applying it again has no effect."""
         self._drop_expired()
         incident = self._find_or_add_incident(report)
         reported = incident.suspects_by_report.setdefault(report.incident, set())
@@ -161,12 +168,12 @@
         self._assign_blame()
 
     def record_success(self, fingerprint) -> CrashClearance | None:
-        """Clear a request that ran whole: it does not crash what runs it.
+        """Clear a request that ran to completion: it does not crash engines.
 
         Returns
         -------
         CrashClearance or None
-            What the other routers are to be told, if there was anything to clear.
+            The message for the other routers, if there was anything to clear.
         """
         if fingerprint not in self._blame_by_fingerprint:
             return None
@@ -177,7 +184,7 @@
         return clearance
 
     def merge_clearance(self, clearance: CrashClearance):
-        """Clear a request of the crashes named, by any router's word; twice is as once."""
+        """Apply a clearance of any router; applying it again has no effect."""
         self._drop_expired()
         unknown = set(clearance.incidents)
         for incident in self._incidents:
@@ -185,37 +192,37 @@
                 incident.cleared.add(clearance.fingerprint)
                 unknown -= incident.suspects_by_report.keys()
         for name in unknown:
-            # A clearance may overtake the report of its crash on another way through the
-            # routers. Dropped, it would leave an innocent request suspected here alone.
+            # A clearance may overtake the report of its crash, which takes another path through the
+            # routers. If it were dropped, an innocent request would stay a suspect on this router only.
             self._early_clearances_by_incident.setdefault(name, set()).add(clearance.fingerprint)
         while len(self._early_clearances_by_incident) > MAX_EARLY_CLEARANCES:
             self._early_clearances_by_incident.popitem(last=False)
         self._assign_blame()
 
     def is_suspect(self, fingerprint) -> bool:
-        """Whether it ran in a crash of which it was not cleared."""
+        """Whether a request is a suspect of some crash and not blocked."""
         self._drop_expired()
         return fingerprint in self._blame_by_fingerprint and not self.is_blocked(fingerprint)
 
     def must_run_alone(self, fingerprint) -> bool:
-        """Whether it shares the blame for several crashes, so that it must run beside no other."""
+        """Whether a request shares the blame for several crashes, so that it must run alone on its engine."""
         if not self.is_suspect(fingerprint):
             return False
         blamed = self._blame_by_fingerprint[fingerprint] > 0.0
         return blamed and self._crashes_by_fingerprint[fingerprint] >= MIN_CRASHES_TO_ISOLATE
 
     def is_blocked(self, fingerprint) -> bool:
-        """Whether it is to blame for so many crashes that no engine may run it."""
+        """Whether a request's blame has reached the limit, so that no engine may run it."""
         self._drop_expired()
         return self._blame_by_fingerprint.get(fingerprint, 0.0) >= self._limit
 
     def crash_count(self, fingerprint) -> int:
-        """Crashes in which it ran and of which it was not cleared."""
+        """Number of crashes of which a request is a suspect."""
         self._drop_expired()
         return self._crashes_by_fingerprint.get(fingerprint, 0)
 
     def reports(self):
-        """Everything known, for a router that starts or was cut off."""
+        """Reports of all known crashes, for a router that starts or was partitioned."""
         now = self._clock()
         return tuple(
             CrashReport(
@@ -238,9 +245,9 @@
             if report.incident in incident.suspects_by_report:
                 return incident
         for incident in self._incidents:
-            # Each router reports a crash by itself, and one router as often as its runs
-            # or its attempts to attach fail. Counted apart, a single crash would look
-            # like several and block a request that ran once.
+            # Each router reports a crash separately, and once for each of its runs and attach
+            # attempts that fail. Counted separately, a single crash would look like several and
+            # block a request that ran once.
             if incident.engine == report.engine and abs(incident.at - at) <= SAME_CRASH_WINDOW_S:
                 return incident
         incident = _Incident(engine=report.engine, at=at)
@@ -268,7 +275,7 @@
 
 
 class CrashDetector:
-    """Tells an engine's crash from a mere cut connection, by what one router sees.
+    """Distinguishes an engine's crash from a broken connection by the runs of one router.
 
     Parameters
     ----------
@@ -282,22 +289,22 @@
         self._cuts_by_engine = {}
 
     def on_cut(self, engine, fingerprint):
-        """Note a run that ended without its whole answer; see :meth:`on_gone`.
+        """Record a run that ended without its complete answer.
 
         Returns
         -------
         set of str
-            Fingerprints to report as one crash; empty if it may be a broken connection.
+            Fingerprints to report as one crash; empty if the cause may be a broken connection.
         """
         self._record_cut(engine, fingerprint)
         recent = self._recent_cuts(engine, CUT_WINDOW_S)
         return self._confirm_crash(engine, recent) if len(recent) >= MIN_CUTS_FOR_CRASH else set()
 
     def on_engine_down(self, engine, fingerprint=None, *, within_s=RESTART_WINDOW_S):
-        """Note that the engine does not know a run, or refuses connections.
+        """Record that the engine does not know a run or refuses connections.
 
-        After a cut this shows that the engine went down; without one it shows nothing
-        about what ran there.
+        After a cut this shows that the engine went down; without one it says nothing
+        about the requests that ran there. Returns the same as :meth:`on_cut`.
         """
         if fingerprint is not None:
             self._record_cut(engine, fingerprint)
