--- a/wagtailtrestle/entry/crash_watch.py
+++ b/wagtailtrestle/entry/crash_watch.py
@@ -1,11 +1,11 @@
-"""Watches how runs end for engines that crash, and shares what it learns with all routers."""
+"""Detects engine crashes from the ends of runs and shares them with all routers."""
 
 from wagtailtrestle.contracts.outcomes import RunCut, RunDone, RunLost, RunNotSent
 from wagtailtrestle.entry.poison import REPORTED_DOWN_WINDOW_S, fingerprint_of
 
 
 class CrashWatch:
-    """Turns ends of runs into crash reports.
+    """Turns the outcomes of runs into crash reports and clearances.
 
     Parameters
     ----------
@@ -27,20 +27,20 @@
         return self._table.is_blocked(fingerprint_of(body_digest))
 
     def must_run_alone(self, body_digest):
-        """Whether a request with this body must run beside no other."""
+        """Whether a request with this body must run alone on its engine."""
         return self._table.must_run_alone(fingerprint_of(body_digest))
 
     def crash_count(self, body_digest):
-        """Crashes in which a request with this body ran, and of which it was not cleared."""
+        """Number of crashes of which a request with this body is a suspect."""
         return self._table.crash_count(fingerprint_of(body_digest))
 
     def record_run_end(self, *, engine, body_digest, outcome, was_sent):
-        """Take in the end of one run, or of one try to attach to it.
+        """Process the end of a run or of an attempt to attach to it.
 
         Parameters
         ----------
         was_sent : bool
-            Whether some byte of the request had reached the engine.
+            Whether an earlier connection of the run had sent the request to the engine.
         """
         fingerprint = fingerprint_of(body_digest)
         match outcome:
@@ -54,19 +54,19 @@
                 self._report(engine, self._detector.on_engine_down(engine, fingerprint if was_sent else None))
 
     def record_engine_down(self, engine):
-        """Take in that an engine went down, as the scheduler or the engines' list tells."""
+        """Process a report of the scheduler or the engines' list that an engine went down."""
         self._report(engine, self._detector.on_engine_down(engine, within_s=REPORTED_DOWN_WINDOW_S))
 
     def merge(self, report):
-        """Take in another router's report."""
+        """Apply another router's report."""
         self._table.merge(report)
 
     def merge_clearance(self, clearance):
-        """Take in another router's clearance."""
+        """Apply another router's clearance."""
         self._table.merge_clearance(clearance)
 
     def reports(self):
-        """Everything known, for a router that starts."""
+        """Reports of all known crashes, for a router that starts."""
         return self._table.reports()
 
     def dump(self):
