--- a/wagtailtrestle/entry/run_counts.py
+++ b/wagtailtrestle/entry/run_counts.py
@@ -1,4 +1,4 @@
-"""Counts what reaches engines beyond the first run of each request, by what led to it."""
+"""Counters of the runs sent to engines, by their cause."""
 
 from enum import StrEnum
 
@@ -6,7 +6,7 @@
 
 
 class RunKind(StrEnum):
-    """Why a run is sent."""
+    """Cause of a run."""
 
     FIRST = "first"
     AFTER_LOSS = "after_loss"
@@ -30,28 +30,28 @@
         self._count = count
 
     def count_run(self, *, service, kind):
-        """Count a run that is sent to an engine."""
+        """Count a run or attach that is sent to an engine."""
         self._count("runs", service=service, kind=kind.value)
 
     def count_run_beyond_limit(self, *, request_id, service, runs):
-        """Count a run beyond the number that its route allows."""
+        """Count a run beyond the maximum of its route."""
         self._count("runs_beyond_limit", service=service)
         logger.bind(request_id=request_id, service=service, runs=runs).error(
             "a request has more runs than its route allows"
         )
 
     def count_crashing_run(self, *, request_id, service, crashes):
-        """Count a run of a request that was running when several engines crashed."""
+        """Count a run of a request that is a suspect of several crashes."""
         self._count("runs_of_crashing_requests", service=service)
         logger.bind(request_id=request_id, service=service, crashes=crashes).warning(
-            "a request runs again that was running when several engines crashed"
+            "running a request again that is a suspect of several engine crashes"
         )
 
     def count_broken_back_off(self, *, engine, rested_s):
-        """Count a request that reached an engine within a rest that it had asked for."""
+        """Count a request that reached an engine during a back-off that the engine had asked for."""
         self._count("requests_within_rest", engine=engine)
-        logger.bind(engine=engine, rested_s=round(rested_s, 3)).warning("a request reached an engine that rests")
+        logger.bind(engine=engine, rested_s=round(rested_s, 3)).warning("a request reached an engine during its back-off")
 
     def count_refused_retry(self, *, service):
-        """Count a retry for which the cell's budget had no room."""
+        """Count a retry that the cell's retry budget did not allow."""
         self._count("retries_refused", service=service)
