--- a/wagtailtrestle/entry/__init__.py
+++ b/wagtailtrestle/entry/__init__.py
@@ -1,1 +1,1 @@
-"""The request: its owner and its state machine (decisions)."""
+"""Ownership and state machine of each caller's request (decisions)."""
--- a/wagtailtrestle/entry/cells.py
+++ b/wagtailtrestle/entry/cells.py
@@ -1,4 +1,4 @@
-"""Choice of the cell, a group of engines under one scheduler, that a request asks."""
+"""Choice of the cell, a group of engines under one scheduler, for a request."""
 
 import hashlib
 
@@ -7,15 +7,15 @@
 
 @record
 class CellDigest:
-    """Summary of a cell by which entries choose between cells.
+    """Summary of a cell for the choice between cells.
 
     Parameters
     ----------
     free : int
-        Places free now.
+        Number of free slots.
     waiting_by_tier : dict of int to int
     lowest_tier : int or None
-        Rank of the lowest tier that waits or runs here.
+        Rank of the lowest tier with a waiting or running request.
     """
 
     free: int
@@ -30,10 +30,10 @@
 
 
 def choose_cell(*, cells, prefix_blocks, request_id):
-    """Pick a cell by highest random weight, so that equal prompt prefixes meet.
+    """Choose a cell by rendezvous hashing (highest random weight).
 
-    A request without a whole prefix block is spread by its own id. Returns ``None``
-    when the service has no cell.
+    Requests with the same first prefix block get the same cell; a request without a complete block
+    is spread by its id. Returns ``None`` when the service has no cell.
     """
     if not cells:
         return None
--- a/wagtailtrestle/entry/crash_watch.py
+++ b/wagtailtrestle/entry/crash_watch.py
@@ -40,7 +40,7 @@
         Parameters
         ----------
         was_sent : bool
-            Whether an earlier connection of the run had sent the request to the engine.
+            Whether some byte of the request had reached the engine before.
         """
         fingerprint = fingerprint_of(body_digest)
         match outcome:
--- a/wagtailtrestle/entry/execution_evidence.py
+++ b/wagtailtrestle/entry/execution_evidence.py
@@ -1,10 +1,10 @@
-"""How far a request has come towards engines, and what may truthfully be said of it."""
+"""Evidence of whether a request was executed, for the ``executed`` field of its refusal."""
 
 from wagtailtrestle.contracts.outcomes import Executed, RunCut, RunLost, RunNotSent, RunRejected, RunSilent
 
 
 class ExecutionEvidence:
-    """Whether some run of a request may have, or is known to have, reached an engine."""
+    """Whether some run of a request possibly was, or is known to have been, executed by an engine."""
 
     __slots__ = ("possibly_executed", "known_executed")
 
@@ -13,7 +13,7 @@
         self.known_executed = False
 
     def update(self, outcome):
-        """Take in how one run ended."""
+        """Add the outcome of one run."""
         match outcome:
             case RunNotSent():
                 return
@@ -24,7 +24,7 @@
                 self.known_executed = True
 
     def executed(self):
-        """What the caller is told; ``no`` only if no byte ever reached an engine."""
+        """Value for the caller; ``no`` only if no byte of the request reached an engine."""
         if self.known_executed:
             return Executed.YES
         return Executed.UNKNOWN if self.possibly_executed else Executed.NO
--- a/wagtailtrestle/entry/final_answers.py
+++ b/wagtailtrestle/entry/final_answers.py
@@ -1,4 +1,4 @@
-"""The final answers that a request which gets no whole answer may get, and how they are worded."""
+"""Status codes and texts of the refusals that end a request without a complete answer."""
 
 from wagtailtrestle.contracts.outcomes import Reason, Refusal
 
@@ -48,7 +48,7 @@
 
 
 def refusal_of(reason, *, executed, retry_after_s=None, status=None, cause=""):
-    """Build the final answer for a reason; ``status`` replaces the reason's own."""
+    """Build the refusal for a reason; ``status`` replaces the reason's own status."""
     return Refusal(
         status=status or STATUS_BY_REASON[reason],
         reason=reason,
@@ -60,5 +60,5 @@
 
 
 def rejected_status(status):
-    """Pass an engine's 4xx on; hide its 5xx behind 502, since the fault isn't ours."""
+    """Pass an engine's 4xx on; replace its 5xx by 502, since the fault is the engine's."""
     return status if 400 <= status < 500 else 502
--- a/wagtailtrestle/entry/request_claim.py
+++ b/wagtailtrestle/entry/request_claim.py
@@ -1,4 +1,4 @@
-"""One request's claim on its idempotency key, from before its dispatch to its recorded end."""
+"""One request's claim on its idempotency key, from before its dispatch until its end is recorded."""
 
 import asyncio
 
@@ -9,7 +9,7 @@
 
 
 class RequestClaim:
-    """The claim of one request; does nothing for a request that needs none.
+    """The claim of one request; has no effect for a request that needs none.
 
     Parameters
     ----------
@@ -29,24 +29,24 @@
 
     @property
     def is_needed(self):
-        """Whether nothing may be dispatched before the claim is won."""
+        """Whether the claim must be won before the request is dispatched."""
         return bool(self._request.at_most_once and self._request.idempotency_key)
 
     async def win(self):
-        """Claim the key; the outcome tells whether this request alone may run."""
+        """Claim the key; this request may run only if the outcome is ``ClaimWon``."""
         outcome = await self._claim_within_deadline()
         self._is_won = isinstance(outcome, ClaimWon)
         return outcome
 
     def finish(self, ended):
-        """Record a whole answer."""
+        """Record a complete answer."""
         if self._is_won:
             self._claims.finish(
                 **self._claim_identity(), status=ended.status, content_type=ended.content_type, body=ended.body
             )
 
     def give_up(self, executed):
-        """Record that there is no whole answer: a request that never ran frees its key."""
+        """Record that there is no complete answer; a request that never ran releases its key."""
         if not self._is_won:
             return
         if executed is Executed.NO:
@@ -55,9 +55,9 @@
             self._claims.finish_unknown(**self._claim_identity())
 
     async def _claim_within_deadline(self):
-        # The ledger must answer within the deadline itself: it alone knows whether an earlier
-        # request holds the key. Cut off here, a re-send would be told that nothing was run
-        # while the first run of its key goes on.
+        # The ledger must answer within the deadline itself, since only it knows whether an earlier
+        # request holds the key. If the wait timed out here, a resent request would be refused as
+        # not executed while the first run of its key goes on.
         claim = self._claims.claim(
             **self._claim_identity(),
             body_digest=self._request.body_digest,
--- a/wagtailtrestle/entry/retry_record.py
+++ b/wagtailtrestle/entry/retry_record.py
@@ -1,4 +1,4 @@
-"""What one router sent a second time and what it got answered, for a scheduler that is new."""
+"""History of one router's retries and complete answers, from which a new scheduler restores its retry budget."""
 
 from collections import defaultdict
 
@@ -7,14 +7,14 @@
 
 
 class RetryRecord:
-    """Retries sent and whole answers got since this process started, by cell.
+    """Retries sent and complete answers received since this process started, by cell.
 
     Parameters
     ----------
     clock : callable
         Returns the loop's time in seconds.
     window_s : callable
-        Returns the time for which they count.
+        Returns the length of the retry budget's window in seconds.
     """
 
     __slots__ = ("_started_at", "_clock", "_window_s", "_retries_by_cell", "_successes_by_cell")
@@ -27,21 +27,21 @@
         self._successes_by_cell = defaultdict(RecentTimes)
 
     def record_retry(self, cell):
-        """Count a retry that is sent."""
+        """Record a retry that is sent."""
         self._retries_by_cell[cell].note(self._clock())
         self._drop_expired(self._retries_by_cell[cell])
 
     def revert_retry(self, cell):
-        """Forget the last retry: no connection was made for it."""
+        """Remove the last retry, since no connection was made for it."""
         self._retries_by_cell[cell].take_back()
 
     def record_success(self, cell):
-        """Count a request that was answered whole."""
+        """Record a request that got a complete answer."""
         self._successes_by_cell[cell].note(self._clock())
         self._drop_expired(self._successes_by_cell[cell])
 
     def history(self, cell):
-        """What a scheduler is told."""
+        """Build the history of a cell for its scheduler."""
         return RetryHistory(
             up_s=self._clock() - self._started_at,
             retries_by_age_s=self._by_age_s(self._retries_by_cell[cell]),
--- a/wagtailtrestle/entry/run_reports.py
+++ b/wagtailtrestle/entry/run_reports.py
@@ -1,17 +1,17 @@
-"""What a scheduler is told of one request's runs."""
+"""Reports on one request's runs to the scheduler of its cell."""
 
 from wagtailtrestle.contracts.messages import RunFinished, RunProgress, RunStarted
 from wagtailtrestle.contracts.outcomes import RunCancelled, RunNotSent, RunSilent
 
 
 class RunReports:
-    """Tells the scheduler of a request's cell how its runs go; a lost message is made good by registering.
+    """Reports one request's runs to the scheduler of its cell; registering again recovers a lost message.
 
     Parameters
     ----------
     request_id : str
     send : callable
-        ``send(message)`` carries a message to the scheduler.
+        ``send(message)`` sends a message to the scheduler.
     """
 
     __slots__ = ("_request_id", "_send")
@@ -21,7 +21,7 @@
         self._send = send
 
     def began(self, engine, began):
-        """Tell that a run gave its first token; ``began`` is the ``RunBegan``."""
+        """Report the first token of a run; ``began`` is the ``RunBegan``."""
         self._send(
             RunStarted(
                 request_id=self._request_id,
@@ -33,11 +33,11 @@
         )
 
     def advanced(self, output_tokens):
-        """Tell how far a run has come."""
+        """Report the progress of a run."""
         self._send(RunProgress(request_id=self._request_id, output_tokens=output_tokens))
 
     def finished(self, engine, ended):
-        """Tell that a run ended; ``ended`` is the ``RunEnded``."""
+        """Report the end of a run; ``ended`` is the ``RunEnded``."""
         outcome = ended.outcome
         self._send(
             RunFinished(
@@ -54,7 +54,7 @@
         )
 
     def returned_slot(self, engine):
-        """Give a place back that no run was begun in."""
+        """Return a slot in which no run was started."""
         self._send(
             RunFinished(
                 request_id=self._request_id,
@@ -67,8 +67,9 @@
 
 
 def _result_of(outcome):
-    # A run that the engine confirmed and that ended at its deadline says that the engine lives and is full. Told as
-    # silence, three of them closed the engine for 2 s and more, and what waited for a place there was refused.
+    # A run that the engine confirmed and that ended at its deadline shows that the engine is alive and full. When
+    # such runs were reported as silent, three of them ejected the engine for 2 s or more, and requests that
+    # waited for a slot there were refused.
     if isinstance(outcome, RunSilent) and outcome.held:
         return RunCancelled.__name__
     return type(outcome).__name__
