--- a/wagtailtrestle/entry/run_counts.py
+++ b/wagtailtrestle/entry/run_counts.py
@@ -44,13 +44,13 @@
         """Count a run of a request that is a suspect of several crashes."""
         self._count("runs_of_crashing_requests", service=service)
         logger.bind(request_id=request_id, service=service, crashes=crashes).warning(
-            "running a request again that is a suspect of several engine crashes"
+            "a request runs again that was running when several engines crashed"
         )
 
     def count_broken_back_off(self, *, engine, rested_s):
         """Count a request that reached an engine during a back-off that the engine had asked for."""
         self._count("requests_within_rest", engine=engine)
-        logger.bind(engine=engine, rested_s=round(rested_s, 3)).warning("a request reached an engine during its back-off")
+        logger.bind(engine=engine, rested_s=round(rested_s, 3)).warning("a request reached an engine in its back-off")
 
     def count_refused_retry(self, *, service):
         """Count a retry that the cell's retry budget did not allow."""
