--- a/tests/test_attach.py
+++ b/tests/test_attach.py
@@ -6,7 +6,7 @@
 
 from wagtailtrestle.contracts.exchange import AnswerRefusal, AnswerWhole, RunEnded, StartRun
 from wagtailtrestle.contracts.outcomes import Executed, Reason, RunCut, RunDone, RunLost, RunNotSent, RunSilent
-from wagtailtrestle.entry.attach_attempts import MAX_ATTACHES_WITHOUT_PROGRESS, MAX_UNREAD_RETRIES
+from wagtailtrestle.entry.attaches import MAX_ATTACHES_WITHOUT_PROGRESS, MAX_UNREAD_RETRIES
 from wagtailtrestle.slopes.entry import InstantCaller, make_entry, make_request
 
 DEADLINE_S = 30.0
--- a/wagtailtrestle/entry/request_task.py
+++ b/wagtailtrestle/entry/request_task.py
@@ -41,7 +41,7 @@
     RunNotSent,
     RunRejected,
 )
-from wagtailtrestle.entry.attach_attempts import UNREAD_RETRY_DELAY_S, AttachAttempts
+from wagtailtrestle.entry.attaches import UNREAD_RETRY_DELAY_S, AttachAttempts
 from wagtailtrestle.entry.execution_evidence import ExecutionEvidence
 from wagtailtrestle.entry.final_answers import DEFAULT_RETRY_AFTER_S, refusal_of, rejected_status
 from wagtailtrestle.entry.poison import CRASH_LIMIT
