--- a/tests/test_poison.py
+++ b/tests/test_poison.py
@@ -1,4 +1,4 @@
-"""Requests that crash engines are told from those that die beside them."""
+"""Requests that crash engines are distinguished from those that are lost beside them."""
 
 import unittest
 
@@ -35,8 +35,8 @@
         self.assertTrue(self.table.is_blocked("poison"))
 
     def test_those_that_died_beside_it_are_not_blamed(self):
-        # The poisoned request crashes three engines; other requests die each time, one of
-        # them twice. Only the one present every time is to blame.
+        # The poison request crashes three engines; other requests are lost each time, one of
+        # them twice. Only the request that was present every time is to blame.
         self.crash("e1", "poison", "a", "unlucky")
         self.crash("e2", "poison", "b", "unlucky")
         self.crash("e3", "poison", "c")
@@ -60,8 +60,8 @@
         self.assertTrue(self.table.is_suspect("poison"))
 
     def test_suspects_run_alone_only_after_a_second_crash_that_nothing_else_explains(self):
-        # After one crash everything that ran there is suspected. Run alone, each would need an
-        # engine to itself because of a crash that has most often nothing to do with it.
+        # After one crash every request that ran there is a suspect. If suspects ran alone from then on, each
+        # would occupy an engine because of a crash that most often has nothing to do with it.
         self.crash("e1", "poison", "neighbour", "unlucky")
         self.assertFalse(self.table.must_run_alone("poison"))
         self.crash("e2", "poison", "unlucky")
@@ -79,8 +79,8 @@
 
 class SharedTest(unittest.TestCase):
     def test_routers_that_each_saw_one_crash_refuse_together(self):
-        # The caller sends it again through another router each time, so no router sees
-        # more than one crash. Told of the others', each refuses the fourth.
+        # The caller resends the request through another router each time, so that no router sees
+        # more than one crash. With the reports of the others, each router refuses the fourth attempt.
         clock = Clock()
         tables = [CrashTable(clock=clock, reporter=f"r{number}") for number in range(CRASH_LIMIT)]
         for number, table in enumerate(tables):
@@ -123,9 +123,9 @@
         self.assertEqual(other.dump(), table.dump())
 
     def test_a_clearance_applies_on_all_routers(self):
-        # An innocent request dies beside the poison twice, then runs whole through r1. Without
-        # the word of r1, r2 would go on suspecting it, and refuse it after the next two crashes
-        # beside which it happens to run. The word may overtake a report, and come twice.
+        # An innocent request is lost beside the poison request twice, then runs to completion through r1.
+        # Without the clearance of r1, r2 would keep it as a suspect and refuse it after the next two crashes
+        # beside which it happens to run. The clearance may overtake a report and arrive twice.
         clock = Clock()
         here, there = (CrashTable(clock=clock, reporter=name) for name in ("r1", "r2"))
         report = []
