--- a/tests/test_counted_runs.py
+++ b/tests/test_counted_runs.py
@@ -1,4 +1,4 @@
-"""Requests whose runs are counted: silence, refusals by engines, failures, engines that leave."""
+"""Requests with a limited number of runs: silence, refusals by engines, failures, draining engines."""
 
 import asyncio
 import unittest
@@ -41,7 +41,7 @@
 
 
 class OneRequest:
-    """One request, granted places and ended as the test says."""
+    """One request whose grants and run outcomes the test controls."""
 
     def __init__(self, *, leaving=(), parts=None, **fields):
         self.entry, self.schedulers = make_entry(
@@ -70,8 +70,8 @@
 class SilenceTest(unittest.TestCase):
     @on_paused_clock
     async def test_the_last_run_has_no_silence_limit(self):
-        # The request may run once. Its engine pauses for seconds as it prefills beside; given up
-        # after one, the caller's stream would end broken though the engine was about to go on.
+        # The request may run once. Its engine pauses for seconds while it prefills other prompts; with a
+        # silence limit of a second, the caller's stream would break although the engine was about to continue.
         request = OneRequest(max_runs=1, repeatable=False)
         await request.grant("e1")
         start = request.caller.starts[-1]
@@ -91,8 +91,8 @@
 class LeavingEngineTest(unittest.TestCase):
     @on_paused_clock
     async def test_a_grant_on_an_engine_known_to_drain_is_returned(self):
-        # The scheduler is cut off from the platform and grants an engine that this router knows to
-        # leave. Sent there, the request would be lost when the engine goes.
+        # The scheduler is partitioned from the platform and grants an engine that this router knows to be
+        # draining. Sent there, the request would be lost when the engine stops.
         request = OneRequest(leaving=["e1"], max_runs=1)
         await request.grant("e1")
         self.assertEqual(request.caller.starts, [])
@@ -144,8 +144,8 @@
 
     @on_paused_clock
     async def test_a_failure_after_a_part_was_sent_is_no_answer(self):
-        # The caller has read a part of the stream, the engine broke off, and the next one fails.
-        # Its error can't be put after the part: the stream ends broken, and looks so.
+        # The caller has read a part of the stream when the engine breaks it off, and the next engine fails.
+        # Its error can't be appended to the part, so the stream ends visibly broken.
         request = OneRequest(max_runs=2)
         await request.grant("e1")
         await request.end(RunCut(detail="cut", output_tokens=15, reached=True))
