--- a/tests/test_run_counts.py
+++ b/tests/test_run_counts.py
@@ -1,4 +1,4 @@
-"""What a router counts of the runs that it sends, by what led to them."""
+"""A router's counters of the runs that it sends, by their cause."""
 
 import asyncio
 import unittest
--- a/tests/test_run_reports.py
+++ b/tests/test_run_reports.py
@@ -1,4 +1,4 @@
-"""What a scheduler is told of an engine by the end of a run there."""
+"""Effect of a run's reported end on the scheduler's view of its engine."""
 
 import unittest
 
@@ -11,7 +11,7 @@
 
 WAITED_S = 8.0
 ENGINES = ("e1", "e2", "e3")
-"""Of fewer, none may be ejected by one router's evidence."""
+"""With fewer engines, none may be ejected on the evidence of one router."""
 
 
 class EndOfASilentRunTest(unittest.TestCase):
@@ -19,7 +19,7 @@
         self.cell = Cell(engines=ENGINES, slots=FAILURES_TO_EJECT)
 
     def end_runs(self, outcome):
-        """Fill the engines and let as many runs of the first as eject it end in a row."""
+        """Fill the engines and end as many consecutive runs of the first as are needed to eject it."""
         self.cell.receive(*[ask(f"r{number}") for number in range(FAILURES_TO_EJECT * len(ENGINES))])
         for granted in self.cell.entries.of(Granted):
             if granted.engine == ENGINES[0]:
@@ -31,9 +31,9 @@
         return self.cell.scheduler.dump()["engines"][ENGINES[0]]["limit"] > 0
 
     def test_an_engine_that_held_the_runs_in_its_queue_stays_in_use(self):
-        # Questions that come later are refused as overloaded after 7.9 s. Three runs reached their deadline in the
-        # engine's queue; the engine had confirmed each of them, so it lives and is only full. Taken for failures, they
-        # closed it for seconds, doubled each time, while places on it became free.
+        # Guards against later requests being refused as overloaded after 7.9 s: three runs reached their deadline in
+        # the queue of an engine that had confirmed each of them, so that it was alive and only full. Counted as
+        # failures, they ejected it for seconds, doubled each time, while slots on it became free.
         self.end_runs(RunSilent(reached=True, held=True))
         self.assertTrue(self.is_used())
 
