--- a/tests/test_crashing_request.py
+++ b/tests/test_crashing_request.py
@@ -1,4 +1,4 @@
-"""One request crashes each engine that runs it, and its caller sends it again and again."""
+"""A poison request that crashes each engine that runs it, and that its caller keeps resending."""
 
 import time
 import unittest
@@ -9,7 +9,7 @@
 RATE = 8.0
 POISON = "this-crashes-engines".ljust(400, "y")
 RESTART_S = 6.0
-"""Longer than reports on one engine are taken for one crash, as a real engine's restart is."""
+"""Longer than ``SAME_CRASH_WINDOW_S``, in which reports on one engine count as one crash; so is a real restart."""
 
 PAUSE_S = 0.7
 MAX_SENDINGS = 20
@@ -33,9 +33,9 @@
         return sent
 
     def test_refused_after_a_few_crashes_and_no_neighbour_is_blamed(self):
-        # The caller sees a few errors and then, from every router, that its request is refused for
-        # good. Each crash takes the runs beside it along; these are suspected with it, but only it
-        # is there each time, so none of them is ever refused, and later ones get their answers.
+        # The request is refused by every router after a few errors. Each crash also ends the other runs on the
+        # engine; these become suspects, but only the poison request is present each time, so that no other
+        # request is refused as poisoned, and later ones get their answers.
         running = self.running
         for name in ENGINES:
             running.faults(name, poison_marker=POISON[:20], crash_mode="emulate", down_s=RESTART_S)
@@ -56,8 +56,8 @@
         self.check_restarted_router()
 
     def check_restarted_router(self):
-        # A router that starts knows of no crash by itself; asked by the caller that goes on sending,
-        # it would let the request crash engines all over again.
+        # A router that starts has seen no crash. Without the reports of the others, it would let the
+        # request crash engines again.
         name = self.running.routers[0]
         self.running.router(name).kill()
         self.running.restart(name)
--- a/tests/test_quiet_crashes.py
+++ b/tests/test_quiet_crashes.py
@@ -1,4 +1,4 @@
-"""A request that crashes engines, sent again and again to a service that nobody else uses."""
+"""A poison request that is resent repeatedly to a service without other load."""
 
 import threading
 import time
@@ -13,7 +13,7 @@
 OBSERVATION_S = 16.0
 CRASHES = 3
 PROPAGATION_S = 4.0
-"""Time after the third crash in which the fleet learns which request it is."""
+"""Time after the third crash within which all routers must know the poison request."""
 MAX_AFTER = 3
 
 
@@ -37,7 +37,7 @@
         self.answers.append(world.ask(method, path, router=number % ROUTERS, request_id=f"r{number}"))
 
     def check(self, method, path):
-        """Send one request through each router in turn, and see how often it runs once it has crashed three engines."""
+        """Send one request through each router in turn and limit its runs after it has crashed three engines."""
         world = self.world()
         senders = []
         until = time.monotonic() + OBSERVATION_S
@@ -52,11 +52,12 @@
         after = [at for at in arrivals if at > crashes[CRASHES - 1] + PROPAGATION_S]
         self.assertLessEqual(len(after), MAX_AFTER)
 
-    # Guards against a crash that no router tells from a broken connection, as each has one run on the engine.
+    # Guards against crashes that no router distinguishes from a broken connection, since each router has one run on
+    # the engine.
     def test_a_stream_that_crashes_engines(self):
         self.check("POST", f"/stream/{MARK}")
 
-    # Guards against the same where engines report nothing, so that only their entries tell that they went down.
+    # Guards against the same where engines send no reports, so that only their entries show that they went down.
     def test_a_call_that_crashes_engines(self):
         self.service = "booking"
         self.check("GET", f"/status/{MARK}")
--- a/tests/test_slow_service.py
+++ b/tests/test_slow_service.py
@@ -1,4 +1,4 @@
-"""A plain service that turns slow after a booking was sent there goes on to its answer."""
+"""A request to a plain service that becomes slow is waited for until its deadline."""
 
 import threading
 import time
@@ -14,7 +14,7 @@
 from wagtailtrestle.slopes.entry import make_entry, make_request
 
 SLOWDOWN_FACTOR = 150.0
-"""From 20 ms for a booking to 3 s, within the 5 s that its caller has."""
+"""Slows a booking from 20 ms to 3 s, within its caller's deadline of 5 s."""
 BOOKINGS = 4
 
 
@@ -35,8 +35,8 @@
             loop.close()
 
     def test_a_booking_is_waited_for_until_its_deadline(self):
-        # The family sees 502, engine_lost, executed unknown, after 2 s, though its booking is made a second later. A
-        # plain service can't be asked about a call, and the call may not be sent again: giving it up gains nothing.
+        # Guards against a 502 (engine_lost, executed unknown) after 2 s for a booking that is made a second later. A
+        # plain service can't be queried about a call, and the call may not be repeated: abandoning it gains nothing.
         caller = self.serve([RunDone()], repeatable=False)
         (start,) = caller.starts
         self.assertEqual(start.first_token_deadline_s, start.overall_s)
