--- a/wagtailtrestle/quotas/accounts.py
+++ b/wagtailtrestle/quotas/accounts.py
@@ -1,34 +1,34 @@
-"""The serving side of quotas: credits in hand by team, fetched ahead from each team's owner."""
+"""The serving side of quotas: a balance of credits for each team, prefetched from the team's owner."""
 
 import threading
 
 from wagtailtrestle.contracts.quota_messages import QuotaAsk
 
 PREFETCH_S = 0.3
-"""Credits are fetched for the demand of so long: three rounds of asking, so that one may be lost."""
+"""Credits are prefetched for the demand of this time: three request intervals, so that one message may be lost."""
 
 MAX_WAIT_S = 0.35
-"""Longest time that a request waits for an owner's answer: the time in which a dead owner is replaced, and a
-second question. To a caller that waits a second for its first token this is better than a false refusal."""
+"""Maximum time that a request waits for an owner's answer: the time until a dead owner is replaced, plus a second
+message. For a caller that waits a second for its first token this is better than a false refusal."""
 
 RESEND_AFTER_S = 0.2
-"""An ask that was not answered for so long is taken for lost; an answer takes some milliseconds."""
+"""Time without an answer after which a message counts as lost; an answer takes some milliseconds."""
 
 OWNER_TIMEOUT_S = 0.4
-"""An owner that answers nothing for so long can't be reached: this router goes on with its own share."""
+"""Time without an answer after which the owner counts as unreachable and this router uses its own share."""
 
 MIN_RETRY_AFTER_S = 0.05
-"""A request that the owner refused is not asked for again sooner; also not one too large for its quota."""
+"""Minimum time for which a refusal by the owner is repeated from here, also for a request too large for its quota."""
 
 MAX_SHARE_S = 1.0
-"""Credits of the own share that may gather while the owner is out, in seconds of that share."""
+"""Maximum credits of the own share that accumulate while the owner is unreachable, in seconds of that share."""
 
 DEMAND_WINDOW_S = 1.0
 """Time over which a team's demand is averaged."""
 
 RETURN_FACTOR = 2.0
-"""Credits beyond so many times what is worth having in hand go back to the owner: demand has moved to other
-routers, or a request gave back what it took. Kept here they would be missing there."""
+"""Credits beyond this multiple of the prefetch target are returned to the owner: demand has moved to other
+routers, or a request was refunded, and the credits are missing where they are needed."""
 
 
 class QuotaRefused:
@@ -37,13 +37,13 @@
     Parameters
     ----------
     retry_after_s : float
-        When there is room again.
+        Time until the request fits the quota.
     left : int or None
         Units that the owner had when it refused; ``None`` if it did not answer.
     left_age_s : float
-        How long ago that was.
+        Age of that value.
     held : int
-        Units in hand at this router.
+        Balance of this router.
     """
 
     __slots__ = ("retry_after_s", "left", "left_age_s", "held")
@@ -56,7 +56,7 @@
 
 
 class QuotaCharge:
-    """What one request took."""
+    """Units charged for one request."""
 
     __slots__ = ("_accounts", "_team", "_units")
 
@@ -66,13 +66,13 @@
         self._units = units
 
     def refund(self):
-        """Give it back, since the request was not run."""
+        """Refund the units, since the request was not run."""
         self._accounts.return_units(self._team, self._units)
         self._units = 0
 
 
 class _TeamAccount:
-    """Credits of one team in hand, and what is asked of its owner."""
+    """Credit balance of one team at this router, and the state of requests to its owner."""
 
     __slots__ = (
         "balance",
@@ -104,41 +104,41 @@
         self.share_credited_at = now
 
     def record_demand(self, units, now):
-        """Average the demand over the window, refused requests included."""
+        """Add to the demand averaged over the window; refused requests count, too."""
         kept = max(0.0, 1.0 - (now - self.demand_at) / DEMAND_WINDOW_S)
         self.demand_per_s = self.demand_per_s * kept + units / DEMAND_WINDOW_S
         self.demand_at = now
 
     def ahead(self, now):
-        """Units worth having in hand."""
+        """Prefetch target: the units to have available for the demand of ``PREFETCH_S``."""
         kept = max(0.0, 1.0 - (now - self.demand_at) / DEMAND_WINDOW_S)
         return self.demand_per_s * kept * PREFETCH_S
 
     def spare(self, now, *, share):
-        """Units in hand that nobody here is going to need; a second's own share may stay for small requests."""
+        """Units beyond the expected need of this router; one second of its own share is kept for small requests."""
         wanted = sum(self.waiting) + max(RETURN_FACTOR * self.ahead(now), share)
         return int(max(0.0, self.balance - wanted))
 
     def is_exhausted(self, units, now):
-        """Whether the owner said that so many units are not there yet."""
+        """Whether the owner refused a request of at most this size and the time that it named has not passed."""
         return now < self.exhausted_until and units >= self.exhausted_units
 
     def is_idle(self, now):
-        """Whether nothing is asked, held for the next moment or waited for."""
+        """Whether no request to the owner is open, none of this team waits, and there was no recent demand."""
         return self.requested_at is None and not self.waiting and now - self.demand_at > 2 * DEMAND_WINDOW_S
 
     def is_answer_due(self, now):
-        """Whether the last ask may still be answered, or was."""
+        """Whether the last message to the owner was answered or may still be."""
         return self.requested_at is None or now - self.sent_at < RESEND_AFTER_S
 
     def mark_requested(self, now):
-        """Note that the owner is asked; its silence counts from the first ask without an answer."""
+        """Record a message to the owner; its silence counts from the first message without an answer."""
         self.sent_at = now
         if self.requested_at is None:
             self.requested_at = now
 
     def sizes_to_request(self, now):
-        """Sizes of the requests that wait and have not been asked for, or in vain."""
+        """Sizes of the waiting requests that have not been sent to the owner, or of all once a message was lost."""
         sizes = self.unrequested if self.is_answer_due(now) else self.waiting
         self.unrequested = []
         return tuple(sizes)
@@ -147,18 +147,18 @@
 class QuotaAccounts:
     """Credits of every team with a quota.
 
-    ``take`` and ``give_back`` are called from callers' threads, everything else on the loop.
+    ``acquire`` and ``return_units`` are called from callers' threads, everything else on the loop.
 
     Parameters
     ----------
     clock : callable
-        The loop's time, which threads may read too.
+        Returns the loop's time; callable from threads.
     call_soon : callable
         ``call_soon(callback)`` runs it on the loop; callable from threads.
     send_ask : callable
-        ``send_ask(ask)`` carries a ``QuotaAsk`` to the owner of its team; ``False`` if it can't.
+        ``send_ask(request)`` sends a ``QuotaAsk`` to the owner of its team; ``False`` if it can't be sent.
     members : callable
-        Number of routers over which a share is reckoned.
+        Returns the number of routers among which a quota is shared.
     """
 
     __slots__ = (
@@ -179,13 +179,13 @@
         self._members = members
         self._quota_by_team = {}
         self._account_by_team = {}
-        # Of 1,700 teams a router serves a few dozen at a time: looked through ten times a second, all of
-        # them would take a third of the processor time that a router may use at rest.
+        # Of 1,700 teams a router serves a few dozen at a time. Visiting all of them ten times a second
+        # would take a third of the CPU time that an idle router may use.
         self._active_teams = set()
         self._changed = threading.Condition()
 
     def set_quotas(self, quota_by_team):
-        """Put the declared quotas in force."""
+        """Apply the declared quotas."""
         with self._changed:
             self._quota_by_team = dict(quota_by_team)
             now = self._clock()
@@ -195,7 +195,7 @@
             self._active_teams &= self._account_by_team.keys()
 
     def acquire(self, team, units):
-        """Take a request's units from its team's quota.
+        """Charge a request's units to its team's quota.
 
         Returns
         -------
@@ -219,7 +219,7 @@
         return QuotaCharge(accounts=self, team=team, units=units)
 
     def return_units(self, team, units):
-        """Take back what a request did not use."""
+        """Add units that a request did not use to the balance."""
         with self._changed:
             account = self._account_by_team.get(team)
             if account is not None:
@@ -227,7 +227,7 @@
                 self._active_teams.add(team)
 
     def request_credits(self):
-        """Ask owners for what is needed or worth having, and give back what is neither."""
+        """Request needed and prefetched credits from the owners, and return spare ones."""
         now = self._clock()
         with self._changed:
             requests = [
@@ -239,9 +239,9 @@
             self._send_ask(request)
 
     def _next_request(self, team, account, now):
-        """What to ask of the owner of one team now, or ``None``."""
+        """Build the next message to the owner of one team, or ``None``."""
         needed = account.sizes_to_request(now)
-        # While requests are refused, what comes in is theirs, not for the next moment.
+        # While requests are refused, credits go to them rather than to the prefetch.
         ahead = int(account.ahead(now)) if now >= account.exhausted_until else 0
         if needed:
             in_hand = self._collect_balance(account)
@@ -256,10 +256,10 @@
 
     @staticmethod
     def _collect_balance(account):
-        """Take what is in hand, to be sent back with an ask for more."""
-        # A request is granted whole or not at all, by one bucket. Kept here, what is in hand would count for
-        # nothing: with 1,200 units here and 800 at the owner, a request of 2,000 was refused. An owner that
-        # has not answered the last ask may be out of reach: then it stays, as it is all that there is.
+        """Take the whole balance, to be returned with a request for more."""
+        # One bucket grants a request in full or not at all. If the balance stayed here, it would not count
+        # towards the request: with 1,200 units here and 800 at the owner, a request of 2,000 was refused. If the
+        # owner has not answered the last message, it may be unreachable, and the balance stays here.
         if account.requested_at is not None:
             return 0
         in_hand = int(max(0.0, account.balance))
@@ -267,7 +267,7 @@
         return in_hand
 
     def _return_spare(self, team, account, now):
-        """Give back what is spare, while the owner can be reached."""
+        """Return spare credits if no message to the owner is open."""
         spare = self._spare(team, account, now)
         if spare <= 0 or account.requested_at is not None:
             return None
@@ -278,7 +278,7 @@
         return account.spare(now, share=self._share_of(self._quota_by_team[team]))
 
     def on_grant(self, grant):
-        """Take in an owner's answer."""
+        """Apply an owner's answer."""
         now = self._clock()
         with self._changed:
             account = self._account_by_team.get(grant.team)
@@ -293,7 +293,7 @@
             self._changed.notify_all()
 
     def tick(self):
-        """Fetch ahead, give back what is not used, and go on alone where an owner is silent."""
+        """Prefetch credits, return unused ones, and credit the own share where an owner is silent."""
         now = self._clock()
         with self._changed:
             for team, account in self._active_accounts():
@@ -314,7 +314,7 @@
             }
 
     def _wait_for_units(self, account, units, now):
-        """Wait until the owner has answered; ``None`` once there is enough, else the refusal."""
+        """Wait for the owner's answer; returns ``None`` once the balance suffices, else the refusal."""
         if account.is_exhausted(units, now):
             return self._refusal(account, now, retry_after_s=account.exhausted_until - now)
         account.waiting.append(units)
@@ -342,8 +342,8 @@
         )
 
     def _credit_own_share(self, quota, account, now):
-        # The owner died, or the way to it is cut. All routers that can't reach it together give out no
-        # more than their shares, which the owner leaves out of what it grants.
+        # The owner is dead or unreachable. All routers that can't reach it together grant no more than
+        # their shares, which the owner withholds from what it grants.
         elapsed_s = min(MAX_SHARE_S, now - account.share_credited_at)
         account.share_credited_at = now
         if account.requested_at is None or now - account.requested_at < OWNER_TIMEOUT_S:
