--- a/wagtailtrestle/quotas/__init__.py
+++ b/wagtailtrestle/quotas/__init__.py
@@ -1,1 +1,1 @@
-"""Teams' quotas over all routers: an owner for each team, credits ahead for whoever serves it."""
+"""Teams' quotas over all routers: an owner for each team, prefetched credits for the routers that serve it."""
--- a/wagtailtrestle/quotas/accounts.py
+++ b/wagtailtrestle/quotas/accounts.py
@@ -18,7 +18,7 @@
 """Time without an answer after which the owner counts as unreachable and this router uses its own share."""
 
 MIN_RETRY_AFTER_S = 0.05
-"""Minimum time for which a refusal by the owner is repeated from here, also for a request too large for its quota."""
+"""Minimum time for which a refusal by the owner is reused here, also for a request too large for its quota."""
 
 MAX_SHARE_S = 1.0
 """Maximum credits of the own share that accumulate while the owner is unreachable, in seconds of that share."""
--- a/wagtailtrestle/quotas/charging.py
+++ b/wagtailtrestle/quotas/charging.py
@@ -6,14 +6,14 @@
 
 
 def charge_team(*, accounts, team, tokens) -> QuotaCharge | Refusal | None:
-    """Take a request's units from its team's quota.
+    """Charge a request's units to its team's quota.
 
     Parameters
     ----------
     accounts : QuotaAccounts
     team : Team or None
     tokens : int or None
-        Prompt and expected output together; ``None`` where the caller told no sizes.
+        Prompt and expected output together; ``None`` if the caller gave no sizes.
 
     Returns
     -------
@@ -35,7 +35,7 @@
 
 
 def _cause(*, team, units, refused):
-    """Say what decided: the request's size, the quota, and what its owner had left."""
+    """Describe the reason: the request's size, the quota, and what its owner had left."""
     quota = f"{team.quota.rate_per_s:g} a second, burst {team.quota.burst:g}"
     asked = f"team {team.name}: a request of {units:g} units, quota {quota}"
     if refused.left is None:
--- a/wagtailtrestle/quotas/owner.py
+++ b/wagtailtrestle/quotas/owner.py
@@ -1,34 +1,34 @@
-"""The owner's side of quotas: one bucket for each team, whose credits it hands out."""
+"""The owner's side of quotas: a token bucket for each team, from which credits are granted."""
 
 from collections import deque
 
 from wagtailtrestle.contracts.quota_messages import QuotaGrant
 
 TAKEOVER_SHARE = 0.25
-"""Part of the burst that an owner begins with after another was it: with the whole burst, each
-change to and fro would grant it once more; with none, a quiet team would be refused."""
+"""Share of the burst with which a new owner starts after another router owned the team: with the full
+burst, each change of owner would grant it once more; with none, an idle team would be refused."""
 
 ABSENT_ROUTER_RETENTION_S = 20.0
-"""How long a router that left the view is still reckoned with: cut off, it serves on its share alone."""
+"""Time for which a router that left the view still counts: if it is partitioned, it serves from its own share."""
 
 
 GRANTED_TOLERANCE_SHARE = 0.6
-"""Part of the operator's tolerance that is given out as credits. An operator who tolerates an excess
-would rather see idle engines used than a team refused at the very limit; the rest of the tolerance
-is for what this module can't know: credits of a former owner, and shares of routers cut off."""
+"""Share of the operator's tolerance that is granted as credits. An operator who tolerates an excess
+prefers using idle engines to refusing a team exactly at its limit. The remaining tolerance covers what
+this module can't know: credits of a former owner, and shares of partitioned routers."""
 
 
 class Tolerance:
-    """By how much a team may exceed its quota within any window before the operator minds.
+    """Excess over a team's quota that the operator tolerates within any window.
 
     Parameters
     ----------
     window_s : float
-        0 if no excess is tolerated.
+        Length of the window; 0 if no excess is tolerated.
     share : float
-        Part of what the quota allows in the window.
+        Tolerated excess as a share of what the quota allows in the window.
     units : float
-        Beyond that, whatever the quota.
+        Tolerated excess in addition to the share, independent of the quota.
     """
 
     __slots__ = ("_window_s", "_share", "_units")
@@ -39,11 +39,11 @@
         self._units = units
 
     def max_request_units(self, quota):
-        """Units of the largest request that may ever pass: what the quota allows within the window."""
+        """Units of the largest request that can be granted: what the quota allows within the window."""
         return quota.burst + quota.rate_per_s * self._window_s
 
     def rate_per_s(self, quota):
-        """The rate at which a bucket fills: the quota's, and the given part of the tolerance spread over the window."""
+        """Refill rate of a bucket: the quota's, plus the granted share of the tolerance spread over the window."""
         if not self._window_s:
             return quota.rate_per_s
         allowed = quota.rate_per_s * self._window_s + quota.burst
@@ -51,7 +51,7 @@
 
 
 class Bucket:
-    """One team's credits: at most ``burst``, filling at ``rate_per_s``."""
+    """Token bucket of one team: holds at most ``burst`` and refills at ``rate_per_s``."""
 
     __slots__ = ("_rate_per_s", "_burst", "_level", "_at")
 
@@ -62,27 +62,27 @@
         self._at = now
 
     def limit(self, *, rate_per_s, burst):
-        """Put another limit in force."""
+        """Apply another limit."""
         self._rate_per_s = rate_per_s
         self._burst = burst
         self._level = min(self._level, burst)
 
     def refill(self, *, now, share):
-        """Add what came since the last look; ``share`` of the rate is this owner's to give."""
+        """Add the units since the last refill; this owner may grant ``share`` of the rate."""
         elapsed_s = max(0.0, now - self._at)
         self._level = min(self._burst, self._level + elapsed_s * self._rate_per_s * share)
         self._at = now
 
     @property
     def level(self):
-        """Units to give; negative while it makes up for a request larger than the burst."""
+        """Units available; negative after a request larger than the burst until the refill has made up for it."""
         return int(self._level)
 
     def consume_all(self, units, *, max_request_units):
-        """Take all of so many units; whether they were there.
+        """Consume all units of a request and return ``True``, or none and return ``False``.
 
-        More than the burst will never be there. Such a request, up to ``largest``, passes while the
-        bucket is full, and what it took beyond that is made up for before anything else passes.
+        A bucket never holds more than the burst. A larger request, up to ``max_request_units``, is granted
+        when the bucket is full, and nothing else is granted until the refill has made up for the excess.
         """
         if units > max_request_units or self._level < min(units, self._burst):
             return False
@@ -90,30 +90,30 @@
         return True
 
     def consume_up_to(self, units):
-        """Take up to so many units; returns how many."""
+        """Consume at most this number of units; returns how many were consumed."""
         taken = int(max(0.0, min(units, self._level)))
         self._level -= taken
         return taken
 
     def return_units(self, units):
-        """Take back units that were granted and not used."""
+        """Add units that were granted and not used."""
         self._level = min(self._burst, self._level + units)
 
     def wait_s(self, units):
-        """Seconds until a request of so many units passes."""
+        """Seconds until a request of this size can be granted."""
         return max(0.0, min(units, self._burst) - self._level) / self._rate_per_s
 
 
 class QuotaOwner:
-    """Hands out the credits of the teams that this router owns.
+    """Grants the credits of the teams that this router owns.
 
     Parameters
     ----------
     clock : callable
     members : callable
-        Number of routers in the live view.
+        Returns the number of routers in the live view.
     fleet_size : callable, optional
-        Number of routers that may be running, in the view or not.
+        Returns the number of routers that may be running, in the view or not.
     tolerance : callable
         Returns the ``Tolerance`` in force.
     """
@@ -140,7 +140,7 @@
         self._member_counts = deque()
 
     def set_quotas(self, quota_by_team):
-        """Put the declared quotas in force; credits that are left stay, within the new burst."""
+        """Apply the declared quotas; a bucket keeps its level, limited to the new burst."""
         self._quota_by_team = dict(quota_by_team)
         for team in set(self._bucket_by_team) - set(quota_by_team):
             del self._bucket_by_team[team]
@@ -149,7 +149,7 @@
             bucket.limit(rate_per_s=self._tolerance().rate_per_s(quota), burst=quota.burst)
 
     def grant(self, request) -> QuotaGrant:
-        """Answer one ask; what requests wait for is granted before what is asked ahead."""
+        """Answer one message: waiting requests are granted before the prefetch."""
         quota = self._quota_by_team.get(request.team)
         if quota is None:
             return QuotaGrant(team=request.team, units=sum(request.needed) + request.ahead)
@@ -173,12 +173,12 @@
         )
 
     def mark_owned_elsewhere(self, team):
-        """Note that another router is this team's owner: what it gave out is not known here."""
+        """Record that another router owns this team, whose grants are not known here."""
         self._teams_owned_elsewhere.add(team)
         self._bucket_by_team.pop(team, None)
 
     def drop_unowned(self, is_owner):
-        """Let go of the buckets of teams that another router owns now."""
+        """Drop the buckets of teams that another router now owns."""
         for team in list(self._bucket_by_team):
             if not is_owner(team):
                 self.mark_owned_elsewhere(team)
@@ -194,13 +194,14 @@
         return bucket
 
     def _share(self):
-        # A router cut off from this one goes on with its own share of every quota. Granting the whole
-        # rate beside it would exceed the quota by that share, so it is left out for a while.
+        # A router that is partitioned from this one continues with its own share of every quota. Granting
+        # the whole rate as well would exceed the quota by that share, so it is withheld for a while.
         now = self._clock()
         present = max(1, self._members())
         fleet_size = self._fleet_size()
         if 2 * present <= fleet_size:
-            # It is likelier that this side is cut off than that most routers died: each other side may be as large.
+            # A partition is more likely than the death of at least half of the routers, and each other side of
+            # it may be as large.
             return present / fleet_size
         while self._member_counts and now - self._member_counts[0][0] > ABSENT_ROUTER_RETENTION_S:
             self._member_counts.popleft()
--- a/wagtailtrestle/quotas/shared.py
+++ b/wagtailtrestle/quotas/shared.py
@@ -1,4 +1,4 @@
-"""One router's part in quotas that hold over all routers: its accounts, and the buckets that it owns."""
+"""One router's part in quotas shared by all routers: its accounts, and the buckets that it owns."""
 
 from loguru import logger
 
@@ -9,7 +9,7 @@
 
 
 class SharedQuotas:
-    """Joins the accounts of credits with the owners of the teams' buckets, here and at peers.
+    """Connects this router's accounts with the owners of the teams' buckets, here and at peers.
 
     Parameters
     ----------
@@ -19,12 +19,12 @@
     membership : Membership
     loop : asyncio.AbstractEventLoop
     tolerance : callable
-        ``tolerance()`` gives the present ``Tolerance``.
+        Returns the present ``Tolerance``.
 
     Attributes
     ----------
     accounts : QuotaAccounts
-        What requests are charged to.
+        Accounts to which requests are charged.
     """
 
     __slots__ = ("accounts", "_name", "_peers", "_membership", "_loop", "_owner", "_rendezvous")
@@ -50,7 +50,7 @@
         peers.on(QuotaGrant, lambda peer, grant, cell: self.accounts.on_grant(grant))
 
     def set_declaration(self, declaration):
-        """Go by the quotas of a declaration."""
+        """Apply the quotas of a declaration."""
         quotas = {team.name: team.quota for team in declaration.teams_by_name.values() if team.quota is not None}
         for team, quota in sorted(quotas.items()):
             logger.bind(team=team, rate_per_s=quota.rate_per_s, burst=quota.burst).info("quota in force")
@@ -58,7 +58,7 @@
         self.accounts.set_quotas(quotas)
 
     def tick(self):
-        """Ask owners for what will soon be needed."""
+        """Request the credits that will soon be needed from their owners."""
         self.accounts.tick()
 
     def dump(self):
@@ -78,12 +78,12 @@
         return self._owner_of(team) == self._name
 
     def _on_trusted_again(self):
-        # This process was paused, and others may have been owners meanwhile: by its own account
-        # credits gathered all the time.
+        # This process was paused and other routers may have owned its teams meanwhile, while its own
+        # buckets would refill for the whole time.
         self._owner.drop_unowned(lambda team: False)
 
     def _send_ask(self, request):
-        """Ask the team's owner; whether there is one that can be asked."""
+        """Send a request to the team's owner; returns whether it could be sent."""
         owner = self._owner_of(request.team)
         if owner == self._name:
             self._loop.call_soon(lambda: self.accounts.on_grant(self._owner.grant(request)))
