--- a/wagtailtrestle/quotas/charging.py
+++ b/wagtailtrestle/quotas/charging.py
@@ -37,7 +37,7 @@
 def _cause(*, team, units, refused):
     """Describe the reason: the request's size, the quota, and what its owner had left."""
     quota = f"{team.quota.rate_per_s:g} a second, burst {team.quota.burst:g}"
-    asked = f"team {team.name}: a request of {units:g} units, quota {quota}"
+    description = f"team {team.name}: a request of {units:g} units, quota {quota}"
     if refused.left is None:
-        return f"{asked}; the quota's owner did not answer, {refused.held} held here"
-    return f"{asked}; its owner had {refused.left} left {refused.left_age_s:.2f} s ago, {refused.held} held here"
+        return f"{description}; the quota's owner did not answer, {refused.held} held here"
+    return f"{description}; its owner had {refused.left} left {refused.left_age_s:.2f} s ago, {refused.held} held here"
