--- a/wagtailtrestle/quotas/accounts.py
+++ b/wagtailtrestle/quotas/accounts.py
@@ -244,9 +244,9 @@
         # While requests are refused, credits go to them rather than to the prefetch.
         ahead = int(account.ahead(now)) if now >= account.exhausted_until else 0
         if needed:
-            in_hand = self._collect_balance(account)
+            returned_units = self._collect_balance(account)
             account.mark_requested(now)
-            return QuotaAsk(team=team, needed=needed, ahead=ahead, returned=in_hand)
+            return QuotaAsk(team=team, needed=needed, ahead=ahead, returned=returned_units)
         if account.requested_at is not None and account.is_answer_due(now):
             return None
         if account.balance < ahead / 2:
@@ -262,9 +262,9 @@
         # owner has not answered the last message, it may be unreachable, and the balance stays here.
         if account.requested_at is not None:
             return 0
-        in_hand = int(max(0.0, account.balance))
-        account.balance -= in_hand
-        return in_hand
+        returned_units = int(max(0.0, account.balance))
+        account.balance -= returned_units
+        return returned_units
 
     def _return_spare(self, team, account, now):
         """Return spare credits if no message to the owner is open."""
