--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -42,7 +42,7 @@
 
         # ``take`` holds its lock while it asks, as the loop's thread would wait for it: a thread carries it, and
         # as on the loop each begins when the one before has ended.
-        def soon(callback):
+        def call_soon_in_thread(callback):
             earlier = self.threads[-1:]
 
             def run():
@@ -53,7 +53,9 @@
             self.threads.append(threading.Thread(target=run))
             self.threads[-1].start()
 
-        return QuotaAccounts(clock=self.clock, call_soon=soon, send_ask=send, members=lambda: len(self.peers))
+        return QuotaAccounts(
+            clock=self.clock, call_soon=call_soon_in_thread, send_ask=send, members=lambda: len(self.peers)
+        )
 
     def pass_time(self, seconds):
         """Let the clock go on once all that was asked is answered."""
