--- a/tests/test_quota_fleet.py
+++ b/tests/test_quota_fleet.py
@@ -1,4 +1,4 @@
-"""Quotas of all routers together while they can't reach each other."""
+"""Quotas over all routers while they are partitioned from each other."""
 
 import asyncio
 import unittest
@@ -17,12 +17,12 @@
 WINDOW_S = 8.0
 REQUEST_INTERVAL_S = 0.1
 CUT_S = 30.0
-"""Longer than a router that left the view was once reckoned with."""
+"""Longer than ``ABSENT_ROUTER_RETENTION_S``, the time for which a router that left the view still counts."""
 
 
 class QuotaFleetTest(unittest.TestCase):
     async def routers(self, net, names):
-        """Quotas of each router, with a quota in force that all share."""
+        """Start the quotas of each router with one quota that all share."""
         team = Team(name=TEAM, share=1.0, key_sha256=(), quota=TokenQuota(rate_per_s=RATE_PER_S, burst=BURST))
         declaration = Declaration(
             organisation="",
@@ -47,14 +47,14 @@
         return shared
 
     async def granted_units(self, shared):
-        """Units that all routers grant themselves within one window."""
+        """Return the units that all routers grant themselves within one window."""
         units = 0
         for _ in range(int(WINDOW_S / REQUEST_INTERVAL_S)):
             await asyncio.sleep(REQUEST_INTERVAL_S)
             units += sum(quotas._owner.grant(QuotaAsk(team=TEAM, needed=(10,) * 10)).units for quotas in shared)
         return units
 
-    # Guards against routers that are cut off for long and give out the whole quota each.
+    # Guards against routers that each grant the whole quota after a long partition.
     @on_paused_clock
     async def test_routers_cut_off_from_each_other(self):
         net = FakeNet(asyncio.get_running_loop())
--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -1,4 +1,4 @@
-"""Quotas over all routers: the owner's bucket and the credits of those who serve."""
+"""Quotas over all routers: the owner's bucket and the accounts of the routers that serve."""
 
 import random
 import threading
@@ -20,7 +20,7 @@
 
 
 class Fleet:
-    """Routers that share one owner; asks arrive at once unless the way is cut."""
+    """Routers with one owner; messages arrive without delay unless the connection is cut."""
 
     def __init__(self, *, peers=2, quota=QUOTA, tolerance=None):
         self.clock = Clock()
@@ -40,8 +40,8 @@
             if number not in self.cut:
                 self.peers[number].on_grant(self.owner.grant(request))
 
-        # ``take`` holds its lock while it asks, as the loop's thread would wait for it: a thread carries it, and
-        # as on the loop each begins when the one before has ended.
+        # ``acquire`` holds its lock while it calls this, so that the callback must run in another thread; as on
+        # the loop, each callback starts when the previous one has ended.
         def call_soon_in_thread(callback):
             earlier = self.threads[-1:]
 
@@ -58,7 +58,7 @@
         )
 
     def pass_time(self, seconds):
-        """Let the clock go on once all that was asked is answered."""
+        """Advance the clock once all messages are answered."""
         for thread in self.threads:
             thread.join()
         self.threads.clear()
@@ -67,7 +67,7 @@
             router_accounts.tick()
 
     def use_up(self, seconds, *, units=100, tick_s=0.1, peers=None):
-        """Take as much as there is for some time; the units that went through."""
+        """Acquire as many units as possible for some time; returns how many were admitted."""
         used = 0
         for _ in range(round(seconds / tick_s)):
             self.clock.now += tick_s
@@ -82,14 +82,14 @@
 
 class QuotaTest(unittest.TestCase):
     def test_all_routers_together_keep_to_the_quota(self):
-        # Two routers are flooded by one team. Each by itself keeping to the quota would let
-        # twice as much through.
+        # One team floods two routers. If each router applied the quota by itself, twice the quota
+        # would be admitted.
         used = Fleet().use_up(10.0)
         self.assertLessEqual(used, 10.0 * QUOTA.rate_per_s + QUOTA.burst + 200)
         self.assertGreater(used, 0.9 * 10.0 * QUOTA.rate_per_s)
 
     def test_one_router_may_use_all_of_it(self):
-        # A team's callers all reach one router. A fixed share would refuse what the quota allows.
+        # All callers of a team use one router. A fixed share per router would refuse what the quota allows.
         used = Fleet(peers=5).use_up(10.0, peers=[0])
         self.assertGreater(used, 0.9 * 10.0 * QUOTA.rate_per_s)
 
@@ -111,9 +111,9 @@
         self.assertIsInstance(fleet.peers[0].acquire("club", 100), QuotaRefused)
 
     def test_credits_in_hand_count_for_a_request_that_needs_more(self):
-        # A caller sees 429 though its team's quota is untouched. A request that did not run gave its units back, and
-        # the next look returned a part of them to the owner: 1,200 in hand, 800 there. A request of 2,000 was asked
-        # for as if nothing were in hand, and the owner, which had 800, refused it.
+        # Guards against a 429 for a team whose quota is untouched. A refunded request left 2,000 units, of which the
+        # next tick returned 800 to the owner and kept 1,200. The next request of 2,000 was sent to the owner
+        # without the balance of 1,200, and the owner, which had 800, refused it.
         fleet = Fleet(peers=1)
         fleet.peers[0].acquire("club", 2000).refund()
         fleet.pass_time(0.0)
@@ -127,13 +127,13 @@
         self.assertIsInstance(fleet.peers[0].acquire("club", 100), QuotaRefused)
 
     def test_a_router_cut_off_from_the_owner_goes_on_with_its_share(self):
-        # The way to the owner is cut. Refusing everything would fail the team's callers here;
-        # serving freely would exceed the quota beside the owner, who gives out the rest.
+        # The connection to the owner is cut. Refusing everything would fail the team's callers here;
+        # admitting everything would exceed the quota, since the owner grants the rest elsewhere.
         fleet = Fleet(peers=4)
         fleet.use_up(1.0, peers=[3])
         fleet.cut = {3}
         fleet.clock.now += OWNER_TIMEOUT_S
-        # No answer comes, so that a shorter real wait changes nothing but the time that the test takes.
+        # No answer arrives, so that a shorter wait changes only the duration of the test.
         with mock.patch.object(accounts_module, "MAX_WAIT_S", 0.05):
             used = fleet.use_up(10.0, peers=[3])
         self.assertGreater(used, 0.5 * 10.0 * QUOTA.rate_per_s / 4)
@@ -168,8 +168,8 @@
         self.assertIsNone(Fleet().peers[0].acquire("others", 10**9))
 
     def test_the_owner_answers_for_a_team_it_does_not_know(self):
-        # Its configuration is older than the asker's. Without an answer the asker would refuse
-        # the team until the owner has heard of it.
+        # The owner's configuration is older than the requesting router's. Without an answer that router
+        # would refuse the team until the owner has its quota.
         grant = Fleet().owner.grant(QuotaAsk(team="new", needed=(5,), ahead=3))
         self.assertEqual((grant.units, grant.retry_after_s), (8, 0.0))
 
@@ -177,9 +177,9 @@
 class FewLargeRequestsTest(unittest.TestCase):
     """A team with few large requests at many routers: the pattern of long documents.
 
-    A request is several times what the team may use within the time that credits are fetched ahead for, and each
-    comes to another router. What routers keep in hand, or get as a part of what a request needs, is missing to
-    the next one. Rate, burst and sizes are those of a large tenant of a language service.
+    A request is several times what the team may use within the prefetch time, and each reaches another router.
+    Units that a router keeps as its balance, or is granted for a part of a request, are missing for the next
+    request. Rate, burst and sizes are those of a large team of a language service.
     """
 
     RATE_PER_S = 13_500.0
@@ -188,7 +188,7 @@
     WINDOW_S = 8.0
 
     def play(self, *, routers, share, seconds, seed=5):
-        """Ask for ``share`` of the rate; what was admitted, how many were refused, and the last refusals."""
+        """Request ``share`` of the rate; returns the fleet, the units admitted, and the refusals with their sizes."""
         quota = TokenQuota(rate_per_s=self.RATE_PER_S, burst=self.BURST, counts_tokens=True)
         fleet = Fleet(peers=routers, quota=quota)
         chance = random.Random(seed)
@@ -208,9 +208,9 @@
         return fleet, admitted, refused
 
     def test_what_is_within_the_quota_is_admitted_wherever_it_comes(self):
-        # Requests of half a second's rate each come to other routers. Credits granted in part to a
-        # request that is refused, or fetched ahead where no further request comes, were lost to the
-        # team: it was refused at half of its rate.
+        # Requests of half a second's rate each reach different routers. Credits granted for a part of a
+        # request that was refused, or prefetched where no further request came, were lost to the team, so
+        # that it was refused at half of its rate.
         for routers in (20, 200):
             with self.subTest(routers=routers):
                 _, _, refused = self.play(routers=routers, share=0.95, seconds=30.0)
@@ -234,7 +234,7 @@
         self.assertIsInstance(fleet.peers[3].acquire("club", units), QuotaCharge)
 
     def test_a_small_request_passes_where_a_large_one_does_not_fit(self):
-        # What was kept in hand for more of them comes back within a second and serves another router.
+        # Units prefetched for more small requests are returned within a second and serve another router.
         quota = TokenQuota(rate_per_s=10.0, burst=2000.0, counts_tokens=True)
         fleet = Fleet(peers=2, quota=quota)
         self.assertIsInstance(fleet.peers[0].acquire("club", 1500), QuotaCharge)
@@ -244,8 +244,8 @@
         self.assertIsInstance(fleet.peers[1].acquire("club", 190), QuotaCharge)
 
     def test_returned_units_serve_another_router(self):
-        # A request was charged and then refused for want of a place; the next one of the team comes
-        # to another router.
+        # A request was charged and then refused for lack of a free slot; the team's next request reaches
+        # another router.
         quota = TokenQuota(rate_per_s=10.0, burst=2000.0, counts_tokens=True)
         fleet = Fleet(peers=2, quota=quota)
         fleet.peers[0].acquire("club", 2000).refund()
@@ -253,7 +253,7 @@
         self.assertIsInstance(fleet.peers[1].acquire("club", 1900), QuotaCharge)
 
     def test_a_request_larger_than_the_burst_passes_a_full_bucket_and_is_made_up_for(self):
-        # It lies within what the quota allows in the operator's window, but a bucket never holds so much.
+        # The request is within what the quota allows in the operator's window, but a bucket never holds that much.
         quota = TokenQuota(rate_per_s=1000.0, burst=2000.0, counts_tokens=True)
         fleet = Fleet(peers=1, quota=quota, tolerance=Tolerance(window_s=8.0))
         self.assertIsInstance(fleet.peers[0].acquire("club", 5000), QuotaCharge)
@@ -271,7 +271,7 @@
         return owner
 
     def test_a_quiet_team_finds_its_whole_burst(self):
-        # Nothing was asked for ten seconds and nobody else was the owner: the bucket is full.
+        # There was no request for ten seconds and no other owner: the bucket is full.
         clock = Clock()
         owner = self.owner(clock)
         owner.grant(QuotaAsk(team="club", needed=(2000,)))
