--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -42,7 +42,7 @@
 
         # ``acquire`` holds its lock while it calls this, so that the callback must run in another thread; as on
         # the loop, each callback starts when the previous one has ended.
-        def call_soon_in_thread(callback):
+        def soon(callback):
             earlier = self.threads[-1:]
 
             def run():
@@ -53,9 +53,7 @@
             self.threads.append(threading.Thread(target=run))
             self.threads[-1].start()
 
-        return QuotaAccounts(
-            clock=self.clock, call_soon=call_soon_in_thread, send_ask=send, members=lambda: len(self.peers)
-        )
+        return QuotaAccounts(clock=self.clock, call_soon=soon, send_ask=send, members=lambda: len(self.peers))
 
     def pass_time(self, seconds):
         """Advance the clock once all messages are answered."""
