--- a/wagtailtrestle/entry/request_task.py
+++ b/wagtailtrestle/entry/request_task.py
@@ -102,7 +102,7 @@
         "cell",
         "attempt",
         "runs",
-        "runs_begun",
+        "runs_started",
         "engine",
         "dispatched_at",
         "done_tokens",
@@ -134,7 +134,7 @@
         self.state = RequestState.QUEUED
         self.attempt = 0
         self.runs = 0
-        self.runs_begun = 0
+        self.runs_started = 0
         self.engine = ""
         self.dispatched_at = 0.0
         self.done_tokens = 0
@@ -293,7 +293,7 @@
     async def _run_on_engine(self, granted):
         self.engine = granted.engine
         self.runs += 1
-        self.runs_begun += 1
+        self.runs_started += 1
         self._begin_run(granted, attach=False)
         attached = False
         while True:
@@ -457,7 +457,7 @@
         self._not_sent_count += 1
         self._excluded.add(self.engine)
         if not outcome.arrived:
-            self.runs_begun -= 1
+            self.runs_started -= 1
             if self._next_kind in RETRIES:
                 self.context.retries.revert_retry(self.cell)
         if self._evidence.possibly_executed and not self.request.repeatable:
@@ -477,7 +477,7 @@
     def _may_run_again(self):
         """Whether the request may be run on another engine after it ran on one."""
         run_limit = self.request.max_runs
-        return self.request.repeatable and (run_limit is None or self.runs_begun < run_limit)
+        return self.request.repeatable and (run_limit is None or self.runs_started < run_limit)
 
     def _passes_errors(self):
         # An error can't replace an answer of which a part has been sent.
@@ -544,7 +544,7 @@
     def _first_token_within_s(self):
         """Time left until the caller's target for the first token; 0 without a target."""
         within_s = self.request.first_token_within_s
-        if within_s is None or self.runs_begun:
+        if within_s is None or self.runs_started:
             return 0.0
         return max(MIN_FIRST_TOKEN_S, self._arrived_at + within_s - self.context.now())
 
