--- a/wagtailtrestle/entry/request_task.py
+++ b/wagtailtrestle/entry/request_task.py
@@ -294,13 +294,13 @@
         self.engine = granted.engine
         self.runs += 1
         self.runs_started += 1
-        self._begin_run(granted, attach=False)
+        self._start_run(granted, attach=False)
         attached = False
         while True:
             ended = await self._wait_for_run_end(granted)
             if attached and self._attach_attempts.retry_unread(ended.outcome, is_last=not self._may_retry_now()):
                 await asyncio.sleep(UNREAD_RETRY_DELAY_S)
-                self._begin_run(granted, attach=True)
+                self._start_run(granted, attach=True)
                 continue
             self._update_crash_watch(ended.outcome, was_sent=attached)
             if not self._can_attach(ended):
@@ -309,9 +309,9 @@
             # The stream broke but the engine may still hold the run. Attaching returns the
             # rest of the same run and is not a second dispatch.
             self._attach_attempts.record_attempt(ended.outcome, is_last=not self._may_retry_now())
-            self._begin_run(granted, attach=True)
+            self._start_run(granted, attach=True)
 
-    def _begin_run(self, granted, *, attach):
+    def _start_run(self, granted, *, attach):
         if not attach:
             self._address = self.context.address_of(granted.engine)
             self.dispatched_at = self.context.now()
