--- a/wagtailtrestle/entry/request_task.py
+++ b/wagtailtrestle/entry/request_task.py
@@ -109,7 +109,7 @@
         "run_tokens",
         "_inbox",
         "_reports",
-        "_excluded",
+        "_excluded_engines",
         "_next_kind",
         "_losses",
         "_retries_used_up",
@@ -141,7 +141,7 @@
         self.run_tokens = 0
         self._inbox = asyncio.Queue()
         self._reports = RunReports(request_id=request.request_id, send=lambda message: context.send(self.cell, message))
-        self._excluded = set()
+        self._excluded_engines = set()
         self._next_kind = RunKind.FIRST
         self._losses = 0
         self._retries_used_up = False
@@ -193,7 +193,7 @@
             done_tokens=self.done_tokens,
             prefix_blocks=request.prefix_blocks,
             block_tokens=request.block_tokens,
-            excluded_engines=tuple(sorted(self._excluded)),
+            excluded_engines=tuple(sorted(self._excluded_engines)),
             alone=self._alone,
             first_token_within_s=self._first_token_within_s(),
             hinted_tokens=request.hinted_tokens,
@@ -272,7 +272,7 @@
                     # A scheduler that grants the engine again although the notices were resent may know of a later
                     # start of it; the engine is then excluded as well.
                     if not is_available or message.engine in self._declined_engines:
-                        self._excluded.add(message.engine)
+                        self._excluded_engines.add(message.engine)
                     self._declined_engines.add(message.engine)
                     self.attempt += 1
                     self.context.send(self.cell, self.grant_request())
@@ -455,7 +455,7 @@
 
     def _after_not_sent(self, outcome):
         self._not_sent_count += 1
-        self._excluded.add(self.engine)
+        self._excluded_engines.add(self.engine)
         if not outcome.arrived:
             self.runs_started -= 1
             if self._next_kind in RETRIES:
@@ -491,7 +491,7 @@
             return self._refuse_as_lost()
         self._next_kind = RunKind.AFTER_LOSS
         self._losses += 1
-        self._excluded.add(self.engine)
+        self._excluded_engines.add(self.engine)
         self._attach_attempts.reset()
         self._preempted = False
         return False
