--- a/wagtailtrestle/entry/request_task.py
+++ b/wagtailtrestle/entry/request_task.py
@@ -123,7 +123,7 @@
         "_caller_gone",
         "_address",
         "_alone",
-        "_arrived_at",
+        "_received_at",
     )
 
     def __init__(self, *, request, caller, context, cell):
@@ -155,7 +155,7 @@
         self._caller_gone = False
         self._address = ""
         self._alone = False
-        self._arrived_at = context.now()
+        self._received_at = context.now()
 
     def post(self, message):
         """Queue a message to this task."""
@@ -546,7 +546,7 @@
         within_s = self.request.first_token_within_s
         if within_s is None or self.runs_started:
             return 0.0
-        return max(MIN_FIRST_TOKEN_S, self._arrived_at + within_s - self.context.now())
+        return max(MIN_FIRST_TOKEN_S, self._received_at + within_s - self.context.now())
 
     def _remaining(self):
         return self.request.deadline - self.context.now()
