--- a/tests/test_poison.py
+++ b/tests/test_poison.py
@@ -34,7 +34,7 @@
             self.crash(f"e{number}", "poison")
         self.assertTrue(self.table.is_blocked("poison"))
 
-    def test_those_that_died_beside_it_are_not_blamed(self):
+    def test_requests_lost_beside_it_are_not_blamed(self):
         # The poison request crashes three engines; other requests are lost each time, one of
         # them twice. Only the request that was present every time is to blame.
         self.crash("e1", "poison", "a", "unlucky")
