--- a/tests/test_poison.py
+++ b/tests/test_poison.py
@@ -44,7 +44,7 @@
         for innocent in ("a", "b", "c", "unlucky"):
             self.assertFalse(self.table.is_blocked(innocent), innocent)
 
-    def test_two_that_always_died_together_are_told_apart_by_running_alone(self):
+    def test_suspects_of_the_same_crashes_are_distinguished_by_running_alone(self):
         for number in range(CRASH_LIMIT):
             self.crash(f"e{number}", "poison", "innocent")
         self.assertFalse(self.table.is_blocked("poison") or self.table.is_blocked("innocent"))
