--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -124,7 +124,7 @@
         fleet.peers[0].acquire("club", 2000)
         self.assertIsInstance(fleet.peers[0].acquire("club", 100), QuotaRefused)
 
-    def test_a_router_cut_off_from_the_owner_goes_on_with_its_share(self):
+    def test_a_router_partitioned_from_the_owner_uses_its_share(self):
         # The connection to the owner is cut. Refusing everything would fail the team's callers here;
         # admitting everything would exceed the quota, since the owner grants the rest elsewhere.
         fleet = Fleet(peers=4)
