--- a/tests/test_slow_service.py
+++ b/tests/test_slow_service.py
@@ -42,7 +42,7 @@
         self.assertEqual(start.first_token_deadline_s, start.overall_s)
         self.assertEqual(start.progress_deadline_s, start.overall_s)
 
-    def test_what_may_be_repeated_goes_to_another_engine_after_the_limit_on_silence(self):
+    def test_a_repeatable_request_moves_to_another_engine_after_the_silence_limit(self):
         caller = self.serve([RunSilent(), RunDone()], repeatable=True)
         self.assertIsInstance(caller.answer, AnswerWhole)
         self.assertEqual(len(caller.starts), 2)
