--- a/tests/test_counted_runs.py
+++ b/tests/test_counted_runs.py
@@ -103,7 +103,7 @@
 
 class RefusedByEngineTest(unittest.TestCase):
     @on_paused_clock
-    async def test_what_an_engine_refused_goes_to_another_even_if_it_may_run_once(self):
+    async def test_a_refused_request_moves_to_another_engine_even_if_it_may_run_once(self):
         request = OneRequest(max_runs=1, repeatable=False)
         await request.grant("e1")
         await request.end(RunNotSent(detail="full", arrived=True))
