--- a/tests/test_counted_runs.py
+++ b/tests/test_counted_runs.py
@@ -125,7 +125,7 @@
 
 class FailureTest(unittest.TestCase):
     @on_paused_clock
-    async def test_a_failure_of_what_may_run_once_is_the_answer(self):
+    async def test_a_failure_of_a_request_that_may_run_once_is_the_answer(self):
         request = OneRequest(max_runs=3, repeatable=False)
         await request.grant("e1")
         await request.end(RunFailed(status=500))
