--- a/tests/test_counted_runs.py
+++ b/tests/test_counted_runs.py
@@ -132,7 +132,7 @@
         self.assertIsInstance(request.caller.answer, AnswerWhole)
 
     @on_paused_clock
-    async def test_a_failure_of_what_may_be_repeated_is_tried_elsewhere_within_its_runs(self):
+    async def test_a_repeatable_request_is_retried_within_its_runs_after_a_failure(self):
         request = OneRequest(max_runs=2)
         await request.grant("e1")
         await request.end(RunFailed(status=500))
