--- a/tests/test_attach.py
+++ b/tests/test_attach.py
@@ -58,7 +58,7 @@
         finally:
             loop.close()
 
-    def test_engine_that_stalls_but_goes_on_is_not_lost(self):
+    def test_engine_that_stalls_but_continues_is_not_lost(self):
         # Guards against a request that ends as unknown although its engine works on it: the engine stalls four
         # times for longer than the progress deadline, since it prefills another long prompt, and sends a few
         # more tokens after each attach.
