--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -205,7 +205,7 @@
                     refused.append((units, charge))
         return fleet, admitted, refused
 
-    def test_what_is_within_the_quota_is_admitted_wherever_it_comes(self):
+    def test_requests_within_the_quota_are_admitted_at_any_router(self):
         # Requests of half a second's rate each reach different routers. Credits granted for a part of a
         # request that was refused, or prefetched where no further request came, were lost to the team, so
         # that it was refused at half of its rate.
