--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -91,7 +91,7 @@
         used = Fleet(peers=5).use_up(10.0, peers=[0])
         self.assertGreater(used, 0.9 * 10.0 * QUOTA.rate_per_s)
 
-    def test_a_refusal_says_when_there_is_room(self):
+    def test_a_refusal_reports_the_time_until_retry(self):
         fleet = Fleet(peers=1)
         fleet.use_up(0.1)
         refused = fleet.peers[0].acquire("club", 500)
