--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -250,7 +250,7 @@
         fleet.pass_time(1.1)
         self.assertIsInstance(fleet.peers[1].acquire("club", 1900), QuotaCharge)
 
-    def test_a_request_larger_than_the_burst_passes_a_full_bucket_and_is_made_up_for(self):
+    def test_a_request_larger_than_the_burst_passes_a_full_bucket_and_delays_others(self):
         # The request is within what the quota allows in the operator's window, but a bucket never holds that much.
         quota = TokenQuota(rate_per_s=1000.0, burst=2000.0, counts_tokens=True)
         fleet = Fleet(peers=1, quota=quota, tolerance=Tolerance(window_s=8.0))
