--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -268,7 +268,7 @@
         owner.set_quotas({"club": QUOTA})
         return owner
 
-    def test_a_quiet_team_finds_its_whole_burst(self):
+    def test_an_idle_team_gets_its_full_burst(self):
         # There was no request for ten seconds and no other owner: the bucket is full.
         clock = Clock()
         owner = self.owner(clock)
