--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -276,7 +276,7 @@
         clock.now += 10.0
         self.assertEqual(owner.grant(QuotaAsk(team="club", needed=(2000,))).units, 2000)
 
-    def test_a_next_owner_does_not_grant_the_burst_again(self):
+    def test_a_new_owner_does_not_grant_the_burst_again(self):
         clock = Clock()
         owner = self.owner(clock)
         owner.mark_owned_elsewhere("club")
