--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -86,7 +86,7 @@
         self.assertLessEqual(used, 10.0 * QUOTA.rate_per_s + QUOTA.burst + 200)
         self.assertGreater(used, 0.9 * 10.0 * QUOTA.rate_per_s)
 
-    def test_one_router_may_use_all_of_it(self):
+    def test_one_router_may_use_the_whole_quota(self):
         # All callers of a team use one router. A fixed share per router would refuse what the quota allows.
         used = Fleet(peers=5).use_up(10.0, peers=[0])
         self.assertGreater(used, 0.9 * 10.0 * QUOTA.rate_per_s)
