--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -55,7 +55,7 @@
 
         return QuotaAccounts(clock=self.clock, call_soon=soon, send_ask=send, members=lambda: len(self.peers))
 
-    def pass_time(self, seconds):
+    def advance(self, seconds):
         """Advance the clock once all messages are answered."""
         for thread in self.threads:
             thread.join()
@@ -114,13 +114,13 @@
         # without the balance of 1,200, and the owner, which had 800, refused it.
         fleet = Fleet(peers=1)
         fleet.peers[0].acquire("club", 2000).refund()
-        fleet.pass_time(0.0)
+        fleet.advance(0.0)
         self.assertIsInstance(fleet.peers[0].acquire("club", 2000), QuotaCharge)
 
     def test_credits_in_hand_are_not_counted_twice(self):
         fleet = Fleet(peers=1)
         fleet.peers[0].acquire("club", 2000).refund()
-        fleet.pass_time(0.0)
+        fleet.advance(0.0)
         fleet.peers[0].acquire("club", 2000)
         self.assertIsInstance(fleet.peers[0].acquire("club", 100), QuotaRefused)
 
@@ -194,7 +194,7 @@
         gap_s = sum(self.SIZES) / len(self.SIZES) / (share * self.RATE_PER_S)
         due = fleet.clock.now
         for _ in range(round(seconds / TICK_S)):
-            fleet.pass_time(TICK_S)
+            fleet.advance(TICK_S)
             while due <= fleet.clock.now:
                 due += gap_s * chance.uniform(0.5, 1.5)
                 units = chance.choice(self.SIZES)
@@ -228,7 +228,7 @@
         units = max(self.SIZES)
         while isinstance(refusal := fleet.peers[0].acquire("club", units), QuotaCharge):
             pass
-        fleet.pass_time(refusal.retry_after_s + TICK_S)
+        fleet.advance(refusal.retry_after_s + TICK_S)
         self.assertIsInstance(fleet.peers[3].acquire("club", units), QuotaCharge)
 
     def test_a_small_request_passes_where_a_large_one_does_not_fit(self):
@@ -238,7 +238,7 @@
         self.assertIsInstance(fleet.peers[0].acquire("club", 1500), QuotaCharge)
         self.assertIsInstance(fleet.peers[0].acquire("club", 800), QuotaRefused)
         self.assertIsInstance(fleet.peers[0].acquire("club", 300), QuotaCharge)
-        fleet.pass_time(1.1)
+        fleet.advance(1.1)
         self.assertIsInstance(fleet.peers[1].acquire("club", 190), QuotaCharge)
 
     def test_returned_units_serve_another_router(self):
@@ -247,7 +247,7 @@
         quota = TokenQuota(rate_per_s=10.0, burst=2000.0, counts_tokens=True)
         fleet = Fleet(peers=2, quota=quota)
         fleet.peers[0].acquire("club", 2000).refund()
-        fleet.pass_time(1.1)
+        fleet.advance(1.1)
         self.assertIsInstance(fleet.peers[1].acquire("club", 1900), QuotaCharge)
 
     def test_a_request_larger_than_the_burst_passes_a_full_bucket_and_delays_others(self):
@@ -255,9 +255,9 @@
         quota = TokenQuota(rate_per_s=1000.0, burst=2000.0, counts_tokens=True)
         fleet = Fleet(peers=1, quota=quota, tolerance=Tolerance(window_s=8.0))
         self.assertIsInstance(fleet.peers[0].acquire("club", 5000), QuotaCharge)
-        fleet.pass_time(2.0)
+        fleet.advance(2.0)
         self.assertIsInstance(fleet.peers[0].acquire("club", 100), QuotaRefused)
-        fleet.pass_time(1.5)
+        fleet.advance(1.5)
         self.assertIsInstance(fleet.peers[0].acquire("club", 100), QuotaCharge)
         self.assertIsInstance(fleet.peers[0].acquire("club", 20_000), QuotaRefused)
 
