--- a/tests/test_counted_runs.py
+++ b/tests/test_counted_runs.py
@@ -1,4 +1,4 @@
-"""Requests whose runs are counted: silence, refusals by engines, failures, engines that leave."""
+"""Requests with a limited number of runs: silence, refusals by engines, failures, draining engines."""
 
 import asyncio
 import unittest
@@ -41,7 +41,7 @@
 
 
 class OneRequest:
-    """One request, granted places and ended as the test says."""
+    """One request whose grants and run outcomes the test controls."""
 
     def __init__(self, *, leaving=(), parts=None, **fields):
         self.entry, self.schedulers = make_entry(
@@ -63,15 +63,15 @@
         await asyncio.sleep(STEP_S)
 
     @property
-    def asks(self):
+    def grant_requests(self):
         return [message for message in self.schedulers.sent if isinstance(message, GrantRequest)]
 
 
 class SilenceTest(unittest.TestCase):
     @on_paused_clock
-    async def test_the_last_run_is_not_given_up_for_silence(self):
-        # The request may run once. Its engine pauses for seconds as it prefills beside; given up
-        # after one, the caller's stream would end broken though the engine was about to go on.
+    async def test_the_last_run_has_no_silence_limit(self):
+        # The request may run once. Its engine pauses for seconds while it prefills other prompts; with a
+        # silence limit of a second, the caller's stream would break although the engine was about to continue.
         request = OneRequest(max_runs=1, repeatable=False)
         await request.grant("e1")
         start = request.caller.starts[-1]
@@ -79,7 +79,7 @@
         self.assertGreater(start.first_token_deadline_s, TIME_S - 1.0)
 
     @on_paused_clock
-    async def test_a_run_that_may_be_repeated_is_given_up_after_a_while(self):
+    async def test_a_repeatable_run_has_a_silence_limit(self):
         request = OneRequest(max_runs=2)
         await request.grant("e1")
         self.assertEqual(request.caller.starts[-1].progress_deadline_s, COUNTED_RUN_SILENCE_S)
@@ -90,24 +90,24 @@
 
 class LeavingEngineTest(unittest.TestCase):
     @on_paused_clock
-    async def test_a_grant_on_an_engine_known_to_leave_is_given_back(self):
-        # The scheduler is cut off from the platform and grants an engine that this router knows to
-        # leave. Sent there, the request would be lost when the engine goes.
+    async def test_a_grant_on_an_engine_known_to_drain_is_returned(self):
+        # The scheduler is partitioned from the platform and grants an engine that this router knows to be
+        # draining. Sent there, the request would be lost when the engine stops.
         request = OneRequest(leaving=["e1"], max_runs=1)
         await request.grant("e1")
         self.assertEqual(request.caller.starts, [])
-        self.assertIn("e1", request.asks[-1].excluded_engines)
+        self.assertIn("e1", request.grant_requests[-1].excluded_engines)
         await request.grant("e2")
         self.assertEqual(request.caller.starts[-1].engine, "e2")
 
 
 class RefusedByEngineTest(unittest.TestCase):
     @on_paused_clock
-    async def test_what_an_engine_refused_goes_to_another_even_if_it_may_run_once(self):
+    async def test_a_refused_request_moves_to_another_engine_even_if_it_may_run_once(self):
         request = OneRequest(max_runs=1, repeatable=False)
         await request.grant("e1")
         await request.end(RunNotSent(detail="full", arrived=True))
-        self.assertIn("e1", request.asks[-1].excluded_engines)
+        self.assertIn("e1", request.grant_requests[-1].excluded_engines)
         await request.grant("e2")
         await request.end(RunDone())
         self.assertIsInstance(request.caller.answer, AnswerWhole)
@@ -125,14 +125,14 @@
 
 class FailureTest(unittest.TestCase):
     @on_paused_clock
-    async def test_a_failure_of_what_may_run_once_is_the_answer(self):
+    async def test_a_failure_of_a_request_that_may_run_once_is_the_answer(self):
         request = OneRequest(max_runs=3, repeatable=False)
         await request.grant("e1")
         await request.end(RunFailed(status=500))
         self.assertIsInstance(request.caller.answer, AnswerWhole)
 
     @on_paused_clock
-    async def test_a_failure_of_what_may_be_repeated_is_tried_elsewhere_within_its_runs(self):
+    async def test_a_repeatable_request_is_retried_within_its_runs_after_a_failure(self):
         request = OneRequest(max_runs=2)
         await request.grant("e1")
         await request.end(RunFailed(status=500))
@@ -144,8 +144,8 @@
 
     @on_paused_clock
     async def test_a_failure_after_a_part_was_sent_is_no_answer(self):
-        # The caller has read a part of the stream, the engine broke off, and the next one fails.
-        # Its error can't be put after the part: the stream ends broken, and looks so.
+        # The caller has read a part of the stream when the engine breaks it off, and the next engine fails.
+        # Its error can't be appended to the part, so the stream ends visibly broken.
         request = OneRequest(max_runs=2)
         await request.grant("e1")
         await request.end(RunCut(detail="cut", output_tokens=15, reached=True))
--- a/tests/test_crash_signs.py
+++ b/tests/test_crash_signs.py
@@ -7,7 +7,13 @@
 from wagtailtrestle.contracts.messages import EngineDown
 from wagtailtrestle.contracts.outcomes import RunCut, RunDone
 from wagtailtrestle.entry.crash_watch import CrashWatch
-from wagtailtrestle.entry.poison import CRASH_LIMIT, SAME_CRASH_S, TOLD_WINDOW_S, CrashDetector, CrashTable
+from wagtailtrestle.entry.poison import (
+    CRASH_LIMIT,
+    REPORTED_DOWN_WINDOW_S,
+    SAME_CRASH_WINDOW_S,
+    CrashDetector,
+    CrashTable,
+)
 
 
 class SchedulerTest(unittest.TestCase):
@@ -41,24 +47,26 @@
         )
 
     def cut(self, engine, body="poison", *, notified_after_s=1.0):
-        self.crashes.note(engine=engine, body_digest=body, outcome=RunCut(detail="cut", reached=True), was_sent=False)
+        self.crashes.record_run_end(
+            engine=engine, body_digest=body, outcome=RunCut(detail="cut", reached=True), was_sent=False
+        )
         self.clock.now += notified_after_s
-        self.crashes.note_down(engine)
-        self.clock.now += SAME_CRASH_S
+        self.crashes.record_engine_down(engine)
+        self.clock.now += SAME_CRASH_WINDOW_S
 
     def test_request_that_crashed_three_engines_is_refused(self):
         for number in range(CRASH_LIMIT):
-            self.assertFalse(self.crashes.blocked("poison"))
+            self.assertFalse(self.crashes.is_blocked("poison"))
             self.cut(f"e{number}")
-        self.assertTrue(self.crashes.blocked("poison"))
+        self.assertTrue(self.crashes.is_blocked("poison"))
 
     # Guards against blaming a request for engines that drained in order, or on which it did not run.
     def test_engine_that_leaves_in_order_is_blamed_on_no_request(self):
         for number in range(CRASH_LIMIT):
-            self.crashes.note_down(f"e{number}")
-            self.crashes.note(engine=f"e{number}", body_digest="sound", outcome=RunDone(), was_sent=False)
-            self.cut(f"e{number}", "sound", notified_after_s=TOLD_WINDOW_S + 1.0)
-        self.assertFalse(self.crashes.blocked("sound"))
+            self.crashes.record_engine_down(f"e{number}")
+            self.crashes.record_run_end(engine=f"e{number}", body_digest="sound", outcome=RunDone(), was_sent=False)
+            self.cut(f"e{number}", "sound", notified_after_s=REPORTED_DOWN_WINDOW_S + 1.0)
+        self.assertFalse(self.crashes.is_blocked("sound"))
 
 
 if __name__ == "__main__":
--- a/tests/test_poison.py
+++ b/tests/test_poison.py
@@ -1,4 +1,4 @@
-"""Requests that crash engines are told from those that die beside them."""
+"""Requests that crash engines are distinguished from those that are lost beside them."""
 
 import unittest
 
@@ -10,7 +10,7 @@
     CRASH_WINDOW_S,
     CUT_WINDOW_S,
     RESTART_WINDOW_S,
-    SAME_CRASH_S,
+    SAME_CRASH_WINDOW_S,
     CrashClearance,
     CrashDetector,
     CrashReport,
@@ -25,134 +25,134 @@
         self.table = CrashTable(clock=self.clock, reporter="r1")
 
     def crash(self, engine, *running):
-        self.clock.now += SAME_CRASH_S + 1.0
-        return self.table.note_crash(engine, dict.fromkeys(running, 1))
+        self.clock.now += SAME_CRASH_WINDOW_S + 1.0
+        return self.table.record_crash(engine, dict.fromkeys(running, 1))
 
     def test_what_crashes_alone_is_refused_after_the_limit(self):
         for number in range(CRASH_LIMIT):
-            self.assertFalse(self.table.blocked("poison"))
+            self.assertFalse(self.table.is_blocked("poison"))
             self.crash(f"e{number}", "poison")
-        self.assertTrue(self.table.blocked("poison"))
+        self.assertTrue(self.table.is_blocked("poison"))
 
-    def test_those_that_died_beside_it_are_not_blamed(self):
-        # The poisoned request crashes three engines; other requests die each time, one of
-        # them twice. Only the one present every time is to blame.
+    def test_requests_lost_beside_it_are_not_blamed(self):
+        # The poison request crashes three engines; other requests are lost each time, one of
+        # them twice. Only the request that was present every time is to blame.
         self.crash("e1", "poison", "a", "unlucky")
         self.crash("e2", "poison", "b", "unlucky")
         self.crash("e3", "poison", "c")
-        self.assertTrue(self.table.blocked("poison"))
+        self.assertTrue(self.table.is_blocked("poison"))
         for innocent in ("a", "b", "c", "unlucky"):
-            self.assertFalse(self.table.blocked(innocent), innocent)
+            self.assertFalse(self.table.is_blocked(innocent), innocent)
 
-    def test_two_that_always_died_together_are_told_apart_by_running_alone(self):
+    def test_suspects_of_the_same_crashes_are_distinguished_by_running_alone(self):
         for number in range(CRASH_LIMIT):
             self.crash(f"e{number}", "poison", "innocent")
-        self.assertFalse(self.table.blocked("poison") or self.table.blocked("innocent"))
+        self.assertFalse(self.table.is_blocked("poison") or self.table.is_blocked("innocent"))
         self.assertTrue(self.table.is_suspect("poison") and self.table.is_suspect("innocent"))
         self.crash("e9", "poison")
-        self.assertTrue(self.table.blocked("poison"))
-        self.assertFalse(self.table.blocked("innocent"))
+        self.assertTrue(self.table.is_blocked("poison"))
+        self.assertFalse(self.table.is_blocked("innocent"))
 
-    def test_a_whole_answer_clears(self):
+    def test_a_complete_answer_clears_a_suspect(self):
         self.crash("e1", "poison", "innocent")
-        self.table.note_success("innocent")
+        self.table.record_success("innocent")
         self.assertFalse(self.table.is_suspect("innocent"))
         self.assertTrue(self.table.is_suspect("poison"))
 
     def test_suspects_run_alone_only_after_a_second_crash_that_nothing_else_explains(self):
-        # After one crash everything that ran there is suspected. Run alone, each would need an
-        # engine to itself because of a crash that has most often nothing to do with it.
+        # After one crash every request that ran there is a suspect. If suspects ran alone from then on, each
+        # would occupy an engine because of a crash that most often has nothing to do with it.
         self.crash("e1", "poison", "neighbour", "unlucky")
-        self.assertFalse(self.table.runs_alone("poison"))
+        self.assertFalse(self.table.must_run_alone("poison"))
         self.crash("e2", "poison", "unlucky")
-        alone = [name for name in ("poison", "neighbour", "unlucky") if self.table.runs_alone(name)]
+        alone = [name for name in ("poison", "neighbour", "unlucky") if self.table.must_run_alone(name)]
         self.assertEqual(alone, ["poison", "unlucky"])
         self.crash("e3", "poison")
-        self.assertFalse(self.table.runs_alone("unlucky") or self.table.runs_alone("poison"))
+        self.assertFalse(self.table.must_run_alone("unlucky") or self.table.must_run_alone("poison"))
 
-    def test_crashes_are_forgotten(self):
+    def test_crashes_expire(self):
         for number in range(CRASH_LIMIT):
             self.crash(f"e{number}", "poison")
         self.clock.now += CRASH_WINDOW_S + 1.0
-        self.assertFalse(self.table.blocked("poison") or self.table.is_suspect("poison"))
+        self.assertFalse(self.table.is_blocked("poison") or self.table.is_suspect("poison"))
 
 
 class SharedTest(unittest.TestCase):
     def test_routers_that_each_saw_one_crash_refuse_together(self):
-        # The caller sends it again through another router each time, so no router sees
-        # more than one crash. Told of the others', each refuses the fourth.
+        # The caller resends the request through another router each time, so that no router sees
+        # more than one crash. With the reports of the others, each router refuses the fourth attempt.
         clock = Clock()
-        books = [CrashTable(clock=clock, reporter=f"r{number}") for number in range(CRASH_LIMIT)]
-        for number, table in enumerate(books):
-            clock.now += SAME_CRASH_S + 1.0
-            told = table.note_crash(f"e{number}", {"poison": 1})
-            for other in books:
-                other.merge(told)
-        self.assertTrue(all(table.blocked("poison") for table in books))
-
-    def test_one_crash_told_by_three_routers_is_one(self):
+        tables = [CrashTable(clock=clock, reporter=f"r{number}") for number in range(CRASH_LIMIT)]
+        for number, table in enumerate(tables):
+            clock.now += SAME_CRASH_WINDOW_S + 1.0
+            report = table.record_crash(f"e{number}", {"poison": 1})
+            for other in tables:
+                other.merge(report)
+        self.assertTrue(all(table.is_blocked("poison") for table in tables))
+
+    def test_one_crash_reported_by_several_routers_counts_once(self):
         clock = Clock()
         table = CrashTable(clock=clock, reporter="r1")
-        table.note_crash("e1", {"a": 1})
+        table.record_crash("e1", {"a": 1})
         for number in range(2, 2 + CRASH_LIMIT):
             clock.now += 0.1
             table.merge(CrashReport(engine="e1", incident=f"r{number}/x/1", suspects=("a",)))
-        self.assertFalse(table.blocked("a"))
+        self.assertFalse(table.is_blocked("a"))
 
-    def test_one_crash_told_again_by_its_router_is_one(self):
+    def test_one_crash_reported_repeatedly_by_one_router_counts_once(self):
         # A cut, then two attempts to attach that find the engine down: one crash.
         clock = Clock()
         table = CrashTable(clock=clock)
         for _ in range(CRASH_LIMIT):
             clock.now += 0.5
-            table.note_crash("e1", {"a": 1})
-        self.assertFalse(table.blocked("a"))
+            table.record_crash("e1", {"a": 1})
+        self.assertFalse(table.is_blocked("a"))
 
     def test_merging_again_changes_nothing_and_does_not_undo_a_clearance(self):
         clock = Clock()
         table = CrashTable(clock=clock)
-        told = table.note_crash("e1", {"a": 1, "b": 1})
-        table.note_success("a")
+        report = table.record_crash("e1", {"a": 1, "b": 1})
+        table.record_success("a")
         for _ in range(CRASH_LIMIT):
-            clock.now += 2 * SAME_CRASH_S
-            table.merge(told)
-        self.assertFalse(table.is_suspect("a") or table.blocked("b"))
+            clock.now += 2 * SAME_CRASH_WINDOW_S
+            table.merge(report)
+        self.assertFalse(table.is_suspect("a") or table.is_blocked("b"))
         other = CrashTable(clock=clock)
         for known in table.reports():
             other.merge(known)
         self.assertEqual(other.dump(), table.dump())
 
-    def test_a_clearance_on_one_router_is_one_on_all(self):
-        # An innocent request dies beside the poison twice, then runs whole through r1. Without
-        # the word of r1, r2 would go on suspecting it, and refuse it after the next two crashes
-        # beside which it happens to run. The word may overtake a report, and come twice.
+    def test_a_clearance_applies_on_all_routers(self):
+        # An innocent request is lost beside the poison request twice, then runs to completion through r1.
+        # Without the clearance of r1, r2 would keep it as a suspect and refuse it after the next two crashes
+        # beside which it happens to run. The clearance may overtake a report and arrive twice.
         clock = Clock()
         here, there = (CrashTable(clock=clock, reporter=name) for name in ("r1", "r2"))
-        told = []
+        report = []
         for engine in ("e1", "e2"):
-            clock.now += 2 * SAME_CRASH_S
-            told.append(here.note_crash(engine, {"poison": 1, "innocent": 1}))
-        there.merge(told[0])
-        clearance = here.note_success("innocent")
+            clock.now += 2 * SAME_CRASH_WINDOW_S
+            report.append(here.record_crash(engine, {"poison": 1, "innocent": 1}))
+        there.merge(report[0])
+        clearance = here.record_success("innocent")
         there.merge_clearance(clearance)
-        there.merge(told[1])
+        there.merge(report[1])
         self.assertFalse(there.is_suspect("innocent"))
-        self.assertTrue(there.runs_alone("poison"))
-        self.assertIsNone(here.note_success("innocent"))
-        clock.now += 2 * SAME_CRASH_S
-        there.note_crash("e3", {"innocent": 1})
+        self.assertTrue(there.must_run_alone("poison"))
+        self.assertIsNone(here.record_success("innocent"))
+        clock.now += 2 * SAME_CRASH_WINDOW_S
+        there.record_crash("e3", {"innocent": 1})
         there.merge_clearance(clearance)
         self.assertTrue(there.is_suspect("innocent"))
 
-    def test_whole_answers_are_told_to_the_others(self):
+    def test_complete_answers_are_broadcast(self):
         sent = []
         table = CrashTable(clock=Clock())
         watch = CrashWatch(table=table, detector=CrashDetector(clock=Clock()), broadcast=sent.append)
         for body_digest in ("a", "b"):
-            watch.note(engine="e1", body_digest=body_digest, outcome=RunCut(detail="cut"), was_sent=True)
+            watch.record_run_end(engine="e1", body_digest=body_digest, outcome=RunCut(detail="cut"), was_sent=True)
         done = RunDone(prompt_tokens=1, cached_tokens=0, output_tokens=1)
-        watch.note(engine="e2", body_digest="a", outcome=done, was_sent=True)
-        watch.note(engine="e2", body_digest="a", outcome=done, was_sent=True)
+        watch.record_run_end(engine="e2", body_digest="a", outcome=done, was_sent=True)
+        watch.record_run_end(engine="e2", body_digest="a", outcome=done, was_sent=True)
         self.assertEqual([type(message) for message in sent], [CrashReport, CrashClearance])
 
     def test_fingerprint_hides_the_digest(self):
@@ -178,16 +178,16 @@
     def test_a_cut_and_then_a_refused_connection_is_a_crash(self):
         self.detector.on_cut("e1", "a")
         self.clock.now += 1.0
-        self.assertEqual(self.detector.on_gone("e1"), {"a"})
+        self.assertEqual(self.detector.on_engine_down("e1"), {"a"})
 
     def test_a_refused_connection_alone_blames_nobody(self):
-        self.assertEqual(self.detector.on_gone("e1"), set())
+        self.assertEqual(self.detector.on_engine_down("e1"), set())
         self.detector.on_cut("e1", "a")
         self.clock.now += RESTART_WINDOW_S + 0.1
-        self.assertEqual(self.detector.on_gone("e1"), set())
+        self.assertEqual(self.detector.on_engine_down("e1"), set())
 
     def test_a_run_the_engine_forgot_is_a_crash(self):
-        self.assertEqual(self.detector.on_gone("e1", "a"), {"a"})
+        self.assertEqual(self.detector.on_engine_down("e1", "a"), {"a"})
 
 
 if __name__ == "__main__":
--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -1,4 +1,4 @@
-"""Quotas over all routers: the owner's bucket and the credits of those who serve."""
+"""Quotas over all routers: the owner's bucket and the accounts of the routers that serve."""
 
 import random
 import threading
@@ -11,37 +11,37 @@
 from wagtailtrestle.contracts.outcomes import Executed, Reason
 from wagtailtrestle.contracts.quota_messages import QuotaAsk
 from wagtailtrestle.quotas import accounts as accounts_module
-from wagtailtrestle.quotas.accounts import SILENT_S, QuotaAccounts, QuotaCharge, QuotaRefused
+from wagtailtrestle.quotas.accounts import OWNER_TIMEOUT_S, QuotaAccounts, QuotaCharge, QuotaRefused
 from wagtailtrestle.quotas.charging import charge_team
-from wagtailtrestle.quotas.owner import ABSENT_KEPT_S, TAKEOVER_SHARE, QuotaOwner, Tolerance
+from wagtailtrestle.quotas.owner import ABSENT_ROUTER_RETENTION_S, TAKEOVER_SHARE, QuotaOwner, Tolerance
 
 TICK_S = 0.1
 QUOTA = TokenQuota(rate_per_s=1000.0, burst=2000.0, counts_tokens=True)
 
 
 class Fleet:
-    """Routers that share one owner; asks arrive at once unless the way is cut."""
+    """Routers with one owner; messages arrive without delay unless the connection is cut."""
 
-    def __init__(self, *, books=2, quota=QUOTA, tolerance=None):
+    def __init__(self, *, peers=2, quota=QUOTA, tolerance=None):
         self.clock = Clock()
         self.threads = []
-        self.present = books
+        self.present = peers
         self.cut = set()
         self.owner = QuotaOwner(
             clock=self.clock, members=lambda: self.present, tolerance=lambda: tolerance or Tolerance()
         )
         self.owner.set_quotas({"club": quota})
-        self.books = [self._book(number) for number in range(books)]
-        for book in self.books:
-            book.set_quotas({"club": quota})
+        self.peers = [self._make_accounts(number) for number in range(peers)]
+        for router_accounts in self.peers:
+            router_accounts.set_quotas({"club": quota})
 
-    def _book(self, number):
-        def send(ask):
+    def _make_accounts(self, number):
+        def send(request):
             if number not in self.cut:
-                self.books[number].on_grant(self.owner.grant(ask))
+                self.peers[number].on_grant(self.owner.grant(request))
 
-        # ``take`` holds its lock while it asks, as the loop's thread would wait for it: a thread carries it, and
-        # as on the loop each begins when the one before has ended.
+        # ``acquire`` holds its lock while it calls this, so that the callback must run in another thread; as on
+        # the loop, each callback starts when the previous one has ended.
         def soon(callback):
             earlier = self.threads[-1:]
 
@@ -53,26 +53,26 @@
             self.threads.append(threading.Thread(target=run))
             self.threads[-1].start()
 
-        return QuotaAccounts(clock=self.clock, call_soon=soon, send_ask=send, members=lambda: len(self.books))
+        return QuotaAccounts(clock=self.clock, call_soon=soon, send_ask=send, members=lambda: len(self.peers))
 
-    def pass_time(self, seconds):
-        """Let the clock go on once all that was asked is answered."""
+    def advance(self, seconds):
+        """Advance the clock once all messages are answered."""
         for thread in self.threads:
             thread.join()
         self.threads.clear()
         self.clock.now += seconds
-        for book in self.books:
-            book.tick()
+        for router_accounts in self.peers:
+            router_accounts.tick()
 
-    def spend(self, seconds, *, units=100, tick_s=0.1, books=None):
-        """Take as much as there is for some time; the units that went through."""
+    def use_up(self, seconds, *, units=100, tick_s=0.1, peers=None):
+        """Acquire as many units as possible for some time; returns how many were admitted."""
         used = 0
         for _ in range(round(seconds / tick_s)):
             self.clock.now += tick_s
-            for number in books if books is not None else range(len(self.books)):
-                book = self.books[number]
-                book.tick()
-                while isinstance(charge := book.take("club", units), QuotaCharge):
+            for number in peers if peers is not None else range(len(self.peers)):
+                router_accounts = self.peers[number]
+                router_accounts.tick()
+                while isinstance(charge := router_accounts.acquire("club", units), QuotaCharge):
                     used += units
                 assert isinstance(charge, QuotaRefused)
         return used
@@ -80,94 +80,94 @@
 
 class QuotaTest(unittest.TestCase):
     def test_all_routers_together_keep_to_the_quota(self):
-        # Two routers are flooded by one team. Each by itself keeping to the quota would let
-        # twice as much through.
-        used = Fleet().spend(10.0)
+        # One team floods two routers. If each router applied the quota by itself, twice the quota
+        # would be admitted.
+        used = Fleet().use_up(10.0)
         self.assertLessEqual(used, 10.0 * QUOTA.rate_per_s + QUOTA.burst + 200)
         self.assertGreater(used, 0.9 * 10.0 * QUOTA.rate_per_s)
 
-    def test_one_router_may_use_all_of_it(self):
-        # A team's callers all reach one router. A fixed share would refuse what the quota allows.
-        used = Fleet(books=5).spend(10.0, books=[0])
+    def test_one_router_may_use_the_whole_quota(self):
+        # All callers of a team use one router. A fixed share per router would refuse what the quota allows.
+        used = Fleet(peers=5).use_up(10.0, peers=[0])
         self.assertGreater(used, 0.9 * 10.0 * QUOTA.rate_per_s)
 
-    def test_a_refusal_says_when_there_is_room(self):
-        fleet = Fleet(books=1)
-        fleet.spend(0.1)
-        refused = fleet.books[0].take("club", 500)
+    def test_a_refusal_reports_the_time_until_retry(self):
+        fleet = Fleet(peers=1)
+        fleet.use_up(0.1)
+        refused = fleet.peers[0].acquire("club", 500)
         self.assertIsInstance(refused, QuotaRefused)
         self.assertGreater(refused.retry_after_s, 0.0)
         self.assertLess(refused.retry_after_s, 1.0)
 
     def test_a_request_that_did_not_run_gives_back(self):
-        fleet = Fleet(books=1)
-        charge = fleet.books[0].take("club", 2000)
+        fleet = Fleet(peers=1)
+        charge = fleet.peers[0].acquire("club", 2000)
         self.assertIsInstance(charge, QuotaCharge)
         charge.refund()
         charge.refund()
-        self.assertIsInstance(fleet.books[0].take("club", 2000), QuotaCharge)
-        self.assertIsInstance(fleet.books[0].take("club", 100), QuotaRefused)
+        self.assertIsInstance(fleet.peers[0].acquire("club", 2000), QuotaCharge)
+        self.assertIsInstance(fleet.peers[0].acquire("club", 100), QuotaRefused)
 
     def test_credits_in_hand_count_for_a_request_that_needs_more(self):
-        # A caller sees 429 though its team's quota is untouched. A request that did not run gave its units back, and
-        # the next look returned a part of them to the owner: 1,200 in hand, 800 there. A request of 2,000 was asked
-        # for as if nothing were in hand, and the owner, which had 800, refused it.
-        fleet = Fleet(books=1)
-        fleet.books[0].take("club", 2000).refund()
-        fleet.pass_time(0.0)
-        self.assertIsInstance(fleet.books[0].take("club", 2000), QuotaCharge)
+        # Guards against a 429 for a team whose quota is untouched. A refunded request left 2,000 units, of which the
+        # next tick returned 800 to the owner and kept 1,200. The next request of 2,000 was sent to the owner
+        # without the balance of 1,200, and the owner, which had 800, refused it.
+        fleet = Fleet(peers=1)
+        fleet.peers[0].acquire("club", 2000).refund()
+        fleet.advance(0.0)
+        self.assertIsInstance(fleet.peers[0].acquire("club", 2000), QuotaCharge)
 
     def test_credits_in_hand_are_not_counted_twice(self):
-        fleet = Fleet(books=1)
-        fleet.books[0].take("club", 2000).refund()
-        fleet.pass_time(0.0)
-        fleet.books[0].take("club", 2000)
-        self.assertIsInstance(fleet.books[0].take("club", 100), QuotaRefused)
-
-    def test_a_router_cut_off_from_the_owner_goes_on_with_its_share(self):
-        # The way to the owner is cut. Refusing everything would fail the team's callers here;
-        # serving freely would exceed the quota beside the owner, who gives out the rest.
-        fleet = Fleet(books=4)
-        fleet.spend(1.0, books=[3])
+        fleet = Fleet(peers=1)
+        fleet.peers[0].acquire("club", 2000).refund()
+        fleet.advance(0.0)
+        fleet.peers[0].acquire("club", 2000)
+        self.assertIsInstance(fleet.peers[0].acquire("club", 100), QuotaRefused)
+
+    def test_a_router_partitioned_from_the_owner_uses_its_share(self):
+        # The connection to the owner is cut. Refusing everything would fail the team's callers here;
+        # admitting everything would exceed the quota, since the owner grants the rest elsewhere.
+        fleet = Fleet(peers=4)
+        fleet.use_up(1.0, peers=[3])
         fleet.cut = {3}
-        fleet.clock.now += SILENT_S
-        # No answer comes, so that a shorter real wait changes nothing but the time that the test takes.
-        with mock.patch.object(accounts_module, "WAIT_S", 0.05):
-            used = fleet.spend(10.0, books=[3])
+        fleet.clock.now += OWNER_TIMEOUT_S
+        # No answer arrives, so that a shorter wait changes only the duration of the test.
+        with mock.patch.object(accounts_module, "MAX_WAIT_S", 0.05):
+            used = fleet.use_up(10.0, peers=[3])
         self.assertGreater(used, 0.5 * 10.0 * QUOTA.rate_per_s / 4)
         self.assertLess(used, 1.3 * 10.0 * QUOTA.rate_per_s / 4)
 
-    def test_the_owner_leaves_out_the_share_of_who_vanished(self):
-        fleet = Fleet(books=4)
-        fleet.spend(2.0)
+    def test_the_owner_withholds_the_share_of_routers_that_vanished(self):
+        fleet = Fleet(peers=4)
+        fleet.use_up(2.0)
         fleet.present = 2
         fleet.clock.now += 0.1
-        used = fleet.spend(10.0)
+        used = fleet.use_up(10.0)
         self.assertLess(used, 1.2 * 10.0 * QUOTA.rate_per_s / 2)
-        fleet.clock.now += ABSENT_KEPT_S
-        self.assertGreater(fleet.spend(10.0), 0.9 * 10.0 * QUOTA.rate_per_s)
+        fleet.clock.now += ABSENT_ROUTER_RETENTION_S
+        self.assertGreater(fleet.use_up(10.0), 0.9 * 10.0 * QUOTA.rate_per_s)
 
-    def test_a_part_of_the_tolerance_is_given_out(self):
+    def test_part_of_the_tolerance_is_granted(self):
         tolerance = Tolerance(window_s=8.0, share=0.1, units=4000.0)
-        used = Fleet(books=1, tolerance=tolerance).spend(8.0)
+        used = Fleet(peers=1, tolerance=tolerance).use_up(8.0)
         strict = 8.0 * QUOTA.rate_per_s + QUOTA.burst
         self.assertGreater(used, strict)
         self.assertLess(used, 1.1 * strict + 4000.0)
 
-    def test_a_lower_quota_holds_at_once(self):
-        fleet = Fleet(books=1)
-        fleet.spend(1.0)
+    def test_a_lower_quota_applies_immediately(self):
+        fleet = Fleet(peers=1)
+        fleet.use_up(1.0)
         lower = TokenQuota(rate_per_s=100.0, burst=100.0, counts_tokens=True)
         fleet.owner.set_quotas({"club": lower})
-        fleet.books[0].set_quotas({"club": lower})
-        self.assertLess(fleet.spend(10.0, units=10), 100.0 * 10.0 + 1000.0)
+        fleet.peers[0].set_quotas({"club": lower})
+        self.assertLess(fleet.use_up(10.0, units=10), 100.0 * 10.0 + 1000.0)
 
     def test_a_team_without_a_quota_is_not_counted(self):
-        self.assertIsNone(Fleet().books[0].take("others", 10**9))
+        self.assertIsNone(Fleet().peers[0].acquire("others", 10**9))
 
     def test_the_owner_answers_for_a_team_it_does_not_know(self):
-        # Its configuration is older than the asker's. Without an answer the asker would refuse
-        # the team until the owner has heard of it.
+        # The owner's configuration is older than the requesting router's. Without an answer that router
+        # would refuse the team until the owner has its quota.
         grant = Fleet().owner.grant(QuotaAsk(team="new", needed=(5,), ahead=3))
         self.assertEqual((grant.units, grant.retry_after_s), (8, 0.0))
 
@@ -175,9 +175,9 @@
 class FewLargeRequestsTest(unittest.TestCase):
     """A team with few large requests at many routers: the pattern of long documents.
 
-    A request is several times what the team may use within the time that credits are fetched ahead for, and each
-    comes to another router. What routers keep in hand, or get as a part of what a request needs, is missing to
-    the next one. Rate, burst and sizes are those of a large tenant of a language service.
+    A request is several times what the team may use within the prefetch time, and each reaches another router.
+    Units that a router keeps as its balance, or is granted for a part of a request, are missing for the next
+    request. Rate, burst and sizes are those of a large team of a language service.
     """
 
     RATE_PER_S = 13_500.0
@@ -186,35 +186,35 @@
     WINDOW_S = 8.0
 
     def play(self, *, routers, share, seconds, seed=5):
-        """Ask for ``share`` of the rate; what was admitted, how many were refused, and the last refusals."""
+        """Request ``share`` of the rate; returns the fleet, the units admitted, and the refusals with their sizes."""
         quota = TokenQuota(rate_per_s=self.RATE_PER_S, burst=self.BURST, counts_tokens=True)
-        fleet = Fleet(books=routers, quota=quota)
+        fleet = Fleet(peers=routers, quota=quota)
         chance = random.Random(seed)
         admitted, refused = 0, []
         gap_s = sum(self.SIZES) / len(self.SIZES) / (share * self.RATE_PER_S)
         due = fleet.clock.now
         for _ in range(round(seconds / TICK_S)):
-            fleet.pass_time(TICK_S)
+            fleet.advance(TICK_S)
             while due <= fleet.clock.now:
                 due += gap_s * chance.uniform(0.5, 1.5)
                 units = chance.choice(self.SIZES)
-                charge = chance.choice(fleet.books).take("club", units)
+                charge = chance.choice(fleet.peers).acquire("club", units)
                 if isinstance(charge, QuotaCharge):
                     admitted += units
                 else:
                     refused.append((units, charge))
         return fleet, admitted, refused
 
-    def test_what_is_within_the_quota_is_admitted_wherever_it_comes(self):
-        # Requests of half a second's rate each come to other routers. Credits granted in part to a
-        # request that is refused, or fetched ahead where no further request comes, were lost to the
-        # team: it was refused at half of its rate.
+    def test_requests_within_the_quota_are_admitted_at_any_router(self):
+        # Requests of half a second's rate each reach different routers. Credits granted for a part of a
+        # request that was refused, or prefetched where no further request came, were lost to the team, so
+        # that it was refused at half of its rate.
         for routers in (20, 200):
             with self.subTest(routers=routers):
                 _, _, refused = self.play(routers=routers, share=0.95, seconds=30.0)
                 self.assertEqual(refused, [])
 
-    def test_what_is_beyond_is_refused_and_the_rest_served_whole(self):
+    def test_requests_beyond_the_quota_are_refused_and_the_rest_admitted(self):
         for routers in (20, 200):
             with self.subTest(routers=routers):
                 _, admitted, refused = self.play(routers=routers, share=2.0, seconds=30.0)
@@ -223,43 +223,43 @@
                 self.assertGreater(admitted, 0.93 * allowed)
                 self.assertGreater(len(refused), 10)
 
-    def test_a_refusal_tells_when_the_request_passes(self):
+    def test_a_request_passes_after_the_reported_retry_time(self):
         fleet, _, _ = self.play(routers=20, share=3.0, seconds=20.0)
         units = max(self.SIZES)
-        while isinstance(refusal := fleet.books[0].take("club", units), QuotaCharge):
+        while isinstance(refusal := fleet.peers[0].acquire("club", units), QuotaCharge):
             pass
-        fleet.pass_time(refusal.retry_after_s + TICK_S)
-        self.assertIsInstance(fleet.books[3].take("club", units), QuotaCharge)
+        fleet.advance(refusal.retry_after_s + TICK_S)
+        self.assertIsInstance(fleet.peers[3].acquire("club", units), QuotaCharge)
 
     def test_a_small_request_passes_where_a_large_one_does_not_fit(self):
-        # What was kept in hand for more of them comes back within a second and serves another router.
+        # Units prefetched for more small requests are returned within a second and serve another router.
         quota = TokenQuota(rate_per_s=10.0, burst=2000.0, counts_tokens=True)
-        fleet = Fleet(books=2, quota=quota)
-        self.assertIsInstance(fleet.books[0].take("club", 1500), QuotaCharge)
-        self.assertIsInstance(fleet.books[0].take("club", 800), QuotaRefused)
-        self.assertIsInstance(fleet.books[0].take("club", 300), QuotaCharge)
-        fleet.pass_time(1.1)
-        self.assertIsInstance(fleet.books[1].take("club", 190), QuotaCharge)
-
-    def test_units_given_back_serve_another_router(self):
-        # A request was charged and then refused for want of a place; the next one of the team comes
-        # to another router.
+        fleet = Fleet(peers=2, quota=quota)
+        self.assertIsInstance(fleet.peers[0].acquire("club", 1500), QuotaCharge)
+        self.assertIsInstance(fleet.peers[0].acquire("club", 800), QuotaRefused)
+        self.assertIsInstance(fleet.peers[0].acquire("club", 300), QuotaCharge)
+        fleet.advance(1.1)
+        self.assertIsInstance(fleet.peers[1].acquire("club", 190), QuotaCharge)
+
+    def test_returned_units_serve_another_router(self):
+        # A request was charged and then refused for lack of a free slot; the team's next request reaches
+        # another router.
         quota = TokenQuota(rate_per_s=10.0, burst=2000.0, counts_tokens=True)
-        fleet = Fleet(books=2, quota=quota)
-        fleet.books[0].take("club", 2000).refund()
-        fleet.pass_time(1.1)
-        self.assertIsInstance(fleet.books[1].take("club", 1900), QuotaCharge)
+        fleet = Fleet(peers=2, quota=quota)
+        fleet.peers[0].acquire("club", 2000).refund()
+        fleet.advance(1.1)
+        self.assertIsInstance(fleet.peers[1].acquire("club", 1900), QuotaCharge)
 
-    def test_a_request_larger_than_the_burst_passes_a_full_bucket_and_is_made_up_for(self):
-        # It lies within what the quota allows in the operator's window, but a bucket never holds so much.
+    def test_a_request_larger_than_the_burst_passes_a_full_bucket_and_delays_others(self):
+        # The request is within what the quota allows in the operator's window, but a bucket never holds that much.
         quota = TokenQuota(rate_per_s=1000.0, burst=2000.0, counts_tokens=True)
-        fleet = Fleet(books=1, quota=quota, tolerance=Tolerance(window_s=8.0))
-        self.assertIsInstance(fleet.books[0].take("club", 5000), QuotaCharge)
-        fleet.pass_time(2.0)
-        self.assertIsInstance(fleet.books[0].take("club", 100), QuotaRefused)
-        fleet.pass_time(1.5)
-        self.assertIsInstance(fleet.books[0].take("club", 100), QuotaCharge)
-        self.assertIsInstance(fleet.books[0].take("club", 20_000), QuotaRefused)
+        fleet = Fleet(peers=1, quota=quota, tolerance=Tolerance(window_s=8.0))
+        self.assertIsInstance(fleet.peers[0].acquire("club", 5000), QuotaCharge)
+        fleet.advance(2.0)
+        self.assertIsInstance(fleet.peers[0].acquire("club", 100), QuotaRefused)
+        fleet.advance(1.5)
+        self.assertIsInstance(fleet.peers[0].acquire("club", 100), QuotaCharge)
+        self.assertIsInstance(fleet.peers[0].acquire("club", 20_000), QuotaRefused)
 
 
 class OwnersChangeTest(unittest.TestCase):
@@ -268,26 +268,26 @@
         owner.set_quotas({"club": QUOTA})
         return owner
 
-    def test_a_quiet_team_finds_its_whole_burst(self):
-        # Nothing was asked for ten seconds and nobody else was the owner: the bucket is full.
+    def test_an_idle_team_gets_its_full_burst(self):
+        # There was no request for ten seconds and no other owner: the bucket is full.
         clock = Clock()
         owner = self.owner(clock)
         owner.grant(QuotaAsk(team="club", needed=(2000,)))
         clock.now += 10.0
         self.assertEqual(owner.grant(QuotaAsk(team="club", needed=(2000,))).units, 2000)
 
-    def test_a_next_owner_does_not_grant_the_burst_again(self):
+    def test_a_new_owner_does_not_grant_the_burst_again(self):
         clock = Clock()
         owner = self.owner(clock)
-        owner.note_other_owner("club")
+        owner.mark_owned_elsewhere("club")
         self.assertEqual(owner.grant(QuotaAsk(team="club", ahead=2000)).units, QUOTA.burst * TAKEOVER_SHARE)
 
-    def test_an_owner_that_lost_a_team_and_got_it_back_begins_anew(self):
+    def test_an_owner_that_regains_a_team_starts_with_the_takeover_share(self):
         clock = Clock()
         owner = self.owner(clock)
         owner.grant(QuotaAsk(team="club", needed=(100,)))
-        owner.keep(lambda team: False)
-        owner.keep(lambda team: True)
+        owner.drop_unowned(lambda team: False)
+        owner.drop_unowned(lambda team: True)
         self.assertEqual(owner.grant(QuotaAsk(team="club", ahead=2000)).units, QUOTA.burst * TAKEOVER_SHARE)
 
 
@@ -295,7 +295,7 @@
     def test_a_request_beyond_the_quota_is_refused_as_not_run_with_its_cause(self):
         fleet = Fleet()
         team = SimpleNamespace(name="club", quota=QUOTA)
-        refusal = charge_team(accounts=fleet.books[0], team=team, tokens=50_000)
+        refusal = charge_team(accounts=fleet.peers[0], team=team, tokens=50_000)
         self.assertEqual((refusal.reason, refusal.executed), (Reason.QUOTA, Executed.NO))
         self.assertGreater(refusal.retry_after_s, 0.0)
         self.assertEqual(
@@ -307,9 +307,9 @@
     def test_what_fits_is_charged_and_no_quota_charges_nothing(self):
         fleet = Fleet()
         team = SimpleNamespace(name="club", quota=QUOTA)
-        self.assertIsInstance(charge_team(accounts=fleet.books[0], team=team, tokens=100), QuotaCharge)
+        self.assertIsInstance(charge_team(accounts=fleet.peers[0], team=team, tokens=100), QuotaCharge)
         for free in (None, SimpleNamespace(name="club", quota=None)):
-            self.assertIsNone(charge_team(accounts=fleet.books[0], team=free, tokens=100))
+            self.assertIsNone(charge_team(accounts=fleet.peers[0], team=free, tokens=100))
 
 
 if __name__ == "__main__":
--- a/tests/test_run_counts.py
+++ b/tests/test_run_counts.py
@@ -1,4 +1,4 @@
-"""What a router counts of the runs that it sends, by what led to them."""
+"""A router's counters of the runs that it sends, by their cause."""
 
 import asyncio
 import unittest
@@ -23,7 +23,7 @@
 
 
 class CrashedOften(QuietCrashes):
-    def crashes_of(self, body_digest):
+    def crash_count(self, body_digest):
         return CRASH_LIMIT
 
 
@@ -58,10 +58,10 @@
         request = self.request()
         await request.grant("e1")
         await request.end(LOST)
-        asked = request.asks[-1]
-        self.assertTrue(asked.is_retry)
+        grant_request = request.grant_requests[-1]
+        self.assertTrue(grant_request.is_retry)
         refused = {"reason": Reason.RETRY_BUDGET, "retry_after_s": 1.0}
-        request.entry.on_scheduler_message(Refused(request_id="r1", attempt=asked.attempt, **refused))
+        request.entry.on_scheduler_message(Refused(request_id="r1", attempt=grant_request.attempt, **refused))
         await asyncio.sleep(0.0)
         self.assertEqual(request.caller.answer.refusal.reason, Reason.RETRY_BUDGET)
         self.assertEqual(self.counts[("retries_refused", "asistente")], 1)
@@ -73,7 +73,7 @@
         self.assertEqual(self.counts[("runs_of_crashing_requests", "asistente")], 1)
 
     @on_paused_clock
-    async def test_a_rest_asked_for_again_late_counts_as_broken(self):
+    async def test_a_request_after_the_grace_period_counts_as_a_broken_back_off(self):
         request = self.request()
         for wait_s, broken in ((0.0, 0), (0.3, 0), (0.4, 1)):
             await asyncio.sleep(wait_s)
--- a/tests/test_slow_service.py
+++ b/tests/test_slow_service.py
@@ -1,4 +1,4 @@
-"""A plain service that turns slow after a booking was sent there goes on to its answer."""
+"""A request to a plain service that becomes slow is waited for until its deadline."""
 
 import threading
 import time
@@ -13,8 +13,8 @@
 from wagtailtrestle.contracts.outcomes import RunDone, RunSilent
 from wagtailtrestle.slopes.entry import make_entry, make_request
 
-SLOWED = 150.0
-"""From 20 ms for a booking to 3 s, within the 5 s that its caller has."""
+SLOWDOWN_FACTOR = 150.0
+"""Slows a booking from 20 ms to 3 s, within its caller's deadline of 5 s."""
 BOOKINGS = 4
 
 
@@ -35,14 +35,14 @@
             loop.close()
 
     def test_a_booking_is_waited_for_until_its_deadline(self):
-        # The family sees 502, engine_lost, executed unknown, after 2 s, though its booking is made a second later. A
-        # plain service can't be asked about a call, and the call may not be sent again: giving it up gains nothing.
+        # Guards against a 502 (engine_lost, executed unknown) after 2 s for a booking that is made a second later. A
+        # plain service can't be queried about a call, and the call may not be repeated: abandoning it gains nothing.
         caller = self.serve([RunDone()], repeatable=False)
         (start,) = caller.starts
         self.assertEqual(start.first_token_deadline_s, start.overall_s)
         self.assertEqual(start.progress_deadline_s, start.overall_s)
 
-    def test_what_may_be_repeated_goes_to_another_engine_after_the_limit_on_silence(self):
+    def test_a_repeatable_request_moves_to_another_engine_after_the_silence_limit(self):
         caller = self.serve([RunSilent(), RunDone()], repeatable=True)
         self.assertIsInstance(caller.answer, AnswerWhole)
         self.assertEqual(len(caller.starts), 2)
@@ -54,7 +54,7 @@
         running = Running(routers=2).start()
         self.addCleanup(running.close)
         seen = [running.send(BOOKING, router=running.routers[0])]
-        running.faults("reservas-1", straggle=SLOWED)
+        running.faults("reservas-1", straggle=SLOWDOWN_FACTOR)
         senders = [
             threading.Thread(target=lambda: seen.append(running.send(BOOKING, router=running.routers[0])))
             for _ in range(BOOKINGS)
--- a/tests/utils/scheduling_replay.py
+++ b/tests/utils/scheduling_replay.py
@@ -187,19 +187,19 @@
 class QuietCrashes:
     """Blames nobody."""
 
-    def blocked(self, body_digest):
+    def is_blocked(self, body_digest):
         return False
 
-    def runs_alone(self, body_digest):
+    def must_run_alone(self, body_digest):
         return False
 
-    def crashes_of(self, body_digest):
+    def crash_count(self, body_digest):
         return 0
 
-    def note(self, **_):
+    def record_run_end(self, **_):
         return None
 
-    def note_down(self, engine):
+    def record_engine_down(self, engine):
         return None
 
 
--- a/wagtailtrestle/entry/entry.py
+++ b/wagtailtrestle/entry/entry.py
@@ -1,4 +1,4 @@
-"""The entry: owns every request that callers gave to this router.
+"""The entry: owns every request that callers sent to this router.
 
 Runs one :class:`wagtailtrestle.entry.request_task.RequestTask` per request and routes the
 messages of callers and schedulers to them.
@@ -22,7 +22,7 @@
 
 
 class RequestContext:
-    """What a request's task may use of its router.
+    """Services of the router that a request's task may use.
 
     Parameters
     ----------
@@ -33,9 +33,9 @@
     crashes : CrashWatch
     retries : RetryRecord
     declaration : Callable
-        Gives the declaration in force.
+        Returns the declaration in force.
     notices : EngineNotices
-        What engines said of themselves to this router.
+        Notices that this router received from engines.
     run_counts : RunCounts
     now : Callable
         The loop's clock, seconds.
@@ -65,7 +65,7 @@
         self._notices = notices
 
     def send(self, cell, message):
-        """Send to the cell's scheduler; a lost message is made good by registering."""
+        """Send to the cell's scheduler; registering again recovers a lost message."""
         self._schedulers.send(cell=cell, message=message)
 
     def address_of(self, engine):
@@ -73,53 +73,53 @@
         declared = self._declaration().engines_by_name.get(engine)
         return declared.address if declared else None
 
-    def start_of(self, engine):
-        """Which start of a declared engine is known here; 0 where engines don't tell."""
+    def start_ms_of(self, engine):
+        """Start time of a declared engine as known here; 0 where engines don't report it."""
         declared = self._declaration().engines_by_name.get(engine)
         return declared.start_ms if declared else 0
 
-    def is_in_use(self, engine):
-        """Whether an engine is known here and does not leave, as far as this router knows.
+    def is_available(self, engine):
+        """Whether an engine is declared and not draining, as far as this router knows.
 
-        Its own notice takes precedence over its entry, which may be older: the store can be unreachable, or restored
-        from a copy.
+        The engine's own notice takes precedence over its entry in the store, which may be older: the store can be
+        unreachable or restored from a backup.
         """
         declared = self._declaration().engines_by_name.get(engine)
         return declared is not None and not declared.leaving and not self._notices.is_leaving(declared)
 
     def was_limited(self, granted):
-        """Whether an engine named a rate limit lately, as this router or the scheduler heard."""
+        """Whether this router or the scheduler recently received a rate limit from an engine."""
         return self._notices.is_limited(granted.engine) or granted.limit_age_s != math.inf
 
-    def is_informed(self, granted):
-        """Whether the scheduler that granted a place knew of the limit or rest that the engine told this router."""
+    def scheduler_is_informed(self, granted):
+        """Whether the scheduler knew of the rate limit or back-off that the granted engine sent to this router."""
         declared = self._declaration().engines_by_name[granted.engine]
         return self._notices.rest_s(declared) <= 0.0 and not self._notices.are_newer_than(granted)
 
     def retry_after_s(self, service):
-        """Time until some engine of a service takes a request of this router again."""
+        """Time until some engine of a service accepts requests of this router again, with a minimum."""
         engines = self._declaration().engines_by_name.values()
         rests = [self._notices.rest_s(engine) for engine in engines if engine.service == service]
         return max(DEFAULT_RETRY_AFTER_S, min(rests, default=0.0))
 
-    def tell_again(self, engine):
-        """Tell the scheduler what an engine said lately, so that its next grant can be used."""
+    def resend_notices(self, engine):
+        """Send an engine's recent notices to the scheduler again, so that its next grant accounts for them."""
         for notice in self._notices.for_engines((engine,)):
-            self.tell(notice)
+            self.forward_notice(notice)
 
-    def tell(self, notice):
-        """Tell the scheduler what one of its engines said."""
+    def forward_notice(self, notice):
+        """Forward an engine's notice to the scheduler of its cell."""
         engine = self._declaration().engines_by_name.get(notice.engine)
         if engine is not None:
             self.send(engine.cell, notice)
 
     def service(self, name):
-        """What is declared of a service now, or ``None``."""
+        """Present declaration of a service, or ``None``."""
         return self._declaration().services_by_name.get(name)
 
 
 class Entry:
-    """Owner of the requests this router took from callers.
+    """Owner of the requests this router received from callers.
 
     Parameters
     ----------
@@ -129,7 +129,7 @@
         See :class:`RequestContext`.
     loop : asyncio.AbstractEventLoop
     retry_window_s : callable, optional
-        Returns the time for which retries count.
+        Returns the length of the retry budget's window.
     count : callable, optional
         See :class:`wagtailtrestle.entry.run_counts.RunCounts`.
     """
@@ -182,7 +182,7 @@
         )
 
     def submit(self, request, caller):
-        """Take ownership of a request and start serving it."""
+        """Start serving a request that this router owns from now on."""
         cells = cells_of(self._declaration(), request.service)
         cell = choose_cell(cells=cells, prefix_blocks=request.prefix_blocks, request_id=request.request_id)
         if cell is None:
@@ -193,36 +193,36 @@
         self._idle.clear()
         running = self._loop.create_task(task.serve())
         self._running_by_id[request.request_id] = running
-        running.add_done_callback(lambda done: self._forget(request.request_id, done))
+        running.add_done_callback(lambda done: self._remove_task(request.request_id, done))
 
     def post(self, request_id, event):
-        """Give a caller's event to its request; late ones are dropped."""
+        """Deliver an event of a caller's exchange to its request; events of a finished request are dropped."""
         if isinstance(event, EngineNotice):
-            self._count_broken_rest(event)
+            self._count_broken_back_off(event)
             self._notices.process(event)
-            self._context.tell(dataclasses.replace(event, entry=self.name))
+            self._context.forward_notice(dataclasses.replace(event, entry=self.name))
             return
         task = self.tasks_by_id.get(request_id)
         if task is not None:
             task.post(event)
 
-    def _count_broken_rest(self, notice):
+    def _count_broken_back_off(self, notice):
         engine = self._declaration().engines_by_name.get(notice.engine)
         if engine is None or not notice.rest_s:
             return
         rested_s = self._notices.rested_s(engine)
-        # What was on its way when the engine first asked is no fault.
+        # Requests already in flight when the engine first asked for the back-off are no fault.
         if rested_s > NOTICE_AGE_TOLERANCE_S:
-            self._run_counts.note_rest_broken(engine=notice.engine, rested_s=rested_s)
+            self._run_counts.count_broken_back_off(engine=notice.engine, rested_s=rested_s)
 
     def displace(self, request_id):
-        """Give up a waiting request, for a higher tier needs its room in the router."""
+        """Drop a waiting request to admit one of a higher tier."""
         self.post(request_id, Displaced())
 
     def on_scheduler_message(self, message):
-        """Give a scheduler's message to its request; what it says of an engine is for all requests."""
+        """Deliver a scheduler's message to its request; a message about an engine concerns all requests."""
         if isinstance(message, EngineDown):
-            self._context.crashes.note_down(message.engine)
+            self._context.crashes.record_engine_down(message.engine)
             return
         task = self.tasks_by_id.get(message.request_id)
         if isinstance(message, Granted) and not _awaits(task, message):
@@ -232,7 +232,7 @@
             task.post(message)
 
     def register(self, cell):
-        """Everything this entry holds for ``cell``, for a new scheduler."""
+        """Build the registration of this entry's requests and notices of ``cell`` for a new scheduler."""
         tasks = [task for task in self.tasks_by_id.values() if task.cell == cell]
         waiting = [task.grant_request() for task in tasks if task.state is RequestState.QUEUED and task.attempt]
         running = [task.running_record() for task in tasks if task.state is RequestState.DISPATCHED]
@@ -247,19 +247,19 @@
 
     def _notices_of(self, cell):
         declared = self._declaration().engines_by_name
-        heard = [engine for engine in self._notices.engines if engine in declared]
-        return self._notices.for_engines([engine for engine in heard if declared[engine].cell == cell])
+        known = [engine for engine in self._notices.engines if engine in declared]
+        return self._notices.for_engines([engine for engine in known if declared[engine].cell == cell])
 
-    def cells_held(self):
-        """Cells for which a request waits or runs."""
+    def cells_in_use(self):
+        """Cells that have a waiting or running request."""
         return {task.cell for task in self.tasks_by_id.values()}
 
     async def drained(self):
-        """Wait until no request is held."""
+        """Wait until no request is left."""
         await self._idle.wait()
 
     async def close(self):
-        """Stop every request's task; used when the process ends after its drain."""
+        """Cancel every request's task; used when the process ends after its drain."""
         running = list(self._running_by_id.values())
         for task in running:
             task.cancel()
@@ -290,12 +290,12 @@
 
     def _return_grant(self, task, granted):
         # Two schedulers may serve one cell for a moment, or a grant may cross a
-        # withdrawal. The place must go back or its engine looks busy for ever; a
-        # running request's true place is told again so that its account stays exact.
+        # withdrawal. The slot must be returned, or its engine looks busy for ever; the entry
+        # registers again so that the scheduler's record of a running request's slot stays exact.
         if task is None:
-            self._withdraw(granted)
+            self._withdraw_grant(granted)
             return
-        give_back = RunFinished(
+        slot_return = RunFinished(
             request_id=granted.request_id,
             engine=granted.engine,
             result=RunNotSent.__name__,
@@ -303,15 +303,15 @@
             never_sent=True,
         )
         if task.state is RequestState.DISPATCHED and task.engine != granted.engine:
-            self._context.send(task.cell, give_back)
+            self._context.send(task.cell, slot_return)
         self._context.send(task.cell, self.register(task.cell))
 
-    def _withdraw(self, granted):
+    def _withdraw_grant(self, granted):
         engine = self._declaration().engines_by_name.get(granted.engine)
         if engine is not None:
             self._context.send(engine.cell, Withdraw(request_id=granted.request_id))
 
-    def _forget(self, request_id, done):
+    def _remove_task(self, request_id, done):
         self.tasks_by_id.pop(request_id, None)
         self._running_by_id.pop(request_id, None)
         if not self.tasks_by_id:
--- a/wagtailtrestle/entry/request_task.py
+++ b/wagtailtrestle/entry/request_task.py
@@ -1,7 +1,7 @@
 """The state machine of one request, owned by the router that took the call.
 
 ``queued -> granted -> dispatched -> finished | refused | unknown``. Only this task
-may dispatch its request, so no crossed message can make it run twice.
+may dispatch its request, so messages that cross on the network can't make it run twice.
 """
 
 import asyncio
@@ -41,7 +41,7 @@
     RunNotSent,
     RunRejected,
 )
-from wagtailtrestle.entry.attaches import UNREAD_PAUSE_S, Attaches
+from wagtailtrestle.entry.attaches import UNREAD_RETRY_DELAY_S, AttachAttempts
 from wagtailtrestle.entry.execution_evidence import ExecutionEvidence
 from wagtailtrestle.entry.final_answers import DEFAULT_RETRY_AFTER_S, refusal_of, rejected_status
 from wagtailtrestle.entry.poison import CRASH_LIMIT
@@ -51,22 +51,22 @@
 from wagtailtrestle.record import record
 
 MAX_NOT_SENT = 4
-ATTACH_ROOM_S = 0.05
+MIN_ATTACH_TIME_S = 0.05
 CANCEL_GRACE_S = 2.0
 COUNTED_RUN_SILENCE_S = 3.0
-"""Least silence after which a run is given up where runs are counted. Engines that prefill several long
-prompts pause for a second or two; taken for lost, their runs would be begun again elsewhere, at the
-price of their prompts, just when engines are busiest."""
+"""Minimum silence limit for runs of a request that limits its number of runs. Engines that prefill several
+long prompts pause for a second or two; with a shorter limit their runs would be repeated on other engines,
+which prefill the prompts again just when load is highest."""
 MIN_FIRST_TOKEN_S = 0.001
-"""A hope that has passed: distinct from 0, which stands for none."""
+"""Stands for a target time to first token that has passed, since 0 means that there is no target."""
 
 
 RETRIES = frozenset({RunKind.AFTER_LOSS, RunKind.AFTER_REFUSAL})
-"""Runs that count against the budget of retries; a run after a preemption was asked for by the scheduler."""
+"""Runs that count against the retry budget; a run after a preemption does not, since the scheduler caused it."""
 
 
 class RequestState(StrEnum):
-    """Where a request stands; the last three are final."""
+    """State of a request; the last three are final."""
 
     QUEUED = "queued"
     GRANTED = "granted"
@@ -78,20 +78,20 @@
 
 @record
 class Displaced:
-    """The router needs this waiting request's room for a higher tier."""
+    """The router drops this waiting request to admit one of a higher tier."""
 
     retry_after_s: float = DEFAULT_RETRY_AFTER_S
 
 
 class RequestTask:
-    """Serves one request from its claim to its one final answer.
+    """Serves one request from its claim to its single final answer.
 
     Parameters
     ----------
     request : CallerRequest
     caller : CallerLink
     context : RequestContext
-        What the owning entry offers: schedulers, claims, budgets, addresses.
+        Services of the owning entry: schedulers, claims, budgets, addresses.
     """
 
     __slots__ = (
@@ -102,28 +102,28 @@
         "cell",
         "attempt",
         "runs",
-        "runs_begun",
+        "runs_started",
         "engine",
         "dispatched_at",
         "done_tokens",
         "run_tokens",
         "_inbox",
         "_reports",
-        "_excluded",
+        "_excluded_engines",
         "_next_kind",
         "_losses",
         "_retries_used_up",
-        "_given_back",
+        "_declined_engines",
         "_evidence",
-        "_not_sent",
-        "_attaches",
+        "_not_sent_count",
+        "_attach_attempts",
         "_preempted",
         "_cancelling",
-        "_key",
+        "_request_claim",
         "_caller_gone",
         "_address",
         "_alone",
-        "_arrived_at",
+        "_received_at",
     )
 
     def __init__(self, *, request, caller, context, cell):
@@ -134,49 +134,49 @@
         self.state = RequestState.QUEUED
         self.attempt = 0
         self.runs = 0
-        self.runs_begun = 0
+        self.runs_started = 0
         self.engine = ""
         self.dispatched_at = 0.0
         self.done_tokens = 0
         self.run_tokens = 0
         self._inbox = asyncio.Queue()
         self._reports = RunReports(request_id=request.request_id, send=lambda message: context.send(self.cell, message))
-        self._excluded = set()
+        self._excluded_engines = set()
         self._next_kind = RunKind.FIRST
         self._losses = 0
         self._retries_used_up = False
-        self._given_back = set()
+        self._declined_engines = set()
         self._evidence = ExecutionEvidence()
-        self._not_sent = 0
-        self._attaches = Attaches()
+        self._not_sent_count = 0
+        self._attach_attempts = AttachAttempts()
         self._preempted = False
         self._cancelling = False
-        self._key = RequestClaim(request=request, claims=context.claims, remaining=self._remaining)
+        self._request_claim = RequestClaim(request=request, claims=context.claims, remaining=self._remaining)
         self._caller_gone = False
         self._address = ""
         self._alone = False
-        self._arrived_at = context.now()
+        self._received_at = context.now()
 
     def post(self, message):
-        """Queue a message for this task."""
+        """Queue a message to this task."""
         self._inbox.put_nowait(message)
 
     async def serve(self):
         """Run the request to its final answer."""
         if not await self._claim():
             return
-        while self._may_go_on():
-            granted = await self._obtain_place()
+        while self._check_not_poisoned():
+            granted = await self._acquire_slot()
             if granted is None:
                 return
-            ended = await self._run_on(granted)
-            if self._settled(ended):
+            ended = await self._run_on_engine(granted)
+            if self._handle_run_end(ended):
                 return
 
-    # What others are told of this request.
+    # Messages that describe this request.
 
     def grant_request(self):
-        """Build the ask for a place as it stands now."""
+        """Build the request for a slot from the present state."""
         request = self.request
         return GrantRequest(
             request_id=request.request_id,
@@ -186,14 +186,14 @@
             cell=self.cell,
             team=request.team,
             tier=request.tier,
-            repeatable=request.repeatable and self._service_can("preemptable"),
+            repeatable=request.repeatable and self._service_supports("preemptable"),
             prompt_tokens=request.prompt_tokens,
             output_tokens=max(request.output_tokens - self.done_tokens, 1),
             remaining_s=max(self._remaining(), 0.0),
             done_tokens=self.done_tokens,
             prefix_blocks=request.prefix_blocks,
             block_tokens=request.block_tokens,
-            excluded_engines=tuple(sorted(self._excluded)),
+            excluded_engines=tuple(sorted(self._excluded_engines)),
             alone=self._alone,
             first_token_within_s=self._first_token_within_s(),
             hinted_tokens=request.hinted_tokens,
@@ -215,12 +215,12 @@
     # Claim.
 
     async def _claim(self):
-        if not self._key.is_needed:
+        if not self._request_claim.is_needed:
             return True
-        # A caller that sends again through another router must not make a second
-        # run. The claim is proved in the platform's store before the first dispatch;
-        # without that proof nothing is dispatched, so the refusal is true.
-        match await self._key.win():
+        # A caller that resends through another router must not cause a second run. The
+        # claim is confirmed in the platform's store before the first dispatch; without that
+        # confirmation nothing is dispatched, so a refusal as not executed is accurate.
+        match await self._request_claim.win():
             case ClaimWon():
                 return True
             case ClaimFinished(status=status, content_type=content_type, body=body):
@@ -233,84 +233,85 @@
                 self._refuse(Reason.LEDGER_UNAVAILABLE, executed=Executed.NO)
         return False
 
-    # Place.
+    # Slot.
 
-    def _may_go_on(self):
-        if self.context.crashes.blocked(self.request.body_digest):
+    def _check_not_poisoned(self):
+        if self.context.crashes.is_blocked(self.request.body_digest):
             self._refuse(Reason.POISONED)
             return False
         return True
 
-    async def _obtain_place(self):
+    async def _acquire_slot(self):
         self.state = RequestState.QUEUED
         self.attempt += 1
-        self._alone = self.context.crashes.runs_alone(self.request.body_digest)
+        self._alone = self.context.crashes.must_run_alone(self.request.body_digest)
         self.context.send(self.cell, self.grant_request())
         while True:
             message = await self._next_message(until=self.request.deadline)
             match message:
                 case None:
-                    return self._give_up_waiting(Reason.DEADLINE_EXCEEDED)
+                    return self._withdraw_and_refuse(Reason.DEADLINE_EXCEEDED)
                 case CallerGone():
-                    return self._give_up_waiting(Reason.CALLER_GONE)
+                    return self._withdraw_and_refuse(Reason.CALLER_GONE)
                 case Displaced(retry_after_s=retry_after_s):
-                    return self._give_up_waiting(Reason.ROUTER_FULL, retry_after_s)
+                    return self._withdraw_and_refuse(Reason.ROUTER_FULL, retry_after_s)
                 case Refused(attempt=self.attempt, reason=reason, retry_after_s=retry_after_s):
-                    return self._take_refusal(reason, retry_after_s)
+                    return self._handle_refusal(reason, retry_after_s)
                 case Granted(attempt=self.attempt):
-                    is_in_use = self.context.is_in_use(message.engine)
-                    if is_in_use and self.context.is_informed(message):
+                    is_available = self.context.is_available(message.engine)
+                    if is_available and self.context.scheduler_is_informed(message):
                         self.state = RequestState.GRANTED
                         self._retries_used_up = message.retries_used_up
                         return message
-                    # The scheduler may be cut off from the platform, and not know yet that an
-                    # engine leaves, or know one that this router does not. Sent there, the
-                    # request would be lost with the engine: the place goes back, and the next
-                    # ask leaves the engine out.
-                    self.context.tell_again(message.engine)
-                    self._reports.gave_back(message.engine)
-                    # A scheduler that grants it again after it was told may know a later start of the engine.
-                    if not is_in_use or message.engine in self._given_back:
-                        self._excluded.add(message.engine)
-                    self._given_back.add(message.engine)
+                    # A scheduler that is partitioned from the platform may grant an engine that is
+                    # draining, or one that this router doesn't know. Sent there, the request would be
+                    # lost with the engine: the slot is returned, and the next grant request excludes
+                    # the engine.
+                    self.context.resend_notices(message.engine)
+                    self._reports.returned_slot(message.engine)
+                    # A scheduler that grants the engine again although the notices were resent may know of a later
+                    # start of it; the engine is then excluded as well.
+                    if not is_available or message.engine in self._declined_engines:
+                        self._excluded_engines.add(message.engine)
+                    self._declined_engines.add(message.engine)
                     self.attempt += 1
                     self.context.send(self.cell, self.grant_request())
 
-    def _give_up_waiting(self, reason, retry_after_s=None):
+    def _withdraw_and_refuse(self, reason, retry_after_s=None):
         self.context.send(self.cell, Withdraw(request_id=self.request.request_id))
         self._refuse(reason, retry_after_s=retry_after_s)
 
-    def _take_refusal(self, reason, retry_after_s):
+    def _handle_refusal(self, reason, retry_after_s):
         if self._preempted and reason in (Reason.OVERLOADED, Reason.DEADLINE_UNREACHABLE):
             reason = Reason.PREEMPTED
         if reason is Reason.RETRY_BUDGET:
-            self.context.run_counts.note_retry_refused(service=self.request.service)
+            self.context.run_counts.count_refused_retry(service=self.request.service)
         self._refuse(reason, retry_after_s=retry_after_s)
 
     # Run.
 
-    async def _run_on(self, granted):
+    async def _run_on_engine(self, granted):
         self.engine = granted.engine
         self.runs += 1
-        self.runs_begun += 1
-        self._begin_run(granted, attach=False)
+        self.runs_started += 1
+        self._start_run(granted, attach=False)
         attached = False
         while True:
-            ended = await self._until_run_ends(granted)
-            if attached and self._attaches.may_be_unread(ended.outcome, is_last=not self._may_go_elsewhere()):
-                await asyncio.sleep(UNREAD_PAUSE_S)
-                self._begin_run(granted, attach=True)
+            ended = await self._wait_for_run_end(granted)
+            if attached and self._attach_attempts.retry_unread(ended.outcome, is_last=not self._may_retry_now()):
+                await asyncio.sleep(UNREAD_RETRY_DELAY_S)
+                self._start_run(granted, attach=True)
                 continue
-            self._note_crash(ended.outcome, was_sent=attached)
+            self._update_crash_watch(ended.outcome, was_sent=attached)
             if not self._can_attach(ended):
                 return ended
             attached = True
-            # The stream broke but the engine may still hold the run: attaching to it
-            # gives the rest of the same run, which is no second dispatch.
-            self._attaches.note(ended.outcome, is_last=not self._may_go_elsewhere())
-            self._begin_run(granted, attach=True)
+            # The stream broke but the engine may still hold the run. Attaching returns the
+            # rest of the same run and is not a second dispatch.
+            self._attach_attempts.record_attempt(ended.outcome, is_last=not self._may_retry_now())
+            self._start_run(granted, attach=True)
 
-    def _begin_run(self, granted, *, attach):
+    def _start_run(self, granted, *, attach):
         if not attach:
             self._address = self.context.address_of(granted.engine)
             self.dispatched_at = self.context.now()
@@ -318,48 +319,48 @@
             self._cancelling = False
             self._preempted = False
             if self._next_kind in RETRIES:
-                self.context.retries.note_retry(self.cell)
+                self.context.retries.record_retry(self.cell)
         self.state = RequestState.DISPATCHED
         self._count_run(attach=attach)
-        overall_s = max(self._remaining(), ATTACH_ROOM_S)
-        # A run that is the last this request may have is not given up for silence: there is nothing
-        # to gain, and an engine that only paused, or a service that turned slow, would have finished it: bookings
-        # that took 3 s ended as lost after 2 s, though each was made. Where an engine can be asked for a
-        # run, the limit stays, and what follows it is the question. A dead VM shows by the connection's probes.
-        is_last = not self._service_can("attachable") and not self._may_go_elsewhere()
-        floor_s = 0.0 if self.request.max_runs is None else COUNTED_RUN_SILENCE_S
+        overall_s = max(self._remaining(), MIN_ATTACH_TIME_S)
+        # The last run that this request may have gets no silence limit: cancelling it gains nothing, and an
+        # engine that paused or a service that became slow would have finished it. With a limit of 2 s, bookings
+        # that took 3 s were answered as lost although they were made. Where the service supports attaching, the
+        # limit stays, and reaching it leads to an attach. A dead VM is detected by the connection's probes.
+        is_last = not self._service_supports("attachable") and not self._may_retry_now()
+        min_silence_s = 0.0 if self.request.max_runs is None else COUNTED_RUN_SILENCE_S
         self.caller.post(
             StartRun(
                 run_id=self._run_id(),
                 engine=granted.engine,
                 address=self._address,
-                first_token_deadline_s=overall_s if is_last else max(floor_s, granted.first_token_deadline_s),
-                progress_deadline_s=overall_s if is_last else max(floor_s, granted.progress_deadline_s),
+                first_token_deadline_s=overall_s if is_last else max(min_silence_s, granted.first_token_deadline_s),
+                progress_deadline_s=overall_s if is_last else max(min_silence_s, granted.progress_deadline_s),
                 overall_s=overall_s,
                 attach=attach,
-                start_ms=self.context.start_of(granted.engine),
+                start_ms=self.context.start_ms_of(granted.engine),
                 was_limited=self.context.was_limited(granted),
             )
         )
 
     def _count_run(self, *, attach):
         request, counts = self.request, self.context.run_counts
-        counts.note_sent(service=request.service, kind=RunKind.ATTACH if attach else self._next_kind)
+        counts.count_run(service=request.service, kind=RunKind.ATTACH if attach else self._next_kind)
         if request.max_runs is not None and self._losses >= request.max_runs:
-            counts.note_beyond_limit(request_id=request.request_id, service=request.service, runs=self._losses + 1)
-        crashes = self.context.crashes.crashes_of(request.body_digest)
+            counts.count_run_beyond_limit(request_id=request.request_id, service=request.service, runs=self._losses + 1)
+        crashes = self.context.crashes.crash_count(request.body_digest)
         if crashes >= CRASH_LIMIT and not attach:
-            counts.note_crashing(request_id=request.request_id, service=request.service, crashes=crashes)
+            counts.count_crashing_run(request_id=request.request_id, service=request.service, crashes=crashes)
 
-    async def _until_run_ends(self, granted):
+    async def _wait_for_run_end(self, granted):
         until = self.request.deadline
         while True:
             message = await self._next_message(until=until)
             match message:
                 case None:
                     if self._cancelling:
-                        # The engine did not confirm; the caller's side ends its own
-                        # read at the overall limit, so this can't wait for ever.
+                        # The engine did not confirm the cancellation. The caller's side stops
+                        # reading at the overall limit, so this wait is bounded.
                         until = None
                         continue
                     until = self.context.now() + CANCEL_GRACE_S
@@ -371,28 +372,28 @@
                     self._preempted = True
                     self._cancel()
                 case RunBegan():
-                    self._attaches.confirm()
-                    self._evidence.maybe = self._evidence.known = True
+                    self._attach_attempts.confirm()
+                    self._evidence.possibly_executed = self._evidence.known_executed = True
                     self._reports.began(self.engine, message)
                 case RunAdvanced(output_tokens=output_tokens):
                     self.run_tokens = output_tokens
                     self._reports.advanced(output_tokens)
                 case Granted(engine=engine) if engine != self.engine:
-                    # A second scheduler granted the same ask; the place is not needed.
-                    self._reports.gave_back(engine)
+                    # A second scheduler granted the same request; its slot is not needed.
+                    self._reports.returned_slot(engine)
                 case RunEnded():
-                    self._evidence.note(message.outcome)
+                    self._evidence.update(message.outcome)
                     return message
 
     def _cancel(self):
         if self._cancelling:
             return
         self._cancelling = True
-        if self._service_can("cancellable"):
+        if self._service_supports("cancellable"):
             self.caller.cancel_run(run_id=self._run_id(), engine=self.engine, address=self._address)
 
-    def _note_crash(self, outcome, *, was_sent):
-        self.context.crashes.note(
+    def _update_crash_watch(self, outcome, *, was_sent):
+        self.context.crashes.record_run_end(
             engine=self.engine,
             body_digest=self.request.body_digest,
             outcome=outcome,
@@ -402,20 +403,20 @@
     def _can_attach(self, ended):
         if self._cancelling:
             return False
-        if self._remaining() < ATTACH_ROOM_S or not self._service_can("attachable"):
+        if self._remaining() < MIN_ATTACH_TIME_S or not self._service_supports("attachable"):
             return False
-        return self._attaches.may_try(ended.outcome)
+        return self._attach_attempts.may_attach(ended.outcome)
 
-    # What follows a run.
+    # After a run.
 
-    def _settled(self, ended):
-        """Tell the scheduler, then answer the caller or return ``False`` to ask again."""
+    def _handle_run_end(self, ended):
+        """Report to the scheduler, then answer the caller or return ``False`` to request another slot."""
         self._reports.finished(self.engine, ended)
         outcome = ended.outcome
         if not isinstance(outcome, RunDone):
             self._log_early_end(ended)
         if isinstance(outcome, RunDone):
-            return self._answer_whole(ended)
+            return self._answer_complete(ended)
         if self._caller_gone:
             return self._refuse(Reason.CALLER_GONE)
         if self._remaining() <= 0:
@@ -426,12 +427,12 @@
             case RunFailed() if self._may_run_again():
                 return self._after_loss(outcome)
             case RunRejected() | RunFailed() if self._passes_errors():
-                # A plain service's own refusal (a slot taken) is its whole answer.
-                return self._answer_whole(ended)
+                # An error of a plain service, such as a booking that is taken, is the complete answer.
+                return self._answer_complete(ended)
             case RunRejected(status=status) | RunFailed(status=status):
                 return self._refuse(Reason.ENGINE_ERROR, status=rejected_status(status))
             case RunCancelled() if self._preempted:
-                self._keep_tokens(outcome)
+                self._update_done_tokens(outcome)
                 self._next_kind = RunKind.AFTER_PREEMPTION
                 return False
             case _:
@@ -453,72 +454,72 @@
         ).info("a run ended early")
 
     def _after_not_sent(self, outcome):
-        self._not_sent += 1
-        self._excluded.add(self.engine)
+        self._not_sent_count += 1
+        self._excluded_engines.add(self.engine)
         if not outcome.arrived:
-            self.runs_begun -= 1
+            self.runs_started -= 1
             if self._next_kind in RETRIES:
-                self.context.retries.take_back(self.cell)
-        if self._evidence.maybe and not self.request.repeatable:
-            return self._lost()
-        if self._not_sent >= MAX_NOT_SENT:
+                self.context.retries.revert_retry(self.cell)
+        if self._evidence.possibly_executed and not self.request.repeatable:
+            return self._refuse_as_lost()
+        if self._not_sent_count >= MAX_NOT_SENT:
             return self._refuse(Reason.NO_ENGINE, retry_after_s=self.context.retry_after_s(self.request.service))
-        # What an engine refused cost it a connection and a look: sent on and on to full engines,
-        # the refusals alone would keep them busy.
+        # A refusal costs the engine a connection and the parsing of the request. The next run counts as a
+        # retry; without that limit, refusals alone could keep full engines busy.
         if outcome.arrived:
             self._next_kind = RunKind.AFTER_REFUSAL
         return False
 
-    def _may_go_elsewhere(self):
-        """Whether giving a run up could gain its caller an answer of another engine now."""
+    def _may_retry_now(self):
+        """Whether another engine could answer the request now if this run were cancelled."""
         return self._may_run_again() and not self._retries_used_up
 
     def _may_run_again(self):
-        """Whether another engine may still be tried after one that ran the request."""
-        most = self.request.max_runs
-        return self.request.repeatable and (most is None or self.runs_begun < most)
+        """Whether the request may be run on another engine after it ran on one."""
+        run_limit = self.request.max_runs
+        return self.request.repeatable and (run_limit is None or self.runs_started < run_limit)
 
     def _passes_errors(self):
-        # Once a part of an answer has been sent, an error can't be put in its place.
-        return self._service_can("passes_errors") and not self.done_tokens and not self.run_tokens
+        # An error can't replace an answer of which a part has been sent.
+        return self._service_supports("passes_errors") and not self.done_tokens and not self.run_tokens
 
     def _after_loss(self, outcome):
-        self._keep_tokens(outcome)
-        # One byte sent may have started the run. A second dispatch of a request that
+        self._update_done_tokens(outcome)
+        # A single byte sent may have started the run. A second dispatch of a request that
         # may not be repeated could charge a caller twice, so it ends here as unknown.
         if not self._may_run_again():
-            return self._lost()
+            return self._refuse_as_lost()
         self._next_kind = RunKind.AFTER_LOSS
         self._losses += 1
-        self._excluded.add(self.engine)
-        self._attaches.begin_anew()
+        self._excluded_engines.add(self.engine)
+        self._attach_attempts.reset()
         self._preempted = False
         return False
 
-    def _lost(self):
+    def _refuse_as_lost(self):
         return self._refuse(Reason.ENGINE_LOST)
 
-    def _keep_tokens(self, outcome):
+    def _update_done_tokens(self, outcome):
         tokens = getattr(outcome, "output_tokens", 0)
         self.done_tokens = max(self.done_tokens, tokens)
 
-    def _answer_whole(self, ended):
+    def _answer_complete(self, ended):
         if isinstance(ended.outcome, RunDone):
-            self.context.retries.note_success(self.cell)
+            self.context.retries.record_success(self.cell)
         self._finish(AnswerWhole())
-        self._key.finish(ended)
+        self._request_claim.finish(ended)
         return True
 
-    # Messages out.
+    # Final answers.
 
     def _finish(self, command):
         self.state = RequestState.FINISHED
         self.caller.post(command)
 
     def _refuse(self, reason, *, executed=None, retry_after_s=None, status=None):
-        """Give the final answer at once; returns ``True`` as the request is settled."""
+        """Send the refusal as the final answer; always returns ``True``, since the request is then finished."""
         executed = executed or self._evidence.executed()
-        self._key.give_up(executed)
+        self._request_claim.give_up(executed)
         self.state = RequestState.UNKNOWN if executed is Executed.UNKNOWN else RequestState.REFUSED
         refusal = refusal_of(reason, executed=executed, retry_after_s=retry_after_s, status=status)
         self.caller.post(AnswerRefusal(refusal=refusal))
@@ -527,7 +528,7 @@
     # Helpers.
 
     async def _next_message(self, *, until):
-        """Next message, or ``None`` once ``until`` (loop time) has passed."""
+        """Return the next message, or ``None`` once ``until`` (loop time) has passed."""
         if not self._inbox.empty():
             return self._inbox.get_nowait()
         try:
@@ -536,16 +537,16 @@
         except TimeoutError:
             return None
 
-    def _service_can(self, ability):
+    def _service_supports(self, ability):
         service = self.context.service(self.request.service)
         return service is not None and getattr(service, ability)
 
     def _first_token_within_s(self):
-        """Time left to the first token that the caller hopes for; 0 where there is no such hope."""
+        """Time left until the caller's target for the first token; 0 without a target."""
         within_s = self.request.first_token_within_s
-        if within_s is None or self.runs_begun:
+        if within_s is None or self.runs_started:
             return 0.0
-        return max(MIN_FIRST_TOKEN_S, self._arrived_at + within_s - self.context.now())
+        return max(MIN_FIRST_TOKEN_S, self._received_at + within_s - self.context.now())
 
     def _remaining(self):
         return self.request.deadline - self.context.now()
--- a/wagtailtrestle/quotas/charging.py
+++ b/wagtailtrestle/quotas/charging.py
@@ -6,14 +6,14 @@
 
 
 def charge_team(*, accounts, team, tokens) -> QuotaCharge | Refusal | None:
-    """Take a request's units from its team's quota.
+    """Charge a request's units to its team's quota.
 
     Parameters
     ----------
     accounts : QuotaAccounts
     team : Team or None
     tokens : int or None
-        Prompt and expected output together; ``None`` where the caller told no sizes.
+        Prompt and expected output together; ``None`` if the caller gave no sizes.
 
     Returns
     -------
@@ -23,7 +23,7 @@
     if team is None or team.quota is None:
         return None
     units = team.quota.cost(tokens=tokens)
-    charge = accounts.take(team.name, units)
+    charge = accounts.acquire(team.name, units)
     if not isinstance(charge, QuotaRefused):
         return charge
     return refusal_of(
@@ -35,9 +35,9 @@
 
 
 def _cause(*, team, units, refused):
-    """Say what decided: the request's size, the quota, and what its owner had left."""
+    """Describe the reason: the request's size, the quota, and what its owner had left."""
     quota = f"{team.quota.rate_per_s:g} a second, burst {team.quota.burst:g}"
-    asked = f"team {team.name}: a request of {units:g} units, quota {quota}"
+    description = f"team {team.name}: a request of {units:g} units, quota {quota}"
     if refused.left is None:
-        return f"{asked}; the quota's owner did not answer, {refused.held} held here"
-    return f"{asked}; its owner had {refused.left} left {refused.left_age_s:.2f} s ago, {refused.held} held here"
+        return f"{description}; the quota's owner did not answer, {refused.held} held here"
+    return f"{description}; its owner had {refused.left} left {refused.left_age_s:.2f} s ago, {refused.held} held here"
--- a/wagtailtrestle/quotas/shared.py
+++ b/wagtailtrestle/quotas/shared.py
@@ -1,4 +1,4 @@
-"""One router's part in quotas that hold over all routers: its accounts, and the buckets that it owns."""
+"""One router's part in quotas shared by all routers: its accounts, and the buckets that it owns."""
 
 from loguru import logger
 
@@ -9,7 +9,7 @@
 
 
 class SharedQuotas:
-    """Joins the accounts of credits with the owners of the teams' buckets, here and at peers.
+    """Connects this router's accounts with the owners of the teams' buckets, here and at peers.
 
     Parameters
     ----------
@@ -19,12 +19,12 @@
     membership : Membership
     loop : asyncio.AbstractEventLoop
     tolerance : callable
-        ``tolerance()`` gives the present ``Tolerance``.
+        Returns the present ``Tolerance``.
 
     Attributes
     ----------
     accounts : QuotaAccounts
-        What requests are charged to.
+        Accounts to which requests are charged.
     """
 
     __slots__ = ("accounts", "_name", "_peers", "_membership", "_loop", "_owner", "_rendezvous")
@@ -44,13 +44,13 @@
             send_ask=self._send_ask,
             members=self._count_members,
         )
-        membership.on_view_change(lambda view: self._owner.keep(self._is_owner))
-        membership.on_trusted(self._trusted_again)
-        peers.on(QuotaAsk, self._on_ask)
+        membership.on_view_change(lambda view: self._owner.drop_unowned(self._is_owner))
+        membership.on_trusted(self._on_trusted_again)
+        peers.on(QuotaAsk, self._on_request)
         peers.on(QuotaGrant, lambda peer, grant, cell: self.accounts.on_grant(grant))
 
     def set_declaration(self, declaration):
-        """Go by the quotas of a declaration."""
+        """Apply the quotas of a declaration."""
         quotas = {team.name: team.quota for team in declaration.teams_by_name.values() if team.quota is not None}
         for team, quota in sorted(quotas.items()):
             logger.bind(team=team, rate_per_s=quota.rate_per_s, burst=quota.burst).info("quota in force")
@@ -58,7 +58,7 @@
         self.accounts.set_quotas(quotas)
 
     def tick(self):
-        """Ask owners for what will soon be needed."""
+        """Request the credits that will soon be needed from their owners."""
         self.accounts.tick()
 
     def dump(self):
@@ -68,8 +68,8 @@
     def _count_members(self):
         return len(self._membership.view.all_members)
 
-    def _on_ask(self, peer, ask, cell):
-        self._peers.send(peer, self._owner.grant(ask))
+    def _on_request(self, peer, request, cell):
+        self._peers.send(peer, self._owner.grant(request))
 
     def _owner_of(self, team):
         return self._rendezvous.choose(key=f"quota/{team}", members=self._membership.view.members)
@@ -77,16 +77,16 @@
     def _is_owner(self, team):
         return self._owner_of(team) == self._name
 
-    def _trusted_again(self):
-        # This process was paused, and others may have been owners meanwhile: by its own account
-        # credits gathered all the time.
-        self._owner.keep(lambda team: False)
+    def _on_trusted_again(self):
+        # This process was paused and other routers may have owned its teams meanwhile, while its own
+        # buckets would refill for the whole time.
+        self._owner.drop_unowned(lambda team: False)
 
-    def _send_ask(self, ask):
-        """Ask the team's owner; whether there is one that can be asked."""
-        owner = self._owner_of(ask.team)
+    def _send_ask(self, request):
+        """Send a request to the team's owner; returns whether it could be sent."""
+        owner = self._owner_of(request.team)
         if owner == self._name:
-            self._loop.call_soon(lambda: self.accounts.on_grant(self._owner.grant(ask)))
+            self._loop.call_soon(lambda: self.accounts.on_grant(self._owner.grant(request)))
             return True
-        self._owner.note_other_owner(ask.team)
-        return owner is not None and self._peers.send(owner, ask)
+        self._owner.mark_owned_elsewhere(request.team)
+        return owner is not None and self._peers.send(owner, request)
