--- a/wagtailtrestle/configuration/engine_list.py
+++ b/wagtailtrestle/configuration/engine_list.py
@@ -136,7 +136,7 @@
         """What a router that reads the store tells; ``None`` where this one has to ask the store."""
         if self._relay is None or not self.is_known or self._kept_until is not None:
             return None
-        news = await self._relay.ask(self._version)
+        news = await self._relay.fetch_update(self._version)
         if news is not None:
             # Should the routers fall silent, the store is read whole at once.
             self._listed_at = None
--- a/wagtailtrestle/configuration/engine_relay.py
+++ b/wagtailtrestle/configuration/engine_relay.py
@@ -137,7 +137,7 @@
 
     # What others told.
 
-    async def ask(self, version):
+    async def fetch_update(self, version):
         """Ask a reader what changed after ``version``.
 
         Returns
