--- a/wagtailtrestle/configuration/engine_relay.py
+++ b/wagtailtrestle/configuration/engine_relay.py
@@ -123,7 +123,7 @@
         self._changed = asyncio.Event()
         self.asked_total = 0
         self.failed_total = 0
-        peers.on(EnginesAsk, lambda peer, ask, cell: self._answer(ask))
+        peers.on(EnginesAsk, lambda peer, request, cell: self._answer(request))
 
     def dump(self):
         """Return the state as a plain dict."""
@@ -222,20 +222,20 @@
         while len(self._history) > MAX_HISTORY:
             self._history_from, _ = self._history.popleft()
 
-    async def _answer(self, ask):
+    async def _answer(self, request):
         asked_at = self._clock()
         if self._proved_at is None:
             return EnginesAnswer(version=0, age_s=-1.0, waited_s=0.0, is_whole=False, entries=())
         is_old = asked_at - self._proved_at > self.limits.most_age_s
-        if not is_old and not self._entries_after(ask.version):
-            await self._wait_for_change(min(ask.wait_s, MAX_ASKED_WAIT_S))
-        is_whole = ask.version < self._history_from
+        if not is_old and not self._entries_after(request.version):
+            await self._wait_for_change(min(request.wait_s, MAX_ASKED_WAIT_S))
+        is_whole = request.version < self._history_from
         return EnginesAnswer(
             version=self._version,
             age_s=self._clock() - self._proved_at,
             waited_s=self._clock() - asked_at,
             is_whole=is_whole,
-            entries=tuple(self._all_entries() if is_whole else self._entries_after(ask.version)),
+            entries=tuple(self._all_entries() if is_whole else self._entries_after(request.version)),
         )
 
     async def _wait_for_change(self, wait_s):
