--- a/tests/test_peer_configuration.py
+++ b/tests/test_peer_configuration.py
@@ -44,7 +44,7 @@
         # A declaration of 1,400 routes comes to one router, which tells the others. Did each of them ask
         # eight routers for all of it, a hundred megabytes would cross the links of a fleet of 195.
         network = Network(holders=("router-3",))
-        answer = asyncio.run(network.by_name["router-9"].ask(5, "router-3"))
+        answer = asyncio.run(network.by_name["router-9"].fetch(5, "router-3"))
         self.assertEqual((answer.generation, answer.text), (5, TEXT))
         self.assertEqual(network.asked, ["router-3"])
         self.assertLess(network.told_bytes, len(TEXT) / 5)
@@ -52,7 +52,7 @@
     def test_others_are_asked_where_the_teller_has_gone_back(self):
         # The teller restarted meanwhile and holds nothing.
         network = Network(holders=NAMES[4:])
-        answer = asyncio.run(network.by_name["router-9"].ask(5, "router-3"))
+        answer = asyncio.run(network.by_name["router-9"].fetch(5, "router-3"))
         self.assertEqual(answer.generation, 5)
         self.assertEqual(len(network.asked), 1 + MAX_ASKED)
 
@@ -61,7 +61,7 @@
         network.answer_by_name = {
             name: lambda peer, message, cell: ConfigurationText(generation=5, packed=b"not packed") for name in NAMES
         }
-        answer = asyncio.run(network.by_name["router-9"].ask(5, "router-3"))
+        answer = asyncio.run(network.by_name["router-9"].fetch(5, "router-3"))
         self.assertEqual((answer.answered, answer.generation), (0, 0))
 
 
--- a/wagtailtrestle/configuration/peer_configuration.py
+++ b/wagtailtrestle/configuration/peer_configuration.py
@@ -50,7 +50,7 @@
         peers.on(ConfigurationAsk, self._answer)
         peers.on(ConfirmationAsk, self._confirm)
 
-    async def ask(self, generation, teller=None):
+    async def fetch(self, generation, teller=None):
         """Ask ``teller``, else a few routers; return the highest generation told, if at least ``generation``."""
         if teller is not None:
             told = await self._ask_one(teller)
