--- a/wagtailtrestle/configuration/engine_list.py
+++ b/wagtailtrestle/configuration/engine_list.py
@@ -251,7 +251,7 @@
         changed = {name for name in known.keys() | facts.keys() if known.get(name) != facts.get(name)}
         if self._relay is not None:
             values = {name: news.value_by_name[name] if name in by_name else None for name in changed}
-            self._relay.confirm(version=self._version, age_s=news.age_s, changed=values)
+            self._relay.record_update(version=self._version, age_s=news.age_s, changed=values)
         if not changed:
             return
         self._log_changes(by_name)
--- a/wagtailtrestle/configuration/engine_relay.py
+++ b/wagtailtrestle/configuration/engine_relay.py
@@ -179,7 +179,7 @@
 
     # What this router tells.
 
-    def confirm(self, *, version, age_s, changed):
+    def record_update(self, *, version, age_s, changed):
         """Note what the store, or a reader, told.
 
         Parameters
