--- a/wagtailtrestle/configuration/configuration.py
+++ b/wagtailtrestle/configuration/configuration.py
@@ -261,7 +261,7 @@
         ``start_wait_s`` without either, whatever was read, reported as not confirmed.
         """
         loop = asyncio.get_running_loop()
-        platform = loop.create_task(self._platform.confirm())
+        platform = loop.create_task(self._platform.wait_until_confirmed())
         peers = loop.create_task(self._peers.ask_first())
         anything = loop.create_task(self._has_candidate.wait())
         try:
--- a/wagtailtrestle/configuration/sources.py
+++ b/wagtailtrestle/configuration/sources.py
@@ -281,7 +281,7 @@
         self.known_version = max(self.known_version, version)
         self._offer(accepted.generation, accepted.text, source)
 
-    async def confirm(self):
+    async def wait_until_confirmed(self):
         """Return once one read is proved to be the newest."""
         retry_s = START_RETRY_S
         while not await self._read_confirmed():
