--- a/wagtailtrestle/configuration/configuration.py
+++ b/wagtailtrestle/configuration/configuration.py
@@ -31,7 +31,7 @@
 DEFAULT_START_WAIT_S = 5.0
 # With a peer's answer in hand, how much longer the platform may take to confirm.
 PLATFORM_GRACE_S = 1.0
-KEPT_REJECTED = 16
+MAX_REJECTED_KEPT = 16
 
 
 @record
@@ -238,7 +238,7 @@
     def _reject(self, candidate, faults):
         """Remember a declaration that can't be put in force, so that it is parsed once."""
         self._faults_by_generation[candidate.generation] = faults
-        for generation in sorted(self._faults_by_generation)[:-KEPT_REJECTED]:
+        for generation in sorted(self._faults_by_generation)[:-MAX_REJECTED_KEPT]:
             del self._faults_by_generation[generation]
 
     def _is_settled(self, generation):
