--- a/wagtailtrestle/configuration/configuration.py
+++ b/wagtailtrestle/configuration/configuration.py
@@ -14,7 +14,7 @@
 from wagtailtrestle.configuration.boot_clock import boot_time_s
 from wagtailtrestle.configuration.sources import (
     PEER_DELAY_S,
-    TOLD_DELAY_S,
+    PEER_DELAY_WITH_READERS_S,
     OwnDeclarations,
     PeersAnswer,
     PeerSource,
@@ -123,7 +123,7 @@
             offer=self.offer,
             is_known=self._is_known,
             jitter=jitter,
-            delay_s=PEER_DELAY_S if readers is None else TOLD_DELAY_S,
+            delay_s=PEER_DELAY_S if readers is None else PEER_DELAY_WITH_READERS_S,
         )
         self._candidate = None
         self._highest_seen = NO_GENERATION
--- a/wagtailtrestle/configuration/sources.py
+++ b/wagtailtrestle/configuration/sources.py
@@ -22,7 +22,7 @@
 WATCH_MARGIN_S = 5.0
 # A peer's generation is mostly on its way to us by the watch as well.
 PEER_DELAY_S = 0.2
-TOLD_DELAY_S = 0.03
+PEER_DELAY_WITH_READERS_S = 0.03
 """The same where only a few routers have a watch: long enough for one fetch to serve several tellings."""
 PEER_TIMEOUT_S = 2.0
 READER_CHECK_S = 0.5
