--- a/wagtailtrestle/configuration/sources.py
+++ b/wagtailtrestle/configuration/sources.py
@@ -39,7 +39,7 @@
 that had to be repeated on a new connection. With the asker's own interval a proof is at most 3.5 s old while one
 reader answers; operators grant a revoked key five."""
 # No object is ever at this version, so an update that asks for it never takes effect.
-NEVER_A_VERSION = 0
+NO_VERSION = 0
 
 
 class Source(StrEnum):
@@ -150,10 +150,10 @@
         self._ask_confirmation = ask_confirmation
         self._generation = generation
         self._heard = heard
-        self.known_version = NEVER_A_VERSION
+        self.known_version = NO_VERSION
         self.last_read = None
         self._place = place
-        self._watched_version = NEVER_A_VERSION
+        self._watched_version = NO_VERSION
         self._store = store
         self._offer = offer
         self._poll_interval_s = poll_interval_s
@@ -261,7 +261,7 @@
         began_at = boot_time_s()
         outcome = await self._store.get(kind=self._place.kind, name=self._place.name, unless_version=known)
         if isinstance(outcome, StoreAbsent):
-            return NEVER_A_VERSION
+            return NO_VERSION
         if not isinstance(outcome, StoreDone):
             return None
         self.last_read = asyncio.get_running_loop().time()
@@ -300,10 +300,10 @@
         if self._place.reads_are_newest:
             return True
         outcome = await self._store.update(
-            kind=self._place.kind, name=self._place.name, value=None, if_version=NEVER_A_VERSION
+            kind=self._place.kind, name=self._place.name, value=None, if_version=NO_VERSION
         )
         if isinstance(outcome, StoreAbsent):
-            return read_version == NEVER_A_VERSION
+            return read_version == NO_VERSION
         return isinstance(outcome, StoreConflict) and outcome.version == read_version
 
 
