--- a/tests/test_confirmation.py
+++ b/tests/test_confirmation.py
@@ -9,7 +9,7 @@
 from tests.utils.paused_clock import on_paused_clock
 from wagtailtrestle.configuration.boot_clock import boot_time_s
 from wagtailtrestle.configuration.sources import (
-    CONFIRMED_ENOUGH_S,
+    MAX_CONFIRMATION_AGE_S,
     READER_POLL_S,
     OwnDeclarations,
     PlatformSource,
@@ -101,7 +101,7 @@
     async def test_what_does_not_prove_enough_leads_to_a_read(self):
         for answer in (
             None,
-            Confirmation(generation=GENERATION, age_s=CONFIRMED_ENOUGH_S + 0.1),
+            Confirmation(generation=GENERATION, age_s=MAX_CONFIRMATION_AGE_S + 0.1),
             Confirmation(generation=GENERATION, age_s=-1.0),
             Confirmation(generation=GENERATION - 1, age_s=0.1),
         ):
--- a/wagtailtrestle/configuration/sources.py
+++ b/wagtailtrestle/configuration/sources.py
@@ -34,7 +34,7 @@
 READER_POLL_S = 1.5
 """Time between two reads of a router that reads for others: two reads in three seconds for each such router, and
 no others while they last. A longer one leaves no time to ask a second reader before proofs of keys run out."""
-CONFIRMED_ENOUGH_S = 2.2
+MAX_CONFIRMATION_AGE_S = 2.2
 """A peer's word counts if the platform confirmed its configuration so lately: a reader's interval, and a read
 that had to be repeated on a new connection. With the asker's own interval a proof is at most 3.5 s old while one
 reader answers; operators grant a revoked key five."""
@@ -231,7 +231,7 @@
             # Counted from before the question: an answer that was long on its way is no fresher for it.
             asked_at = boot_time_s()
             confirmation = await self._ask_confirmation(reader)
-            if confirmation is None or not 0.0 <= confirmation.age_s <= CONFIRMED_ENOUGH_S:
+            if confirmation is None or not 0.0 <= confirmation.age_s <= MAX_CONFIRMATION_AGE_S:
                 self._readers.pause(reader)
                 continue
             if confirmation.generation > self._generation():
