--- a/tests/utils/freshness_replay.py
+++ b/tests/utils/freshness_replay.py
@@ -165,7 +165,7 @@
         # A fetch is another step of the trace, so that no question waits for one.
         with (
             mock.patch.object(sources, "boot_time_s", lambda: self._now),
-            mock.patch.object(sources, "FETCH_WITHIN_S", 0.0),
+            mock.patch.object(sources, "FETCH_TIMEOUT_S", 0.0),
         ):
             for step in self._trace.steps[1:]:
                 before = [router.source.confirmed_at for router in self._routers]
--- a/wagtailtrestle/configuration/sources.py
+++ b/wagtailtrestle/configuration/sources.py
@@ -28,7 +28,7 @@
 READER_CHECK_S = 0.5
 """How often a router looks whether it has become one that reads for others; their changes are rare, and the
 other readers watch meanwhile."""
-FETCH_WITHIN_S = 0.5
+FETCH_TIMEOUT_S = 0.5
 """A declaration of a thousand routes passes a slow link within so long."""
 FETCH_CHECK_S = 0.05
 READER_POLL_S = 1.5
@@ -251,7 +251,7 @@
 
         Were the platform read at once, each change would cost a read by every router.
         """
-        until = boot_time_s() + FETCH_WITHIN_S
+        until = boot_time_s() + FETCH_TIMEOUT_S
         while self._generation() < generation and boot_time_s() < until:
             await asyncio.sleep(FETCH_CHECK_S)
 
