--- a/wagtailtrestle/configuration/sources.py
+++ b/wagtailtrestle/configuration/sources.py
@@ -30,7 +30,7 @@
 other readers watch meanwhile."""
 FETCH_TIMEOUT_S = 0.5
 """A declaration of a thousand routes passes a slow link within so long."""
-FETCH_CHECK_S = 0.05
+FETCH_CHECK_INTERVAL_S = 0.05
 READER_POLL_S = 1.5
 """Time between two reads of a router that reads for others: two reads in three seconds for each such router, and
 no others while they last. A longer one leaves no time to ask a second reader before proofs of keys run out."""
@@ -253,7 +253,7 @@
         """
         until = boot_time_s() + FETCH_TIMEOUT_S
         while self._generation() < generation and boot_time_s() < until:
-            await asyncio.sleep(FETCH_CHECK_S)
+            await asyncio.sleep(FETCH_CHECK_INTERVAL_S)
 
     async def _read(self, source):
         """Read the declaration; its version (``NEVER_A_VERSION`` if absent), or ``None`` if it can't be read."""
