--- a/wagtailtrestle/configuration/sources.py
+++ b/wagtailtrestle/configuration/sources.py
@@ -25,7 +25,7 @@
 PEER_DELAY_WITH_READERS_S = 0.03
 """The same where only a few routers have a watch: long enough for one fetch to serve several tellings."""
 PEER_TIMEOUT_S = 2.0
-READER_CHECK_S = 0.5
+READER_CHECK_INTERVAL_S = 0.5
 """How often a router looks whether it has become one that reads for others; their changes are rare, and the
 other readers watch meanwhile."""
 FETCH_TIMEOUT_S = 0.5
@@ -172,7 +172,7 @@
             if not self._reads_platform():
                 # A watch of its own would cost each router a call for each change and each time it ends,
                 # and tell nothing that the readers' heartbeats don't.
-                await asyncio.sleep(READER_CHECK_S)
+                await asyncio.sleep(READER_CHECK_INTERVAL_S)
                 continue
             outcome = await self._watch_once()
             if isinstance(outcome, StoreHistoryGone):
