--- a/tests/test_confirmation.py
+++ b/tests/test_confirmation.py
@@ -10,7 +10,7 @@
 from wagtailtrestle.configuration.boot_clock import boot_time_s
 from wagtailtrestle.configuration.sources import (
     MAX_CONFIRMATION_AGE_S,
-    READER_POLL_S,
+    READER_POLL_INTERVAL_S,
     OwnDeclarations,
     PlatformSource,
 )
@@ -161,8 +161,8 @@
         source = Source(None)
         source.readers.reads_store = True
         reads = await source.reads_in(15.0)
-        self.assertGreaterEqual(reads, 15.0 / (1.25 * READER_POLL_S) - 1)
-        self.assertLessEqual(reads, 15.0 / (0.75 * READER_POLL_S))
+        self.assertGreaterEqual(reads, 15.0 / (1.25 * READER_POLL_INTERVAL_S) - 1)
+        self.assertLessEqual(reads, 15.0 / (0.75 * READER_POLL_INTERVAL_S))
 
 
 if __name__ == "__main__":
--- a/wagtailtrestle/configuration/sources.py
+++ b/wagtailtrestle/configuration/sources.py
@@ -31,7 +31,7 @@
 FETCH_TIMEOUT_S = 0.5
 """A declaration of a thousand routes passes a slow link within so long."""
 FETCH_CHECK_INTERVAL_S = 0.05
-READER_POLL_S = 1.5
+READER_POLL_INTERVAL_S = 1.5
 """Time between two reads of a router that reads for others: two reads in three seconds for each such router, and
 no others while they last. A longer one leaves no time to ask a second reader before proofs of keys run out."""
 MAX_CONFIRMATION_AGE_S = 2.2
@@ -221,7 +221,7 @@
 
     def _poll_s(self):
         shares = self._readers is not None and self._readers.reads_store
-        return max(READER_POLL_S, self._poll_interval_s) if shares else self._poll_interval_s
+        return max(READER_POLL_INTERVAL_S, self._poll_interval_s) if shares else self._poll_interval_s
 
     async def _is_confirmed_by_reader(self):
         """Whether the word of a router that reads the platform spares a read of one's own."""
