--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -50,7 +50,7 @@
             store=self.store,
             parse=parse,
             on_change=self._note,
-            ask_peers=self._ask_peers,
+            query_peers=self._ask_peers,
             poll_interval_s=POLL_S,
             jitter=jitter or random.Random(1),
         )
--- a/wagtailtrestle/configuration/configuration.py
+++ b/wagtailtrestle/configuration/configuration.py
@@ -85,7 +85,7 @@
         store,
         parse,
         on_change,
-        ask_peers,
+        query_peers,
         executor=None,
         poll_interval_s=DEFAULT_POLL_INTERVAL_S,
         watch_timeout_s=DEFAULT_WATCH_TIMEOUT_S,
@@ -119,7 +119,7 @@
             epoch=epoch,
         )
         self._peers = PeerSource(
-            ask_peers=ask_peers,
+            query_peers=query_peers,
             offer=self.offer,
             is_known=self._is_known,
             jitter=jitter,
--- a/wagtailtrestle/configuration/sources.py
+++ b/wagtailtrestle/configuration/sources.py
@@ -326,11 +326,11 @@
 
     __slots__ = ("highest_heard", "_ask_peers", "_offer", "_is_known", "_jitter", "_delay_s", "_teller", "_has_heard")
 
-    def __init__(self, *, ask_peers, offer, is_known, jitter, delay_s=PEER_DELAY_S):
+    def __init__(self, *, query_peers, offer, is_known, jitter, delay_s=PEER_DELAY_S):
         self._delay_s = delay_s
         self._teller = None
         self.highest_heard = NO_GENERATION
-        self._ask_peers = ask_peers
+        self._ask_peers = query_peers
         self._offer = offer
         self._is_known = is_known
         self._jitter = jitter
--- a/wagtailtrestle/measure/configuration_delay.py
+++ b/wagtailtrestle/measure/configuration_delay.py
@@ -51,7 +51,7 @@
             store=store,
             parse=_parse,
             on_change=lambda in_force: self.moments.append(time.monotonic()),
-            ask_peers=_no_peers,
+            query_peers=_no_peers,
         )
 
     def start(self):
--- a/wagtailtrestle/router.py
+++ b/wagtailtrestle/router.py
@@ -127,7 +127,7 @@
             store=self._store,
             parse=self._adapter.parse,
             on_change=self._put_in_force,
-            ask_peers=self._peer_configuration.fetch,
+            query_peers=self._peer_configuration.fetch,
             executor=self._parsing,
             place=self._adapter.place,
             readers=readers,
