--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -50,7 +50,7 @@
             store=self.store,
             parse=parse,
             on_change=self._note,
-            query_peers=self._ask_peers,
+            query_peers=self._query_peers,
             poll_interval_s=POLL_S,
             jitter=jitter or random.Random(1),
         )
@@ -59,7 +59,7 @@
         self.generations.append(in_force.generation)
         self.times.append(now())
 
-    async def _ask_peers(self, generation, teller):
+    async def _query_peers(self, generation, teller):
         await asyncio.sleep(0.005)
         held = [peer.configuration.in_force for peer in self.peers]
         held = [in_force for in_force in held if in_force is not None and in_force.generation >= generation]
--- a/wagtailtrestle/configuration/sources.py
+++ b/wagtailtrestle/configuration/sources.py
@@ -324,13 +324,13 @@
         Mean time between hearing of a declaration and fetching it.
     """
 
-    __slots__ = ("highest_heard", "_ask_peers", "_offer", "_is_known", "_jitter", "_delay_s", "_teller", "_has_heard")
+    __slots__ = ("highest_heard", "_query_peers", "_offer", "_is_known", "_jitter", "_delay_s", "_teller", "_has_heard")
 
     def __init__(self, *, query_peers, offer, is_known, jitter, delay_s=PEER_DELAY_S):
         self._delay_s = delay_s
         self._teller = None
         self.highest_heard = NO_GENERATION
-        self._ask_peers = query_peers
+        self._query_peers = query_peers
         self._offer = offer
         self._is_known = is_known
         self._jitter = jitter
@@ -363,7 +363,7 @@
         """Ask for a declaration of at least ``generation``; whether one came."""
         try:
             async with asyncio.timeout(PEER_TIMEOUT_S):
-                answer = await self._ask_peers(generation, teller)
+                answer = await self._query_peers(generation, teller)
         except TimeoutError:
             return False
         if not answer.answered:
