--- a/tests/test_confirmation.py
+++ b/tests/test_confirmation.py
@@ -54,7 +54,7 @@
             jitter=random.Random(1),
             place=OwnDeclarations(),
             readers=self.readers,
-            ask_confirmation=self.ask,
+            request_confirmation=self.ask,
             generation=lambda: self.generation,
             heard=self.hear,
         )
--- a/tests/test_store_readers.py
+++ b/tests/test_store_readers.py
@@ -107,7 +107,7 @@
             jitter=random.Random(name),
             place=Place(),
             readers=self.readers,
-            ask_confirmation=self.peers.ask_confirmation,
+            request_confirmation=self.peers.request_confirmation,
             generation=lambda: GENERATION,
             heard=lambda generation, peer: None,
         )
--- a/tests/utils/freshness_replay.py
+++ b/tests/utils/freshness_replay.py
@@ -87,7 +87,7 @@
             jitter=random.Random(1),
             place=Place(),
             readers=OneReader(),
-            ask_confirmation=self._ask,
+            request_confirmation=self._ask,
             generation=lambda: self.generation,
             heard=lambda generation, peer: None,
         )
--- a/wagtailtrestle/configuration/configuration.py
+++ b/wagtailtrestle/configuration/configuration.py
@@ -93,7 +93,7 @@
         jitter=None,
         place=None,
         readers=None,
-        ask_confirmation=None,
+        request_confirmation=None,
         epoch=None,
     ):
         self.in_force = None
@@ -112,7 +112,7 @@
             jitter=jitter,
             place=place or OwnDeclarations(),
             readers=readers,
-            ask_confirmation=ask_confirmation,
+            request_confirmation=request_confirmation,
             generation=lambda: self.generation,
             heard=self.heard,
             is_settled=self._is_settled,
--- a/wagtailtrestle/configuration/peer_configuration.py
+++ b/wagtailtrestle/configuration/peer_configuration.py
@@ -67,7 +67,7 @@
             return PeersAnswer(answered=len(held))
         return PeersAnswer(answered=len(held), generation=best.generation, text=best.text)
 
-    async def ask_confirmation(self, reader):
+    async def request_confirmation(self, reader):
         """Ask a router how lately the platform confirmed its configuration; a ``Confirmation`` or ``None``."""
         answer = await self._peers.ask(reader, ConfirmationAsk(), CONFIRM_TIMEOUT_S)
         return answer if isinstance(answer, Confirmation) else None
--- a/wagtailtrestle/configuration/sources.py
+++ b/wagtailtrestle/configuration/sources.py
@@ -139,7 +139,7 @@
         jitter,
         place,
         readers=None,
-        ask_confirmation=None,
+        request_confirmation=None,
         generation=None,
         heard=None,
         is_settled=lambda generation: True,
@@ -147,7 +147,7 @@
     ):
         self.proof = Proof(is_settled=is_settled, epoch=epoch or StoreEpoch())
         self._readers = readers
-        self._ask_confirmation = ask_confirmation
+        self._ask_confirmation = request_confirmation
         self._generation = generation
         self._heard = heard
         self.known_version = NO_VERSION
--- a/wagtailtrestle/router.py
+++ b/wagtailtrestle/router.py
@@ -131,7 +131,7 @@
             executor=self._parsing,
             place=self._adapter.place,
             readers=readers,
-            ask_confirmation=self._peer_configuration.ask_confirmation,
+            request_confirmation=self._peer_configuration.request_confirmation,
             poll_interval_s=self._settings.configuration_poll_s,
             epoch=self._store_epoch,
         )
