--- a/tests/test_confirmation.py
+++ b/tests/test_confirmation.py
@@ -93,7 +93,7 @@
             asked_at.append(boot_time_s())
             return Confirmation(generation=GENERATION, age_s=0.5)
 
-        source.source._ask_confirmation = slow
+        source.source._request_confirmation = slow
         await source.reads_in(1.5)
         self.assertLessEqual(source.source.confirmed_at, asked_at[-1] - 0.5 + 0.01)
 
--- a/wagtailtrestle/configuration/sources.py
+++ b/wagtailtrestle/configuration/sources.py
@@ -118,7 +118,7 @@
         "proof",
         "_place",
         "_readers",
-        "_ask_confirmation",
+        "_request_confirmation",
         "_generation",
         "_heard",
         "_watched_version",
@@ -147,7 +147,7 @@
     ):
         self.proof = Proof(is_settled=is_settled, epoch=epoch or StoreEpoch())
         self._readers = readers
-        self._ask_confirmation = request_confirmation
+        self._request_confirmation = request_confirmation
         self._generation = generation
         self._heard = heard
         self.known_version = NO_VERSION
@@ -230,7 +230,7 @@
         for reader in self._readers.to_ask() or self._readers_that_stayed():
             # Counted from before the question: an answer that was long on its way is no fresher for it.
             asked_at = boot_time_s()
-            confirmation = await self._ask_confirmation(reader)
+            confirmation = await self._request_confirmation(reader)
             if confirmation is None or not 0.0 <= confirmation.age_s <= MAX_CONFIRMATION_AGE_S:
                 self._readers.pause(reader)
                 continue
