--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -242,7 +242,7 @@
         await asyncio.sleep(31)
         await self.apply("b")
         await asyncio.sleep(0.1)
-        router.configuration.heard(peer.configuration.generation)
+        router.configuration.observe_generation(peer.configuration.generation)
         await asyncio.sleep(1)
         self.assertEqual(router.generations, [1, 2])
 
@@ -256,7 +256,7 @@
         await asyncio.sleep(1)
         router.store.stale_versions = 1
         router.configuration.offer(1, "a", "peer")
-        router.configuration.heard(1)
+        router.configuration.observe_generation(1)
         await asyncio.sleep(10)
         router.store.down = True
         await asyncio.sleep(600)
@@ -288,7 +288,7 @@
         await asyncio.sleep(1)
         router = self.router(peers=[peer])
         await asyncio.sleep(1)
-        router.configuration.heard(1)
+        router.configuration.observe_generation(1)
         await asyncio.sleep(1)
         self.assertEqual(router.generations, [1])
 
@@ -321,7 +321,7 @@
                 self.operator.drop_events = jitter.random() < 0.3
                 for router in members:
                     self._set_random_faults(router.store, jitter)
-                    router.configuration.heard(max(peer.configuration.generation for peer in members))
+                    router.configuration.observe_generation(max(peer.configuration.generation for peer in members))
                 if jitter.random() < 0.3:
                     restarts += await self._restart_one(members, jitter)
                 await asyncio.sleep(jitter.uniform(0, 3))
--- a/tests/test_confirmation.py
+++ b/tests/test_confirmation.py
@@ -56,7 +56,7 @@
             readers=self.readers,
             request_confirmation=self.ask,
             generation=lambda: self.generation,
-            heard=self.hear,
+            observe_generation=self.hear,
         )
 
     async def ask(self, reader):
--- a/tests/test_store_readers.py
+++ b/tests/test_store_readers.py
@@ -109,7 +109,7 @@
             readers=self.readers,
             request_confirmation=self.peers.request_confirmation,
             generation=lambda: GENERATION,
-            heard=lambda generation, peer: None,
+            observe_generation=lambda generation, peer: None,
         )
 
     def start(self):
--- a/tests/utils/freshness_replay.py
+++ b/tests/utils/freshness_replay.py
@@ -89,7 +89,7 @@
             readers=OneReader(),
             request_confirmation=self._ask,
             generation=lambda: self.generation,
-            heard=lambda generation, peer: None,
+            observe_generation=lambda generation, peer: None,
         )
         self._answers = PeerConfiguration(
             peers=SimpleNamespace(on=lambda message_type, handler: None),
--- a/wagtailtrestle/configuration/configuration.py
+++ b/wagtailtrestle/configuration/configuration.py
@@ -114,7 +114,7 @@
             readers=readers,
             request_confirmation=request_confirmation,
             generation=lambda: self.generation,
-            heard=self.heard,
+            observe_generation=self.observe_generation,
             is_settled=self._is_settled,
             epoch=epoch,
         )
@@ -176,9 +176,9 @@
         self._candidate = _Candidate(generation=generation, text=text, source=source)
         self._has_candidate.set()
 
-    def heard(self, generation, peer=None):
+    def observe_generation(self, generation, peer=None):
         """Note the generation that a peer's heartbeat carries."""
-        self._peers.heard(generation, peer)
+        self._peers.observe_generation(generation, peer)
 
     def dump(self):
         """Return the state as a plain dict, without the text."""
--- a/wagtailtrestle/configuration/sources.py
+++ b/wagtailtrestle/configuration/sources.py
@@ -141,7 +141,7 @@
         readers=None,
         request_confirmation=None,
         generation=None,
-        heard=None,
+        observe_generation=None,
         is_settled=lambda generation: True,
         epoch=None,
     ):
@@ -149,7 +149,7 @@
         self._readers = readers
         self._request_confirmation = request_confirmation
         self._generation = generation
-        self._heard = heard
+        self._heard = observe_generation
         self.known_version = NO_VERSION
         self.last_read = None
         self._place = place
@@ -336,7 +336,7 @@
         self._jitter = jitter
         self._has_heard = asyncio.Event()
 
-    def heard(self, generation, peer=None):
+    def observe_generation(self, generation, peer=None):
         """Note the generation that a peer's heartbeat carries."""
         if generation > self.highest_heard or not self._is_known(generation):
             if generation >= self.highest_heard:
--- a/wagtailtrestle/router.py
+++ b/wagtailtrestle/router.py
@@ -162,7 +162,9 @@
         )
         self._store_epoch.on_return(self._vm_list.read_soon)
         self._store_epoch.on_return(lambda: self._metrics.count("store_returns"))
-        self._membership.on_generation(lambda peer, generation: self._configuration.heard(generation, peer))
+        self._membership.on_generation(
+            lambda peer, generation: self._configuration.observe_generation(generation, peer)
+        )
         self._membership.on_view_change(self._end_questions)
         self._membership.on_view_change(lambda view: self._watch_engines())
         self._membership.on_trusted(self._has_begun)
