--- a/wagtailtrestle/configuration/sources.py
+++ b/wagtailtrestle/configuration/sources.py
@@ -120,7 +120,7 @@
         "_readers",
         "_request_confirmation",
         "_generation",
-        "_heard",
+        "_observe_generation",
         "_watched_version",
         "_store",
         "_offer",
@@ -149,7 +149,7 @@
         self._readers = readers
         self._request_confirmation = request_confirmation
         self._generation = generation
-        self._heard = observe_generation
+        self._observe_generation = observe_generation
         self.known_version = NO_VERSION
         self.last_read = None
         self._place = place
@@ -235,7 +235,7 @@
                 self._readers.pause(reader)
                 continue
             if confirmation.generation > self._generation():
-                self._heard(confirmation.generation, reader)
+                self._observe_generation(confirmation.generation, reader)
                 await self._until_in_force(confirmation.generation)
             if confirmation.generation == self._generation():
                 self.proof.confirm(asked_at - confirmation.age_s)
