--- a/tests/test_confirmation.py
+++ b/tests/test_confirmation.py
@@ -44,7 +44,7 @@
         self.generation = GENERATION
         self.fetches = fetches
         self.store = MemoryStore()
-        self.heard = []
+        self.observed = []
         self.answer = answer
         self.source = PlatformSource(
             store=self.store,
@@ -63,7 +63,7 @@
         return self.answer
 
     def hear(self, generation, peer):
-        self.heard.append((generation, peer))
+        self.observed.append((generation, peer))
         self.generation = max(self.generation, self.fetches)
 
     async def reads_in(self, seconds):
@@ -108,13 +108,13 @@
             with self.subTest(answer=answer):
                 source = Source(answer)
                 self.assertGreaterEqual(await source.reads_in(10.0), 8)
-                self.assertEqual(source.heard, [])
+                self.assertEqual(source.observed, [])
 
     @on_paused_clock
     async def test_a_higher_generation_is_heard_of(self):
         source = Source(Confirmation(generation=GENERATION + 1, age_s=0.1))
         await source.reads_in(2.0)
-        self.assertIn((GENERATION + 1, READER), source.heard)
+        self.assertIn((GENERATION + 1, READER), source.observed)
 
     @on_paused_clock
     async def test_a_generation_that_is_fetched_in_time_spares_the_read(self):
