--- a/tests/test_confirmation.py
+++ b/tests/test_confirmation.py
@@ -56,13 +56,13 @@
             readers=self.readers,
             request_confirmation=self.ask,
             generation=lambda: self.generation,
-            observe_generation=self.hear,
+            observe_generation=self.observe,
         )
 
     async def ask(self, reader):
         return self.answer
 
-    def hear(self, generation, peer):
+    def observe(self, generation, peer):
         self.observed.append((generation, peer))
         self.generation = max(self.generation, self.fetches)
 
