--- a/wagtailtrestle/configuration/configuration.py
+++ b/wagtailtrestle/configuration/configuration.py
@@ -189,7 +189,7 @@
             "source": str(self._source),
             "age_s": _age(loop, self._since),
             "highest_seen": self._highest_seen,
-            "heard_from_peers": self._peers.highest_heard,
+            "heard_from_peers": self._peers.highest_observed,
             "faults_by_generation": {
                 generation: [str(fault) for fault in faults]
                 for generation, faults in self._faults_by_generation.items()
--- a/wagtailtrestle/configuration/sources.py
+++ b/wagtailtrestle/configuration/sources.py
@@ -324,12 +324,21 @@
         Mean time between hearing of a declaration and fetching it.
     """
 
-    __slots__ = ("highest_heard", "_query_peers", "_offer", "_is_known", "_jitter", "_delay_s", "_teller", "_has_heard")
+    __slots__ = (
+        "highest_observed",
+        "_query_peers",
+        "_offer",
+        "_is_known",
+        "_jitter",
+        "_delay_s",
+        "_teller",
+        "_has_heard",
+    )
 
     def __init__(self, *, query_peers, offer, is_known, jitter, delay_s=PEER_DELAY_S):
         self._delay_s = delay_s
         self._teller = None
-        self.highest_heard = NO_GENERATION
+        self.highest_observed = NO_GENERATION
         self._query_peers = query_peers
         self._offer = offer
         self._is_known = is_known
@@ -338,10 +347,10 @@
 
     def observe_generation(self, generation, peer=None):
         """Note the generation that a peer's heartbeat carries."""
-        if generation > self.highest_heard or not self._is_known(generation):
-            if generation >= self.highest_heard:
+        if generation > self.highest_observed or not self._is_known(generation):
+            if generation >= self.highest_observed:
                 self._teller = peer
-            self.highest_heard = max(generation, self.highest_heard)
+            self.highest_observed = max(generation, self.highest_observed)
             self._has_heard.set()
 
     async def ask_first(self):
@@ -355,9 +364,9 @@
             await self._has_heard.wait()
             self._has_heard.clear()
             await asyncio.sleep(self._delay_s * self._jitter.uniform(0.5, 1.5))
-            if not self._is_known(self.highest_heard):
+            if not self._is_known(self.highest_observed):
                 # When no peer gives it, the next heartbeat asks again.
-                await self._ask(self.highest_heard, self._teller)
+                await self._ask(self.highest_observed, self._teller)
 
     async def _ask(self, generation, teller):
         """Ask for a declaration of at least ``generation``; whether one came."""
