--- a/wagtailtrestle/configuration/sources.py
+++ b/wagtailtrestle/configuration/sources.py
@@ -332,7 +332,7 @@
         "_jitter",
         "_delay_s",
         "_teller",
-        "_has_heard",
+        "_has_observed",
     )
 
     def __init__(self, *, query_peers, offer, is_known, jitter, delay_s=PEER_DELAY_S):
@@ -343,7 +343,7 @@
         self._offer = offer
         self._is_known = is_known
         self._jitter = jitter
-        self._has_heard = asyncio.Event()
+        self._has_observed = asyncio.Event()
 
     def observe_generation(self, generation, peer=None):
         """Note the generation that a peer's heartbeat carries."""
@@ -351,7 +351,7 @@
             if generation >= self.highest_observed:
                 self._teller = peer
             self.highest_observed = max(generation, self.highest_observed)
-            self._has_heard.set()
+            self._has_observed.set()
 
     async def ask_first(self):
         """Return once at least one peer that has a declaration in force has answered."""
@@ -361,8 +361,8 @@
     async def follow(self):
         """Fetch what heartbeats tell of, unless it comes by itself."""
         while True:
-            await self._has_heard.wait()
-            self._has_heard.clear()
+            await self._has_observed.wait()
+            self._has_observed.clear()
             await asyncio.sleep(self._delay_s * self._jitter.uniform(0.5, 1.5))
             if not self._is_known(self.highest_observed):
                 # When no peer gives it, the next heartbeat asks again.
