--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -59,7 +59,7 @@
         self.generations.append(in_force.generation)
         self.times.append(now())
 
-    async def _query_peers(self, generation, teller):
+    async def _query_peers(self, generation, preferred_peer):
         await asyncio.sleep(0.005)
         held = [peer.configuration.in_force for peer in self.peers]
         held = [in_force for in_force in held if in_force is not None and in_force.generation >= generation]
--- a/tests/utils/configuring_replay.py
+++ b/tests/utils/configuring_replay.py
@@ -236,7 +236,7 @@
             store=store,
             parse=lambda text: small_declaration(),
             on_change=lambda in_force: self._tell(router, in_force.generation),
-            query_peers=lambda wanted, teller: self._peers_answer(router, verb),
+            query_peers=lambda wanted, preferred_peer: self._peers_answer(router, verb),
             poll_interval_s=1e6,
             watch_timeout_s=1e5,
             jitter=random.Random(1),
--- a/wagtailtrestle/configuration/peer_configuration.py
+++ b/wagtailtrestle/configuration/peer_configuration.py
@@ -50,10 +50,10 @@
         peers.on(ConfigurationAsk, self._answer)
         peers.on(ConfirmationAsk, self._confirm)
 
-    async def fetch(self, generation, teller=None):
+    async def fetch(self, generation, preferred_peer=None):
         """Ask ``teller``, else a few routers; return the highest generation told, if at least ``generation``."""
-        if teller is not None:
-            told = await self._ask_one(teller)
+        if preferred_peer is not None:
+            told = await self._ask_one(preferred_peer)
             if told is not None and told.generation >= generation:
                 return told
         names = list(self._members())
--- a/wagtailtrestle/configuration/sources.py
+++ b/wagtailtrestle/configuration/sources.py
@@ -368,11 +368,11 @@
                 # When no peer gives it, the next heartbeat asks again.
                 await self._ask(self.highest_observed, self._teller)
 
-    async def _ask(self, generation, teller):
+    async def _ask(self, generation, preferred_peer):
         """Ask for a declaration of at least ``generation``; whether one came."""
         try:
             async with asyncio.timeout(PEER_TIMEOUT_S):
-                answer = await self._query_peers(generation, teller)
+                answer = await self._query_peers(generation, preferred_peer)
         except TimeoutError:
             return False
         if not answer.answered:
--- a/wagtailtrestle/measure/configuration_delay.py
+++ b/wagtailtrestle/measure/configuration_delay.py
@@ -122,7 +122,7 @@
     return Declaration(organisation=text, services_by_name={}, engines_by_name={}, **empty)
 
 
-async def _no_peers(generation, teller):
+async def _no_peers(generation, preferred_peer):
     return PeersAnswer()
 
 
