--- a/wagtailtrestle/configuration/sources.py
+++ b/wagtailtrestle/configuration/sources.py
@@ -331,13 +331,13 @@
         "_is_known",
         "_jitter",
         "_delay_s",
-        "_teller",
+        "_preferred_peer",
         "_has_observed",
     )
 
     def __init__(self, *, query_peers, offer, is_known, jitter, delay_s=PEER_DELAY_S):
         self._delay_s = delay_s
-        self._teller = None
+        self._preferred_peer = None
         self.highest_observed = NO_GENERATION
         self._query_peers = query_peers
         self._offer = offer
@@ -349,7 +349,7 @@
         """Note the generation that a peer's heartbeat carries."""
         if generation > self.highest_observed or not self._is_known(generation):
             if generation >= self.highest_observed:
-                self._teller = peer
+                self._preferred_peer = peer
             self.highest_observed = max(generation, self.highest_observed)
             self._has_observed.set()
 
@@ -366,7 +366,7 @@
             await asyncio.sleep(self._delay_s * self._jitter.uniform(0.5, 1.5))
             if not self._is_known(self.highest_observed):
                 # When no peer gives it, the next heartbeat asks again.
-                await self._ask(self.highest_observed, self._teller)
+                await self._ask(self.highest_observed, self._preferred_peer)
 
     async def _ask(self, generation, preferred_peer):
         """Ask for a declaration of at least ``generation``; whether one came."""
