--- a/tests/test_confirmation.py
+++ b/tests/test_confirmation.py
@@ -11,7 +11,7 @@
 from wagtailtrestle.configuration.sources import (
     MAX_CONFIRMATION_AGE_S,
     READER_POLL_INTERVAL_S,
-    OwnDeclarations,
+    NativeDeclarations,
     PlatformSource,
 )
 from wagtailtrestle.contracts.peer_messages import Confirmation
@@ -52,7 +52,7 @@
             poll_interval_s=POLL_S,
             watch_timeout_s=30.0,
             jitter=random.Random(1),
-            place=OwnDeclarations(),
+            place=NativeDeclarations(),
             readers=self.readers,
             request_confirmation=self.ask,
             generation=lambda: self.generation,
--- a/wagtailtrestle/adapters.py
+++ b/wagtailtrestle/adapters.py
@@ -3,7 +3,7 @@
 from typing import Protocol
 
 from wagtailtrestle.callers.intake import Intake
-from wagtailtrestle.configuration.sources import OwnDeclarations
+from wagtailtrestle.configuration.sources import NativeDeclarations
 from wagtailtrestle.declarations.check import parse_declaration
 from wagtailtrestle.declarations.settings import PLATFORM_ADAPTER
 from wagtailtrestle.engines.native_call import CANCELLABLE
@@ -58,7 +58,7 @@
 class OwnAdapter:
     """The product's own interface."""
 
-    place = OwnDeclarations()
+    place = NativeDeclarations()
     reports = OwnReports()
     ended_call = CANCELLABLE
     router_kind = None
--- a/wagtailtrestle/configuration/configuration.py
+++ b/wagtailtrestle/configuration/configuration.py
@@ -15,7 +15,7 @@
 from wagtailtrestle.configuration.sources import (
     PEER_DELAY_S,
     PEER_DELAY_WITH_READERS_S,
-    OwnDeclarations,
+    NativeDeclarations,
     PeersAnswer,
     PeerSource,
     PlatformSource,
@@ -110,7 +110,7 @@
             poll_interval_s=poll_interval_s,
             watch_timeout_s=watch_timeout_s,
             jitter=jitter,
-            place=place or OwnDeclarations(),
+            place=place or NativeDeclarations(),
             readers=readers,
             request_confirmation=request_confirmation,
             generation=lambda: self.generation,
--- a/wagtailtrestle/configuration/sources.py
+++ b/wagtailtrestle/configuration/sources.py
@@ -69,7 +69,7 @@
     text: str = ""
 
 
-class OwnDeclarations:
+class NativeDeclarations:
     """Where a declaration that ``wagtailtrestle apply`` wrote lies, and how it is read."""
 
     kind = DECLARATION_KIND
