--- a/wagtailtrestle/configuration/configuration.py
+++ b/wagtailtrestle/configuration/configuration.py
@@ -213,14 +213,14 @@
             self._has_candidate.clear()
             candidate = self._candidate
             if candidate is not None:
-                self._conclude(candidate, await self._run_parse(candidate.text))
+                self._finish_parse(candidate, await self._run_parse(candidate.text))
 
     async def _run_parse(self, text):
         if self._executor is None:
             return self._parse(text)
         return await asyncio.get_running_loop().run_in_executor(self._executor, self._parse, text)
 
-    def _conclude(self, candidate, parsed):
+    def _finish_parse(self, candidate, parsed):
         if self._candidate is candidate:
             self._candidate = None
         log = logger.bind(generation=candidate.generation, source=candidate.source)
