--- a/wagtailtrestle/configuration/configuration.py
+++ b/wagtailtrestle/configuration/configuration.py
@@ -152,7 +152,7 @@
     def start(self):
         """Start the tasks; must be called on the running event loop."""
         steps = (
-            self._begin(),
+            self._decide_start(),
             self._adopt(),
             self._platform.watch(),
             self._platform.poll(),
@@ -252,7 +252,7 @@
 
     # Start
 
-    async def _begin(self):
+    async def _decide_start(self):
         """Decide what to begin with; nothing is in force before.
 
         A router that restarts remembers nothing, and its first read may be stale. So it
