--- a/wagtailtrestle/configuration/configuration.py
+++ b/wagtailtrestle/configuration/configuration.py
@@ -132,7 +132,7 @@
         self._since = None
         self._source = ""
         self._is_confirmed = False
-        self._is_decided = asyncio.Event()
+        self._is_start_decided = asyncio.Event()
         self._has_candidate = asyncio.Event()
         self._tasks = ()
 
@@ -207,7 +207,7 @@
         """Put candidates in force one after the other, always the newest one there is."""
         # Before the start is decided, what was read first may be stale: putting it in
         # force would take this router back behind what it had before its restart.
-        await self._is_decided.wait()
+        await self._is_start_decided.wait()
         while True:
             await self._has_candidate.wait()
             self._has_candidate.clear()
@@ -272,7 +272,7 @@
                 await asyncio.wait((platform, peers, anything), return_when=asyncio.FIRST_COMPLETED)
             if not platform.done():
                 logger.warning("starting with a declaration that the platform has not confirmed as its newest")
-            self._is_decided.set()
+            self._is_start_decided.set()
             await platform
             self._is_confirmed = True
         finally:
