--- a/wagtailtrestle/configuration/configuration.py
+++ b/wagtailtrestle/configuration/configuration.py
@@ -263,20 +263,20 @@
         loop = asyncio.get_running_loop()
         platform = loop.create_task(self._platform.wait_until_confirmed())
         peers = loop.create_task(self._peers.ask_first())
-        anything = loop.create_task(self._has_candidate.wait())
+        any_candidate = loop.create_task(self._has_candidate.wait())
         try:
             await asyncio.wait((platform, peers), timeout=self._start_wait_s, return_when=asyncio.FIRST_COMPLETED)
             if not platform.done() and peers.done():
                 await asyncio.wait((platform,), timeout=PLATFORM_GRACE_S)
             elif not platform.done():
-                await asyncio.wait((platform, peers, anything), return_when=asyncio.FIRST_COMPLETED)
+                await asyncio.wait((platform, peers, any_candidate), return_when=asyncio.FIRST_COMPLETED)
             if not platform.done():
                 logger.warning("starting with a declaration that the platform has not confirmed as its newest")
             self._is_start_decided.set()
             await platform
             self._is_confirmed = True
         finally:
-            for task in (platform, peers, anything):
+            for task in (platform, peers, any_candidate):
                 task.cancel()
 
 
