--- a/wagtailtrestle/configuration/configuration.py
+++ b/wagtailtrestle/configuration/configuration.py
@@ -129,7 +129,7 @@
         self._highest_seen = NO_GENERATION
         self._faults_by_generation = {}
         self._counts_by_source = dict.fromkeys(Source, 0)
-        self._since = None
+        self._in_force_since = None
         self._source = ""
         self._is_confirmed = False
         self._is_start_decided = asyncio.Event()
@@ -187,7 +187,7 @@
             "generation": self.generation,
             "is_confirmed": self._is_confirmed,
             "source": str(self._source),
-            "age_s": _age(loop, self._since),
+            "age_s": _age(loop, self._in_force_since),
             "highest_seen": self._highest_seen,
             "heard_from_peers": self._peers.highest_observed,
             "faults_by_generation": {
@@ -229,7 +229,7 @@
             log.error("declaration not put in force, it has {} faults", len(parsed.faults))
             return
         self.in_force = InForce(generation=candidate.generation, declaration=parsed, text=candidate.text)
-        self._since = asyncio.get_running_loop().time()
+        self._in_force_since = asyncio.get_running_loop().time()
         self._source = candidate.source
         self._counts_by_source[Source(candidate.source)] += 1
         log.info("declaration in force")
