--- a/wagtailtrestle/configuration/configuration.py
+++ b/wagtailtrestle/configuration/configuration.py
@@ -195,7 +195,7 @@
                 for generation, faults in self._faults_by_generation.items()
             },
             "platform_version": self._platform.known_version,
-            "platform_read_age_s": _age(loop, self._platform.last_read),
+            "platform_read_age_s": _age(loop, self._platform.last_read_at),
             "put_in_force_by_source": {source.value: count for source, count in self._counts_by_source.items()},
             "poll_interval_s": self._poll_interval_s,
             "watch_timeout_s": self._watch_timeout_s,
--- a/wagtailtrestle/configuration/sources.py
+++ b/wagtailtrestle/configuration/sources.py
@@ -114,7 +114,7 @@
 
     __slots__ = (
         "known_version",
-        "last_read",
+        "last_read_at",
         "proof",
         "_place",
         "_readers",
@@ -151,7 +151,7 @@
         self._generation = generation
         self._observe_generation = observe_generation
         self.known_version = NO_VERSION
-        self.last_read = None
+        self.last_read_at = None
         self._place = place
         self._watched_version = NO_VERSION
         self._store = store
@@ -264,7 +264,7 @@
             return NO_VERSION
         if not isinstance(outcome, StoreDone):
             return None
-        self.last_read = asyncio.get_running_loop().time()
+        self.last_read_at = asyncio.get_running_loop().time()
         self.proof.note_answer(outcome.version)
         if outcome.value is not None:
             self._take(outcome.version, outcome.value, source)
