--- a/wagtailtrestle/configuration/sources.py
+++ b/wagtailtrestle/configuration/sources.py
@@ -189,7 +189,7 @@
             self.proof.note_answer(outcome.version)
             for name, version, value in outcome.value:
                 if name == self._place.name and value is not None:
-                    self._take(version, value, Source.WATCH)
+                    self._offer_declaration(version, value, Source.WATCH)
 
     async def _watch_once(self):
         try:
@@ -267,11 +267,11 @@
         self.last_read_at = asyncio.get_running_loop().time()
         self.proof.note_answer(outcome.version)
         if outcome.value is not None:
-            self._take(outcome.version, outcome.value, source)
+            self._offer_declaration(outcome.version, outcome.value, source)
         self.proof.note_read(began_at)
         return outcome.version
 
-    def _take(self, version, value, source):
+    def _offer_declaration(self, version, value, source):
         accepted = self._place.accepted(version=version, value=value)
         if accepted is None:
             logger.error("the object {}/{} is not a declaration", self._place.kind, self._place.name)
