--- a/wagtailtrestle/configuration/sources.py
+++ b/wagtailtrestle/configuration/sources.py
@@ -227,7 +227,7 @@
         """Whether the word of a router that reads the platform spares a read of one's own."""
         if self._readers is None:
             return False
-        for reader in self._readers.to_ask() or self._readers_that_stayed():
+        for reader in self._readers.to_ask() or self._other_readers_if_unproved():
             # Counted from before the question: an answer that was long on its way is no fresher for it.
             asked_at = boot_time_s()
             confirmation = await self._request_confirmation(reader)
@@ -242,7 +242,7 @@
                 return True
         return False
 
-    def _readers_that_stayed(self):
+    def _other_readers_if_unproved(self):
         """Other readers, for one that reads the store itself and can't tell yet whether it is whole."""
         return () if self.proof.counts_own_reads else self._readers.others()
 
