--- a/wagtailtrestle/configuration/sources.py
+++ b/wagtailtrestle/configuration/sources.py
@@ -236,7 +236,7 @@
                 continue
             if confirmation.generation > self._generation():
                 self._observe_generation(confirmation.generation, reader)
-                await self._until_in_force(confirmation.generation)
+                await self._wait_until_in_force(confirmation.generation)
             if confirmation.generation == self._generation():
                 self.proof.confirm(asked_at - confirmation.age_s)
                 return True
@@ -246,7 +246,7 @@
         """Other readers, for one that reads the store itself and can't tell yet whether it is whole."""
         return () if self.proof.counts_own_reads else self._readers.others()
 
-    async def _until_in_force(self, generation):
+    async def _wait_until_in_force(self, generation):
         """Wait until a generation that a peer told is in force here, or for as long as fetching it mostly takes.
 
         Were the platform read at once, each change would cost a read by every router.
