--- a/wagtailtrestle/configuration/configuration.py
+++ b/wagtailtrestle/configuration/configuration.py
@@ -262,7 +262,7 @@
         """
         loop = asyncio.get_running_loop()
         platform = loop.create_task(self._platform.wait_until_confirmed())
-        peers = loop.create_task(self._peers.ask_first())
+        peers = loop.create_task(self._peers.fetch_first())
         any_candidate = loop.create_task(self._has_candidate.wait())
         try:
             await asyncio.wait((platform, peers), timeout=self._start_wait_s, return_when=asyncio.FIRST_COMPLETED)
--- a/wagtailtrestle/configuration/sources.py
+++ b/wagtailtrestle/configuration/sources.py
@@ -353,7 +353,7 @@
             self.highest_observed = max(generation, self.highest_observed)
             self._has_observed.set()
 
-    async def ask_first(self):
+    async def fetch_first(self):
         """Return once at least one peer that has a declaration in force has answered."""
         while not await self._ask(NO_GENERATION + 1, None):
             await asyncio.sleep(START_RETRY_S)
