--- a/wagtailtrestle/configuration/sources.py
+++ b/wagtailtrestle/configuration/sources.py
@@ -355,7 +355,7 @@
 
     async def fetch_first(self):
         """Return once at least one peer that has a declaration in force has answered."""
-        while not await self._ask(NO_GENERATION + 1, None):
+        while not await self._fetch(NO_GENERATION + 1, None):
             await asyncio.sleep(START_RETRY_S)
 
     async def follow(self):
@@ -366,9 +366,9 @@
             await asyncio.sleep(self._delay_s * self._jitter.uniform(0.5, 1.5))
             if not self._is_known(self.highest_observed):
                 # When no peer gives it, the next heartbeat asks again.
-                await self._ask(self.highest_observed, self._preferred_peer)
+                await self._fetch(self.highest_observed, self._preferred_peer)
 
-    async def _ask(self, generation, preferred_peer):
+    async def _fetch(self, generation, preferred_peer):
         """Ask for a declaration of at least ``generation``; whether one came."""
         try:
             async with asyncio.timeout(PEER_TIMEOUT_S):
