--- a/wagtailtrestle/configuration/sources.py
+++ b/wagtailtrestle/configuration/sources.py
@@ -229,7 +229,7 @@
             return False
         for reader in self._readers.to_ask() or self._other_readers_if_unproved():
             # Counted from before the question: an answer that was long on its way is no fresher for it.
-            asked_at = boot_time_s()
+            requested_at = boot_time_s()
             confirmation = await self._request_confirmation(reader)
             if confirmation is None or not 0.0 <= confirmation.age_s <= MAX_CONFIRMATION_AGE_S:
                 self._readers.pause(reader)
@@ -238,7 +238,7 @@
                 self._observe_generation(confirmation.generation, reader)
                 await self._wait_until_in_force(confirmation.generation)
             if confirmation.generation == self._generation():
-                self.proof.confirm(asked_at - confirmation.age_s)
+                self.proof.confirm(requested_at - confirmation.age_s)
                 return True
         return False
 
