--- a/wagtailtrestle/configuration/applying.py
+++ b/wagtailtrestle/configuration/applying.py
@@ -199,7 +199,7 @@
             case StoreUnknown():
                 self._may_be_applied = True
                 return await self._settle()
-        return await self._tell_conflict()
+        return await self._resolve_conflict()
 
     async def _send(self):
         if self._base is NOTHING_ACCEPTED:
@@ -227,7 +227,7 @@
                 case StoreDone():
                     return Applied(generation=self._generation)
                 case StoreConflict() | StoreAbsent():
-                    return await self._tell_conflict()
+                    return await self._resolve_conflict()
             detail = outcome.detail
         return ApplyUnknown(detail=f"no answer, and {SETTLE_TRIES} tries to read it back failed: {detail}")
 
@@ -247,7 +247,7 @@
             return Applied(generation=self._generation)
         return ApplyConflict(generation=accepted.generation, by=accepted.apply_id)
 
-    async def _tell_conflict(self):
+    async def _resolve_conflict(self):
         """Our update was refused: find out whose stands there, which may be our own.
 
         A read may be stale and still show our base, so it is repeated until it shows
