--- a/wagtailtrestle/configuration/applying.py
+++ b/wagtailtrestle/configuration/applying.py
@@ -236,9 +236,9 @@
         accepted = await read_accepted(store=self._store)
         if isinstance(accepted, StoreUnavailable):
             return None
-        return self._judge(accepted)
+        return self._outcome_from(accepted)
 
-    def _judge(self, accepted):
+    def _outcome_from(self, accepted):
         """Whoever is recorded under our generation is the one that got it."""
         owner = accepted.ids_by_generation.get(self._generation)
         if owner is None:
@@ -257,7 +257,7 @@
         for _ in range(SETTLE_TRIES):
             accepted = await read_accepted(store=self._store)
             if not isinstance(accepted, StoreUnavailable):
-                settled = self._judge(accepted)
+                settled = self._outcome_from(accepted)
                 if settled is not None:
                     return settled
                 newest = max(newest, accepted.generation)
