--- a/wagtailtrestle/configuration/applying.py
+++ b/wagtailtrestle/configuration/applying.py
@@ -219,7 +219,7 @@
         detail = ""
         for _ in range(SETTLE_TRIES):
             await asyncio.sleep(SETTLE_PAUSE_S)
-            settled = await self._look_for_own_id()
+            settled = await self._find_own_id()
             if settled is not None:
                 return settled
             outcome = await self._send()
@@ -231,7 +231,7 @@
             detail = outcome.detail
         return ApplyUnknown(detail=f"no answer, and {SETTLE_TRIES} tries to read it back failed: {detail}")
 
-    async def _look_for_own_id(self):
+    async def _find_own_id(self):
         """Outcome told by what the platform holds; ``None`` if that tells nothing."""
         accepted = await read_accepted(store=self._store)
         if isinstance(accepted, StoreUnavailable):
