--- a/wagtailtrestle/configuration/engine_list.py
+++ b/wagtailtrestle/configuration/engine_list.py
@@ -10,7 +10,7 @@
 
 from loguru import logger
 
-from wagtailtrestle.configuration.engine_relay import EngineNews
+from wagtailtrestle.configuration.engine_relay import EngineUpdate
 from wagtailtrestle.configuration.pre_restore_engines import PreRestoreEngines
 from wagtailtrestle.configuration.store_epoch import epoch_of
 from wagtailtrestle.contracts.outcomes import StoreDone, StoreHistoryGone
@@ -158,7 +158,7 @@
         value_by_name = {name: value for name, _, value in outcome.value}
         # A watch that heard nothing was answered when its time was up, and proves that moment.
         age_s = 0.0 if value_by_name else max(0.0, self._clock() - began_at - watch_s)
-        return EngineNews(version=outcome.version, value_by_name=value_by_name, is_whole=False, age_s=age_s)
+        return EngineUpdate(version=outcome.version, value_by_name=value_by_name, is_whole=False, age_s=age_s)
 
     async def _read_whole(self):
         began_at = self._clock()
@@ -167,7 +167,7 @@
         if not isinstance(outcome, StoreDone):
             return None
         self._listed_at = self._clock()
-        return EngineNews(
+        return EngineUpdate(
             version=outcome.version,
             value_by_name={name: value for name, (_, value) in outcome.value.items()},
             is_whole=True,
--- a/wagtailtrestle/configuration/engine_relay.py
+++ b/wagtailtrestle/configuration/engine_relay.py
@@ -32,7 +32,7 @@
 """Longest wait that an asker may demand, so that a faulty one can't keep questions open without end."""
 
 
-class EngineNews:
+class EngineUpdate:
     """What the engines' entries are, or how they changed.
 
     Parameters
@@ -169,7 +169,7 @@
             self.failed_total += 1
             self.readers.pause(reader)
             return None
-        return EngineNews(
+        return EngineUpdate(
             version=answer.version,
             value_by_name={entry.name: json.loads(entry.value) if entry.value else None for entry in answer.entries},
             is_whole=answer.is_whole,
