--- a/wagtailtrestle/configuration/engine_list.py
+++ b/wagtailtrestle/configuration/engine_list.py
@@ -129,7 +129,7 @@
                 self._relay.readers.pause_own()
             return False
         self._note_answer()
-        self._take(news)
+        self._apply_update(news)
         return True
 
     async def _ask_relay(self):
@@ -201,7 +201,7 @@
             self._kept_until = now + self._return_grace_s
         self._answered_at = now
 
-    def _take(self, news):
+    def _apply_update(self, news):
         if news.is_whole and news.version < self._version:
             return  # An older whole than what is known here.
         if epoch_of(news.version) != epoch_of(self._version):
