--- a/wagtailtrestle/configuration/engine_list.py
+++ b/wagtailtrestle/configuration/engine_list.py
@@ -121,7 +121,7 @@
 
     async def _step(self):
         """Take one answer of a router or of the store; whether there was one."""
-        news = await self._ask_relay()
+        news = await self._query_relay()
         if news is None:
             news = await self._ask_store()
         if news is None:
@@ -132,7 +132,7 @@
         self._apply_update(news)
         return True
 
-    async def _ask_relay(self):
+    async def _query_relay(self):
         """What a router that reads the store tells; ``None`` where this one has to ask the store."""
         if self._relay is None or not self.is_known or self._kept_until is not None:
             return None
