--- a/wagtailtrestle/configuration/engine_list.py
+++ b/wagtailtrestle/configuration/engine_list.py
@@ -123,7 +123,7 @@
         """Take one answer of a router or of the store; whether there was one."""
         news = await self._query_relay()
         if news is None:
-            news = await self._ask_store()
+            news = await self._query_store()
         if news is None:
             if self._relay is not None:
                 self._relay.readers.pause_own()
@@ -142,7 +142,7 @@
             self._listed_at = None
         return news
 
-    async def _ask_store(self):
+    async def _query_store(self):
         """List or watch once; ``None`` if the store didn't answer."""
         if self._is_list_due():
             return await self._read_whole()
