--- a/wagtailtrestle/configuration/engine_list.py
+++ b/wagtailtrestle/configuration/engine_list.py
@@ -145,12 +145,12 @@
     async def _query_store(self):
         """List or watch once; ``None`` if the store didn't answer."""
         if self._is_list_due():
-            return await self._read_whole()
+            return await self._read_full_list()
         began_at = self._clock()
         watch_s = self._watch_s()
         outcome = await self._store.watch(kind=self._kind, from_version=self._version, timeout_s=watch_s)
         if isinstance(outcome, StoreHistoryGone) and began_at - self._listed_at > GONE_AGAIN_S:
-            return await self._read_whole()
+            return await self._read_full_list()
         if not isinstance(outcome, StoreDone):
             # Silence or a refusal: only a whole read tells what was missed.
             self._listed_at = None
@@ -160,7 +160,7 @@
         age_s = 0.0 if value_by_name else max(0.0, self._clock() - began_at - watch_s)
         return EngineUpdate(version=outcome.version, value_by_name=value_by_name, is_whole=False, age_s=age_s)
 
-    async def _read_whole(self):
+    async def _read_full_list(self):
         began_at = self._clock()
         self._listed_at = None
         outcome = await self._store.list(kind=self._kind)
