--- a/wagtailtrestle/configuration/engine_list.py
+++ b/wagtailtrestle/configuration/engine_list.py
@@ -173,10 +173,10 @@
             is_whole=True,
             # What a list tells held when it was asked for; held up on its way, it is no younger for that.
             age_s=self._listed_at - began_at,
-            written_names=self._written_since_return(outcome),
+            written_names=self._written_since_restore(outcome),
         )
 
-    def _written_since_return(self, outcome):
+    def _written_since_restore(self, outcome):
         """Of a whole list, the entries that are certainly later than the copy from which the store came back."""
         if epoch_of(outcome.version) != epoch_of(self._first_version):
             return frozenset()
