--- a/wagtailtrestle/configuration/engine_list.py
+++ b/wagtailtrestle/configuration/engine_list.py
@@ -128,7 +128,7 @@
             if self._relay is not None:
                 self._relay.readers.pause_own()
             return False
-        self._note_answer()
+        self._record_answer()
         self._apply_update(news)
         return True
 
@@ -194,7 +194,7 @@
             return longest_s
         return max(0.05, min(longest_s, self._kept_until - self._clock()))
 
-    def _note_answer(self):
+    def _record_answer(self):
         now = self._clock()
         if self._answered_at is not None and now - self._answered_at > WATCH_S + OUTAGE_S:
             logger.warning("the store answered nothing for {:.1f} s; missing engines are kept", now - self._answered_at)
