--- a/wagtailtrestle/configuration/engine_list.py
+++ b/wagtailtrestle/configuration/engine_list.py
@@ -213,7 +213,7 @@
         unfit = read.keys() - listed.keys()
         self._pre_restore.note_written(news.written_names if news.is_whole else listed.keys())
         listed = self._pre_restore.corrected(listed)
-        by_name = self._from_whole(listed) if news.is_whole else self._from_changes(listed, gone)
+        by_name = self._from_full_list(listed) if news.is_whole else self._from_changes(listed, gone)
         # Whatever wrote over an engine's entry, the engine does not vouch for it any more. Its next
         # word of itself brings it back.
         by_name = {name: engine for name, engine in by_name.items() if name not in unfit}
@@ -230,7 +230,7 @@
             # Who reads the store waits for them; to the others it tells what it keeps.
             self._kept_until = self._clock() + self._return_grace_s
 
-    def _from_whole(self, listed):
+    def _from_full_list(self, listed):
         """The engines after a whole list; those that expired in an outage are kept for a while."""
         if self._kept_until is not None and self._clock() < self._kept_until:
             return {**self.by_name, **listed}
