--- a/wagtailtrestle/configuration/engine_list.py
+++ b/wagtailtrestle/configuration/engine_list.py
@@ -218,7 +218,7 @@
         # word of itself brings it back.
         by_name = {name: engine for name, engine in by_name.items() if name not in unfit}
         self.is_known = True
-        self._put(by_name, news)
+        self._publish(by_name, news)
 
     def _begin_epoch(self, news):
         """The store came back from a copy: engines that started since need a moment to list themselves again."""
@@ -245,7 +245,7 @@
                 by_name.pop(name, None)
         return by_name
 
-    def _put(self, by_name, news):
+    def _publish(self, by_name, news):
         self._pre_restore.note_gone(self.by_name.keys() - by_name.keys())
         known, facts = _facts(self.by_name), _facts(by_name)
         changed = {name for name in known.keys() | facts.keys() if known.get(name) != facts.get(name)}
