--- a/wagtailtrestle/configuration/engine_list.py
+++ b/wagtailtrestle/configuration/engine_list.py
@@ -247,7 +247,7 @@
 
     def _publish(self, by_name, news):
         self._pre_restore.note_gone(self.by_name.keys() - by_name.keys())
-        known, facts = _facts(self.by_name), _facts(by_name)
+        known, facts = _compared_fields(self.by_name), _compared_fields(by_name)
         changed = {name for name in known.keys() | facts.keys() if known.get(name) != facts.get(name)}
         if self._relay is not None:
             values = {name: news.value_by_name[name] if name in by_name else None for name in changed}
@@ -268,7 +268,7 @@
                 logger.info("engine {} of {} at {} is {}", name, engine.service, engine.address, state)
 
 
-def _facts(by_name):
+def _compared_fields(by_name):
     """What of the engines matters to whoever uses them; entries change for less."""
     return {
         name: (
