--- a/wagtailtrestle/configuration/engine_list.py
+++ b/wagtailtrestle/configuration/engine_list.py
@@ -83,7 +83,7 @@
         self._first_version = 0
         self._listed_at = None
         self._answered_at = None
-        self._kept_until = None
+        self._missing_kept_until = None
         self._task = None
 
     def start(self):
@@ -106,7 +106,7 @@
             "version": self._version,
             "listed_age_s": None if self._listed_at is None else round(now - self._listed_at, 3),
             "answered_age_s": None if self._answered_at is None else round(now - self._answered_at, 3),
-            "keeps_missing_entries": self._kept_until is not None,
+            "keeps_missing_entries": self._missing_kept_until is not None,
             "relay": None if self._relay is None else self._relay.dump(),
         }
 
@@ -134,7 +134,7 @@
 
     async def _query_relay(self):
         """What a router that reads the store tells; ``None`` where this one has to ask the store."""
-        if self._relay is None or not self.is_known or self._kept_until is not None:
+        if self._relay is None or not self.is_known or self._missing_kept_until is not None:
             return None
         news = await self._relay.fetch_update(self._version)
         if news is not None:
@@ -186,19 +186,19 @@
         now = self._clock()
         if self._listed_at is None or now - self._listed_at > RELIST_S:
             return True
-        return self._kept_until is not None and now >= self._kept_until
+        return self._missing_kept_until is not None and now >= self._missing_kept_until
 
     def _watch_s(self):
         longest_s = WATCH_S if self._relay is None else self._relay.limits.watch_s
-        if self._kept_until is None:
+        if self._missing_kept_until is None:
             return longest_s
-        return max(0.05, min(longest_s, self._kept_until - self._clock()))
+        return max(0.05, min(longest_s, self._missing_kept_until - self._clock()))
 
     def _record_answer(self):
         now = self._clock()
         if self._answered_at is not None and now - self._answered_at > WATCH_S + OUTAGE_S:
             logger.warning("the store answered nothing for {:.1f} s; missing engines are kept", now - self._answered_at)
-            self._kept_until = now + self._return_grace_s
+            self._missing_kept_until = now + self._return_grace_s
         self._answered_at = now
 
     def _apply_update(self, news):
@@ -228,19 +228,19 @@
         self._pre_restore.begin(self.by_name)
         if not news.is_relayed:
             # Who reads the store waits for them; to the others it tells what it keeps.
-            self._kept_until = self._clock() + self._return_grace_s
+            self._missing_kept_until = self._clock() + self._return_grace_s
 
     def _from_full_list(self, listed):
         """The engines after a whole list; those that expired in an outage are kept for a while."""
-        if self._kept_until is not None and self._clock() < self._kept_until:
+        if self._missing_kept_until is not None and self._clock() < self._missing_kept_until:
             return {**self.by_name, **listed}
-        self._kept_until = None
+        self._missing_kept_until = None
         return listed
 
     def _from_changes(self, listed, gone):
         """The engines after a few changes."""
         by_name = {**self.by_name, **listed}
-        if self._kept_until is None:
+        if self._missing_kept_until is None:
             for name in gone:
                 by_name.pop(name, None)
         return by_name
