--- a/tests/test_store_epoch.py
+++ b/tests/test_store_epoch.py
@@ -9,7 +9,7 @@
 
 from tests.utils.paused_clock import on_paused_clock
 from wagtailtrestle.configuration import sources
-from wagtailtrestle.configuration.engine_list import GONE_AGAIN_S, RETRY_S, EngineList
+from wagtailtrestle.configuration.engine_list import MIN_RELIST_INTERVAL_S, RETRY_S, EngineList
 from wagtailtrestle.configuration.epoch_store import EpochStore
 from wagtailtrestle.configuration.pre_restore_engines import BELIEVED_S, PreRestoreEngines
 from wagtailtrestle.configuration.proof import CARRIED_S, Proof
@@ -200,7 +200,7 @@
     async def test_lists_of_the_new_epoch_are_taken_though_their_revisions_are_lower(self):
         store = ReturnedStore(done(1, 90, old=10))
         await self.follow(store)
-        await asyncio.sleep(GONE_AGAIN_S)
+        await asyncio.sleep(MIN_RELIST_INTERVAL_S)
         store.listed, store.is_gone = done(2, 40, old=10, fresh=40), True
         await asyncio.sleep(0.1)
         self.assertEqual(set(self.list.by_name), {"old", "fresh"})
--- a/wagtailtrestle/configuration/engine_list.py
+++ b/wagtailtrestle/configuration/engine_list.py
@@ -22,7 +22,7 @@
 """Between two whole reads: finds what a watch that heard nothing missed."""
 RETRY_S = 0.1
 MAX_RETRY_S = 1.0
-GONE_AGAIN_S = 0.5
+MIN_RELIST_INTERVAL_S = 0.5
 """Age of a whole read up to which a history that is gone again is retried with a pause: a store that keeps none would
 be asked a hundred times a second by each reader."""
 DEFAULT_RETURN_GRACE_S = 2.0
@@ -149,7 +149,7 @@
         began_at = self._clock()
         watch_s = self._watch_s()
         outcome = await self._store.watch(kind=self._kind, from_version=self._version, timeout_s=watch_s)
-        if isinstance(outcome, StoreHistoryGone) and began_at - self._listed_at > GONE_AGAIN_S:
+        if isinstance(outcome, StoreHistoryGone) and began_at - self._listed_at > MIN_RELIST_INTERVAL_S:
             return await self._read_full_list()
         if not isinstance(outcome, StoreDone):
             # Silence or a refusal: only a whole read tells what was missed.
