--- a/wagtailtrestle/configuration/engine_list.py
+++ b/wagtailtrestle/configuration/engine_list.py
@@ -18,7 +18,7 @@
 WATCH_S = 2.0
 """Longest wait of one watch: a connection gone silent is found so much later, and a little more. With the
 store's margin and a whole read it stays under three seconds; each shorter second costs a call."""
-RELIST_S = 8.0
+RELIST_INTERVAL_S = 8.0
 """Between two whole reads: finds what a watch that heard nothing missed."""
 RETRY_S = 0.1
 MAX_RETRY_S = 1.0
@@ -184,7 +184,7 @@
 
     def _is_list_due(self):
         now = self._clock()
-        if self._listed_at is None or now - self._listed_at > RELIST_S:
+        if self._listed_at is None or now - self._listed_at > RELIST_INTERVAL_S:
             return True
         return self._missing_kept_until is not None and now >= self._missing_kept_until
 
