--- a/wagtailtrestle/configuration/engine_list.py
+++ b/wagtailtrestle/configuration/engine_list.py
@@ -27,7 +27,7 @@
 be asked a hundred times a second by each reader."""
 DEFAULT_RETURN_GRACE_S = 2.0
 """How long after an outage engines need to list themselves again."""
-OUTAGE_S = 0.8
+MIN_OUTAGE_S = 0.8
 """A store that answered nothing for so long may have let entries expire."""
 
 
@@ -196,7 +196,7 @@
 
     def _record_answer(self):
         now = self._clock()
-        if self._answered_at is not None and now - self._answered_at > WATCH_S + OUTAGE_S:
+        if self._answered_at is not None and now - self._answered_at > WATCH_S + MIN_OUTAGE_S:
             logger.warning("the store answered nothing for {:.1f} s; missing engines are kept", now - self._answered_at)
             self._missing_kept_until = now + self._return_grace_s
         self._answered_at = now
