--- a/tests/test_engine_list.py
+++ b/tests/test_engine_list.py
@@ -5,7 +5,7 @@
 
 from tests.utils.memory_store import MemoryStore
 from tests.utils.paused_clock import now, on_paused_clock
-from wagtailtrestle.configuration.engine_list import RELIST_INTERVAL_S, WATCH_S, EngineList
+from wagtailtrestle.configuration.engine_list import RELIST_INTERVAL_S, WATCH_TIMEOUT_S, EngineList
 from wagtailtrestle.contracts.outcomes import StoreConflict, StoreDone, StoreHistoryGone
 from wagtailtrestle.membership.announcement import Announcement
 from wagtailtrestle.platform.engine_entries import read_engine
@@ -93,7 +93,7 @@
         followed = await self.started()
         followed.store.drop_events = True
         await followed.put("i-1", entry("draining"))
-        await asyncio.sleep(RELIST_INTERVAL_S + 2 * WATCH_S)
+        await asyncio.sleep(RELIST_INTERVAL_S + 2 * WATCH_TIMEOUT_S)
         self.assertTrue(followed.list.by_name["i-1"].leaving)
         await followed.list.close()
 
@@ -103,7 +103,7 @@
         followed.store.history_gone = True
         followed.store.drop_events = True
         await followed.remove("i-2")
-        await asyncio.sleep(WATCH_S + 0.5)
+        await asyncio.sleep(WATCH_TIMEOUT_S + 0.5)
         self.assertEqual(set(followed.list.by_name), {"i-1"})
         await followed.list.close()
 
@@ -128,7 +128,7 @@
     async def test_an_entry_that_cannot_be_read_leaves_the_others(self):
         followed = await self.started()
         await followed.put("i-3", {"nonsense": True})
-        await asyncio.sleep(RELIST_INTERVAL_S + 2 * WATCH_S)
+        await asyncio.sleep(RELIST_INTERVAL_S + 2 * WATCH_TIMEOUT_S)
         self.assertEqual(set(followed.list.by_name), {"i-1", "i-2"})
         await followed.list.close()
 
--- a/tests/test_foreign_entries.py
+++ b/tests/test_foreign_entries.py
@@ -14,7 +14,7 @@
 
 from tests.test_engine_list import Followed, entry
 from tests.utils.paused_clock import on_paused_clock
-from wagtailtrestle.configuration.engine_list import RELIST_INTERVAL_S, WATCH_S
+from wagtailtrestle.configuration.engine_list import RELIST_INTERVAL_S, WATCH_TIMEOUT_S
 from wagtailtrestle.contracts.declaration import DeclaredEngine
 from wagtailtrestle.platform.declarations import PlatformDeclarations
 from wagtailtrestle.platform.engine_entries import STATES, Unfit, read_engine
@@ -115,7 +115,7 @@
         await asyncio.sleep(0.1)
         self.assertEqual(set(followed.list.by_name), {"i-2"})
         await followed.put("i-3", {"service": ["x"]})
-        await asyncio.sleep(RELIST_INTERVAL_S + 2 * WATCH_S)
+        await asyncio.sleep(RELIST_INTERVAL_S + 2 * WATCH_TIMEOUT_S)
         self.assertEqual(set(followed.list.by_name), {"i-2"})
         await followed.put("i-1", entry())
         await asyncio.sleep(0.1)
--- a/wagtailtrestle/configuration/engine_list.py
+++ b/wagtailtrestle/configuration/engine_list.py
@@ -15,7 +15,7 @@
 from wagtailtrestle.configuration.store_epoch import epoch_of
 from wagtailtrestle.contracts.outcomes import StoreDone, StoreHistoryGone
 
-WATCH_S = 2.0
+WATCH_TIMEOUT_S = 2.0
 """Longest wait of one watch: a connection gone silent is found so much later, and a little more. With the
 store's margin and a whole read it stays under three seconds; each shorter second costs a call."""
 RELIST_INTERVAL_S = 8.0
@@ -189,14 +189,14 @@
         return self._missing_kept_until is not None and now >= self._missing_kept_until
 
     def _watch_s(self):
-        longest_s = WATCH_S if self._relay is None else self._relay.limits.watch_s
+        longest_s = WATCH_TIMEOUT_S if self._relay is None else self._relay.limits.watch_s
         if self._missing_kept_until is None:
             return longest_s
         return max(0.05, min(longest_s, self._missing_kept_until - self._clock()))
 
     def _record_answer(self):
         now = self._clock()
-        if self._answered_at is not None and now - self._answered_at > WATCH_S + MIN_OUTAGE_S:
+        if self._answered_at is not None and now - self._answered_at > WATCH_TIMEOUT_S + MIN_OUTAGE_S:
             logger.warning("the store answered nothing for {:.1f} s; missing engines are kept", now - self._answered_at)
             self._missing_kept_until = now + self._return_grace_s
         self._answered_at = now
