--- a/tests/test_engine_relay.py
+++ b/tests/test_engine_relay.py
@@ -226,13 +226,13 @@
         # The operator lets engines that leave serve four seconds more instead of two.
         calls_by_limit = {}
         for within_s in (2.0, 4.0):
-            fleet = await self.started(limits=RelayLimits(known_within_s=within_s))
+            fleet = await self.started(limits=RelayLimits(propagation_limit_s=within_s))
             before = sum(fleet.calls().values())
             await asyncio.sleep(20.0)
             calls_by_limit[within_s] = sum(fleet.calls().values()) - before
             for name in fleet.readers():
                 fleet.store_by_router[name].silent_watch = True
-            await asyncio.sleep(RelayLimits(known_within_s=within_s).watch_s)
+            await asyncio.sleep(RelayLimits(propagation_limit_s=within_s).watch_s)
             await fleet.leave("i-1")
             await asyncio.sleep(0.95 * within_s)
             self.assertLessEqual(set(NAMES) - fleet.readers(), fleet.know_leaving("i-1"))
--- a/wagtailtrestle/configuration/engine_relay.py
+++ b/wagtailtrestle/configuration/engine_relay.py
@@ -86,8 +86,8 @@
 
     __slots__ = ("watch_s", "wait_s", "most_age_s")
 
-    def __init__(self, *, known_within_s=DEFAULT_KNOWN_WITHIN_S):
-        within_s = min(known_within_s, MAX_KNOWN_WITHIN_S)
+    def __init__(self, *, propagation_limit_s=DEFAULT_KNOWN_WITHIN_S):
+        within_s = min(propagation_limit_s, MAX_KNOWN_WITHIN_S)
         self.watch_s = WATCH_SHARE * within_s
         self.wait_s = WAIT_SHARE * within_s
         self.most_age_s = MAX_AGE_SHARE * within_s
--- a/wagtailtrestle/router.py
+++ b/wagtailtrestle/router.py
@@ -176,7 +176,7 @@
         return StoreReaders(name=self._settings.name, members=lambda: self._membership.view.members)
 
     def _make_engine_relay(self, readers):
-        limits = RelayLimits(known_within_s=self._settings.engine_leaving_ms / MS_PER_S)
+        limits = RelayLimits(propagation_limit_s=self._settings.engine_leaving_ms / MS_PER_S)
         return EngineRelay(peers=self._peers, readers=readers, limits=limits)
 
     def _make_decisions(self):
