--- a/wagtailtrestle/configuration/engine_relay.py
+++ b/wagtailtrestle/configuration/engine_relay.py
@@ -18,7 +18,7 @@
 from wagtailtrestle.configuration.store_epoch import epoch_of
 from wagtailtrestle.contracts.peer_messages import EngineEntry, EnginesAnswer, EnginesAsk
 
-DEFAULT_KNOWN_WITHIN_S = 2.0
+DEFAULT_PROPAGATION_LIMIT_S = 2.0
 MAX_KNOWN_WITHIN_S = 6.0
 """Above this an engine that was cut off would be asked for longer than callers wait."""
 WATCH_SHARE = 0.35
@@ -86,7 +86,7 @@
 
     __slots__ = ("watch_s", "wait_s", "most_age_s")
 
-    def __init__(self, *, propagation_limit_s=DEFAULT_KNOWN_WITHIN_S):
+    def __init__(self, *, propagation_limit_s=DEFAULT_PROPAGATION_LIMIT_S):
         within_s = min(propagation_limit_s, MAX_KNOWN_WITHIN_S)
         self.watch_s = WATCH_SHARE * within_s
         self.wait_s = WAIT_SHARE * within_s
