--- a/wagtailtrestle/configuration/engine_relay.py
+++ b/wagtailtrestle/configuration/engine_relay.py
@@ -19,7 +19,7 @@
 from wagtailtrestle.contracts.peer_messages import EngineEntry, EnginesAnswer, EnginesAsk
 
 DEFAULT_PROPAGATION_LIMIT_S = 2.0
-MAX_KNOWN_WITHIN_S = 6.0
+MAX_PROPAGATION_LIMIT_S = 6.0
 """Above this an engine that was cut off would be asked for longer than callers wait."""
 WATCH_SHARE = 0.35
 WAIT_SHARE = 0.2
@@ -87,7 +87,7 @@
     __slots__ = ("watch_s", "wait_s", "most_age_s")
 
     def __init__(self, *, propagation_limit_s=DEFAULT_PROPAGATION_LIMIT_S):
-        within_s = min(propagation_limit_s, MAX_KNOWN_WITHIN_S)
+        within_s = min(propagation_limit_s, MAX_PROPAGATION_LIMIT_S)
         self.watch_s = WATCH_SHARE * within_s
         self.wait_s = WAIT_SHARE * within_s
         self.most_age_s = MAX_AGE_SHARE * within_s
