--- a/wagtailtrestle/configuration/engine_relay.py
+++ b/wagtailtrestle/configuration/engine_relay.py
@@ -87,10 +87,10 @@
     __slots__ = ("watch_s", "wait_s", "most_age_s")
 
     def __init__(self, *, propagation_limit_s=DEFAULT_PROPAGATION_LIMIT_S):
-        within_s = min(propagation_limit_s, MAX_PROPAGATION_LIMIT_S)
-        self.watch_s = WATCH_SHARE * within_s
-        self.wait_s = WAIT_SHARE * within_s
-        self.most_age_s = MAX_AGE_SHARE * within_s
+        limit_s = min(propagation_limit_s, MAX_PROPAGATION_LIMIT_S)
+        self.watch_s = WATCH_SHARE * limit_s
+        self.wait_s = WAIT_SHARE * limit_s
+        self.most_age_s = MAX_AGE_SHARE * limit_s
 
 
 class EngineRelay:
