--- a/wagtailtrestle/configuration/engine_relay.py
+++ b/wagtailtrestle/configuration/engine_relay.py
@@ -84,13 +84,13 @@
         Oldest proof believed: a watch, and a slow reader's delays.
     """
 
-    __slots__ = ("watch_s", "wait_s", "most_age_s")
+    __slots__ = ("watch_s", "wait_s", "max_age_s")
 
     def __init__(self, *, propagation_limit_s=DEFAULT_PROPAGATION_LIMIT_S):
         limit_s = min(propagation_limit_s, MAX_PROPAGATION_LIMIT_S)
         self.watch_s = WATCH_SHARE * limit_s
         self.wait_s = WAIT_SHARE * limit_s
-        self.most_age_s = MAX_AGE_SHARE * limit_s
+        self.max_age_s = MAX_AGE_SHARE * limit_s
 
 
 class EngineRelay:
@@ -226,7 +226,7 @@
         asked_at = self._clock()
         if self._proved_at is None:
             return EnginesAnswer(version=0, age_s=-1.0, waited_s=0.0, is_whole=False, entries=())
-        is_old = asked_at - self._proved_at > self.limits.most_age_s
+        is_old = asked_at - self._proved_at > self.limits.max_age_s
         if not is_old and not self._entries_after(request.version):
             await self._wait_for_change(min(request.wait_s, MAX_ASKED_WAIT_S))
         is_whole = request.version < self._history_from
@@ -261,6 +261,6 @@
             return "it has no list yet"
         if epoch_of(answer.version) < epoch_of(version):
             return "its list is from before the store came back from a copy"
-        if answer.age_s + way_s > self.limits.most_age_s:
+        if answer.age_s + way_s > self.limits.max_age_s:
             return f"its list was proved {answer.age_s + way_s:.1f} s ago"
         return None
