--- a/wagtailtrestle/configuration/engine_relay.py
+++ b/wagtailtrestle/configuration/engine_relay.py
@@ -24,7 +24,7 @@
 WATCH_SHARE = 0.35
 WAIT_SHARE = 0.2
 MAX_AGE_SHARE = 0.5
-ANSWER_WITHIN_S = 0.2
+ANSWER_TIMEOUT_S = 0.2
 """Beyond the wait: a hundred times the way between two zones."""
 MAX_HISTORY = 512
 """Changes kept for those who ask: minutes of them, while a question comes each half second."""
@@ -158,7 +158,7 @@
         """Ask one reader; ``None`` if its answer can't be believed."""
         self.asked_total += 1
         asked_at = self._clock()
-        answer = await self._peers.ask(reader, EnginesAsk(version=version, wait_s=wait_s), wait_s + ANSWER_WITHIN_S)
+        answer = await self._peers.ask(reader, EnginesAsk(version=version, wait_s=wait_s), wait_s + ANSWER_TIMEOUT_S)
         # All of the way counts as age: an answer held up on a link looks as fresh as when it left.
         way_s = max(0.0, self._clock() - asked_at - getattr(answer, "waited_s", 0.0))
         problem = self._problem(answer, way_s, version)
