--- a/wagtailtrestle/configuration/engine_relay.py
+++ b/wagtailtrestle/configuration/engine_relay.py
@@ -28,7 +28,7 @@
 """Beyond the wait: a hundred times the way between two zones."""
 MAX_HISTORY = 512
 """Changes kept for those who ask: minutes of them, while a question comes each half second."""
-MAX_ASKED_WAIT_S = 5.0
+MAX_REQUESTED_WAIT_S = 5.0
 """Longest wait that an asker may demand, so that a faulty one can't keep questions open without end."""
 
 
@@ -228,7 +228,7 @@
             return EnginesAnswer(version=0, age_s=-1.0, waited_s=0.0, is_whole=False, entries=())
         is_old = asked_at - self._proved_at > self.limits.max_age_s
         if not is_old and not self._entries_after(request.version):
-            await self._wait_for_change(min(request.wait_s, MAX_ASKED_WAIT_S))
+            await self._wait_for_change(min(request.wait_s, MAX_REQUESTED_WAIT_S))
         is_whole = request.version < self._history_from
         return EnginesAnswer(
             version=self._version,
