--- a/wagtailtrestle/configuration/engine_relay.py
+++ b/wagtailtrestle/configuration/engine_relay.py
@@ -147,14 +147,14 @@
         """
         wait_s = self.limits.wait_s
         for reader in self.readers.to_ask():
-            news = await self._ask_one(reader, version, wait_s)
+            news = await self._query_reader(reader, version, wait_s)
             if news is not None:
                 return news
             # What was believed until now is getting old: the next is to answer at once.
             wait_s = 0.0
         return None
 
-    async def _ask_one(self, reader, version, wait_s):
+    async def _query_reader(self, reader, version, wait_s):
         """Ask one reader; ``None`` if its answer can't be believed."""
         self.asked_total += 1
         asked_at = self._clock()
