--- a/wagtailtrestle/configuration/peer_configuration.py
+++ b/wagtailtrestle/configuration/peer_configuration.py
@@ -53,14 +53,14 @@
     async def fetch(self, generation, preferred_peer=None):
         """Ask ``teller``, else a few routers; return the highest generation told, if at least ``generation``."""
         if preferred_peer is not None:
-            told = await self._ask_one(preferred_peer)
+            told = await self._fetch_from(preferred_peer)
             if told is not None and told.generation >= generation:
                 return told
         names = list(self._members())
         # Asking all of 370 routers for a whole declaration would flood the asker; a few
         # are enough since a heartbeat already told that the generation is about.
         asked = self._jitter.sample(names, min(MAX_ASKED, len(names)))
-        answers = await asyncio.gather(*(self._ask_one(name) for name in asked))
+        answers = await asyncio.gather(*(self._fetch_from(name) for name in asked))
         held = [answer for answer in answers if answer is not None and answer.generation]
         best = max(held, key=lambda answer: answer.generation, default=None)
         if best is None or best.generation < generation:
@@ -79,7 +79,7 @@
             return Confirmation(generation=0, age_s=-1.0)
         return Confirmation(generation=in_force.generation, age_s=age_s)
 
-    async def _ask_one(self, name):
+    async def _fetch_from(self, name):
         answer = await self._peers.ask(name, ConfigurationAsk(), ASK_TIMEOUT_S)
         if not isinstance(answer, ConfigurationText):
             return None
