--- a/wagtailtrestle/configuration/engine_relay.py
+++ b/wagtailtrestle/configuration/engine_relay.py
@@ -157,10 +157,10 @@
     async def _query_reader(self, reader, version, wait_s):
         """Ask one reader; ``None`` if its answer can't be believed."""
         self.asked_total += 1
-        asked_at = self._clock()
+        requested_at = self._clock()
         answer = await self._peers.ask(reader, EnginesAsk(version=version, wait_s=wait_s), wait_s + ANSWER_TIMEOUT_S)
         # All of the way counts as age: an answer held up on a link looks as fresh as when it left.
-        way_s = max(0.0, self._clock() - asked_at - getattr(answer, "waited_s", 0.0))
+        way_s = max(0.0, self._clock() - requested_at - getattr(answer, "waited_s", 0.0))
         problem = self._problem(answer, way_s, version)
         if problem is not None:
             # The reader may be cut off from the store, frozen or gone. Asked again it may fail again,
@@ -223,17 +223,17 @@
             self._history_from, _ = self._history.popleft()
 
     async def _answer(self, request):
-        asked_at = self._clock()
+        requested_at = self._clock()
         if self._proved_at is None:
             return EnginesAnswer(version=0, age_s=-1.0, waited_s=0.0, is_whole=False, entries=())
-        is_old = asked_at - self._proved_at > self.limits.max_age_s
+        is_old = requested_at - self._proved_at > self.limits.max_age_s
         if not is_old and not self._entries_after(request.version):
             await self._wait_for_change(min(request.wait_s, MAX_REQUESTED_WAIT_S))
         is_whole = request.version < self._history_from
         return EnginesAnswer(
             version=self._version,
             age_s=self._clock() - self._proved_at,
-            waited_s=self._clock() - asked_at,
+            waited_s=self._clock() - requested_at,
             is_whole=is_whole,
             entries=tuple(self._all_entries() if is_whole else self._entries_after(request.version)),
         )
