--- a/wagtailtrestle/configuration/engine_relay.py
+++ b/wagtailtrestle/configuration/engine_relay.py
@@ -160,8 +160,8 @@
         requested_at = self._clock()
         answer = await self._peers.ask(reader, EnginesAsk(version=version, wait_s=wait_s), wait_s + ANSWER_TIMEOUT_S)
         # All of the way counts as age: an answer held up on a link looks as fresh as when it left.
-        way_s = max(0.0, self._clock() - requested_at - getattr(answer, "waited_s", 0.0))
-        problem = self._problem(answer, way_s, version)
+        transit_s = max(0.0, self._clock() - requested_at - getattr(answer, "waited_s", 0.0))
+        problem = self._problem(answer, transit_s, version)
         if problem is not None:
             # The reader may be cut off from the store, frozen or gone. Asked again it may fail again,
             # while an engine that leaves goes on getting work; another one, or the store, tells at once.
@@ -173,7 +173,7 @@
             version=answer.version,
             value_by_name={entry.name: json.loads(entry.value) if entry.value else None for entry in answer.entries},
             is_whole=answer.is_whole,
-            age_s=answer.age_s + way_s,
+            age_s=answer.age_s + transit_s,
             is_relayed=True,
         )
 
@@ -253,7 +253,7 @@
             return self._all_entries()
         return [entry for changed_at, entry in self._history if changed_at > version]
 
-    def _problem(self, answer, way_s, version):
+    def _problem(self, answer, transit_s, version):
         """Why an answer can't be believed, or ``None``."""
         if not isinstance(answer, EnginesAnswer):
             return getattr(answer, "detail", "no answer")
@@ -261,6 +261,6 @@
             return "it has no list yet"
         if epoch_of(answer.version) < epoch_of(version):
             return "its list is from before the store came back from a copy"
-        if answer.age_s + way_s > self.limits.max_age_s:
-            return f"its list was proved {answer.age_s + way_s:.1f} s ago"
+        if answer.age_s + transit_s > self.limits.max_age_s:
+            return f"its list was proved {answer.age_s + transit_s:.1f} s ago"
         return None
