--- a/wagtailtrestle/configuration/engine_relay.py
+++ b/wagtailtrestle/configuration/engine_relay.py
@@ -204,7 +204,7 @@
             self._wake_askers()
         self._version = max(self._version, version)
         for name, value in changed.items():
-            self._note_change(name, value)
+            self._record_change(name, value)
         if changed:
             self._wake_askers()
 
@@ -212,7 +212,7 @@
         self._changed.set()
         self._changed = asyncio.Event()
 
-    def _note_change(self, name, value):
+    def _record_change(self, name, value):
         text = "" if value is None else json.dumps(value)
         if text:
             self._text_by_name[name] = text
