--- a/wagtailtrestle/configuration/engine_relay.py
+++ b/wagtailtrestle/configuration/engine_relay.py
@@ -201,14 +201,14 @@
             # here: such an asker gets the whole list.
             self._history.clear()
             self._history_from = version
-            self._wake_askers()
+            self._wake_requesters()
         self._version = max(self._version, version)
         for name, value in changed.items():
             self._record_change(name, value)
         if changed:
-            self._wake_askers()
+            self._wake_requesters()
 
-    def _wake_askers(self):
+    def _wake_requesters(self):
         self._changed.set()
         self._changed = asyncio.Event()
 
