--- a/tests/test_confirmation.py
+++ b/tests/test_confirmation.py
@@ -26,7 +26,7 @@
 
     reads_store = False
 
-    def to_ask(self):
+    def readers_to_query(self):
         return () if self.reads_store else (READER,)
 
     def pause(self, name):
--- a/tests/utils/freshness_replay.py
+++ b/tests/utils/freshness_replay.py
@@ -60,7 +60,7 @@
 
     reads_store = False
 
-    def to_ask(self):
+    def readers_to_query(self):
         """The readers to ask."""
         return ("peer",)
 
--- a/wagtailtrestle/configuration/engine_relay.py
+++ b/wagtailtrestle/configuration/engine_relay.py
@@ -146,7 +146,7 @@
             ``None`` if this router should read the store itself.
         """
         wait_s = self.limits.wait_s
-        for reader in self.readers.to_ask():
+        for reader in self.readers.readers_to_query():
             news = await self._query_reader(reader, version, wait_s)
             if news is not None:
                 return news
--- a/wagtailtrestle/configuration/sources.py
+++ b/wagtailtrestle/configuration/sources.py
@@ -227,7 +227,7 @@
         """Whether the word of a router that reads the platform spares a read of one's own."""
         if self._readers is None:
             return False
-        for reader in self._readers.to_ask() or self._other_readers_if_unproved():
+        for reader in self._readers.readers_to_query() or self._other_readers_if_unproved():
             # Counted from before the question: an answer that was long on its way is no fresher for it.
             requested_at = boot_time_s()
             confirmation = await self._request_confirmation(reader)
--- a/wagtailtrestle/configuration/store_readers.py
+++ b/wagtailtrestle/configuration/store_readers.py
@@ -61,7 +61,7 @@
         ready = (name for name in ranked if self._paused_until_by_name.get(name, now) <= now)
         return tuple(name for _, name in zip(range(count), ready, strict=False))
 
-    def to_ask(self):
+    def readers_to_query(self):
         """The readers to ask, in order; none if this router reads the store itself."""
         names = self.names()
         if self._name in names:
