--- a/tests/test_confirmation.py
+++ b/tests/test_confirmation.py
@@ -32,7 +32,7 @@
     def pause(self, name):
         pass
 
-    def pause_own(self):
+    def pause_self(self):
         pass
 
 
--- a/wagtailtrestle/configuration/engine_list.py
+++ b/wagtailtrestle/configuration/engine_list.py
@@ -126,7 +126,7 @@
             news = await self._query_store()
         if news is None:
             if self._relay is not None:
-                self._relay.readers.pause_own()
+                self._relay.readers.pause_self()
             return False
         self._record_answer()
         self._apply_update(news)
--- a/wagtailtrestle/configuration/sources.py
+++ b/wagtailtrestle/configuration/sources.py
@@ -214,7 +214,7 @@
                 # connection now; once more at once, and only once, keeps outages cheap.
                 await asyncio.sleep(POLL_RETRY_S * self._jitter.uniform(0.5, 1.0))
                 if await self._read(Source.POLL) is None and self._readers is not None:
-                    self._readers.pause_own()
+                    self._readers.pause_self()
 
     def _reads_platform(self):
         return self._readers is None or self._readers.reads_store
--- a/wagtailtrestle/configuration/store_readers.py
+++ b/wagtailtrestle/configuration/store_readers.py
@@ -79,7 +79,7 @@
         paused = {other: until for other, until in self._paused_until_by_name.items() if until > now}
         self._paused_until_by_name = {**paused, name: now + PAUSE_S}
 
-    def pause_own(self):
+    def pause_self(self):
         """Let others read for a while, since the store doesn't answer this router.
 
         Where the store refuses some routers, a reader among them would go on asking it in vain
