--- a/wagtailtrestle/configuration/store_readers.py
+++ b/wagtailtrestle/configuration/store_readers.py
@@ -7,7 +7,7 @@
 
 PAUSE_S = 2.0
 """How long a reader that failed is not asked again; the view has changed by then if it is gone."""
-MAX_ASKED = 2
+MAX_READERS_QUERIED = 2
 """Readers asked before the store is: where the store refuses a third of the routers, one of two mostly knows."""
 ROUTERS_A_READER = 48
 """At some 3.5 questions a second each, about 170 a second for one reader: five hundredths of a core. Each
@@ -67,7 +67,7 @@
         if self._name in names:
             return ()
         ranked = self._own_ranking.ranked(key=self._name, members=tuple(sorted(names)))
-        return ranked[:MAX_ASKED]
+        return ranked[:MAX_READERS_QUERIED]
 
     def others(self):
         """The readers but for this router."""
