--- a/tests/test_peer_configuration.py
+++ b/tests/test_peer_configuration.py
@@ -4,7 +4,7 @@
 import unittest
 from types import SimpleNamespace
 
-from wagtailtrestle.configuration.peer_configuration import MAX_ASKED, PeerConfiguration
+from wagtailtrestle.configuration.peer_configuration import MAX_PEERS_QUERIED, PeerConfiguration
 from wagtailtrestle.contracts.peer_messages import ConfigurationAsk, ConfigurationText
 
 NAMES = tuple(f"router-{number}" for number in range(24))
@@ -54,7 +54,7 @@
         network = Network(holders=NAMES[4:])
         answer = asyncio.run(network.by_name["router-9"].fetch(5, "router-3"))
         self.assertEqual(answer.generation, 5)
-        self.assertEqual(len(network.asked), 1 + MAX_ASKED)
+        self.assertEqual(len(network.asked), 1 + MAX_PEERS_QUERIED)
 
     def test_what_cannot_be_unpacked_is_no_answer(self):
         network = Network(holders=NAMES)
--- a/wagtailtrestle/configuration/peer_configuration.py
+++ b/wagtailtrestle/configuration/peer_configuration.py
@@ -14,7 +14,7 @@
     ConfirmationAsk,
 )
 
-MAX_ASKED = 8
+MAX_PEERS_QUERIED = 8
 ASK_TIMEOUT_S = 1.0
 PACKING_LEVEL = 6
 """Of zlib: a declaration of 1,400 routes becomes a tenth, in a few milliseconds once for each generation. Unpacked
@@ -59,7 +59,7 @@
         names = list(self._members())
         # Asking all of 370 routers for a whole declaration would flood the asker; a few
         # are enough since a heartbeat already told that the generation is about.
-        asked = self._jitter.sample(names, min(MAX_ASKED, len(names)))
+        asked = self._jitter.sample(names, min(MAX_PEERS_QUERIED, len(names)))
         answers = await asyncio.gather(*(self._fetch_from(name) for name in asked))
         held = [answer for answer in answers if answer is not None and answer.generation]
         best = max(held, key=lambda answer: answer.generation, default=None)
