--- a/tests/test_store_readers.py
+++ b/tests/test_store_readers.py
@@ -15,7 +15,7 @@
 from wagtailtrestle.configuration.boot_clock import boot_time_s
 from wagtailtrestle.configuration.peer_configuration import PeerConfiguration
 from wagtailtrestle.configuration.sources import PlatformSource
-from wagtailtrestle.configuration.store_readers import MIN_READERS, PAUSE_S, ROUTERS_A_READER, StoreReaders
+from wagtailtrestle.configuration.store_readers import MIN_READERS, PAUSE_S, ROUTERS_PER_READER, StoreReaders
 from wagtailtrestle.contracts.peer_messages import PeerUnreachable
 from wagtailtrestle.standins.object_table import ObjectTable
 
@@ -135,7 +135,7 @@
                 fleet = await self.started(size)
                 calls = await fleet.calls_of(SECONDS)
                 asking = {name for name, count in calls.items() if count}
-                readers = max(MIN_READERS, -(-size // ROUTERS_A_READER))
+                readers = max(MIN_READERS, -(-size // ROUTERS_PER_READER))
                 self.assertEqual(asking, set(fleet.readers()))
                 self.assertEqual(len(asking), readers)
                 # Two reads in three seconds, and the watch that ends each half minute.
--- a/wagtailtrestle/configuration/store_readers.py
+++ b/wagtailtrestle/configuration/store_readers.py
@@ -9,7 +9,7 @@
 """How long a reader that failed is not asked again; the view has changed by then if it is gone."""
 MAX_READERS_QUERIED = 2
 """Readers asked before the store is: where the store refuses a third of the routers, one of two mostly knows."""
-ROUTERS_A_READER = 48
+ROUTERS_PER_READER = 48
 """At some 3.5 questions a second each, about 170 a second for one reader: five hundredths of a core. Each
 reader costs two or three calls to the store a second, whatever the size of the fleet."""
 MIN_READERS = 2
@@ -54,7 +54,7 @@
         """The readers, the first of the ranking first."""
         now = self._clock()
         members = self._members()
-        count = max(MIN_READERS, math.ceil(len(members) / ROUTERS_A_READER))
+        count = max(MIN_READERS, math.ceil(len(members) / ROUTERS_PER_READER))
         ranked = self._ranking.ranked(key=READERS_KEY, members=members)
         if not self._paused_until_by_name:
             return ranked[:count]
