--- a/wagtailtrestle/configuration/sources.py
+++ b/wagtailtrestle/configuration/sources.py
@@ -244,7 +244,7 @@
 
     def _other_readers_if_unproved(self):
         """Other readers, for one that reads the store itself and can't tell yet whether it is whole."""
-        return () if self.proof.counts_own_reads else self._readers.others()
+        return () if self.proof.counts_own_reads else self._readers.other_readers()
 
     async def _wait_until_in_force(self, generation):
         """Wait until a generation that a peer told is in force here, or for as long as fetching it mostly takes.
--- a/wagtailtrestle/configuration/store_readers.py
+++ b/wagtailtrestle/configuration/store_readers.py
@@ -69,7 +69,7 @@
         ranked = self._own_ranking.ranked(key=self._name, members=tuple(sorted(names)))
         return ranked[:MAX_READERS_QUERIED]
 
-    def others(self):
+    def other_readers(self):
         """The readers but for this router."""
         return tuple(name for name in self.names() if name != self._name)
 
