--- a/tests/test_store_epoch.py
+++ b/tests/test_store_epoch.py
@@ -59,7 +59,7 @@
         self.clock = Clock()
         self.epoch = StoreEpoch(clock=self.clock)
         self.returns = []
-        self.epoch.on_return(lambda: self.returns.append(self.epoch.number))
+        self.epoch.on_restore(lambda: self.returns.append(self.epoch.number))
 
     def test_store_that_tells_none_is_whole(self):
         self.assertTrue(self.epoch.is_settled)
--- a/wagtailtrestle/configuration/proof.py
+++ b/wagtailtrestle/configuration/proof.py
@@ -40,7 +40,7 @@
         self._newest = 0
         self._first_version = 0
         self._proving = 0
-        epoch.on_return(self._carry)
+        epoch.on_restore(self._carry)
 
     @property
     def confirmed_at(self):
--- a/wagtailtrestle/configuration/store_epoch.py
+++ b/wagtailtrestle/configuration/store_epoch.py
@@ -79,7 +79,7 @@
         """Have ``callback()`` called with each epoch that is new here, the first one included."""
         self._begin_callbacks.append(callback)
 
-    def on_return(self, callback):
+    def on_restore(self, callback):
         """Have ``callback()`` called when the store came back from a copy while this process watched."""
         self._callbacks.append(callback)
 
--- a/wagtailtrestle/membership/announcement.py
+++ b/wagtailtrestle/membership/announcement.py
@@ -34,7 +34,7 @@
     def __init__(self, *, store, kind, name, value, jitter=None, epoch=None):
         self._is_withdrawn = False
         if epoch is not None:
-            epoch.on_return(self._announce_again)
+            epoch.on_restore(self._announce_again)
         self._store = store
         self._kind = kind
         self._name = name
--- a/wagtailtrestle/router.py
+++ b/wagtailtrestle/router.py
@@ -112,7 +112,7 @@
             heartbeat_s=settings.peer_heartbeat_s,
             epoch=self._store_epoch,
         )
-        self._store_epoch.on_return(self._membership.tell_at_once)
+        self._store_epoch.on_restore(self._membership.tell_at_once)
         self._broadcast = Broadcast(peers=self._peers, targets=self._membership.broadcast_targets)
 
     def _make_configuration(self):
@@ -160,8 +160,8 @@
             interval_s=self._settings.vm_list_interval_s,
             settled_s=self._settings.vm_list_settled_s,
         )
-        self._store_epoch.on_return(self._vm_list.read_soon)
-        self._store_epoch.on_return(lambda: self._metrics.count("store_returns"))
+        self._store_epoch.on_restore(self._vm_list.read_soon)
+        self._store_epoch.on_restore(lambda: self._metrics.count("store_returns"))
         self._membership.on_generation(
             lambda peer, generation: self._configuration.observe_generation(generation, peer)
         )
