--- a/wagtailtrestle/configuration/store_epoch.py
+++ b/wagtailtrestle/configuration/store_epoch.py
@@ -49,7 +49,15 @@
         How often it rose while this process watched.
     """
 
-    __slots__ = ("number", "returns_total", "_clock", "_started_at", "_known_since", "_begin_callbacks", "_callbacks")
+    __slots__ = (
+        "number",
+        "returns_total",
+        "_clock",
+        "_started_at",
+        "_known_since",
+        "_begin_callbacks",
+        "_restore_callbacks",
+    )
 
     def __init__(self, *, clock=boot_time_s):
         self.number = 0
@@ -58,7 +66,7 @@
         self._started_at = clock()
         self._known_since = self._started_at
         self._begin_callbacks = []
-        self._callbacks = []
+        self._restore_callbacks = []
 
     @property
     def known_s(self):
@@ -81,7 +89,7 @@
 
     def on_restore(self, callback):
         """Have ``callback()`` called when the store came back from a copy while this process watched."""
-        self._callbacks.append(callback)
+        self._restore_callbacks.append(callback)
 
     def observe(self, number):
         """Take in the epoch that an answer of the store bears.
@@ -129,5 +137,5 @@
         logger.bind(epoch=number, before=before).warning(
             "the store came back from a copy; what was written to it since is read and written again"
         )
-        for callback in self._callbacks:
+        for callback in self._restore_callbacks:
             callback()
