--- a/tests/test_store_epoch.py
+++ b/tests/test_store_epoch.py
@@ -73,13 +73,13 @@
 
     def test_peer_that_has_known_it_for_long_settles_it(self):
         self.epoch.observe(4)
-        self.epoch.hear(4, 30.0)
+        self.epoch.observe_peer(4, 30.0)
         self.assertTrue(self.epoch.is_settled)
 
     def test_routers_that_know_different_epochs_agree_on_the_higher(self):
         self.epoch.observe(4)
-        self.epoch.hear(5, 0.5)
-        self.epoch.hear(4, 30.0)
+        self.epoch.observe_peer(5, 0.5)
+        self.epoch.observe_peer(4, 30.0)
         self.assertEqual((self.epoch.number, self.returns), (5, [5]))
         self.assertFalse(self.epoch.is_settled)
 
--- a/wagtailtrestle/configuration/store_epoch.py
+++ b/wagtailtrestle/configuration/store_epoch.py
@@ -103,7 +103,7 @@
             self._begin(number, known_s=0.0)
         return number == self.number
 
-    def hear(self, number, known_s):
+    def observe_peer(self, number, known_s):
         """Take in the epoch that a peer goes by, and how long it has been known there.
 
         A process that starts sees an epoch for the first time and can't tell whether it has just begun; a peer can.
--- a/wagtailtrestle/membership/membership.py
+++ b/wagtailtrestle/membership/membership.py
@@ -271,7 +271,7 @@
         else:
             self._heard_directly(member)
         self._note_generation(member, heartbeat.generation)
-        self._epoch.hear(heartbeat.store_epoch, heartbeat.store_epoch_known_s)
+        self._epoch.observe_peer(heartbeat.store_epoch, heartbeat.store_epoch_known_s)
         self._sync.compare(peer, own=self._digest, other=heartbeat.view_digest)
 
     def _heard_directly(self, member):
