--- a/tests/test_store_epoch.py
+++ b/tests/test_store_epoch.py
@@ -281,7 +281,7 @@
         # It was proved a second before, so it knows at least what the copy lacks: no caller is refused for the return.
         source = self.source(self.store, self.epoch)
         self.read(source, epoch=1, revision=50)
-        self.epoch.settle()
+        self.epoch.mark_settled()
         self.assertIsNotNone(source.confirmed_at)
         self.clock.now += 1.0
         self.read(source, epoch=2, revision=5)
@@ -290,7 +290,7 @@
     def test_router_that_was_cut_off_for_long_before_the_return_does_not(self):
         source = self.source(self.store, self.epoch)
         self.read(source, epoch=1, revision=50)
-        self.epoch.settle()
+        self.epoch.mark_settled()
         proved_at = source.confirmed_at
         self.clock.now += CARRIED_S + 1.0
         self.read(source, epoch=2, revision=5)
--- a/wagtailtrestle/configuration/epoch_note.py
+++ b/wagtailtrestle/configuration/epoch_note.py
@@ -87,7 +87,7 @@
             self._read_number = number
         if isinstance(outcome, StoreDone) and _noted(outcome.value) == self._epoch.number:
             self._written_number = self._epoch.number
-            self._epoch.settle()
+            self._epoch.mark_settled()
 
     async def _write(self, number):
         if self._writing is not None:
--- a/wagtailtrestle/configuration/store_epoch.py
+++ b/wagtailtrestle/configuration/store_epoch.py
@@ -113,7 +113,7 @@
         elif number == self.number:
             self._known_since = min(self._known_since, self._clock() - known_s)
 
-    def settle(self):
+    def mark_settled(self):
         """Note that this epoch had lasted for long enough when this process began to read."""
         self._known_since = min(self._known_since, self._started_at - RESTORED_S)
 
