--- a/tests/test_store_epoch.py
+++ b/tests/test_store_epoch.py
@@ -14,7 +14,7 @@
 from wagtailtrestle.configuration.pre_restore_engines import BELIEVED_S, PreRestoreEngines
 from wagtailtrestle.configuration.proof import CARRIED_S, Proof
 from wagtailtrestle.configuration.sources import PlatformSource
-from wagtailtrestle.configuration.store_epoch import RESTORED_S, StoreEpoch, epoch_of, revision_of, version_in
+from wagtailtrestle.configuration.store_epoch import RESTORE_SETTLE_S, StoreEpoch, epoch_of, revision_of, version_in
 from wagtailtrestle.contracts.declaration import DeclaredEngine
 from wagtailtrestle.contracts.outcomes import StoreConflict, StoreDone, StoreHistoryGone, StoreUnavailable, StoreUnknown
 from wagtailtrestle.platform.declarations import PlatformDeclarations
@@ -68,7 +68,7 @@
         self.assertTrue(self.epoch.observe(4))
         self.assertEqual(self.returns, [])
         self.assertFalse(self.epoch.is_settled)
-        self.clock.now += RESTORED_S
+        self.clock.now += RESTORE_SETTLE_S
         self.assertTrue(self.epoch.is_settled)
 
     def test_peer_that_has_known_it_for_long_settles_it(self):
@@ -266,7 +266,7 @@
         source = self.source(self.store, self.epoch)
         self.read(source, epoch=2, revision=5)
         self.assertIsNone(source.confirmed_at)
-        self.clock.now += RESTORED_S
+        self.clock.now += RESTORE_SETTLE_S
         self.assertIsNone(source.confirmed_at)
         self.read(source, epoch=2, revision=5)
         self.assertEqual(source.confirmed_at, self.clock.now)
--- a/wagtailtrestle/configuration/store_epoch.py
+++ b/wagtailtrestle/configuration/store_epoch.py
@@ -13,7 +13,7 @@
 REVISION_BITS = 40
 """Revisions of a thousand changes a second for thirty years."""
 
-RESTORED_S = 5.0
+RESTORE_SETTLE_S = 5.0
 """Time in which operators and engines write again what the copy lacks. Until it has passed, what the store doesn't
 hold may be lost instead of gone, and what it holds may have been replaced."""
 
@@ -76,7 +76,7 @@
     @property
     def settled_at(self):
         """Time on the clock from which what the store holds counts as whole again."""
-        return self._known_since + RESTORED_S if self.number else self._known_since
+        return self._known_since + RESTORE_SETTLE_S if self.number else self._known_since
 
     @property
     def is_settled(self):
@@ -115,7 +115,7 @@
 
     def mark_settled(self):
         """Note that this epoch had lasted for long enough when this process began to read."""
-        self._known_since = min(self._known_since, self._started_at - RESTORED_S)
+        self._known_since = min(self._known_since, self._started_at - RESTORE_SETTLE_S)
 
     def dump(self):
         """Return the state as a plain dict."""
