--- a/tests/test_store_epoch.py
+++ b/tests/test_store_epoch.py
@@ -14,7 +14,7 @@
 from wagtailtrestle.configuration.pre_restore_engines import BELIEVED_S, PreRestoreEngines
 from wagtailtrestle.configuration.proof import CARRIED_S, Proof
 from wagtailtrestle.configuration.sources import PlatformSource
-from wagtailtrestle.configuration.store_epoch import RESTORE_SETTLE_S, StoreEpoch, epoch_of, revision_of, version_in
+from wagtailtrestle.configuration.store_epoch import RESTORE_SETTLE_S, StoreEpoch, epoch_of, make_version, revision_of
 from wagtailtrestle.contracts.declaration import DeclaredEngine
 from wagtailtrestle.contracts.outcomes import StoreConflict, StoreDone, StoreHistoryGone, StoreUnavailable, StoreUnknown
 from wagtailtrestle.platform.declarations import PlatformDeclarations
@@ -49,9 +49,9 @@
 
 class VersionTest(unittest.TestCase):
     def test_version_of_a_later_epoch_is_greater_whatever_its_revision(self):
-        self.assertGreater(version_in(2, 3), version_in(1, 900))
-        self.assertEqual((epoch_of(version_in(7, 12)), revision_of(version_in(7, 12))), (7, 12))
-        self.assertEqual(version_in(0, 12), 12)
+        self.assertGreater(make_version(2, 3), make_version(1, 900))
+        self.assertEqual((epoch_of(make_version(7, 12)), revision_of(make_version(7, 12))), (7, 12))
+        self.assertEqual(make_version(0, 12), 12)
 
 
 class StoreEpochTest(unittest.TestCase):
@@ -164,8 +164,8 @@
 
 
 def done(epoch, revision, **revision_by_name):
-    value = {name: (version_in(epoch, at), {"name": name}) for name, at in revision_by_name.items()}
-    return StoreDone(version=version_in(epoch, revision), value=value)
+    value = {name: (make_version(epoch, at), {"name": name}) for name, at in revision_by_name.items()}
+    return StoreDone(version=make_version(epoch, revision), value=value)
 
 
 class FollowedListCase(unittest.TestCase):
@@ -257,7 +257,7 @@
 
     def read(self, source, *, epoch, revision, generation=1):
         self.epoch.observe(epoch)
-        self.store.outcome = StoreDone(version=version_in(epoch, revision), value={"version": generation})
+        self.store.outcome = StoreDone(version=make_version(epoch, revision), value={"version": generation})
         asyncio.run(source._read(sources.Source.POLL))
 
     def test_router_that_starts_after_a_return_proves_nothing_by_the_copy(self):
@@ -371,19 +371,19 @@
     def test_watch_from_a_former_epoch_is_not_sent(self):
         # Its revision may have been given out again: the watch would go on from another change.
         self.epoch.observe(2)
-        outcome = self.call(self.store.watch(kind="servers", from_version=version_in(1, 7), timeout_s=0.1))
+        outcome = self.call(self.store.watch(kind="servers", from_version=make_version(1, 7), timeout_s=0.1))
         self.assertIsInstance(outcome, StoreHistoryGone)
         self.assertEqual(self.server.paths, [])
 
     def test_watch_over_a_return_tells_nothing(self):
         self.epoch.observe(1)
         self.server.script = [("2", 200, {"events": [], "store_revision": 9})]
-        outcome = self.call(self.store.watch(kind="servers", from_version=version_in(1, 7), timeout_s=0.1))
+        outcome = self.call(self.store.watch(kind="servers", from_version=make_version(1, 7), timeout_s=0.1))
         self.assertIsInstance(outcome, StoreHistoryGone)
 
     def test_write_under_a_version_of_a_former_epoch_is_not_sent(self):
         self.epoch.observe(2)
-        update = self.store.update(kind="config", name="main", value={}, if_version=version_in(1, 7))
+        update = self.store.update(kind="config", name="main", value={}, if_version=make_version(1, 7))
         self.assertIsInstance(self.call(update), StoreConflict)
         self.assertEqual(self.server.paths, [])
 
@@ -392,7 +392,7 @@
         # changed since.
         self.epoch.observe(2)
         self.server.script = [("1", 200, stored(7)), ("1", 200, stored(7))]
-        write = self.store.update(kind="config", name="main", value={}, if_version=version_in(2, 7))
+        write = self.store.update(kind="config", name="main", value={}, if_version=make_version(2, 7))
         self.assertIsInstance(self.call(write), StoreUnknown)
         self.assertIsInstance(self.call(self.store.get(kind="config", name="main")), StoreUnavailable)
 
--- a/wagtailtrestle/configuration/epoch_store.py
+++ b/wagtailtrestle/configuration/epoch_store.py
@@ -2,7 +2,7 @@
 
 from typing import Protocol
 
-from wagtailtrestle.configuration.store_epoch import StoreEpoch, epoch_of, revision_of, version_in
+from wagtailtrestle.configuration.store_epoch import StoreEpoch, epoch_of, make_version, revision_of
 from wagtailtrestle.contracts.outcomes import (
     StoreConflict,
     StoreDone,
@@ -169,7 +169,7 @@
         return outcome
 
     def _version(self, revision):
-        return version_in(self._epoch.number, revision)
+        return make_version(self._epoch.number, revision)
 
     def _is_former(self, version):
         """Whether a version is of another epoch: what it names is not what the store holds under its revision."""
--- a/wagtailtrestle/configuration/store_epoch.py
+++ b/wagtailtrestle/configuration/store_epoch.py
@@ -18,7 +18,7 @@
 hold may be lost instead of gone, and what it holds may have been replaced."""
 
 
-def version_in(epoch, revision):
+def make_version(epoch, revision):
     """The version of a revision in an epoch."""
     return epoch << REVISION_BITS | revision
 
