--- a/wagtailtrestle/configuration/epoch_store.py
+++ b/wagtailtrestle/configuration/epoch_store.py
@@ -13,7 +13,7 @@
 )
 from wagtailtrestle.record import record
 
-LATE = "an answer from before the store came back from a copy"
+STALE_ANSWER = "an answer from before the store came back from a copy"
 
 
 @record
@@ -148,13 +148,13 @@
     def _read(self, answer):
         """Outcome of a call without effect; an answer of a former epoch tells nothing."""
         if self._is_late(answer):
-            return StoreUnavailable(detail=LATE)
+            return StoreUnavailable(detail=STALE_ANSWER)
         return self._versioned(answer.outcome)
 
     def _written(self, answer):
         """Outcome of a write; acknowledged in a former epoch it may be lost."""
         if self._is_late(answer):
-            return StoreUnknown(detail=LATE)
+            return StoreUnknown(detail=STALE_ANSWER)
         return self._versioned(answer.outcome)
 
     def _is_late(self, answer):
