--- a/wagtailtrestle/configuration/epoch_store.py
+++ b/wagtailtrestle/configuration/epoch_store.py
@@ -147,17 +147,17 @@
 
     def _read(self, answer):
         """Outcome of a call without effect; an answer of a former epoch tells nothing."""
-        if self._is_late(answer):
+        if self._is_stale(answer):
             return StoreUnavailable(detail=STALE_ANSWER)
         return self._versioned(answer.outcome)
 
     def _written(self, answer):
         """Outcome of a write; acknowledged in a former epoch it may be lost."""
-        if self._is_late(answer):
+        if self._is_stale(answer):
             return StoreUnknown(detail=STALE_ANSWER)
         return self._versioned(answer.outcome)
 
-    def _is_late(self, answer):
+    def _is_stale(self, answer):
         return answer.epoch is not None and not self._epoch.observe(answer.epoch)
 
     def _versioned(self, outcome):
