--- a/wagtailtrestle/configuration/epoch_store.py
+++ b/wagtailtrestle/configuration/epoch_store.py
@@ -108,33 +108,33 @@
 
     async def update(self, *, kind, name, value, if_version):
         """Replace an object that must be at ``if_version``."""
-        if self._is_former(if_version):
+        if self._is_other_epoch(if_version):
             return StoreConflict()
         revision = revision_of(if_version)
         return self._written(await self._store.update(kind=kind, name=name, value=value, if_revision=revision))
 
     async def update_status(self, *, kind, name, value, if_version):
         """Replace what the system tells of an object that must be at ``if_version``."""
-        if self._is_former(if_version):
+        if self._is_other_epoch(if_version):
             return StoreConflict()
         revision = revision_of(if_version)
         return self._written(await self._store.update_status(kind=kind, name=name, value=value, if_revision=revision))
 
     async def delete(self, *, kind, name, if_version):
         """Delete an object that must be at ``if_version``."""
-        if self._is_former(if_version):
+        if self._is_other_epoch(if_version):
             return StoreConflict()
         return self._written(await self._store.delete(kind=kind, name=name, if_revision=revision_of(if_version)))
 
     async def watch(self, *, kind, from_version, timeout_s):
         """Wait for changes after ``from_version``; a deleted object's value is ``None``."""
-        if self._is_former(from_version):
+        if self._is_other_epoch(from_version):
             return StoreHistoryGone()
         from_revision = revision_of(from_version)
         answer = await self._store.watch(kind=kind, from_revision=from_revision, timeout_s=timeout_s)
         outcome = self._read(answer)
         # The revision may have been given out again while the watch waited: what came before it is unknown then.
-        if self._is_former(from_version):
+        if self._is_other_epoch(from_version):
             return StoreHistoryGone()
         if not isinstance(outcome, StoreDone):
             return outcome
@@ -171,6 +171,6 @@
     def _version(self, revision):
         return make_version(self._epoch.number, revision)
 
-    def _is_former(self, version):
+    def _is_other_epoch(self, version):
         """Whether a version is of another epoch: what it names is not what the store holds under its revision."""
         return version != 0 and epoch_of(version) != self._epoch.number
