--- a/wagtailtrestle/configuration/epoch_store.py
+++ b/wagtailtrestle/configuration/epoch_store.py
@@ -104,27 +104,29 @@
 
     async def create(self, *, kind, name, value):
         """Create an object that must not exist yet."""
-        return self._written(await self._store.create(kind=kind, name=name, value=value))
+        return self._write_outcome(await self._store.create(kind=kind, name=name, value=value))
 
     async def update(self, *, kind, name, value, if_version):
         """Replace an object that must be at ``if_version``."""
         if self._is_other_epoch(if_version):
             return StoreConflict()
         revision = revision_of(if_version)
-        return self._written(await self._store.update(kind=kind, name=name, value=value, if_revision=revision))
+        return self._write_outcome(await self._store.update(kind=kind, name=name, value=value, if_revision=revision))
 
     async def update_status(self, *, kind, name, value, if_version):
         """Replace what the system tells of an object that must be at ``if_version``."""
         if self._is_other_epoch(if_version):
             return StoreConflict()
         revision = revision_of(if_version)
-        return self._written(await self._store.update_status(kind=kind, name=name, value=value, if_revision=revision))
+        return self._write_outcome(
+            await self._store.update_status(kind=kind, name=name, value=value, if_revision=revision)
+        )
 
     async def delete(self, *, kind, name, if_version):
         """Delete an object that must be at ``if_version``."""
         if self._is_other_epoch(if_version):
             return StoreConflict()
-        return self._written(await self._store.delete(kind=kind, name=name, if_revision=revision_of(if_version)))
+        return self._write_outcome(await self._store.delete(kind=kind, name=name, if_revision=revision_of(if_version)))
 
     async def watch(self, *, kind, from_version, timeout_s):
         """Wait for changes after ``from_version``; a deleted object's value is ``None``."""
@@ -151,7 +153,7 @@
             return StoreUnavailable(detail=STALE_ANSWER)
         return self._versioned(answer.outcome)
 
-    def _written(self, answer):
+    def _write_outcome(self, answer):
         """Outcome of a write; acknowledged in a former epoch it may be lost."""
         if self._is_stale(answer):
             return StoreUnknown(detail=STALE_ANSWER)
