--- a/wagtailtrestle/configuration/epoch_store.py
+++ b/wagtailtrestle/configuration/epoch_store.py
@@ -89,14 +89,14 @@
 
     async def get(self, *, kind, name, unless_version=None):
         """Read one object; ``value`` is ``None`` if it is still at ``unless_version``."""
-        outcome = self._read(await self._store.get(kind=kind, name=name))
+        outcome = self._read_outcome(await self._store.get(kind=kind, name=name))
         if isinstance(outcome, StoreDone) and outcome.version == unless_version:
             return StoreDone(version=unless_version)
         return outcome
 
     async def list(self, *, kind):
         """Read all objects of a kind: ``value`` maps name to ``(version, value)``."""
-        outcome = self._read(await self._store.list(kind=kind))
+        outcome = self._read_outcome(await self._store.list(kind=kind))
         if not isinstance(outcome, StoreDone):
             return outcome
         by_name = {name: (self._version(revision), value) for name, (revision, value) in outcome.value.items()}
@@ -134,7 +134,7 @@
             return StoreHistoryGone()
         from_revision = revision_of(from_version)
         answer = await self._store.watch(kind=kind, from_revision=from_revision, timeout_s=timeout_s)
-        outcome = self._read(answer)
+        outcome = self._read_outcome(answer)
         # The revision may have been given out again while the watch waited: what came before it is unknown then.
         if self._is_other_epoch(from_version):
             return StoreHistoryGone()
@@ -145,9 +145,9 @@
 
     async def vms(self, *, unless_version=None):
         """Read the lagging list of VMs: a tuple of ``VM``, ``None`` if it is still at ``unless_version``."""
-        return self._read(await self._store.vms())
+        return self._read_outcome(await self._store.vms())
 
-    def _read(self, answer):
+    def _read_outcome(self, answer):
         """Outcome of a call without effect; an answer of a former epoch tells nothing."""
         if self._is_stale(answer):
             return StoreUnavailable(detail=STALE_ANSWER)
