--- a/wagtailtrestle/configuration/epoch_note.py
+++ b/wagtailtrestle/configuration/epoch_note.py
@@ -12,7 +12,7 @@
 from wagtailtrestle.membership.announcement import Announcement
 
 NOTE_NAME = "main"
-PEERS_FIRST_S = 0.1
+PEER_GRACE_S = 0.1
 """A peer's word mostly comes within so long, and spares the read."""
 CHECK_S = 1.0
 """Between two looks at whether the epoch has lasted, and whether this router is to write it down."""
@@ -69,7 +69,7 @@
         while True:
             await self._has_begun.wait()
             self._has_begun.clear()
-            await asyncio.sleep(PEERS_FIRST_S)
+            await asyncio.sleep(PEER_GRACE_S)
             while self._written_number != self._epoch.number and not self._has_begun.is_set():
                 await self._step(self._epoch.number)
                 await asyncio.sleep(CHECK_S)
