--- a/wagtailtrestle/configuration/epoch_note.py
+++ b/wagtailtrestle/configuration/epoch_note.py
@@ -14,7 +14,7 @@
 NOTE_NAME = "main"
 PEER_GRACE_S = 0.1
 """A peer's word mostly comes within so long, and spares the read."""
-CHECK_S = 1.0
+CHECK_INTERVAL_S = 1.0
 """Between two looks at whether the epoch has lasted, and whether this router is to write it down."""
 
 
@@ -72,7 +72,7 @@
             await asyncio.sleep(PEER_GRACE_S)
             while self._written_number != self._epoch.number and not self._has_begun.is_set():
                 await self._step(self._epoch.number)
-                await asyncio.sleep(CHECK_S)
+                await asyncio.sleep(CHECK_INTERVAL_S)
 
     async def _step(self, number):
         if not self._epoch.is_settled:
