--- a/wagtailtrestle/configuration/epoch_note.py
+++ b/wagtailtrestle/configuration/epoch_note.py
@@ -85,7 +85,7 @@
         outcome = await self._store.get(kind=self._kind, name=NOTE_NAME)
         if isinstance(outcome, StoreDone | StoreAbsent) and self._epoch.number == number:
             self._read_number = number
-        if isinstance(outcome, StoreDone) and _noted(outcome.value) == self._epoch.number:
+        if isinstance(outcome, StoreDone) and _noted_epoch(outcome.value) == self._epoch.number:
             self._written_number = self._epoch.number
             self._epoch.mark_settled()
 
@@ -97,5 +97,5 @@
         self._writing.start()
 
 
-def _noted(value):
+def _noted_epoch(value):
     return value.get("epoch") if isinstance(value, dict) else None
