--- a/wagtailtrestle/configuration/epoch_note.py
+++ b/wagtailtrestle/configuration/epoch_note.py
@@ -35,7 +35,7 @@
         "_kind",
         "_epoch",
         "_is_writer",
-        "_read_number",
+        "_read_epoch",
         "_written_number",
         "_writing",
         "_task",
@@ -47,7 +47,7 @@
         self._kind = kind
         self._epoch = epoch
         self._is_writer = is_writer
-        self._read_number = 0
+        self._read_epoch = 0
         self._written_number = 0
         self._writing = None
         self._task = None
@@ -76,7 +76,7 @@
 
     async def _step(self, number):
         if not self._epoch.is_settled:
-            if self._read_number != number:
+            if self._read_epoch != number:
                 await self._read(number)
         elif self._is_writer():
             await self._write(number)
@@ -84,7 +84,7 @@
     async def _read(self, number):
         outcome = await self._store.get(kind=self._kind, name=NOTE_NAME)
         if isinstance(outcome, StoreDone | StoreAbsent) and self._epoch.number == number:
-            self._read_number = number
+            self._read_epoch = number
         if isinstance(outcome, StoreDone) and _noted_epoch(outcome.value) == self._epoch.number:
             self._written_number = self._epoch.number
             self._epoch.mark_settled()
