--- a/wagtailtrestle/configuration/epoch_note.py
+++ b/wagtailtrestle/configuration/epoch_note.py
@@ -36,7 +36,7 @@
         "_epoch",
         "_is_writer",
         "_read_epoch",
-        "_written_number",
+        "_written_epoch",
         "_writing",
         "_task",
         "_has_begun",
@@ -48,7 +48,7 @@
         self._epoch = epoch
         self._is_writer = is_writer
         self._read_epoch = 0
-        self._written_number = 0
+        self._written_epoch = 0
         self._writing = None
         self._task = None
         self._has_begun = asyncio.Event()
@@ -70,7 +70,7 @@
             await self._has_begun.wait()
             self._has_begun.clear()
             await asyncio.sleep(PEER_GRACE_S)
-            while self._written_number != self._epoch.number and not self._has_begun.is_set():
+            while self._written_epoch != self._epoch.number and not self._has_begun.is_set():
                 await self._step(self._epoch.number)
                 await asyncio.sleep(CHECK_INTERVAL_S)
 
@@ -86,13 +86,13 @@
         if isinstance(outcome, StoreDone | StoreAbsent) and self._epoch.number == number:
             self._read_epoch = number
         if isinstance(outcome, StoreDone) and _noted_epoch(outcome.value) == self._epoch.number:
-            self._written_number = self._epoch.number
+            self._written_epoch = self._epoch.number
             self._epoch.mark_settled()
 
     async def _write(self, number):
         if self._writing is not None:
             await self._writing.close()
-        self._written_number = number
+        self._written_epoch = number
         self._writing = Announcement(store=self._store, kind=self._kind, name=NOTE_NAME, value={"epoch": number})
         self._writing.start()
 
