--- a/wagtailtrestle/configuration/epoch_note.py
+++ b/wagtailtrestle/configuration/epoch_note.py
@@ -37,7 +37,7 @@
         "_is_writer",
         "_read_epoch",
         "_written_epoch",
-        "_writing",
+        "_announcement",
         "_task",
         "_has_begun",
     )
@@ -49,7 +49,7 @@
         self._is_writer = is_writer
         self._read_epoch = 0
         self._written_epoch = 0
-        self._writing = None
+        self._announcement = None
         self._task = None
         self._has_begun = asyncio.Event()
         epoch.on_begin(self._has_begun.set)
@@ -62,8 +62,8 @@
         """Stop."""
         self._task.cancel()
         await asyncio.gather(self._task, return_exceptions=True)
-        if self._writing is not None:
-            await self._writing.close()
+        if self._announcement is not None:
+            await self._announcement.close()
 
     async def _follow(self):
         while True:
@@ -90,11 +90,11 @@
             self._epoch.mark_settled()
 
     async def _write(self, number):
-        if self._writing is not None:
-            await self._writing.close()
+        if self._announcement is not None:
+            await self._announcement.close()
         self._written_epoch = number
-        self._writing = Announcement(store=self._store, kind=self._kind, name=NOTE_NAME, value={"epoch": number})
-        self._writing.start()
+        self._announcement = Announcement(store=self._store, kind=self._kind, name=NOTE_NAME, value={"epoch": number})
+        self._announcement.start()
 
 
 def _noted_epoch(value):
