--- a/wagtailtrestle/configuration/pre_restore_engines.py
+++ b/wagtailtrestle/configuration/pre_restore_engines.py
@@ -6,7 +6,7 @@
 counts: what was known here.
 """
 
-GONE_KEPT_S = 60.0
+DEPARTED_RETENTION_S = 60.0
 """How long an engine that left is remembered: several times the age of a copy."""
 
 BELIEVED_S = 12.0
@@ -86,6 +86,6 @@
         return known if is_outdated else engine
 
     def _forget_old(self):
-        horizon = self._clock() - GONE_KEPT_S
+        horizon = self._clock() - DEPARTED_RETENTION_S
         for name in [name for name, at in self._gone_at_by_name.items() if at < horizon]:
             del self._gone_at_by_name[name]
