--- a/tests/test_store_epoch.py
+++ b/tests/test_store_epoch.py
@@ -11,7 +11,7 @@
 from wagtailtrestle.configuration import sources
 from wagtailtrestle.configuration.engine_list import MIN_RELIST_INTERVAL_S, RETRY_S, EngineList
 from wagtailtrestle.configuration.epoch_store import EpochStore
-from wagtailtrestle.configuration.pre_restore_engines import BELIEVED_S, PreRestoreEngines
+from wagtailtrestle.configuration.pre_restore_engines import PRE_RESTORE_VALIDITY_S, PreRestoreEngines
 from wagtailtrestle.configuration.proof import CARRIED_S, Proof
 from wagtailtrestle.configuration.sources import PlatformSource
 from wagtailtrestle.configuration.store_epoch import RESTORE_SETTLE_S, StoreEpoch, epoch_of, make_version, revision_of
@@ -126,7 +126,7 @@
 
     def test_after_a_while_the_list_counts_alone(self):
         self.pre_restore.begin({"i-1": engine("i-1", leaving=True)})
-        self.clock.now += BELIEVED_S
+        self.clock.now += PRE_RESTORE_VALIDITY_S
         self.assertFalse(self.corrected(engine("i-1"))["i-1"].leaving)
 
     def test_second_return_keeps_what_was_known_before_the_first(self):
--- a/wagtailtrestle/configuration/pre_restore_engines.py
+++ b/wagtailtrestle/configuration/pre_restore_engines.py
@@ -9,7 +9,7 @@
 DEPARTED_RETENTION_S = 60.0
 """How long an engine that left is remembered: several times the age of a copy."""
 
-BELIEVED_S = 12.0
+PRE_RESTORE_VALIDITY_S = 12.0
 """Time after a return for which the earlier word counts. Entries of engines that left expire within three of their
 heartbeats, some four seconds, and those that live have written theirs again."""
 
@@ -45,7 +45,7 @@
     def begin(self, by_name):
         """The store came back; ``by_name`` are the engines as they were known."""
         self._known_by_name = {**self._known_by_name, **by_name} if self.counts else dict(by_name)
-        self._until = self._clock() + BELIEVED_S
+        self._until = self._clock() + PRE_RESTORE_VALIDITY_S
 
     def note_gone(self, names):
         """Remember engines that left."""
