--- a/tests/test_store_epoch.py
+++ b/tests/test_store_epoch.py
@@ -98,11 +98,11 @@
         return self.pre_restore.corrected({engine.name: engine for engine in listed})
 
     def test_before_a_return_the_list_is_taken_as_it_is(self):
-        self.pre_restore.note_gone(["i-1"])
+        self.pre_restore.record_departed(["i-1"])
         self.assertEqual(set(self.corrected(engine("i-1"))), {"i-1"})
 
     def test_engine_that_had_left_stays_gone(self):
-        self.pre_restore.note_gone(["i-1"])
+        self.pre_restore.record_departed(["i-1"])
         self.pre_restore.begin({"i-2": engine("i-2")})
         self.assertEqual(set(self.corrected(engine("i-1"), engine("i-2"))), {"i-2"})
 
@@ -119,7 +119,7 @@
         self.assertEqual(self.corrected(engine("i-1", start_ms=1000))["i-1"].start_ms, 2000)
 
     def test_entry_written_since_the_return_counts(self):
-        self.pre_restore.note_gone(["i-1"])
+        self.pre_restore.record_departed(["i-1"])
         self.pre_restore.begin({})
         self.pre_restore.note_written(["i-1"])
         self.assertEqual(set(self.corrected(engine("i-1"))), {"i-1"})
--- a/wagtailtrestle/configuration/engine_list.py
+++ b/wagtailtrestle/configuration/engine_list.py
@@ -246,7 +246,7 @@
         return by_name
 
     def _publish(self, by_name, news):
-        self._pre_restore.note_gone(self.by_name.keys() - by_name.keys())
+        self._pre_restore.record_departed(self.by_name.keys() - by_name.keys())
         known, facts = _compared_fields(self.by_name), _compared_fields(by_name)
         changed = {name for name in known.keys() | facts.keys() if known.get(name) != facts.get(name)}
         if self._relay is not None:
--- a/wagtailtrestle/configuration/pre_restore_engines.py
+++ b/wagtailtrestle/configuration/pre_restore_engines.py
@@ -47,7 +47,7 @@
         self._known_by_name = {**self._known_by_name, **by_name} if self.counts else dict(by_name)
         self._until = self._clock() + PRE_RESTORE_VALIDITY_S
 
-    def note_gone(self, names):
+    def record_departed(self, names):
         """Remember engines that left."""
         now = self._clock()
         for name in names:
