--- a/tests/test_store_epoch.py
+++ b/tests/test_store_epoch.py
@@ -121,7 +121,7 @@
     def test_entry_written_since_the_return_counts(self):
         self.pre_restore.record_departed(["i-1"])
         self.pre_restore.begin({})
-        self.pre_restore.note_written(["i-1"])
+        self.pre_restore.record_written(["i-1"])
         self.assertEqual(set(self.corrected(engine("i-1"))), {"i-1"})
 
     def test_after_a_while_the_list_counts_alone(self):
--- a/wagtailtrestle/configuration/engine_list.py
+++ b/wagtailtrestle/configuration/engine_list.py
@@ -211,7 +211,7 @@
         read = {name: self._read_entry(name, value) for name, value in news.value_by_name.items() if value is not None}
         listed = {name: engine for name, engine in read.items() if engine is not None}
         invalid = read.keys() - listed.keys()
-        self._pre_restore.note_written(news.written_names if news.is_whole else listed.keys())
+        self._pre_restore.record_written(news.written_names if news.is_whole else listed.keys())
         listed = self._pre_restore.corrected(listed)
         by_name = self._from_full_list(listed) if news.is_whole else self._from_changes(listed, gone)
         # Whatever wrote over an engine's entry, the engine does not vouch for it any more. Its next
--- a/wagtailtrestle/configuration/pre_restore_engines.py
+++ b/wagtailtrestle/configuration/pre_restore_engines.py
@@ -54,7 +54,7 @@
             self._known_by_name.pop(name, None)
             self._gone_at_by_name[name] = now
 
-    def note_written(self, names):
+    def record_written(self, names):
         """These wrote their entries since the return: what was known before counts no more."""
         for name in names:
             self._known_by_name.pop(name, None)
