--- a/wagtailtrestle/configuration/pre_restore_engines.py
+++ b/wagtailtrestle/configuration/pre_restore_engines.py
@@ -23,12 +23,12 @@
         Seconds.
     """
 
-    __slots__ = ("_clock", "_known_by_name", "_gone_at_by_name", "_until")
+    __slots__ = ("_clock", "_known_by_name", "_departed_at_by_name", "_until")
 
     def __init__(self, *, clock):
         self._clock = clock
         self._known_by_name = {}
-        self._gone_at_by_name = {}
+        self._departed_at_by_name = {}
         self._until = None
 
     @property
@@ -40,7 +40,7 @@
     def departed_names(self):
         """Engines that left a short while ago."""
         self._forget_old()
-        return self._gone_at_by_name.keys()
+        return self._departed_at_by_name.keys()
 
     def begin(self, by_name):
         """The store came back; ``by_name`` are the engines as they were known."""
@@ -52,13 +52,13 @@
         now = self._clock()
         for name in names:
             self._known_by_name.pop(name, None)
-            self._gone_at_by_name[name] = now
+            self._departed_at_by_name[name] = now
 
     def record_written(self, names):
         """These wrote their entries since the return: what was known before counts no more."""
         for name in names:
             self._known_by_name.pop(name, None)
-            self._gone_at_by_name.pop(name, None)
+            self._departed_at_by_name.pop(name, None)
 
     def corrected(self, listed):
         """What the store lists, with the later word on each engine.
@@ -87,5 +87,5 @@
 
     def _forget_old(self):
         horizon = self._clock() - DEPARTED_RETENTION_S
-        for name in [name for name, at in self._gone_at_by_name.items() if at < horizon]:
-            del self._gone_at_by_name[name]
+        for name in [name for name, at in self._departed_at_by_name.items() if at < horizon]:
+            del self._departed_at_by_name[name]
