--- a/wagtailtrestle/configuration/pre_restore_engines.py
+++ b/wagtailtrestle/configuration/pre_restore_engines.py
@@ -74,9 +74,9 @@
         if not self.counts:
             return listed
         gone = self.departed_names
-        return {name: self._later(engine) for name, engine in listed.items() if name not in gone}
+        return {name: self._newer_of(engine) for name, engine in listed.items() if name not in gone}
 
-    def _later(self, engine):
+    def _newer_of(self, engine):
         known = self._known_by_name.get(engine.name)
         if known is None:
             return engine
