--- a/wagtailtrestle/configuration/pre_restore_engines.py
+++ b/wagtailtrestle/configuration/pre_restore_engines.py
@@ -39,7 +39,7 @@
     @property
     def departed_names(self):
         """Engines that left a short while ago."""
-        self._forget_old()
+        self._evict_expired()
         return self._departed_at_by_name.keys()
 
     def begin(self, by_name):
@@ -85,7 +85,7 @@
         is_outdated = known.start_ms > engine.start_ms or (known.leaving and not engine.leaving)
         return known if is_outdated else engine
 
-    def _forget_old(self):
+    def _evict_expired(self):
         horizon = self._clock() - DEPARTED_RETENTION_S
         for name in [name for name, at in self._departed_at_by_name.items() if at < horizon]:
             del self._departed_at_by_name[name]
