--- a/tests/test_store_epoch.py
+++ b/tests/test_store_epoch.py
@@ -12,7 +12,7 @@
 from wagtailtrestle.configuration.engine_list import MIN_RELIST_INTERVAL_S, RETRY_S, EngineList
 from wagtailtrestle.configuration.epoch_store import EpochStore
 from wagtailtrestle.configuration.pre_restore_engines import PRE_RESTORE_VALIDITY_S, PreRestoreEngines
-from wagtailtrestle.configuration.proof import CARRIED_S, Proof
+from wagtailtrestle.configuration.proof import MAX_CARRIED_AGE_S, Proof
 from wagtailtrestle.configuration.sources import PlatformSource
 from wagtailtrestle.configuration.store_epoch import RESTORE_SETTLE_S, StoreEpoch, epoch_of, make_version, revision_of
 from wagtailtrestle.contracts.declaration import DeclaredEngine
@@ -292,7 +292,7 @@
         self.read(source, epoch=1, revision=50)
         self.epoch.mark_settled()
         proved_at = source.confirmed_at
-        self.clock.now += CARRIED_S + 1.0
+        self.clock.now += MAX_CARRIED_AGE_S + 1.0
         self.read(source, epoch=2, revision=5)
         self.assertEqual(source.confirmed_at, proved_at)
 
--- a/wagtailtrestle/configuration/proof.py
+++ b/wagtailtrestle/configuration/proof.py
@@ -3,7 +3,7 @@
 from wagtailtrestle.configuration.boot_clock import boot_time_s
 from wagtailtrestle.configuration.store_epoch import StoreEpoch, epoch_of
 
-CARRIED_S = 5.0
+MAX_CARRIED_AGE_S = 5.0
 """Age up to which a proof holds over a return of the store from a copy."""
 
 
@@ -97,5 +97,5 @@
     def _carry(self):
         """The store came back: who was proved up to date just before knows at least what the copy lacks."""
         confirmed_at = self.confirmed_at
-        if confirmed_at is not None and self._clock() - confirmed_at <= CARRIED_S:
+        if confirmed_at is not None and self._clock() - confirmed_at <= MAX_CARRIED_AGE_S:
             self._proving = self._epoch.number
