--- a/wagtailtrestle/configuration/proof.py
+++ b/wagtailtrestle/configuration/proof.py
@@ -64,7 +64,7 @@
         """Note a proof of that time, one's own or a peer's."""
         self._confirmed_at = at if self._confirmed_at is None else max(self._confirmed_at, at)
 
-    def note_answer(self, version):
+    def record_answer(self, version):
         """Note the version that an answer of the store bears; what is later than an epoch's first was written in it."""
         if epoch_of(version) != epoch_of(self._first_version):
             self._first_version = version
--- a/wagtailtrestle/configuration/sources.py
+++ b/wagtailtrestle/configuration/sources.py
@@ -186,7 +186,7 @@
                 continue
             retry_s = WATCH_RETRY_S
             self._watched_version = max(self._watched_version, outcome.version)
-            self.proof.note_answer(outcome.version)
+            self.proof.record_answer(outcome.version)
             for name, version, value in outcome.value:
                 if name == self._place.name and value is not None:
                     self._offer_declaration(version, value, Source.WATCH)
@@ -265,7 +265,7 @@
         if not isinstance(outcome, StoreDone):
             return None
         self.last_read_at = asyncio.get_running_loop().time()
-        self.proof.note_answer(outcome.version)
+        self.proof.record_answer(outcome.version)
         if outcome.value is not None:
             self._offer_declaration(outcome.version, outcome.value, source)
         self.proof.note_read(began_at)
