--- a/wagtailtrestle/configuration/proof.py
+++ b/wagtailtrestle/configuration/proof.py
@@ -69,7 +69,7 @@
         if epoch_of(version) != epoch_of(self._first_version):
             self._first_version = version
 
-    def note_declaration(self, version, generation):
+    def record_declaration(self, version, generation):
         """Note a declaration that the store held."""
         if version > self._first_version and self._proving != epoch_of(version):
             # Written in this epoch, so that nothing that the copy lacks is newer. Reads before it are no proof of it.
--- a/wagtailtrestle/configuration/sources.py
+++ b/wagtailtrestle/configuration/sources.py
@@ -276,7 +276,7 @@
         if accepted is None:
             logger.error("the object {}/{} is not a declaration", self._place.kind, self._place.name)
             return
-        self.proof.note_declaration(version, accepted.generation)
+        self.proof.record_declaration(version, accepted.generation)
         # Only upwards: a stale read must not make the watch tell everything again.
         self.known_version = max(self.known_version, version)
         self._offer(accepted.generation, accepted.text, source)
