--- a/wagtailtrestle/configuration/proof.py
+++ b/wagtailtrestle/configuration/proof.py
@@ -77,7 +77,7 @@
             self._pending = None
         self._newest = max(self._newest, generation)
 
-    def note_read(self, began_at):
+    def record_read(self, began_at):
         """Note a whole read, which proves the moment at which it began once all of it is in force."""
         if self._is_proof(self._newest, began_at):
             self.confirm(began_at)
--- a/wagtailtrestle/configuration/sources.py
+++ b/wagtailtrestle/configuration/sources.py
@@ -268,7 +268,7 @@
         self.proof.record_answer(outcome.version)
         if outcome.value is not None:
             self._offer_declaration(outcome.version, outcome.value, source)
-        self.proof.note_read(began_at)
+        self.proof.record_read(began_at)
         return outcome.version
 
     def _offer_declaration(self, version, value, source):
