--- a/wagtailtrestle/configuration/proof.py
+++ b/wagtailtrestle/configuration/proof.py
@@ -40,7 +40,7 @@
         self._newest = 0
         self._first_version = 0
         self._proving = 0
-        epoch.on_restore(self._carry)
+        epoch.on_restore(self._carry_over_restore)
 
     @property
     def confirmed_at(self):
@@ -94,7 +94,7 @@
     def _proves_epoch(self):
         return self._proving == self._epoch.number
 
-    def _carry(self):
+    def _carry_over_restore(self):
         """The store came back: who was proved up to date just before knows at least what the copy lacks."""
         confirmed_at = self.confirmed_at
         if confirmed_at is not None and self._clock() - confirmed_at <= MAX_CARRIED_AGE_S:
