--- a/wagtailtrestle/configuration/proof.py
+++ b/wagtailtrestle/configuration/proof.py
@@ -28,7 +28,7 @@
         "_pending",
         "_newest",
         "_first_version",
-        "_proving",
+        "_proved_epoch",
     )
 
     def __init__(self, *, is_settled, epoch: StoreEpoch, clock=boot_time_s):
@@ -39,7 +39,7 @@
         self._pending = None
         self._newest = 0
         self._first_version = 0
-        self._proving = 0
+        self._proved_epoch = 0
         epoch.on_restore(self._carry_over_restore)
 
     @property
@@ -71,9 +71,9 @@
 
     def record_declaration(self, version, generation):
         """Note a declaration that the store held."""
-        if version > self._first_version and self._proving != epoch_of(version):
+        if version > self._first_version and self._proved_epoch != epoch_of(version):
             # Written in this epoch, so that nothing that the copy lacks is newer. Reads before it are no proof of it.
-            self._proving = epoch_of(version)
+            self._proved_epoch = epoch_of(version)
             self._pending = None
         self._newest = max(self._newest, generation)
 
@@ -92,10 +92,10 @@
         return is_whole and self._is_settled(generation)
 
     def _proves_epoch(self):
-        return self._proving == self._epoch.number
+        return self._proved_epoch == self._epoch.number
 
     def _carry_over_restore(self):
         """The store came back: who was proved up to date just before knows at least what the copy lacks."""
         confirmed_at = self.confirmed_at
         if confirmed_at is not None and self._clock() - confirmed_at <= MAX_CARRIED_AGE_S:
-            self._proving = self._epoch.number
+            self._proved_epoch = self._epoch.number
