--- a/wagtailtrestle/configuration/proof.py
+++ b/wagtailtrestle/configuration/proof.py
@@ -58,7 +58,7 @@
     @property
     def counts_own_reads(self):
         """Whether what the store holds is known to be whole, so that a read of it proves something."""
-        return self._epoch.is_settled or self._proves_epoch()
+        return self._epoch.is_settled or self._is_epoch_proved()
 
     def confirm(self, at):
         """Note a proof of that time, one's own or a peer's."""
@@ -88,10 +88,10 @@
         # A store that came back from a copy may have lost the newest configuration, which the operator writes again
         # some seconds later. A router that starts meanwhile can't tell: taken for the newest, what the copy holds
         # would prove a key that was taken away.
-        is_whole = read_at >= self._epoch.settled_at or self._proves_epoch()
+        is_whole = read_at >= self._epoch.settled_at or self._is_epoch_proved()
         return is_whole and self._is_settled(generation)
 
-    def _proves_epoch(self):
+    def _is_epoch_proved(self):
         return self._proved_epoch == self._epoch.number
 
     def _carry_over_restore(self):
