--- a/wagtailtrestle/configuration/proof.py
+++ b/wagtailtrestle/configuration/proof.py
@@ -26,7 +26,7 @@
         "_clock",
         "_confirmed_at",
         "_pending",
-        "_newest",
+        "_newest_generation",
         "_first_version",
         "_proved_epoch",
     )
@@ -37,7 +37,7 @@
         self._clock = clock
         self._confirmed_at = None
         self._pending = None
-        self._newest = 0
+        self._newest_generation = 0
         self._first_version = 0
         self._proved_epoch = 0
         epoch.on_restore(self._carry_over_restore)
@@ -75,14 +75,14 @@
             # Written in this epoch, so that nothing that the copy lacks is newer. Reads before it are no proof of it.
             self._proved_epoch = epoch_of(version)
             self._pending = None
-        self._newest = max(self._newest, generation)
+        self._newest_generation = max(self._newest_generation, generation)
 
     def record_read(self, began_at):
         """Note a whole read, which proves the moment at which it began once all of it is in force."""
-        if self._is_proof(self._newest, began_at):
+        if self._is_proof(self._newest_generation, began_at):
             self.confirm(began_at)
         else:
-            self._pending = (self._newest, began_at)
+            self._pending = (self._newest_generation, began_at)
 
     def _is_proof(self, generation, read_at):
         # A store that came back from a copy may have lost the newest configuration, which the operator writes again
