--- a/wagtailtrestle/configuration/proof.py
+++ b/wagtailtrestle/configuration/proof.py
@@ -50,7 +50,7 @@
         read a proof already, this router would vouch for such a key, to itself and to all that ask it.
         """
         pending = self._pending
-        if pending is not None and self._is_proof(*pending):
+        if pending is not None and self._proves(*pending):
             self.confirm(pending[1])
             self._pending = None
         return self._confirmed_at
@@ -79,12 +79,12 @@
 
     def record_read(self, began_at):
         """Note a whole read, which proves the moment at which it began once all of it is in force."""
-        if self._is_proof(self._newest_generation, began_at):
+        if self._proves(self._newest_generation, began_at):
             self.confirm(began_at)
         else:
             self._pending = (self._newest_generation, began_at)
 
-    def _is_proof(self, generation, read_at):
+    def _proves(self, generation, read_at):
         # A store that came back from a copy may have lost the newest configuration, which the operator writes again
         # some seconds later. A router that starts meanwhile can't tell: taken for the newest, what the copy holds
         # would prove a key that was taken away.
