--- a/wagtailtrestle/configuration/peer_configuration.py
+++ b/wagtailtrestle/configuration/peer_configuration.py
@@ -16,7 +16,7 @@
 
 MAX_PEERS_QUERIED = 8
 ASK_TIMEOUT_S = 1.0
-PACKING_LEVEL = 6
+COMPRESSION_LEVEL = 6
 """Of zlib: a declaration of 1,400 routes becomes a tenth, in a few milliseconds once for each generation. Unpacked
 it takes a link of 10 Mbit/s for seconds when all routers fetch it from the one that read it."""
 CONFIRM_TIMEOUT_S = 0.3
@@ -95,6 +95,6 @@
         if in_force is None:
             return ConfigurationText(generation=0, packed=b"")
         if self._packed.generation != in_force.generation:
-            packed = zlib.compress(in_force.text.encode(), PACKING_LEVEL)
+            packed = zlib.compress(in_force.text.encode(), COMPRESSION_LEVEL)
             self._packed = ConfigurationText(generation=in_force.generation, packed=packed)
         return self._packed
