--- a/wagtailtrestle/configuration/peer_configuration.py
+++ b/wagtailtrestle/configuration/peer_configuration.py
@@ -15,7 +15,7 @@
 )
 
 MAX_PEERS_QUERIED = 8
-ASK_TIMEOUT_S = 1.0
+QUERY_TIMEOUT_S = 1.0
 COMPRESSION_LEVEL = 6
 """Of zlib: a declaration of 1,400 routes becomes a tenth, in a few milliseconds once for each generation. Unpacked
 it takes a link of 10 Mbit/s for seconds when all routers fetch it from the one that read it."""
@@ -80,7 +80,7 @@
         return Confirmation(generation=in_force.generation, age_s=age_s)
 
     async def _fetch_from(self, name):
-        answer = await self._peers.ask(name, ConfigurationAsk(), ASK_TIMEOUT_S)
+        answer = await self._peers.ask(name, ConfigurationAsk(), QUERY_TIMEOUT_S)
         if not isinstance(answer, ConfigurationText):
             return None
         try:
