--- a/tests/test_store_readers.py
+++ b/tests/test_store_readers.py
@@ -79,7 +79,7 @@
         if name in self.silent or source in self.silent:
             await asyncio.sleep(timeout_s)
             return PeerUnreachable(peer=name, detail="no answer")
-        return self.router_by_name[name].peers._confirm(source, message, "")
+        return self.router_by_name[name].peers._answer_confirmation(source, message, "")
 
 
 class Member:
--- a/tests/utils/freshness_replay.py
+++ b/tests/utils/freshness_replay.py
@@ -116,7 +116,7 @@
 
     def tell(self):
         """What this router answers a peer now."""
-        return self._answers._confirm("peer", ConfirmationAsk(), "")
+        return self._answers._answer_confirmation("peer", ConfirmationAsk(), "")
 
     def take_word(self):
         """Let a peer's answer arrive."""
--- a/wagtailtrestle/configuration/peer_configuration.py
+++ b/wagtailtrestle/configuration/peer_configuration.py
@@ -48,7 +48,7 @@
         self._jitter = jitter or random.Random()
         self._packed = ConfigurationText(generation=0, packed=b"")
         peers.on(ConfigurationAsk, self._answer)
-        peers.on(ConfirmationAsk, self._confirm)
+        peers.on(ConfirmationAsk, self._answer_confirmation)
 
     async def fetch(self, generation, preferred_peer=None):
         """Ask ``teller``, else a few routers; return the highest generation told, if at least ``generation``."""
@@ -72,7 +72,7 @@
         answer = await self._peers.ask(reader, ConfirmationAsk(), CONFIRM_TIMEOUT_S)
         return answer if isinstance(answer, Confirmation) else None
 
-    def _confirm(self, peer, message, cell):
+    def _answer_confirmation(self, peer, message, cell):
         in_force = self._in_force()
         age_s = self._confirmed_age_s()
         if in_force is None or age_s is None:
