--- a/wagtailtrestle/configuration/peer_configuration.py
+++ b/wagtailtrestle/configuration/peer_configuration.py
@@ -53,9 +53,9 @@
     async def fetch(self, generation, preferred_peer=None):
         """Ask ``teller``, else a few routers; return the highest generation told, if at least ``generation``."""
         if preferred_peer is not None:
-            told = await self._fetch_from(preferred_peer)
-            if told is not None and told.generation >= generation:
-                return told
+            announced = await self._fetch_from(preferred_peer)
+            if announced is not None and announced.generation >= generation:
+                return announced
         names = list(self._members())
         # Asking all of 370 routers for a whole declaration would flood the asker; a few
         # are enough since a heartbeat already told that the generation is about.
