--- a/wagtailtrestle/configuration/peer_configuration.py
+++ b/wagtailtrestle/configuration/peer_configuration.py
@@ -59,8 +59,8 @@
         names = list(self._members())
         # Asking all of 370 routers for a whole declaration would flood the asker; a few
         # are enough since a heartbeat already told that the generation is about.
-        asked = self._jitter.sample(names, min(MAX_PEERS_QUERIED, len(names)))
-        answers = await asyncio.gather(*(self._fetch_from(name) for name in asked))
+        queried = self._jitter.sample(names, min(MAX_PEERS_QUERIED, len(names)))
+        answers = await asyncio.gather(*(self._fetch_from(name) for name in queried))
         held = [answer for answer in answers if answer is not None and answer.generation]
         best = max(held, key=lambda answer: answer.generation, default=None)
         if best is None or best.generation < generation:
