--- a/wagtailtrestle/configuration/status_report.py
+++ b/wagtailtrestle/configuration/status_report.py
@@ -10,7 +10,7 @@
 from wagtailtrestle.record import record
 
 FETCH_TIMEOUT_S = 2.0
-FETCH_AT_ONCE = 16
+MAX_CONCURRENT_FETCHES = 16
 
 
 @record
@@ -110,7 +110,7 @@
     if not isinstance(listed, StoreDone):
         return StoreUnavailable(detail=f"the list of VMs can't be read: {getattr(listed, 'detail', '')}")
     routers = sorted((vm for vm in listed.value if vm.role == ROUTER), key=lambda vm: vm.id)
-    slots = asyncio.Semaphore(FETCH_AT_ONCE)
+    slots = asyncio.Semaphore(MAX_CONCURRENT_FETCHES)
     answers = await asyncio.gather(*(_ask_router(vm, accepted.generation, fetch, slots) for vm in routers))
     return StatusReport(
         generation=accepted.generation,
