--- a/wagtailtrestle/configuration/status_report.py
+++ b/wagtailtrestle/configuration/status_report.py
@@ -111,7 +111,7 @@
         return StoreUnavailable(detail=f"the list of VMs can't be read: {getattr(listed, 'detail', '')}")
     routers = sorted((vm for vm in listed.value if vm.role == ROUTER), key=lambda vm: vm.id)
     slots = asyncio.Semaphore(MAX_CONCURRENT_FETCHES)
-    answers = await asyncio.gather(*(_ask_router(vm, accepted.generation, fetch, slots) for vm in routers))
+    answers = await asyncio.gather(*(_fetch_router(vm, accepted.generation, fetch, slots) for vm in routers))
     return StatusReport(
         generation=accepted.generation,
         apply_id=accepted.apply_id,
@@ -120,7 +120,7 @@
     )
 
 
-async def _ask_router(vm, accepted_generation, fetch, slots):
+async def _fetch_router(vm, accepted_generation, fetch, slots):
     if not vm.admin:
         return RouterUnreachable(id=vm.id, zone=vm.zone, is_leaving=vm.leaving, detail="no admin address on the list")
     async with slots:
