--- a/tests/test_engine_relay.py
+++ b/tests/test_engine_relay.py
@@ -303,9 +303,9 @@
         )
         fresh.record_update(version=50, age_s=0.0, changed={"i-9": entry(address="10.0.0.9:80")})
         fleet.members_by_router[other] = (reader,)
-        news = await fleet.relay_by_router[other].fetch_update(3)
-        self.assertTrue(news.is_whole)
-        self.assertEqual(set(news.value_by_name), {"i-9"})
+        update = await fleet.relay_by_router[other].fetch_update(3)
+        self.assertTrue(update.is_whole)
+        self.assertEqual(set(update.value_by_name), {"i-9"})
         await fleet.close()
 
 
--- a/wagtailtrestle/configuration/engine_list.py
+++ b/wagtailtrestle/configuration/engine_list.py
@@ -121,26 +121,26 @@
 
     async def _step(self):
         """Take one answer of a router or of the store; whether there was one."""
-        news = await self._query_relay()
-        if news is None:
-            news = await self._query_store()
-        if news is None:
+        update = await self._query_relay()
+        if update is None:
+            update = await self._query_store()
+        if update is None:
             if self._relay is not None:
                 self._relay.readers.pause_self()
             return False
         self._record_answer()
-        self._apply_update(news)
+        self._apply_update(update)
         return True
 
     async def _query_relay(self):
         """What a router that reads the store tells; ``None`` where this one has to ask the store."""
         if self._relay is None or not self.is_known or self._missing_kept_until is not None:
             return None
-        news = await self._relay.fetch_update(self._version)
-        if news is not None:
+        update = await self._relay.fetch_update(self._version)
+        if update is not None:
             # Should the routers fall silent, the store is read whole at once.
             self._listed_at = None
-        return news
+        return update
 
     async def _query_store(self):
         """List or watch once; ``None`` if the store didn't answer."""
@@ -201,32 +201,34 @@
             self._missing_kept_until = now + self._return_grace_s
         self._answered_at = now
 
-    def _apply_update(self, news):
-        if news.is_whole and news.version < self._version:
+    def _apply_update(self, update):
+        if update.is_whole and update.version < self._version:
             return  # An older whole than what is known here.
-        if epoch_of(news.version) != epoch_of(self._version):
-            self._begin_epoch(news)
-        self._version = max(self._version, news.version)
-        gone = {name for name, value in news.value_by_name.items() if value is None}
-        read = {name: self._read_entry(name, value) for name, value in news.value_by_name.items() if value is not None}
+        if epoch_of(update.version) != epoch_of(self._version):
+            self._begin_epoch(update)
+        self._version = max(self._version, update.version)
+        gone = {name for name, value in update.value_by_name.items() if value is None}
+        read = {
+            name: self._read_entry(name, value) for name, value in update.value_by_name.items() if value is not None
+        }
         listed = {name: engine for name, engine in read.items() if engine is not None}
         invalid = read.keys() - listed.keys()
-        self._pre_restore.record_written(news.written_names if news.is_whole else listed.keys())
+        self._pre_restore.record_written(update.written_names if update.is_whole else listed.keys())
         listed = self._pre_restore.corrected(listed)
-        by_name = self._from_full_list(listed) if news.is_whole else self._from_changes(listed, gone)
+        by_name = self._from_full_list(listed) if update.is_whole else self._from_changes(listed, gone)
         # Whatever wrote over an engine's entry, the engine does not vouch for it any more. Its next
         # word of itself brings it back.
         by_name = {name: engine for name, engine in by_name.items() if name not in invalid}
         self.is_known = True
-        self._publish(by_name, news)
+        self._publish(by_name, update)
 
-    def _begin_epoch(self, news):
+    def _begin_epoch(self, update):
         """The store came back from a copy: engines that started since need a moment to list themselves again."""
-        self._first_version = news.version
+        self._first_version = update.version
         if not self.is_known:
             return
         self._pre_restore.begin(self.by_name)
-        if not news.is_relayed:
+        if not update.is_relayed:
             # Who reads the store waits for them; to the others it tells what it keeps.
             self._missing_kept_until = self._clock() + self._return_grace_s
 
@@ -245,13 +247,13 @@
                 by_name.pop(name, None)
         return by_name
 
-    def _publish(self, by_name, news):
+    def _publish(self, by_name, update):
         self._pre_restore.record_departed(self.by_name.keys() - by_name.keys())
         known, facts = _compared_fields(self.by_name), _compared_fields(by_name)
         changed = {name for name in known.keys() | facts.keys() if known.get(name) != facts.get(name)}
         if self._relay is not None:
-            values = {name: news.value_by_name[name] if name in by_name else None for name in changed}
-            self._relay.record_update(version=self._version, age_s=news.age_s, changed=values)
+            values = {name: update.value_by_name[name] if name in by_name else None for name in changed}
+            self._relay.record_update(version=self._version, age_s=update.age_s, changed=values)
         if not changed:
             return
         self._log_changes(by_name)
--- a/wagtailtrestle/configuration/engine_relay.py
+++ b/wagtailtrestle/configuration/engine_relay.py
@@ -147,9 +147,9 @@
         """
         wait_s = self.limits.wait_s
         for reader in self.readers.readers_to_query():
-            news = await self._query_reader(reader, version, wait_s)
-            if news is not None:
-                return news
+            update = await self._query_reader(reader, version, wait_s)
+            if update is not None:
+                return update
             # What was believed until now is getting old: the next is to answer at once.
             wait_s = 0.0
         return None
