--- a/wagtailtrestle/configuration/__init__.py
+++ b/wagtailtrestle/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""The declaration in force on one router."""
+"""The declaration in force on a router, and the store that it comes from."""
--- a/wagtailtrestle/configuration/configuration.py
+++ b/wagtailtrestle/configuration/configuration.py
@@ -1,7 +1,7 @@
-"""Keeps the declaration in force on one router: only ever a higher generation.
+"""Maintains the declaration in force on one router; its generation only increases.
 
-Three sources bring declarations: a watch on the platform, bounded polling, and peers.
-Any one of them is enough; see ``docs/design/configuration.md``.
+Declarations come from three sources: a watch on the platform, polling at a bounded interval, and peers.
+Any one of them is sufficient; see ``docs/design/configuration.md``.
 """
 
 import asyncio
@@ -29,14 +29,14 @@
 DEFAULT_POLL_INTERVAL_S = 2.0
 DEFAULT_WATCH_TIMEOUT_S = 30.0
 DEFAULT_START_WAIT_S = 5.0
-# With a peer's answer in hand, how much longer the platform may take to confirm.
+# How long to wait for the platform's confirmation once a peer has answered.
 PLATFORM_GRACE_S = 1.0
 MAX_REJECTED_KEPT = 16
 
 
 @record
 class InForce:
-    """The declaration that this router goes by."""
+    """The declaration in force on this router."""
 
     generation: int
     declaration: Declaration
@@ -51,32 +51,32 @@
 
 
 class Configuration:
-    """The declaration in force and the tasks that keep it up to date.
+    """The declaration in force, and the tasks that update it.
 
     Parameters
     ----------
     store : ObjectStore
     parse : callable
-        ``parse(text)`` gives a ``Declaration`` or a ``DeclarationFaults``.
+        ``parse(text)`` returns a ``Declaration`` or a ``DeclarationFaults``.
     on_change : callable
         ``on_change(in_force)``, called on the loop after each change.
-    ask_peers : callable
-        ``await ask_peers(generation, teller)`` asks reachable peers, ``teller`` first if not
-        ``None``, for their declaration if it is at least ``generation`` and gives a ``PeersAnswer``.
+    query_peers : callable
+        ``await query_peers(generation, preferred_peer)`` requests a declaration of at least ``generation`` from
+        reachable peers, ``preferred_peer`` first if not ``None``, and returns a ``PeersAnswer``.
     executor : concurrent.futures.Executor, optional
-        Where ``parse`` runs; on the loop itself when ``None``.
+        Runs ``parse``; with ``None`` it runs on the event loop.
     poll_interval_s, watch_timeout_s : float
     start_wait_s : float
-        How long a starting router tries to have its first declaration confirmed.
+        How long a starting router waits for its first declaration to be confirmed.
     jitter : random.Random, optional
     place : DeclarationPlace, optional
-        Where the store holds the declaration; the product's own by default.
+        Where the store holds the declaration; by default the object that ``wagtailtrestle apply`` writes.
     readers : StoreReaders, optional
-        Who reads the platform for others; without it every router watches and polls it.
-    ask_confirmation : callable, optional
-        Asks one of them how lately the platform confirmed its declaration.
+        Selects the routers that read the platform for all; without it every router watches and polls it.
+    request_confirmation : callable, optional
+        Requests from a reader the time since the platform confirmed its declaration.
     epoch : StoreEpoch, optional
-        Of the platform's store.
+        Epoch of the platform's store.
     """
 
     def __init__(
@@ -142,9 +142,9 @@
         return self.in_force.generation if self.in_force else NO_GENERATION
 
     def confirmed_age_s(self):
-        """Seconds since the platform last showed its newest declaration; ``None`` if it never did.
+        """Seconds since the declaration in force was last confirmed as the newest; ``None`` if it never was.
 
-        Called from any thread.
+        May be called from any thread.
         """
         confirmed_at = self._platform.confirmed_at
         return None if confirmed_at is None else boot_time_s() - confirmed_at
@@ -163,13 +163,13 @@
             task.add_done_callback(lambda ended: report_broken(ended, "a task of the configuration ended"))
 
     async def close(self):
-        """End the tasks; what is in force stays readable."""
+        """Cancel the tasks; the declaration in force stays readable."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
     def offer(self, generation, text, source):
-        """Take a declaration from any source; put in force if it is the highest."""
+        """Accept a declaration from any source; put it in force if its generation is the highest."""
         self._highest_seen = max(self._highest_seen, generation)
         if self._is_known(generation):
             return
@@ -177,7 +177,7 @@
         self._has_candidate.set()
 
     def observe_generation(self, generation, peer=None):
-        """Note the generation that a peer's heartbeat carries."""
+        """Process the generation that a peer's heartbeat carries."""
         self._peers.observe_generation(generation, peer)
 
     def dump(self):
@@ -204,9 +204,9 @@
     # Putting in force
 
     async def _adopt(self):
-        """Put candidates in force one after the other, always the newest one there is."""
-        # Before the start is decided, what was read first may be stale: putting it in
-        # force would take this router back behind what it had before its restart.
+        """Put candidates in force one at a time, always the newest available."""
+        # Until the start is decided, the first read may be stale: putting it in force could
+        # take this router back to a generation below the one it had before its restart.
         await self._is_start_decided.wait()
         while True:
             await self._has_candidate.wait()
@@ -226,7 +226,7 @@
         log = logger.bind(generation=candidate.generation, source=candidate.source)
         if not isinstance(parsed, Declaration):
             self._reject(candidate, tuple(parsed.faults))
-            log.error("declaration not put in force, it has {} faults", len(parsed.faults))
+            log.error("declaration not put in force: {} faults found", len(parsed.faults))
             return
         self.in_force = InForce(generation=candidate.generation, declaration=parsed, text=candidate.text)
         self._in_force_since = asyncio.get_running_loop().time()
@@ -236,29 +236,29 @@
         self._on_change(self.in_force)
 
     def _reject(self, candidate, faults):
-        """Remember a declaration that can't be put in force, so that it is parsed once."""
+        """Record a declaration that can't be put in force, so that it is parsed only once."""
         self._faults_by_generation[candidate.generation] = faults
         for generation in sorted(self._faults_by_generation)[:-MAX_REJECTED_KEPT]:
             del self._faults_by_generation[generation]
 
     def _is_settled(self, generation):
-        """Whether a declaration is in force, or was refused and never will be."""
+        """Whether a generation is in force or superseded, or was rejected."""
         return generation <= self.generation or generation in self._faults_by_generation
 
     def _is_known(self, generation):
-        """Whether there is nothing to gain from a declaration of this generation."""
+        """Whether a declaration of this generation is not needed: in force, superseded, pending or rejected."""
         newest = self._candidate.generation if self._candidate else NO_GENERATION
         return generation <= max(newest, self.generation) or generation in self._faults_by_generation
 
     # Start
 
     async def _decide_start(self):
-        """Decide what to begin with; nothing is in force before.
+        """Choose the first declaration; none is in force before.
 
-        A router that restarts remembers nothing, and its first read may be stale. So it
-        begins with the first of: what the platform confirms as its newest; when that
-        can't be had, the highest of what peers and the platform tell; after
-        ``start_wait_s`` without either, whatever was read, reported as not confirmed.
+        A restarted router keeps no state, and its first read may be stale. It starts with the first
+        available of: the declaration that the platform confirms as its newest; if there is no
+        confirmation, the highest generation from peers and the platform; after ``start_wait_s``
+        without either, any declaration that was read, reported as not confirmed.
         """
         loop = asyncio.get_running_loop()
         platform = loop.create_task(self._platform.wait_until_confirmed())
