--- a/wagtailtrestle/configuration/sources.py
+++ b/wagtailtrestle/configuration/sources.py
@@ -1,4 +1,4 @@
-"""Where declarations come from: the platform by watch and by polling, and peers."""
+"""Sources of declarations: the platform, by watch and by polling, and peers."""
 
 import asyncio
 from enum import StrEnum
@@ -18,27 +18,27 @@
 START_RETRY_MAX_S = 5.0
 WATCH_RETRY_S = 0.5
 WATCH_RETRY_MAX_S = 5.0
-# Longer than any store needs to give up on a silent watch by itself.
+# Exceeds the time after which any store client abandons a silent watch by itself.
 WATCH_MARGIN_S = 5.0
-# A peer's generation is mostly on its way to us by the watch as well.
+# A generation that a peer announces usually arrives here by the watch as well.
 PEER_DELAY_S = 0.2
 PEER_DELAY_WITH_READERS_S = 0.03
-"""The same where only a few routers have a watch: long enough for one fetch to serve several tellings."""
+"""The same delay where only a few routers watch: long enough for one fetch to serve several announcements."""
 PEER_TIMEOUT_S = 2.0
 READER_CHECK_INTERVAL_S = 0.5
-"""How often a router looks whether it has become one that reads for others; their changes are rare, and the
-other readers watch meanwhile."""
+"""Interval at which a router checks whether it has become a reader; readers change rarely, and the other
+readers watch meanwhile."""
 FETCH_TIMEOUT_S = 0.5
-"""A declaration of a thousand routes passes a slow link within so long."""
+"""Time in which a declaration of a thousand routes crosses a slow link."""
 FETCH_CHECK_INTERVAL_S = 0.05
 READER_POLL_INTERVAL_S = 1.5
-"""Time between two reads of a router that reads for others: two reads in three seconds for each such router, and
-no others while they last. A longer one leaves no time to ask a second reader before proofs of keys run out."""
+"""Interval between two reads by a reader: two reads in three seconds for each reader, and none by other routers.
+A longer interval leaves no time to query a second reader before proofs of keys expire."""
 MAX_CONFIRMATION_AGE_S = 2.2
-"""A peer's word counts if the platform confirmed its configuration so lately: a reader's interval, and a read
-that had to be repeated on a new connection. With the asker's own interval a proof is at most 3.5 s old while one
-reader answers; operators grant a revoked key five."""
-# No object is ever at this version, so an update that asks for it never takes effect.
+"""Maximum age of a peer's confirmation: a reader's interval, and a read that had to be repeated on a new
+connection. With the requester's own interval a proof is at most 3.5 s old while one reader answers; operators
+allow a revoked key five."""
+# No object is ever at this version, so an update conditional on it never takes effect.
 NO_VERSION = 0
 
 
@@ -52,16 +52,16 @@
 
 @record
 class PeersAnswer:
-    """What reachable peers have in force.
+    """The highest declaration in force among the peers that answered.
 
     Parameters
     ----------
     answered : int
-        Peers that answered and have a declaration in force.
+        Number of peers that answered and have a declaration in force.
     generation : int
-        The highest of theirs, 0 if none.
+        The highest generation among them, 0 if none.
     text : str
-        Its text.
+        Text of that declaration.
     """
 
     answered: int = 0
@@ -70,15 +70,15 @@
 
 
 class NativeDeclarations:
-    """Where a declaration that ``wagtailtrestle apply`` wrote lies, and how it is read."""
+    """Location and reading of the declaration that ``wagtailtrestle apply`` writes."""
 
     kind = DECLARATION_KIND
     name = DECLARATION_NAME
     reads_are_newest = False
-    """A read may come from a copy that lags, so that its being the newest needs a proof."""
+    """A read may come from a replica that lags, so it has to be proved to be the newest."""
 
     def accepted(self, *, version, value):
-        """The declaration that an object holds, or ``None`` if it holds none."""
+        """Return the declaration that an object holds, or ``None`` if it holds none."""
         return accepted_from_value(version=version, value=value)
 
 
@@ -89,23 +89,23 @@
     ----------
     store : ObjectStore
     place : DeclarationPlace
-        Where the declaration lies in the store and how its object is read.
+        Location of the declaration in the store, and how its object is read.
     offer : callable
         ``offer(generation, text, source)``.
     poll_interval_s, watch_timeout_s : float
     jitter : random.Random
     readers : StoreReaders, optional
-        Who reads the platform for others; without it every router does.
-    ask_confirmation : callable, optional
-        ``await ask_confirmation(reader)`` gives that router's ``Confirmation`` or ``None``.
+        Selects the routers that read the platform for all; without it every router reads it.
+    request_confirmation : callable, optional
+        ``await request_confirmation(reader)`` returns that router's ``Confirmation`` or ``None``.
     generation : callable, optional
-        The generation in force.
-    heard : callable, optional
-        ``heard(generation, peer)`` notes a generation that a peer told.
+        Returns the generation in force.
+    observe_generation : callable, optional
+        ``observe_generation(generation, peer)`` processes a generation that a peer reported.
     is_settled : callable, optional
-        ``is_settled(generation)`` tells whether a generation that was read is in force, or can't be.
+        ``is_settled(generation)`` returns whether a generation that was read is in force, or can't be.
     epoch : StoreEpoch, optional
-        Of the store.
+        Epoch of the store.
 
     Attributes
     ----------
@@ -166,18 +166,18 @@
         return self.proof.confirmed_at
 
     async def watch(self):
-        """Wait for changes; a silent watch is given up, and polling covers the gap."""
+        """Watch for changes; a silent watch is abandoned, and polling covers the gap."""
         retry_s = WATCH_RETRY_S
         while True:
             if not self._reads_platform():
                 # A watch of its own would cost each router a call for each change and each time it ends,
-                # and tell nothing that the readers' heartbeats don't.
+                # and deliver nothing that the readers' heartbeats don't.
                 await asyncio.sleep(READER_CHECK_INTERVAL_S)
                 continue
             outcome = await self._watch_once()
             if isinstance(outcome, StoreHistoryGone):
-                # What changed since is nowhere to be had piece by piece: the whole is read, and the
-                # watch goes on from there.
+                # The changes since that version can't be had one by one: the declaration is read, and
+                # the watch continues from the version read.
                 version = await self._read(Source.POLL)
                 self._watched_version = version if version is not None else self._watched_version
             if not isinstance(outcome, StoreDone):
@@ -203,15 +203,15 @@
             return None
 
     async def poll(self):
-        """Read at a bounded interval: finds what a silent watch or a dropped event hid."""
+        """Read at a bounded interval, which finds changes that a silent watch or a dropped event missed."""
         while True:
             await asyncio.sleep(self._poll_s() * self._jitter.uniform(1 - POLL_JITTER, 1 + POLL_JITTER))
             if await self._is_confirmed_by_reader():
                 continue
             if await self._read(Source.POLL) is None:
-                # Whatever silenced the watch mostly silenced the poll's idle connection
-                # too, and that cost this poll its whole timeout. The store is on a new
-                # connection now; once more at once, and only once, keeps outages cheap.
+                # A fault that silences the watch usually silences the poll's idle connection
+                # too, and this poll spent its full timeout on it. The store is on a new
+                # connection now; a single immediate retry keeps outages cheap.
                 await asyncio.sleep(POLL_RETRY_S * self._jitter.uniform(0.5, 1.0))
                 if await self._read(Source.POLL) is None and self._readers is not None:
                     self._readers.pause_self()
@@ -224,11 +224,11 @@
         return max(READER_POLL_INTERVAL_S, self._poll_interval_s) if shares else self._poll_interval_s
 
     async def _is_confirmed_by_reader(self):
-        """Whether the word of a router that reads the platform spares a read of one's own."""
+        """Whether a reader's confirmation makes a read of the platform unnecessary."""
         if self._readers is None:
             return False
         for reader in self._readers.readers_to_query() or self._other_readers_if_unproved():
-            # Counted from before the question: an answer that was long on its way is no fresher for it.
+            # The age counts from before the request: a delayed answer is not fresher for its delay.
             requested_at = boot_time_s()
             confirmation = await self._request_confirmation(reader)
             if confirmation is None or not 0.0 <= confirmation.age_s <= MAX_CONFIRMATION_AGE_S:
@@ -243,20 +243,20 @@
         return False
 
     def _other_readers_if_unproved(self):
-        """Other readers, for one that reads the store itself and can't tell yet whether it is whole."""
+        """The other readers, for a reader that can't tell yet whether the store is complete; else none."""
         return () if self.proof.counts_own_reads else self._readers.other_readers()
 
     async def _wait_until_in_force(self, generation):
-        """Wait until a generation that a peer told is in force here, or for as long as fetching it mostly takes.
+        """Wait until a generation that a peer reported is in force here, for at most the usual time of a fetch.
 
-        Were the platform read at once, each change would cost a read by every router.
+        Reading the platform immediately would cost a read by every router for each change.
         """
         until = boot_time_s() + FETCH_TIMEOUT_S
         while self._generation() < generation and boot_time_s() < until:
             await asyncio.sleep(FETCH_CHECK_INTERVAL_S)
 
     async def _read(self, source):
-        """Read the declaration; its version (``NEVER_A_VERSION`` if absent), or ``None`` if it can't be read."""
+        """Read the declaration; return its version (``NO_VERSION`` if absent), or ``None`` if it can't be read."""
         known = self.known_version or None
         began_at = boot_time_s()
         outcome = await self._store.get(kind=self._place.kind, name=self._place.name, unless_version=known)
@@ -274,15 +274,15 @@
     def _offer_declaration(self, version, value, source):
         accepted = self._place.accepted(version=version, value=value)
         if accepted is None:
-            logger.error("the object {}/{} is not a declaration", self._place.kind, self._place.name)
+            logger.error("object {}/{} is not a valid declaration", self._place.kind, self._place.name)
             return
         self.proof.record_declaration(version, accepted.generation)
-        # Only upwards: a stale read must not make the watch tell everything again.
+        # The version only increases: a stale read must not make the watch repeat events.
         self.known_version = max(self.known_version, version)
         self._offer(accepted.generation, accepted.text, source)
 
     async def wait_until_confirmed(self):
-        """Return once one read is proved to be the newest."""
+        """Return once a read is proved to be the newest."""
         retry_s = START_RETRY_S
         while not await self._read_confirmed():
             await asyncio.sleep(retry_s * self._jitter.uniform(0.5, 1.0))
@@ -291,8 +291,8 @@
     async def _read_confirmed(self):
         """Read the declaration; ``True`` if the read is proved not to be stale.
 
-        The proof is an update that asks for a version no object ever has: it is refused
-        with the object's true version and changes nothing.
+        The proof is an update conditional on a version that no object ever has: it is refused
+        with the object's current version and changes nothing.
         """
         read_version = await self._read(Source.POLL)
         if read_version is None:
@@ -308,20 +308,20 @@
 
 
 class PeerSource:
-    """Fetches declarations from peers, told by their heartbeats or asked at the start.
+    """Fetches declarations from peers: those that heartbeats announce, and one at the start.
 
     Parameters
     ----------
-    ask_peers : callable
-        ``await ask_peers(generation, teller)`` gives a :class:`PeersAnswer`; ``teller`` is a peer that
-        has that generation, or ``None``.
+    query_peers : callable
+        ``await query_peers(generation, preferred_peer)`` returns a :class:`PeersAnswer`; ``preferred_peer`` is a
+        peer that has that generation, or ``None``.
     offer : callable
         ``offer(generation, text, source)``.
     is_known : callable
-        ``is_known(generation)`` tells whether there is nothing to gain from it.
+        ``is_known(generation)`` returns whether a declaration of that generation is not needed.
     jitter : random.Random
     delay_s : float
-        Mean time between hearing of a declaration and fetching it.
+        Mean delay between the announcement of a declaration and its fetch.
     """
 
     __slots__ = (
@@ -346,7 +346,7 @@
         self._has_observed = asyncio.Event()
 
     def observe_generation(self, generation, peer=None):
-        """Note the generation that a peer's heartbeat carries."""
+        """Process the generation that a peer's heartbeat carries."""
         if generation > self.highest_observed or not self._is_known(generation):
             if generation >= self.highest_observed:
                 self._preferred_peer = peer
@@ -354,22 +354,22 @@
             self._has_observed.set()
 
     async def fetch_first(self):
-        """Return once at least one peer that has a declaration in force has answered."""
+        """Return once at least one peer with a declaration in force has answered."""
         while not await self._fetch(NO_GENERATION + 1, None):
             await asyncio.sleep(START_RETRY_S)
 
     async def follow(self):
-        """Fetch what heartbeats tell of, unless it comes by itself."""
+        """Fetch generations that heartbeats announce, unless another source brings them first."""
         while True:
             await self._has_observed.wait()
             self._has_observed.clear()
             await asyncio.sleep(self._delay_s * self._jitter.uniform(0.5, 1.5))
             if not self._is_known(self.highest_observed):
-                # When no peer gives it, the next heartbeat asks again.
+                # If no peer returns it, the next heartbeat triggers another fetch.
                 await self._fetch(self.highest_observed, self._preferred_peer)
 
     async def _fetch(self, generation, preferred_peer):
-        """Ask for a declaration of at least ``generation``; whether one came."""
+        """Fetch a declaration of at least ``generation`` from peers; ``True`` if one answered."""
         try:
             async with asyncio.timeout(PEER_TIMEOUT_S):
                 answer = await self._query_peers(generation, preferred_peer)
