--- a/wagtailtrestle/configuration/applying.py
+++ b/wagtailtrestle/configuration/applying.py
@@ -1,4 +1,4 @@
-"""The one conditional update behind ``apply``, settled when its answer is lost.
+"""The conditional update behind ``apply``, and how its outcome is determined when the answer is lost.
 
 The declaration is one object whose value carries its generation, the id of the apply
 that wrote it and a short history of earlier ids; see ``docs/design/configuration.md``.
@@ -14,8 +14,8 @@
 READ_TRIES = 3
 SETTLE_TRIES = 6
 SETTLE_PAUSE_S = 0.5
-# Applies remembered in the value: 2,500 changes a day are two a minute, so this covers
-# many times the few seconds that settling takes.
+# Number of applies in the value's history: 2,500 changes a day are two a minute, so this
+# covers many times the few seconds in which an unanswered update is settled.
 HISTORY_LENGTH = 32
 NO_GENERATION = 0
 
@@ -29,9 +29,9 @@
 
 @record
 class ApplyConflict:
-    """Certainly not applied: ``generation``, applied by ``by``, stands in its way.
+    """Certainly not applied: it conflicts with ``generation``, which the apply ``by`` wrote.
 
-    ``by`` is an apply id, empty when it can't be told.
+    ``by`` is an apply id, empty when it is not known.
     """
 
     generation: int
@@ -47,7 +47,7 @@
 
 @record
 class ApplyUnknown:
-    """The update was sent, no answer came, and reading back could not settle it."""
+    """The update was sent without an answer, and reading it back did not determine the outcome."""
 
     detail: str
 
@@ -86,7 +86,7 @@
 
 
 def accepted_from_value(*, version, value):
-    """Build from the object's value; ``None`` if it is not a declaration of ours."""
+    """Build from the object's value; ``None`` if ``apply`` did not write it."""
     try:
         history = {int(item["generation"]): str(item["apply_id"]) for item in value.get("recent", ())}
         return Accepted(
@@ -115,7 +115,7 @@
             return NOTHING_ACCEPTED
         case StoreDone(version=version, value=value):
             accepted = accepted_from_value(version=version, value=value)
-            return accepted or StoreUnavailable(detail="the object declarations/current is not a declaration")
+            return accepted or StoreUnavailable(detail="object declarations/current is not a valid declaration")
     return StoreUnavailable(detail=getattr(outcome, "detail", ""))
 
 
@@ -126,13 +126,13 @@
     ----------
     store : ObjectStore
     text : str
-        The whole declaration, already checked.
+        The complete declaration, already checked.
     apply_id : str
-        Unique for ever; tells this apply from any other when an answer was lost.
+        Unique over all applies; identifies this one when an answer was lost.
     clock : callable
-        Returns Unix seconds, only recorded.
+        Returns Unix seconds, which are only recorded.
     base_generation : int, optional
-        The generation this text was made from; a conflict if another is accepted now.
+        The generation this text was edited from; a conflict if another is accepted now.
 
     Returns
     -------
@@ -143,8 +143,8 @@
         return ApplyNotDone(detail=f"the accepted declaration can't be read: {base.detail}")
     generation = base.generation
     if base is NOTHING_ACCEPTED and base_generation:
-        # The operator knows of a generation that the platform lost. Routers only ever go
-        # up, so a new first generation would be accepted and never be in force.
+        # The platform lost a generation that the operator knows. Routers never go back to a
+        # lower one, so generation 1 would be accepted and never be put in force.
         generation = base_generation
     if base_generation is not None and base_generation != generation:
         return ApplyConflict(generation=base.generation, by=base.apply_id)
@@ -153,7 +153,7 @@
 
 
 async def _read_base(store, at_least):
-    """Read what to update; a read below ``at_least`` may be stale and is repeated."""
+    """Read the declaration to update; a read below ``at_least`` may be stale and is repeated."""
     for attempt in range(READ_TRIES):
         if attempt:
             await asyncio.sleep(SETTLE_PAUSE_S)
@@ -176,7 +176,7 @@
 
 
 class _Update:
-    """One apply's update and whatever it takes to learn what came of it."""
+    """The update of one apply, and the calls that determine its outcome."""
 
     __slots__ = ("_store", "_base", "_value", "_generation", "_apply_id", "_may_be_applied")
 
@@ -189,7 +189,7 @@
         self._may_be_applied = False
 
     async def run(self):
-        """Send the update once; settle it if no answer came."""
+        """Send the update once; determine its outcome by further calls if no answer came."""
         outcome = await self._send()
         match outcome:
             case StoreDone():
@@ -209,12 +209,12 @@
         )
 
     async def _settle(self):
-        """Learn whether an update without an answer took effect.
+        """Determine whether an update without an answer took effect.
 
-        Finding our id by reading proves that it did; not finding it proves nothing, since
-        the update may still be on its way. Sending the very same conditional update again
-        does: of the two, at most one can take effect, and once the version has moved on,
-        neither can any more.
+        A read that shows our id proves that it did; a read without it proves nothing, since
+        the update may still be in transit. Sending the same conditional update again gives
+        proof: at most one of the two can take effect, and once the version has changed,
+        neither can.
         """
         detail = ""
         for _ in range(SETTLE_TRIES):
@@ -229,17 +229,17 @@
                 case StoreConflict() | StoreAbsent():
                     return await self._resolve_conflict()
             detail = outcome.detail
-        return ApplyUnknown(detail=f"no answer, and {SETTLE_TRIES} tries to read it back failed: {detail}")
+        return ApplyUnknown(detail=f"no answer, and {SETTLE_TRIES} attempts to read it back failed: {detail}")
 
     async def _find_own_id(self):
-        """Outcome told by what the platform holds; ``None`` if that tells nothing."""
+        """Outcome according to the platform's object; ``None`` if that does not determine it."""
         accepted = await read_accepted(store=self._store)
         if isinstance(accepted, StoreUnavailable):
             return None
         return self._outcome_from(accepted)
 
     def _outcome_from(self, accepted):
-        """Whoever is recorded under our generation is the one that got it."""
+        """Outcome according to the apply that the history records under our generation."""
         owner = accepted.ids_by_generation.get(self._generation)
         if owner is None:
             return None
@@ -248,10 +248,10 @@
         return ApplyConflict(generation=accepted.generation, by=accepted.apply_id)
 
     async def _resolve_conflict(self):
-        """Our update was refused: find out whose stands there, which may be our own.
+        """Find the apply that our refused update conflicts with, which may be our own earlier attempt.
 
         A read may be stale and still show our base, so it is repeated until it shows
-        who got our generation.
+        which apply got our generation.
         """
         newest = self._generation
         for _ in range(SETTLE_TRIES):
@@ -263,5 +263,5 @@
                 newest = max(newest, accepted.generation)
             await asyncio.sleep(SETTLE_PAUSE_S)
         if self._may_be_applied:
-            return ApplyUnknown(detail="another apply followed and the history does not tell whether ours came first")
+            return ApplyUnknown(detail="another apply followed, and the history does not show whether ours came first")
         return ApplyConflict(generation=newest)
