--- a/wagtailtrestle/configuration/engine_list.py
+++ b/wagtailtrestle/configuration/engine_list.py
@@ -1,8 +1,8 @@
-"""The engines that list themselves in the platform's store, followed through its outages.
+"""The list of engines that register in the platform's store, maintained through the store's outages.
 
-A list read whole and a watch keep it up to date. What the store tells is taken as it comes, but
-for one case: entries expire while the store is out, though their engines live. After an outage an
-entry that is missing is kept for a moment, and taken for gone if it is missing still.
+A full read and a watch keep the list up to date. The store's answers are applied as they are, with one
+exception: entries expire during a store outage although their engines live. After an outage a missing
+entry is kept for a grace period and removed if it is still missing then.
 """
 
 import asyncio
@@ -16,44 +16,45 @@
 from wagtailtrestle.contracts.outcomes import StoreDone, StoreHistoryGone
 
 WATCH_TIMEOUT_S = 2.0
-"""Longest wait of one watch: a connection gone silent is found so much later, and a little more. With the
-store's margin and a whole read it stays under three seconds; each shorter second costs a call."""
+"""Longest wait of one watch, and so the main part of the delay until a silent connection is detected. With the
+store's margin and a full read the delay stays under three seconds; each second less costs a call."""
 RELIST_INTERVAL_S = 8.0
-"""Between two whole reads: finds what a watch that heard nothing missed."""
+"""Interval between two full reads, which find changes that a silent watch missed."""
 RETRY_S = 0.1
 MAX_RETRY_S = 1.0
 MIN_RELIST_INTERVAL_S = 0.5
-"""Age of a whole read up to which a history that is gone again is retried with a pause: a store that keeps none would
-be asked a hundred times a second by each reader."""
+"""If the history is gone again within this time of a full read, the next read is delayed: each reader would otherwise
+query a store that keeps no history a hundred times a second."""
 DEFAULT_RETURN_GRACE_S = 2.0
-"""How long after an outage engines need to list themselves again."""
+"""How long engines need after an outage to write their entries again."""
 MIN_OUTAGE_S = 0.8
-"""A store that answered nothing for so long may have let entries expire."""
+"""Without an answer for this long beyond a watch, the store may have let entries expire."""
 
 
 class EngineList:
-    """Engines by name as the store lists them.
+    """Engines by name, as the store lists them.
 
     Parameters
     ----------
     store : ObjectStore
     kind : str
     read_entry : callable
-        ``read_entry(name, value)`` gives a ``DeclaredEngine``, or ``None`` if it can't.
+        ``read_entry(name, value)`` returns a ``DeclaredEngine``, or ``None`` if the entry is invalid.
     on_change : callable
         ``on_change(by_name)``, called on the loop after each change.
     clock : callable
-        The loop's time, seconds.
+        Returns the event loop's time in seconds.
     return_grace_s : float
+        How long after an outage missing entries are kept.
     jitter : random.Random, optional
     relay : EngineRelay, optional
-        Asked before the store, where routers tell each other of engines.
+        Queried before the store, where routers relay engine entries to each other.
 
     Attributes
     ----------
     by_name : dict of str to DeclaredEngine
     is_known : bool
-        Whether the list was ever read.
+        Whether the list has been read at least once.
     """
 
     def __init__(
@@ -87,11 +88,11 @@
         self._task = None
 
     def start(self):
-        """Begin to follow; must be called on the running event loop."""
+        """Start the task that follows the list; must be called on the running event loop."""
         self._task = asyncio.get_running_loop().create_task(self._follow())
 
     async def close(self):
-        """Stop; the last list stays readable."""
+        """Stop the task; the last list stays readable."""
         self._task.cancel()
         await asyncio.gather(self._task, return_exceptions=True)
 
@@ -120,7 +121,7 @@
                 retry_s = min(MAX_RETRY_S, 2 * retry_s)
 
     async def _step(self):
-        """Take one answer of a router or of the store; whether there was one."""
+        """Apply one answer from a reader or from the store; ``False`` if there was none."""
         update = await self._query_relay()
         if update is None:
             update = await self._query_store()
@@ -133,12 +134,12 @@
         return True
 
     async def _query_relay(self):
-        """What a router that reads the store tells; ``None`` where this one has to ask the store."""
+        """Return a reader's update, or ``None`` where this router has to query the store."""
         if self._relay is None or not self.is_known or self._missing_kept_until is not None:
             return None
         update = await self._relay.fetch_update(self._version)
         if update is not None:
-            # Should the routers fall silent, the store is read whole at once.
+            # If the readers stop answering, the store is read in full immediately.
             self._listed_at = None
         return update
 
@@ -152,11 +153,11 @@
         if isinstance(outcome, StoreHistoryGone) and began_at - self._listed_at > MIN_RELIST_INTERVAL_S:
             return await self._read_full_list()
         if not isinstance(outcome, StoreDone):
-            # Silence or a refusal: only a whole read tells what was missed.
+            # No answer or a refusal: only a full read shows what was missed.
             self._listed_at = None
             return None
         value_by_name = {name: value for name, _, value in outcome.value}
-        # A watch that heard nothing was answered when its time was up, and proves that moment.
+        # A watch without events is answered at its timeout and proves the list up to that moment.
         age_s = 0.0 if value_by_name else max(0.0, self._clock() - began_at - watch_s)
         return EngineUpdate(version=outcome.version, value_by_name=value_by_name, is_whole=False, age_s=age_s)
 
@@ -171,13 +172,13 @@
             version=outcome.version,
             value_by_name={name: value for name, (_, value) in outcome.value.items()},
             is_whole=True,
-            # What a list tells held when it was asked for; held up on its way, it is no younger for that.
+            # The list is valid as of the request; a delay in transit adds to its age.
             age_s=self._listed_at - began_at,
             written_names=self._written_since_restore(outcome),
         )
 
     def _written_since_restore(self, outcome):
-        """Of a whole list, the entries that are certainly later than the copy from which the store came back."""
+        """Names of the entries in a full list that are certainly newer than the backup the store was restored from."""
         if epoch_of(outcome.version) != epoch_of(self._first_version):
             return frozenset()
         return frozenset(name for name, (version, _) in outcome.value.items() if version > self._first_version)
@@ -197,13 +198,13 @@
     def _record_answer(self):
         now = self._clock()
         if self._answered_at is not None and now - self._answered_at > WATCH_TIMEOUT_S + MIN_OUTAGE_S:
-            logger.warning("the store answered nothing for {:.1f} s; missing engines are kept", now - self._answered_at)
+            logger.warning("no answer from the store for {:.1f} s; keeping missing engines", now - self._answered_at)
             self._missing_kept_until = now + self._return_grace_s
         self._answered_at = now
 
     def _apply_update(self, update):
         if update.is_whole and update.version < self._version:
-            return  # An older whole than what is known here.
+            return  # A full list older than the version known here.
         if epoch_of(update.version) != epoch_of(self._version):
             self._begin_epoch(update)
         self._version = max(self._version, update.version)
@@ -216,31 +217,31 @@
         self._pre_restore.record_written(update.written_names if update.is_whole else listed.keys())
         listed = self._pre_restore.corrected(listed)
         by_name = self._from_full_list(listed) if update.is_whole else self._from_changes(listed, gone)
-        # Whatever wrote over an engine's entry, the engine does not vouch for it any more. Its next
-        # word of itself brings it back.
+        # An invalid entry was overwritten by another writer and no longer describes its engine. The
+        # engine is listed again once it writes its entry itself.
         by_name = {name: engine for name, engine in by_name.items() if name not in invalid}
         self.is_known = True
         self._publish(by_name, update)
 
     def _begin_epoch(self, update):
-        """The store came back from a copy: engines that started since need a moment to list themselves again."""
+        """Handle a restore of the store: engines started since the backup need time to write their entries again."""
         self._first_version = update.version
         if not self.is_known:
             return
         self._pre_restore.begin(self.by_name)
         if not update.is_relayed:
-            # Who reads the store waits for them; to the others it tells what it keeps.
+            # Only readers of the store wait for them; they relay the engines they keep to the others.
             self._missing_kept_until = self._clock() + self._return_grace_s
 
     def _from_full_list(self, listed):
-        """The engines after a whole list; those that expired in an outage are kept for a while."""
+        """The engines after a full list; entries that expired in an outage are kept for the grace period."""
         if self._missing_kept_until is not None and self._clock() < self._missing_kept_until:
             return {**self.by_name, **listed}
         self._missing_kept_until = None
         return listed
 
     def _from_changes(self, listed, gone):
-        """The engines after a few changes."""
+        """The engines after incremental changes."""
         by_name = {**self.by_name, **listed}
         if self._missing_kept_until is None:
             for name in gone:
@@ -262,7 +263,7 @@
 
     def _log_changes(self, by_name):
         for name in sorted(set(self.by_name) - set(by_name)):
-            logger.info("engine {} is gone from the list", name)
+            logger.info("engine {} is no longer listed", name)
         for name, engine in sorted(by_name.items()):
             known = self.by_name.get(name)
             if known is None or known.leaving != engine.leaving:
@@ -271,7 +272,7 @@
 
 
 def _compared_fields(by_name):
-    """What of the engines matters to whoever uses them; entries change for less."""
+    """The engines' fields whose change is reported to ``on_change``; entries also change in other fields."""
     return {
         name: (
             engine.service,
