--- a/wagtailtrestle/configuration/engine_relay.py
+++ b/wagtailtrestle/configuration/engine_relay.py
@@ -1,10 +1,10 @@
-"""Engines' entries told among routers, so that few of them ask the store.
+"""Relays engine entries among routers, so that few of them query the store.
 
-Every router that watches the store by itself costs it a call a second or two, whatever changes:
-at 72 routers these calls are the dearest thing the fleet does. Here a few routers, chosen from
-the view, read the store; the others ask one of those and are answered when something changes. A
-router believes an answer only while the store itself was heard lately behind it, and reads the
-store at the first doubt. So a wrong choice, or two views that differ, cost calls and nothing else.
+Every router that watches the store by itself costs it a call every second or two, even without changes:
+with 72 routers these calls are the fleet's largest cost. Instead, a few routers (readers), chosen from the
+view, read the store; the others query a reader, which answers when something changes. A router accepts an
+answer only if its data was proved against the store recently, and otherwise reads the store itself. A wrong
+choice of readers, or two views that differ, therefore cost calls and nothing else.
 """
 
 import asyncio
@@ -20,35 +20,35 @@
 
 DEFAULT_PROPAGATION_LIMIT_S = 2.0
 MAX_PROPAGATION_LIMIT_S = 6.0
-"""Above this an engine that was cut off would be asked for longer than callers wait."""
+"""Above this limit, requests would go to an engine that was cut off for longer than callers wait."""
 WATCH_SHARE = 0.35
 WAIT_SHARE = 0.2
 MAX_AGE_SHARE = 0.5
 ANSWER_TIMEOUT_S = 0.2
-"""Beyond the wait: a hundred times the way between two zones."""
+"""Time for an answer beyond the wait: a hundred times the delay between two zones."""
 MAX_HISTORY = 512
-"""Changes kept for those who ask: minutes of them, while a question comes each half second."""
+"""Changes kept for requesters: they span minutes, while each requester queries every half second."""
 MAX_REQUESTED_WAIT_S = 5.0
-"""Longest wait that an asker may demand, so that a faulty one can't keep questions open without end."""
+"""Longest wait that a requester may demand, so that a faulty one can't keep requests open indefinitely."""
 
 
 class EngineUpdate:
-    """What the engines' entries are, or how they changed.
+    """The engines' entries, or the changes to them.
 
     Parameters
     ----------
     version : int
-        The store's version up to which this tells everything.
+        The store's version up to which the update is complete.
     value_by_name : dict of str to object
-        What the store holds for each engine; ``None`` for an entry that is gone.
+        The store's value for each engine; ``None`` for a deleted entry.
     is_whole : bool
-        Whether these are all entries instead of those that changed.
+        Whether the update holds all entries instead of the changed ones.
     age_s : float
-        Time since the store itself showed this.
+        Seconds since the store itself returned this data.
     written_names : frozenset of str
-        Of a whole list, the engines whose entries were certainly written in the store's present epoch.
+        In a full list, the engines whose entries were certainly written in the store's present epoch.
     is_relayed : bool
-        Whether another router told it.
+        Whether another router sent the update.
     """
 
     __slots__ = ("version", "value_by_name", "is_whole", "age_s", "written_names", "is_relayed")
@@ -63,25 +63,25 @@
 
 
 class RelayLimits:
-    """Waits and ages that keep an engine's leaving known in time, as shares of that time.
+    """Waits and ages with which a draining engine becomes known to all routers in time, as shares of that time.
 
-    Longer waits mean fewer calls to the store and fewer messages, and find a frozen reader later. The
-    oldest proof, a question that gets no answer, a second one and a read of the store together stay within
-    the time: 1.9 s of 2.
+    Longer waits mean fewer calls to the store and fewer messages, but later detection of a frozen reader. The
+    oldest accepted proof, an unanswered request, a second request and a read of the store together take 1.9 s
+    of the default limit of 2 s.
 
     Parameters
     ----------
-    known_within_s : float
-        Time within which every router has to know that an engine leaves.
+    propagation_limit_s : float
+        Time within which every router has to know that an engine is draining.
 
     Attributes
     ----------
     watch_s : float
-        Longest watch of a router that reads for others: each answer, also an empty one, proves its list anew.
+        Longest watch of a reader: each answer, even an empty one, renews the proof of its list.
     wait_s : float
-        How long a question waits for a change.
-    most_age_s : float
-        Oldest proof believed: a watch, and a slow reader's delays.
+        How long a request waits for a change.
+    max_age_s : float
+        Maximum age of an accepted proof: a watch, and a slow reader's delays.
     """
 
     __slots__ = ("watch_s", "wait_s", "max_age_s")
@@ -94,7 +94,7 @@
 
 
 class EngineRelay:
-    """One router's part in telling engines' entries: asks a reader, and answers who asks.
+    """One router's part in the relay of engine entries: queries a reader, and answers other routers.
 
     Parameters
     ----------
@@ -102,7 +102,7 @@
     readers : StoreReaders
     limits : RelayLimits, optional
     clock : callable
-        Seconds, pauses of the VM included.
+        Returns seconds, including pauses of the VM.
 
     Attributes
     ----------
@@ -135,14 +135,14 @@
             "failed_total": self.failed_total,
         }
 
-    # What others told.
+    # Queries to other routers.
 
     async def fetch_update(self, version):
-        """Ask a reader what changed after ``version``.
+        """Request from a reader the changes after ``version``.
 
         Returns
         -------
-        EngineNews or None
+        EngineUpdate or None
             ``None`` if this router should read the store itself.
         """
         wait_s = self.limits.wait_s
@@ -150,22 +150,22 @@
             update = await self._query_reader(reader, version, wait_s)
             if update is not None:
                 return update
-            # What was believed until now is getting old: the next is to answer at once.
+            # The list held here is aging: the next reader has to answer without a wait.
             wait_s = 0.0
         return None
 
     async def _query_reader(self, reader, version, wait_s):
-        """Ask one reader; ``None`` if its answer can't be believed."""
+        """Query one reader; ``None`` if its answer can't be accepted."""
         self.asked_total += 1
         requested_at = self._clock()
         answer = await self._peers.ask(reader, EnginesAsk(version=version, wait_s=wait_s), wait_s + ANSWER_TIMEOUT_S)
-        # All of the way counts as age: an answer held up on a link looks as fresh as when it left.
+        # The full transit time counts as age: the age in the answer does not include delays on the link.
         transit_s = max(0.0, self._clock() - requested_at - getattr(answer, "waited_s", 0.0))
         problem = self._problem(answer, transit_s, version)
         if problem is not None:
-            # The reader may be cut off from the store, frozen or gone. Asked again it may fail again,
-            # while an engine that leaves goes on getting work; another one, or the store, tells at once.
-            logger.bind(reader=reader, problem=problem).info("a router that reads engines' entries is not believed")
+            # The reader may be cut off from the store, frozen or gone. It may fail again if queried again,
+            # while a draining engine still gets work; another reader, or the store, answers immediately.
+            logger.bind(reader=reader, problem=problem).info("answer of a reader of engine entries not accepted")
             self.failed_total += 1
             self.readers.pause(reader)
             return None
@@ -177,28 +177,28 @@
             is_relayed=True,
         )
 
-    # What this router tells.
+    # Answers to other routers.
 
     def record_update(self, *, version, age_s, changed):
-        """Note what the store, or a reader, told.
+        """Record an update from the store or from a reader.
 
         Parameters
         ----------
         version : int
-            The store's version up to which everything is known here.
+            The store's version up to which the list here is complete.
         age_s : float
-            Time since the store itself showed it. Were it counted anew at each router, two that ask
-            each other would believe for ever what neither hears from the store.
+            Seconds since the store itself returned the data. If the age restarted at each router, two routers
+            that query each other would accept each other's list indefinitely without the store.
         changed : dict of str to object
-            The entries that changed since the last call, ``None`` for one that is gone.
+            The entries changed since the last call, ``None`` for a deleted one.
         """
         if self._proved_at is None:
             self._history_from = version
             self._proved_at = -math.inf
         self._proved_at = max(self._proved_at, self._clock() - age_s)
         if epoch_of(version) > epoch_of(self._version):
-            # Who asks by a version of the former epoch may know changes that the store has lost and that never came
-            # here: such an asker gets the whole list.
+            # A requester with a version of the former epoch may hold changes that the store has lost and that never
+            # arrived here: it gets the full list.
             self._history.clear()
             self._history_from = version
             self._wake_requesters()
@@ -254,13 +254,13 @@
         return [entry for changed_at, entry in self._history if changed_at > version]
 
     def _problem(self, answer, transit_s, version):
-        """Why an answer can't be believed, or ``None``."""
+        """Return why an answer can't be accepted, or ``None``."""
         if not isinstance(answer, EnginesAnswer):
             return getattr(answer, "detail", "no answer")
         if answer.age_s < 0.0:
-            return "it has no list yet"
+            return "reader has no list yet"
         if epoch_of(answer.version) < epoch_of(version):
-            return "its list is from before the store came back from a copy"
+            return "list predates the store's restore from a backup"
         if answer.age_s + transit_s > self.limits.max_age_s:
-            return f"its list was proved {answer.age_s + transit_s:.1f} s ago"
+            return f"list was last proved {answer.age_s + transit_s:.1f} s ago"
         return None
