--- a/wagtailtrestle/configuration/store_readers.py
+++ b/wagtailtrestle/configuration/store_readers.py
@@ -1,4 +1,4 @@
-"""Which routers read the store for all others, and which of them a router asks."""
+"""Selects the routers that read the store for all others, and those of them that a router queries."""
 
 import math
 
@@ -6,33 +6,33 @@
 from wagtailtrestle.peers.rendezvous import Rendezvous
 
 PAUSE_S = 2.0
-"""How long a reader that failed is not asked again; the view has changed by then if it is gone."""
+"""How long a failed reader is not queried again; by the end, the view has changed if the reader is gone."""
 MAX_READERS_QUERIED = 2
-"""Readers asked before the store is: where the store refuses a third of the routers, one of two mostly knows."""
+"""Readers queried before the store: if the store refuses a third of the routers, one of two usually has an answer."""
 ROUTERS_PER_READER = 48
-"""At some 3.5 questions a second each, about 170 a second for one reader: five hundredths of a core. Each
-reader costs two or three calls to the store a second, whatever the size of the fleet."""
+"""At some 3.5 requests a second from each router, a reader gets about 170 a second: five hundredths of a core. Each
+reader costs two or three calls to the store a second, independent of the size of the fleet."""
 MIN_READERS = 2
-"""The second one answers while the first is being replaced, so that the store is not read by all."""
+"""The second reader answers while the first is being replaced, so that not all routers read the store."""
 READERS_KEY = "engine-readers"
-"""Key of the ranking by which all routers choose the same readers."""
+"""Key of the rendezvous ranking by which all routers choose the same readers."""
 
 
 class StoreReaders:
-    """The routers that read the store for all, as one router sees them.
+    """The readers, which read the store for all routers, as one router sees them.
 
-    They are the first of a ranking of the view, so that all routers choose the same without a
-    message. One that failed this router is passed over for a while, and the next of the ranking
-    takes its place: where the store refuses both of two readers, all others would turn to it.
+    They are the first of a ranking of the view, so that all routers choose the same ones without
+    a message. A reader that failed is skipped for a pause and replaced by the next of the ranking:
+    otherwise, if the store refused both of two readers, all other routers would read it themselves.
 
     Parameters
     ----------
     name : str
-        This router.
+        Name of this router.
     members : callable
-        ``members()`` gives the names of the routers that live and stay, as a sorted tuple.
+        ``members()`` returns the names of the routers that are live and not leaving, as a sorted tuple.
     clock : callable
-        Seconds, pauses of the VM included.
+        Returns seconds, including pauses of the VM.
     """
 
     __slots__ = ("_name", "_members", "_clock", "_ranking", "_own_ranking", "_paused_until_by_name")
@@ -47,11 +47,11 @@
 
     @property
     def reads_store(self):
-        """Whether this router is one of them."""
+        """Whether this router is a reader."""
         return self._name in self.names()
 
     def names(self):
-        """The readers, the first of the ranking first."""
+        """Return the readers in the order of the ranking."""
         now = self._clock()
         members = self._members()
         count = max(MIN_READERS, math.ceil(len(members) / ROUTERS_PER_READER))
@@ -62,7 +62,7 @@
         return tuple(name for _, name in zip(range(count), ready, strict=False))
 
     def readers_to_query(self):
-        """The readers to ask, in order; none if this router reads the store itself."""
+        """Return the readers to query, in order; none if this router reads the store itself."""
         names = self.names()
         if self._name in names:
             return ()
@@ -70,20 +70,20 @@
         return ranked[:MAX_READERS_QUERIED]
 
     def other_readers(self):
-        """The readers but for this router."""
+        """Return the readers other than this router."""
         return tuple(name for name in self.names() if name != self._name)
 
     def pause(self, name):
-        """Pass over a reader that failed."""
+        """Skip a failed reader for ``PAUSE_S``."""
         now = self._clock()
         paused = {other: until for other, until in self._paused_until_by_name.items() if until > now}
         self._paused_until_by_name = {**paused, name: now + PAUSE_S}
 
     def pause_self(self):
-        """Let others read for a while, since the store doesn't answer this router.
+        """Stop being a reader for ``PAUSE_S``, since the store doesn't answer this router.
 
-        Where the store refuses some routers, a reader among them would go on asking it in vain
-        and hear nothing of engines that leave, though the other readers do.
+        If the store refuses only some routers, a reader among them would keep querying it without
+        success and miss engines that drain, while the other readers get the changes.
         """
         self.pause(self._name)
 
