--- a/wagtailtrestle/configuration/store_epoch.py
+++ b/wagtailtrestle/configuration/store_epoch.py
@@ -1,9 +1,9 @@
-"""The epoch of the platform's store: how often it came back from a copy, so that its revisions began anew.
+"""The epoch of the platform's store, which rises each time the store is restored from a backup.
 
-A store that comes back from a copy has lost what it acknowledged since, and gives its revisions out again. So a
-revision is ordered, and names a content, only within one epoch. Versions hold both: the epoch in their upper bits,
-the revision below, so that a version of a later epoch is always the greater one and equal versions are equal contents.
-Whoever keeps versions needs no rule of its own for this.
+A restored store has lost the writes it acknowledged since the backup, and assigns their revisions again. Revisions are
+therefore ordered, and identify a content, only within one epoch. A version holds both: the epoch in its upper bits,
+the revision below, so that a version of a later epoch is always greater and equal versions mean equal contents.
+Code that keeps versions needs no rule of its own for restores.
 """
 
 from loguru import logger
@@ -11,42 +11,42 @@
 from wagtailtrestle.configuration.boot_clock import boot_time_s
 
 REVISION_BITS = 40
-"""Revisions of a thousand changes a second for thirty years."""
+"""Enough for a thousand changes a second over thirty years."""
 
 RESTORE_SETTLE_S = 5.0
-"""Time in which operators and engines write again what the copy lacks. Until it has passed, what the store doesn't
-hold may be lost instead of gone, and what it holds may have been replaced."""
+"""Time in which operators and engines write again what the backup lacks. Until then, an object that is missing from
+the store may be lost instead of deleted, and an object in the store may be outdated."""
 
 
 def make_version(epoch, revision):
-    """The version of a revision in an epoch."""
+    """Return the version of a revision in an epoch."""
     return epoch << REVISION_BITS | revision
 
 
 def epoch_of(version):
-    """The epoch that a version belongs to."""
+    """Return the epoch that a version belongs to."""
     return version >> REVISION_BITS
 
 
 def revision_of(version):
-    """A version's revision within its epoch."""
+    """Return a version's revision within its epoch."""
     return version & ((1 << REVISION_BITS) - 1)
 
 
 class StoreEpoch:
-    """The epoch as one router knows it, by the store's answers and by what peers tell.
+    """The epoch as one router knows it from the store's answers and from peers.
 
     Parameters
     ----------
     clock : callable
-        Seconds, pauses of the VM included.
+        Returns seconds, including pauses of the VM.
 
     Attributes
     ----------
     number : int
-        0 while none was told; a store that tells none never comes back from a copy.
+        0 while none is known; a store that sends no epoch is never restored from a backup.
     returns_total : int
-        How often it rose while this process watched.
+        Number of restores that this process observed.
     """
 
     __slots__ = (
@@ -70,43 +70,43 @@
 
     @property
     def known_s(self):
-        """Seconds since the fleet, as far as this router was told, has known this epoch."""
+        """Seconds for which the fleet has known this epoch, as reported to this router."""
         return self._clock() - self._known_since
 
     @property
     def settled_at(self):
-        """Time on the clock from which what the store holds counts as whole again."""
+        """Time on the clock from which the store's contents count as complete again."""
         return self._known_since + RESTORE_SETTLE_S if self.number else self._known_since
 
     @property
     def is_settled(self):
-        """Whether what the store holds is whole."""
+        """Whether the store's contents count as complete."""
         return self._clock() >= self.settled_at
 
     def on_begin(self, callback):
-        """Have ``callback()`` called with each epoch that is new here, the first one included."""
+        """Register ``callback()`` for each epoch that is new here, including the first."""
         self._begin_callbacks.append(callback)
 
     def on_restore(self, callback):
-        """Have ``callback()`` called when the store came back from a copy while this process watched."""
+        """Register ``callback()`` for each restore of the store that this process observes."""
         self._restore_callbacks.append(callback)
 
     def observe(self, number):
-        """Take in the epoch that an answer of the store bears.
+        """Process the epoch in an answer of the store.
 
         Returns
         -------
         bool
-            Whether the answer is of the present epoch; one that was long on its way may be of a former one.
+            Whether the answer is of the present epoch; a delayed one may be of a former epoch.
         """
         if number > self.number:
             self._begin(number, known_s=0.0)
         return number == self.number
 
     def observe_peer(self, number, known_s):
-        """Take in the epoch that a peer goes by, and how long it has been known there.
+        """Process the epoch that a peer reports, and how long it has been known there.
 
-        A process that starts sees an epoch for the first time and can't tell whether it has just begun; a peer can.
+        A process that starts can't know whether the epoch it sees has just begun; a peer that runs longer can.
         """
         if number > self.number:
             self._begin(number, known_s=known_s)
@@ -114,7 +114,7 @@
             self._known_since = min(self._known_since, self._clock() - known_s)
 
     def mark_settled(self):
-        """Note that this epoch had lasted for long enough when this process began to read."""
+        """Mark the epoch as settled: it was already old enough when this process started."""
         self._known_since = min(self._known_since, self._started_at - RESTORE_SETTLE_S)
 
     def dump(self):
@@ -135,7 +135,7 @@
             return
         self.returns_total += 1
         logger.bind(epoch=number, before=before).warning(
-            "the store came back from a copy; what was written to it since is read and written again"
+            "the store was restored from a backup; reading it in full and rewriting the entries that it may lack"
         )
         for callback in self._restore_callbacks:
             callback()
