--- a/wagtailtrestle/configuration/epoch_store.py
+++ b/wagtailtrestle/configuration/epoch_store.py
@@ -1,4 +1,4 @@
-"""Makes an ``ObjectStore`` of a store whose revisions begin anew each time it comes back from a copy."""
+"""Adapts a store whose revisions restart at each restore from a backup to the ``ObjectStore`` interface."""
 
 from typing import Protocol
 
@@ -13,18 +13,18 @@
 )
 from wagtailtrestle.record import record
 
-STALE_ANSWER = "an answer from before the store came back from a copy"
+STALE_ANSWER = "answer from before the store was restored from a backup"
 
 
 @record
 class RevisionAnswer:
-    """What a store answered, with its own revisions in place of versions.
+    """A store's answer, with the store's own revisions instead of versions.
 
     Parameters
     ----------
     outcome : StoreOutcome
     epoch : int or None
-        ``None`` if the answer bears none, or there is no answer.
+        ``None`` if the answer carries none, or there is no answer.
     """
 
     outcome: StoreOutcome
@@ -32,19 +32,19 @@
 
 
 class RevisionStore(Protocol):
-    """A store that tells its epoch with each answer; the calls are those of ``ObjectStore``, with revisions."""
+    """A store that sends its epoch with each answer; the calls are those of ``ObjectStore``, with revisions."""
 
     def start(self):
-        """Begin to take calls."""
+        """Start to accept calls."""
 
     def close(self):
-        """End every call in flight."""
+        """Cancel every call in flight."""
 
     async def get(self, *, kind: str, name: str) -> RevisionAnswer:
         """Read one object."""
 
     async def list(self, *, kind: str) -> RevisionAnswer:
-        """Read all objects of a kind, all pages of one epoch."""
+        """Read all objects of a kind; all pages are of one epoch."""
 
     async def create(self, *, kind: str, name: str, value) -> RevisionAnswer:
         """Create an object that must not exist yet."""
@@ -53,7 +53,7 @@
         """Replace an object that must be at ``if_revision``."""
 
     async def update_status(self, *, kind: str, name: str, value, if_revision: int) -> RevisionAnswer:
-        """Replace what the system tells of an object that must be at ``if_revision``."""
+        """Replace the status of an object that must be at ``if_revision``."""
 
     async def delete(self, *, kind: str, name: str, if_revision: int) -> RevisionAnswer:
         """Delete an object that must be at ``if_revision``."""
@@ -66,13 +66,13 @@
 
 
 class EpochStore:
-    """``ObjectStore`` and ``StatusStore`` whose versions hold the store's epoch.
+    """``ObjectStore`` and ``StatusStore`` whose versions include the store's epoch.
 
     Parameters
     ----------
     store : RevisionStore
     epoch : StoreEpoch
-        Told of each answer that bears one.
+        Updated by each answer that carries an epoch.
     """
 
     def __init__(self, *, store: RevisionStore, epoch: StoreEpoch):
@@ -80,11 +80,11 @@
         self._epoch = epoch
 
     def start(self):
-        """Begin to take calls."""
+        """Start to accept calls."""
         self._store.start()
 
     def close(self):
-        """End every call in flight."""
+        """Cancel every call in flight."""
         self._store.close()
 
     async def get(self, *, kind, name, unless_version=None):
@@ -114,7 +114,7 @@
         return self._write_outcome(await self._store.update(kind=kind, name=name, value=value, if_revision=revision))
 
     async def update_status(self, *, kind, name, value, if_version):
-        """Replace what the system tells of an object that must be at ``if_version``."""
+        """Replace the status of an object that must be at ``if_version``."""
         if self._is_other_epoch(if_version):
             return StoreConflict()
         revision = revision_of(if_version)
@@ -135,7 +135,7 @@
         from_revision = revision_of(from_version)
         answer = await self._store.watch(kind=kind, from_revision=from_revision, timeout_s=timeout_s)
         outcome = self._read_outcome(answer)
-        # The revision may have been given out again while the watch waited: what came before it is unknown then.
+        # The revision may have been assigned again while the watch waited; the changes before it are unknown then.
         if self._is_other_epoch(from_version):
             return StoreHistoryGone()
         if not isinstance(outcome, StoreDone):
@@ -148,13 +148,13 @@
         return self._read_outcome(await self._store.vms())
 
     def _read_outcome(self, answer):
-        """Outcome of a call without effect; an answer of a former epoch tells nothing."""
+        """Outcome of a call without effect; an answer of a former epoch is discarded."""
         if self._is_stale(answer):
             return StoreUnavailable(detail=STALE_ANSWER)
         return self._versioned(answer.outcome)
 
     def _write_outcome(self, answer):
-        """Outcome of a write; acknowledged in a former epoch it may be lost."""
+        """Outcome of a write; one acknowledged in a former epoch may be lost."""
         if self._is_stale(answer):
             return StoreUnknown(detail=STALE_ANSWER)
         return self._versioned(answer.outcome)
@@ -174,5 +174,5 @@
         return make_version(self._epoch.number, revision)
 
     def _is_other_epoch(self, version):
-        """Whether a version is of another epoch: what it names is not what the store holds under its revision."""
+        """Whether a version is of another epoch, so that its revision identifies another content in the store."""
         return version != 0 and epoch_of(version) != self._epoch.number
