--- a/wagtailtrestle/configuration/boot_clock.py
+++ b/wagtailtrestle/configuration/boot_clock.py
@@ -1,12 +1,12 @@
-"""Time since the machine booted, pauses of the machine included."""
+"""Time since the VM booted, including pauses of the VM."""
 
 import time
 
 
 def boot_time_s():
-    """Seconds since boot.
+    """Return seconds since boot.
 
-    The loop's clock stands still while a VM is suspended. Measured by it, a key revoked during
-    the pause would look freshly checked on waking; this clock has counted the pause.
+    The event loop's clock stops while a VM is suspended: by it, a key revoked during the pause
+    would look recently checked after the resume. This clock includes the pause.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
