--- a/wagtailtrestle/configuration/epoch_note.py
+++ b/wagtailtrestle/configuration/epoch_note.py
@@ -1,8 +1,9 @@
-"""The fleet's note, in the store itself, of the last epoch that it knew for long enough.
+"""The note in the store of the last epoch that the fleet considered settled.
 
-A router that starts can't tell whether the store has just come back from a copy. Peers that stayed tell it; where
-all start at once, as after a loss of power, nobody can. A note that names the present epoch can't be in a copy from
-before it, so whoever finds one need not wait until operators could have written again what the copy lacks.
+A router that starts can't know whether the store has just been restored from a backup. Routers that kept running
+report it, but none does when all start together, as after a power failure. A backup made before an epoch can't hold a
+note of that epoch, so a router that reads a note of the present epoch need not wait until operators could have written
+again what the backup lacks.
 """
 
 import asyncio
@@ -13,13 +14,13 @@
 
 NOTE_NAME = "main"
 PEER_GRACE_S = 0.1
-"""A peer's word mostly comes within so long, and spares the read."""
+"""A peer's report usually arrives within this time and makes the read unnecessary."""
 CHECK_INTERVAL_S = 1.0
-"""Between two looks at whether the epoch has lasted, and whether this router is to write it down."""
+"""Interval between checks whether the epoch is settled, and whether this router has to write the note."""
 
 
 class EpochNote:
-    """Reads the note where this router can't tell by itself, and writes it for all.
+    """Reads the note while this router can't determine whether the epoch is settled, and writes it for all routers.
 
     Parameters
     ----------
@@ -27,7 +28,7 @@
     kind : str
     epoch : StoreEpoch
     is_writer : callable
-        Whether this router is one that reads the store for all others.
+        Returns whether this router is a reader of the store.
     """
 
     __slots__ = (
@@ -55,11 +56,11 @@
         epoch.on_begin(self._has_begun.set)
 
     def start(self):
-        """Begin to follow the epoch; must be called on the running event loop."""
+        """Start the task that follows the epoch; must be called on the running event loop."""
         self._task = asyncio.get_running_loop().create_task(self._follow())
 
     async def close(self):
-        """Stop."""
+        """Stop the task and the write of the note."""
         self._task.cancel()
         await asyncio.gather(self._task, return_exceptions=True)
         if self._announcement is not None:
