--- a/wagtailtrestle/configuration/proof.py
+++ b/wagtailtrestle/configuration/proof.py
@@ -1,23 +1,23 @@
-"""How lately the platform is known to have shown its newest declaration, and that this one is in force here."""
+"""The proof of when the declaration in force was last known to be the platform's newest."""
 
 from wagtailtrestle.configuration.boot_clock import boot_time_s
 from wagtailtrestle.configuration.store_epoch import StoreEpoch, epoch_of
 
 MAX_CARRIED_AGE_S = 5.0
-"""Age up to which a proof holds over a return of the store from a copy."""
+"""Maximum age of a proof that stays valid over a restore of the store from a backup."""
 
 
 class Proof:
-    """What reads of the platform prove about the declaration in force.
+    """Tracks what reads of the platform prove about the declaration in force.
 
     Parameters
     ----------
     is_settled : callable
-        ``is_settled(generation)`` tells whether a generation that was read is in force, or can't be.
+        ``is_settled(generation)`` returns whether a generation that was read is in force, or can't be.
     epoch : StoreEpoch
         While it is not settled, a read of the store proves nothing.
     clock : callable
-        Seconds since boot, pauses of the VM included.
+        Returns seconds since boot, including pauses of the VM.
     """
 
     __slots__ = (
@@ -44,10 +44,10 @@
 
     @property
     def confirmed_at(self):
-        """Time at which the newest read began of which all is in force here, or ``None``.
+        """Start of the newest read whose declaration is in force here, or ``None``.
 
-        A declaration that was read and is still being checked takes keys away that the one in force holds. Were its
-        read a proof already, this router would vouch for such a key, to itself and to all that ask it.
+        A declaration that was read and is still being checked may revoke keys that the one in force holds. If its read
+        already counted as proof, this router would accept such a key and confirm it to its peers.
         """
         pending = self._pending
         if pending is not None and self._proves(*pending):
@@ -57,37 +57,37 @@
 
     @property
     def counts_own_reads(self):
-        """Whether what the store holds is known to be whole, so that a read of it proves something."""
+        """Whether the store's contents are known to be complete, so that a read of them is a proof."""
         return self._epoch.is_settled or self._is_epoch_proved()
 
     def confirm(self, at):
-        """Note a proof of that time, one's own or a peer's."""
+        """Record a proof as of ``at``, from this router's own read or from a peer."""
         self._confirmed_at = at if self._confirmed_at is None else max(self._confirmed_at, at)
 
     def record_answer(self, version):
-        """Note the version that an answer of the store bears; what is later than an epoch's first was written in it."""
+        """Record the version of an answer; a version above the first one of its epoch was written in that epoch."""
         if epoch_of(version) != epoch_of(self._first_version):
             self._first_version = version
 
     def record_declaration(self, version, generation):
-        """Note a declaration that the store held."""
+        """Record a declaration that was read from the store."""
         if version > self._first_version and self._proved_epoch != epoch_of(version):
-            # Written in this epoch, so that nothing that the copy lacks is newer. Reads before it are no proof of it.
+            # Written in this epoch, so it is newer than anything that the backup lacks. Earlier reads don't prove it.
             self._proved_epoch = epoch_of(version)
             self._pending = None
         self._newest_generation = max(self._newest_generation, generation)
 
     def record_read(self, began_at):
-        """Note a whole read, which proves the moment at which it began once all of it is in force."""
+        """Record a completed read, which is a proof as of its start once its declaration is in force."""
         if self._proves(self._newest_generation, began_at):
             self.confirm(began_at)
         else:
             self._pending = (self._newest_generation, began_at)
 
     def _proves(self, generation, read_at):
-        # A store that came back from a copy may have lost the newest configuration, which the operator writes again
-        # some seconds later. A router that starts meanwhile can't tell: taken for the newest, what the copy holds
-        # would prove a key that was taken away.
+        # A store restored from a backup may lack the newest configuration, which the operator writes again some
+        # seconds later. A router that starts in between can't detect this: if the backup's configuration counted as
+        # the newest, it would prove a key that was revoked.
         is_whole = read_at >= self._epoch.settled_at or self._is_epoch_proved()
         return is_whole and self._is_settled(generation)
 
@@ -95,7 +95,7 @@
         return self._proved_epoch == self._epoch.number
 
     def _carry_over_restore(self):
-        """The store came back: who was proved up to date just before knows at least what the copy lacks."""
+        """Handle a restore: a router proved up to date shortly before it knows at least what the backup lacks."""
         confirmed_at = self.confirmed_at
         if confirmed_at is not None and self._clock() - confirmed_at <= MAX_CARRIED_AGE_S:
             self._proved_epoch = self._epoch.number
