--- a/wagtailtrestle/configuration/peer_configuration.py
+++ b/wagtailtrestle/configuration/peer_configuration.py
@@ -1,4 +1,4 @@
-"""Asks other routers for the configuration they have in force, and answers when asked."""
+"""Requests the configuration in force from other routers, and answers their requests."""
 
 import asyncio
 import random
@@ -17,24 +17,24 @@
 MAX_PEERS_QUERIED = 8
 QUERY_TIMEOUT_S = 1.0
 COMPRESSION_LEVEL = 6
-"""Of zlib: a declaration of 1,400 routes becomes a tenth, in a few milliseconds once for each generation. Unpacked
-it takes a link of 10 Mbit/s for seconds when all routers fetch it from the one that read it."""
+"""zlib level: a declaration of 1,400 routes shrinks to a tenth, in a few milliseconds once for each generation.
+Uncompressed, it occupies a link of 10 Mbit/s for seconds when all routers fetch it from the one that read it."""
 CONFIRM_TIMEOUT_S = 0.3
-"""A peer answers within a few milliseconds; past this the platform itself is asked."""
+"""A peer answers within a few milliseconds; after this time the platform itself is read."""
 
 
 class PeerConfiguration:
-    """The configuration's side towards other routers.
+    """Exchange of the configuration with other routers.
 
     Parameters
     ----------
     peers : Peers
     members : Callable
-        Names of the other routers that live.
+        Returns the names of the other live routers.
     in_force : Callable
-        The configuration in force here, or ``None``.
+        Returns the configuration in force here, or ``None``.
     confirmed_age_s : Callable
-        Seconds since the platform confirmed what is in force here, or ``None``.
+        Returns the seconds since the platform confirmed the configuration in force here, or ``None``.
     jitter : random.Random
     """
 
@@ -51,14 +51,14 @@
         peers.on(ConfirmationAsk, self._answer_confirmation)
 
     async def fetch(self, generation, preferred_peer=None):
-        """Ask ``teller``, else a few routers; return the highest generation told, if at least ``generation``."""
+        """Fetch the highest declaration of at least ``generation``, from ``preferred_peer`` or else a few routers."""
         if preferred_peer is not None:
             announced = await self._fetch_from(preferred_peer)
             if announced is not None and announced.generation >= generation:
                 return announced
         names = list(self._members())
-        # Asking all of 370 routers for a whole declaration would flood the asker; a few
-        # are enough since a heartbeat already told that the generation is about.
+        # Complete declarations from all of 370 routers would flood the requester; a few are
+        # sufficient, since a heartbeat already announced that the generation is available.
         queried = self._jitter.sample(names, min(MAX_PEERS_QUERIED, len(names)))
         answers = await asyncio.gather(*(self._fetch_from(name) for name in queried))
         held = [answer for answer in answers if answer is not None and answer.generation]
@@ -68,7 +68,7 @@
         return PeersAnswer(answered=len(held), generation=best.generation, text=best.text)
 
     async def request_confirmation(self, reader):
-        """Ask a router how lately the platform confirmed its configuration; a ``Confirmation`` or ``None``."""
+        """Request from a router the age of its confirmation by the platform; a ``Confirmation`` or ``None``."""
         answer = await self._peers.ask(reader, ConfirmationAsk(), CONFIRM_TIMEOUT_S)
         return answer if isinstance(answer, Confirmation) else None
 
@@ -86,7 +86,7 @@
         try:
             text = zlib.decompress(answer.packed).decode() if answer.generation else ""
         except (zlib.error, UnicodeDecodeError) as error:
-            logger.bind(peer=name, problem=str(error)).error("a peer's declaration can't be unpacked")
+            logger.bind(peer=name, problem=str(error)).error("a peer's declaration can't be decompressed")
             return None
         return PeersAnswer(answered=1, generation=answer.generation, text=text)
 
