--- a/wagtailtrestle/configuration/status_report.py
+++ b/wagtailtrestle/configuration/status_report.py
@@ -1,4 +1,4 @@
-"""What ``wagtailtrestle status`` tells: the accepted generation and each router's."""
+"""The report of ``wagtailtrestle status``: the accepted generation, and the one in force on each router."""
 
 import asyncio
 
@@ -21,12 +21,12 @@
     ----------
     id, zone : str
     generation : int
-        In force there; 0 if none.
+        Generation in force on the router; 0 if none.
     is_lagging : bool
-        Whether it is below the accepted generation.
+        Whether the generation is below the accepted one.
     is_leaving : bool
     faults : tuple of str
-        Why a newer generation was not put in force, if so.
+        Why a newer generation was not put in force; empty if none was rejected.
     """
 
     id: str
@@ -39,7 +39,7 @@
 
 @record
 class RouterUnreachable:
-    """A router on the platform's list that gave no usable answer."""
+    """A router on the platform's list that returned no usable answer."""
 
     id: str
     zone: str
@@ -54,12 +54,12 @@
     Parameters
     ----------
     generation : int
-        Accepted by the platform; 0 if there is none.
+        Generation accepted by the platform; 0 if there is none.
     apply_id : str
     applied_at : float
         Unix time.
     routers : tuple of RouterInForce or RouterUnreachable
-        By id.
+        Sorted by id.
     """
 
     generation: int
@@ -69,7 +69,7 @@
 
     @property
     def is_in_force_everywhere(self):
-        """Whether every router on the list that is to stay has the accepted generation."""
+        """Whether every router on the list that is not leaving has the accepted generation."""
         staying = [router for router in self.routers if not router.is_leaving]
         return all(isinstance(router, RouterInForce) and not router.is_lagging for router in staying)
 
@@ -80,7 +80,7 @@
     Returns
     -------
     object or str
-        What the JSON holds, or a text that says what went wrong.
+        The decoded JSON, or a text that describes the error.
     """
     try:
         response = urllib3.request("GET", url, timeout=FETCH_TIMEOUT_S, retries=False)
@@ -92,7 +92,7 @@
 
 
 async def collect_status(*, store, fetch=fetch_json):
-    """Ask the platform and every router on its list.
+    """Query the platform and every router on its list.
 
     Parameters
     ----------
@@ -127,7 +127,7 @@
         state = await asyncio.to_thread(fetch, f"{_base_url(vm.admin)}/state")
     configuration = state.get("configuration") if isinstance(state, dict) else None
     if not isinstance(configuration, dict) or not isinstance(configuration.get("generation"), int):
-        detail = state if isinstance(state, str) else "its state has no generation"
+        detail = state if isinstance(state, str) else "router state has no generation"
         return RouterUnreachable(id=vm.id, zone=vm.zone, is_leaving=vm.leaving, detail=detail)
     generation = configuration["generation"]
     return RouterInForce(
@@ -141,7 +141,7 @@
 
 
 def _faults_above(generation, faults_by_generation):
-    """Faults of the newest declaration that a router refused, if it is newer than its own."""
+    """Faults of the newest declaration that a router rejected, if it is newer than the one in force there."""
     newer = {int(key): faults for key, faults in (faults_by_generation or {}).items() if int(key) > generation}
     return tuple(newer[max(newer)]) if newer else ()
 
