--- a/wagtailtrestle/configuration/peer_configuration.py
+++ b/wagtailtrestle/configuration/peer_configuration.py
@@ -53,9 +53,9 @@
     async def fetch(self, generation, preferred_peer=None):
         """Fetch the highest declaration of at least ``generation``, from ``preferred_peer`` or else a few routers."""
         if preferred_peer is not None:
-            announced = await self._fetch_from(preferred_peer)
-            if announced is not None and announced.generation >= generation:
-                return announced
+            preferred = await self._fetch_from(preferred_peer)
+            if preferred is not None and preferred.generation >= generation:
+                return preferred
         names = list(self._members())
         # Complete declarations from all of 370 routers would flood the requester; a few are
         # sufficient, since a heartbeat already announced that the generation is available.
