--- a/wagtailtrestle/configuration/engine_relay.py
+++ b/wagtailtrestle/configuration/engine_relay.py
@@ -165,7 +165,9 @@
         if problem is not None:
             # The reader may be cut off from the store, frozen or gone. It may fail again if queried again,
             # while a draining engine still gets work; another reader, or the store, answers immediately.
-            logger.bind(reader=reader, problem=problem).info("answer of a reader of engine entries not accepted")
+            logger.bind(reader=reader, problem=problem).info(
+                "rejected the answer of a router that reads the engines' entries"
+            )
             self.failed_total += 1
             self.readers.pause(reader)
             return None
@@ -260,7 +262,7 @@
         if answer.age_s < 0.0:
             return "reader has no list yet"
         if epoch_of(answer.version) < epoch_of(version):
-            return "list predates the store's restore from a backup"
+            return "list is from before the store was restored from a backup"
         if answer.age_s + transit_s > self.limits.max_age_s:
             return f"list was last proved {answer.age_s + transit_s:.1f} s ago"
         return None
