--- a/tests/test_applying.py
+++ b/tests/test_applying.py
@@ -66,7 +66,7 @@
 
 class ApplyTests(unittest.TestCase):
     @on_paused_clock
-    async def test_generations_go_up_by_one(self):
+    async def test_generations_increase_by_one(self):
         store = MemoryStore()
         self.assertEqual(await apply_text(store, "a"), Applied(generation=1))
         self.assertEqual(await apply_text(store, "b", base=1), Applied(generation=2))
