--- a/tests/test_applying.py
+++ b/tests/test_applying.py
@@ -103,7 +103,7 @@
         self.assertEqual((await read_accepted(store=store)).generation, 2)
 
     @on_paused_clock
-    async def test_answer_lost_and_another_operator_applies_over_it(self):
+    async def test_answer_lost_and_another_operator_applies_next(self):
         # Our update takes effect, its answer is lost, and before we read back another
         # operator applies the next generation. What we read no longer holds our id as
         # the newest; only the history shows that ours was accepted first.
