--- a/tests/test_applying.py
+++ b/tests/test_applying.py
@@ -169,7 +169,7 @@
         self.assertIsInstance(await apply_text(store, "a"), ApplyUnknown)
 
     @on_paused_clock
-    async def test_history_that_no_longer_reaches_back_is_unknown(self):
+    async def test_outcome_that_left_the_history_is_unknown(self):
         # Our answer is lost and so many applies follow before we read back that our
         # generation has left the history: "unknown" is the only truth left.
         store = MemoryStore()
