--- a/tests/test_applying.py
+++ b/tests/test_applying.py
@@ -194,7 +194,7 @@
         self.assertEqual(await ours, ApplyConflict(generation=2, by="id-b"))
 
     @on_paused_clock
-    async def test_lost_object_goes_on_above_the_operators_base(self):
+    async def test_lost_object_continues_above_the_operators_base(self):
         # The platform lost the object. Routers only go up, so starting again at 1 would
         # be accepted and never in force; --base says where to go on.
         self.assertEqual(await apply_text(MemoryStore(), "a", base=7), Applied(generation=8))
