--- a/tests/test_applying.py
+++ b/tests/test_applying.py
@@ -200,7 +200,7 @@
         self.assertEqual(await apply_text(MemoryStore(), "a", base=7), Applied(generation=8))
 
     @on_paused_clock
-    async def test_what_operators_are_told_is_true_under_random_faults(self):
+    async def test_reported_outcomes_are_correct_under_random_faults(self):
         # Operators apply at the same time over ways that lose requests, lose answers,
         # give stale reads and deliver updates seconds late. Afterwards every "applied"
         # is in the platform's history under just that generation, nothing told as a
