--- a/tests/test_applying.py
+++ b/tests/test_applying.py
@@ -205,7 +205,7 @@
         # give stale reads and deliver updates seconds late. Afterwards every "applied"
         # is in the platform's history under just that generation, nothing told as a
         # conflict or not applied ever is, and no generation has two owners.
-        told = []
+        reported = []
         for seed in range(SEEDS):
             table, accepted = ObjectTable(), []
             table.listeners.add(lambda table=table, accepted=accepted: accepted.append(_newest(table)))
@@ -213,10 +213,10 @@
             outcomes = dict(pair for pairs in await asyncio.gather(*operators) for pair in pairs)
             await asyncio.sleep(LATEST_S)
             self._check_truth(seed, accepted, outcomes)
-            told.extend(type(outcome) for outcome in outcomes.values())
+            reported.extend(type(outcome) for outcome in outcomes.values())
         for kind in (Applied, ApplyConflict, ApplyNotDone):
-            self.assertGreater(told.count(kind), SEEDS // 10, kind)
-        self.assertLess(told.count(ApplyUnknown), len(told) // 20)
+            self.assertGreater(reported.count(kind), SEEDS // 10, kind)
+        self.assertLess(reported.count(ApplyUnknown), len(reported) // 20)
 
     async def _operator(self, table, random, number):
         store, outcomes = UnreliableStore(table=table, random=random), []
