--- a/tests/test_applying.py
+++ b/tests/test_applying.py
@@ -212,7 +212,7 @@
             operators = (self._operator(table, Random(f"{seed}-{number}"), number) for number in range(OPERATORS))
             outcomes = dict(pair for pairs in await asyncio.gather(*operators) for pair in pairs)
             await asyncio.sleep(LATEST_S)
-            self._check_truth(seed, accepted, outcomes)
+            self._check_outcomes(seed, accepted, outcomes)
             reported.extend(type(outcome) for outcome in outcomes.values())
         for kind in (Applied, ApplyConflict, ApplyNotDone):
             self.assertGreater(reported.count(kind), SEEDS // 10, kind)
@@ -226,7 +226,7 @@
             outcomes.append((f"id-{text}", await apply_text(store, text)))
         return outcomes
 
-    def _check_truth(self, seed, accepted, outcomes):
+    def _check_outcomes(self, seed, accepted, outcomes):
         id_by_generation = dict(accepted)
         self.assertEqual([generation for generation, _ in accepted], list(range(1, len(accepted) + 1)), seed)
         self.assertEqual(len(set(id_by_generation.values())), len(accepted), seed)
