--- a/tests/test_applying.py
+++ b/tests/test_applying.py
@@ -23,7 +23,7 @@
 SEEDS = 60
 OPERATORS = 4
 APPLIES_EACH = 5
-LATEST_S = 4.0
+MAX_DELAY_S = 4.0
 
 
 class UnreliableStore(MemoryStore):
@@ -56,7 +56,7 @@
         return await write
 
     async def _send_late(self, write):
-        await asyncio.sleep(self._random.uniform(0, LATEST_S))
+        await asyncio.sleep(self._random.uniform(0, MAX_DELAY_S))
         await write
 
 
@@ -211,7 +211,7 @@
             table.listeners.add(lambda table=table, accepted=accepted: accepted.append(_newest(table)))
             operators = (self._operator(table, Random(f"{seed}-{number}"), number) for number in range(OPERATORS))
             outcomes = dict(pair for pairs in await asyncio.gather(*operators) for pair in pairs)
-            await asyncio.sleep(LATEST_S)
+            await asyncio.sleep(MAX_DELAY_S)
             self._check_outcomes(seed, accepted, outcomes)
             reported.extend(type(outcome) for outcome in outcomes.values())
         for kind in (Applied, ApplyConflict, ApplyNotDone):
