--- a/tests/test_applying.py
+++ b/tests/test_applying.py
@@ -22,7 +22,7 @@
 
 SEEDS = 60
 OPERATORS = 4
-APPLIES_EACH = 5
+APPLIES_PER_OPERATOR = 5
 MAX_DELAY_S = 4.0
 
 
@@ -220,7 +220,7 @@
 
     async def _operator(self, table, random, number):
         store, outcomes = UnreliableStore(table=table, random=random), []
-        for count in range(APPLIES_EACH):
+        for count in range(APPLIES_PER_OPERATOR):
             await asyncio.sleep(random.uniform(0, 1))
             text = f"{number}-{count}"
             outcomes.append((f"id-{text}", await apply_text(store, text)))
