--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -49,13 +49,13 @@
         self.configuration = Configuration(
             store=self.store,
             parse=parse,
-            on_change=self._note,
+            on_change=self._record_change,
             query_peers=self._query_peers,
             poll_interval_s=POLL_S,
             jitter=jitter or random.Random(1),
         )
 
-    def _note(self, in_force):
+    def _record_change(self, in_force):
         self.generations.append(in_force.generation)
         self.times.append(now())
 
