--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -13,7 +13,7 @@
 from wagtailtrestle.declarations.check import DeclarationFaults
 
 POLL_S = 2.0
-WITHIN_S = 5.0
+CONVERGENCE_LIMIT_S = 5.0
 SEEDS = 40
 STEPS = 12
 
@@ -107,7 +107,7 @@
         router.configuration.start()
         await asyncio.sleep(1)
         await self.apply("b")
-        await asyncio.sleep(WITHIN_S)
+        await asyncio.sleep(CONVERGENCE_LIMIT_S)
         self.assertEqual(router.generations, [1, 2])
         self.assertLessEqual(router.times[1] - 1, 1.25 * POLL_S)
 
@@ -130,7 +130,7 @@
             return StoreUnavailable(detail="timeout")
 
         router.store.get = silent_get
-        await asyncio.sleep(WITHIN_S)
+        await asyncio.sleep(CONVERGENCE_LIMIT_S)
         self.assertEqual(router.generations, [1, 2])
 
     @on_paused_clock
@@ -142,7 +142,7 @@
         await asyncio.sleep(1)
         self.operator.drop_events = True
         await self.apply("b")
-        await asyncio.sleep(WITHIN_S)
+        await asyncio.sleep(CONVERGENCE_LIMIT_S)
         self.assertEqual(router.generations, [1, 2])
 
     @on_paused_clock
@@ -159,7 +159,7 @@
         await asyncio.sleep(2)
         self.assertEqual(router.generations, [])
         router.store.stale_versions = 0
-        await asyncio.sleep(WITHIN_S)
+        await asyncio.sleep(CONVERGENCE_LIMIT_S)
         self.assertEqual(router.generations, [2])
         self.assertTrue(router.configuration.dump()["is_confirmed"])
 
@@ -176,7 +176,7 @@
         router.store.silent_watch = True
         router.store.refuse_writes = True
         router.configuration.start()
-        await asyncio.sleep(WITHIN_S)
+        await asyncio.sleep(CONVERGENCE_LIMIT_S)
         self.assertEqual(router.generations, [2])
         self.assertFalse(router.configuration.dump()["is_confirmed"])
 
@@ -226,7 +226,7 @@
         await asyncio.sleep(30)
         self.assertIsNone(router.configuration.in_force)
         router.store.down = False
-        await asyncio.sleep(WITHIN_S)
+        await asyncio.sleep(CONVERGENCE_LIMIT_S)
         self.assertEqual(router.generations, [1])
 
     @on_paused_clock
@@ -270,7 +270,7 @@
         router = self.router()
         await asyncio.sleep(1)
         await self.apply("bad")
-        await asyncio.sleep(WITHIN_S)
+        await asyncio.sleep(CONVERGENCE_LIMIT_S)
         self.assertEqual(router.generations, [1])
         self.assertEqual(router.configuration.dump()["faults_by_generation"], {2: ["line 1: bad"]})
         await self.apply("c")
@@ -357,7 +357,7 @@
                 setattr(router.store, name, False)
             router.store.stale_versions = 0
         # A start that was refused its proof tries again within 5 s.
-        await asyncio.sleep(2 * WITHIN_S)
+        await asyncio.sleep(2 * CONVERGENCE_LIMIT_S)
         self.assertEqual([router.configuration.generation for router in members], [accepted.generation] * 3, seed)
         for router in members:
             await router.configuration.close()
