--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -336,11 +336,11 @@
 
     async def _restart_one(self, members, jitter):
         """Replace one router's process; whether its start was confirmed."""
-        place = jitter.randrange(len(members))
-        before = members[place].configuration
+        index = jitter.randrange(len(members))
+        before = members[index].configuration
         await before.close()
         router = self.router(jitter=jitter, start=False)
-        members[place] = router
+        members[index] = router
         router.peers = members
         self._set_random_faults(router.store, jitter)
         router.configuration.start()
