--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -87,7 +87,7 @@
         return outcome.generation
 
     @on_paused_clock
-    async def test_watch_puts_in_force_at_once(self):
+    async def test_watch_puts_in_force_immediately(self):
         router = self.router()
         await asyncio.sleep(1)
         self.assertIsNone(router.configuration.in_force)
