--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -112,7 +112,7 @@
         self.assertLessEqual(router.times[1] - 1, 1.25 * POLL_S)
 
     @on_paused_clock
-    async def test_silent_watch_and_the_next_poll_lost_to_a_silent_connection(self):
+    async def test_silent_watch_and_next_poll_on_a_silent_connection(self):
         # What silenced the watch silenced the polls' idle connection as well: the next
         # poll comes to nothing after its timeout of 2 s. Waiting a whole interval after
         # that would miss the 5 s that operators are promised.
