--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -164,7 +164,7 @@
         self.assertTrue(router.configuration.dump()["is_confirmed"])
 
     @on_paused_clock
-    async def test_stale_read_after_restart_while_the_platform_takes_no_writes(self):
+    async def test_stale_read_after_restart_while_the_platform_refuses_writes(self):
         # As above, but the platform refuses every write, so no read can be proved new.
         # A peer has generation 2: the higher one is what the router begins with.
         await self.apply("a")
