--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -181,7 +181,7 @@
         self.assertFalse(router.configuration.dump()["is_confirmed"])
 
     @on_paused_clock
-    async def test_unproved_read_without_peers_is_used_late_and_said_so(self):
+    async def test_unproved_read_without_peers_is_used_after_the_wait_and_reported(self):
         # No write is taken and no peer answers: better to serve by what can be read
         # than never to serve, but only after the wait, and the dump says it.
         await self.apply("a")
