--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -230,7 +230,7 @@
         self.assertEqual(router.generations, [1])
 
     @on_paused_clock
-    async def test_heartbeat_tells_of_a_higher_generation(self):
+    async def test_heartbeat_announces_a_higher_generation(self):
         # This router alone can't reach the platform. A peer's heartbeat carries the new
         # generation, and the text comes from the peer.
         await self.apply("a")
