--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -278,7 +278,7 @@
         self.assertEqual(router.generations, [1, 3])
 
     @on_paused_clock
-    async def test_restart_on_a_faulty_declaration_takes_the_peers(self):
+    async def test_restart_on_a_faulty_declaration_uses_the_peers_declaration(self):
         # The accepted generation 2 is faulty for this version, and all peers are still on
         # 1. A restarted router would never be ready if it only counted the highest.
         await self.apply("a")
