--- a/tests/test_confirmation.py
+++ b/tests/test_confirmation.py
@@ -75,7 +75,7 @@
 
 class ConfirmationTest(unittest.TestCase):
     @on_paused_clock
-    async def test_a_fresh_word_spares_the_read(self):
+    async def test_a_recent_confirmation_replaces_the_read(self):
         source = Source(Confirmation(generation=GENERATION, age_s=0.4))
         self.assertEqual(await source.reads_in(10.0), 0)
         age_s = boot_time_s() - source.source.confirmed_at
