--- a/tests/test_confirmation.py
+++ b/tests/test_confirmation.py
@@ -83,7 +83,7 @@
         self.assertLess(age_s, 2.0)
 
     @on_paused_clock
-    async def test_a_word_is_no_fresher_for_having_been_long_on_its_way(self):
+    async def test_transit_time_counts_towards_the_age_of_a_confirmation(self):
         # The peer's answer is held up. Counted from its arrival, a key that was revoked meanwhile
         # would still look proved.
         source = Source(None)
