--- a/tests/test_confirmation.py
+++ b/tests/test_confirmation.py
@@ -98,7 +98,7 @@
         self.assertLessEqual(source.source.confirmed_at, asked_at[-1] - 0.5 + 0.01)
 
     @on_paused_clock
-    async def test_what_does_not_prove_enough_leads_to_a_read(self):
+    async def test_an_insufficient_confirmation_leads_to_a_read(self):
         for answer in (
             None,
             Confirmation(generation=GENERATION, age_s=MAX_CONFIRMATION_AGE_S + 0.1),
