--- a/tests/test_confirmation.py
+++ b/tests/test_confirmation.py
@@ -111,7 +111,7 @@
                 self.assertEqual(source.observed, [])
 
     @on_paused_clock
-    async def test_a_higher_generation_is_heard_of(self):
+    async def test_a_higher_generation_is_observed(self):
         source = Source(Confirmation(generation=GENERATION + 1, age_s=0.1))
         await source.reads_in(2.0)
         self.assertIn((GENERATION + 1, READER), source.observed)
