--- a/tests/test_confirmation.py
+++ b/tests/test_confirmation.py
@@ -117,7 +117,7 @@
         self.assertIn((GENERATION + 1, READER), source.observed)
 
     @on_paused_clock
-    async def test_a_generation_that_is_fetched_in_time_spares_the_read(self):
+    async def test_a_generation_fetched_in_time_makes_the_read_unnecessary(self):
         # Every router hears of a change at about the same moment. Did each of them read the platform because
         # its reader is ahead, a change would cost as many reads as there are routers.
         source = Source(Confirmation(generation=GENERATION + 1, age_s=0.1), fetches=GENERATION + 1)
