--- a/tests/test_confirmation.py
+++ b/tests/test_confirmation.py
@@ -125,7 +125,7 @@
         self.assertLess(boot_time_s() - source.source.confirmed_at, 2.0)
 
     @on_paused_clock
-    async def test_what_is_read_proves_nothing_before_it_is_in_force(self):
+    async def test_a_read_is_no_proof_before_its_declaration_is_in_force(self):
         # A declaration that takes a key away is read, and checked for a second by a slow router. Meanwhile the
         # old one is in force: vouched for as the newest, it would let the key run past the operator's limit
         # here and at every router that asks this one.
