--- a/tests/test_confirmation.py
+++ b/tests/test_confirmation.py
@@ -157,7 +157,7 @@
         self.assertGreater(source.source.confirmed_at, proved_at)
 
     @on_paused_clock
-    async def test_a_reader_reads_by_itself(self):
+    async def test_a_reader_reads_the_platform_itself(self):
         source = Source(None)
         source.readers.reads_store = True
         reads = await source.reads_in(15.0)
