--- a/tests/test_confirmation.py
+++ b/tests/test_confirmation.py
@@ -87,15 +87,15 @@
         # The peer's answer is held up. Counted from its arrival, a key that was revoked meanwhile
         # would still look proved.
         source = Source(None)
-        asked_at = []
+        requested_at = []
 
         async def slow(reader):
-            asked_at.append(boot_time_s())
+            requested_at.append(boot_time_s())
             return Confirmation(generation=GENERATION, age_s=0.5)
 
         source.source._request_confirmation = slow
         await source.reads_in(1.5)
-        self.assertLessEqual(source.source.confirmed_at, asked_at[-1] - 0.5 + 0.01)
+        self.assertLessEqual(source.source.confirmed_at, requested_at[-1] - 0.5 + 0.01)
 
     @on_paused_clock
     async def test_an_insufficient_confirmation_leads_to_a_read(self):
