--- a/tests/test_engine_list.py
+++ b/tests/test_engine_list.py
@@ -27,7 +27,7 @@
     } | changes
 
 
-class ListedStore(MemoryStore):
+class CompactableStore(MemoryStore):
     """Can forget its history, as a store that was compacted."""
 
     history_gone = False
@@ -43,7 +43,7 @@
     """An engine list over a store in memory."""
 
     def __init__(self):
-        self.store = ListedStore()
+        self.store = CompactableStore()
         self.changes = []
         self.list = EngineList(
             store=self.store,
