--- a/tests/test_engine_list.py
+++ b/tests/test_engine_list.py
@@ -88,7 +88,7 @@
         await followed.list.close()
 
     @on_paused_clock
-    async def test_what_a_watch_missed_is_found_by_reading_the_whole(self):
+    async def test_full_read_finds_changes_that_the_watch_missed(self):
         # The watch hears nothing of an engine that leaves; it would get work until it is gone.
         followed = await self.started()
         followed.store.drop_events = True
