--- a/tests/test_engine_list.py
+++ b/tests/test_engine_list.py
@@ -98,7 +98,7 @@
         await followed.list.close()
 
     @on_paused_clock
-    async def test_a_lost_history_is_read_anew(self):
+    async def test_a_lost_history_leads_to_a_full_read(self):
         followed = await self.started()
         followed.store.history_gone = True
         followed.store.drop_events = True
