--- a/tests/test_engine_list.py
+++ b/tests/test_engine_list.py
@@ -108,7 +108,7 @@
         await followed.list.close()
 
     @on_paused_clock
-    async def test_entries_that_lapsed_in_an_outage_are_kept_for_a_while(self):
+    async def test_entries_that_expired_in_an_outage_are_kept_for_the_grace_period(self):
         # The store is out, entries expire, and it comes back without them. Their engines live and
         # are back in the list a moment later; dropped at once, every request would be refused.
         followed = await self.started()
