--- a/tests/test_engine_list.py
+++ b/tests/test_engine_list.py
@@ -125,7 +125,7 @@
         await followed.list.close()
 
     @on_paused_clock
-    async def test_an_entry_that_cannot_be_read_leaves_the_others(self):
+    async def test_an_invalid_entry_does_not_affect_the_others(self):
         followed = await self.started()
         await followed.put("i-3", {"nonsense": True})
         await asyncio.sleep(RELIST_INTERVAL_S + 2 * WATCH_TIMEOUT_S)
