--- a/tests/test_engine_list.py
+++ b/tests/test_engine_list.py
@@ -142,7 +142,7 @@
         return found.value if isinstance(found, StoreDone) else None
 
     @on_paused_clock
-    async def test_it_is_written_once_the_store_is_back(self):
+    async def test_it_is_written_when_the_store_is_reachable_again(self):
         store = MemoryStore()
         store.down = True
         announcement = self.announcement(store)
