--- a/tests/test_engine_list.py
+++ b/tests/test_engine_list.py
@@ -155,7 +155,7 @@
         self.assertIsNone(await self.entry(store))
 
     @on_paused_clock
-    async def test_a_lost_answer_does_not_leave_it_unwritten_or_fought_over(self):
+    async def test_a_lost_answer_causes_no_missing_and_no_repeated_write(self):
         # The write took effect but its answer was lost. The next try finds the entry there, sees
         # that it is its own, and lets it be.
         store = MemoryStore()
