--- a/tests/test_engine_list.py
+++ b/tests/test_engine_list.py
@@ -194,7 +194,7 @@
         self.assertIsNone(await self.entry(store))
 
     @on_paused_clock
-    async def test_where_the_refusal_tells_another_address_it_is_replaced_at_once(self):
+    async def test_another_address_in_the_refusal_is_replaced_without_a_read(self):
         store = MemoryStore()
         store.tells_conflicts = True
         await store.create(kind="routers", name="router-1", value={"address": "10.0.0.1:7000"})
