--- a/tests/test_engine_relay.py
+++ b/tests/test_engine_relay.py
@@ -16,7 +16,7 @@
 
 KIND = "engines"
 NAMES = tuple(f"router-{number}" for number in range(6))
-KNOWN_WITHIN_S = 1.9
+PROPAGATION_LIMIT_S = 1.9
 """Under the two seconds in which engines that leave may still get work."""
 READ_WATCH_S = RelayLimits().watch_s
 WAY_S = 0.001
@@ -174,7 +174,7 @@
             fleet.store_by_router[name].down = True
         await asyncio.sleep(READ_WATCH_S)
         await fleet.leave("i-1")
-        await asyncio.sleep(KNOWN_WITHIN_S)
+        await asyncio.sleep(PROPAGATION_LIMIT_S)
         self.assertEqual(fleet.know_leaving("i-1"), set(NAMES))
         await fleet.close()
 
@@ -187,7 +187,7 @@
             fleet.store_by_router[name].silent_watch = True
         await asyncio.sleep(READ_WATCH_S)
         await fleet.leave("i-1")
-        await asyncio.sleep(KNOWN_WITHIN_S)
+        await asyncio.sleep(PROPAGATION_LIMIT_S)
         self.assertLessEqual(set(NAMES) - fleet.readers(), fleet.know_leaving("i-1"))
         await fleet.close()
 
@@ -197,7 +197,7 @@
         fleet = await self.started()
         fleet.network.silent = fleet.readers()
         await fleet.leave("i-1")
-        await asyncio.sleep(KNOWN_WITHIN_S)
+        await asyncio.sleep(PROPAGATION_LIMIT_S)
         self.assertEqual(fleet.know_leaving("i-1"), set(NAMES))
         await fleet.close()
 
@@ -214,7 +214,7 @@
         await asyncio.sleep(READ_WATCH_S)
         before = fleet.calls()
         await fleet.leave("i-1")
-        await asyncio.sleep(KNOWN_WITHIN_S)
+        await asyncio.sleep(PROPAGATION_LIMIT_S)
         self.assertEqual(fleet.know_leaving("i-1"), set(NAMES))
         await asyncio.sleep(10.0)
         asking = {name for name, calls in fleet.calls().items() if calls > before[name]}
@@ -259,7 +259,7 @@
         fleet = await self.started(members=members)
         self.assertEqual(fleet.readers(), set())
         await fleet.leave("i-1")
-        await asyncio.sleep(KNOWN_WITHIN_S)
+        await asyncio.sleep(PROPAGATION_LIMIT_S)
         self.assertEqual(fleet.know_leaving("i-1"), {"a", "b", "c"})
         await fleet.close()
 
@@ -272,7 +272,7 @@
             fleet.store_by_router[name].silent_watch = True
         await asyncio.sleep(0.5)
         await fleet.leave("i-1")
-        await asyncio.sleep(KNOWN_WITHIN_S)
+        await asyncio.sleep(PROPAGATION_LIMIT_S)
         self.assertLessEqual(set(NAMES) - fleet.readers(), fleet.know_leaving("i-1"))
         await fleet.close()
 
