--- a/tests/test_engine_relay.py
+++ b/tests/test_engine_relay.py
@@ -18,7 +18,7 @@
 NAMES = tuple(f"router-{number}" for number in range(6))
 PROPAGATION_LIMIT_S = 1.9
 """Under the two seconds in which engines that leave may still get work."""
-READ_WATCH_S = RelayLimits().watch_s
+READER_WATCH_S = RelayLimits().watch_s
 WAY_S = 0.001
 
 
@@ -172,7 +172,7 @@
         fleet = await self.started()
         for name in fleet.readers():
             fleet.store_by_router[name].down = True
-        await asyncio.sleep(READ_WATCH_S)
+        await asyncio.sleep(READER_WATCH_S)
         await fleet.leave("i-1")
         await asyncio.sleep(PROPAGATION_LIMIT_S)
         self.assertEqual(fleet.know_leaving("i-1"), set(NAMES))
@@ -185,7 +185,7 @@
         fleet = await self.started()
         for name in fleet.readers():
             fleet.store_by_router[name].silent_watch = True
-        await asyncio.sleep(READ_WATCH_S)
+        await asyncio.sleep(READER_WATCH_S)
         await fleet.leave("i-1")
         await asyncio.sleep(PROPAGATION_LIMIT_S)
         self.assertLessEqual(set(NAMES) - fleet.readers(), fleet.know_leaving("i-1"))
@@ -211,7 +211,7 @@
         refused, sound = sorted(fleet.readers())
         replacement = fleet.ranked()[MIN_READERS]
         fleet.store_by_router[refused].down = True
-        await asyncio.sleep(READ_WATCH_S)
+        await asyncio.sleep(READER_WATCH_S)
         before = fleet.calls()
         await fleet.leave("i-1")
         await asyncio.sleep(PROPAGATION_LIMIT_S)
