--- a/tests/test_engine_relay.py
+++ b/tests/test_engine_relay.py
@@ -19,7 +19,7 @@
 PROPAGATION_LIMIT_S = 1.9
 """Under the two seconds in which engines that leave may still get work."""
 READER_WATCH_S = RelayLimits().watch_s
-WAY_S = 0.001
+TRANSIT_S = 0.001
 
 
 def entry(state="ready", **changes):
@@ -40,7 +40,7 @@
 
     def __init__(self):
         self.handlers_by_router = {}
-        self.way_s = WAY_S
+        self.way_s = TRANSIT_S
         self.silent = set()
 
     def peers_of(self, name):
