--- a/tests/test_engine_relay.py
+++ b/tests/test_engine_relay.py
@@ -40,7 +40,7 @@
 
     def __init__(self):
         self.handlers_by_router = {}
-        self.way_s = TRANSIT_S
+        self.transit_s = TRANSIT_S
         self.silent = set()
 
     def peers_of(self, name):
@@ -60,11 +60,11 @@
     async def ask(self, peer, message, timeout_s):
         try:
             async with asyncio.timeout(timeout_s):
-                await asyncio.sleep(self._network.way_s)
+                await asyncio.sleep(self._network.transit_s)
                 if peer in self._network.silent:
                     await asyncio.sleep(timeout_s)
                 answer = await self._network.handlers_by_router[peer](self._name, message, "")
-                await asyncio.sleep(self._network.way_s)
+                await asyncio.sleep(self._network.transit_s)
                 return answer
         except TimeoutError:
             return PeerUnreachable(peer=peer, detail="no answer")
@@ -267,7 +267,7 @@
     async def test_the_way_of_an_answer_counts_as_age(self):
         # Answers of a reader are held up on a link for most of their time; what they tell may be old.
         fleet = await self.started()
-        fleet.network.way_s = 0.29
+        fleet.network.transit_s = 0.29
         for name in fleet.readers():
             fleet.store_by_router[name].silent_watch = True
         await asyncio.sleep(0.5)
