--- a/tests/test_engine_relay.py
+++ b/tests/test_engine_relay.py
@@ -125,7 +125,7 @@
     def calls(self):
         return {name: store.calls["reads"] + store.calls["watches"] for name, store in self.store_by_router.items()}
 
-    def know_leaving(self, name):
+    def routers_that_know_leaving(self, name):
         return {router for router, engines in self.list_by_router.items() if engines.by_name[name].leaving}
 
 
@@ -150,8 +150,8 @@
         fleet = await self.started()
         await fleet.leave("i-1")
         await asyncio.sleep(0.02)
-        self.assertEqual(fleet.know_leaving("i-1"), set(NAMES))
-        self.assertEqual(fleet.know_leaving("i-2"), set())
+        self.assertEqual(fleet.routers_that_know_leaving("i-1"), set(NAMES))
+        self.assertEqual(fleet.routers_that_know_leaving("i-2"), set())
         await fleet.close()
 
     @on_paused_clock
@@ -175,7 +175,7 @@
         await asyncio.sleep(READER_WATCH_S)
         await fleet.leave("i-1")
         await asyncio.sleep(PROPAGATION_LIMIT_S)
-        self.assertEqual(fleet.know_leaving("i-1"), set(NAMES))
+        self.assertEqual(fleet.routers_that_know_leaving("i-1"), set(NAMES))
         await fleet.close()
 
     @on_paused_clock
@@ -188,7 +188,7 @@
         await asyncio.sleep(READER_WATCH_S)
         await fleet.leave("i-1")
         await asyncio.sleep(PROPAGATION_LIMIT_S)
-        self.assertLessEqual(set(NAMES) - fleet.readers(), fleet.know_leaving("i-1"))
+        self.assertLessEqual(set(NAMES) - fleet.readers(), fleet.routers_that_know_leaving("i-1"))
         await fleet.close()
 
     @on_paused_clock
@@ -198,7 +198,7 @@
         fleet.network.silent = fleet.readers()
         await fleet.leave("i-1")
         await asyncio.sleep(PROPAGATION_LIMIT_S)
-        self.assertEqual(fleet.know_leaving("i-1"), set(NAMES))
+        self.assertEqual(fleet.routers_that_know_leaving("i-1"), set(NAMES))
         await fleet.close()
 
     @on_paused_clock
@@ -215,7 +215,7 @@
         before = fleet.calls()
         await fleet.leave("i-1")
         await asyncio.sleep(PROPAGATION_LIMIT_S)
-        self.assertEqual(fleet.know_leaving("i-1"), set(NAMES))
+        self.assertEqual(fleet.routers_that_know_leaving("i-1"), set(NAMES))
         await asyncio.sleep(10.0)
         asking = {name for name, calls in fleet.calls().items() if calls > before[name]}
         self.assertEqual(asking - {refused}, {sound, replacement})
@@ -235,7 +235,7 @@
             await asyncio.sleep(RelayLimits(propagation_limit_s=within_s).watch_s)
             await fleet.leave("i-1")
             await asyncio.sleep(0.95 * within_s)
-            self.assertLessEqual(set(NAMES) - fleet.readers(), fleet.know_leaving("i-1"))
+            self.assertLessEqual(set(NAMES) - fleet.readers(), fleet.routers_that_know_leaving("i-1"))
             await fleet.close()
         self.assertLess(calls_by_limit[4.0], 0.6 * calls_by_limit[2.0])
 
@@ -260,7 +260,7 @@
         self.assertEqual(fleet.readers(), set())
         await fleet.leave("i-1")
         await asyncio.sleep(PROPAGATION_LIMIT_S)
-        self.assertEqual(fleet.know_leaving("i-1"), {"a", "b", "c"})
+        self.assertEqual(fleet.routers_that_know_leaving("i-1"), {"a", "b", "c"})
         await fleet.close()
 
     @on_paused_clock
@@ -273,7 +273,7 @@
         await asyncio.sleep(0.5)
         await fleet.leave("i-1")
         await asyncio.sleep(PROPAGATION_LIMIT_S)
-        self.assertLessEqual(set(NAMES) - fleet.readers(), fleet.know_leaving("i-1"))
+        self.assertLessEqual(set(NAMES) - fleet.readers(), fleet.routers_that_know_leaving("i-1"))
         await fleet.close()
 
     @on_paused_clock
