--- a/tests/test_engine_relay.py
+++ b/tests/test_engine_relay.py
@@ -140,9 +140,9 @@
         fleet = await self.started()
         before = fleet.calls()
         await asyncio.sleep(20.0)
-        asking = {name for name, calls in fleet.calls().items() if calls > before[name]}
+        querying = {name for name, calls in fleet.calls().items() if calls > before[name]}
         self.assertEqual(len(fleet.readers()), MIN_READERS)
-        self.assertEqual(asking, fleet.readers())
+        self.assertEqual(querying, fleet.readers())
         await fleet.close()
 
     @on_paused_clock
@@ -217,8 +217,8 @@
         await asyncio.sleep(PROPAGATION_LIMIT_S)
         self.assertEqual(fleet.routers_that_know_leaving("i-1"), set(NAMES))
         await asyncio.sleep(10.0)
-        asking = {name for name, calls in fleet.calls().items() if calls > before[name]}
-        self.assertEqual(asking - {refused}, {sound, replacement})
+        querying = {name for name, calls in fleet.calls().items() if calls > before[name]}
+        self.assertEqual(querying - {refused}, {sound, replacement})
         await fleet.close()
 
     @on_paused_clock
