--- a/tests/test_engine_relay.py
+++ b/tests/test_engine_relay.py
@@ -136,7 +136,7 @@
         return fleet
 
     @on_paused_clock
-    async def test_only_the_readers_ask_the_store(self):
+    async def test_only_the_readers_query_the_store(self):
         fleet = await self.started()
         before = fleet.calls()
         await asyncio.sleep(20.0)
