--- a/tests/test_engine_relay.py
+++ b/tests/test_engine_relay.py
@@ -146,7 +146,7 @@
         await fleet.close()
 
     @on_paused_clock
-    async def test_all_hear_at_once_of_an_engine_that_leaves(self):
+    async def test_all_routers_learn_immediately_of_a_draining_engine(self):
         fleet = await self.started()
         await fleet.leave("i-1")
         await asyncio.sleep(0.02)
