--- a/tests/test_engine_relay.py
+++ b/tests/test_engine_relay.py
@@ -155,7 +155,7 @@
         await fleet.close()
 
     @on_paused_clock
-    async def test_an_engine_that_is_gone_is_told_too(self):
+    async def test_a_deleted_engine_is_relayed(self):
         fleet = await self.started()
         found = await fleet.operator.get(kind=KIND, name="i-1")
         await fleet.operator.delete(kind=KIND, name="i-1", if_version=found.version)
