--- a/tests/test_engine_relay.py
+++ b/tests/test_engine_relay.py
@@ -165,7 +165,7 @@
         await fleet.close()
 
     @on_paused_clock
-    async def test_readers_cut_off_from_the_store_are_not_believed(self):
+    async def test_answers_of_readers_cut_off_from_the_store_are_rejected(self):
         # Both readers lose the store, and hear nothing of an engine that leaves. The other routers
         # ask them and get answers; going by these they would send requests to the engine for ever.
         # The next of the ranking read in their place, and tell the two as well.
