--- a/tests/test_engine_relay.py
+++ b/tests/test_engine_relay.py
@@ -179,7 +179,7 @@
         await fleet.close()
 
     @on_paused_clock
-    async def test_readers_whose_watch_is_silent_are_not_believed(self):
+    async def test_answers_of_readers_with_a_silent_watch_are_rejected(self):
         # The readers' connections to the store go silent, so that an engine's leaving reaches none of
         # them; the others have sound connections and must not wait until the readers notice.
         fleet = await self.started()
