--- a/tests/test_engine_relay.py
+++ b/tests/test_engine_relay.py
@@ -192,7 +192,7 @@
         await fleet.close()
 
     @on_paused_clock
-    async def test_silent_readers_are_replaced_by_the_store(self):
+    async def test_silent_readers_are_replaced_by_reads_of_the_store(self):
         # The readers freeze with the question in hand; an engine leaves meanwhile.
         fleet = await self.started()
         fleet.network.silent = fleet.readers()
