--- a/tests/test_engine_relay.py
+++ b/tests/test_engine_relay.py
@@ -202,7 +202,7 @@
         await fleet.close()
 
     @on_paused_clock
-    async def test_a_reader_refused_by_the_store_asks_the_other(self):
+    async def test_a_reader_refused_by_the_store_queries_the_other_reader(self):
         # The store refuses one reader and serves everybody else. It goes on asking in vain, and
         # sends requests to an engine that leaves, though the other reader knows better. The routers
         # that asked it turn to the other reader and to the next of the ranking, which reads in its
