--- a/tests/test_engine_relay.py
+++ b/tests/test_engine_relay.py
@@ -222,7 +222,7 @@
         await fleet.close()
 
     @on_paused_clock
-    async def test_where_leaving_engines_serve_longer_the_store_is_asked_less(self):
+    async def test_a_longer_propagation_limit_needs_fewer_calls_to_the_store(self):
         # The operator lets engines that leave serve four seconds more instead of two.
         calls_by_limit = {}
         for within_s in (2.0, 4.0):
