--- a/tests/test_engine_relay.py
+++ b/tests/test_engine_relay.py
@@ -240,7 +240,7 @@
         self.assertLess(calls_by_limit[4.0], 0.6 * calls_by_limit[2.0])
 
     @on_paused_clock
-    async def test_readers_that_are_gone_are_forgotten(self):
+    async def test_pauses_of_departed_readers_are_removed(self):
         # Routers come and go for months, each under a name of its own.
         fleet = await self.started()
         relay = fleet.relay_by_router[NAMES[0]]
