--- a/tests/test_engine_relay.py
+++ b/tests/test_engine_relay.py
@@ -252,7 +252,7 @@
         await fleet.close()
 
     @on_paused_clock
-    async def test_two_routers_that_ask_each_other_do_not_believe_for_ever(self):
+    async def test_two_routers_that_query_each_other_return_to_the_store(self):
         # Two views differ, and each router takes the other for the reader. If the answer's age began
         # anew at each hop, neither would ever ask the store again.
         members = {"a": ("b", "c"), "b": ("a", "c"), "c": ("a", "b")}
