--- a/tests/test_engine_relay.py
+++ b/tests/test_engine_relay.py
@@ -264,7 +264,7 @@
         await fleet.close()
 
     @on_paused_clock
-    async def test_the_way_of_an_answer_counts_as_age(self):
+    async def test_transit_time_of_an_answer_counts_as_age(self):
         # Answers of a reader are held up on a link for most of their time; what they tell may be old.
         fleet = await self.started()
         fleet.network.transit_s = 0.29
