--- a/tests/test_engine_relay.py
+++ b/tests/test_engine_relay.py
@@ -277,7 +277,7 @@
         await fleet.close()
 
     @on_paused_clock
-    async def test_a_list_held_up_on_its_way_is_no_younger_for_it(self):
+    async def test_transit_time_of_a_list_counts_as_age(self):
         # A reader's link to the store is slow: a list arrives 0.9 s after it was asked for. An engine
         # that left meanwhile is not in it; told as new, it would hide the leaving for 0.9 s more.
         fleet = Fleet()
