--- a/tests/test_engine_relay.py
+++ b/tests/test_engine_relay.py
@@ -290,7 +290,7 @@
         await fleet.list_by_router[reader].close()
 
     @on_paused_clock
-    async def test_a_reader_that_knows_less_history_tells_the_whole(self):
+    async def test_a_reader_with_a_shorter_history_sends_the_full_list(self):
         # A router asks with a version from before its reader started.
         fleet = await self.started()
         reader = sorted(fleet.readers())[0]
