--- a/tests/test_peer_configuration.py
+++ b/tests/test_peer_configuration.py
@@ -17,7 +17,7 @@
     """Routers of which those named hold a declaration; counts questions and bytes of the answers."""
 
     def __init__(self, *, holders, generation=5):
-        self.asked = []
+        self.queried = []
         self.told_bytes = 0
         self.answer_by_name = {}
         self.by_name = {name: self._router(name, generation if name in holders else 0) for name in NAMES}
@@ -33,7 +33,7 @@
         return PeerConfiguration(peers=peers, members=lambda: NAMES, in_force=lambda: held)
 
     async def _ask(self, name, message, timeout_s):
-        self.asked.append(name)
+        self.queried.append(name)
         answer = self.answer_by_name[name](None, message, "")
         self.told_bytes += len(answer.packed)
         return answer
@@ -46,7 +46,7 @@
         network = Network(holders=("router-3",))
         answer = asyncio.run(network.by_name["router-9"].fetch(5, "router-3"))
         self.assertEqual((answer.generation, answer.text), (5, TEXT))
-        self.assertEqual(network.asked, ["router-3"])
+        self.assertEqual(network.queried, ["router-3"])
         self.assertLess(network.told_bytes, len(TEXT) / 5)
 
     def test_others_are_asked_where_the_teller_has_gone_back(self):
@@ -54,7 +54,7 @@
         network = Network(holders=NAMES[4:])
         answer = asyncio.run(network.by_name["router-9"].fetch(5, "router-3"))
         self.assertEqual(answer.generation, 5)
-        self.assertEqual(len(network.asked), 1 + MAX_PEERS_QUERIED)
+        self.assertEqual(len(network.queried), 1 + MAX_PEERS_QUERIED)
 
     def test_what_cannot_be_unpacked_is_no_answer(self):
         network = Network(holders=NAMES)
