--- a/tests/test_peer_configuration.py
+++ b/tests/test_peer_configuration.py
@@ -18,7 +18,7 @@
 
     def __init__(self, *, holders, generation=5):
         self.queried = []
-        self.told_bytes = 0
+        self.sent_bytes = 0
         self.answer_by_name = {}
         self.by_name = {name: self._router(name, generation if name in holders else 0) for name in NAMES}
 
@@ -35,7 +35,7 @@
     async def _ask(self, name, message, timeout_s):
         self.queried.append(name)
         answer = self.answer_by_name[name](None, message, "")
-        self.told_bytes += len(answer.packed)
+        self.sent_bytes += len(answer.packed)
         return answer
 
 
@@ -47,7 +47,7 @@
         answer = asyncio.run(network.by_name["router-9"].fetch(5, "router-3"))
         self.assertEqual((answer.generation, answer.text), (5, TEXT))
         self.assertEqual(network.queried, ["router-3"])
-        self.assertLess(network.told_bytes, len(TEXT) / 5)
+        self.assertLess(network.sent_bytes, len(TEXT) / 5)
 
     def test_others_are_asked_where_the_teller_has_gone_back(self):
         # The teller restarted meanwhile and holds nothing.
