--- a/tests/test_peer_configuration.py
+++ b/tests/test_peer_configuration.py
@@ -40,7 +40,7 @@
 
 
 class PeerConfigurationTest(unittest.TestCase):
-    def test_one_copy_is_fetched_from_who_told_of_it(self):
+    def test_one_copy_is_fetched_from_the_announcing_peer(self):
         # A declaration of 1,400 routes comes to one router, which tells the others. Did each of them ask
         # eight routers for all of it, a hundred megabytes would cross the links of a fleet of 195.
         network = Network(holders=("router-3",))
