--- a/tests/test_peer_configuration.py
+++ b/tests/test_peer_configuration.py
@@ -49,7 +49,7 @@
         self.assertEqual(network.queried, ["router-3"])
         self.assertLess(network.sent_bytes, len(TEXT) / 5)
 
-    def test_others_are_asked_where_the_teller_has_gone_back(self):
+    def test_other_peers_are_queried_when_the_announcing_peer_has_no_declaration(self):
         # The teller restarted meanwhile and holds nothing.
         network = Network(holders=NAMES[4:])
         answer = asyncio.run(network.by_name["router-9"].fetch(5, "router-3"))
