--- a/tests/test_peer_configuration.py
+++ b/tests/test_peer_configuration.py
@@ -56,7 +56,7 @@
         self.assertEqual(answer.generation, 5)
         self.assertEqual(len(network.queried), 1 + MAX_PEERS_QUERIED)
 
-    def test_what_cannot_be_unpacked_is_no_answer(self):
+    def test_a_declaration_that_cannot_be_decompressed_is_no_answer(self):
         network = Network(holders=NAMES)
         network.answer_by_name = {
             name: lambda peer, message, cell: ConfigurationText(generation=5, packed=b"not packed") for name in NAMES
