--- a/tests/test_store_epoch.py
+++ b/tests/test_store_epoch.py
@@ -61,7 +61,7 @@
         self.returns = []
         self.epoch.on_restore(lambda: self.returns.append(self.epoch.number))
 
-    def test_store_that_tells_none_is_whole(self):
+    def test_store_without_epochs_is_settled(self):
         self.assertTrue(self.epoch.is_settled)
 
     def test_first_epoch_is_no_return_and_not_settled(self):
