--- a/tests/test_store_epoch.py
+++ b/tests/test_store_epoch.py
@@ -64,7 +64,7 @@
     def test_store_without_epochs_is_settled(self):
         self.assertTrue(self.epoch.is_settled)
 
-    def test_first_epoch_is_no_return_and_not_settled(self):
+    def test_first_epoch_is_no_restore_and_not_settled(self):
         self.assertTrue(self.epoch.observe(4))
         self.assertEqual(self.returns, [])
         self.assertFalse(self.epoch.is_settled)
