--- a/tests/test_store_epoch.py
+++ b/tests/test_store_epoch.py
@@ -71,7 +71,7 @@
         self.clock.now += RESTORE_SETTLE_S
         self.assertTrue(self.epoch.is_settled)
 
-    def test_peer_that_has_known_it_for_long_settles_it(self):
+    def test_peer_that_knows_the_epoch_longer_settles_it(self):
         self.epoch.observe(4)
         self.epoch.observe_peer(4, 30.0)
         self.assertTrue(self.epoch.is_settled)
