--- a/tests/test_store_epoch.py
+++ b/tests/test_store_epoch.py
@@ -83,7 +83,7 @@
         self.assertEqual((self.epoch.number, self.returns), (5, [5]))
         self.assertFalse(self.epoch.is_settled)
 
-    def test_answer_of_a_former_epoch_is_told_apart(self):
+    def test_answer_of_a_former_epoch_is_detected(self):
         self.epoch.observe(5)
         self.assertFalse(self.epoch.observe(4))
         self.assertEqual(self.epoch.number, 5)
