--- a/tests/test_store_epoch.py
+++ b/tests/test_store_epoch.py
@@ -58,15 +58,15 @@
     def setUp(self):
         self.clock = Clock()
         self.epoch = StoreEpoch(clock=self.clock)
-        self.returns = []
-        self.epoch.on_restore(lambda: self.returns.append(self.epoch.number))
+        self.restores = []
+        self.epoch.on_restore(lambda: self.restores.append(self.epoch.number))
 
     def test_store_without_epochs_is_settled(self):
         self.assertTrue(self.epoch.is_settled)
 
     def test_first_epoch_is_no_restore_and_not_settled(self):
         self.assertTrue(self.epoch.observe(4))
-        self.assertEqual(self.returns, [])
+        self.assertEqual(self.restores, [])
         self.assertFalse(self.epoch.is_settled)
         self.clock.now += RESTORE_SETTLE_S
         self.assertTrue(self.epoch.is_settled)
@@ -80,7 +80,7 @@
         self.epoch.observe(4)
         self.epoch.observe_peer(5, 0.5)
         self.epoch.observe_peer(4, 30.0)
-        self.assertEqual((self.epoch.number, self.returns), (5, [5]))
+        self.assertEqual((self.epoch.number, self.restores), (5, [5]))
         self.assertFalse(self.epoch.is_settled)
 
     def test_answer_of_a_former_epoch_is_detected(self):
