--- a/tests/test_store_epoch.py
+++ b/tests/test_store_epoch.py
@@ -97,7 +97,7 @@
     def corrected(self, *listed):
         return self.pre_restore.corrected({engine.name: engine for engine in listed})
 
-    def test_before_a_return_the_list_is_taken_as_it_is(self):
+    def test_list_is_unchanged_before_a_restore(self):
         self.pre_restore.record_departed(["i-1"])
         self.assertEqual(set(self.corrected(engine("i-1"))), {"i-1"})
 
