--- a/tests/test_store_epoch.py
+++ b/tests/test_store_epoch.py
@@ -106,7 +106,7 @@
         self.pre_restore.begin({"i-2": engine("i-2")})
         self.assertEqual(set(self.corrected(engine("i-1"), engine("i-2"))), {"i-2"})
 
-    def test_engine_that_drained_drains_on(self):
+    def test_draining_engine_stays_draining(self):
         self.pre_restore.begin({"i-1": engine("i-1", leaving=True)})
         self.assertTrue(self.corrected(engine("i-1"))["i-1"].leaving)
 
