--- a/tests/test_store_epoch.py
+++ b/tests/test_store_epoch.py
@@ -110,7 +110,7 @@
         self.pre_restore.begin({"i-1": engine("i-1", leaving=True)})
         self.assertTrue(self.corrected(engine("i-1"))["i-1"].leaving)
 
-    def test_engine_that_began_to_drain_while_the_store_was_away_drains(self):
+    def test_engine_that_began_to_drain_during_the_outage_is_draining(self):
         self.pre_restore.begin({"i-1": engine("i-1")})
         self.assertTrue(self.corrected(engine("i-1", leaving=True))["i-1"].leaving)
 
