--- a/tests/test_store_epoch.py
+++ b/tests/test_store_epoch.py
@@ -114,7 +114,7 @@
         self.pre_restore.begin({"i-1": engine("i-1")})
         self.assertTrue(self.corrected(engine("i-1", leaving=True))["i-1"].leaving)
 
-    def test_engine_that_started_again_since_the_copy_is_not_known_by_its_former_start(self):
+    def test_engine_restarted_since_the_backup_keeps_its_later_start(self):
         self.pre_restore.begin({"i-1": engine("i-1", start_ms=2000)})
         self.assertEqual(self.corrected(engine("i-1", start_ms=1000))["i-1"].start_ms, 2000)
 
