--- a/tests/test_store_epoch.py
+++ b/tests/test_store_epoch.py
@@ -118,7 +118,7 @@
         self.pre_restore.begin({"i-1": engine("i-1", start_ms=2000)})
         self.assertEqual(self.corrected(engine("i-1", start_ms=1000))["i-1"].start_ms, 2000)
 
-    def test_entry_written_since_the_return_counts(self):
+    def test_entry_written_since_the_restore_counts(self):
         self.pre_restore.record_departed(["i-1"])
         self.pre_restore.begin({})
         self.pre_restore.record_written(["i-1"])
