--- a/tests/test_store_epoch.py
+++ b/tests/test_store_epoch.py
@@ -124,7 +124,7 @@
         self.pre_restore.record_written(["i-1"])
         self.assertEqual(set(self.corrected(engine("i-1"))), {"i-1"})
 
-    def test_after_a_while_the_list_counts_alone(self):
+    def test_list_is_unchanged_after_the_validity_period(self):
         self.pre_restore.begin({"i-1": engine("i-1", leaving=True)})
         self.clock.now += PRE_RESTORE_VALIDITY_S
         self.assertFalse(self.corrected(engine("i-1"))["i-1"].leaving)
