--- a/tests/test_store_epoch.py
+++ b/tests/test_store_epoch.py
@@ -129,7 +129,7 @@
         self.clock.now += PRE_RESTORE_VALIDITY_S
         self.assertFalse(self.corrected(engine("i-1"))["i-1"].leaving)
 
-    def test_second_return_keeps_what_was_known_before_the_first(self):
+    def test_second_restore_keeps_what_was_known_before_the_first(self):
         self.pre_restore.begin({"i-1": engine("i-1", leaving=True)})
         self.pre_restore.begin({})
         self.assertTrue(self.corrected(engine("i-1"))["i-1"].leaving)
