--- a/tests/test_store_epoch.py
+++ b/tests/test_store_epoch.py
@@ -135,7 +135,7 @@
         self.assertTrue(self.corrected(engine("i-1"))["i-1"].leaving)
 
 
-class ReturnedStore:
+class RestoredStore:
     """Answers lists and watches of one kind by versions that the test sets.
 
     Attributes
@@ -187,7 +187,7 @@
     async def test_engine_that_the_copy_lacks_is_used_until_it_could_have_written_again(self):
         # Callers are served by an engine that started since the copy. It is missing from the first list after the
         # return, writes its entry within two seconds, or is taken for gone after them.
-        store = ReturnedStore(done(1, 90, old=10, new=80))
+        store = RestoredStore(done(1, 90, old=10, new=80))
         await self.follow(store)
         store.listed, store.is_gone = done(2, 40, old=10), True
         await asyncio.sleep(GRACE_S / 2)
@@ -198,7 +198,7 @@
 
     @on_paused_clock
     async def test_lists_of_the_new_epoch_are_taken_though_their_revisions_are_lower(self):
-        store = ReturnedStore(done(1, 90, old=10))
+        store = RestoredStore(done(1, 90, old=10))
         await self.follow(store)
         await asyncio.sleep(MIN_RELIST_INTERVAL_S)
         store.listed, store.is_gone = done(2, 40, old=10, fresh=40), True
@@ -207,7 +207,7 @@
         await self.list.close()
 
 
-class ForgetfulStore(ReturnedStore):
+class ForgetfulStore(RestoredStore):
     """Keeps no history at all: each watch finds it gone, at once."""
 
     async def watch(self, *, kind, from_version, timeout_s):
