--- a/tests/test_store_epoch.py
+++ b/tests/test_store_epoch.py
@@ -147,7 +147,7 @@
 
     def __init__(self, listed):
         self.listed = listed
-        self.is_gone = False
+        self.is_history_gone = False
         self.lists = 0
 
     async def list(self, *, kind):
@@ -156,8 +156,8 @@
 
     async def watch(self, *, kind, from_version, timeout_s):
         for _ in range(int(timeout_s / 0.01)):
-            if self.is_gone:
-                self.is_gone = False
+            if self.is_history_gone:
+                self.is_history_gone = False
                 return StoreHistoryGone()
             await asyncio.sleep(0.01)
         return StoreDone(version=from_version, value=())
@@ -189,7 +189,7 @@
         # return, writes its entry within two seconds, or is taken for gone after them.
         store = RestoredStore(done(1, 90, old=10, new=80))
         await self.follow(store)
-        store.listed, store.is_gone = done(2, 40, old=10), True
+        store.listed, store.is_history_gone = done(2, 40, old=10), True
         await asyncio.sleep(GRACE_S / 2)
         self.assertEqual(set(self.list.by_name), {"old", "new"})
         await asyncio.sleep(GRACE_S)
@@ -201,7 +201,7 @@
         store = RestoredStore(done(1, 90, old=10))
         await self.follow(store)
         await asyncio.sleep(MIN_RELIST_INTERVAL_S)
-        store.listed, store.is_gone = done(2, 40, old=10, fresh=40), True
+        store.listed, store.is_history_gone = done(2, 40, old=10, fresh=40), True
         await asyncio.sleep(0.1)
         self.assertEqual(set(self.list.by_name), {"old", "fresh"})
         await self.list.close()
