--- a/tests/test_store_epoch.py
+++ b/tests/test_store_epoch.py
@@ -182,7 +182,7 @@
         await asyncio.sleep(0.1)
 
 
-class ReturnedListTest(FollowedListCase):
+class RestoredListTest(FollowedListCase):
     @on_paused_clock
     async def test_engine_that_the_copy_lacks_is_used_until_it_could_have_written_again(self):
         # Callers are served by an engine that started since the copy. It is missing from the first list after the
