--- a/tests/test_store_epoch.py
+++ b/tests/test_store_epoch.py
@@ -184,7 +184,7 @@
 
 class RestoredListTest(FollowedListCase):
     @on_paused_clock
-    async def test_engine_that_the_copy_lacks_is_used_until_it_could_have_written_again(self):
+    async def test_engine_missing_from_the_backup_is_used_for_the_grace_period(self):
         # Callers are served by an engine that started since the copy. It is missing from the first list after the
         # return, writes its entry within two seconds, or is taken for gone after them.
         store = RestoredStore(done(1, 90, old=10, new=80))
