--- a/tests/test_store_epoch.py
+++ b/tests/test_store_epoch.py
@@ -197,7 +197,7 @@
         await self.list.close()
 
     @on_paused_clock
-    async def test_lists_of_the_new_epoch_are_taken_though_their_revisions_are_lower(self):
+    async def test_lists_of_the_new_epoch_are_accepted_despite_lower_revisions(self):
         store = RestoredStore(done(1, 90, old=10))
         await self.follow(store)
         await asyncio.sleep(MIN_RELIST_INTERVAL_S)
