--- a/tests/test_store_epoch.py
+++ b/tests/test_store_epoch.py
@@ -207,7 +207,7 @@
         await self.list.close()
 
 
-class ForgetfulStore(RestoredStore):
+class NoHistoryStore(RestoredStore):
     """Keeps no history at all: each watch finds it gone, at once."""
 
     async def watch(self, *, kind, from_version, timeout_s):
@@ -224,7 +224,7 @@
     async def test_store_that_keeps_no_history_is_not_asked_without_a_pause(self):
         # Every call is paid for. The history before a version that was read a moment ago is gone again: read anew at
         # once each time, one router would ask a hundred times a second for as long as that lasts.
-        store = ForgetfulStore(done(1, 90, old=10))
+        store = NoHistoryStore(done(1, 90, old=10))
         await self.follow(store)
         before = store.lists
         await asyncio.sleep(1.0)
