--- a/tests/test_store_epoch.py
+++ b/tests/test_store_epoch.py
@@ -219,7 +219,7 @@
         return await super().list(kind=kind)
 
 
-class ForgetfulStoreTest(FollowedListCase):
+class NoHistoryStoreTest(FollowedListCase):
     @on_paused_clock
     async def test_store_that_keeps_no_history_is_not_asked_without_a_pause(self):
         # Every call is paid for. The history before a version that was read a moment ago is gone again: read anew at
