--- a/tests/test_store_epoch.py
+++ b/tests/test_store_epoch.py
@@ -221,7 +221,7 @@
 
 class NoHistoryStoreTest(FollowedListCase):
     @on_paused_clock
-    async def test_store_that_keeps_no_history_is_not_asked_without_a_pause(self):
+    async def test_store_without_history_is_not_queried_without_a_pause(self):
         # Every call is paid for. The history before a version that was read a moment ago is gone again: read anew at
         # once each time, one router would ask a hundred times a second for as long as that lasts.
         store = NoHistoryStore(done(1, 90, old=10))
