--- a/tests/test_store_epoch.py
+++ b/tests/test_store_epoch.py
@@ -260,7 +260,7 @@
         self.store.outcome = StoreDone(version=make_version(epoch, revision), value={"version": generation})
         asyncio.run(source._read(sources.Source.POLL))
 
-    def test_router_that_starts_after_a_return_proves_nothing_by_the_copy(self):
+    def test_router_started_after_a_restore_gets_no_proof_from_the_backup(self):
         # A key that was taken away is in the copy. Until the operator could have written again, a read of it shows
         # what was, and the router refuses rather than guesses.
         source = self.source(self.store, self.epoch)
