--- a/tests/test_store_epoch.py
+++ b/tests/test_store_epoch.py
@@ -271,7 +271,7 @@
         self.read(source, epoch=2, revision=5)
         self.assertEqual(source.confirmed_at, self.clock.now)
 
-    def test_what_the_operator_writes_after_the_return_proves_itself(self):
+    def test_configuration_written_after_the_restore_is_proved_by_its_read(self):
         source = self.source(self.store, self.epoch)
         self.read(source, epoch=2, revision=5)
         self.read(source, epoch=2, revision=9, generation=2)
