--- a/tests/test_store_epoch.py
+++ b/tests/test_store_epoch.py
@@ -277,7 +277,7 @@
         self.read(source, epoch=2, revision=9, generation=2)
         self.assertEqual(source.confirmed_at, self.clock.now)
 
-    def test_router_that_stayed_goes_on(self):
+    def test_router_that_kept_running_keeps_its_proof(self):
         # It was proved a second before, so it knows at least what the copy lacks: no caller is refused for the return.
         source = self.source(self.store, self.epoch)
         self.read(source, epoch=1, revision=50)
