--- a/tests/test_store_epoch.py
+++ b/tests/test_store_epoch.py
@@ -287,7 +287,7 @@
         self.read(source, epoch=2, revision=5)
         self.assertEqual(source.confirmed_at, self.clock.now)
 
-    def test_router_that_was_cut_off_for_long_before_the_return_does_not(self):
+    def test_router_cut_off_long_before_the_restore_keeps_no_proof(self):
         source = self.source(self.store, self.epoch)
         self.read(source, epoch=1, revision=50)
         self.epoch.mark_settled()
