--- a/tests/test_store_epoch.py
+++ b/tests/test_store_epoch.py
@@ -363,7 +363,7 @@
         self.assertNotEqual(first.version, second.version)
         self.assertIsNotNone(second.value)
 
-    def test_refused_call_tells_the_epoch_too(self):
+    def test_refused_call_carries_the_epoch(self):
         self.server.script = [("3", 503, {})]
         self.assertIsInstance(self.call(self.store.get(kind="config", name="main")), StoreUnavailable)
         self.assertEqual(self.epoch.number, 3)
