--- a/tests/test_store_epoch.py
+++ b/tests/test_store_epoch.py
@@ -375,7 +375,7 @@
         self.assertIsInstance(outcome, StoreHistoryGone)
         self.assertEqual(self.server.paths, [])
 
-    def test_watch_over_a_return_tells_nothing(self):
+    def test_watch_over_a_restore_reports_no_changes(self):
         self.epoch.observe(1)
         self.server.script = [("2", 200, {"events": [], "store_revision": 9})]
         outcome = self.call(self.store.watch(kind="servers", from_version=make_version(1, 7), timeout_s=0.1))
