--- a/tests/test_store_epoch.py
+++ b/tests/test_store_epoch.py
@@ -387,7 +387,7 @@
         self.assertIsInstance(self.call(update), StoreConflict)
         self.assertEqual(self.server.paths, [])
 
-    def test_late_answer_of_a_former_epoch_is_none(self):
+    def test_late_answer_of_a_former_epoch_is_discarded(self):
         # The era is seen to fall: a write was acknowledged before the return, and may be lost; a read may have
         # changed since.
         self.epoch.observe(2)
