--- a/tests/test_store_readers.py
+++ b/tests/test_store_readers.py
@@ -22,7 +22,7 @@
 GENERATION = 3
 POLL_S = 1.0
 SECONDS = 30.0
-WAY_S = 0.002
+TRANSIT_S = 0.002
 KEY_LIMIT_S = 4.5
 """Oldest proof with which a key is used where operators grant a revoked key five seconds."""
 
@@ -75,7 +75,7 @@
         return StoreReaders(name="", members=lambda: self.names).names()
 
     async def ask(self, source, name, message, timeout_s):
-        await asyncio.sleep(WAY_S)
+        await asyncio.sleep(TRANSIT_S)
         if name in self.silent or source in self.silent:
             await asyncio.sleep(timeout_s)
             return PeerUnreachable(peer=name, detail="no answer")
