--- a/tests/test_store_readers.py
+++ b/tests/test_store_readers.py
@@ -60,7 +60,7 @@
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
-    async def calls_of(self, seconds):
+    async def calls_during(self, seconds):
         """Calls to the store by router, and the oldest proof seen, while so much time passes."""
         before = {name: router.calls() for name, router in self.router_by_name.items()}
         until = asyncio.get_running_loop().time() + seconds
@@ -133,7 +133,7 @@
         for size in (24, 195):
             with self.subTest(size=size):
                 fleet = await self.started(size)
-                calls = await fleet.calls_of(SECONDS)
+                calls = await fleet.calls_during(SECONDS)
                 asking = {name for name, count in calls.items() if count}
                 readers = max(MIN_READERS, -(-size // ROUTERS_PER_READER))
                 self.assertEqual(asking, set(fleet.readers()))
@@ -151,7 +151,7 @@
         fleet = await self.started(24)
         frozen = fleet.readers()[0]
         fleet.silent.add(frozen)
-        calls = await fleet.calls_of(SECONDS)
+        calls = await fleet.calls_during(SECONDS)
         self.assertLess(fleet.oldest_s, KEY_LIMIT_S)
         others = {name for name, count in calls.items() if count > SECONDS / 10} - {frozen}
         self.assertLessEqual(len(others), MIN_READERS)
@@ -165,7 +165,7 @@
         fleet = await self.started(24)
         for name in fleet.readers():
             fleet.router_by_name[name].store.down = True
-        calls = await fleet.calls_of(SECONDS)
+        calls = await fleet.calls_during(SECONDS)
         self.assertLess(fleet.oldest_s, KEY_LIMIT_S)
         often = {name for name, count in calls.items() if count > SECONDS / 3}
         self.assertLessEqual(len(often), 2 * MIN_READERS)
