--- a/tests/test_store_readers.py
+++ b/tests/test_store_readers.py
@@ -134,10 +134,10 @@
             with self.subTest(size=size):
                 fleet = await self.started(size)
                 calls = await fleet.calls_during(SECONDS)
-                asking = {name for name, count in calls.items() if count}
+                querying = {name for name, count in calls.items() if count}
                 readers = max(MIN_READERS, -(-size // ROUTERS_PER_READER))
-                self.assertEqual(asking, set(fleet.readers()))
-                self.assertEqual(len(asking), readers)
+                self.assertEqual(querying, set(fleet.readers()))
+                self.assertEqual(len(querying), readers)
                 # Two reads in three seconds, and the watch that ends each half minute.
                 self.assertLessEqual(sum(calls.values()) / SECONDS, readers * 0.9)
                 self.assertLess(fleet.oldest_s, KEY_LIMIT_S - 0.5)
