--- a/tests/test_store_readers.py
+++ b/tests/test_store_readers.py
@@ -129,7 +129,7 @@
         return fleet
 
     @on_paused_clock
-    async def test_the_bill_grows_with_readers_not_with_routers(self):
+    async def test_calls_grow_with_readers_not_with_routers(self):
         for size in (24, 195):
             with self.subTest(size=size):
                 fleet = await self.started(size)
