--- a/tests/test_store_readers.py
+++ b/tests/test_store_readers.py
@@ -144,7 +144,7 @@
                 await fleet.close()
 
     @on_paused_clock
-    async def test_a_silent_reader_is_replaced_before_proofs_run_out(self):
+    async def test_a_silent_reader_is_replaced_before_proofs_expire(self):
         # A reader freezes: it neither reads nor answers. Whoever asked it turns to the second one
         # within the same look, so that no router's proof gets too old for a key, and none of
         # them all reads the store in its place.
