--- a/tests/test_store_readers.py
+++ b/tests/test_store_readers.py
@@ -158,7 +158,7 @@
         await fleet.close()
 
     @on_paused_clock
-    async def test_where_the_store_refuses_both_readers_the_next_take_their_place(self):
+    async def test_readers_refused_by_the_store_are_replaced_by_the_next(self):
         # The store serves some routers and refuses others, both readers among these. Their words get
         # old, and everybody passes them over. The next of the ranking read in their place, by a
         # ranking that all share, while the rest goes on asking.
