--- a/tests/test_store_restored.py
+++ b/tests/test_store_restored.py
@@ -9,7 +9,7 @@
 
 NOTE_KIND = "wagtailtrestle-epochs"
 OTHER_KEY = "example-key-of-another"
-SEEN_S = 1.5
+PROPAGATION_S = 1.5
 """By then all routers have heard of a change: engines are watched for less than a second."""
 REVOKED_S = 5.0
 ASKS = 30
@@ -39,7 +39,7 @@
     def drain(self, world, engine):
         """An engine says that it drains, and all routers hear it."""
         world.store.put("servers", engine, world.engines[engine].entry("draining"))
-        time.sleep(SEEN_S)
+        time.sleep(PROPAGATION_S)
 
     def age(self, world, revisions=60):
         """Let the store write as many revisions as a copy is behind."""
@@ -55,9 +55,9 @@
         self.age(world)
         self.drain(world, "b-1")
         world.store.delete("servers", "b-1")
-        time.sleep(SEEN_S)
+        time.sleep(PROPAGATION_S)
         world.store.drill(copy)
-        time.sleep(SEEN_S)
+        time.sleep(PROPAGATION_S)
         self.assertEqual(set(self.ask_all(world, name="after")), {200})
         self.assertEqual(len(self.ran(world, "b-1", "after")), 0)
 
@@ -67,13 +67,13 @@
         world = self.start()
         copy = world.store.copy()
         self.age(world)
-        time.sleep(SEEN_S)
+        time.sleep(PROPAGATION_S)
         world.store.drill(copy)
         self.drain(world, "b-1")
         self.assertEqual(set(self.ask_all(world, name="drained")), {200})
         self.assertEqual(len(self.ran(world, "b-1", "drained")), 0)
         world.store.delete("servers", "b-1")
-        time.sleep(2 * SEEN_S)
+        time.sleep(2 * PROPAGATION_S)
         self.assertEqual(set(self.ask_all(world, name="after")), {200})
         self.assertEqual(len(self.ran(world, "b-1", "after")), 0)
 
@@ -82,13 +82,13 @@
         world = self.start()
         copy = world.store.copy()
         self.age(world)
-        time.sleep(SEEN_S)
+        time.sleep(PROPAGATION_S)
         world.store.drill(copy)
         new = world.engines["b-3"] = Engine(name="b-3", service="booking")
         world.store.put("servers", "b-3", new.entry())
         world.store.delete("servers", "b-1")
         world.store.delete("servers", "b-2")
-        time.sleep(2 * SEEN_S + 0.5)
+        time.sleep(2 * PROPAGATION_S + 0.5)
         self.assertEqual(set(self.ask_all(world, name="after")), {200})
         self.assertEqual(len(self.ran(world, "b-3", "after")), ASKS)
 
@@ -99,7 +99,7 @@
         self.age(world)
         self.drain(world, "b-1")
         world.store.drill(copy)
-        time.sleep(SEEN_S)
+        time.sleep(PROPAGATION_S)
         self.ask_all(world, name="after")
         self.assertEqual(len(self.ran(world, "b-1", "after")), 0)
 
@@ -111,15 +111,15 @@
         self.age(world)
         new = world.engines["b-3"] = Engine(name="b-3", service="booking")
         world.store.put("servers", "b-3", new.entry())
-        time.sleep(SEEN_S)
+        time.sleep(PROPAGATION_S)
         world.store.delete("servers", "b-1")
         world.store.delete("servers", "b-2")
-        time.sleep(SEEN_S)
+        time.sleep(PROPAGATION_S)
         world.store.drill(copy)
         self.assertEqual(set(self.ask_all(world, name="gap")), {200})
         time.sleep(0.5)
         world.store.put("servers", "b-3", new.entry())
-        time.sleep(SEEN_S)
+        time.sleep(PROPAGATION_S)
         self.assertEqual(set(self.ask_all(world, name="after")), {200})
         self.assertEqual(len(self.ran(world, "b-3", "after")), ASKS)
 
@@ -129,10 +129,10 @@
         world = self.start()
         copy = world.store.copy()
         world.store.put("config", "main", configuration(2))
-        time.sleep(SEEN_S)
+        time.sleep(PROPAGATION_S)
         world.store.drill(copy)
         world.store.put("config", "main", configuration(3, keys=(KEY, OTHER_KEY)))
-        time.sleep(SEEN_S)
+        time.sleep(PROPAGATION_S)
         self.assertEqual(set(self.ask_all(world, count=9, key=OTHER_KEY)), {200})
 
     def test_key_that_was_taken_away_stays_so_at_a_router_that_starts_in_the_gap(self):
@@ -140,7 +140,7 @@
         # router starts before the operator has written again: it must not serve by what the copy says.
         world = self.start()
         world.store.put("config", "main", configuration(2, keys=(KEY, OTHER_KEY)))
-        time.sleep(SEEN_S)
+        time.sleep(PROPAGATION_S)
         copy = world.store.copy()
         self.age(world)
         world.store.put("config", "main", configuration(3))
@@ -169,11 +169,11 @@
         # is left who knows better: callers are told 503, not run, until the operator has written again.
         world = self.start()
         world.store.put("config", "main", configuration(2, keys=(KEY, OTHER_KEY)))
-        time.sleep(SEEN_S)
+        time.sleep(PROPAGATION_S)
         copy = world.store.copy()
         self.age(world)
         world.store.put("config", "main", configuration(3))
-        time.sleep(SEEN_S)
+        time.sleep(PROPAGATION_S)
         for router in world.routers:
             router.kill()
         world.store.drill(copy)
@@ -222,7 +222,7 @@
         world.store.drill(copy)
         time.sleep(0.3)
         world.store.drill(copy, away_s=0.2)
-        time.sleep(SEEN_S)
+        time.sleep(PROPAGATION_S)
         self.ask_all(world, name="after")
         self.assertEqual(len(self.ran(world, "b-1", "after")), 0)
 
