--- a/tests/test_store_restored.py
+++ b/tests/test_store_restored.py
@@ -12,7 +12,7 @@
 PROPAGATION_S = 1.5
 """By then all routers have heard of a change: engines are watched for less than a second."""
 REVOKED_S = 5.0
-ASKS = 30
+REQUESTS = 30
 
 
 class StoreRestoredTest(unittest.TestCase):
@@ -24,7 +24,7 @@
         self.addCleanup(world.close)
         return world.start()
 
-    def ask_all(self, world, *, count=ASKS, name="r", key=KEY):
+    def ask_all(self, world, *, count=REQUESTS, name="r", key=KEY):
         """Ask in turn through all routers; the answers' statuses."""
         return [
             world.ask(
@@ -90,7 +90,7 @@
         world.store.delete("servers", "b-2")
         time.sleep(2 * PROPAGATION_S + 0.5)
         self.assertEqual(set(self.ask_all(world, name="after")), {200})
-        self.assertEqual(len(self.ran(world, "b-3", "after")), ASKS)
+        self.assertEqual(len(self.ran(world, "b-3", "after")), REQUESTS)
 
     def test_engine_that_drains_gets_nothing(self):
         # The same while the engine still drains: the copy holds it as ready, and its own word has not come again yet.
@@ -121,7 +121,7 @@
         world.store.put("servers", "b-3", new.entry())
         time.sleep(PROPAGATION_S)
         self.assertEqual(set(self.ask_all(world, name="after")), {200})
-        self.assertEqual(len(self.ran(world, "b-3", "after")), ASKS)
+        self.assertEqual(len(self.ran(world, "b-3", "after")), REQUESTS)
 
     def test_change_under_a_revision_that_was_given_out_before_is_seen(self):
         # The operator's next configuration gets the revision of the one that the routers know. Taken for the same
