--- a/tests/test_store_restored.py
+++ b/tests/test_store_restored.py
@@ -24,7 +24,7 @@
         self.addCleanup(world.close)
         return world.start()
 
-    def ask_all(self, world, *, count=REQUESTS, name="r", key=KEY):
+    def request_all(self, world, *, count=REQUESTS, name="r", key=KEY):
         """Ask in turn through all routers; the answers' statuses."""
         return [
             world.ask(
@@ -58,7 +58,7 @@
         time.sleep(PROPAGATION_S)
         world.store.drill(copy)
         time.sleep(PROPAGATION_S)
-        self.assertEqual(set(self.ask_all(world, name="after")), {200})
+        self.assertEqual(set(self.request_all(world, name="after")), {200})
         self.assertEqual(len(self.ran(world, "b-1", "after")), 0)
 
     def test_engine_that_leaves_after_the_return_gets_nothing(self):
@@ -70,11 +70,11 @@
         time.sleep(PROPAGATION_S)
         world.store.drill(copy)
         self.drain(world, "b-1")
-        self.assertEqual(set(self.ask_all(world, name="drained")), {200})
+        self.assertEqual(set(self.request_all(world, name="drained")), {200})
         self.assertEqual(len(self.ran(world, "b-1", "drained")), 0)
         world.store.delete("servers", "b-1")
         time.sleep(2 * PROPAGATION_S)
-        self.assertEqual(set(self.ask_all(world, name="after")), {200})
+        self.assertEqual(set(self.request_all(world, name="after")), {200})
         self.assertEqual(len(self.ran(world, "b-1", "after")), 0)
 
     def test_engine_that_starts_after_the_return_is_used(self):
@@ -89,7 +89,7 @@
         world.store.delete("servers", "b-1")
         world.store.delete("servers", "b-2")
         time.sleep(2 * PROPAGATION_S + 0.5)
-        self.assertEqual(set(self.ask_all(world, name="after")), {200})
+        self.assertEqual(set(self.request_all(world, name="after")), {200})
         self.assertEqual(len(self.ran(world, "b-3", "after")), REQUESTS)
 
     def test_engine_that_drains_gets_nothing(self):
@@ -100,7 +100,7 @@
         self.drain(world, "b-1")
         world.store.drill(copy)
         time.sleep(PROPAGATION_S)
-        self.ask_all(world, name="after")
+        self.request_all(world, name="after")
         self.assertEqual(len(self.ran(world, "b-1", "after")), 0)
 
     def test_engine_that_started_since_the_copy_is_used(self):
@@ -116,11 +116,11 @@
         world.store.delete("servers", "b-2")
         time.sleep(PROPAGATION_S)
         world.store.drill(copy)
-        self.assertEqual(set(self.ask_all(world, name="gap")), {200})
+        self.assertEqual(set(self.request_all(world, name="gap")), {200})
         time.sleep(0.5)
         world.store.put("servers", "b-3", new.entry())
         time.sleep(PROPAGATION_S)
-        self.assertEqual(set(self.ask_all(world, name="after")), {200})
+        self.assertEqual(set(self.request_all(world, name="after")), {200})
         self.assertEqual(len(self.ran(world, "b-3", "after")), REQUESTS)
 
     def test_change_under_a_revision_that_was_given_out_before_is_seen(self):
@@ -133,7 +133,7 @@
         world.store.drill(copy)
         world.store.put("config", "main", configuration(3, keys=(KEY, OTHER_KEY)))
         time.sleep(PROPAGATION_S)
-        self.assertEqual(set(self.ask_all(world, count=9, key=OTHER_KEY)), {200})
+        self.assertEqual(set(self.request_all(world, count=9, key=OTHER_KEY)), {200})
 
     def test_key_that_was_taken_away_stays_so_at_a_router_that_starts_in_the_gap(self):
         # A key is taken away, and serves nowhere any more. The store comes back from a copy that holds it, and one
@@ -145,7 +145,7 @@
         self.age(world)
         world.store.put("config", "main", configuration(3))
         time.sleep(REVOKED_S + 1.0)
-        self.assertEqual(set(self.ask_all(world, count=9, key=OTHER_KEY)), {401})
+        self.assertEqual(set(self.request_all(world, count=9, key=OTHER_KEY)), {401})
         world.routers[2].kill()
         world.store.drill(copy)
         world.routers[2].start()
@@ -161,8 +161,8 @@
         self.assertTrue(statuses <= {401, 503}, statuses)
         # The operator writes again, and all serve as before.
         world.store.put("config", "main", configuration(3))
-        wait_until(lambda: set(self.ask_all(world, count=6)) == {200}, "all serve after the operator wrote again")
-        self.assertEqual(set(self.ask_all(world, count=9, key=OTHER_KEY)), {401})
+        wait_until(lambda: set(self.request_all(world, count=6)) == {200}, "all serve after the operator wrote again")
+        self.assertEqual(set(self.request_all(world, count=9, key=OTHER_KEY)), {401})
 
     def test_all_that_start_in_the_gap_refuse_rather_than_guess(self):
         # A key is taken away, then all routers are killed and the store comes back from a copy that holds it. Nobody
@@ -181,10 +181,10 @@
             router.start()
         for router in world.routers:
             router.wait_ready()
-        self.assertEqual(set(self.ask_all(world, count=15, key=OTHER_KEY)), {503})
+        self.assertEqual(set(self.request_all(world, count=15, key=OTHER_KEY)), {503})
         world.store.put("config", "main", configuration(3))
-        wait_until(lambda: set(self.ask_all(world, count=6)) == {200}, "all serve after the operator wrote again")
-        self.assertEqual(set(self.ask_all(world, count=9, key=OTHER_KEY)), {401})
+        wait_until(lambda: set(self.request_all(world, count=6)) == {200}, "all serve after the operator wrote again")
+        self.assertEqual(set(self.request_all(world, count=9, key=OTHER_KEY)), {401})
 
     def test_all_that_start_later_serve_at_once(self):
         # All routers are killed and start again, long after the store came back: its note tells them so, and no
@@ -199,7 +199,7 @@
         for router in world.routers:
             router.wait_ready()
         time.sleep(0.3)
-        self.assertEqual(set(self.ask_all(world, count=9)), {200})
+        self.assertEqual(set(self.request_all(world, count=9)), {200})
 
     def test_announcements_that_the_copy_lacks_are_back_within_a_second(self):
         # A router that starts finds the others by their entries. Those of routers that started since the copy are
@@ -223,7 +223,7 @@
         time.sleep(0.3)
         world.store.drill(copy, away_s=0.2)
         time.sleep(PROPAGATION_S)
-        self.ask_all(world, name="after")
+        self.request_all(world, name="after")
         self.assertEqual(len(self.ran(world, "b-1", "after")), 0)
 
 
