--- a/tests/test_store_restored.py
+++ b/tests/test_store_restored.py
@@ -33,7 +33,7 @@
             for number in range(count)
         ]
 
-    def ran(self, world, engine, name):
+    def runs(self, world, engine, name):
         return [seen for seen in world.engines[engine].seen if seen["request-id"].startswith(f"{name}-")]
 
     def drain(self, world, engine):
@@ -59,7 +59,7 @@
         world.store.drill(copy)
         time.sleep(PROPAGATION_S)
         self.assertEqual(set(self.request_all(world, name="after")), {200})
-        self.assertEqual(len(self.ran(world, "b-1", "after")), 0)
+        self.assertEqual(len(self.runs(world, "b-1", "after")), 0)
 
     def test_engine_that_leaves_after_the_return_gets_nothing(self):
         # The caller is served by the engine that lives. All that is told after the return bears lower revisions than
@@ -71,11 +71,11 @@
         world.store.drill(copy)
         self.drain(world, "b-1")
         self.assertEqual(set(self.request_all(world, name="drained")), {200})
-        self.assertEqual(len(self.ran(world, "b-1", "drained")), 0)
+        self.assertEqual(len(self.runs(world, "b-1", "drained")), 0)
         world.store.delete("servers", "b-1")
         time.sleep(2 * PROPAGATION_S)
         self.assertEqual(set(self.request_all(world, name="after")), {200})
-        self.assertEqual(len(self.ran(world, "b-1", "after")), 0)
+        self.assertEqual(len(self.runs(world, "b-1", "after")), 0)
 
     def test_engine_that_starts_after_the_return_is_used(self):
         # The caller is served. After the return both engines of a service leave and a new one comes.
@@ -90,7 +90,7 @@
         world.store.delete("servers", "b-2")
         time.sleep(2 * PROPAGATION_S + 0.5)
         self.assertEqual(set(self.request_all(world, name="after")), {200})
-        self.assertEqual(len(self.ran(world, "b-3", "after")), REQUESTS)
+        self.assertEqual(len(self.runs(world, "b-3", "after")), REQUESTS)
 
     def test_engine_that_drains_gets_nothing(self):
         # The same while the engine still drains: the copy holds it as ready, and its own word has not come again yet.
@@ -101,7 +101,7 @@
         world.store.drill(copy)
         time.sleep(PROPAGATION_S)
         self.request_all(world, name="after")
-        self.assertEqual(len(self.ran(world, "b-1", "after")), 0)
+        self.assertEqual(len(self.runs(world, "b-1", "after")), 0)
 
     def test_engine_that_started_since_the_copy_is_used(self):
         # The caller is served. Both engines of a service are replaced by a new one, which the copy doesn't list. It
@@ -121,7 +121,7 @@
         world.store.put("servers", "b-3", new.entry())
         time.sleep(PROPAGATION_S)
         self.assertEqual(set(self.request_all(world, name="after")), {200})
-        self.assertEqual(len(self.ran(world, "b-3", "after")), REQUESTS)
+        self.assertEqual(len(self.runs(world, "b-3", "after")), REQUESTS)
 
     def test_change_under_a_revision_that_was_given_out_before_is_seen(self):
         # The operator's next configuration gets the revision of the one that the routers know. Taken for the same
@@ -224,7 +224,7 @@
         world.store.drill(copy, away_s=0.2)
         time.sleep(PROPAGATION_S)
         self.request_all(world, name="after")
-        self.assertEqual(len(self.ran(world, "b-1", "after")), 0)
+        self.assertEqual(len(self.runs(world, "b-1", "after")), 0)
 
 
 if __name__ == "__main__":
