--- a/tests/test_store_restored.py
+++ b/tests/test_store_restored.py
@@ -46,7 +46,7 @@
         for number in range(revisions):
             world.store.put("other", "counter", number)
 
-    def test_engine_that_left_gets_nothing(self):
+    def test_engine_that_left_gets_no_requests(self):
         # The caller is served by the engine that lives. An engine drains and leaves, then the store comes back from a
         # copy in which it is still ready. Its entry there is older than what every router knows; believed, half of
         # all requests would go to an engine that is gone.
