--- a/tests/test_store_restored.py
+++ b/tests/test_store_restored.py
@@ -61,7 +61,7 @@
         self.assertEqual(set(self.request_all(world, name="after")), {200})
         self.assertEqual(len(self.runs(world, "b-1", "after")), 0)
 
-    def test_engine_that_leaves_after_the_return_gets_nothing(self):
+    def test_engine_that_drains_after_the_restore_gets_no_requests(self):
         # The caller is served by the engine that lives. All that is told after the return bears lower revisions than
         # what routers know. Dropped as older, an engine that drained and left then got half of all requests.
         world = self.start()
