--- a/tests/test_store_restored.py
+++ b/tests/test_store_restored.py
@@ -77,7 +77,7 @@
         self.assertEqual(set(self.request_all(world, name="after")), {200})
         self.assertEqual(len(self.runs(world, "b-1", "after")), 0)
 
-    def test_engine_that_starts_after_the_return_is_used(self):
+    def test_engine_that_starts_after_the_restore_is_used(self):
         # The caller is served. After the return both engines of a service leave and a new one comes.
         world = self.start()
         copy = world.store.copy()
