--- a/tests/test_store_restored.py
+++ b/tests/test_store_restored.py
@@ -92,7 +92,7 @@
         self.assertEqual(set(self.request_all(world, name="after")), {200})
         self.assertEqual(len(self.runs(world, "b-3", "after")), REQUESTS)
 
-    def test_engine_that_drains_gets_nothing(self):
+    def test_draining_engine_gets_no_requests(self):
         # The same while the engine still drains: the copy holds it as ready, and its own word has not come again yet.
         world = self.start()
         copy = world.store.copy()
