--- a/tests/test_store_restored.py
+++ b/tests/test_store_restored.py
@@ -103,7 +103,7 @@
         self.request_all(world, name="after")
         self.assertEqual(len(self.runs(world, "b-1", "after")), 0)
 
-    def test_engine_that_started_since_the_copy_is_used(self):
+    def test_engine_started_since_the_backup_is_used(self):
         # The caller is served. Both engines of a service are replaced by a new one, which the copy doesn't list. It
         # writes its entry again half a second after the store's return; until then it is used by what was known.
         world = self.start()
