--- a/tests/test_store_restored.py
+++ b/tests/test_store_restored.py
@@ -123,7 +123,7 @@
         self.assertEqual(set(self.request_all(world, name="after")), {200})
         self.assertEqual(len(self.runs(world, "b-3", "after")), REQUESTS)
 
-    def test_change_under_a_revision_that_was_given_out_before_is_seen(self):
+    def test_change_under_a_reassigned_revision_is_detected(self):
         # The operator's next configuration gets the revision of the one that the routers know. Taken for the same
         # content by its revision, it was never read.
         world = self.start()
