--- a/tests/test_store_restored.py
+++ b/tests/test_store_restored.py
@@ -135,7 +135,7 @@
         time.sleep(PROPAGATION_S)
         self.assertEqual(set(self.request_all(world, count=9, key=OTHER_KEY)), {200})
 
-    def test_key_that_was_taken_away_stays_so_at_a_router_that_starts_in_the_gap(self):
+    def test_revoked_key_stays_revoked_at_a_router_started_in_the_gap(self):
         # A key is taken away, and serves nowhere any more. The store comes back from a copy that holds it, and one
         # router starts before the operator has written again: it must not serve by what the copy says.
         world = self.start()
