--- a/tests/test_store_restored.py
+++ b/tests/test_store_restored.py
@@ -164,7 +164,7 @@
         wait_until(lambda: set(self.request_all(world, count=6)) == {200}, "all serve after the operator wrote again")
         self.assertEqual(set(self.request_all(world, count=9, key=OTHER_KEY)), {401})
 
-    def test_all_that_start_in_the_gap_refuse_rather_than_guess(self):
+    def test_routers_all_started_in_the_gap_refuse_requests(self):
         # A key is taken away, then all routers are killed and the store comes back from a copy that holds it. Nobody
         # is left who knows better: callers are told 503, not run, until the operator has written again.
         world = self.start()
