--- a/tests/test_store_restored.py
+++ b/tests/test_store_restored.py
@@ -186,7 +186,7 @@
         wait_until(lambda: set(self.request_all(world, count=6)) == {200}, "all serve after the operator wrote again")
         self.assertEqual(set(self.request_all(world, count=9, key=OTHER_KEY)), {401})
 
-    def test_all_that_start_later_serve_at_once(self):
+    def test_routers_all_started_later_serve_immediately(self):
         # All routers are killed and start again, long after the store came back: its note tells them so, and no
         # caller is refused for it.
         world = self.start()
