--- a/tests/test_store_restored.py
+++ b/tests/test_store_restored.py
@@ -201,7 +201,7 @@
         time.sleep(0.3)
         self.assertEqual(set(self.request_all(world, count=9)), {200})
 
-    def test_announcements_that_the_copy_lacks_are_back_within_a_second(self):
+    def test_announcements_missing_from_the_backup_are_rewritten_within_a_second(self):
         # A router that starts finds the others by their entries. Those of routers that started since the copy are
         # gone with it; nobody writes them again but the routers themselves.
         world = self.start()
