--- a/tests/test_store_restored.py
+++ b/tests/test_store_restored.py
@@ -213,7 +213,7 @@
         time.sleep(1.0)
         self.assertEqual(len(world.store.objects(kind)), 3)
 
-    def test_second_drill(self):
+    def test_second_restore(self):
         # Two drills in a row, the second from a copy that the first one left: nothing of the first counts as news.
         world = self.start()
         copy = world.store.copy()
