--- a/tests/test_foreign_entries.py
+++ b/tests/test_foreign_entries.py
@@ -46,7 +46,7 @@
 
 
 class ForeignEntryTest(unittest.TestCase):
-    def test_a_field_of_another_type_or_meaning_names_no_engine(self):
+    def test_an_entry_with_an_invalid_field_is_rejected(self):
         for field, values in FOREIGN.items():
             for value in values:
                 with self.subTest(field=field, value=value):
