--- a/tests/test_foreign_entries.py
+++ b/tests/test_foreign_entries.py
@@ -52,7 +52,7 @@
                 with self.subTest(field=field, value=value):
                     self.assertIsNone(read_engine("i-1", entry() | {field: value}))
 
-    def test_a_missing_field_names_no_engine(self):
+    def test_an_entry_with_a_missing_field_is_rejected(self):
         for field in entry():
             value = entry()
             del value[field]
