--- a/tests/test_foreign_entries.py
+++ b/tests/test_foreign_entries.py
@@ -59,7 +59,7 @@
             with self.subTest(field=field):
                 self.assertIsNone(read_engine("i-1", value))
 
-    def test_what_is_no_map_names_no_engine(self):
+    def test_an_entry_that_is_no_object_is_rejected(self):
         for value in ("text", 5, [], [entry()], True):
             self.assertIsNone(read_engine("i-1", value))
 
