--- a/tests/test_foreign_entries.py
+++ b/tests/test_foreign_entries.py
@@ -98,7 +98,7 @@
             found = read_rollout("s", 1, {"specification": specification, "status": status})
             self.assertTrue(found is None or found.duration_s > 0)
 
-    def test_bytes_that_are_no_text_spoil_only_their_own_object(self):
+    def test_invalid_utf8_affects_only_its_own_object(self):
         data = b'{"items":[{"specification":"\xff\xfe\x01"},{"specification":"sound"}],"store_revision":5}'
         self.assertEqual(_decoded(data)["items"][1], {"specification": "sound"})
 
