--- a/tests/test_foreign_entries.py
+++ b/tests/test_foreign_entries.py
@@ -103,7 +103,7 @@
         self.assertEqual(_decoded(data)["items"][1], {"specification": "sound"})
 
     @on_paused_clock
-    async def test_an_entry_that_was_written_over_is_not_used_and_the_others_hold(self):
+    async def test_an_overwritten_entry_is_not_used_and_the_others_are_kept(self):
         # Another writer replaces an engine's entry. The address in it may be anybody's; the other
         # engines go on, and the engine's own next word brings it back.
         followed = Followed()
