--- a/tests/test_applying.py
+++ b/tests/test_applying.py
@@ -1,4 +1,4 @@
-"""Applying a declaration: lost answers, races between operators, outages."""
+"""Applying a declaration: lost answers, concurrent operators, outages."""
 
 import asyncio
 import unittest
@@ -27,7 +27,7 @@
 
 
 class UnreliableStore(MemoryStore):
-    """One operator's way to the platform: writes are lost, unanswered or late at random."""
+    """One operator's connection to the platform: writes are lost, unanswered or delayed at random."""
 
     def __init__(self, *, table, random):
         super().__init__(table=table)
@@ -83,8 +83,8 @@
     @on_paused_clock
     async def test_two_operators_at_once(self):
         # Two operators read the same generation and send their updates at nearly the
-        # same moment. One is told its generation, the other a conflict that names the
-        # first. Without the condition both are told "applied" and one file is lost.
+        # same moment. One gets its generation, the other a conflict that names the
+        # first. Without the condition both get "applied" and one file is lost.
         store = MemoryStore()
         await apply_text(store, "a")
         store.slow_s = 0.01
@@ -93,9 +93,9 @@
 
     @on_paused_clock
     async def test_answer_lost_after_the_write(self):
-        # The update takes effect, its answer is lost. The operator must be told
-        # "applied" with the true generation, not "unknown" and not "conflict" (with
-        # itself), and the platform must hold one generation more, not two.
+        # The update takes effect, its answer is lost. The operator must get "applied"
+        # with the true generation, not "unknown" and not "conflict" (with itself),
+        # and the platform must hold one generation more, not two.
         store = MemoryStore()
         for number, text in enumerate(("a", "b"), start=1):
             store.lose_answers = 1
@@ -105,8 +105,8 @@
     @on_paused_clock
     async def test_answer_lost_and_another_operator_applies_next(self):
         # Our update takes effect, its answer is lost, and before we read back another
-        # operator applies the next generation. What we read no longer holds our id as
-        # the newest; only the history shows that ours was accepted first.
+        # operator applies the next generation. The object we read no longer has our id
+        # as the newest; only the history shows that ours was accepted first.
         store = MemoryStore()
         await apply_text(store, "a")
         store.lose_answers = 1
@@ -117,8 +117,8 @@
 
     @on_paused_clock
     async def test_request_lost_before_the_write(self):
-        # Nothing took effect and no answer came. Reading back finds nothing of ours,
-        # which proves nothing; sending the same update again settles it.
+        # The update did not take effect and no answer arrived. Reading back does not find
+        # our id, which proves nothing; sending the same update again determines the outcome.
         store = MemoryStore()
         await apply_text(store, "a")
         store.lose_requests = 1
@@ -126,8 +126,8 @@
 
     @on_paused_clock
     async def test_request_lost_and_another_operator_applies(self):
-        # Nothing of ours took effect, another operator got our generation meanwhile:
-        # certainly a conflict, and the platform keeps the other's file.
+        # Our update did not take effect, and another operator got our generation meanwhile:
+        # certainly a conflict, and the platform keeps the other operator's file.
         store = MemoryStore()
         await apply_text(store, "a")
         store.lose_requests = 1
@@ -139,9 +139,9 @@
 
     @on_paused_clock
     async def test_late_update_takes_effect_while_it_is_sent_again(self):
-        # The first update is held up on its way and arrives between our reading back
-        # and our second sending, which is then refused. The refusal is by ourselves:
-        # the operator must be told "applied", once.
+        # The first update is delayed in transit and arrives between our read and our second
+        # update, which is then refused. It conflicts with our own first update: the operator
+        # must get "applied", once.
         store = MemoryStore()
         await apply_text(store, "a")
         base = store.table.get(kind=DECLARATION_KIND, name=DECLARATION_NAME)
@@ -171,7 +171,7 @@
     @on_paused_clock
     async def test_outcome_that_left_the_history_is_unknown(self):
         # Our answer is lost and so many applies follow before we read back that our
-        # generation has left the history: "unknown" is the only truth left.
+        # generation has left the history: "unknown" is the only correct outcome.
         store = MemoryStore()
         store.lose_answers = 1
         ours = asyncio.create_task(apply_text(store, "ours"))
@@ -182,8 +182,8 @@
 
     @on_paused_clock
     async def test_stale_read_of_the_base_never_overwrites(self):
-        # The read shows the generation before the accepted one. The update is refused,
-        # and the conflict names the accepted generation once the reads are fresh.
+        # The read returns the generation before the accepted one. The update is refused,
+        # and the conflict names the accepted generation once the reads are up to date.
         store = MemoryStore()
         await apply_text(store, "a")
         await apply_text(store, "b")
@@ -195,16 +195,16 @@
 
     @on_paused_clock
     async def test_lost_object_continues_above_the_operators_base(self):
-        # The platform lost the object. Routers only go up, so starting again at 1 would
-        # be accepted and never in force; --base says where to go on.
+        # The platform lost the object. Routers never go back to a lower generation, so
+        # generation 1 would be accepted and never be in force; --base says where to continue.
         self.assertEqual(await apply_text(MemoryStore(), "a", base=7), Applied(generation=8))
 
     @on_paused_clock
     async def test_reported_outcomes_are_correct_under_random_faults(self):
-        # Operators apply at the same time over ways that lose requests, lose answers,
-        # give stale reads and deliver updates seconds late. Afterwards every "applied"
-        # is in the platform's history under just that generation, nothing told as a
-        # conflict or not applied ever is, and no generation has two owners.
+        # Operators apply concurrently over connections that lose requests, lose answers,
+        # return stale reads and deliver updates seconds late. Afterwards every "applied" is
+        # in the platform's history under exactly that generation, no update reported as a
+        # conflict or not applied is in it, and no generation has two owners.
         reported = []
         for seed in range(SEEDS):
             table, accepted = ObjectTable(), []
