--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -32,14 +32,14 @@
 
 
 class LatestJitter:
-    """Always the longest wait."""
+    """Always returns the longest wait."""
 
     def uniform(self, low, high):
         return high
 
 
 class Router:
-    """One configuration over a store of its own, with the history of what was in force."""
+    """One configuration with its own store client, and the history of the generations in force."""
 
     def __init__(self, *, table, peers=(), jitter=None):
         self.store = MemoryStore(table=table)
@@ -99,8 +99,8 @@
 
     @on_paused_clock
     async def test_silent_watch(self):
-        # The watch's connection has gone silent: no event and no error ever comes. The
-        # next generation must be in force within seconds all the same, by polling.
+        # The watch's connection has gone silent: no event and no error ever arrives. The
+        # next generation must still be in force within seconds, by polling.
         await self.apply("a")
         router = self.router(start=False)
         router.store.silent_watch = True
@@ -113,9 +113,9 @@
 
     @on_paused_clock
     async def test_silent_watch_and_next_poll_on_a_silent_connection(self):
-        # What silenced the watch silenced the polls' idle connection as well: the next
-        # poll comes to nothing after its timeout of 2 s. Waiting a whole interval after
-        # that would miss the 5 s that operators are promised.
+        # The fault that silenced the watch also silenced the polls' idle connection: the next
+        # poll fails at its timeout of 2 s. Waiting a full interval after that would miss the
+        # 5 s that operators are promised.
         await self.apply("a")
         router = self.router(start=False, jitter=LatestJitter())
         router.store.silent_watch = True
@@ -135,7 +135,7 @@
 
     @on_paused_clock
     async def test_dropped_watch_event(self):
-        # The watch works but the platform never tells of one write. The router must
+        # The watch works but the platform sends no event for one write. The router must
         # not stay on the old generation until the next apply.
         await self.apply("a")
         router = self.router()
@@ -147,9 +147,9 @@
 
     @on_paused_clock
     async def test_stale_read_after_restart(self):
-        # Generation 2 was in force on a router that is replaced. The new process reads
-        # the platform through a stale cache and sees generation 1; no peer answers. It
-        # must stay unready until the read is proved new, and never serve generation 1.
+        # Generation 2 was in force on a router that is replaced. The new process reads the
+        # platform through a stale cache and gets generation 1; no peer answers. It must stay
+        # unready until a read is proved to be the newest, and never serve generation 1.
         await self.apply("a")
         await self.apply("b")
         router = self.router(start=False)
@@ -165,8 +165,8 @@
 
     @on_paused_clock
     async def test_stale_read_after_restart_while_the_platform_refuses_writes(self):
-        # As above, but the platform refuses every write, so no read can be proved new.
-        # A peer has generation 2: the higher one is what the router begins with.
+        # As above, but the platform refuses every write, so no read can be proved to be the
+        # newest. A peer has generation 2: the router starts with the higher one.
         await self.apply("a")
         await self.apply("b")
         peer = self.router()
@@ -182,8 +182,8 @@
 
     @on_paused_clock
     async def test_unproved_read_without_peers_is_used_after_the_wait_and_reported(self):
-        # No write is taken and no peer answers: better to serve by what can be read
-        # than never to serve, but only after the wait, and the dump says it.
+        # The platform refuses writes and no peer answers: the router uses the declaration that
+        # it can read rather than never serve, but only after the wait, and the dump says so.
         await self.apply("a")
         router = self.router(start=False)
         router.store.refuse_writes = True
@@ -196,7 +196,7 @@
 
     @on_paused_clock
     async def test_outage_at_start_with_peers(self):
-        # The platform is out when a router is replaced. Its peers hold generations 1
+        # The platform is unreachable when a router is replaced. Its peers hold generations 1
         # and 2; it must be ready within seconds, on 2, and stay there.
         await self.apply("a")
         behind = self.router()
@@ -218,7 +218,7 @@
 
     @on_paused_clock
     async def test_outage_at_start_without_peers(self):
-        # Nothing can be learnt: not ready, until the platform is back.
+        # No source has a declaration: the router is not ready until the platform is reachable again.
         await self.apply("a")
         router = self.router(start=False)
         router.store.down = True
@@ -231,8 +231,8 @@
 
     @on_paused_clock
     async def test_heartbeat_announces_a_higher_generation(self):
-        # This router alone can't reach the platform. A peer's heartbeat carries the new
-        # generation, and the text comes from the peer.
+        # Only this router can't reach the platform. A peer's heartbeat carries the new
+        # generation, and the text is fetched from the peer.
         await self.apply("a")
         peer = self.router()
         router = self.router(peers=[peer])
@@ -248,8 +248,8 @@
 
     @on_paused_clock
     async def test_running_router_never_goes_back(self):
-        # A running router polls a stale platform, hears lower generations from peers,
-        # and lives through an outage: nothing changes what is in force.
+        # A running router polls a stale platform, gets lower generations from peers and
+        # survives an outage: the generation in force does not change.
         for text in ("a", "b"):
             await self.apply(text)
         router = self.router()
@@ -264,8 +264,8 @@
 
     @on_paused_clock
     async def test_faulty_declaration_is_not_put_in_force(self):
-        # A declaration that this router's version can't read: the one before stays in
-        # force, the dump gives the faults, and the next good one goes in force.
+        # A declaration that this router's version can't read: the previous one stays in
+        # force, the dump lists the faults, and the next valid one is put in force.
         await self.apply("a")
         router = self.router()
         await asyncio.sleep(1)
@@ -279,8 +279,8 @@
 
     @on_paused_clock
     async def test_restart_on_a_faulty_declaration_uses_the_peers_declaration(self):
-        # The accepted generation 2 is faulty for this version, and all peers are still on
-        # 1. A restarted router would never be ready if it only counted the highest.
+        # The accepted generation 2 is faulty for this version, and all peers are still on 1.
+        # A restarted router would never be ready if it only considered the highest.
         await self.apply("a")
         peer = self.router()
         await asyncio.sleep(1)
@@ -304,10 +304,11 @@
 
     @on_paused_clock
     async def test_random_faults_and_restarts(self):
-        # Three routers live through random outages, stale reads, silent watches, dropped
-        # events, refused writes and restarts while operators apply. A process never
-        # goes back; a restarted one that says its start was confirmed begins no lower
-        # than it ended; and seconds after the faults end all have the newest in force.
+        # Three routers run through random outages, stale reads, silent watches, dropped
+        # events, refused writes and restarts while operators apply. A process never goes
+        # back to a lower generation; a restarted one that reports a confirmed start begins
+        # no lower than its predecessor ended; and seconds after the faults end all have the
+        # newest generation in force.
         restarts = 0
         for seed in range(SEEDS):
             jitter = random.Random(seed)
@@ -335,7 +336,7 @@
         store.stale_versions = jitter.choice((0, 0, 1, 2))
 
     async def _restart_one(self, members, jitter):
-        """Replace one router's process; whether its start was confirmed."""
+        """Replace one router's process; return whether its start was confirmed."""
         index = jitter.randrange(len(members))
         before = members[index].configuration
         await before.close()
@@ -356,7 +357,7 @@
             for name in ("down", "silent_watch", "refuse_writes"):
                 setattr(router.store, name, False)
             router.store.stale_versions = 0
-        # A start that was refused its proof tries again within 5 s.
+        # A start whose proof was refused retries within 5 s.
         await asyncio.sleep(2 * CONVERGENCE_LIMIT_S)
         self.assertEqual([router.configuration.generation for router in members], [accepted.generation] * 3, seed)
         for router in members:
