--- a/tests/test_confirmation.py
+++ b/tests/test_confirmation.py
@@ -1,4 +1,4 @@
-"""Readers' word that the platform confirmed the configuration, in place of a read."""
+"""Readers' confirmations of the configuration, which replace reads of the platform."""
 
 import asyncio
 import random
@@ -22,7 +22,7 @@
 
 
 class OneReader:
-    """The reader that all ask, never passed over."""
+    """The only reader; it is never skipped."""
 
     reads_store = False
 
@@ -37,7 +37,7 @@
 
 
 class Source:
-    """A platform source whose only reader answers as told."""
+    """A platform source whose only reader returns a given answer."""
 
     def __init__(self, answer, *, fetches=0):
         self.readers = OneReader()
@@ -84,8 +84,8 @@
 
     @on_paused_clock
     async def test_transit_time_counts_towards_the_age_of_a_confirmation(self):
-        # The peer's answer is held up. Counted from its arrival, a key that was revoked meanwhile
-        # would still look proved.
+        # The peer's answer is delayed. If its age counted from the arrival, a key that was revoked
+        # meanwhile would still look proved.
         source = Source(None)
         requested_at = []
 
@@ -118,7 +118,7 @@
 
     @on_paused_clock
     async def test_a_generation_fetched_in_time_makes_the_read_unnecessary(self):
-        # Every router hears of a change at about the same moment. Did each of them read the platform because
+        # Every router learns of a change at about the same time. If each of them read the platform because
         # its reader is ahead, a change would cost as many reads as there are routers.
         source = Source(Confirmation(generation=GENERATION + 1, age_s=0.1), fetches=GENERATION + 1)
         self.assertEqual(await source.reads_in(10.0), 0)
@@ -126,9 +126,9 @@
 
     @on_paused_clock
     async def test_a_read_is_no_proof_before_its_declaration_is_in_force(self):
-        # A declaration that takes a key away is read, and checked for a second by a slow router. Meanwhile the
-        # old one is in force: vouched for as the newest, it would let the key run past the operator's limit
-        # here and at every router that asks this one.
+        # A declaration that revokes a key is read, and checked for a second by a slow router. Meanwhile the
+        # old one is in force: if it were confirmed as the newest, the key would be accepted beyond the
+        # operator's limit here and on every router that queries this one.
         source = Source(None)
         in_force = {GENERATION}
         source.source.proof._is_settled = lambda generation: generation in in_force
@@ -147,7 +147,7 @@
         await source.source._read("poll")
         self.assertEqual(source.source.confirmed_at, proved_at)
         await asyncio.sleep(1.0)
-        # A further read finds nothing new, and proves no more while the new one is being checked.
+        # Another read finds no change, and is no proof either while the new declaration is being checked.
         await source.source._read("poll")
         read_at = boot_time_s()
         self.assertEqual(source.source.confirmed_at, proved_at)
