--- a/tests/test_engine_list.py
+++ b/tests/test_engine_list.py
@@ -1,4 +1,4 @@
-"""Engines that list themselves, followed through outages of the store."""
+"""The list of engines in the store, followed through outages of the store."""
 
 import asyncio
 import unittest
@@ -28,7 +28,7 @@
 
 
 class CompactableStore(MemoryStore):
-    """Can forget its history, as a store that was compacted."""
+    """Can lose its history, like a store after a compaction."""
 
     history_gone = False
 
@@ -40,7 +40,7 @@
 
 
 class Followed:
-    """An engine list over a store in memory."""
+    """An engine list that follows an in-memory store."""
 
     def __init__(self):
         self.store = CompactableStore()
@@ -89,7 +89,7 @@
 
     @on_paused_clock
     async def test_full_read_finds_changes_that_the_watch_missed(self):
-        # The watch hears nothing of an engine that leaves; it would get work until it is gone.
+        # The watch gets no event for a draining engine, which would get work until it is gone.
         followed = await self.started()
         followed.store.drop_events = True
         await followed.put("i-1", entry("draining"))
@@ -109,8 +109,8 @@
 
     @on_paused_clock
     async def test_entries_that_expired_in_an_outage_are_kept_for_the_grace_period(self):
-        # The store is out, entries expire, and it comes back without them. Their engines live and
-        # are back in the list a moment later; dropped at once, every request would be refused.
+        # Entries expire during a store outage, so the store answers without them afterwards. Their engines
+        # live and write them again a moment later; removed immediately, every request would be refused.
         followed = await self.started()
         followed.store.down = True
         await asyncio.sleep(5.0)
@@ -156,8 +156,8 @@
 
     @on_paused_clock
     async def test_a_lost_answer_causes_no_missing_and_no_repeated_write(self):
-        # The write took effect but its answer was lost. The next try finds the entry there, sees
-        # that it is its own, and lets it be.
+        # The write took effect but its answer was lost. The next attempt finds the entry, recognizes
+        # it as its own and does not write again.
         store = MemoryStore()
         store.lose_answers = 1
         announcement = self.announcement(store)
@@ -181,8 +181,8 @@
 
     @on_paused_clock
     async def test_a_start_among_hundreds_costs_the_store_one_call(self):
-        # All routers lost power and are back at their addresses. Each finds its entry where it stood, as the refusal
-        # says; read again by each, that is a call for every router at the moment when all need the store.
+        # All routers restart at their addresses after a power failure. Each finds its entry in the refusal of its
+        # write; a read of the entry would cost one more call per router at the moment when all need the store.
         store = MemoryStore()
         store.tells_conflicts = True
         await store.create(kind="routers", name="router-1", value={"address": "10.0.0.9:7000"})
