--- a/tests/test_engine_relay.py
+++ b/tests/test_engine_relay.py
@@ -1,4 +1,4 @@
-"""Engines' entries told among routers: few ask the store, and nobody believes a stale list."""
+"""The relay of engine entries among routers: few query the store, and no router accepts a stale list."""
 
 import asyncio
 import unittest
@@ -17,7 +17,7 @@
 KIND = "engines"
 NAMES = tuple(f"router-{number}" for number in range(6))
 PROPAGATION_LIMIT_S = 1.9
-"""Under the two seconds in which engines that leave may still get work."""
+"""Below the two seconds in which draining engines may still get work."""
 READER_WATCH_S = RelayLimits().watch_s
 TRANSIT_S = 0.001
 
@@ -36,7 +36,7 @@
 
 
 class Network:
-    """Carries questions between routers in memory."""
+    """Carries requests between routers in memory."""
 
     def __init__(self):
         self.handlers_by_router = {}
@@ -71,7 +71,7 @@
 
 
 class Fleet:
-    """Routers that follow one store, each by its own connection to it."""
+    """Routers that follow one store, each over its own connection."""
 
     def __init__(self, *, members=None, limits=None):
         self.network = Network()
@@ -166,9 +166,9 @@
 
     @on_paused_clock
     async def test_answers_of_readers_cut_off_from_the_store_are_rejected(self):
-        # Both readers lose the store, and hear nothing of an engine that leaves. The other routers
-        # ask them and get answers; going by these they would send requests to the engine for ever.
-        # The next of the ranking read in their place, and tell the two as well.
+        # Both readers lose the store and miss an engine that drains. The other routers query them and
+        # get answers; if they accepted these, they would send requests to the engine indefinitely.
+        # The next routers of the ranking become readers, and the two get the change from them.
         fleet = await self.started()
         for name in fleet.readers():
             fleet.store_by_router[name].down = True
@@ -180,8 +180,8 @@
 
     @on_paused_clock
     async def test_answers_of_readers_with_a_silent_watch_are_rejected(self):
-        # The readers' connections to the store go silent, so that an engine's leaving reaches none of
-        # them; the others have sound connections and must not wait until the readers notice.
+        # The readers' connections to the store go silent, so that neither learns of a draining engine;
+        # the others have working connections and must not wait until the readers notice.
         fleet = await self.started()
         for name in fleet.readers():
             fleet.store_by_router[name].silent_watch = True
@@ -193,7 +193,7 @@
 
     @on_paused_clock
     async def test_silent_readers_are_replaced_by_reads_of_the_store(self):
-        # The readers freeze with the question in hand; an engine leaves meanwhile.
+        # The readers freeze while requests to them are open; an engine drains meanwhile.
         fleet = await self.started()
         fleet.network.silent = fleet.readers()
         await fleet.leave("i-1")
@@ -203,10 +203,10 @@
 
     @on_paused_clock
     async def test_a_reader_refused_by_the_store_queries_the_other_reader(self):
-        # The store refuses one reader and serves everybody else. It goes on asking in vain, and
-        # sends requests to an engine that leaves, though the other reader knows better. The routers
-        # that asked it turn to the other reader and to the next of the ranking, which reads in its
-        # place; the store gets no call for each of them.
+        # The store refuses one reader and serves all other routers. That reader would keep querying
+        # without success and send requests to a draining engine, although the other reader knows of it.
+        # The routers that queried it switch to the other reader and to the next of the ranking, which
+        # replaces it; they do not call the store themselves.
         fleet = await self.started()
         refused, healthy = sorted(fleet.readers())
         replacement = fleet.ranked()[MIN_READERS]
@@ -223,7 +223,7 @@
 
     @on_paused_clock
     async def test_a_longer_propagation_limit_needs_fewer_calls_to_the_store(self):
-        # The operator lets engines that leave serve four seconds more instead of two.
+        # The operator lets draining engines serve for four seconds instead of two.
         calls_by_limit = {}
         for within_s in (2.0, 4.0):
             fleet = await self.started(limits=RelayLimits(propagation_limit_s=within_s))
@@ -241,7 +241,7 @@
 
     @on_paused_clock
     async def test_pauses_of_departed_readers_are_removed(self):
-        # Routers come and go for months, each under a name of its own.
+        # Routers join and leave for months, each with a new name.
         fleet = await self.started()
         relay = fleet.relay_by_router[NAMES[0]]
         for number in range(50):
@@ -253,8 +253,8 @@
 
     @on_paused_clock
     async def test_two_routers_that_query_each_other_return_to_the_store(self):
-        # Two views differ, and each router takes the other for the reader. If the answer's age began
-        # anew at each hop, neither would ever ask the store again.
+        # Views differ, and each router considers another one the reader. If the answer's age restarted
+        # at each hop, none would ever query the store again.
         members = {"a": ("b", "c"), "b": ("a", "c"), "c": ("a", "b")}
         fleet = await self.started(members=members)
         self.assertEqual(fleet.readers(), set())
@@ -265,7 +265,7 @@
 
     @on_paused_clock
     async def test_transit_time_of_an_answer_counts_as_age(self):
-        # Answers of a reader are held up on a link for most of their time; what they tell may be old.
+        # Answers of the readers are delayed on a link for most of the allowed age; their data may be outdated.
         fleet = await self.started()
         fleet.network.transit_s = 0.29
         for name in fleet.readers():
@@ -278,8 +278,8 @@
 
     @on_paused_clock
     async def test_transit_time_of_a_list_counts_as_age(self):
-        # A reader's link to the store is slow: a list arrives 0.9 s after it was asked for. An engine
-        # that left meanwhile is not in it; told as new, it would hide the leaving for 0.9 s more.
+        # A reader's link to the store is slow: a list arrives 0.9 s after its request. It does not show an
+        # engine's drain since then; relayed as new, it would hide the drain for another 0.9 s.
         fleet = Fleet()
         reader = sorted(fleet.readers())[0]
         fleet.store_by_router[reader].slow_s = 0.9
@@ -291,7 +291,7 @@
 
     @on_paused_clock
     async def test_a_reader_with_a_shorter_history_sends_the_full_list(self):
-        # A router asks with a version from before its reader started.
+        # A router sends a version from before its reader started.
         fleet = await self.started()
         reader = sorted(fleet.readers())[0]
         other = sorted(set(NAMES) - fleet.readers())[0]
