--- a/tests/test_peer_configuration.py
+++ b/tests/test_peer_configuration.py
@@ -1,4 +1,4 @@
-"""Declarations told among routers: from whoever told of them, and small on the way."""
+"""Exchange of declarations among routers: fetched from the announcing peer, and compressed."""
 
 import asyncio
 import unittest
@@ -14,7 +14,7 @@
 
 
 class Network:
-    """Routers of which those named hold a declaration; counts questions and bytes of the answers."""
+    """Routers of which ``holders`` have a declaration; counts the requests and the bytes of the answers."""
 
     def __init__(self, *, holders, generation=5):
         self.queried = []
@@ -41,8 +41,8 @@
 
 class PeerConfigurationTest(unittest.TestCase):
     def test_one_copy_is_fetched_from_the_announcing_peer(self):
-        # A declaration of 1,400 routes comes to one router, which tells the others. Did each of them ask
-        # eight routers for all of it, a hundred megabytes would cross the links of a fleet of 195.
+        # One router gets a declaration of 1,400 routes and announces it to the others. If each of them fetched
+        # it in full from eight routers, a hundred megabytes would cross the links of a fleet of 195.
         network = Network(holders=("router-3",))
         answer = asyncio.run(network.by_name["router-9"].fetch(5, "router-3"))
         self.assertEqual((answer.generation, answer.text), (5, TEXT))
@@ -50,7 +50,7 @@
         self.assertLess(network.sent_bytes, len(TEXT) / 5)
 
     def test_other_peers_are_queried_when_the_announcing_peer_has_no_declaration(self):
-        # The teller restarted meanwhile and holds nothing.
+        # The announcing peer restarted meanwhile and has no declaration.
         network = Network(holders=NAMES[4:])
         answer = asyncio.run(network.by_name["router-9"].fetch(5, "router-3"))
         self.assertEqual(answer.generation, 5)
