--- a/tests/test_store_epoch.py
+++ b/tests/test_store_epoch.py
@@ -1,4 +1,4 @@
-"""The epoch of the platform's store: versions, what it proves, and what engines' entries are worth after a return."""
+"""The epoch of the platform's store: versions, proofs, and the correction of engine entries after a restore."""
 
 import asyncio
 import json
@@ -136,12 +136,12 @@
 
 
 class RestoredStore:
-    """Answers lists and watches of one kind by versions that the test sets.
+    """Answers lists and watches of one kind with versions that the test sets.
 
     Attributes
     ----------
     listed : StoreDone
-    is_gone : bool
+    is_history_gone : bool
         The next watch finds its history gone.
     """
 
@@ -185,8 +185,8 @@
 class RestoredListTest(FollowedListCase):
     @on_paused_clock
     async def test_engine_missing_from_the_backup_is_used_for_the_grace_period(self):
-        # Callers are served by an engine that started since the copy. It is missing from the first list after the
-        # return, writes its entry within two seconds, or is taken for gone after them.
+        # Callers are served by an engine that started since the backup. It is missing from the first list after the
+        # restore, and is removed unless it writes its entry within two seconds.
         store = RestoredStore(done(1, 90, old=10, new=80))
         await self.follow(store)
         store.listed, store.is_history_gone = done(2, 40, old=10), True
@@ -208,7 +208,7 @@
 
 
 class NoHistoryStore(RestoredStore):
-    """Keeps no history at all: each watch finds it gone, at once."""
+    """Keeps no history: each watch immediately finds it gone."""
 
     async def watch(self, *, kind, from_version, timeout_s):
         await asyncio.sleep(0.004)
@@ -222,8 +222,8 @@
 class NoHistoryStoreTest(FollowedListCase):
     @on_paused_clock
     async def test_store_without_history_is_not_queried_without_a_pause(self):
-        # Every call is paid for. The history before a version that was read a moment ago is gone again: read anew at
-        # once each time, one router would ask a hundred times a second for as long as that lasts.
+        # Every call to the store costs money. The history is gone again right after a full read: with an immediate
+        # read each time, one router would query the store a hundred times a second while that lasts.
         store = NoHistoryStore(done(1, 90, old=10))
         await self.follow(store)
         before = store.lists
@@ -234,7 +234,7 @@
 
 
 class ProofTest(unittest.TestCase):
-    """What a read of the configuration proves about keys."""
+    """Proof of keys by reads of the configuration."""
 
     def source(self, store, epoch):
         source = PlatformSource(
@@ -261,8 +261,8 @@
         asyncio.run(source._read(sources.Source.POLL))
 
     def test_router_started_after_a_restore_gets_no_proof_from_the_backup(self):
-        # A key that was taken away is in the copy. Until the operator could have written again, a read of it shows
-        # what was, and the router refuses rather than guesses.
+        # The backup holds a key that was revoked since. Until the operator could have written again, a read may
+        # return outdated contents, and the router refuses requests with the key.
         source = self.source(self.store, self.epoch)
         self.read(source, epoch=2, revision=5)
         self.assertIsNone(source.confirmed_at)
@@ -278,7 +278,8 @@
         self.assertEqual(source.confirmed_at, self.clock.now)
 
     def test_router_that_kept_running_keeps_its_proof(self):
-        # It was proved a second before, so it knows at least what the copy lacks: no caller is refused for the return.
+        # It was proved up to date a second earlier, so it knows at least what the backup lacks: the restore causes no
+        # refusal of callers.
         source = self.source(self.store, self.epoch)
         self.read(source, epoch=1, revision=50)
         self.epoch.mark_settled()
@@ -355,7 +356,7 @@
         return asyncio.run(step)
 
     def test_same_revision_of_two_epochs_is_two_versions(self):
-        # A configuration written after the return bears the revision of the one that is known. Taken for the same
+        # A configuration written after the restore has the revision of the one that is known. Treated as the same
         # content, it was never put in force.
         self.server.script = [("1", 200, stored(5)), ("2", 200, stored(5))]
         first = self.call(self.store.get(kind="config", name="main"))
@@ -369,7 +370,7 @@
         self.assertEqual(self.epoch.number, 3)
 
     def test_watch_from_a_former_epoch_is_not_sent(self):
-        # Its revision may have been given out again: the watch would go on from another change.
+        # Its revision may have been assigned again: the watch would continue from another change.
         self.epoch.observe(2)
         outcome = self.call(self.store.watch(kind="servers", from_version=make_version(1, 7), timeout_s=0.1))
         self.assertIsInstance(outcome, StoreHistoryGone)
@@ -388,8 +389,8 @@
         self.assertEqual(self.server.paths, [])
 
     def test_late_answer_of_a_former_epoch_is_discarded(self):
-        # The era is seen to fall: a write was acknowledged before the return, and may be lost; a read may have
-        # changed since.
+        # The era of an answer is lower than the known one: a write acknowledged before the restore may be lost, and
+        # an object read before it may have changed since.
         self.epoch.observe(2)
         self.server.script = [("1", 200, stored(7)), ("1", 200, stored(7))]
         write = self.store.update(kind="config", name="main", value={}, if_version=make_version(2, 7))
