--- a/tests/test_store_readers.py
+++ b/tests/test_store_readers.py
@@ -1,8 +1,8 @@
-"""The store's bill of a fleet: few routers read the configuration, all others ask them.
+"""Calls of a fleet to the store: few routers read the configuration, all others query them.
 
-The pattern is a fleet of which every router must know, within the time that operators grant a
-revoked key, that its configuration is the newest. Did each of them ask the store, or any other
-router, the bill would grow with the fleet; the figures here are calls of one second.
+Every router must know, within the time that operators allow a revoked key, that its configuration is
+the newest. If each of them queried the store, or any other router, the calls would grow with the size
+of the fleet; the figures here are calls per second.
 """
 
 import asyncio
@@ -24,7 +24,7 @@
 SECONDS = 30.0
 TRANSIT_S = 0.002
 KEY_LIMIT_S = 4.5
-"""Oldest proof with which a key is used where operators grant a revoked key five seconds."""
+"""Maximum age of a proof with which a key is accepted, if operators allow a revoked key five seconds."""
 
 
 class Place:
@@ -61,7 +61,7 @@
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
     async def calls_during(self, seconds):
-        """Calls to the store by router, and the oldest proof seen, while so much time passes."""
+        """Return calls to the store by router during ``seconds``; ``oldest_s`` holds the age of the oldest proof."""
         before = {name: router.calls() for name, router in self.router_by_name.items()}
         until = asyncio.get_running_loop().time() + seconds
         self.oldest_s = 0.0
@@ -114,7 +114,7 @@
 
     def start(self):
         loop = asyncio.get_running_loop()
-        # Every router reads once by itself when it starts.
+        # Every router reads the store once when it starts.
         self.source.proof.confirm(boot_time_s())
         return [loop.create_task(self.source.watch()), loop.create_task(self.source.poll())]
 
@@ -138,16 +138,16 @@
                 readers = max(MIN_READERS, -(-size // ROUTERS_PER_READER))
                 self.assertEqual(querying, set(fleet.readers()))
                 self.assertEqual(len(querying), readers)
-                # Two reads in three seconds, and the watch that ends each half minute.
+                # Two reads in three seconds, and a watch that ends every half minute.
                 self.assertLessEqual(sum(calls.values()) / SECONDS, readers * 0.9)
                 self.assertLess(fleet.oldest_s, KEY_LIMIT_S - 0.5)
                 await fleet.close()
 
     @on_paused_clock
     async def test_a_silent_reader_is_replaced_before_proofs_expire(self):
-        # A reader freezes: it neither reads nor answers. Whoever asked it turns to the second one
-        # within the same look, so that no router's proof gets too old for a key, and none of
-        # them all reads the store in its place.
+        # A reader freezes: it neither reads nor answers. The routers that queried it switch to the
+        # second one in the same poll, so that no router's proof becomes too old for a key, and they
+        # don't read the store themselves.
         fleet = await self.started(24)
         frozen = fleet.readers()[0]
         fleet.silent.add(frozen)
@@ -159,9 +159,9 @@
 
     @on_paused_clock
     async def test_readers_refused_by_the_store_are_replaced_by_the_next(self):
-        # The store serves some routers and refuses others, both readers among these. Their words get
-        # old, and everybody passes them over. The next of the ranking read in their place, by a
-        # ranking that all share, while the rest goes on asking.
+        # The store serves some routers and refuses others, both readers among these. Their confirmations
+        # expire, and all routers skip them. The next two of the ranking, which all routers share, become
+        # readers, while the others keep querying.
         fleet = await self.started(24)
         for name in fleet.readers():
             fleet.router_by_name[name].store.down = True
@@ -169,7 +169,7 @@
         self.assertLess(fleet.oldest_s, KEY_LIMIT_S)
         often = {name for name, count in calls.items() if count > SECONDS / 3}
         self.assertLessEqual(len(often), 2 * MIN_READERS)
-        # Beyond what readers ask: doubts of the others while a pause ends and the refused are tried again.
+        # Includes the reads of other routers when a pause ends and the refused readers are queried again.
         self.assertLessEqual(sum(calls.values()) / SECONDS, 24 / (2 * PAUSE_S))
         await fleet.close()
 
