--- a/tests/test_store_restored.py
+++ b/tests/test_store_restored.py
@@ -1,4 +1,4 @@
-"""The platform's store goes away for a moment and comes back from a copy that is some seconds old."""
+"""The platform's store is briefly unavailable and is restored from a backup that is some seconds old."""
 
 import time
 import unittest
@@ -10,7 +10,7 @@
 NOTE_KIND = "wagtailtrestle-epochs"
 OTHER_KEY = "example-key-of-another"
 PROPAGATION_S = 1.5
-"""By then all routers have heard of a change: engines are watched for less than a second."""
+"""Time after which all routers know of a change: a watch of the engines lasts less than a second."""
 REVOKED_S = 5.0
 REQUESTS = 30
 
@@ -19,13 +19,13 @@
     def start(self, *, routers=3):
         world = World(routers=routers, key_revocation_ms=int(REVOKED_S * 1000))
         world.store.era = 1
-        # The fleet has known this epoch for long.
+        # The fleet has considered this epoch settled.
         world.store.put(NOTE_KIND, NOTE_NAME, {"epoch": 1})
         self.addCleanup(world.close)
         return world.start()
 
     def request_all(self, world, *, count=REQUESTS, name="r", key=KEY):
-        """Ask in turn through all routers; the answers' statuses."""
+        """Send requests through all routers in turn; return the statuses of the answers."""
         return [
             world.ask(
                 "GET", "/status/1", router=number % len(world.routers), request_id=f"{name}-{number}", key=key
@@ -37,19 +37,19 @@
         return [seen for seen in world.engines[engine].seen if seen["request-id"].startswith(f"{name}-")]
 
     def drain(self, world, engine):
-        """An engine says that it drains, and all routers hear it."""
+        """Mark an engine as draining in its entry, and wait until all routers know."""
         world.store.put("servers", engine, world.engines[engine].entry("draining"))
         time.sleep(PROPAGATION_S)
 
     def age(self, world, revisions=60):
-        """Let the store write as many revisions as a copy is behind."""
+        """Write as many revisions to the store as the backup is behind."""
         for number in range(revisions):
             world.store.put("other", "counter", number)
 
     def test_engine_that_left_gets_no_requests(self):
-        # The caller is served by the engine that lives. An engine drains and leaves, then the store comes back from a
-        # copy in which it is still ready. Its entry there is older than what every router knows; believed, half of
-        # all requests would go to an engine that is gone.
+        # The caller is served by the live engine. An engine drains and leaves, then the store is restored from a
+        # backup in which it is still ready. Its entry there is older than what every router knows; if it were
+        # applied, half of all requests would go to an engine that is gone.
         world = self.start()
         copy = world.store.copy()
         self.age(world)
@@ -62,8 +62,9 @@
         self.assertEqual(len(self.runs(world, "b-1", "after")), 0)
 
     def test_engine_that_drains_after_the_restore_gets_no_requests(self):
-        # The caller is served by the engine that lives. All that is told after the return bears lower revisions than
-        # what routers know. Dropped as older, an engine that drained and left then got half of all requests.
+        # The caller is served by the live engine. All changes after the restore have lower revisions than those the
+        # routers know. When they were dropped as older, an engine that drained and left afterwards got half of all
+        # requests.
         world = self.start()
         copy = world.store.copy()
         self.age(world)
@@ -78,7 +79,7 @@
         self.assertEqual(len(self.runs(world, "b-1", "after")), 0)
 
     def test_engine_that_starts_after_the_restore_is_used(self):
-        # The caller is served. After the return both engines of a service leave and a new one comes.
+        # The caller is served. After the restore both engines of a service leave and a new one starts.
         world = self.start()
         copy = world.store.copy()
         self.age(world)
@@ -93,7 +94,7 @@
         self.assertEqual(len(self.runs(world, "b-3", "after")), REQUESTS)
 
     def test_draining_engine_gets_no_requests(self):
-        # The same while the engine still drains: the copy holds it as ready, and its own word has not come again yet.
+        # The same while the engine still drains: the backup holds it as ready, and it has not written its entry again.
         world = self.start()
         copy = world.store.copy()
         self.age(world)
@@ -104,8 +105,8 @@
         self.assertEqual(len(self.runs(world, "b-1", "after")), 0)
 
     def test_engine_started_since_the_backup_is_used(self):
-        # The caller is served. Both engines of a service are replaced by a new one, which the copy doesn't list. It
-        # writes its entry again half a second after the store's return; until then it is used by what was known.
+        # The caller is served. Both engines of a service are replaced by a new one that is not in the backup. It
+        # writes its entry again half a second after the restore; until then it is used as it was known before.
         world = self.start()
         copy = world.store.copy()
         self.age(world)
@@ -124,8 +125,8 @@
         self.assertEqual(len(self.runs(world, "b-3", "after")), REQUESTS)
 
     def test_change_under_a_reassigned_revision_is_detected(self):
-        # The operator's next configuration gets the revision of the one that the routers know. Taken for the same
-        # content by its revision, it was never read.
+        # The operator's next configuration gets the revision of the one that the routers know. Treated as the same
+        # content because of its revision, it was never read.
         world = self.start()
         copy = world.store.copy()
         world.store.put("config", "main", configuration(2))
@@ -136,8 +137,8 @@
         self.assertEqual(set(self.request_all(world, count=9, key=OTHER_KEY)), {200})
 
     def test_revoked_key_stays_revoked_at_a_router_started_in_the_gap(self):
-        # A key is taken away, and serves nowhere any more. The store comes back from a copy that holds it, and one
-        # router starts before the operator has written again: it must not serve by what the copy says.
+        # A key is revoked, and no router accepts it any more. The store is restored from a backup that holds it, and
+        # one router starts before the operator has written again: it must not accept the key from the backup.
         world = self.start()
         world.store.put("config", "main", configuration(2, keys=(KEY, OTHER_KEY)))
         time.sleep(PROPAGATION_S)
@@ -156,17 +157,17 @@
                 answer = world.ask("GET", "/status/1", router=2, request_id=f"k{time.monotonic()}", key=OTHER_KEY)
                 statuses.add(answer.status)
             except OSError:
-                pass  # It does not listen yet.
+                pass  # The router does not listen yet.
             time.sleep(0.02)
         self.assertTrue(statuses <= {401, 503}, statuses)
-        # The operator writes again, and all serve as before.
+        # The operator writes again, and all routers serve as before.
         world.store.put("config", "main", configuration(3))
-        wait_until(lambda: set(self.request_all(world, count=6)) == {200}, "all serve after the operator wrote again")
+        wait_until(lambda: set(self.request_all(world, count=6)) == {200}, "all routers to serve after the operator wrote again")
         self.assertEqual(set(self.request_all(world, count=9, key=OTHER_KEY)), {401})
 
     def test_routers_all_started_in_the_gap_refuse_requests(self):
-        # A key is taken away, then all routers are killed and the store comes back from a copy that holds it. Nobody
-        # is left who knows better: callers are told 503, not run, until the operator has written again.
+        # A key is revoked, then all routers are killed and the store is restored from a backup that holds it. No
+        # process knows of the revocation: callers get 503 and are not run, until the operator has written again.
         world = self.start()
         world.store.put("config", "main", configuration(2, keys=(KEY, OTHER_KEY)))
         time.sleep(PROPAGATION_S)
@@ -183,15 +184,15 @@
             router.wait_ready()
         self.assertEqual(set(self.request_all(world, count=15, key=OTHER_KEY)), {503})
         world.store.put("config", "main", configuration(3))
-        wait_until(lambda: set(self.request_all(world, count=6)) == {200}, "all serve after the operator wrote again")
+        wait_until(lambda: set(self.request_all(world, count=6)) == {200}, "all routers to serve after the operator wrote again")
         self.assertEqual(set(self.request_all(world, count=9, key=OTHER_KEY)), {401})
 
     def test_routers_all_started_later_serve_immediately(self):
-        # All routers are killed and start again, long after the store came back: its note tells them so, and no
-        # caller is refused for it.
+        # All routers are killed and start again, long after the restore: the store's epoch note shows this, so no
+        # caller is refused.
         world = self.start()
         world.store.drill(world.store.copy())
-        wait_until(lambda: world.store.objects(NOTE_KIND)[NOTE_NAME] == {"epoch": 2}, "the epoch is noted")
+        wait_until(lambda: world.store.objects(NOTE_KIND)[NOTE_NAME] == {"epoch": 2}, "the epoch note")
         for router in world.routers:
             router.kill()
         for router in world.routers:
@@ -202,8 +203,8 @@
         self.assertEqual(set(self.request_all(world, count=9)), {200})
 
     def test_announcements_missing_from_the_backup_are_rewritten_within_a_second(self):
-        # A router that starts finds the others by their entries. Those of routers that started since the copy are
-        # gone with it; nobody writes them again but the routers themselves.
+        # A starting router finds the others by their entries. The restore removes the entries of routers that started
+        # since the backup; only those routers themselves write them again.
         world = self.start()
         copy = world.store.copy()
         kind = "wagtailtrestle-routers"
@@ -214,7 +215,8 @@
         self.assertEqual(len(world.store.objects(kind)), 3)
 
     def test_second_restore(self):
-        # Two drills in a row, the second from a copy that the first one left: nothing of the first counts as news.
+        # Two restores in succession from the same backup: an engine known as draining before the first one must still
+        # count as draining after the second.
         world = self.start()
         copy = world.store.copy()
         self.age(world)
