--- a/tests/test_foreign_entries.py
+++ b/tests/test_foreign_entries.py
@@ -1,8 +1,8 @@
-"""Entries, lists, reports and configurations that other writers put where engines and operators write.
+"""Invalid entries, lists, reports and configurations from other writers to the platform's store.
 
-Anybody may write to the platform's store. Taken for an engine, such an entry sends callers' requests to
-an address that is none, or ends the task that follows the list, and a router goes on with the
-engines of that moment for ever. So whatever is not what an engine writes names no engine, and only that.
+Any client may write to the platform's store. Accepted as an engine, an invalid entry sends callers' requests
+to an invalid address, or ends the task that follows the list, so that a router keeps the engines of that
+moment indefinitely. Whatever an engine would not write is therefore rejected, and only that entry.
 """
 
 import asyncio
@@ -41,7 +41,7 @@
 )
 ANY_ENTRY = st.dictionaries(st.sampled_from(sorted(entry())) | st.text(max_size=8), VALUES).map(lambda d: entry() | d)
 EXAMPLES = 300
-"""Some two seconds; the schedule is the same at each run, so that the verdict is."""
+"""Some two seconds of run time; the examples are the same in each run, so the result is reproducible."""
 steady = settings(max_examples=EXAMPLES, derandomize=True, deadline=None, database=None)
 
 
@@ -104,8 +104,8 @@
 
     @on_paused_clock
     async def test_an_overwritten_entry_is_not_used_and_the_others_are_kept(self):
-        # Another writer replaces an engine's entry. The address in it may be anybody's; the other
-        # engines go on, and the engine's own next word brings it back.
+        # Another writer replaces an engine's entry, whose address may then belong to any process. The
+        # other engines stay listed, and the engine is listed again when it writes its entry.
         followed = Followed()
         await followed.put("i-1", entry())
         await followed.put("i-2", entry(address="10.0.0.2:80"))
