--- a/tests/test_engine_list.py
+++ b/tests/test_engine_list.py
@@ -184,7 +184,7 @@
         # All routers restart at their addresses after a power failure. Each finds its entry in the refusal of its
         # write; a read of the entry would cost one more call per router at the moment when all need the store.
         store = MemoryStore()
-        store.tells_conflicts = True
+        store.returns_conflicts = True
         await store.create(kind="routers", name="router-1", value={"address": "10.0.0.9:7000"})
         announcement = self.announcement(store)
         announcement.start()
@@ -196,7 +196,7 @@
     @on_paused_clock
     async def test_another_address_in_the_refusal_is_replaced_without_a_read(self):
         store = MemoryStore()
-        store.tells_conflicts = True
+        store.returns_conflicts = True
         await store.create(kind="routers", name="router-1", value={"address": "10.0.0.1:7000"})
         announcement = self.announcement(store)
         announcement.start()
--- a/tests/utils/memory_store.py
+++ b/tests/utils/memory_store.py
@@ -53,7 +53,7 @@
         self.lose_requests = 0
         self.stale_versions = 0
         self.drop_events = False
-        self.tells_conflicts = False
+        self.returns_conflicts = False
         self.silent_watch = False
         self.before_write = None
         self.after_write = None
@@ -72,7 +72,7 @@
     async def create(self, *, kind, name, value):
         value = json.loads(json.dumps(value))
         outcome = await self._write(lambda: self.table.create(kind=kind, name=name, value=value, hide=self.drop_events))
-        if isinstance(outcome, StoreConflict) and self.tells_conflicts:
+        if isinstance(outcome, StoreConflict) and self.returns_conflicts:
             return StoreConflict(version=outcome.version, value=self.table.get(kind=kind, name=name).value)
         return outcome
 
