--- a/tests/utils/memory_store.py
+++ b/tests/utils/memory_store.py
@@ -1,6 +1,6 @@
 """In-memory ``ObjectStore`` with faults that a test sets as attributes.
 
-It reads only the event loop's clock, so it works under a paused one.
+It uses only the event loop's clock, so it also works with a paused one.
 """
 
 import asyncio
@@ -14,30 +14,30 @@
 
 
 class MemoryStore:
-    """Several stores may share one ``table``: each is then one client's view of it.
+    """An object store whose ``table`` may be shared: each store is then one client's view of it.
 
     Attributes
     ----------
     down : bool
-        Every call comes to ``StoreUnavailable``.
+        Every call returns ``StoreUnavailable``.
     refuse_writes : bool
-        Writes come to ``StoreUnavailable``.
+        Writes return ``StoreUnavailable``.
     slow_s : float
-        Every call takes this long before it takes effect.
+        Delay of every call before it takes effect.
     lose_answers : int
-        This many next writes take effect and come to ``StoreUnknown``.
+        This many next writes take effect and return ``StoreUnknown``.
     lose_requests : int
-        This many next writes take no effect and come to ``StoreUnknown``.
+        This many next writes take no effect and return ``StoreUnknown``.
     stale_versions : int
-        Reads give the value of this many writes ago.
+        Reads return the value of this many writes ago.
     drop_events : bool
-        Writes made now are never told to watches.
-    tells_conflicts : bool
-        A refused creation tells what stands there.
+        Writes made now are not sent to watches.
+    returns_conflicts : bool
+        A refused creation returns the existing value.
     silent_watch : bool
         Watches never answer.
     before_write : callable or None
-        Called once just before the next write takes effect, for races.
+        Called once just before the next write takes effect, to produce races.
     after_write : callable or None
         Called once just after the next write took effect.
     calls : dict of str to int
--- a/tests/utils/paused_clock.py
+++ b/tests/utils/paused_clock.py
@@ -1,4 +1,4 @@
-"""Runs a coroutine on an event loop whose clock jumps over idle time."""
+"""Runs a coroutine on an event loop whose clock skips idle time."""
 
 import asyncio
 import functools
@@ -7,7 +7,7 @@
 
 
 def on_paused_clock(scenario):
-    """Make an async test method run under a clock that starts at 0."""
+    """Run an async test method with a simulated clock that starts at 0."""
 
     @functools.wraps(scenario)
     def run(self):
@@ -18,5 +18,5 @@
 
 
 def now():
-    """Time of the running loop."""
+    """Return the time of the running event loop."""
     return asyncio.get_running_loop().time()
