--- a/tests/test_store_restored.py
+++ b/tests/test_store_restored.py
@@ -162,7 +162,7 @@
         self.assertTrue(statuses <= {401, 503}, statuses)
         # The operator writes again, and all routers serve as before.
         world.store.put("config", "main", configuration(3))
-        wait_until(lambda: set(self.request_all(world, count=6)) == {200}, "all routers to serve after the operator wrote again")
+        wait_until(lambda: set(self.request_all(world, count=6)) == {200}, "all serve after the operator wrote again")
         self.assertEqual(set(self.request_all(world, count=9, key=OTHER_KEY)), {401})
 
     def test_routers_all_started_in_the_gap_refuse_requests(self):
@@ -184,7 +184,7 @@
             router.wait_ready()
         self.assertEqual(set(self.request_all(world, count=15, key=OTHER_KEY)), {503})
         world.store.put("config", "main", configuration(3))
-        wait_until(lambda: set(self.request_all(world, count=6)) == {200}, "all routers to serve after the operator wrote again")
+        wait_until(lambda: set(self.request_all(world, count=6)) == {200}, "all serve after the operator wrote again")
         self.assertEqual(set(self.request_all(world, count=9, key=OTHER_KEY)), {401})
 
     def test_routers_all_started_later_serve_immediately(self):
