--- a/wagtailtrestle/configuration/epoch_note.py
+++ b/wagtailtrestle/configuration/epoch_note.py
@@ -40,7 +40,7 @@
         "_written_epoch",
         "_announcement",
         "_task",
-        "_has_begun",
+        "_has_new_epoch",
     )
 
     def __init__(self, *, store, kind, epoch: StoreEpoch, is_writer):
@@ -52,8 +52,8 @@
         self._written_epoch = 0
         self._announcement = None
         self._task = None
-        self._has_begun = asyncio.Event()
-        epoch.on_begin(self._has_begun.set)
+        self._has_new_epoch = asyncio.Event()
+        epoch.on_begin(self._has_new_epoch.set)
 
     def start(self):
         """Start the task that follows the epoch; must be called on the running event loop."""
@@ -68,10 +68,10 @@
 
     async def _follow(self):
         while True:
-            await self._has_begun.wait()
-            self._has_begun.clear()
+            await self._has_new_epoch.wait()
+            self._has_new_epoch.clear()
             await asyncio.sleep(PEER_GRACE_S)
-            while self._written_epoch != self._epoch.number and not self._has_begun.is_set():
+            while self._written_epoch != self._epoch.number and not self._has_new_epoch.is_set():
                 await self._step(self._epoch.number)
                 await asyncio.sleep(CHECK_INTERVAL_S)
 
