--- a/wagtailtrestle/configuration/proof.py
+++ b/wagtailtrestle/configuration/proof.py
@@ -56,7 +56,7 @@
         return self._confirmed_at
 
     @property
-    def counts_own_reads(self):
+    def own_reads_are_proof(self):
         """Whether the store's contents are known to be complete, so that a read of them is a proof."""
         return self._epoch.is_settled or self._is_epoch_proved()
 
--- a/wagtailtrestle/configuration/sources.py
+++ b/wagtailtrestle/configuration/sources.py
@@ -244,7 +244,7 @@
 
     def _other_readers_if_unproved(self):
         """The other readers, for a reader that can't tell yet whether the store is complete; else none."""
-        return () if self.proof.counts_own_reads else self._readers.other_readers()
+        return () if self.proof.own_reads_are_proof else self._readers.other_readers()
 
     async def _wait_until_in_force(self, generation):
         """Wait until a generation that a peer reported is in force here, for at most the usual time of a fetch.
