--- a/wagtailtrestle/configuration/engine_relay.py
+++ b/wagtailtrestle/configuration/engine_relay.py
@@ -161,7 +161,7 @@
         answer = await self._peers.ask(reader, EnginesAsk(version=version, wait_s=wait_s), wait_s + ANSWER_TIMEOUT_S)
         # The full transit time counts as age: the age in the answer does not include delays on the link.
         transit_s = max(0.0, self._clock() - requested_at - getattr(answer, "waited_s", 0.0))
-        problem = self._problem(answer, transit_s, version)
+        problem = self._rejection_reason(answer, transit_s, version)
         if problem is not None:
             # The reader may be cut off from the store, frozen or gone. It may fail again if queried again,
             # while a draining engine still gets work; another reader, or the store, answers immediately.
@@ -255,7 +255,7 @@
             return self._all_entries()
         return [entry for changed_at, entry in self._history if changed_at > version]
 
-    def _problem(self, answer, transit_s, version):
+    def _rejection_reason(self, answer, transit_s, version):
         """Return why an answer can't be accepted, or ``None``."""
         if not isinstance(answer, EnginesAnswer):
             return getattr(answer, "detail", "no answer")
