--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -13,7 +13,7 @@
 from wagtailtrestle.declarations.check import DeclarationFaults
 
 POLL_S = 2.0
-WITHIN_S = 5.0
+CONVERGENCE_LIMIT_S = 5.0
 SEEDS = 40
 STEPS = 12
 
@@ -32,14 +32,14 @@
 
 
 class LatestJitter:
-    """Always the longest wait."""
+    """Always returns the longest wait."""
 
     def uniform(self, low, high):
         return high
 
 
 class Router:
-    """One configuration over a store of its own, with the history of what was in force."""
+    """One configuration with its own store client, and the history of the generations in force."""
 
     def __init__(self, *, table, peers=(), jitter=None):
         self.store = MemoryStore(table=table)
@@ -49,17 +49,17 @@
         self.configuration = Configuration(
             store=self.store,
             parse=parse,
-            on_change=self._note,
-            ask_peers=self._ask_peers,
+            on_change=self._record_change,
+            query_peers=self._query_peers,
             poll_interval_s=POLL_S,
             jitter=jitter or random.Random(1),
         )
 
-    def _note(self, in_force):
+    def _record_change(self, in_force):
         self.generations.append(in_force.generation)
         self.times.append(now())
 
-    async def _ask_peers(self, generation, teller):
+    async def _query_peers(self, generation, preferred_peer):
         await asyncio.sleep(0.005)
         held = [peer.configuration.in_force for peer in self.peers]
         held = [in_force for in_force in held if in_force is not None and in_force.generation >= generation]
@@ -87,7 +87,7 @@
         return outcome.generation
 
     @on_paused_clock
-    async def test_watch_puts_in_force_at_once(self):
+    async def test_watch_puts_in_force_immediately(self):
         router = self.router()
         await asyncio.sleep(1)
         self.assertIsNone(router.configuration.in_force)
@@ -99,23 +99,23 @@
 
     @on_paused_clock
     async def test_silent_watch(self):
-        # The watch's connection has gone silent: no event and no error ever comes. The
-        # next generation must be in force within seconds all the same, by polling.
+        # The watch's connection has gone silent: no event and no error ever arrives. The
+        # next generation must still be in force within seconds, by polling.
         await self.apply("a")
         router = self.router(start=False)
         router.store.silent_watch = True
         router.configuration.start()
         await asyncio.sleep(1)
         await self.apply("b")
-        await asyncio.sleep(WITHIN_S)
+        await asyncio.sleep(CONVERGENCE_LIMIT_S)
         self.assertEqual(router.generations, [1, 2])
         self.assertLessEqual(router.times[1] - 1, 1.25 * POLL_S)
 
     @on_paused_clock
-    async def test_silent_watch_and_the_next_poll_lost_to_a_silent_connection(self):
-        # What silenced the watch silenced the polls' idle connection as well: the next
-        # poll comes to nothing after its timeout of 2 s. Waiting a whole interval after
-        # that would miss the 5 s that operators are promised.
+    async def test_silent_watch_and_next_poll_on_a_silent_connection(self):
+        # The fault that silenced the watch also silenced the polls' idle connection: the next
+        # poll fails at its timeout of 2 s. Waiting a full interval after that would miss the
+        # 5 s that operators are promised.
         await self.apply("a")
         router = self.router(start=False, jitter=LatestJitter())
         router.store.silent_watch = True
@@ -130,26 +130,26 @@
             return StoreUnavailable(detail="timeout")
 
         router.store.get = silent_get
-        await asyncio.sleep(WITHIN_S)
+        await asyncio.sleep(CONVERGENCE_LIMIT_S)
         self.assertEqual(router.generations, [1, 2])
 
     @on_paused_clock
     async def test_dropped_watch_event(self):
-        # The watch works but the platform never tells of one write. The router must
+        # The watch works but the platform sends no event for one write. The router must
         # not stay on the old generation until the next apply.
         await self.apply("a")
         router = self.router()
         await asyncio.sleep(1)
         self.operator.drop_events = True
         await self.apply("b")
-        await asyncio.sleep(WITHIN_S)
+        await asyncio.sleep(CONVERGENCE_LIMIT_S)
         self.assertEqual(router.generations, [1, 2])
 
     @on_paused_clock
     async def test_stale_read_after_restart(self):
-        # Generation 2 was in force on a router that is replaced. The new process reads
-        # the platform through a stale cache and sees generation 1; no peer answers. It
-        # must stay unready until the read is proved new, and never serve generation 1.
+        # Generation 2 was in force on a router that is replaced. The new process reads the
+        # platform through a stale cache and gets generation 1; no peer answers. It must stay
+        # unready until a read is proved to be the newest, and never serve generation 1.
         await self.apply("a")
         await self.apply("b")
         router = self.router(start=False)
@@ -159,14 +159,14 @@
         await asyncio.sleep(2)
         self.assertEqual(router.generations, [])
         router.store.stale_versions = 0
-        await asyncio.sleep(WITHIN_S)
+        await asyncio.sleep(CONVERGENCE_LIMIT_S)
         self.assertEqual(router.generations, [2])
         self.assertTrue(router.configuration.dump()["is_confirmed"])
 
     @on_paused_clock
-    async def test_stale_read_after_restart_while_the_platform_takes_no_writes(self):
-        # As above, but the platform refuses every write, so no read can be proved new.
-        # A peer has generation 2: the higher one is what the router begins with.
+    async def test_stale_read_after_restart_while_the_platform_refuses_writes(self):
+        # As above, but the platform refuses every write, so no read can be proved to be the
+        # newest. A peer has generation 2: the router starts with the higher one.
         await self.apply("a")
         await self.apply("b")
         peer = self.router()
@@ -176,14 +176,14 @@
         router.store.silent_watch = True
         router.store.refuse_writes = True
         router.configuration.start()
-        await asyncio.sleep(WITHIN_S)
+        await asyncio.sleep(CONVERGENCE_LIMIT_S)
         self.assertEqual(router.generations, [2])
         self.assertFalse(router.configuration.dump()["is_confirmed"])
 
     @on_paused_clock
-    async def test_unproved_read_without_peers_is_used_late_and_said_so(self):
-        # No write is taken and no peer answers: better to serve by what can be read
-        # than never to serve, but only after the wait, and the dump says it.
+    async def test_unproved_read_without_peers_is_used_after_the_wait_and_reported(self):
+        # The platform refuses writes and no peer answers: the router uses the declaration that
+        # it can read rather than never serve, but only after the wait, and the dump says so.
         await self.apply("a")
         router = self.router(start=False)
         router.store.refuse_writes = True
@@ -196,7 +196,7 @@
 
     @on_paused_clock
     async def test_outage_at_start_with_peers(self):
-        # The platform is out when a router is replaced. Its peers hold generations 1
+        # The platform is unreachable when a router is replaced. Its peers hold generations 1
         # and 2; it must be ready within seconds, on 2, and stay there.
         await self.apply("a")
         behind = self.router()
@@ -218,7 +218,7 @@
 
     @on_paused_clock
     async def test_outage_at_start_without_peers(self):
-        # Nothing can be learnt: not ready, until the platform is back.
+        # No source has a declaration: the router is not ready until the platform is reachable again.
         await self.apply("a")
         router = self.router(start=False)
         router.store.down = True
@@ -226,13 +226,13 @@
         await asyncio.sleep(30)
         self.assertIsNone(router.configuration.in_force)
         router.store.down = False
-        await asyncio.sleep(WITHIN_S)
+        await asyncio.sleep(CONVERGENCE_LIMIT_S)
         self.assertEqual(router.generations, [1])
 
     @on_paused_clock
-    async def test_heartbeat_tells_of_a_higher_generation(self):
-        # This router alone can't reach the platform. A peer's heartbeat carries the new
-        # generation, and the text comes from the peer.
+    async def test_heartbeat_announces_a_higher_generation(self):
+        # Only this router can't reach the platform. A peer's heartbeat carries the new
+        # generation, and the text is fetched from the peer.
         await self.apply("a")
         peer = self.router()
         router = self.router(peers=[peer])
@@ -242,21 +242,21 @@
         await asyncio.sleep(31)
         await self.apply("b")
         await asyncio.sleep(0.1)
-        router.configuration.heard(peer.configuration.generation)
+        router.configuration.observe_generation(peer.configuration.generation)
         await asyncio.sleep(1)
         self.assertEqual(router.generations, [1, 2])
 
     @on_paused_clock
     async def test_running_router_never_goes_back(self):
-        # A running router polls a stale platform, hears lower generations from peers,
-        # and lives through an outage: nothing changes what is in force.
+        # A running router polls a stale platform, gets lower generations from peers and
+        # survives an outage: the generation in force does not change.
         for text in ("a", "b"):
             await self.apply(text)
         router = self.router()
         await asyncio.sleep(1)
         router.store.stale_versions = 1
         router.configuration.offer(1, "a", "peer")
-        router.configuration.heard(1)
+        router.configuration.observe_generation(1)
         await asyncio.sleep(10)
         router.store.down = True
         await asyncio.sleep(600)
@@ -264,13 +264,13 @@
 
     @on_paused_clock
     async def test_faulty_declaration_is_not_put_in_force(self):
-        # A declaration that this router's version can't read: the one before stays in
-        # force, the dump gives the faults, and the next good one goes in force.
+        # A declaration that this router's version can't read: the previous one stays in
+        # force, the dump lists the faults, and the next valid one is put in force.
         await self.apply("a")
         router = self.router()
         await asyncio.sleep(1)
         await self.apply("bad")
-        await asyncio.sleep(WITHIN_S)
+        await asyncio.sleep(CONVERGENCE_LIMIT_S)
         self.assertEqual(router.generations, [1])
         self.assertEqual(router.configuration.dump()["faults_by_generation"], {2: ["line 1: bad"]})
         await self.apply("c")
@@ -278,9 +278,9 @@
         self.assertEqual(router.generations, [1, 3])
 
     @on_paused_clock
-    async def test_restart_on_a_faulty_declaration_takes_the_peers(self):
-        # The accepted generation 2 is faulty for this version, and all peers are still on
-        # 1. A restarted router would never be ready if it only counted the highest.
+    async def test_restart_on_a_faulty_declaration_uses_the_peers_declaration(self):
+        # The accepted generation 2 is faulty for this version, and all peers are still on 1.
+        # A restarted router would never be ready if it only considered the highest.
         await self.apply("a")
         peer = self.router()
         await asyncio.sleep(1)
@@ -288,7 +288,7 @@
         await asyncio.sleep(1)
         router = self.router(peers=[peer])
         await asyncio.sleep(1)
-        router.configuration.heard(1)
+        router.configuration.observe_generation(1)
         await asyncio.sleep(1)
         self.assertEqual(router.generations, [1])
 
@@ -304,10 +304,11 @@
 
     @on_paused_clock
     async def test_random_faults_and_restarts(self):
-        # Three routers live through random outages, stale reads, silent watches, dropped
-        # events, refused writes and restarts while operators apply. A process never
-        # goes back; a restarted one that says its start was confirmed begins no lower
-        # than it ended; and seconds after the faults end all have the newest in force.
+        # Three routers run through random outages, stale reads, silent watches, dropped
+        # events, refused writes and restarts while operators apply. A process never goes
+        # back to a lower generation; a restarted one that reports a confirmed start begins
+        # no lower than its predecessor ended; and seconds after the faults end all have the
+        # newest generation in force.
         restarts = 0
         for seed in range(SEEDS):
             jitter = random.Random(seed)
@@ -321,7 +322,7 @@
                 self.operator.drop_events = jitter.random() < 0.3
                 for router in members:
                     self._set_random_faults(router.store, jitter)
-                    router.configuration.heard(max(peer.configuration.generation for peer in members))
+                    router.configuration.observe_generation(max(peer.configuration.generation for peer in members))
                 if jitter.random() < 0.3:
                     restarts += await self._restart_one(members, jitter)
                 await asyncio.sleep(jitter.uniform(0, 3))
@@ -335,12 +336,12 @@
         store.stale_versions = jitter.choice((0, 0, 1, 2))
 
     async def _restart_one(self, members, jitter):
-        """Replace one router's process; whether its start was confirmed."""
-        place = jitter.randrange(len(members))
-        before = members[place].configuration
+        """Replace one router's process; return whether its start was confirmed."""
+        index = jitter.randrange(len(members))
+        before = members[index].configuration
         await before.close()
         router = self.router(jitter=jitter, start=False)
-        members[place] = router
+        members[index] = router
         router.peers = members
         self._set_random_faults(router.store, jitter)
         router.configuration.start()
@@ -356,8 +357,8 @@
             for name in ("down", "silent_watch", "refuse_writes"):
                 setattr(router.store, name, False)
             router.store.stale_versions = 0
-        # A start that was refused its proof tries again within 5 s.
-        await asyncio.sleep(2 * WITHIN_S)
+        # A start whose proof was refused retries within 5 s.
+        await asyncio.sleep(2 * CONVERGENCE_LIMIT_S)
         self.assertEqual([router.configuration.generation for router in members], [accepted.generation] * 3, seed)
         for router in members:
             await router.configuration.close()
--- a/tests/test_confirmation.py
+++ b/tests/test_confirmation.py
@@ -1,4 +1,4 @@
-"""Readers' word that the platform confirmed the configuration, in place of a read."""
+"""Readers' confirmations of the configuration, which replace reads of the platform."""
 
 import asyncio
 import random
@@ -9,9 +9,9 @@
 from tests.utils.paused_clock import on_paused_clock
 from wagtailtrestle.configuration.boot_clock import boot_time_s
 from wagtailtrestle.configuration.sources import (
-    CONFIRMED_ENOUGH_S,
-    READER_POLL_S,
-    OwnDeclarations,
+    MAX_CONFIRMATION_AGE_S,
+    READER_POLL_INTERVAL_S,
+    NativeDeclarations,
     PlatformSource,
 )
 from wagtailtrestle.contracts.peer_messages import Confirmation
@@ -22,29 +22,29 @@
 
 
 class OneReader:
-    """The reader that all ask, never passed over."""
+    """The only reader; it is never skipped."""
 
     reads_store = False
 
-    def to_ask(self):
+    def readers_to_query(self):
         return () if self.reads_store else (READER,)
 
     def pause(self, name):
         pass
 
-    def pause_own(self):
+    def pause_self(self):
         pass
 
 
 class Source:
-    """A platform source whose only reader answers as told."""
+    """A platform source whose only reader returns a given answer."""
 
     def __init__(self, answer, *, fetches=0):
         self.readers = OneReader()
         self.generation = GENERATION
         self.fetches = fetches
         self.store = MemoryStore()
-        self.heard = []
+        self.observed = []
         self.answer = answer
         self.source = PlatformSource(
             store=self.store,
@@ -52,18 +52,18 @@
             poll_interval_s=POLL_S,
             watch_timeout_s=30.0,
             jitter=random.Random(1),
-            place=OwnDeclarations(),
+            place=NativeDeclarations(),
             readers=self.readers,
-            ask_confirmation=self.ask,
+            request_confirmation=self.ask,
             generation=lambda: self.generation,
-            heard=self.hear,
+            observe_generation=self.observe,
         )
 
     async def ask(self, reader):
         return self.answer
 
-    def hear(self, generation, peer):
-        self.heard.append((generation, peer))
+    def observe(self, generation, peer):
+        self.observed.append((generation, peer))
         self.generation = max(self.generation, self.fetches)
 
     async def reads_in(self, seconds):
@@ -75,7 +75,7 @@
 
 class ConfirmationTest(unittest.TestCase):
     @on_paused_clock
-    async def test_a_fresh_word_spares_the_read(self):
+    async def test_a_recent_confirmation_replaces_the_read(self):
         source = Source(Confirmation(generation=GENERATION, age_s=0.4))
         self.assertEqual(await source.reads_in(10.0), 0)
         age_s = boot_time_s() - source.source.confirmed_at
@@ -83,52 +83,52 @@
         self.assertLess(age_s, 2.0)
 
     @on_paused_clock
-    async def test_a_word_is_no_fresher_for_having_been_long_on_its_way(self):
-        # The peer's answer is held up. Counted from its arrival, a key that was revoked meanwhile
-        # would still look proved.
+    async def test_transit_time_counts_towards_the_age_of_a_confirmation(self):
+        # The peer's answer is delayed. If its age counted from the arrival, a key that was revoked
+        # meanwhile would still look proved.
         source = Source(None)
-        asked_at = []
+        requested_at = []
 
         async def slow(reader):
-            asked_at.append(boot_time_s())
+            requested_at.append(boot_time_s())
             return Confirmation(generation=GENERATION, age_s=0.5)
 
-        source.source._ask_confirmation = slow
+        source.source._request_confirmation = slow
         await source.reads_in(1.5)
-        self.assertLessEqual(source.source.confirmed_at, asked_at[-1] - 0.5 + 0.01)
+        self.assertLessEqual(source.source.confirmed_at, requested_at[-1] - 0.5 + 0.01)
 
     @on_paused_clock
-    async def test_what_does_not_prove_enough_leads_to_a_read(self):
+    async def test_an_insufficient_confirmation_leads_to_a_read(self):
         for answer in (
             None,
-            Confirmation(generation=GENERATION, age_s=CONFIRMED_ENOUGH_S + 0.1),
+            Confirmation(generation=GENERATION, age_s=MAX_CONFIRMATION_AGE_S + 0.1),
             Confirmation(generation=GENERATION, age_s=-1.0),
             Confirmation(generation=GENERATION - 1, age_s=0.1),
         ):
             with self.subTest(answer=answer):
                 source = Source(answer)
                 self.assertGreaterEqual(await source.reads_in(10.0), 8)
-                self.assertEqual(source.heard, [])
+                self.assertEqual(source.observed, [])
 
     @on_paused_clock
-    async def test_a_higher_generation_is_heard_of(self):
+    async def test_a_higher_generation_is_observed(self):
         source = Source(Confirmation(generation=GENERATION + 1, age_s=0.1))
         await source.reads_in(2.0)
-        self.assertIn((GENERATION + 1, READER), source.heard)
+        self.assertIn((GENERATION + 1, READER), source.observed)
 
     @on_paused_clock
-    async def test_a_generation_that_is_fetched_in_time_spares_the_read(self):
-        # Every router hears of a change at about the same moment. Did each of them read the platform because
+    async def test_a_generation_fetched_in_time_makes_the_read_unnecessary(self):
+        # Every router learns of a change at about the same time. If each of them read the platform because
         # its reader is ahead, a change would cost as many reads as there are routers.
         source = Source(Confirmation(generation=GENERATION + 1, age_s=0.1), fetches=GENERATION + 1)
         self.assertEqual(await source.reads_in(10.0), 0)
         self.assertLess(boot_time_s() - source.source.confirmed_at, 2.0)
 
     @on_paused_clock
-    async def test_what_is_read_proves_nothing_before_it_is_in_force(self):
-        # A declaration that takes a key away is read, and checked for a second by a slow router. Meanwhile the
-        # old one is in force: vouched for as the newest, it would let the key run past the operator's limit
-        # here and at every router that asks this one.
+    async def test_a_read_is_no_proof_before_its_declaration_is_in_force(self):
+        # A declaration that revokes a key is read, and checked for a second by a slow router. Meanwhile the
+        # old one is in force: if it were confirmed as the newest, the key would be accepted beyond the
+        # operator's limit here and on every router that queries this one.
         source = Source(None)
         in_force = {GENERATION}
         source.source.proof._is_settled = lambda generation: generation in in_force
@@ -147,7 +147,7 @@
         await source.source._read("poll")
         self.assertEqual(source.source.confirmed_at, proved_at)
         await asyncio.sleep(1.0)
-        # A further read finds nothing new, and proves no more while the new one is being checked.
+        # Another read finds no change, and is no proof either while the new declaration is being checked.
         await source.source._read("poll")
         read_at = boot_time_s()
         self.assertEqual(source.source.confirmed_at, proved_at)
@@ -157,12 +157,12 @@
         self.assertGreater(source.source.confirmed_at, proved_at)
 
     @on_paused_clock
-    async def test_a_reader_reads_by_itself(self):
+    async def test_a_reader_reads_the_platform_itself(self):
         source = Source(None)
         source.readers.reads_store = True
         reads = await source.reads_in(15.0)
-        self.assertGreaterEqual(reads, 15.0 / (1.25 * READER_POLL_S) - 1)
-        self.assertLessEqual(reads, 15.0 / (0.75 * READER_POLL_S))
+        self.assertGreaterEqual(reads, 15.0 / (1.25 * READER_POLL_INTERVAL_S) - 1)
+        self.assertLessEqual(reads, 15.0 / (0.75 * READER_POLL_INTERVAL_S))
 
 
 if __name__ == "__main__":
--- a/tests/test_engine_list.py
+++ b/tests/test_engine_list.py
@@ -1,11 +1,11 @@
-"""Engines that list themselves, followed through outages of the store."""
+"""The list of engines in the store, followed through outages of the store."""
 
 import asyncio
 import unittest
 
 from tests.utils.memory_store import MemoryStore
 from tests.utils.paused_clock import now, on_paused_clock
-from wagtailtrestle.configuration.engine_list import RELIST_S, WATCH_S, EngineList
+from wagtailtrestle.configuration.engine_list import RELIST_INTERVAL_S, WATCH_TIMEOUT_S, EngineList
 from wagtailtrestle.contracts.outcomes import StoreConflict, StoreDone, StoreHistoryGone
 from wagtailtrestle.membership.announcement import Announcement
 from wagtailtrestle.platform.engine_entries import read_engine
@@ -27,8 +27,8 @@
     } | changes
 
 
-class ListedStore(MemoryStore):
-    """Can forget its history, as a store that was compacted."""
+class CompactableStore(MemoryStore):
+    """Can lose its history, like a store after a compaction."""
 
     history_gone = False
 
@@ -40,10 +40,10 @@
 
 
 class Followed:
-    """An engine list over a store in memory."""
+    """An engine list that follows an in-memory store."""
 
     def __init__(self):
-        self.store = ListedStore()
+        self.store = CompactableStore()
         self.changes = []
         self.list = EngineList(
             store=self.store,
@@ -88,29 +88,29 @@
         await followed.list.close()
 
     @on_paused_clock
-    async def test_what_a_watch_missed_is_found_by_reading_the_whole(self):
-        # The watch hears nothing of an engine that leaves; it would get work until it is gone.
+    async def test_full_read_finds_changes_that_the_watch_missed(self):
+        # The watch gets no event for a draining engine, which would get work until it is gone.
         followed = await self.started()
         followed.store.drop_events = True
         await followed.put("i-1", entry("draining"))
-        await asyncio.sleep(RELIST_S + 2 * WATCH_S)
+        await asyncio.sleep(RELIST_INTERVAL_S + 2 * WATCH_TIMEOUT_S)
         self.assertTrue(followed.list.by_name["i-1"].leaving)
         await followed.list.close()
 
     @on_paused_clock
-    async def test_a_lost_history_is_read_anew(self):
+    async def test_a_lost_history_leads_to_a_full_read(self):
         followed = await self.started()
         followed.store.history_gone = True
         followed.store.drop_events = True
         await followed.remove("i-2")
-        await asyncio.sleep(WATCH_S + 0.5)
+        await asyncio.sleep(WATCH_TIMEOUT_S + 0.5)
         self.assertEqual(set(followed.list.by_name), {"i-1"})
         await followed.list.close()
 
     @on_paused_clock
-    async def test_entries_that_lapsed_in_an_outage_are_kept_for_a_while(self):
-        # The store is out, entries expire, and it comes back without them. Their engines live and
-        # are back in the list a moment later; dropped at once, every request would be refused.
+    async def test_entries_that_expired_in_an_outage_are_kept_for_the_grace_period(self):
+        # Entries expire during a store outage, so the store answers without them afterwards. Their engines
+        # live and write them again a moment later; removed immediately, every request would be refused.
         followed = await self.started()
         followed.store.down = True
         await asyncio.sleep(5.0)
@@ -125,10 +125,10 @@
         await followed.list.close()
 
     @on_paused_clock
-    async def test_an_entry_that_cannot_be_read_leaves_the_others(self):
+    async def test_an_invalid_entry_does_not_affect_the_others(self):
         followed = await self.started()
         await followed.put("i-3", {"nonsense": True})
-        await asyncio.sleep(RELIST_S + 2 * WATCH_S)
+        await asyncio.sleep(RELIST_INTERVAL_S + 2 * WATCH_TIMEOUT_S)
         self.assertEqual(set(followed.list.by_name), {"i-1", "i-2"})
         await followed.list.close()
 
@@ -142,7 +142,7 @@
         return found.value if isinstance(found, StoreDone) else None
 
     @on_paused_clock
-    async def test_it_is_written_once_the_store_is_back(self):
+    async def test_it_is_written_when_the_store_is_reachable_again(self):
         store = MemoryStore()
         store.down = True
         announcement = self.announcement(store)
@@ -155,9 +155,9 @@
         self.assertIsNone(await self.entry(store))
 
     @on_paused_clock
-    async def test_a_lost_answer_does_not_leave_it_unwritten_or_fought_over(self):
-        # The write took effect but its answer was lost. The next try finds the entry there, sees
-        # that it is its own, and lets it be.
+    async def test_a_lost_answer_causes_no_missing_and_no_repeated_write(self):
+        # The write took effect but its answer was lost. The next attempt finds the entry, recognizes
+        # it as its own and does not write again.
         store = MemoryStore()
         store.lose_answers = 1
         announcement = self.announcement(store)
@@ -181,10 +181,10 @@
 
     @on_paused_clock
     async def test_a_start_among_hundreds_costs_the_store_one_call(self):
-        # All routers lost power and are back at their addresses. Each finds its entry where it stood, as the refusal
-        # says; read again by each, that is a call for every router at the moment when all need the store.
+        # All routers restart at their addresses after a power failure. Each finds its entry in the refusal of its
+        # write; a read of the entry would cost one more call per router at the moment when all need the store.
         store = MemoryStore()
-        store.tells_conflicts = True
+        store.returns_conflicts = True
         await store.create(kind="routers", name="router-1", value={"address": "10.0.0.9:7000"})
         announcement = self.announcement(store)
         announcement.start()
@@ -194,9 +194,9 @@
         self.assertIsNone(await self.entry(store))
 
     @on_paused_clock
-    async def test_where_the_refusal_tells_another_address_it_is_replaced_at_once(self):
+    async def test_another_address_in_the_refusal_is_replaced_without_a_read(self):
         store = MemoryStore()
-        store.tells_conflicts = True
+        store.returns_conflicts = True
         await store.create(kind="routers", name="router-1", value={"address": "10.0.0.1:7000"})
         announcement = self.announcement(store)
         announcement.start()
--- a/tests/test_engine_relay.py
+++ b/tests/test_engine_relay.py
@@ -1,4 +1,4 @@
-"""Engines' entries told among routers: few ask the store, and nobody believes a stale list."""
+"""The relay of engine entries among routers: few query the store, and no router accepts a stale list."""
 
 import asyncio
 import unittest
@@ -16,10 +16,10 @@
 
 KIND = "engines"
 NAMES = tuple(f"router-{number}" for number in range(6))
-KNOWN_WITHIN_S = 1.9
-"""Under the two seconds in which engines that leave may still get work."""
-READ_WATCH_S = RelayLimits().watch_s
-WAY_S = 0.001
+PROPAGATION_LIMIT_S = 1.9
+"""Below the two seconds in which draining engines may still get work."""
+READER_WATCH_S = RelayLimits().watch_s
+TRANSIT_S = 0.001
 
 
 def entry(state="ready", **changes):
@@ -36,11 +36,11 @@
 
 
 class Network:
-    """Carries questions between routers in memory."""
+    """Carries requests between routers in memory."""
 
     def __init__(self):
         self.handlers_by_router = {}
-        self.way_s = WAY_S
+        self.transit_s = TRANSIT_S
         self.silent = set()
 
     def peers_of(self, name):
@@ -60,18 +60,18 @@
     async def query(self, peer, message, timeout_s):
         try:
             async with asyncio.timeout(timeout_s):
-                await asyncio.sleep(self._network.way_s)
+                await asyncio.sleep(self._network.transit_s)
                 if peer in self._network.silent:
                     await asyncio.sleep(timeout_s)
                 answer = await self._network.handlers_by_router[peer](self._name, message, "")
-                await asyncio.sleep(self._network.way_s)
+                await asyncio.sleep(self._network.transit_s)
                 return answer
         except TimeoutError:
             return PeerUnreachable(peer=peer, detail="no answer")
 
 
 class Fleet:
-    """Routers that follow one store, each by its own connection to it."""
+    """Routers that follow one store, each over its own connection."""
 
     def __init__(self, *, members=None, limits=None):
         self.network = Network()
@@ -125,7 +125,7 @@
     def calls(self):
         return {name: store.calls["reads"] + store.calls["watches"] for name, store in self.store_by_router.items()}
 
-    def know_leaving(self, name):
+    def routers_that_know_leaving(self, name):
         return {router for router, engines in self.list_by_router.items() if engines.by_name[name].leaving}
 
 
@@ -136,26 +136,26 @@
         return fleet
 
     @on_paused_clock
-    async def test_only_the_readers_ask_the_store(self):
+    async def test_only_the_readers_query_the_store(self):
         fleet = await self.started()
         before = fleet.calls()
         await asyncio.sleep(20.0)
-        asking = {name for name, calls in fleet.calls().items() if calls > before[name]}
+        querying = {name for name, calls in fleet.calls().items() if calls > before[name]}
         self.assertEqual(len(fleet.readers()), MIN_READERS)
-        self.assertEqual(asking, fleet.readers())
+        self.assertEqual(querying, fleet.readers())
         await fleet.close()
 
     @on_paused_clock
-    async def test_all_hear_at_once_of_an_engine_that_leaves(self):
+    async def test_all_routers_learn_immediately_of_a_draining_engine(self):
         fleet = await self.started()
         await fleet.leave("i-1")
         await asyncio.sleep(0.02)
-        self.assertEqual(fleet.know_leaving("i-1"), set(NAMES))
-        self.assertEqual(fleet.know_leaving("i-2"), set())
+        self.assertEqual(fleet.routers_that_know_leaving("i-1"), set(NAMES))
+        self.assertEqual(fleet.routers_that_know_leaving("i-2"), set())
         await fleet.close()
 
     @on_paused_clock
-    async def test_an_engine_that_is_gone_is_told_too(self):
+    async def test_a_deleted_engine_is_relayed(self):
         fleet = await self.started()
         found = await fleet.operator.get(kind=KIND, name="i-1")
         await fleet.operator.delete(kind=KIND, name="i-1", if_version=found.version)
@@ -165,83 +165,83 @@
         await fleet.close()
 
     @on_paused_clock
-    async def test_readers_cut_off_from_the_store_are_not_believed(self):
-        # Both readers lose the store, and hear nothing of an engine that leaves. The other routers
-        # ask them and get answers; going by these they would send requests to the engine for ever.
-        # The next of the ranking read in their place, and tell the two as well.
+    async def test_answers_of_readers_cut_off_from_the_store_are_rejected(self):
+        # Both readers lose the store and miss an engine that drains. The other routers query them and
+        # get answers; if they accepted these, they would send requests to the engine indefinitely.
+        # The next routers of the ranking become readers, and the two get the change from them.
         fleet = await self.started()
         for name in fleet.readers():
             fleet.store_by_router[name].down = True
-        await asyncio.sleep(READ_WATCH_S)
+        await asyncio.sleep(READER_WATCH_S)
         await fleet.leave("i-1")
-        await asyncio.sleep(KNOWN_WITHIN_S)
-        self.assertEqual(fleet.know_leaving("i-1"), set(NAMES))
+        await asyncio.sleep(PROPAGATION_LIMIT_S)
+        self.assertEqual(fleet.routers_that_know_leaving("i-1"), set(NAMES))
         await fleet.close()
 
     @on_paused_clock
-    async def test_readers_whose_watch_is_silent_are_not_believed(self):
-        # The readers' connections to the store go silent, so that an engine's leaving reaches none of
-        # them; the others have sound connections and must not wait until the readers notice.
+    async def test_answers_of_readers_with_a_silent_watch_are_rejected(self):
+        # The readers' connections to the store go silent, so that neither learns of a draining engine;
+        # the others have working connections and must not wait until the readers notice.
         fleet = await self.started()
         for name in fleet.readers():
             fleet.store_by_router[name].silent_watch = True
-        await asyncio.sleep(READ_WATCH_S)
+        await asyncio.sleep(READER_WATCH_S)
         await fleet.leave("i-1")
-        await asyncio.sleep(KNOWN_WITHIN_S)
-        self.assertLessEqual(set(NAMES) - fleet.readers(), fleet.know_leaving("i-1"))
+        await asyncio.sleep(PROPAGATION_LIMIT_S)
+        self.assertLessEqual(set(NAMES) - fleet.readers(), fleet.routers_that_know_leaving("i-1"))
         await fleet.close()
 
     @on_paused_clock
-    async def test_silent_readers_are_replaced_by_the_store(self):
-        # The readers freeze with the question in hand; an engine leaves meanwhile.
+    async def test_silent_readers_are_replaced_by_reads_of_the_store(self):
+        # The readers freeze while requests to them are open; an engine drains meanwhile.
         fleet = await self.started()
         fleet.network.silent = fleet.readers()
         await fleet.leave("i-1")
-        await asyncio.sleep(KNOWN_WITHIN_S)
-        self.assertEqual(fleet.know_leaving("i-1"), set(NAMES))
+        await asyncio.sleep(PROPAGATION_LIMIT_S)
+        self.assertEqual(fleet.routers_that_know_leaving("i-1"), set(NAMES))
         await fleet.close()
 
     @on_paused_clock
-    async def test_a_reader_refused_by_the_store_asks_the_other(self):
-        # The store refuses one reader and serves everybody else. It goes on asking in vain, and
-        # sends requests to an engine that leaves, though the other reader knows better. The routers
-        # that asked it turn to the other reader and to the next of the ranking, which reads in its
-        # place; the store gets no call for each of them.
+    async def test_a_reader_refused_by_the_store_queries_the_other_reader(self):
+        # The store refuses one reader and serves all other routers. That reader would keep querying
+        # without success and send requests to a draining engine, although the other reader knows of it.
+        # The routers that queried it switch to the other reader and to the next of the ranking, which
+        # replaces it; they do not call the store themselves.
         fleet = await self.started()
-        refused, sound = sorted(fleet.readers())
+        refused, healthy = sorted(fleet.readers())
         replacement = fleet.ranked()[MIN_READERS]
         fleet.store_by_router[refused].down = True
-        await asyncio.sleep(READ_WATCH_S)
+        await asyncio.sleep(READER_WATCH_S)
         before = fleet.calls()
         await fleet.leave("i-1")
-        await asyncio.sleep(KNOWN_WITHIN_S)
-        self.assertEqual(fleet.know_leaving("i-1"), set(NAMES))
+        await asyncio.sleep(PROPAGATION_LIMIT_S)
+        self.assertEqual(fleet.routers_that_know_leaving("i-1"), set(NAMES))
         await asyncio.sleep(10.0)
-        asking = {name for name, calls in fleet.calls().items() if calls > before[name]}
-        self.assertEqual(asking - {refused}, {sound, replacement})
+        querying = {name for name, calls in fleet.calls().items() if calls > before[name]}
+        self.assertEqual(querying - {refused}, {healthy, replacement})
         await fleet.close()
 
     @on_paused_clock
-    async def test_where_leaving_engines_serve_longer_the_store_is_asked_less(self):
-        # The operator lets engines that leave serve four seconds more instead of two.
+    async def test_a_longer_propagation_limit_needs_fewer_calls_to_the_store(self):
+        # The operator lets draining engines serve for four seconds instead of two.
         calls_by_limit = {}
         for within_s in (2.0, 4.0):
-            fleet = await self.started(limits=RelayLimits(known_within_s=within_s))
+            fleet = await self.started(limits=RelayLimits(propagation_limit_s=within_s))
             before = sum(fleet.calls().values())
             await asyncio.sleep(20.0)
             calls_by_limit[within_s] = sum(fleet.calls().values()) - before
             for name in fleet.readers():
                 fleet.store_by_router[name].silent_watch = True
-            await asyncio.sleep(RelayLimits(known_within_s=within_s).watch_s)
+            await asyncio.sleep(RelayLimits(propagation_limit_s=within_s).watch_s)
             await fleet.leave("i-1")
             await asyncio.sleep(0.95 * within_s)
-            self.assertLessEqual(set(NAMES) - fleet.readers(), fleet.know_leaving("i-1"))
+            self.assertLessEqual(set(NAMES) - fleet.readers(), fleet.routers_that_know_leaving("i-1"))
             await fleet.close()
         self.assertLess(calls_by_limit[4.0], 0.6 * calls_by_limit[2.0])
 
     @on_paused_clock
-    async def test_readers_that_are_gone_are_forgotten(self):
-        # Routers come and go for months, each under a name of its own.
+    async def test_pauses_of_departed_readers_are_removed(self):
+        # Routers join and leave for months, each with a new name.
         fleet = await self.started()
         relay = fleet.relay_by_router[NAMES[0]]
         for number in range(50):
@@ -252,34 +252,34 @@
         await fleet.close()
 
     @on_paused_clock
-    async def test_two_routers_that_ask_each_other_do_not_believe_for_ever(self):
-        # Two views differ, and each router takes the other for the reader. If the answer's age began
-        # anew at each hop, neither would ever ask the store again.
+    async def test_two_routers_that_query_each_other_return_to_the_store(self):
+        # Views differ, and each router considers another one the reader. If the answer's age restarted
+        # at each hop, none would ever query the store again.
         members = {"a": ("b", "c"), "b": ("a", "c"), "c": ("a", "b")}
         fleet = await self.started(members=members)
         self.assertEqual(fleet.readers(), set())
         await fleet.leave("i-1")
-        await asyncio.sleep(KNOWN_WITHIN_S)
-        self.assertEqual(fleet.know_leaving("i-1"), {"a", "b", "c"})
+        await asyncio.sleep(PROPAGATION_LIMIT_S)
+        self.assertEqual(fleet.routers_that_know_leaving("i-1"), {"a", "b", "c"})
         await fleet.close()
 
     @on_paused_clock
-    async def test_the_way_of_an_answer_counts_as_age(self):
-        # Answers of a reader are held up on a link for most of their time; what they tell may be old.
+    async def test_transit_time_of_an_answer_counts_as_age(self):
+        # Answers of the readers are delayed on a link for most of the allowed age; their data may be outdated.
         fleet = await self.started()
-        fleet.network.way_s = 0.29
+        fleet.network.transit_s = 0.29
         for name in fleet.readers():
             fleet.store_by_router[name].silent_watch = True
         await asyncio.sleep(0.5)
         await fleet.leave("i-1")
-        await asyncio.sleep(KNOWN_WITHIN_S)
-        self.assertLessEqual(set(NAMES) - fleet.readers(), fleet.know_leaving("i-1"))
+        await asyncio.sleep(PROPAGATION_LIMIT_S)
+        self.assertLessEqual(set(NAMES) - fleet.readers(), fleet.routers_that_know_leaving("i-1"))
         await fleet.close()
 
     @on_paused_clock
-    async def test_a_list_held_up_on_its_way_is_no_younger_for_it(self):
-        # A reader's link to the store is slow: a list arrives 0.9 s after it was asked for. An engine
-        # that left meanwhile is not in it; told as new, it would hide the leaving for 0.9 s more.
+    async def test_transit_time_of_a_list_counts_as_age(self):
+        # A reader's link to the store is slow: a list arrives 0.9 s after its request. It does not show an
+        # engine's drain since then; relayed as new, it would hide the drain for another 0.9 s.
         fleet = Fleet()
         reader = sorted(fleet.readers())[0]
         fleet.store_by_router[reader].slow_s = 0.9
@@ -290,8 +290,8 @@
         await fleet.list_by_router[reader].close()
 
     @on_paused_clock
-    async def test_a_reader_that_knows_less_history_tells_the_whole(self):
-        # A router asks with a version from before its reader started.
+    async def test_a_reader_with_a_shorter_history_sends_the_full_list(self):
+        # A router sends a version from before its reader started.
         fleet = await self.started()
         reader = sorted(fleet.readers())[0]
         other = sorted(set(NAMES) - fleet.readers())[0]
@@ -301,11 +301,11 @@
             readers=StoreReaders(name=reader, members=lambda: NAMES, clock=clock),
             clock=clock,
         )
-        fresh.confirm(version=50, age_s=0.0, changed={"i-9": entry(address="10.0.0.9:80")})
+        fresh.record_update(version=50, age_s=0.0, changed={"i-9": entry(address="10.0.0.9:80")})
         fleet.members_by_router[other] = (reader,)
-        news = await fleet.relay_by_router[other].ask(3)
-        self.assertTrue(news.is_whole)
-        self.assertEqual(set(news.value_by_name), {"i-9"})
+        update = await fleet.relay_by_router[other].fetch_update(3)
+        self.assertTrue(update.is_whole)
+        self.assertEqual(set(update.value_by_name), {"i-9"})
         await fleet.close()
 
 
--- a/tests/test_foreign_entries.py
+++ b/tests/test_foreign_entries.py
@@ -1,8 +1,8 @@
-"""Entries, lists, reports and configurations that other writers put where engines and operators write.
+"""Invalid entries, lists, reports and configurations from other writers to the platform's store.
 
-Anybody may write to the platform's store. Taken for an engine, such an entry sends callers' requests to
-an address that is none, or ends the task that follows the list, and a router goes on with the
-engines of that moment for ever. So whatever is not what an engine writes names no engine, and only that.
+Any client may write to the platform's store. Accepted as an engine, an invalid entry sends callers' requests
+to an invalid address, or ends the task that follows the list, so that a router keeps the engines of that
+moment indefinitely. Whatever an engine would not write is therefore rejected, and only that entry.
 """
 
 import asyncio
@@ -14,7 +14,7 @@
 
 from tests.test_engine_list import Followed, entry
 from tests.utils.paused_clock import on_paused_clock
-from wagtailtrestle.configuration.engine_list import RELIST_S, WATCH_S
+from wagtailtrestle.configuration.engine_list import RELIST_INTERVAL_S, WATCH_TIMEOUT_S
 from wagtailtrestle.contracts.declaration import DeclaredEngine
 from wagtailtrestle.platform.declarations import PlatformDeclarations
 from wagtailtrestle.platform.engine_entries import STATES, Unfit, read_engine
@@ -41,25 +41,25 @@
 )
 ANY_ENTRY = st.dictionaries(st.sampled_from(sorted(entry())) | st.text(max_size=8), VALUES).map(lambda d: entry() | d)
 EXAMPLES = 300
-"""Some two seconds; the schedule is the same at each run, so that the verdict is."""
+"""Some two seconds of run time; the examples are the same in each run, so the result is reproducible."""
 steady = settings(max_examples=EXAMPLES, derandomize=True, deadline=None, database=None)
 
 
 class ForeignEntryTest(unittest.TestCase):
-    def test_a_field_of_another_type_or_meaning_names_no_engine(self):
+    def test_an_entry_with_an_invalid_field_is_rejected(self):
         for field, values in FOREIGN.items():
             for value in values:
                 with self.subTest(field=field, value=value):
                     self.assertIsNone(read_engine("i-1", entry() | {field: value}))
 
-    def test_a_missing_field_names_no_engine(self):
+    def test_an_entry_with_a_missing_field_is_rejected(self):
         for field in entry():
             value = entry()
             del value[field]
             with self.subTest(field=field):
                 self.assertIsNone(read_engine("i-1", value))
 
-    def test_what_is_no_map_names_no_engine(self):
+    def test_an_entry_that_is_no_object_is_rejected(self):
         for value in ("text", 5, [], [entry()], True):
             self.assertIsNone(read_engine("i-1", value))
 
@@ -98,14 +98,14 @@
             found = read_rollout("s", 1, {"specification": specification, "status": status})
             self.assertTrue(found is None or found.duration_s > 0)
 
-    def test_bytes_that_are_no_text_spoil_only_their_own_object(self):
+    def test_invalid_utf8_affects_only_its_own_object(self):
         data = b'{"items":[{"specification":"\xff\xfe\x01"},{"specification":"sound"}],"store_revision":5}'
         self.assertEqual(_decoded(data)["items"][1], {"specification": "sound"})
 
     @on_paused_clock
-    async def test_an_entry_that_was_written_over_is_not_used_and_the_others_hold(self):
-        # Another writer replaces an engine's entry. The address in it may be anybody's; the other
-        # engines go on, and the engine's own next word brings it back.
+    async def test_an_overwritten_entry_is_not_used_and_the_others_are_kept(self):
+        # Another writer replaces an engine's entry, whose address may then belong to any process. The
+        # other engines stay listed, and the engine is listed again when it writes its entry.
         followed = Followed()
         await followed.put("i-1", entry())
         await followed.put("i-2", entry(address="10.0.0.2:80"))
@@ -115,7 +115,7 @@
         await asyncio.sleep(0.1)
         self.assertEqual(set(followed.list.by_name), {"i-2"})
         await followed.put("i-3", {"service": ["x"]})
-        await asyncio.sleep(RELIST_S + 2 * WATCH_S)
+        await asyncio.sleep(RELIST_INTERVAL_S + 2 * WATCH_TIMEOUT_S)
         self.assertEqual(set(followed.list.by_name), {"i-2"})
         await followed.put("i-1", entry())
         await asyncio.sleep(0.1)
--- a/tests/test_peer_configuration.py
+++ b/tests/test_peer_configuration.py
@@ -1,10 +1,10 @@
-"""Declarations told among routers: from whoever told of them, and small on the way."""
+"""Exchange of declarations among routers: fetched from the announcing peer, and compressed."""
 
 import asyncio
 import unittest
 from types import SimpleNamespace
 
-from wagtailtrestle.configuration.peer_configuration import MAX_ASKED, PeerConfiguration
+from wagtailtrestle.configuration.peer_configuration import MAX_PEERS_QUERIED, PeerConfiguration
 from wagtailtrestle.contracts.peer_messages import ConfigurationAsk, ConfigurationText
 
 NAMES = tuple(f"router-{number}" for number in range(24))
@@ -14,11 +14,11 @@
 
 
 class Network:
-    """Routers of which those named hold a declaration; counts questions and bytes of the answers."""
+    """Routers of which ``holders`` have a declaration; counts the requests and the bytes of the answers."""
 
     def __init__(self, *, holders, generation=5):
-        self.asked = []
-        self.told_bytes = 0
+        self.queried = []
+        self.sent_bytes = 0
         self.answer_by_name = {}
         self.by_name = {name: self._router(name, generation if name in holders else 0) for name in NAMES}
 
@@ -33,35 +33,35 @@
         return PeerConfiguration(peers=peers, members=lambda: NAMES, in_force=lambda: held)
 
     async def _ask(self, name, message, timeout_s):
-        self.asked.append(name)
+        self.queried.append(name)
         answer = self.answer_by_name[name](None, message, "")
-        self.told_bytes += len(answer.packed)
+        self.sent_bytes += len(answer.packed)
         return answer
 
 
 class PeerConfigurationTest(unittest.TestCase):
-    def test_one_copy_is_fetched_from_who_told_of_it(self):
-        # A declaration of 1,400 routes comes to one router, which tells the others. Did each of them ask
-        # eight routers for all of it, a hundred megabytes would cross the links of a fleet of 195.
+    def test_one_copy_is_fetched_from_the_announcing_peer(self):
+        # One router gets a declaration of 1,400 routes and announces it to the others. If each of them fetched
+        # it in full from eight routers, a hundred megabytes would cross the links of a fleet of 195.
         network = Network(holders=("router-3",))
-        answer = asyncio.run(network.by_name["router-9"].ask(5, "router-3"))
+        answer = asyncio.run(network.by_name["router-9"].fetch(5, "router-3"))
         self.assertEqual((answer.generation, answer.text), (5, TEXT))
-        self.assertEqual(network.asked, ["router-3"])
-        self.assertLess(network.told_bytes, len(TEXT) / 5)
+        self.assertEqual(network.queried, ["router-3"])
+        self.assertLess(network.sent_bytes, len(TEXT) / 5)
 
-    def test_others_are_asked_where_the_teller_has_gone_back(self):
-        # The teller restarted meanwhile and holds nothing.
+    def test_other_peers_are_queried_when_the_announcing_peer_has_no_declaration(self):
+        # The announcing peer restarted meanwhile and has no declaration.
         network = Network(holders=NAMES[4:])
-        answer = asyncio.run(network.by_name["router-9"].ask(5, "router-3"))
+        answer = asyncio.run(network.by_name["router-9"].fetch(5, "router-3"))
         self.assertEqual(answer.generation, 5)
-        self.assertEqual(len(network.asked), 1 + MAX_ASKED)
+        self.assertEqual(len(network.queried), 1 + MAX_PEERS_QUERIED)
 
-    def test_what_cannot_be_unpacked_is_no_answer(self):
+    def test_a_declaration_that_cannot_be_decompressed_is_no_answer(self):
         network = Network(holders=NAMES)
         network.answer_by_name = {
             name: lambda peer, message, cell: ConfigurationText(generation=5, packed=b"not packed") for name in NAMES
         }
-        answer = asyncio.run(network.by_name["router-9"].ask(5, "router-3"))
+        answer = asyncio.run(network.by_name["router-9"].fetch(5, "router-3"))
         self.assertEqual((answer.answered, answer.generation), (0, 0))
 
 
--- a/tests/test_store_epoch.py
+++ b/tests/test_store_epoch.py
@@ -1,4 +1,4 @@
-"""The epoch of the platform's store: versions, what it proves, and what engines' entries are worth after a return."""
+"""The epoch of the platform's store: versions, proofs, and the correction of engine entries after a restore."""
 
 import asyncio
 import json
@@ -9,12 +9,12 @@
 
 from tests.utils.paused_clock import on_paused_clock
 from wagtailtrestle.configuration import sources
-from wagtailtrestle.configuration.engine_list import GONE_AGAIN_S, RETRY_S, EngineList
+from wagtailtrestle.configuration.engine_list import MIN_RELIST_INTERVAL_S, RETRY_S, EngineList
 from wagtailtrestle.configuration.epoch_store import EpochStore
-from wagtailtrestle.configuration.pre_restore_engines import BELIEVED_S, PreRestoreEngines
-from wagtailtrestle.configuration.proof import CARRIED_S, Proof
+from wagtailtrestle.configuration.pre_restore_engines import PRE_RESTORE_VALIDITY_S, PreRestoreEngines
+from wagtailtrestle.configuration.proof import MAX_CARRIED_AGE_S, Proof
 from wagtailtrestle.configuration.sources import PlatformSource
-from wagtailtrestle.configuration.store_epoch import RESTORED_S, StoreEpoch, epoch_of, revision_of, version_in
+from wagtailtrestle.configuration.store_epoch import RESTORE_SETTLE_S, StoreEpoch, epoch_of, make_version, revision_of
 from wagtailtrestle.contracts.declaration import DeclaredEngine
 from wagtailtrestle.contracts.outcomes import StoreConflict, StoreDone, StoreHistoryGone, StoreUnavailable, StoreUnknown
 from wagtailtrestle.platform.declarations import PlatformDeclarations
@@ -49,41 +49,41 @@
 
 class VersionTest(unittest.TestCase):
     def test_version_of_a_later_epoch_is_greater_whatever_its_revision(self):
-        self.assertGreater(version_in(2, 3), version_in(1, 900))
-        self.assertEqual((epoch_of(version_in(7, 12)), revision_of(version_in(7, 12))), (7, 12))
-        self.assertEqual(version_in(0, 12), 12)
+        self.assertGreater(make_version(2, 3), make_version(1, 900))
+        self.assertEqual((epoch_of(make_version(7, 12)), revision_of(make_version(7, 12))), (7, 12))
+        self.assertEqual(make_version(0, 12), 12)
 
 
 class StoreEpochTest(unittest.TestCase):
     def setUp(self):
         self.clock = Clock()
         self.epoch = StoreEpoch(clock=self.clock)
-        self.returns = []
-        self.epoch.on_return(lambda: self.returns.append(self.epoch.number))
+        self.restores = []
+        self.epoch.on_restore(lambda: self.restores.append(self.epoch.number))
 
-    def test_store_that_tells_none_is_whole(self):
+    def test_store_without_epochs_is_settled(self):
         self.assertTrue(self.epoch.is_settled)
 
-    def test_first_epoch_is_no_return_and_not_settled(self):
+    def test_first_epoch_is_no_restore_and_not_settled(self):
         self.assertTrue(self.epoch.observe(4))
-        self.assertEqual(self.returns, [])
+        self.assertEqual(self.restores, [])
         self.assertFalse(self.epoch.is_settled)
-        self.clock.now += RESTORED_S
+        self.clock.now += RESTORE_SETTLE_S
         self.assertTrue(self.epoch.is_settled)
 
-    def test_peer_that_has_known_it_for_long_settles_it(self):
+    def test_peer_that_knows_the_epoch_longer_settles_it(self):
         self.epoch.observe(4)
-        self.epoch.hear(4, 30.0)
+        self.epoch.observe_peer(4, 30.0)
         self.assertTrue(self.epoch.is_settled)
 
     def test_routers_that_know_different_epochs_agree_on_the_higher(self):
         self.epoch.observe(4)
-        self.epoch.hear(5, 0.5)
-        self.epoch.hear(4, 30.0)
-        self.assertEqual((self.epoch.number, self.returns), (5, [5]))
+        self.epoch.observe_peer(5, 0.5)
+        self.epoch.observe_peer(4, 30.0)
+        self.assertEqual((self.epoch.number, self.restores), (5, [5]))
         self.assertFalse(self.epoch.is_settled)
 
-    def test_answer_of_a_former_epoch_is_told_apart(self):
+    def test_answer_of_a_former_epoch_is_detected(self):
         self.epoch.observe(5)
         self.assertFalse(self.epoch.observe(4))
         self.assertEqual(self.epoch.number, 5)
@@ -97,57 +97,57 @@
     def corrected(self, *listed):
         return self.pre_restore.corrected({engine.name: engine for engine in listed})
 
-    def test_before_a_return_the_list_is_taken_as_it_is(self):
-        self.pre_restore.note_gone(["i-1"])
+    def test_list_is_unchanged_before_a_restore(self):
+        self.pre_restore.record_departed(["i-1"])
         self.assertEqual(set(self.corrected(engine("i-1"))), {"i-1"})
 
     def test_engine_that_had_left_stays_gone(self):
-        self.pre_restore.note_gone(["i-1"])
+        self.pre_restore.record_departed(["i-1"])
         self.pre_restore.begin({"i-2": engine("i-2")})
         self.assertEqual(set(self.corrected(engine("i-1"), engine("i-2"))), {"i-2"})
 
-    def test_engine_that_drained_drains_on(self):
+    def test_draining_engine_stays_draining(self):
         self.pre_restore.begin({"i-1": engine("i-1", leaving=True)})
         self.assertTrue(self.corrected(engine("i-1"))["i-1"].leaving)
 
-    def test_engine_that_began_to_drain_while_the_store_was_away_drains(self):
+    def test_engine_that_began_to_drain_during_the_outage_is_draining(self):
         self.pre_restore.begin({"i-1": engine("i-1")})
         self.assertTrue(self.corrected(engine("i-1", leaving=True))["i-1"].leaving)
 
-    def test_engine_that_started_again_since_the_copy_is_not_known_by_its_former_start(self):
+    def test_engine_restarted_since_the_backup_keeps_its_later_start(self):
         self.pre_restore.begin({"i-1": engine("i-1", start_ms=2000)})
         self.assertEqual(self.corrected(engine("i-1", start_ms=1000))["i-1"].start_ms, 2000)
 
-    def test_entry_written_since_the_return_counts(self):
-        self.pre_restore.note_gone(["i-1"])
+    def test_entry_written_since_the_restore_counts(self):
+        self.pre_restore.record_departed(["i-1"])
         self.pre_restore.begin({})
-        self.pre_restore.note_written(["i-1"])
+        self.pre_restore.record_written(["i-1"])
         self.assertEqual(set(self.corrected(engine("i-1"))), {"i-1"})
 
-    def test_after_a_while_the_list_counts_alone(self):
+    def test_list_is_unchanged_after_the_validity_period(self):
         self.pre_restore.begin({"i-1": engine("i-1", leaving=True)})
-        self.clock.now += BELIEVED_S
+        self.clock.now += PRE_RESTORE_VALIDITY_S
         self.assertFalse(self.corrected(engine("i-1"))["i-1"].leaving)
 
-    def test_second_return_keeps_what_was_known_before_the_first(self):
+    def test_second_restore_keeps_what_was_known_before_the_first(self):
         self.pre_restore.begin({"i-1": engine("i-1", leaving=True)})
         self.pre_restore.begin({})
         self.assertTrue(self.corrected(engine("i-1"))["i-1"].leaving)
 
 
-class ReturnedStore:
-    """Answers lists and watches of one kind by versions that the test sets.
+class RestoredStore:
+    """Answers lists and watches of one kind with versions that the test sets.
 
     Attributes
     ----------
     listed : StoreDone
-    is_gone : bool
+    is_history_gone : bool
         The next watch finds its history gone.
     """
 
     def __init__(self, listed):
         self.listed = listed
-        self.is_gone = False
+        self.is_history_gone = False
         self.lists = 0
 
     async def list(self, *, kind):
@@ -156,16 +156,16 @@
 
     async def watch(self, *, kind, from_version, timeout_s):
         for _ in range(int(timeout_s / 0.01)):
-            if self.is_gone:
-                self.is_gone = False
+            if self.is_history_gone:
+                self.is_history_gone = False
                 return StoreHistoryGone()
             await asyncio.sleep(0.01)
         return StoreDone(version=from_version, value=())
 
 
 def done(epoch, revision, **revision_by_name):
-    value = {name: (version_in(epoch, at), {"name": name}) for name, at in revision_by_name.items()}
-    return StoreDone(version=version_in(epoch, revision), value=value)
+    value = {name: (make_version(epoch, at), {"name": name}) for name, at in revision_by_name.items()}
+    return StoreDone(version=make_version(epoch, revision), value=value)
 
 
 class FollowedListCase(unittest.TestCase):
@@ -182,14 +182,14 @@
         await asyncio.sleep(0.1)
 
 
-class ReturnedListTest(FollowedListCase):
+class RestoredListTest(FollowedListCase):
     @on_paused_clock
-    async def test_engine_that_the_copy_lacks_is_used_until_it_could_have_written_again(self):
-        # Callers are served by an engine that started since the copy. It is missing from the first list after the
-        # return, writes its entry within two seconds, or is taken for gone after them.
-        store = ReturnedStore(done(1, 90, old=10, new=80))
+    async def test_engine_missing_from_the_backup_is_used_for_the_grace_period(self):
+        # Callers are served by an engine that started since the backup. It is missing from the first list after the
+        # restore, and is removed unless it writes its entry within two seconds.
+        store = RestoredStore(done(1, 90, old=10, new=80))
         await self.follow(store)
-        store.listed, store.is_gone = done(2, 40, old=10), True
+        store.listed, store.is_history_gone = done(2, 40, old=10), True
         await asyncio.sleep(GRACE_S / 2)
         self.assertEqual(set(self.list.by_name), {"old", "new"})
         await asyncio.sleep(GRACE_S)
@@ -197,18 +197,18 @@
         await self.list.close()
 
     @on_paused_clock
-    async def test_lists_of_the_new_epoch_are_taken_though_their_revisions_are_lower(self):
-        store = ReturnedStore(done(1, 90, old=10))
+    async def test_lists_of_the_new_epoch_are_accepted_despite_lower_revisions(self):
+        store = RestoredStore(done(1, 90, old=10))
         await self.follow(store)
-        await asyncio.sleep(GONE_AGAIN_S)
-        store.listed, store.is_gone = done(2, 40, old=10, fresh=40), True
+        await asyncio.sleep(MIN_RELIST_INTERVAL_S)
+        store.listed, store.is_history_gone = done(2, 40, old=10, fresh=40), True
         await asyncio.sleep(0.1)
         self.assertEqual(set(self.list.by_name), {"old", "fresh"})
         await self.list.close()
 
 
-class ForgetfulStore(ReturnedStore):
-    """Keeps no history at all: each watch finds it gone, at once."""
+class NoHistoryStore(RestoredStore):
+    """Keeps no history: each watch immediately finds it gone."""
 
     async def watch(self, *, kind, from_version, timeout_s):
         await asyncio.sleep(0.004)
@@ -219,12 +219,12 @@
         return await super().list(kind=kind)
 
 
-class ForgetfulStoreTest(FollowedListCase):
+class NoHistoryStoreTest(FollowedListCase):
     @on_paused_clock
-    async def test_store_that_keeps_no_history_is_not_asked_without_a_pause(self):
-        # Every call is paid for. The history before a version that was read a moment ago is gone again: read anew at
-        # once each time, one router would ask a hundred times a second for as long as that lasts.
-        store = ForgetfulStore(done(1, 90, old=10))
+    async def test_store_without_history_is_not_queried_without_a_pause(self):
+        # Every call to the store costs money. The history is gone again right after a full read: with an immediate
+        # read each time, one router would query the store a hundred times a second while that lasts.
+        store = NoHistoryStore(done(1, 90, old=10))
         await self.follow(store)
         before = store.lists
         await asyncio.sleep(1.0)
@@ -234,7 +234,7 @@
 
 
 class ProofTest(unittest.TestCase):
-    """What a read of the configuration proves about keys."""
+    """Proof of keys by reads of the configuration."""
 
     def source(self, store, epoch):
         source = PlatformSource(
@@ -257,42 +257,43 @@
 
     def read(self, source, *, epoch, revision, generation=1):
         self.epoch.observe(epoch)
-        self.store.outcome = StoreDone(version=version_in(epoch, revision), value={"version": generation})
+        self.store.outcome = StoreDone(version=make_version(epoch, revision), value={"version": generation})
         asyncio.run(source._read(sources.Source.POLL))
 
-    def test_router_that_starts_after_a_return_proves_nothing_by_the_copy(self):
-        # A key that was taken away is in the copy. Until the operator could have written again, a read of it shows
-        # what was, and the router refuses rather than guesses.
+    def test_router_started_after_a_restore_gets_no_proof_from_the_backup(self):
+        # The backup holds a key that was revoked since. Until the operator could have written again, a read may
+        # return outdated contents, and the router refuses requests with the key.
         source = self.source(self.store, self.epoch)
         self.read(source, epoch=2, revision=5)
         self.assertIsNone(source.confirmed_at)
-        self.clock.now += RESTORED_S
+        self.clock.now += RESTORE_SETTLE_S
         self.assertIsNone(source.confirmed_at)
         self.read(source, epoch=2, revision=5)
         self.assertEqual(source.confirmed_at, self.clock.now)
 
-    def test_what_the_operator_writes_after_the_return_proves_itself(self):
+    def test_configuration_written_after_the_restore_is_proved_by_its_read(self):
         source = self.source(self.store, self.epoch)
         self.read(source, epoch=2, revision=5)
         self.read(source, epoch=2, revision=9, generation=2)
         self.assertEqual(source.confirmed_at, self.clock.now)
 
-    def test_router_that_stayed_goes_on(self):
-        # It was proved a second before, so it knows at least what the copy lacks: no caller is refused for the return.
+    def test_router_that_kept_running_keeps_its_proof(self):
+        # It was proved up to date a second earlier, so it knows at least what the backup lacks: the restore causes no
+        # refusal of callers.
         source = self.source(self.store, self.epoch)
         self.read(source, epoch=1, revision=50)
-        self.epoch.settle()
+        self.epoch.mark_settled()
         self.assertIsNotNone(source.confirmed_at)
         self.clock.now += 1.0
         self.read(source, epoch=2, revision=5)
         self.assertEqual(source.confirmed_at, self.clock.now)
 
-    def test_router_that_was_cut_off_for_long_before_the_return_does_not(self):
+    def test_router_cut_off_long_before_the_restore_keeps_no_proof(self):
         source = self.source(self.store, self.epoch)
         self.read(source, epoch=1, revision=50)
-        self.epoch.settle()
+        self.epoch.mark_settled()
         proved_at = source.confirmed_at
-        self.clock.now += CARRIED_S + 1.0
+        self.clock.now += MAX_CARRIED_AGE_S + 1.0
         self.read(source, epoch=2, revision=5)
         self.assertEqual(source.confirmed_at, proved_at)
 
@@ -355,7 +356,7 @@
         return asyncio.run(step)
 
     def test_same_revision_of_two_epochs_is_two_versions(self):
-        # A configuration written after the return bears the revision of the one that is known. Taken for the same
+        # A configuration written after the restore has the revision of the one that is known. Treated as the same
         # content, it was never put in force.
         self.server.script = [("1", 200, stored(5)), ("2", 200, stored(5))]
         first = self.call(self.store.get(kind="config", name="main"))
@@ -363,36 +364,36 @@
         self.assertNotEqual(first.version, second.version)
         self.assertIsNotNone(second.value)
 
-    def test_refused_call_tells_the_epoch_too(self):
+    def test_refused_call_carries_the_epoch(self):
         self.server.script = [("3", 503, {})]
         self.assertIsInstance(self.call(self.store.get(kind="config", name="main")), StoreUnavailable)
         self.assertEqual(self.epoch.number, 3)
 
     def test_watch_from_a_former_epoch_is_not_sent(self):
-        # Its revision may have been given out again: the watch would go on from another change.
+        # Its revision may have been assigned again: the watch would continue from another change.
         self.epoch.observe(2)
-        outcome = self.call(self.store.watch(kind="servers", from_version=version_in(1, 7), timeout_s=0.1))
+        outcome = self.call(self.store.watch(kind="servers", from_version=make_version(1, 7), timeout_s=0.1))
         self.assertIsInstance(outcome, StoreHistoryGone)
         self.assertEqual(self.server.paths, [])
 
-    def test_watch_over_a_return_tells_nothing(self):
+    def test_watch_over_a_restore_reports_no_changes(self):
         self.epoch.observe(1)
         self.server.script = [("2", 200, {"events": [], "store_revision": 9})]
-        outcome = self.call(self.store.watch(kind="servers", from_version=version_in(1, 7), timeout_s=0.1))
+        outcome = self.call(self.store.watch(kind="servers", from_version=make_version(1, 7), timeout_s=0.1))
         self.assertIsInstance(outcome, StoreHistoryGone)
 
     def test_write_under_a_version_of_a_former_epoch_is_not_sent(self):
         self.epoch.observe(2)
-        update = self.store.update(kind="config", name="main", value={}, if_version=version_in(1, 7))
+        update = self.store.update(kind="config", name="main", value={}, if_version=make_version(1, 7))
         self.assertIsInstance(self.call(update), StoreConflict)
         self.assertEqual(self.server.paths, [])
 
-    def test_late_answer_of_a_former_epoch_is_none(self):
-        # The era is seen to fall: a write was acknowledged before the return, and may be lost; a read may have
-        # changed since.
+    def test_late_answer_of_a_former_epoch_is_discarded(self):
+        # The era of an answer is lower than the known one: a write acknowledged before the restore may be lost, and
+        # an object read before it may have changed since.
         self.epoch.observe(2)
         self.server.script = [("1", 200, stored(7)), ("1", 200, stored(7))]
-        write = self.store.update(kind="config", name="main", value={}, if_version=version_in(2, 7))
+        write = self.store.update(kind="config", name="main", value={}, if_version=make_version(2, 7))
         self.assertIsInstance(self.call(write), StoreUnknown)
         self.assertIsInstance(self.call(self.store.get(kind="config", name="main")), StoreUnavailable)
 
--- a/tests/utils/freshness_replay.py
+++ b/tests/utils/freshness_replay.py
@@ -60,7 +60,7 @@
 
     reads_store = False
 
-    def to_ask(self):
+    def readers_to_query(self):
         """The readers to ask."""
         return ("peer",)
 
@@ -87,9 +87,9 @@
             jitter=random.Random(1),
             place=Place(),
             readers=OneReader(),
-            ask_confirmation=self._ask,
+            request_confirmation=self._ask,
             generation=lambda: self.generation,
-            heard=lambda generation, peer: None,
+            observe_generation=lambda generation, peer: None,
         )
         self._answers = PeerConfiguration(
             peers=SimpleNamespace(on=lambda message_type, handler: None),
@@ -116,7 +116,7 @@
 
     def tell(self):
         """What this router answers a peer now."""
-        return self._answers._confirm("peer", ConfirmationAsk(), "")
+        return self._answers._answer_confirmation("peer", ConfirmationAsk(), "")
 
     def take_word(self):
         """Let a peer's answer arrive."""
@@ -165,7 +165,7 @@
         # A fetch is another step of the trace, so that no question waits for one.
         with (
             mock.patch.object(sources, "boot_time_s", lambda: self._now),
-            mock.patch.object(sources, "FETCH_WITHIN_S", 0.0),
+            mock.patch.object(sources, "FETCH_TIMEOUT_S", 0.0),
         ):
             for step in self._trace.steps[1:]:
                 before = [router.source.confirmed_at for router in self._routers]
--- a/wagtailtrestle/configuration/engine_list.py
+++ b/wagtailtrestle/configuration/engine_list.py
@@ -1,8 +1,8 @@
-"""The engines that list themselves in the platform's store, followed through its outages.
+"""The list of engines that register in the platform's store, maintained through the store's outages.
 
-A list read whole and a watch keep it up to date. What the store tells is taken as it comes, but
-for one case: entries expire while the store is out, though their engines live. After an outage an
-entry that is missing is kept for a moment, and taken for gone if it is missing still.
+A full read and a watch keep the list up to date. The store's answers are applied as they are, with one
+exception: entries expire during a store outage although their engines live. After an outage a missing
+entry is kept for a grace period and removed if it is still missing then.
 """
 
 import asyncio
@@ -10,50 +10,51 @@
 
 from loguru import logger
 
-from wagtailtrestle.configuration.engine_relay import EngineNews
+from wagtailtrestle.configuration.engine_relay import EngineUpdate
 from wagtailtrestle.configuration.pre_restore_engines import PreRestoreEngines
 from wagtailtrestle.configuration.store_epoch import epoch_of
 from wagtailtrestle.contracts.outcomes import StoreDone, StoreHistoryGone
 
-WATCH_S = 2.0
-"""Longest wait of one watch: a connection gone silent is found so much later, and a little more. With the
-store's margin and a whole read it stays under three seconds; each shorter second costs a call."""
-RELIST_S = 8.0
-"""Between two whole reads: finds what a watch that heard nothing missed."""
+WATCH_TIMEOUT_S = 2.0
+"""Longest wait of one watch, and so the main part of the delay until a silent connection is detected. With the
+store's margin and a full read the delay stays under three seconds; each second less costs a call."""
+RELIST_INTERVAL_S = 8.0
+"""Interval between two full reads, which find changes that a silent watch missed."""
 RETRY_S = 0.1
 MAX_RETRY_S = 1.0
-GONE_AGAIN_S = 0.5
-"""Age of a whole read up to which a history that is gone again is retried with a pause: a store that keeps none would
-be asked a hundred times a second by each reader."""
+MIN_RELIST_INTERVAL_S = 0.5
+"""If the history is gone again within this time of a full read, the next read is delayed: each reader would otherwise
+query a store that keeps no history a hundred times a second."""
 DEFAULT_RETURN_GRACE_S = 2.0
-"""How long after an outage engines need to list themselves again."""
-OUTAGE_S = 0.8
-"""A store that answered nothing for so long may have let entries expire."""
+"""How long engines need after an outage to write their entries again."""
+MIN_OUTAGE_S = 0.8
+"""Without an answer for this long beyond a watch, the store may have let entries expire."""
 
 
 class EngineList:
-    """Engines by name as the store lists them.
+    """Engines by name, as the store lists them.
 
     Parameters
     ----------
     store : ObjectStore
     kind : str
     read_entry : callable
-        ``read_entry(name, value)`` gives a ``DeclaredEngine``, or ``None`` if it can't.
+        ``read_entry(name, value)`` returns a ``DeclaredEngine``, or ``None`` if the entry is invalid.
     on_change : callable
         ``on_change(by_name)``, called on the loop after each change.
     clock : callable
-        The loop's time, seconds.
+        Returns the event loop's time in seconds.
     return_grace_s : float
+        How long after an outage missing entries are kept.
     jitter : random.Random, optional
     relay : EngineRelay, optional
-        Asked before the store, where routers tell each other of engines.
+        Queried before the store, where routers relay engine entries to each other.
 
     Attributes
     ----------
     by_name : dict of str to DeclaredEngine
     is_known : bool
-        Whether the list was ever read.
+        Whether the list has been read at least once.
     """
 
     def __init__(
@@ -83,15 +84,15 @@
         self._first_version = 0
         self._listed_at = None
         self._answered_at = None
-        self._kept_until = None
+        self._missing_kept_until = None
         self._task = None
 
     def start(self):
-        """Begin to follow; must be called on the running event loop."""
+        """Start the task that follows the list; must be called on the running event loop."""
         self._task = asyncio.get_running_loop().create_task(self._follow())
 
     async def close(self):
-        """Stop; the last list stays readable."""
+        """Stop the task; the last list stays readable."""
         self._task.cancel()
         await asyncio.gather(self._task, return_exceptions=True)
 
@@ -106,7 +107,7 @@
             "version": self._version,
             "listed_age_s": None if self._listed_at is None else round(now - self._listed_at, 3),
             "answered_age_s": None if self._answered_at is None else round(now - self._answered_at, 3),
-            "keeps_missing_entries": self._kept_until is not None,
+            "keeps_missing_entries": self._missing_kept_until is not None,
             "relay": None if self._relay is None else self._relay.dump(),
         }
 
@@ -120,138 +121,140 @@
                 retry_s = min(MAX_RETRY_S, 2 * retry_s)
 
     async def _step(self):
-        """Take one answer of a router or of the store; whether there was one."""
-        news = await self._ask_relay()
-        if news is None:
-            news = await self._ask_store()
-        if news is None:
+        """Apply one answer from a reader or from the store; ``False`` if there was none."""
+        update = await self._query_relay()
+        if update is None:
+            update = await self._query_store()
+        if update is None:
             if self._relay is not None:
-                self._relay.readers.pause_own()
+                self._relay.readers.pause_self()
             return False
-        self._note_answer()
-        self._take(news)
+        self._record_answer()
+        self._apply_update(update)
         return True
 
-    async def _ask_relay(self):
-        """What a router that reads the store tells; ``None`` where this one has to ask the store."""
-        if self._relay is None or not self.is_known or self._kept_until is not None:
+    async def _query_relay(self):
+        """Return a reader's update, or ``None`` where this router has to query the store."""
+        if self._relay is None or not self.is_known or self._missing_kept_until is not None:
             return None
-        news = await self._relay.ask(self._version)
-        if news is not None:
-            # Should the routers fall silent, the store is read whole at once.
+        update = await self._relay.fetch_update(self._version)
+        if update is not None:
+            # If the readers stop answering, the store is read in full immediately.
             self._listed_at = None
-        return news
+        return update
 
-    async def _ask_store(self):
+    async def _query_store(self):
         """List or watch once; ``None`` if the store didn't answer."""
         if self._is_list_due():
-            return await self._read_whole()
+            return await self._read_full_list()
         began_at = self._clock()
         watch_s = self._watch_s()
         outcome = await self._store.watch(kind=self._kind, from_version=self._version, timeout_s=watch_s)
-        if isinstance(outcome, StoreHistoryGone) and began_at - self._listed_at > GONE_AGAIN_S:
-            return await self._read_whole()
+        if isinstance(outcome, StoreHistoryGone) and began_at - self._listed_at > MIN_RELIST_INTERVAL_S:
+            return await self._read_full_list()
         if not isinstance(outcome, StoreDone):
-            # Silence or a refusal: only a whole read tells what was missed.
+            # No answer or a refusal: only a full read shows what was missed.
             self._listed_at = None
             return None
         value_by_name = {name: value for name, _, value in outcome.value}
-        # A watch that heard nothing was answered when its time was up, and proves that moment.
+        # A watch without events is answered at its timeout and proves the list up to that moment.
         age_s = 0.0 if value_by_name else max(0.0, self._clock() - began_at - watch_s)
-        return EngineNews(version=outcome.version, value_by_name=value_by_name, is_whole=False, age_s=age_s)
+        return EngineUpdate(version=outcome.version, value_by_name=value_by_name, is_whole=False, age_s=age_s)
 
-    async def _read_whole(self):
+    async def _read_full_list(self):
         began_at = self._clock()
         self._listed_at = None
         outcome = await self._store.list(kind=self._kind)
         if not isinstance(outcome, StoreDone):
             return None
         self._listed_at = self._clock()
-        return EngineNews(
+        return EngineUpdate(
             version=outcome.version,
             value_by_name={name: value for name, (_, value) in outcome.value.items()},
             is_whole=True,
-            # What a list tells held when it was asked for; held up on its way, it is no younger for that.
+            # The list is valid as of the request; a delay in transit adds to its age.
             age_s=self._listed_at - began_at,
-            written_names=self._written_since_return(outcome),
+            written_names=self._written_since_restore(outcome),
         )
 
-    def _written_since_return(self, outcome):
-        """Of a whole list, the entries that are certainly later than the copy from which the store came back."""
+    def _written_since_restore(self, outcome):
+        """Names of the entries in a full list that are certainly newer than the backup the store was restored from."""
         if epoch_of(outcome.version) != epoch_of(self._first_version):
             return frozenset()
         return frozenset(name for name, (version, _) in outcome.value.items() if version > self._first_version)
 
     def _is_list_due(self):
         now = self._clock()
-        if self._listed_at is None or now - self._listed_at > RELIST_S:
+        if self._listed_at is None or now - self._listed_at > RELIST_INTERVAL_S:
             return True
-        return self._kept_until is not None and now >= self._kept_until
+        return self._missing_kept_until is not None and now >= self._missing_kept_until
 
     def _watch_s(self):
-        longest_s = WATCH_S if self._relay is None else self._relay.limits.watch_s
-        if self._kept_until is None:
+        longest_s = WATCH_TIMEOUT_S if self._relay is None else self._relay.limits.watch_s
+        if self._missing_kept_until is None:
             return longest_s
-        return max(0.05, min(longest_s, self._kept_until - self._clock()))
+        return max(0.05, min(longest_s, self._missing_kept_until - self._clock()))
 
-    def _note_answer(self):
+    def _record_answer(self):
         now = self._clock()
-        if self._answered_at is not None and now - self._answered_at > WATCH_S + OUTAGE_S:
-            logger.warning("the store answered nothing for {:.1f} s; missing engines are kept", now - self._answered_at)
-            self._kept_until = now + self._return_grace_s
+        if self._answered_at is not None and now - self._answered_at > WATCH_TIMEOUT_S + MIN_OUTAGE_S:
+            logger.warning("the store has not answered for {:.1f} s; missing engines are kept", now - self._answered_at)
+            self._missing_kept_until = now + self._return_grace_s
         self._answered_at = now
 
-    def _take(self, news):
-        if news.is_whole and news.version < self._version:
-            return  # An older whole than what is known here.
-        if epoch_of(news.version) != epoch_of(self._version):
-            self._begin_epoch(news)
-        self._version = max(self._version, news.version)
-        gone = {name for name, value in news.value_by_name.items() if value is None}
-        read = {name: self._read_entry(name, value) for name, value in news.value_by_name.items() if value is not None}
+    def _apply_update(self, update):
+        if update.is_whole and update.version < self._version:
+            return  # A full list older than the version known here.
+        if epoch_of(update.version) != epoch_of(self._version):
+            self._begin_epoch(update)
+        self._version = max(self._version, update.version)
+        gone = {name for name, value in update.value_by_name.items() if value is None}
+        read = {
+            name: self._read_entry(name, value) for name, value in update.value_by_name.items() if value is not None
+        }
         listed = {name: engine for name, engine in read.items() if engine is not None}
-        unfit = read.keys() - listed.keys()
-        self._pre_restore.note_written(news.written_names if news.is_whole else listed.keys())
+        invalid = read.keys() - listed.keys()
+        self._pre_restore.record_written(update.written_names if update.is_whole else listed.keys())
         listed = self._pre_restore.corrected(listed)
-        by_name = self._from_whole(listed) if news.is_whole else self._from_changes(listed, gone)
-        # Whatever wrote over an engine's entry, the engine does not vouch for it any more. Its next
-        # word of itself brings it back.
-        by_name = {name: engine for name, engine in by_name.items() if name not in unfit}
+        by_name = self._from_full_list(listed) if update.is_whole else self._from_changes(listed, gone)
+        # An invalid entry was overwritten by another writer and no longer describes its engine. The
+        # engine is listed again once it writes its entry itself.
+        by_name = {name: engine for name, engine in by_name.items() if name not in invalid}
         self.is_known = True
-        self._put(by_name, news)
+        self._publish(by_name, update)
 
-    def _begin_epoch(self, news):
-        """The store came back from a copy: engines that started since need a moment to list themselves again."""
-        self._first_version = news.version
+    def _begin_epoch(self, update):
+        """Handle a restore of the store: engines started since the backup need time to write their entries again."""
+        self._first_version = update.version
         if not self.is_known:
             return
         self._pre_restore.begin(self.by_name)
-        if not news.is_relayed:
-            # Who reads the store waits for them; to the others it tells what it keeps.
-            self._kept_until = self._clock() + self._return_grace_s
+        if not update.is_relayed:
+            # Only readers of the store wait for them; they relay the engines they keep to the others.
+            self._missing_kept_until = self._clock() + self._return_grace_s
 
-    def _from_whole(self, listed):
-        """The engines after a whole list; those that expired in an outage are kept for a while."""
-        if self._kept_until is not None and self._clock() < self._kept_until:
+    def _from_full_list(self, listed):
+        """The engines after a full list; entries that expired in an outage are kept for the grace period."""
+        if self._missing_kept_until is not None and self._clock() < self._missing_kept_until:
             return {**self.by_name, **listed}
-        self._kept_until = None
+        self._missing_kept_until = None
         return listed
 
     def _from_changes(self, listed, gone):
-        """The engines after a few changes."""
+        """The engines after incremental changes."""
         by_name = {**self.by_name, **listed}
-        if self._kept_until is None:
+        if self._missing_kept_until is None:
             for name in gone:
                 by_name.pop(name, None)
         return by_name
 
-    def _put(self, by_name, news):
-        self._pre_restore.note_gone(self.by_name.keys() - by_name.keys())
-        known, facts = _facts(self.by_name), _facts(by_name)
+    def _publish(self, by_name, update):
+        self._pre_restore.record_departed(self.by_name.keys() - by_name.keys())
+        known, facts = _compared_fields(self.by_name), _compared_fields(by_name)
         changed = {name for name in known.keys() | facts.keys() if known.get(name) != facts.get(name)}
         if self._relay is not None:
-            values = {name: news.value_by_name[name] if name in by_name else None for name in changed}
-            self._relay.confirm(version=self._version, age_s=news.age_s, changed=values)
+            values = {name: update.value_by_name[name] if name in by_name else None for name in changed}
+            self._relay.record_update(version=self._version, age_s=update.age_s, changed=values)
         if not changed:
             return
         self._log_changes(by_name)
@@ -260,7 +263,7 @@
 
     def _log_changes(self, by_name):
         for name in sorted(set(self.by_name) - set(by_name)):
-            logger.info("engine {} is gone from the list", name)
+            logger.info("engine {} is no longer listed", name)
         for name, engine in sorted(by_name.items()):
             known = self.by_name.get(name)
             if known is None or known.leaving != engine.leaving:
@@ -268,8 +271,8 @@
                 logger.info("engine {} of {} at {} is {}", name, engine.service, engine.address, state)
 
 
-def _facts(by_name):
-    """What of the engines matters to whoever uses them; entries change for less."""
+def _compared_fields(by_name):
+    """The engines' fields whose change is reported to ``on_change``; entries also change in other fields."""
     return {
         name: (
             engine.service,
--- a/wagtailtrestle/configuration/status_report.py
+++ b/wagtailtrestle/configuration/status_report.py
@@ -1,4 +1,4 @@
-"""What ``wagtailtrestle status`` tells: the accepted generation and each router's."""
+"""The report of ``wagtailtrestle status``: the accepted generation, and the one in force on each router."""
 
 import asyncio
 
@@ -10,7 +10,7 @@
 from wagtailtrestle.record import record
 
 FETCH_TIMEOUT_S = 2.0
-FETCH_AT_ONCE = 16
+MAX_CONCURRENT_FETCHES = 16
 
 
 @record
@@ -21,12 +21,12 @@
     ----------
     id, zone : str
     generation : int
-        In force there; 0 if none.
+        Generation in force on the router; 0 if none.
     is_lagging : bool
-        Whether it is below the accepted generation.
+        Whether the generation is below the accepted one.
     is_leaving : bool
     faults : tuple of str
-        Why a newer generation was not put in force, if so.
+        Why a newer generation was not put in force; empty if none was rejected.
     """
 
     id: str
@@ -39,7 +39,7 @@
 
 @record
 class RouterUnreachable:
-    """A router on the platform's list that gave no usable answer."""
+    """A router on the platform's list that returned no usable answer."""
 
     id: str
     zone: str
@@ -54,12 +54,12 @@
     Parameters
     ----------
     generation : int
-        Accepted by the platform; 0 if there is none.
+        Generation accepted by the platform; 0 if there is none.
     apply_id : str
     applied_at : float
         Unix time.
     routers : tuple of RouterInForce or RouterUnreachable
-        By id.
+        Sorted by id.
     """
 
     generation: int
@@ -69,7 +69,7 @@
 
     @property
     def is_in_force_everywhere(self):
-        """Whether every router on the list that is to stay has the accepted generation."""
+        """Whether every router on the list that is not leaving has the accepted generation."""
         staying = [router for router in self.routers if not router.is_leaving]
         return all(isinstance(router, RouterInForce) and not router.is_lagging for router in staying)
 
@@ -80,7 +80,7 @@
     Returns
     -------
     object or str
-        What the JSON holds, or a text that says what went wrong.
+        The decoded JSON, or a text that describes the error.
     """
     try:
         response = urllib3.request("GET", url, timeout=FETCH_TIMEOUT_S, retries=False)
@@ -92,7 +92,7 @@
 
 
 async def collect_status(*, store, fetch=fetch_json):
-    """Ask the platform and every router on its list.
+    """Query the platform and every router on its list.
 
     Parameters
     ----------
@@ -110,8 +110,8 @@
     if not isinstance(listed, StoreDone):
         return StoreUnavailable(detail=f"the list of VMs can't be read: {getattr(listed, 'detail', '')}")
     routers = sorted((vm for vm in listed.value if vm.role == ROUTER), key=lambda vm: vm.id)
-    slots = asyncio.Semaphore(FETCH_AT_ONCE)
-    answers = await asyncio.gather(*(_ask_router(vm, accepted.generation, fetch, slots) for vm in routers))
+    slots = asyncio.Semaphore(MAX_CONCURRENT_FETCHES)
+    answers = await asyncio.gather(*(_fetch_router(vm, accepted.generation, fetch, slots) for vm in routers))
     return StatusReport(
         generation=accepted.generation,
         apply_id=accepted.apply_id,
@@ -120,14 +120,14 @@
     )
 
 
-async def _ask_router(vm, accepted_generation, fetch, slots):
+async def _fetch_router(vm, accepted_generation, fetch, slots):
     if not vm.admin:
         return RouterUnreachable(id=vm.id, zone=vm.zone, is_leaving=vm.leaving, detail="no admin address on the list")
     async with slots:
         state = await asyncio.to_thread(fetch, f"{_base_url(vm.admin)}/state")
     configuration = state.get("configuration") if isinstance(state, dict) else None
     if not isinstance(configuration, dict) or not isinstance(configuration.get("generation"), int):
-        detail = state if isinstance(state, str) else "its state has no generation"
+        detail = state if isinstance(state, str) else "router state has no generation"
         return RouterUnreachable(id=vm.id, zone=vm.zone, is_leaving=vm.leaving, detail=detail)
     generation = configuration["generation"]
     return RouterInForce(
@@ -141,7 +141,7 @@
 
 
 def _faults_above(generation, faults_by_generation):
-    """Faults of the newest declaration that a router refused, if it is newer than its own."""
+    """Faults of the newest declaration that a router rejected, if it is newer than the one in force there."""
     newer = {int(key): faults for key, faults in (faults_by_generation or {}).items() if int(key) > generation}
     return tuple(newer[max(newer)]) if newer else ()
 
--- a/wagtailtrestle/measure/configuration_delay.py
+++ b/wagtailtrestle/measure/configuration_delay.py
@@ -51,7 +51,7 @@
             store=store,
             parse=_parse,
             on_change=lambda in_force: self.moments.append(time.monotonic()),
-            ask_peers=_no_peers,
+            query_peers=_no_peers,
         )
 
     def start(self):
@@ -122,7 +122,7 @@
     return Declaration(organisation=text, services_by_name={}, engines_by_name={}, **empty)
 
 
-async def _no_peers(generation, teller):
+async def _no_peers(generation, preferred_peer):
     return PeersAnswer()
 
 
--- a/wagtailtrestle/membership/membership.py
+++ b/wagtailtrestle/membership/membership.py
@@ -276,7 +276,7 @@
         else:
             self._on_sign_of_life(member)
         self._update_generation(member, heartbeat.generation)
-        self._epoch.hear(heartbeat.store_epoch, heartbeat.store_epoch_known_s)
+        self._epoch.observe_peer(heartbeat.store_epoch, heartbeat.store_epoch_known_s)
         self._sync.compare(peer, own=self._digest, other=heartbeat.view_digest)
 
     def _on_sign_of_life(self, member):
--- a/wagtailtrestle/router.py
+++ b/wagtailtrestle/router.py
@@ -112,7 +112,7 @@
             heartbeat_s=settings.peer_heartbeat_s,
             epoch=self._store_epoch,
         )
-        self._store_epoch.on_return(self._membership.send_heartbeats)
+        self._store_epoch.on_restore(self._membership.send_heartbeats)
         self._broadcast = Broadcast(peers=self._peers, targets=self._membership.broadcast_targets)
 
     def _make_configuration(self):
@@ -127,11 +127,11 @@
             store=self._store,
             parse=self._adapter.parse,
             on_change=self._put_in_force,
-            ask_peers=self._peer_configuration.ask,
+            query_peers=self._peer_configuration.fetch,
             executor=self._parsing,
             place=self._adapter.place,
             readers=readers,
-            ask_confirmation=self._peer_configuration.ask_confirmation,
+            request_confirmation=self._peer_configuration.request_confirmation,
             poll_interval_s=self._settings.configuration_poll_s,
             epoch=self._store_epoch,
         )
@@ -160,9 +160,11 @@
             interval_s=self._settings.vm_list_interval_s,
             settled_s=self._settings.vm_list_settled_s,
         )
-        self._store_epoch.on_return(self._vm_list.resume_fast_polling)
-        self._store_epoch.on_return(lambda: self._metrics.count("store_returns"))
-        self._membership.on_generation(lambda peer, generation: self._configuration.heard(generation, peer))
+        self._store_epoch.on_restore(self._vm_list.resume_fast_polling)
+        self._store_epoch.on_restore(lambda: self._metrics.count("store_returns"))
+        self._membership.on_generation(
+            lambda peer, generation: self._configuration.observe_generation(generation, peer)
+        )
         self._membership.on_view_change(self._end_questions)
         self._membership.on_view_change(lambda view: self._watch_engines())
         self._membership.on_trusted(self._has_begun)
@@ -174,7 +176,7 @@
         return StoreReaders(name=self._settings.name, members=lambda: self._membership.view.members)
 
     def _make_engine_relay(self, readers):
-        limits = RelayLimits(known_within_s=self._settings.engine_leaving_ms / MS_PER_S)
+        limits = RelayLimits(propagation_limit_s=self._settings.engine_leaving_ms / MS_PER_S)
         return EngineRelay(peers=self._peers, readers=readers, limits=limits)
 
     def _make_decisions(self):
