--- a/wagtailtrestle/contracts/__init__.py
+++ b/wagtailtrestle/contracts/__init__.py
@@ -1,1 +1,1 @@
-"""What the parts tell each other: declared data, messages, outcomes and ports."""
+"""Interfaces between the components: declared data, messages, outcomes and ports."""
