--- a/wagtailtrestle/contracts/declaration.py
+++ b/wagtailtrestle/contracts/declaration.py
@@ -1,7 +1,7 @@
 """Declared data: tiers, teams, services, routes and engines of one deployment.
 
 Instances are built by :mod:`wagtailtrestle.declarations.check` from a YAML file
-that passed every check; nothing here validates.
+that passed every check; these classes do not validate.
 """
 
 LANGUAGE = "language"
@@ -9,7 +9,7 @@
 
 
 class Tier:
-    """One level of the order in which callers are served; rank 0 is the highest."""
+    """A priority level of requests; rank 0 is the highest."""
 
     __slots__ = ("name", "rank")
 
@@ -25,13 +25,13 @@
     ----------
     name : str
     key_sha256 : tuple of str
-        Hex digests of the bearer keys that name this team.
+        Hex digests of the team's bearer keys.
     share : float
         Weight against other teams of the same tier.
     tier : str
-        Tier of all its requests, whatever their route says; empty where the route decides.
+        Tier of all the team's requests, overriding their route's; empty if the route decides.
     quota : TokenQuota or None
-        What it may use over all routers; ``None`` for no limit.
+        Quota over all routers; ``None`` for no limit.
     """
 
     __slots__ = ("name", "key_sha256", "share", "tier", "quota")
@@ -45,16 +45,16 @@
 
 
 class TokenQuota:
-    """A team's allowance: a bucket of ``burst`` units that fills at ``rate_per_s``.
+    """A team's quota: a token bucket of ``burst`` units that refills at ``rate_per_s``.
 
     Parameters
     ----------
     rate_per_s, burst : float
         In tokens if ``counts_tokens``, else in requests.
     counts_tokens : bool
-        Whether a request counts as its prompt and largest output, or as one.
+        Whether a request costs the tokens of its prompt and largest output, or one unit.
     tokens_if_unsized : int
-        What a request that tells no sizes counts as, in tokens.
+        Cost in tokens of a request that states no sizes.
     """
 
     __slots__ = ("rate_per_s", "burst", "counts_tokens", "tokens_if_unsized")
@@ -66,14 +66,14 @@
         self.tokens_if_unsized = tokens_if_unsized
 
     def cost(self, *, tokens):
-        """Units of a request with ``tokens`` in all, ``None`` where it tells no sizes."""
+        """Return the units that a request of ``tokens`` costs; ``None`` for a request that states no sizes."""
         if not self.counts_tokens:
             return 1
         return self.tokens_if_unsized if tokens is None else tokens
 
 
 class Route:
-    """One kind of request to a service, with the promises that hold for it.
+    """One kind of request to a service, with its guarantees.
 
     Parameters
     ----------
@@ -81,17 +81,17 @@
     method : str
         HTTP method, upper case.
     path : str
-        For a language service one of the two completion paths; for a plain
-        service a prefix below ``/{service}/``.
+        For a language service one of the two completion paths; for a plain service
+        a prefix below ``/{service}/``.
     tier : str
     deadline_ms : int
-        Default time for the whole answer.
+        Default time limit for the complete answer.
     repeatable : bool
-        Whether a run may be cancelled and run again; ``False`` means at most
-        one dispatch for ever.
+        Whether a run may be cancelled and run again; if ``False``, the request is
+        dispatched at most once.
     at_most_once : bool
-        Whether re-sends with the same ``Idempotency-Key`` are recognised through the
-        ledger; only with ``repeatable`` false.
+        Whether repeated requests with the same ``Idempotency-Key`` are detected through the
+        ledger; only if ``repeatable`` is false.
     teams : tuple of str
         Teams that may use the route; empty means every team.
     """
@@ -110,7 +110,7 @@
 
 
 class HostRoute:
-    """A route found by host and path, which may be split over several services.
+    """A route matched by host and path, whose requests may be split over several services.
 
     Parameters
     ----------
@@ -118,21 +118,21 @@
     prefix : str
         Begins and ends with a slash.
     weight_by_service : dict of str to float
-        Shares of the requests.
+        Each service's share of the requests.
     tier : str
     timeout_ms : int
-        Longest time for the whole answer.
+        Time limit for the complete answer.
     target_ms : int
-        Time to the answer, or to its first event, that callers hope for.
+        Target time to the answer, or to its first event.
     pause_ms : int
-        Longest pause between two events of a stream that callers hope for; 0 if it does not matter.
+        Target for the longest pause between two events of a stream; 0 for no target.
     repeatable : bool
         Whether a request may run more than once.
     streaming : bool
     resumable : bool
-        Whether another engine may go on with a stream after its last event.
+        Whether another engine can continue a stream after the last event received.
     max_runs : int
-        Engines that one request may run on.
+        Number of engines that one request may run on.
     public : bool
         Whether no key is needed.
     """
@@ -186,7 +186,7 @@
 
 
 class Service:
-    """What callers reach: a kind, its routes, and how its capacity is weighed.
+    """A service that callers send requests to: its kind, its routes and how its capacity is scheduled.
 
     Parameters
     ----------
@@ -195,17 +195,18 @@
     routes_by_name : dict of str to Route
         In declared order.
     prefill_weight : float
-        From 0 (only goodput by tier counts) to 1 (only wasted prefill counts).
+        Objective of scheduling, from 0 (only goodput by tier) to 1 (only wasted prefill).
     cancellable : bool, optional
-        Whether a run can be stopped midway; by default only a language engine's.
+        Whether a run can be cancelled; by default only for a language service.
     attachable : bool, optional
-        Whether a lost stream of a run can be taken up again at the same engine.
+        Whether a run's stream can be resumed on the same engine after its connection is lost; by default only
+        for a language service.
     preemptable : bool, optional
-        Whether runs may be stopped for a higher tier.
+        Whether runs may be cancelled in favour of a higher tier; by default only for a language service.
     passes_errors : bool, optional
-        Whether an engine's own error is the caller's answer; by default a plain service's.
+        Whether an engine's error answer is passed on to the caller; by default only for a plain service.
     tokens_per_event : int
-        Tokens that one event of a stream holds.
+        Tokens per event of a stream.
     """
 
     __slots__ = (
@@ -246,30 +247,30 @@
 
 
 class DeclaredEngine:
-    """One upstream.
+    """One upstream of a service.
 
     Parameters
     ----------
     name, service, zone, hardware : str
     cell : str
-        Group of engines of one service whose admission one scheduler decides.
+        Group of engines of one service whose admission is decided by one scheduler.
     address : str
-        ``host:port`` of its HTTP interface.
+        ``host:port`` of the engine's HTTP interface.
     slots : int
-        Largest number of runs it batches at once.
+        Largest number of runs in its batch.
     step_ms : float
-        Nominal decode step with one run; a prior that measurement replaces.
+        Nominal duration of a decode step with one run; a prior that measurements replace.
     prefill_tokens_per_s : float
-        Nominal prefill rate; a prior that measurement replaces.
+        Nominal prefill rate; a prior that measurements replace.
     checks_fencing : bool
-        Whether it refuses an order that carries an old fencing number.
+        Whether it rejects a command with an outdated fencing number.
     leaving : bool
-        Whether it takes no new work.
+        Whether the engine is draining and accepts no new runs.
     start_ms : int
-        When it started, Unix milliseconds, where engines tell: one that starts again under its name
-        holds nothing of before. 0 where they don't.
+        When the engine started, in Unix milliseconds; 0 where engines don't report it. An engine that
+        restarts under its name has lost its earlier runs and cache.
     version : str
-        Version of what it runs, where engines tell; roll-outs move a service from one to another.
+        Version of what the engine runs, where engines report it; a rollout moves a service from one to another.
     """
 
     __slots__ = (
@@ -321,7 +322,7 @@
 
 
 class Declaration:
-    """One whole declaration, as accepted by the checks.
+    """One complete declaration, as accepted by the checks.
 
     Parameters
     ----------
@@ -333,12 +334,12 @@
     services_by_name : dict of str to Service
     engines_by_name : dict of str to DeclaredEngine
     ledger_shards : int
-        Number of ledger objects over which claims are spread.
+        Number of ledger objects over which claims are distributed;
         0 for a deployment whose callers send no idempotency keys.
     ledger_retention_s : float
-        How long a claim is remembered after it was made.
+        How long a claim is kept after it was made.
     host_routes : tuple of HostRoute
-        Routes found by host and path, beside those of the services.
+        Routes matched by host and path, in addition to those of the services.
     """
 
     __slots__ = (
@@ -377,9 +378,9 @@
         self.host_routes = host_routes
 
     def with_engines(self, engines_by_name):
-        """The same declaration with other engines, for deployments where engines list themselves.
+        """Return this declaration with other engines, for deployments where engines register themselves.
 
-        An engine of a service that is not declared is left out: whatever asked for its service would fail.
+        An engine of an undeclared service is omitted, as looking up its service would fail.
         """
         engines_by_name = {
             name: engine for name, engine in engines_by_name.items() if engine.service in self.services_by_name
