--- a/wagtailtrestle/contracts/exchange.py
+++ b/wagtailtrestle/contracts/exchange.py
@@ -1,7 +1,7 @@
-"""Messages between a request's task and whatever carries its caller's bytes.
+"""Messages between a request's task and the caller's side, which transfers the caller's bytes.
 
-In a router the other side is a thread of the HTTP server; in tests and measurements
-it is a fake. Neither side touches the other's state.
+In a router, the caller's side is a thread of the HTTP server; in tests and measurements
+it is a fake. Neither side accesses the other's state.
 """
 
 from typing import Protocol
@@ -12,39 +12,39 @@
 
 
 class CallerRequest:
-    """One authenticated, routed request as the decisions see it; no prompt, no key.
+    """One authenticated, routed request, with what scheduling needs; contains neither the prompt nor the key.
 
     Parameters
     ----------
     request_id : str
-        Ours, unique for ever.
+        Assigned by the router; never reused.
     service, team, route : str
     tier : int
-        Rank after any lowering by the caller.
+        Rank of the tier, after the caller has lowered it, if it has.
     repeatable, at_most_once : bool
         From the route.
     idempotency_key : str
         Empty when the caller gave none.
     body_digest : str
-        SHA-256 of method, path and body, to recognise a key used for another body.
+        SHA-256 of method, path and body, to detect an idempotency key reused for another request.
     prompt_tokens : int
-        Estimated.
+        Estimated size of the prompt.
     output_tokens : int
-        Upper limit asked for by the caller, or the service's default.
+        Output limit requested by the caller, or the service's default.
     prefix_blocks, block_tokens : tuple of int
         See :class:`wagtailtrestle.contracts.messages.GrantRequest`.
     deadline : float
-        Loop time by which the whole answer must be given.
+        Event-loop time by which the answer must be complete.
     max_runs : int or None
-        Engines it may run on; ``None`` for no limit but its deadline.
+        Number of engines that it may run on; ``None`` if only the deadline limits it.
     first_token_within_s : float or None
-        Time from its arrival to the first token that its caller hopes for; ``None`` if only the deadline counts.
+        Target time to first token, from the request's arrival; ``None`` if only the deadline counts.
     pause_within_s : float
-        Longest pause between two events that its caller hopes for; 0 if it does not matter.
+        Target for the longest pause between two events; 0 for no target.
     event_tokens : int
-        Tokens in one event.
+        Tokens per event of the stream.
     hinted_tokens : int
-        Its caller's own estimate of the output, often far off; 0 without one.
+        The caller's estimate of the output's length, often inaccurate; 0 if it gave none.
     """
 
     __slots__ = (
@@ -113,27 +113,27 @@
         self.hinted_tokens = hinted_tokens
 
 
-# From the request's task to the caller's side.
+# Commands from the request's task to the caller's side.
 
 
 @record
 class StartRun:
-    """Send the request to an engine; exactly one ``RunEnded`` will answer.
+    """Command to send the request to an engine; answered by exactly one ``RunEnded``.
 
     Parameters
     ----------
     run_id : str
-        ``{request_id}.{n}``: unique for each dispatch, sent as ``X-Request-Id``.
+        ``{request_id}.{n}``: unique to each dispatch, sent as ``X-Request-Id``.
     engine, address : str
     attach : bool
-        Attach again to ``run_id`` on the same engine from the tokens already
-        received, over a new connection; the engine starts no second run.
+        Whether to reattach to ``run_id`` on the same engine over a new connection, after
+        the tokens already received; the engine starts no second run.
     first_token_deadline_s, progress_deadline_s, overall_s : float
-        Limits on silence before the first token and between tokens, and on the run.
+        Time-outs for the first token, for each following token and for the whole run.
     start_ms : int
-        Which start of the engine it is sent to; see ``DeclaredEngine``.
+        Start time of the engine process that it is meant for; see ``DeclaredEngine``.
     was_limited : bool
-        Whether the engine named a rate limit lately: then an answer that names none is told too.
+        Whether the engine recently announced a rate limit: if so, an answer that announces none is reported too.
     """
 
     run_id: str
@@ -149,19 +149,19 @@
 
 @record
 class AnswerWhole:
-    """Everything was received and checked: complete the caller's answer."""
+    """Command to complete the caller's answer: all of it was received and checked."""
 
 
 @record
 class AnswerRefusal:
-    """Give the caller this final answer (an error event if a stream has begun)."""
+    """Command to end the caller's request with this refusal (sent as an error event if a stream has begun)."""
 
     refusal: Refusal
 
 
 @record
 class AnswerRecorded:
-    """Give the caller the recorded answer of the earlier request with the same key."""
+    """Command to answer with the recorded answer of an earlier request with the same idempotency key."""
 
     status: int
     content_type: str
@@ -171,12 +171,12 @@
 CallerCommand = StartRun | AnswerWhole | AnswerRefusal | AnswerRecorded
 
 
-# From the caller's side to the request's task.
+# Events from the caller's side to the request's task.
 
 
 @record
 class RunBegan:
-    """The first token (or the answer's head, for a plain service) arrived."""
+    """Sent when the first token arrives (for a plain service: the answer's head)."""
 
     run_id: str
     first_token_s: float
@@ -186,7 +186,7 @@
 
 @record
 class RunAdvanced:
-    """Tokens received so far in this run; at most a few times a second."""
+    """Reports the tokens received so far in this run; sent at most a few times a second."""
 
     run_id: str
     output_tokens: int
@@ -194,7 +194,7 @@
 
 @record
 class RunEnded:
-    """The run came to an end; ``body`` is a whole plain answer small enough to record."""
+    """Sent once when a run ends; ``body`` is a complete plain answer if it is small enough to record."""
 
     run_id: str
     outcome: RunOutcome
@@ -207,17 +207,17 @@
 
 @record
 class CallerGone:
-    """The caller closed its connection before its answer was complete."""
+    """Sent when the caller closes its connection before its answer is complete."""
 
 
 CallerEvent = RunBegan | RunAdvanced | RunEnded | CallerGone | EngineNotice
 
 
 class CallerLink(Protocol):
-    """The caller's side as the request's task sees it."""
+    """Interface of the caller's side, used by the request's task."""
 
     def post(self, command: CallerCommand) -> None:
-        """Queue a command for the side that carries the caller's bytes."""
+        """Queue a command for the caller's side."""
 
     def cancel_run(self, *, run_id: str, engine: str, address: str) -> None:
-        """Ask the engine to cancel; the run's ``RunEnded`` still follows."""
+        """Request that the engine cancel the run; the run's ``RunEnded`` still follows."""
