--- a/wagtailtrestle/contracts/ledger_messages.py
+++ b/wagtailtrestle/contracts/ledger_messages.py
@@ -1,7 +1,7 @@
 """Messages between routers about claims on idempotency keys.
 
-Every message is flat (str, int, float, bool, bytes) so that the peer codec carries it as it is.
-Any router may be asked to write any shard: who owns it decides only how well writes are batched.
+Every message is flat (str, int, float, bool, bytes), so that the peer codec encodes it without conversion.
+Any router can write any shard: which router owns a shard only affects how well writes are batched.
 """
 
 from enum import StrEnum
@@ -10,7 +10,7 @@
 
 
 class ClaimState(StrEnum):
-    """What is recorded of a claim in its shard."""
+    """State of a claim as stored in its shard."""
 
     CLAIMED = "claimed"
     FINISHED = "finished"
@@ -18,7 +18,7 @@
 
 
 class ClaimResult(StrEnum):
-    """What a shard writer did with a claim."""
+    """Result of a claim at the shard writer."""
 
     WON = "won"
     HELD = "held"
@@ -26,7 +26,7 @@
 
 
 class NonceState(StrEnum):
-    """What became of a nonce on the router that made it."""
+    """State of a nonce on the router that created it."""
 
     CLAIMING = "claiming"
     RUNNING = "running"
@@ -37,7 +37,9 @@
 
 @record
 class ClaimAsk:
-    """An entry asks the writer of ``shard`` to put its nonce under ``key``.
+    """Request from an entry to the writer of ``shard`` to store a nonce under ``key``.
+
+    Sent before a request with an idempotency key is dispatched.
 
     Parameters
     ----------
@@ -46,11 +48,11 @@
     key : str
         Hash of team and idempotency key.
     digest : str
-        Digest of the request, to recognise a key used for another one.
+        Digest of the request, to detect a key reused for another request.
     entry, incarnation : str
-        The router that made the nonce, and which life of it.
+        The router that created the nonce, and the incarnation of its process.
     replaces : str
-        A nonce whose router said that it was never dispatched and never will be; empty if none.
+        A nonce whose router confirmed that it never was and never will be dispatched; empty if none.
     """
 
     shard: str
@@ -64,7 +66,7 @@
 
 @record
 class ClaimAnswer:
-    """What came of a :class:`ClaimAsk`; the fields after ``detail`` tell the claim that holds the key."""
+    """Answer to :class:`ClaimAsk`; the fields after ``detail`` describe the claim that holds the key."""
 
     result: str
     detail: str = ""
@@ -81,14 +83,14 @@
 
 @record
 class SettleAsk:
-    """The entry tells how the request behind ``nonce`` ended.
+    """Request from an entry to the shard's writer to store how the request with ``nonce`` ended.
 
     Parameters
     ----------
     state : str
         ``finished``, ``unknown``, or ``refused`` (never dispatched: remove the claim).
     body_kept : bool
-        Whether ``body`` is the whole answer.
+        Whether ``body`` is the complete answer.
     """
 
     shard: str
@@ -103,21 +105,23 @@
 
 @record
 class SettleAnswer:
-    """Whether the end of the request is now in the store."""
+    """Answer to :class:`SettleAsk`: whether the request's end is now in the store."""
 
     stored: bool
 
 
 @record
 class NonceAsk:
-    """Asks the router named in a claim what became of its nonce.
+    """Query to the router named in a claim about the state of its nonce.
+
+    Sent when a request finds its idempotency key claimed already.
 
     Parameters
     ----------
     incarnation : str
-        The life of the router that made the nonce; another one knows nothing of it.
+        Incarnation of the router that created the nonce; no other incarnation knows of it.
     wait_s : float
-        How long to wait for its end before answering ``claiming`` or ``running``.
+        How long to wait for the request's end before answering ``claiming`` or ``running``.
     """
 
     nonce: str
@@ -127,7 +131,7 @@
 
 @record
 class NonceAnswer:
-    """What became of the nonce; ``refused`` promises that it will never be dispatched."""
+    """Answer to :class:`NonceAsk`; ``refused`` guarantees that the nonce will never be dispatched."""
 
     state: str
     status: int = 0
