--- a/wagtailtrestle/contracts/outcomes.py
+++ b/wagtailtrestle/contracts/outcomes.py
@@ -1,4 +1,4 @@
-"""Tagged outcomes: what an operation came to, as values rather than exceptions."""
+"""Tagged outcomes: the results of operations, as values rather than exceptions."""
 
 from enum import StrEnum
 
@@ -6,7 +6,7 @@
 
 
 class Executed(StrEnum):
-    """What a caller is told about whether its request ran; ``no`` is a promise."""
+    """Whether a request ran, as reported to its caller; ``no`` is a guarantee."""
 
     NO = "no"
     UNKNOWN = "unknown"
@@ -14,7 +14,7 @@
 
 
 class Reason(StrEnum):
-    """Why a request got no whole answer; the value is what callers read."""
+    """Why a request got no complete answer; callers receive the value."""
 
     BAD_REQUEST = "bad_request"
     UNAUTHENTICATED = "unauthenticated"
@@ -44,7 +44,7 @@
 
 @record
 class Refusal:
-    """Final answer to a caller whose request got no whole answer.
+    """Final answer to a caller whose request got no complete answer.
 
     Parameters
     ----------
@@ -53,11 +53,11 @@
     reason : Reason
     executed : Executed
     detail : str
-        One sentence for a person; never holds a key or a prompt.
+        One sentence for people to read; never contains a key or a prompt.
     retry_after_s : float or None
-        When to come back, from the present queue and service rates.
+        When to retry, computed from the present queue and service rates.
     cause : str
-        The figures that decided it and their age, for the log alone.
+        The figures that led to the refusal and their age; only logged.
     """
 
     status: int
@@ -68,12 +68,12 @@
     cause: str = ""
 
 
-# How one run on one engine ended.
+# Outcomes of one run on one engine.
 
 
 @record
 class RunDone:
-    """The engine sent its whole answer and it was checked complete."""
+    """The engine sent its answer, which was checked to be complete."""
 
     prompt_tokens: int = 0
     cached_tokens: int = 0
@@ -82,23 +82,23 @@
 
 @record
 class RunRejected:
-    """The engine answered whole, with an HTTP error status of its own."""
+    """The engine rejected the request: it answered completely, with an HTTP error status of its own."""
 
     status: int
 
 
 @record
 class RunFailed:
-    """The engine ran the request and answered whole, with a failure of its own (5xx)."""
+    """The engine ran the request and failed: it answered completely, with a status of its own (5xx)."""
 
     status: int
 
 
 @record
 class RunNotSent:
-    """The request truly did not run.
+    """The request certainly did not run.
 
-    ``arrived`` tells whether it reached an engine that said so itself; otherwise no byte was sent.
+    ``arrived`` tells whether it reached an engine, which reported that it did not run; otherwise no byte was sent.
     """
 
     detail: str
@@ -107,9 +107,9 @@
 
 @record
 class RunCut:
-    """The connection ended, or the answer was not this run's, after bytes were sent.
+    """After bytes were sent, the connection ended or the answer belonged to another run.
 
-    ``reached`` tells whether the engine is known to have begun the run.
+    ``reached`` tells whether the engine is known to have started the run.
     """
 
     detail: str
@@ -119,9 +119,9 @@
 
 @record
 class RunSilent:
-    """No progress within the progress deadline on a connection that stayed open.
+    """No progress within the progress deadline, on a connection that stayed open.
 
-    ``held`` tells whether the engine, asked again over this connection, said that it holds the run.
+    ``held`` tells whether the engine, when reattached to, confirmed that it has the run queued or running.
     """
 
     output_tokens: int = 0
@@ -138,7 +138,7 @@
 
 @record
 class RunLost:
-    """The engine does not know the run it was asked to resume (it restarted)."""
+    """The engine does not know the run that it was to reattach to, as it has restarted."""
 
     output_tokens: int = 0
 
@@ -146,12 +146,12 @@
 RunOutcome = RunDone | RunRejected | RunFailed | RunNotSent | RunCut | RunSilent | RunCancelled | RunLost
 
 
-# What a call on the platform's object API came to.
+# Outcomes of a call to the platform's object API.
 
 
 @record
 class StoreDone:
-    """The call took effect; for a read, ``value`` holds what was read."""
+    """The call succeeded; for a read, ``value`` holds the result."""
 
     version: int
     value: object = None
@@ -159,13 +159,13 @@
 
 @record
 class StoreConflict:
-    """A conditional write was refused: the object is at another version.
+    """A conditional write was rejected, as the object is at another version.
 
     Parameters
     ----------
     version : int or None
     value : object
-        What the object holds; ``None`` where the store does not tell.
+        The object's present value; ``None`` if the store does not return it.
     """
 
     version: int | None = None
@@ -174,24 +174,24 @@
 
 @record
 class StoreAbsent:
-    """There is no such object."""
+    """The object does not exist."""
 
 
 @record
 class StoreHistoryGone:
-    """A watch can't go on from its version: what changed since must be read anew."""
+    """A watch can't continue from its version, as the store no longer has the changes since: read everything again."""
 
 
 @record
 class StoreUnavailable:
-    """The call certainly took no effect: it was never sent, or was refused."""
+    """The call certainly had no effect: it was never sent, or was rejected."""
 
     detail: str
 
 
 @record
 class StoreUnknown:
-    """The call was sent and no answer came: the write may have taken effect."""
+    """The call was sent but not answered: a write may have taken effect."""
 
     detail: str
 
@@ -199,26 +199,26 @@
 StoreOutcome = StoreDone | StoreConflict | StoreAbsent | StoreHistoryGone | StoreUnavailable | StoreUnknown
 
 
-# What a claim on an idempotency key came to.
+# Outcomes of a claim on an idempotency key.
 
 
 @record
 class ClaimWon:
-    """The claim is in the ledger under this nonce: this request alone may run."""
+    """The claim is stored in the ledger under this nonce: only this request may run."""
 
     nonce: str
 
 
 @record
 class ClaimTaken:
-    """An earlier request holds the key and its outcome can't be told: say ``unknown``."""
+    """An earlier request holds the key and its outcome can't be determined: report ``unknown``."""
 
     detail: str
 
 
 @record
 class ClaimFinished:
-    """An earlier request with the same key and body ran; this is its answer."""
+    """An earlier request with the same key and body has run; the fields are its answer."""
 
     status: int
     content_type: str
@@ -232,7 +232,7 @@
 
 @record
 class ClaimUnavailable:
-    """The ledger can't be reached: nothing ran and nothing will."""
+    """The ledger can't be reached: the request did not run and will not."""
 
     detail: str
 
