--- a/wagtailtrestle/contracts/peer_messages.py
+++ b/wagtailtrestle/contracts/peer_messages.py
@@ -1,4 +1,4 @@
-"""Messages between routers that concern neither entries nor schedulers."""
+"""Messages between routers about membership, configuration and the engine list."""
 
 from enum import StrEnum
 
@@ -6,7 +6,7 @@
 
 
 class MemberState(StrEnum):
-    """What is said of a router; a later one outweighs an earlier one of the same version."""
+    """State of a router; among states of the same version, the one listed later takes precedence."""
 
     ALIVE = "alive"
     SUSPECT = "suspect"
@@ -16,14 +16,14 @@
 
 @record
 class Hello:
-    """First item on each connection, in both directions.
+    """Introduces the sender: the first item on each connection, in both directions.
 
     Parameters
     ----------
     incarnation : int
-        Grows with each start of the router of that name.
+        Increases with each start of the router of that name.
     address : str
-        ``host:port`` on which the sender takes connections.
+        ``host:port`` on which the sender accepts connections.
     """
 
     name: str
@@ -34,7 +34,7 @@
 
 @record
 class Ping:
-    """Asks for a sign of life on this very connection."""
+    """Checks that the peer answers on this connection; answered by :class:`Pong`."""
 
 
 @record
@@ -44,25 +44,25 @@
 
 @record
 class NoAnswer:
-    """The peer has nothing to say to a question: no handler, or an unknown question."""
+    """Answer to a query for which the peer has no handler or whose type it does not know."""
 
 
 @record
 class Heartbeat:
-    """A router's sign of life to its partners.
+    """Sent periodically by a router to its partners, to show that it is alive.
 
     Parameters
     ----------
     version : int
-        Counts what the router said about itself within its incarnation.
+        Version of the router's own state within its incarnation.
     generation : int
-        Generation of the configuration it has in force, 0 for none.
+        Generation of the configuration in force at the router; 0 for none.
     view_digest : int
-        Equal for equal views.
+        Digest of the router's view, equal for equal views.
     store_epoch : int
-        Epoch of the platform's store as the router knows it, 0 for none.
+        Latest epoch of the platform's store that the router knows of; 0 for none.
     store_epoch_known_s : float
-        How long the router, or any that told it, has known this epoch.
+        Time since this router, or any that reported it, learned of this epoch.
     """
 
     incarnation: int
@@ -76,7 +76,7 @@
 
 @record
 class ViewEvent:
-    """One router's state, passed from peer to peer; (incarnation, version, state) orders events."""
+    """One router's state, forwarded from peer to peer; events are ordered by (incarnation, version, state)."""
 
     name: str
     zone: str
@@ -89,29 +89,29 @@
 
 @record
 class ViewAsk:
-    """Asks a peer for all it knows of the members."""
+    """Requests all that a peer knows of the members."""
 
 
 @record
 class ViewText:
-    """Answers :class:`ViewAsk`."""
+    """Answer to :class:`ViewAsk`: one event for each known member."""
 
     events: tuple = ()
 
 
 @record
 class RegisterAsk:
-    """A scheduler that starts or woke from a pause asks an entry to register for the cell of the item."""
+    """Sent by a scheduler that has started or was paused, to request that an entry register for the item's cell."""
 
 
 @record
 class Relayed:
-    """An item for ``target``, passed through a third router because the direct way is cut.
+    """An item for ``target``, sent through a third router because the direct connection is down.
 
     Parameters
     ----------
     item : bytes
-        Encoded item, as it would have gone directly.
+        The item, encoded as for the direct connection.
     """
 
     source: str
@@ -121,19 +121,19 @@
 
 @record
 class ConfigurationAsk:
-    """Asks a peer for the configuration it has in force, if it is at least ``generation``."""
+    """Requests the configuration in force at a peer, if its generation is at least ``generation``."""
 
     generation: int = 0
 
 
 @record
 class ConfigurationText:
-    """A whole declaration; generation 0 means none is in force.
+    """Answer to :class:`ConfigurationAsk`: a complete declaration; generation 0 means that none is in force.
 
     Parameters
     ----------
     packed : bytes
-        Its text as UTF-8, compressed by zlib.
+        The declaration's text in UTF-8, compressed by zlib.
     """
 
     generation: int
@@ -142,19 +142,19 @@
 
 @record
 class ConfirmationAsk:
-    """Asks a peer how lately the platform confirmed the configuration that it has in force."""
+    """Requests the time since the platform last confirmed the configuration in force at a peer."""
 
 
 @record
 class EnginesAsk:
-    """Asks a peer how engines' entries changed after ``version``.
+    """Requests the changes of engines' entries in the store after ``version``, from the peer that reads it.
 
     Parameters
     ----------
     version : int
-        The store's version that the asker knows; 0 for the whole list.
+        The store's version that the requester has; 0 for the complete list.
     wait_s : float
-        How long the peer may wait for a change.
+        Longest time that the peer may wait for a change before it answers.
     """
 
     version: int
@@ -163,13 +163,13 @@
 
 @record
 class EngineEntry:
-    """One engine's entry.
+    """One engine's entry in the platform's store.
 
     Parameters
     ----------
     name : str
     value : str
-        What the store holds, as JSON; empty for an entry that is gone.
+        The stored value as JSON; empty if the entry was removed.
     """
 
     name: str
@@ -178,18 +178,18 @@
 
 @record
 class EnginesAnswer:
-    """Answers :class:`EnginesAsk`.
+    """Answer to :class:`EnginesAsk`.
 
     Parameters
     ----------
     version : int
-        The store's version up to which ``entries`` tells everything.
+        The store's version up to which ``entries`` is complete.
     age_s : float
-        Time since the store itself showed that this is so; negative if it never did.
+        Time since the store itself confirmed this version; negative if it never did.
     waited_s : float
-        How long the question waited at the peer; what else its answer took is the way.
+        Time that the query waited at the peer; the rest of its round trip was spent on the network.
     is_whole : bool
-        Whether ``entries`` is the whole list instead of what changed.
+        Whether ``entries`` is the complete list rather than the changes.
     entries : tuple of EngineEntry
     """
 
@@ -202,14 +202,14 @@
 
 @record
 class Confirmation:
-    """Answers :class:`ConfirmationAsk`.
+    """Answer to :class:`ConfirmationAsk`.
 
     Parameters
     ----------
     generation : int
-        0 for none.
+        Generation in force at the peer; 0 for none.
     age_s : float
-        Time since the platform showed that this generation is its newest; negative if it never did.
+        Time since the platform confirmed that this generation is the newest; negative if it never did.
     """
 
     generation: int
@@ -218,7 +218,7 @@
 
 @record
 class PeerUnreachable:
-    """Outcome of a question that got no answer: the peer may or may not have acted on it."""
+    """Outcome of a query that got no answer; the peer may or may not have acted on it. Never sent."""
 
     peer: str
     detail: str
