--- a/wagtailtrestle/contracts/ports.py
+++ b/wagtailtrestle/contracts/ports.py
@@ -1,4 +1,4 @@
-"""Ports: what the decisions need from the outside, as ``Protocol`` types."""
+"""Ports: the interfaces through which the scheduling logic uses the outside, as ``Protocol`` types."""
 
 from typing import Protocol
 
@@ -8,48 +8,48 @@
 
 
 class ObjectStore(Protocol):
-    """The platform's object API. Values are what JSON holds; outcomes are values."""
+    """The platform's object API; objects have JSON values, and outcomes are returned, not raised."""
 
     async def get(self, *, kind: str, name: str, unless_version: int | None = None) -> StoreOutcome:
-        """Read one object; ``value`` is ``None`` if it is still at ``unless_version``."""
+        """Read one object; the outcome's ``value`` is ``None`` if it is still at ``unless_version``."""
 
     async def list(self, *, kind: str) -> StoreOutcome:
-        """Read all objects of a kind: ``value`` maps name to ``(version, value)``."""
+        """Read all objects of a kind; the outcome's ``value`` maps name to ``(version, value)``."""
 
     async def create(self, *, kind: str, name: str, value) -> StoreOutcome:
-        """Create an object that must not exist yet."""
+        """Create an object; a conflict if it exists."""
 
     async def update(self, *, kind: str, name: str, value, if_version: int) -> StoreOutcome:
-        """Replace an object that must be at ``if_version``."""
+        """Replace an object; a conflict unless it is at ``if_version``."""
 
     async def delete(self, *, kind: str, name: str, if_version: int) -> StoreOutcome:
-        """Delete an object that must be at ``if_version``."""
+        """Delete an object; a conflict unless it is at ``if_version``."""
 
     async def watch(self, *, kind: str, from_version: int, timeout_s: float) -> StoreOutcome:
         """Wait for changes after ``from_version``.
 
-        ``value`` is a tuple of ``(name, version, value)``, empty when none came in time.
+        The outcome's ``value`` is a tuple of ``(name, version, value)``, empty if nothing changed within ``timeout_s``.
         """
 
     async def vms(self, *, unless_version: int | None = None) -> StoreOutcome:
-        """Read the lagging list of VMs: a tuple of ``VM``, ``None`` if it is still at ``unless_version``."""
+        """Read the list of VMs, which may lag: a tuple of ``VM``, or ``None`` if it is still at ``unless_version``."""
 
 
 class StatusStore(ObjectStore, Protocol):
-    """An object API whose objects hold, beside what their writer says, what the system tells of them."""
+    """An object API whose objects have a status, set by the system, beside the specification set by their writer."""
 
     async def update_status(self, *, kind: str, name: str, value, if_version: int) -> StoreOutcome:
-        """Replace what the system tells of an object that must be at ``if_version``."""
+        """Replace an object's status; a conflict unless it is at ``if_version``."""
 
 
 class DeclarationPlace(Protocol):
-    """Where a store holds the declaration, and how its object is read.
+    """Where a store holds the declaration, and how to parse its object.
 
     Attributes
     ----------
     kind, name : str
     reads_are_newest : bool
-        Whether a plain read proves itself the newest.
+        Whether a plain read is certain to return the newest version.
     """
 
     kind: str
@@ -57,50 +57,50 @@
     reads_are_newest: bool
 
     def accepted(self, *, version: int, value):
-        """The ``Accepted`` declaration that an object's value holds, or ``None``."""
+        """Return the ``Accepted`` declaration in an object's value, or ``None`` if it is not acceptable."""
 
 
 class SchedulerLink(Protocol):
-    """Carries an entry's messages to whichever router is scheduler of a cell."""
+    """Sends an entry's messages to the router that is the scheduler of a cell."""
 
     def send(self, *, cell: str, message: EntryMessage) -> bool:
-        """Queue a message; ``False`` if no scheduler can be reached now."""
+        """Queue a message; return ``False`` if no scheduler can be reached."""
 
 
 class EntryLink(Protocol):
-    """Carries a scheduler's messages to the entry that owns a request."""
+    """Sends a scheduler's messages to the entry that owns a request."""
 
     def send(self, *, entry: str, message: SchedulerMessage) -> bool:
-        """Queue a message; ``False`` if that entry can't be reached now."""
+        """Queue a message; return ``False`` if the entry can't be reached."""
 
 
 class Claims(Protocol):
-    """The ledger of idempotency keys, as the entry sees it."""
+    """The ledger of idempotency keys, as used by an entry."""
 
     async def claim(self, *, team: str, key: str, body_digest: str, nonce: str, wait_s: float = 10.0) -> ClaimOutcome:
-        """Claim a key for the request that made ``nonce``; answers within ``wait_s``.
+        """Claim a key for the request that created ``nonce``; return within ``wait_s``.
 
-        A re-send waits that long for the outcome of the first request with its key.
+        A repeated request waits that long for the outcome of the first request with its key.
         """
 
     def release(self, *, team: str, key: str, nonce: str) -> None:
-        """Give back a claim whose request was never dispatched."""
+        """Release a claim whose request was never dispatched."""
 
     def finish(self, *, team: str, key: str, nonce: str, status: int, content_type: str, body: bytes) -> None:
         """Record the answer of the request that holds the claim."""
 
     def finish_unknown(self, *, team: str, key: str, nonce: str) -> None:
-        """Record that the request was dispatched and its outcome can't be told."""
+        """Record that the request was dispatched and its outcome can't be determined."""
 
 
 class ReportDialect(Protocol):
-    """Where engines tell their load, and how that reads.
+    """Paths of the engines' load and cache reports, and how to parse a load report.
 
     Attributes
     ----------
     load_path : str
     cache_path : str or None
-        ``None`` where no cache events are asked for.
+        ``None`` if no cache events are requested.
     """
 
     load_path: str
@@ -112,5 +112,5 @@
         Raises
         ------
         KeyError, TypeError, ValueError
-            If it has another shape.
+            If the JSON does not have the expected structure.
         """
