--- a/wagtailtrestle/contracts/quota_messages.py
+++ b/wagtailtrestle/contracts/quota_messages.py
@@ -1,22 +1,22 @@
-"""Messages between a router that serves a team and the owner of that team's quota."""
+"""Messages between a router that serves a team and the router that owns that team's quota."""
 
 from wagtailtrestle.record import record
 
 
 @record
 class QuotaAsk:
-    """Asks for credits of a team, or gives some back.
+    """Request to the quota's owner for credits of a team, or return of unused ones.
 
     Parameters
     ----------
     needed : tuple of int
-        Units of each request that waits for them. Each is granted whole or not at all: a part is of
-        no use to the request, and would be missing where it is.
+        Units needed by each waiting request. Each is granted in full or not at all: a part is of no use to
+        the request, and would be missing elsewhere.
     ahead : int
-        Units beyond them, for the requests of the next moment.
+        Units requested in advance for the next requests, beyond those needed now.
     returned : int
-        Units granted earlier that nobody here needs any more, or that are too few for what is needed; the owner takes
-        them in before it grants.
+        Units granted earlier that the router no longer needs, or that are too few for what it needs; the owner
+        credits them before it grants.
     """
 
     team: str
@@ -27,18 +27,18 @@
 
 @record
 class QuotaGrant:
-    """Answers :class:`QuotaAsk`.
+    """Answer to :class:`QuotaAsk`.
 
     Parameters
     ----------
     units : int
         Credits granted.
     retry_after_s : float
-        When the smallest request that was not granted will fit; 0 if all were.
+        Time until the smallest request that was not granted will fit; 0 if all were granted.
     refused_units : int
-        Units of that request; what is smaller may fit earlier.
+        Units of that request; a smaller one may fit earlier.
     left : int
-        Units that the owner still has to grant; negative while it makes up for a request larger
+        Units that the owner can still grant; negative while the bucket refills after a request larger
         than the whole burst.
     """
 
