--- a/wagtailtrestle/contracts/report_messages.py
+++ b/wagtailtrestle/contracts/report_messages.py
@@ -1,4 +1,4 @@
-"""What engines report of themselves, as messages to the decisions."""
+"""Engines' load and cache reports, as messages to the schedulers."""
 
 from wagtailtrestle.record import record
 
@@ -11,14 +11,15 @@
     ----------
     engine : str
     age_s : float
-        The engine's own lag; the reading's time on the wire is added.
+        The engine's own reporting lag plus the time that the read took.
     running, waiting : int
-        Runs in its batch, and runs it admitted that wait for a place there.
+        Runs in the engine's batch, and runs that it accepted that wait for a slot in the batch.
     step_s : float
-        Length of its last step.
+        Duration of its last step.
     leaving : bool
+        Whether the engine is draining.
     start_ms : int
-        When it started, Unix milliseconds; 0 where engines don't tell.
+        When the engine started, in Unix milliseconds; 0 where engines don't report it.
     """
 
     engine: str
@@ -32,7 +33,7 @@
 
 @record
 class LoadUnreachable:
-    """An engine gave no report when asked; says nothing about who is to blame."""
+    """An engine did not answer a request for its report, because of the engine or of the network."""
 
     engine: str
     detail: str
@@ -40,7 +41,7 @@
 
 @record
 class CacheEvents:
-    """Changes of an engine's prefix cache, late.
+    """Changes of an engine's prefix cache, reported with a delay.
 
     Parameters
     ----------
@@ -48,9 +49,9 @@
     stored, removed : tuple of int
         Block hashes, in the order in which they changed.
     gap : bool
-        Events before these, or among them, were lost: what is believed may be stale.
+        Whether events before or among these were lost, so that the recorded cache contents may be stale.
     restarted : bool
-        The engine numbers its events anew: it holds nothing it held before.
+        Whether the engine's event numbers started again, so that its earlier cache contents are gone.
     """
 
     engine: str
