--- a/wagtailtrestle/contracts/rollout_messages.py
+++ b/wagtailtrestle/contracts/rollout_messages.py
@@ -1,4 +1,4 @@
-"""What an operator orders: that a service move to another version within a time."""
+"""Rollouts: an operator's order to move a service to another version within a time, and its progress."""
 
 from enum import StrEnum
 
@@ -6,7 +6,7 @@
 
 
 class RolloutState(StrEnum):
-    """Where a roll-out stands; the last two are final."""
+    """State of a rollout; all but ``running`` are final."""
 
     RUNNING = "running"
     COMPLETED = "completed"
@@ -14,25 +14,25 @@
 
     @property
     def is_final(self):
-        """Whether it never changes again."""
+        """Whether the state is final."""
         return self is not RolloutState.RUNNING
 
 
 @record
 class RolloutOrder:
-    """One order as the store holds it.
+    """A rollout order as stored.
 
     Parameters
     ----------
     service : str
     target : str
-        Version of the engines that are to serve it.
+        Version of the engines that are to serve the service.
     duration_s : float
-        Time from the order within which the roll-out has to end.
+        Time from the order within which the rollout must end.
     store_version : int
-        Of the object that holds the order; a write of its state asks for it.
+        Version of the object that holds the order; required to write its state.
     state : RolloutState or None
-        ``None`` if nobody has told one for this target yet.
+        ``None`` if no state has been reported for this target yet.
     """
 
     service: str
@@ -44,21 +44,21 @@
 
 @record
 class RolloutWord:
-    """How a roll-out stands, told among routers: by its coordinator while it runs, and by all once it has ended.
+    """Progress of a rollout, sent among routers: by its coordinator while it runs, and by all once it has ended.
 
     Parameters
     ----------
     service, target : str
     state : RolloutState
     elapsed_s : float
-        Time since the order was seen first.
+        Time since the order was first seen.
     duration_s : float
     granted, exposed : int
-        Runs granted in the service since then, and those of them on the target.
+        Runs granted in the service since then, and how many of them on the target.
     target_runs, target_bad : int
-        Runs on the target that were judged, and those of them that were bad.
+        Judged runs on the target, and how many of them were bad.
     suspicion : float
-        How much speaks against the target; see ``Judgement``.
+        Strength of the evidence against the target; see ``Judgement``.
     """
 
     service: str
