--- a/wagtailtrestle/contracts/ports.py
+++ b/wagtailtrestle/contracts/ports.py
@@ -17,13 +17,13 @@
         """Read all objects of a kind; the outcome's ``value`` maps name to ``(version, value)``."""
 
     async def create(self, *, kind: str, name: str, value) -> StoreOutcome:
-        """Create an object; a conflict if it exists."""
+        """Create an object unless one of that name exists."""
 
     async def update(self, *, kind: str, name: str, value, if_version: int) -> StoreOutcome:
-        """Replace an object; a conflict unless it is at ``if_version``."""
+        """Replace an object if it is at ``if_version``."""
 
     async def delete(self, *, kind: str, name: str, if_version: int) -> StoreOutcome:
-        """Delete an object; a conflict unless it is at ``if_version``."""
+        """Delete an object if it is at ``if_version``."""
 
     async def watch(self, *, kind: str, from_version: int, timeout_s: float) -> StoreOutcome:
         """Wait for changes after ``from_version``.
@@ -39,7 +39,7 @@
     """An object API whose objects have a status, set by the system, beside the specification set by their writer."""
 
     async def update_status(self, *, kind: str, name: str, value, if_version: int) -> StoreOutcome:
-        """Replace an object's status; a conflict unless it is at ``if_version``."""
+        """Replace an object's status if the object is at ``if_version``."""
 
 
 class DeclarationPlace(Protocol):
