--- a/wagtailtrestle/contracts/messages.py
+++ b/wagtailtrestle/contracts/messages.py
@@ -163,14 +163,14 @@
     entry: str = ""
 
     @property
-    def names_limit(self):
+    def has_rate_limit(self):
         """Whether the engine announced a rate limit."""
         return self.limit_per_s != math.inf
 
     @property
     def asks_something(self):
         """Whether the notice announces a rate limit, a drain or a back-off."""
-        return self.names_limit or self.leaving or self.rest_s > 0.0
+        return self.has_rate_limit or self.leaving or self.rest_s > 0.0
 
 
 @record
--- a/wagtailtrestle/engines/notices.py
+++ b/wagtailtrestle/engines/notices.py
@@ -161,7 +161,7 @@
                 before_per_s=_json_number(received.limit_per_s),
             ).info("an engine states another rate limit in its answers")
         received.limit_per_s = notice.limit_per_s
-        received.limit_at = self._clock() if notice.names_limit else -math.inf
+        received.limit_at = self._clock() if notice.has_rate_limit else -math.inf
 
     def _limit_age_s(self, engine):
         received = self._received_by_engine.get(engine)
--- a/wagtailtrestle/engines/state.py
+++ b/wagtailtrestle/engines/state.py
@@ -226,7 +226,7 @@
             self._leaving_notice_at = max(self._leaving_notice_at, self._clock() - notice.age_s)
             self._refresh_limit()
             return
-        if notice.rest_s and not notice.names_limit:
+        if notice.rest_s and not notice.has_rate_limit:
             return  # Back-off notices may be repeated by registrations: without a limit they don't show that one ended.
         was_limited = self.rate_limit.in_force
         self.rate_limit.observe(notice.limit_per_s, age_s=notice.age_s)
