--- a/tests/test_notice_reading.py
+++ b/tests/test_notice_reading.py
@@ -37,7 +37,7 @@
 
     # Guards against a service's Retry-After on an answer to a request that it ran.
     def test_only_a_rejection_asks_for_a_back_off(self):
-        self.assertFalse(self.read(status=200, Retry_After="3").asks_something)
+        self.assertFalse(self.read(status=200, Retry_After="3").restricts_load)
 
     # Guards against a notice in another run's answer, received on this connection, that is applied to this engine.
     def test_answer_to_another_run_gives_no_notice(self):
--- a/wagtailtrestle/contracts/messages.py
+++ b/wagtailtrestle/contracts/messages.py
@@ -168,7 +168,7 @@
         return self.limit_per_s != math.inf
 
     @property
-    def asks_something(self):
+    def restricts_load(self):
         """Whether the notice announces a rate limit, a drain or a back-off."""
         return self.has_rate_limit or self.leaving or self.rest_s > 0.0
 
--- a/wagtailtrestle/engines/run_exchange.py
+++ b/wagtailtrestle/engines/run_exchange.py
@@ -240,7 +240,7 @@
             pass  # The engine stopped reading; it may have sent an answer with the reason before.
         self.response = self._connection.getresponse()
         notice = self.call.notice(self)
-        if notice is not None and (notice.asks_something or self.command.was_limited):
+        if notice is not None and (notice.restricts_load or self.command.was_limited):
             self._on_event(notice)
         return self.call.read(self)
 
