--- a/tests/test_confirmation.py
+++ b/tests/test_confirmation.py
@@ -135,7 +135,7 @@
         source.source._place = SimpleNamespace(
             kind="config",
             name="main",
-            reads_are_newest=True,
+            reads_are_linearizable=True,
             accepted=lambda version, value: SimpleNamespace(generation=value, text=""),
         )
         await source.store.create(kind="config", name="main", value=GENERATION)
--- a/tests/utils/freshness_replay.py
+++ b/tests/utils/freshness_replay.py
@@ -26,7 +26,7 @@
 
     kind = "config"
     name = "main"
-    reads_are_newest = True
+    reads_are_linearizable = True
 
     def accepted(self, *, version, value):
         """Read the generation."""
--- a/wagtailtrestle/configuration/sources.py
+++ b/wagtailtrestle/configuration/sources.py
@@ -74,7 +74,7 @@
 
     kind = DECLARATION_KIND
     name = DECLARATION_NAME
-    reads_are_newest = False
+    reads_are_linearizable = False
     """A read may come from a copy that lags, so that its being the newest needs a proof."""
 
     def accepted(self, *, version, value):
@@ -297,7 +297,7 @@
         read_version = await self._read(Source.POLL)
         if read_version is None:
             return False
-        if self._place.reads_are_newest:
+        if self._place.reads_are_linearizable:
             return True
         outcome = await self._store.update(
             kind=self._place.kind, name=self._place.name, value=None, if_version=NEVER_A_VERSION
--- a/wagtailtrestle/contracts/ports.py
+++ b/wagtailtrestle/contracts/ports.py
@@ -54,7 +54,7 @@
 
     kind: str
     name: str
-    reads_are_newest: bool
+    reads_are_linearizable: bool
 
     def accepted(self, *, version: int, value):
         """Return the ``Accepted`` declaration in an object's value, or ``None`` if it is not acceptable."""
--- a/wagtailtrestle/platform/declarations.py
+++ b/wagtailtrestle/platform/declarations.py
@@ -40,7 +40,7 @@
 
     kind = DECLARATION_KIND
     name = DECLARATION_NAME
-    reads_are_newest = True
+    reads_are_linearizable = True
     """A plain read of this store is never stale, so it needs no second proof."""
 
     def accepted(self, *, version, value):
