--- a/wagtailtrestle/contracts/ports.py
+++ b/wagtailtrestle/contracts/ports.py
@@ -42,7 +42,7 @@
         """Replace an object's status if the object is at ``if_version``."""
 
 
-class DeclarationPlace(Protocol):
+class DeclarationLocation(Protocol):
     """Where a store holds the declaration, and how to parse its object.
 
     Attributes
