--- a/wagtailtrestle/cli/runner.py
+++ b/wagtailtrestle/cli/runner.py
@@ -6,7 +6,7 @@
 
 import fire
 
-from wagtailtrestle.declarations.argument_types import Wrong
+from wagtailtrestle.declarations.argument_types import InvalidValue
 from wagtailtrestle.exit_status import ExitStatus
 
 ANSI = re.compile(r"\x1b\[[0-9;]*m")
@@ -99,7 +99,7 @@
     faulty = False
     for name, (text, value_type) in typed.items():
         value = None if text is None else value_type.read(text)
-        if isinstance(value, Wrong):
+        if isinstance(value, InvalidValue):
             faulty = True
             environment.complain(f"{name} {value.problem}; allowed: {value_type.allowed}")
         values[name] = value
--- a/wagtailtrestle/declarations/field_reader.py
+++ b/wagtailtrestle/declarations/field_reader.py
@@ -1,6 +1,6 @@
 """Readers of YAML mappings, field by field, that record every fault and go on."""
 
-from wagtailtrestle.declarations.argument_types import Wrong, shown
+from wagtailtrestle.declarations.argument_types import InvalidValue, shown
 from wagtailtrestle.declarations.yaml_source import MappingNode, ScalarNode, SequenceNode
 
 REQUIRED = object()
@@ -134,7 +134,7 @@
     problem = _shape_problem(node, value_type)
     if problem is None:
         value = value_type.read(node.text)
-        if not isinstance(value, Wrong):
+        if not isinstance(value, InvalidValue):
             return value
         problem = value.problem
     faults.add(line=node.line, field=field, problem=problem, allowed=value_type.allowed)
--- a/wagtailtrestle/platform/engine_entries.py
+++ b/wagtailtrestle/platform/engine_entries.py
@@ -7,7 +7,7 @@
 from loguru import logger
 
 from wagtailtrestle.contracts.declaration import DeclaredEngine
-from wagtailtrestle.declarations.argument_types import HostPort, Wrong
+from wagtailtrestle.declarations.argument_types import HostPort, InvalidValue
 
 READY = "ready"
 DRAINING = "draining"
@@ -118,7 +118,7 @@
 
 def _address(value):
     address = HostPort().read(_text(value, "address"))
-    if isinstance(address, Wrong):
+    if isinstance(address, InvalidValue):
         raise Unfit(f"address {address.problem}")
     return address
 
