--- a/wagtailtrestle/declarations/argument_types.py
+++ b/wagtailtrestle/declarations/argument_types.py
@@ -48,7 +48,7 @@
         """Return the value, or ``Wrong``."""
 
 
-def shown(text):
+def quote_value(text):
     """Quote a value for a message, cut short so that one long value can't flood it."""
     text = str(text)
     if len(text) > LARGEST_SHOWN:
@@ -66,7 +66,7 @@
         """Return the name, or ``Wrong``."""
         if NAME_PATTERN.fullmatch(text):
             return text
-        return InvalidValue(problem=f"is {shown(text)}, which is not a name")
+        return InvalidValue(problem=f"is {quote_value(text)}, which is not a name")
 
 
 class Integer:
@@ -82,7 +82,7 @@
     def read(self, text):
         """Return the number, or ``Wrong``."""
         if not INTEGER_PATTERN.fullmatch(text):
-            return InvalidValue(problem=f"is {shown(text)}, which is not a whole number")
+            return InvalidValue(problem=f"is {quote_value(text)}, which is not a whole number")
         value = int(text)
         if not self.least <= value <= self.most:
             return InvalidValue(problem=f"is {value}, out of range")
@@ -102,7 +102,7 @@
     def read(self, text):
         """Return the number as a float, or ``Wrong``."""
         if not NUMBER_PATTERN.fullmatch(text):
-            return InvalidValue(problem=f"is {shown(text)}, which is not a number")
+            return InvalidValue(problem=f"is {quote_value(text)}, which is not a number")
         value = float(text)
         if not math.isfinite(value) or not self.least <= value <= self.most:
             return InvalidValue(problem=f"is {text}, out of range")
@@ -121,7 +121,7 @@
             return True
         if text.lower() == "false":
             return False
-        return InvalidValue(problem=f"is {shown(text)}, which is neither true nor false")
+        return InvalidValue(problem=f"is {quote_value(text)}, which is neither true nor false")
 
 
 class OneOf:
@@ -137,7 +137,7 @@
         """Return the word, or ``Wrong``."""
         if text in self.words:
             return text
-        return InvalidValue(problem=f"is {shown(text)}, which is not known")
+        return InvalidValue(problem=f"is {quote_value(text)}, which is not known")
 
 
 class HostPort:
@@ -150,12 +150,12 @@
         """Return the address as written, or ``Wrong``."""
         host, colon, port = text.rpartition(":")
         if not colon:
-            return InvalidValue(problem=f"is {shown(text)}, which has no port")
+            return InvalidValue(problem=f"is {quote_value(text)}, which has no port")
         if not (port.isascii() and port.isdigit() and len(port) <= 5 and 1 <= int(port) <= LARGEST_PORT):
-            return InvalidValue(problem=f"is {shown(text)}, whose port is not from 1 to {LARGEST_PORT}")
+            return InvalidValue(problem=f"is {quote_value(text)}, whose port is not from 1 to {LARGEST_PORT}")
         bracketed = host.startswith("[") and host.endswith("]")
         if not _is_ip(host[1:-1] if bracketed else host, version=6 if bracketed else 4):
-            return InvalidValue(problem=f"is {shown(text)}, whose host is not an IP number")
+            return InvalidValue(problem=f"is {quote_value(text)}, whose host is not an IP number")
         return text
 
 
@@ -188,9 +188,9 @@
         """Return the path, or ``Wrong``."""
         segments = text.split("/")
         if len(text) > LARGEST_PATH or not text.startswith("/") or "." in segments or ".." in segments:
-            return InvalidValue(problem=f"is {shown(text)}, which is not a path")
+            return InvalidValue(problem=f"is {quote_value(text)}, which is not a path")
         if not PATH_PATTERN.fullmatch(text):
-            return InvalidValue(problem=f"is {shown(text)}, which is not a path")
+            return InvalidValue(problem=f"is {quote_value(text)}, which is not a path")
         return text
 
 
@@ -208,7 +208,7 @@
         except ValueError:
             usable = False
         if not usable or parts.query or parts.fragment or parts.username is not None or _has_blank(text):
-            return InvalidValue(problem=f"is {shown(text)}, which is not the URL of a process")
+            return InvalidValue(problem=f"is {quote_value(text)}, which is not the URL of a process")
         return text.rstrip("/")
 
 
@@ -222,7 +222,7 @@
         """Return ``(name, address)``, or ``Wrong``."""
         name, _, address = text.partition("=")
         if isinstance(Name().read(name), InvalidValue) or isinstance(HostPort().read(address), InvalidValue):
-            return InvalidValue(problem=f"is {shown(text)}, which is not a named address")
+            return InvalidValue(problem=f"is {quote_value(text)}, which is not a named address")
         return name, address
 
 
--- a/wagtailtrestle/declarations/field_reader.py
+++ b/wagtailtrestle/declarations/field_reader.py
@@ -1,6 +1,6 @@
 """Readers of YAML mappings, field by field, that record every fault and go on."""
 
-from wagtailtrestle.declarations.argument_types import InvalidValue, shown
+from wagtailtrestle.declarations.argument_types import InvalidValue, quote_value
 from wagtailtrestle.declarations.yaml_source import MappingNode, ScalarNode, SequenceNode
 
 REQUIRED = object()
@@ -164,4 +164,4 @@
 
 
 def _cut(text):
-    return shown(text)[1:-1]
+    return quote_value(text)[1:-1]
