--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -47,7 +47,7 @@
         settings = parse_router_settings(filled_in(template, FIELDS))
         self.assertNotIsInstance(settings, SettingsFaults, getattr(settings, "faults", ""))
         self.assertEqual(settings.adapter, "platform")
-        self.assertEqual((settings.key_freshness_s, settings.longest_drain_s), (4.5, 0.84 * 8))
+        self.assertEqual((settings.key_freshness_s, settings.max_drain_s), (4.5, 0.84 * 8))
         self.assertEqual((settings.retry_share, settings.retry_extra, settings.retry_window_s), (0.2, 58.0, 8.0))
 
     def test_a_deployment_without_some_bounds_starts_too(self):
--- a/wagtailtrestle/declarations/settings.py
+++ b/wagtailtrestle/declarations/settings.py
@@ -229,7 +229,7 @@
         return FRESHNESS_SHARE * self.key_revocation_ms / 1000.0
 
     @property
-    def longest_drain_s(self):
+    def max_drain_s(self):
         """Longest wait for requests in flight: the end of the process takes a second more."""
         return DRAIN_SHARE * self.stop_grace_s if self.stop_grace_s else self.drain_timeout_s
 
--- a/wagtailtrestle/router.py
+++ b/wagtailtrestle/router.py
@@ -377,13 +377,13 @@
         self._membership.set_draining()
         self._schedulers.stop_granting()
         try:
-            async with asyncio.timeout(self._settings.longest_drain_s):
+            async with asyncio.timeout(self._settings.max_drain_s):
                 await self._callers.drain(
                     grace_s=self._settings.balancer_grace_s, plain_grace_s=self._settings.plain_grace_s
                 )
                 await self._entry.drained()
         except TimeoutError:
-            logger.error("requests were still in flight after {} s", self._settings.longest_drain_s)
+            logger.error("requests were still in flight after {} s", self._settings.max_drain_s)
         if self._announcement is not None:
             await self._announcement.withdraw()
 
