--- a/wagtailtrestle/declarations/check.py
+++ b/wagtailtrestle/declarations/check.py
@@ -47,10 +47,10 @@
     node = compose(text, faults=faults)
     root = open_mapping(node, field="", faults=faults) if node is not None else None
     if root is None:
-        return DeclarationFaults(faults=faults.in_order())
+        return DeclarationFaults(faults=faults.sorted_by_line())
     declaration = _read(root)
     if faults.faults:
-        return DeclarationFaults(faults=faults.in_order())
+        return DeclarationFaults(faults=faults.sorted_by_line())
     return declaration
 
 
--- a/wagtailtrestle/declarations/settings.py
+++ b/wagtailtrestle/declarations/settings.py
@@ -274,11 +274,11 @@
     node = compose(text, faults=faults)
     reader = open_mapping(node, field="", faults=faults) if node is not None else None
     if reader is None:
-        return SettingsFaults(faults=faults.in_order())
+        return SettingsFaults(faults=faults.sorted_by_line())
     values = read(reader)
     reader.close()
     if faults.faults:
-        return SettingsFaults(faults=faults.in_order())
+        return SettingsFaults(faults=faults.sorted_by_line())
     return settings_class(**values)
 
 
--- a/wagtailtrestle/declarations/yaml_source.py
+++ b/wagtailtrestle/declarations/yaml_source.py
@@ -61,7 +61,7 @@
         """Record a fault at a line, or at line 0 for the whole file."""
         self.faults.append(Fault(file=self.file, line=line, field=field, problem=problem, allowed=allowed))
 
-    def in_order(self):
+    def sorted_by_line(self):
         """Return the faults as a tuple, by line."""
         return tuple(sorted(self.faults, key=lambda fault: fault.line))
 
