--- a/wagtailtrestle/declarations/names.py
+++ b/wagtailtrestle/declarations/names.py
@@ -28,7 +28,7 @@
         self.lines_by_name[name] = line
         return True
 
-    def refer(self, reader, field, name, *, node=None):
+    def check_declared(self, reader, field, name, *, node=None):
         """Record a fault if nobody declared the name that stands in ``field``."""
         if name is not None and name not in self.lines_by_name:
             reader.fault(field, f"is {name}, which is not declared", f"a declared {self.kind}", node=node)
--- a/wagtailtrestle/declarations/service_check.py
+++ b/wagtailtrestle/declarations/service_check.py
@@ -90,10 +90,10 @@
     name = reader.value("name", Name())
     table.declare(reader, "name", name)
     tier = reader.value("tier", Name())
-    names.tiers.refer(reader, "tier", tier)
+    names.tiers.check_declared(reader, "tier", tier)
     teams = reader.values("teams", Name(), required=False)
     for team, node in teams:
-        names.teams.refer(reader, "teams", team, node=node)
+        names.teams.check_declared(reader, "teams", team, node=node)
     route = Route(
         name=name,
         method=reader.value("method", OneOf(words=METHODS)),
