--- a/wagtailtrestle/declarations/settings_watch.py
+++ b/wagtailtrestle/declarations/settings_watch.py
@@ -35,12 +35,12 @@
         Changed in place.
     """
 
-    __slots__ = ("_path", "_settings", "_stamp", "_task")
+    __slots__ = ("_path", "_settings", "_file_signature", "_task")
 
     def __init__(self, *, path, settings):
         self._path = path
         self._settings = settings
-        self._stamp = _stamp(path)
+        self._file_signature = _file_signature(path)
         self._task = None
 
     def start(self):
@@ -54,7 +54,7 @@
 
     def reload(self):
         """Read the file and put in force what can be; a faulty file changes nothing."""
-        self._stamp = _stamp(self._path)
+        self._file_signature = _file_signature(self._path)
         read = load_router_settings(self._path)
         if isinstance(read, SettingsFaults):
             logger.error("the changed settings are not put in force: {}", "; ".join(map(str, read.faults)))
@@ -69,11 +69,11 @@
     async def _look(self):
         while True:
             await asyncio.sleep(LOOK_S)
-            if _stamp(self._path) != self._stamp:
+            if _file_signature(self._path) != self._file_signature:
                 self.reload()
 
 
-def _stamp(path):
+def _file_signature(path):
     """What tells two states of a file apart; ``None`` while it can't be read."""
     try:
         status = os.stat(path)
