--- a/wagtailtrestle/declarations/settings_watch.py
+++ b/wagtailtrestle/declarations/settings_watch.py
@@ -7,7 +7,7 @@
 
 from wagtailtrestle.declarations.settings import RouterSettings, SettingsFaults, load_router_settings
 
-LOOK_S = 1.0
+POLL_INTERVAL_S = 1.0
 """Between two looks at the file: a change without a signal is in force about as soon as one with."""
 
 RELOADABLE = (
@@ -68,7 +68,7 @@
 
     async def _look(self):
         while True:
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
             if _file_signature(self._path) != self._file_signature:
                 self.reload()
 
