--- a/wagtailtrestle/declarations/settings_watch.py
+++ b/wagtailtrestle/declarations/settings_watch.py
@@ -45,7 +45,7 @@
 
     def start(self):
         """Begin to look; must be called on the running event loop."""
-        self._task = asyncio.get_running_loop().create_task(self._look())
+        self._task = asyncio.get_running_loop().create_task(self._poll())
 
     async def close(self):
         """Stop looking."""
@@ -66,7 +66,7 @@
         waiting = [name for name in changed if name not in RELOADABLE]
         logger.bind(changed=",".join(changed), from_next_start=",".join(waiting)).info("settings read again")
 
-    async def _look(self):
+    async def _poll(self):
         while True:
             await asyncio.sleep(POLL_INTERVAL_S)
             if _file_signature(self._path) != self._file_signature:
