--- a/wagtailtrestle/cli/operate.py
+++ b/wagtailtrestle/cli/operate.py
@@ -175,7 +175,7 @@
 def apply_file(environment, *, file, platform, base):
     """Check and apply a file, say what came of it and return the exit status."""
     arguments = read_arguments(
-        environment, platform=(platform, Url()), base=(base, Integer(minimum=0, most=LARGEST_GENERATION))
+        environment, platform=(platform, Url()), base=(base, Integer(minimum=0, maximum=LARGEST_GENERATION))
     )
     if arguments is None:
         return ExitStatus.USAGE
--- a/wagtailtrestle/declarations/argument_types.py
+++ b/wagtailtrestle/declarations/argument_types.py
@@ -74,17 +74,17 @@
 
     is_text = False
 
-    def __init__(self, *, minimum, most):
+    def __init__(self, *, minimum, maximum):
         self.minimum = minimum
-        self.most = most
-        self.allowed = f"a whole number from {minimum} to {most}"
+        self.maximum = maximum
+        self.allowed = f"a whole number from {minimum} to {maximum}"
 
     def read(self, text):
         """Return the number, or ``Wrong``."""
         if not INTEGER_PATTERN.fullmatch(text):
             return InvalidValue(problem=f"is {quote_value(text)}, which is not a whole number")
         value = int(text)
-        if not self.minimum <= value <= self.most:
+        if not self.minimum <= value <= self.maximum:
             return InvalidValue(problem=f"is {value}, out of range")
         return value
 
@@ -94,17 +94,17 @@
 
     is_text = False
 
-    def __init__(self, *, minimum, most):
+    def __init__(self, *, minimum, maximum):
         self.minimum = minimum
-        self.most = most
-        self.allowed = f"a number from {minimum} to {most}"
+        self.maximum = maximum
+        self.allowed = f"a number from {minimum} to {maximum}"
 
     def read(self, text):
         """Return the number as a float, or ``Wrong``."""
         if not NUMBER_PATTERN.fullmatch(text):
             return InvalidValue(problem=f"is {quote_value(text)}, which is not a number")
         value = float(text)
-        if not math.isfinite(value) or not self.minimum <= value <= self.most:
+        if not math.isfinite(value) or not self.minimum <= value <= self.maximum:
             return InvalidValue(problem=f"is {text}, out of range")
         return value
 
--- a/wagtailtrestle/declarations/check.py
+++ b/wagtailtrestle/declarations/check.py
@@ -57,7 +57,7 @@
 def _read(root):
     """Return the declaration; meaningless if any fault was recorded."""
     names = DeclaredNames()
-    root.value("format", Integer(minimum=FORMAT, most=FORMAT))
+    root.value("format", Integer(minimum=FORMAT, maximum=FORMAT))
     organisation = root.value("organisation", Name())
     zones_by_region = _read_regions(root, names)
     tiers_by_name = _read_tiers(root, names)
@@ -110,7 +110,7 @@
         teams_by_name[name] = Team(
             name=name,
             key_sha256=_read_keys(reader, names),
-            share=reader.value("share", Number(minimum=0.001, most=1000), default=DEFAULT_SHARE),
+            share=reader.value("share", Number(minimum=0.001, maximum=1000), default=DEFAULT_SHARE),
         )
         reader.close()
     return teams_by_name
@@ -136,8 +136,10 @@
     reader = root.mapping("ledger", required=False)
     if reader is None:
         return DEFAULT_SHARDS, DEFAULT_RETENTION_S
-    shards = reader.value("shards", Integer(minimum=1, most=LARGEST_SHARDS), default=DEFAULT_SHARDS)
-    retention_s = reader.value("retention_s", Number(minimum=1, most=LARGEST_RETENTION_S), default=DEFAULT_RETENTION_S)
+    shards = reader.value("shards", Integer(minimum=1, maximum=LARGEST_SHARDS), default=DEFAULT_SHARDS)
+    retention_s = reader.value(
+        "retention_s", Number(minimum=1, maximum=LARGEST_RETENTION_S), default=DEFAULT_RETENTION_S
+    )
     _check_retention(reader, retention_s, services_by_name)
     reader.close()
     return shards, retention_s
--- a/wagtailtrestle/declarations/engine_check.py
+++ b/wagtailtrestle/declarations/engine_check.py
@@ -64,7 +64,7 @@
             zone=zone,
             hardware=reader.value("hardware", Name()),
             address=address,
-            slots=reader.value("slots", Integer(minimum=1, most=LARGEST_SLOTS)),
+            slots=reader.value("slots", Integer(minimum=1, maximum=LARGEST_SLOTS)),
             step_ms=step_ms,
             prefill_tokens_per_s=prefill_tokens_per_s,
             checks_fencing=reader.value("checks_fencing", Flag(), default=False),
@@ -82,11 +82,11 @@
     def _read_speed(self, reader, *, service):
         plain = self.names.kinds_by_service.get(service) == PLAIN
         step_ms = reader.value(
-            "step_ms", Number(minimum=0.001, most=LARGEST_STEP_MS), default=PLAIN_STEP_MS if plain else REQUIRED
+            "step_ms", Number(minimum=0.001, maximum=LARGEST_STEP_MS), default=PLAIN_STEP_MS if plain else REQUIRED
         )
         prefill_tokens_per_s = reader.value(
             "prefill_tokens_per_s",
-            Number(minimum=1, most=LARGEST_PREFILL_RATE),
+            Number(minimum=1, maximum=LARGEST_PREFILL_RATE),
             default=PLAIN_PREFILL_TOKENS_PER_S if plain else REQUIRED,
         )
         return step_ms, prefill_tokens_per_s
--- a/wagtailtrestle/declarations/service_check.py
+++ b/wagtailtrestle/declarations/service_check.py
@@ -38,7 +38,7 @@
         reader.fault("name", f"is {name}, with which the paths of language services begin", "another name")
     kind = reader.value("kind", OneOf(words=(LANGUAGE, PLAIN)))
     names.kinds_by_service[name] = kind
-    prefill_weight = reader.value("prefill_weight", Number(minimum=0, most=1), default=DEFAULT_PREFILL_WEIGHT)
+    prefill_weight = reader.value("prefill_weight", Number(minimum=0, maximum=1), default=DEFAULT_PREFILL_WEIGHT)
     routes_by_name = _read_routes(reader, names, service=name, kind=kind)
     return Service(name=name, kind=kind, routes_by_name=routes_by_name, prefill_weight=prefill_weight)
 
@@ -99,7 +99,7 @@
         method=reader.value("method", OneOf(words=METHODS)),
         path=reader.value("path", UrlPath()),
         tier=tier,
-        deadline_ms=reader.value("deadline_ms", Integer(minimum=1, most=LARGEST_DEADLINE_MS)),
+        deadline_ms=reader.value("deadline_ms", Integer(minimum=1, maximum=LARGEST_DEADLINE_MS)),
         repeatable=reader.value("repeatable", Flag()),
         at_most_once=reader.value("at_most_once", Flag(), default=False),
         teams=tuple(team for team, _ in teams),
--- a/wagtailtrestle/declarations/settings.py
+++ b/wagtailtrestle/declarations/settings.py
@@ -301,48 +301,50 @@
 
 
 def _read_router_limits(reader):
-    seconds = Number(minimum=0, most=3600)
+    seconds = Number(minimum=0, maximum=3600)
     return {
-        "caller_threads": reader.value("caller_threads", Integer(minimum=4, most=4096), default=DEFAULT_CALLER_THREADS),
+        "caller_threads": reader.value(
+            "caller_threads", Integer(minimum=4, maximum=4096), default=DEFAULT_CALLER_THREADS
+        ),
         "max_body_bytes": reader.value(
-            "max_body_bytes", Integer(minimum=1024, most=67_108_864), default=DEFAULT_MAX_BODY_BYTES
+            "max_body_bytes", Integer(minimum=1024, maximum=67_108_864), default=DEFAULT_MAX_BODY_BYTES
         ),
         "max_header_bytes": reader.value(
-            "max_header_bytes", Integer(minimum=1024, most=1_048_576), default=DEFAULT_MAX_HEADER_BYTES
+            "max_header_bytes", Integer(minimum=1024, maximum=1_048_576), default=DEFAULT_MAX_HEADER_BYTES
         ),
         "log_level": reader.value("log_level", OneOf(words=LOG_LEVELS), default="INFO"),
         "log_json": reader.value("log_json", Flag(), default=False),
         "drain_timeout_s": reader.value("drain_timeout_s", seconds, default=DEFAULT_DRAIN_TIMEOUT_S),
         "peer_heartbeat_s": reader.value(
-            "peer_heartbeat_s", Number(minimum=0.01, most=60), default=DEFAULT_PEER_HEARTBEAT_S
+            "peer_heartbeat_s", Number(minimum=0.01, maximum=60), default=DEFAULT_PEER_HEARTBEAT_S
         ),
-        "retry_share": reader.value("retry_share", Number(minimum=0, most=10), default=DEFAULT_RETRY_SHARE),
-        "retry_extra": reader.value("retry_extra", Number(minimum=0, most=1_000_000), default=DEFAULT_RETRY_EXTRA),
-        "retry_window_s": reader.value("retry_window_s", Number(minimum=0.1, most=3600), default=RETRY_WINDOW_S),
-        "key_revocation_ms": reader.value("key_revocation_ms", Number(minimum=0, most=3_600_000), default=0.0),
+        "retry_share": reader.value("retry_share", Number(minimum=0, maximum=10), default=DEFAULT_RETRY_SHARE),
+        "retry_extra": reader.value("retry_extra", Number(minimum=0, maximum=1_000_000), default=DEFAULT_RETRY_EXTRA),
+        "retry_window_s": reader.value("retry_window_s", Number(minimum=0.1, maximum=3600), default=RETRY_WINDOW_S),
+        "key_revocation_ms": reader.value("key_revocation_ms", Number(minimum=0, maximum=3_600_000), default=0.0),
         "stop_grace_s": reader.value("stop_grace_s", seconds, default=0.0),
         "quota_window_s": reader.value("quota_window_s", seconds, default=0.0),
-        "quota_overage": reader.value("quota_overage", Number(minimum=0, most=10), default=0.0),
-        "quota_slack": reader.value("quota_slack", Number(minimum=0, most=1e12), default=0.0),
+        "quota_overage": reader.value("quota_overage", Number(minimum=0, maximum=10), default=0.0),
+        "quota_slack": reader.value("quota_slack", Number(minimum=0, maximum=1e12), default=0.0),
         "configuration_poll_s": reader.value(
-            "configuration_poll_s", Number(minimum=0.05, most=60), default=DEFAULT_CONFIGURATION_POLL_S
+            "configuration_poll_s", Number(minimum=0.05, maximum=60), default=DEFAULT_CONFIGURATION_POLL_S
         ),
         "vm_list_interval_s": reader.value(
-            "vm_list_interval_s", Number(minimum=0.05, most=60), default=DEFAULT_VM_LIST_INTERVAL_S
+            "vm_list_interval_s", Number(minimum=0.05, maximum=60), default=DEFAULT_VM_LIST_INTERVAL_S
         ),
-        "vm_list_settled_s": reader.value("vm_list_settled_s", Number(minimum=0, most=600), default=0.0),
+        "vm_list_settled_s": reader.value("vm_list_settled_s", Number(minimum=0, maximum=600), default=0.0),
         "engine_leaving_ms": reader.value(
-            "engine_leaving_ms", Number(minimum=100, most=600_000), default=DEFAULT_ENGINE_LEAVING_MS
+            "engine_leaving_ms", Number(minimum=100, maximum=600_000), default=DEFAULT_ENGINE_LEAVING_MS
         ),
         "report_interval_s": reader.value(
-            "report_interval_s", Number(minimum=0.05, most=60), default=DEFAULT_REPORT_INTERVAL_S
+            "report_interval_s", Number(minimum=0.05, maximum=60), default=DEFAULT_REPORT_INTERVAL_S
         ),
         "balancer_grace_s": reader.value("balancer_grace_s", seconds, default=DEFAULT_BALANCER_GRACE_S),
         "start_hold_s": reader.value("start_hold_s", seconds, default=DEFAULT_START_HOLD_S),
         "plain_grace_s": reader.value("plain_grace_s", seconds, default=0.0),
         "engine_return_grace_s": reader.value("engine_return_grace_s", seconds, default=DEFAULT_ENGINE_RETURN_GRACE_S),
-        "rollout_share": reader.value("rollout_share", Number(minimum=0, most=1), default=0.0),
-        "rollout_slack": reader.value("rollout_slack", Number(minimum=0, most=1_000_000), default=0.0),
+        "rollout_share": reader.value("rollout_share", Number(minimum=0, maximum=1), default=0.0),
+        "rollout_slack": reader.value("rollout_slack", Number(minimum=0, maximum=1_000_000), default=0.0),
     }
 
 
