--- a/wagtailtrestle/declarations/check.py
+++ b/wagtailtrestle/declarations/check.py
@@ -150,9 +150,11 @@
     # clocks may differ, and each dates its claims by its own.
     routes = [route for service in services_by_name.values() for route in service.routes_by_name.values()]
     longest_ms = max((route.deadline_ms or 0 for route in routes if route.at_most_once), default=0)
-    least_s = longest_ms / 1000 + CLOCK_DIFFERENCE_S
-    if longest_ms and retention_s is not None and retention_s < least_s:
+    min_retention_s = longest_ms / 1000 + CLOCK_DIFFERENCE_S
+    if longest_ms and retention_s is not None and retention_s < min_retention_s:
         problem = "forgets claims while their requests may still run"
         reader.fault(
-            "retention_s", problem, f"at least {least_s:g}: the longest deadline of an at_most_once route + 30 s"
+            "retention_s",
+            problem,
+            f"at least {min_retention_s:g}: the longest deadline of an at_most_once route + 30 s",
         )
