--- a/wagtailtrestle/declarations/argument_types.py
+++ b/wagtailtrestle/declarations/argument_types.py
@@ -18,7 +18,7 @@
 NUMBER_PATTERN = re.compile(r"[-+]?(0|[1-9][0-9]{0,17})(\.[0-9]{0,18})?([eE][-+]?[0-9]{1,2})?")
 SHA256_PATTERN = re.compile(r"[0-9a-f]{64}")
 PATH_PATTERN = re.compile(r"(/[A-Za-z0-9._~!$&'()*+,;=:@-]+)*/?")
-LARGEST_PATH = 512
+MAX_PATH_LENGTH = 512
 LARGEST_PORT = 65535
 LARGEST_SHOWN = 40
 
@@ -187,7 +187,7 @@
     def read(self, text):
         """Return the path, or ``Wrong``."""
         segments = text.split("/")
-        if len(text) > LARGEST_PATH or not text.startswith("/") or "." in segments or ".." in segments:
+        if len(text) > MAX_PATH_LENGTH or not text.startswith("/") or "." in segments or ".." in segments:
             return InvalidValue(problem=f"is {quote_value(text)}, which is not a path")
         if not PATH_PATTERN.fullmatch(text):
             return InvalidValue(problem=f"is {quote_value(text)}, which is not a path")
