--- a/wagtailtrestle/declarations/argument_types.py
+++ b/wagtailtrestle/declarations/argument_types.py
@@ -19,7 +19,7 @@
 SHA256_PATTERN = re.compile(r"[0-9a-f]{64}")
 PATH_PATTERN = re.compile(r"(/[A-Za-z0-9._~!$&'()*+,;=:@-]+)*/?")
 MAX_PATH_LENGTH = 512
-LARGEST_PORT = 65535
+MAX_PORT = 65535
 LARGEST_SHOWN = 40
 
 
@@ -151,8 +151,8 @@
         host, colon, port = text.rpartition(":")
         if not colon:
             return InvalidValue(problem=f"is {quote_value(text)}, which has no port")
-        if not (port.isascii() and port.isdigit() and len(port) <= 5 and 1 <= int(port) <= LARGEST_PORT):
-            return InvalidValue(problem=f"is {quote_value(text)}, whose port is not from 1 to {LARGEST_PORT}")
+        if not (port.isascii() and port.isdigit() and len(port) <= 5 and 1 <= int(port) <= MAX_PORT):
+            return InvalidValue(problem=f"is {quote_value(text)}, whose port is not from 1 to {MAX_PORT}")
         bracketed = host.startswith("[") and host.endswith("]")
         if not _is_ip(host[1:-1] if bracketed else host, version=6 if bracketed else 4):
             return InvalidValue(problem=f"is {quote_value(text)}, whose host is not an IP number")
