--- a/wagtailtrestle/declarations/argument_types.py
+++ b/wagtailtrestle/declarations/argument_types.py
@@ -20,7 +20,7 @@
 PATH_PATTERN = re.compile(r"(/[A-Za-z0-9._~!$&'()*+,;=:@-]+)*/?")
 MAX_PATH_LENGTH = 512
 MAX_PORT = 65535
-LARGEST_SHOWN = 40
+MAX_QUOTED_LENGTH = 40
 
 
 @record
@@ -51,8 +51,8 @@
 def quote_value(text):
     """Quote a value for a message, cut short so that one long value can't flood it."""
     text = str(text)
-    if len(text) > LARGEST_SHOWN:
-        text = text[:LARGEST_SHOWN] + "…"
+    if len(text) > MAX_QUOTED_LENGTH:
+        text = text[:MAX_QUOTED_LENGTH] + "…"
     return repr(text)
 
 
