--- a/wagtailtrestle/declarations/check.py
+++ b/wagtailtrestle/declarations/check.py
@@ -17,7 +17,7 @@
 DEFAULT_SHARE = 1.0
 CLOCK_DIFFERENCE_S = 30.0
 DEFAULT_SHARDS = 16
-LARGEST_SHARDS = 4096
+MAX_SHARDS = 4096
 DEFAULT_RETENTION_S = 3600.0
 LARGEST_RETENTION_S = 604_800
 
@@ -136,7 +136,7 @@
     reader = root.mapping("ledger", required=False)
     if reader is None:
         return DEFAULT_SHARDS, DEFAULT_RETENTION_S
-    shards = reader.value("shards", Integer(minimum=1, maximum=LARGEST_SHARDS), default=DEFAULT_SHARDS)
+    shards = reader.value("shards", Integer(minimum=1, maximum=MAX_SHARDS), default=DEFAULT_SHARDS)
     retention_s = reader.value(
         "retention_s", Number(minimum=1, maximum=LARGEST_RETENTION_S), default=DEFAULT_RETENTION_S
     )
