--- a/wagtailtrestle/declarations/check.py
+++ b/wagtailtrestle/declarations/check.py
@@ -19,7 +19,7 @@
 DEFAULT_SHARDS = 16
 MAX_SHARDS = 4096
 DEFAULT_RETENTION_S = 3600.0
-LARGEST_RETENTION_S = 604_800
+MAX_RETENTION_S = 604_800
 
 
 @record
@@ -137,9 +137,7 @@
     if reader is None:
         return DEFAULT_SHARDS, DEFAULT_RETENTION_S
     shards = reader.value("shards", Integer(minimum=1, maximum=MAX_SHARDS), default=DEFAULT_SHARDS)
-    retention_s = reader.value(
-        "retention_s", Number(minimum=1, maximum=LARGEST_RETENTION_S), default=DEFAULT_RETENTION_S
-    )
+    retention_s = reader.value("retention_s", Number(minimum=1, maximum=MAX_RETENTION_S), default=DEFAULT_RETENTION_S)
     _check_retention(reader, retention_s, services_by_name)
     reader.close()
     return shards, retention_s
