--- a/wagtailtrestle/declarations/engine_check.py
+++ b/wagtailtrestle/declarations/engine_check.py
@@ -5,7 +5,7 @@
 from wagtailtrestle.declarations.field_reader import REQUIRED
 from wagtailtrestle.declarations.names import NameTable
 
-LARGEST_SLOTS = 100_000
+MAX_SLOTS = 100_000
 LARGEST_STEP_MS = 600_000
 LARGEST_PREFILL_RATE = 100_000_000
 # Priors of a plain service's engine, whose calls have no steps; measurement replaces them.
@@ -64,7 +64,7 @@
             zone=zone,
             hardware=reader.value("hardware", Name()),
             address=address,
-            slots=reader.value("slots", Integer(minimum=1, maximum=LARGEST_SLOTS)),
+            slots=reader.value("slots", Integer(minimum=1, maximum=MAX_SLOTS)),
             step_ms=step_ms,
             prefill_tokens_per_s=prefill_tokens_per_s,
             checks_fencing=reader.value("checks_fencing", Flag(), default=False),
