--- a/wagtailtrestle/declarations/engine_check.py
+++ b/wagtailtrestle/declarations/engine_check.py
@@ -6,7 +6,7 @@
 from wagtailtrestle.declarations.names import NameTable
 
 MAX_SLOTS = 100_000
-LARGEST_STEP_MS = 600_000
+MAX_STEP_MS = 600_000
 LARGEST_PREFILL_RATE = 100_000_000
 # Priors of a plain service's engine, whose calls have no steps; measurement replaces them.
 PLAIN_STEP_MS = 10.0
@@ -82,7 +82,7 @@
     def _read_speed(self, reader, *, service):
         plain = self.names.kinds_by_service.get(service) == PLAIN
         step_ms = reader.value(
-            "step_ms", Number(minimum=0.001, maximum=LARGEST_STEP_MS), default=PLAIN_STEP_MS if plain else REQUIRED
+            "step_ms", Number(minimum=0.001, maximum=MAX_STEP_MS), default=PLAIN_STEP_MS if plain else REQUIRED
         )
         prefill_tokens_per_s = reader.value(
             "prefill_tokens_per_s",
