--- a/wagtailtrestle/declarations/engine_check.py
+++ b/wagtailtrestle/declarations/engine_check.py
@@ -7,7 +7,7 @@
 
 MAX_SLOTS = 100_000
 MAX_STEP_MS = 600_000
-LARGEST_PREFILL_RATE = 100_000_000
+MAX_PREFILL_TOKENS_PER_S = 100_000_000
 # Priors of a plain service's engine, whose calls have no steps; measurement replaces them.
 PLAIN_STEP_MS = 10.0
 PLAIN_PREFILL_TOKENS_PER_S = 4000.0
@@ -86,7 +86,7 @@
         )
         prefill_tokens_per_s = reader.value(
             "prefill_tokens_per_s",
-            Number(minimum=1, maximum=LARGEST_PREFILL_RATE),
+            Number(minimum=1, maximum=MAX_PREFILL_TOKENS_PER_S),
             default=PLAIN_PREFILL_TOKENS_PER_S if plain else REQUIRED,
         )
         return step_ms, prefill_tokens_per_s
