--- a/wagtailtrestle/declarations/service_check.py
+++ b/wagtailtrestle/declarations/service_check.py
@@ -11,7 +11,7 @@
 # A plain service of this name would be reached by the paths of the language services.
 RESERVED_NAME = "v1"
 DEFAULT_PREFILL_WEIGHT = 0.5
-LARGEST_DEADLINE_MS = 86_400_000
+MAX_DEADLINE_MS = 86_400_000
 
 
 def read_services(root, names):
@@ -99,7 +99,7 @@
         method=reader.value("method", OneOf(words=METHODS)),
         path=reader.value("path", UrlPath()),
         tier=tier,
-        deadline_ms=reader.value("deadline_ms", Integer(minimum=1, maximum=LARGEST_DEADLINE_MS)),
+        deadline_ms=reader.value("deadline_ms", Integer(minimum=1, maximum=MAX_DEADLINE_MS)),
         repeatable=reader.value("repeatable", Flag()),
         at_most_once=reader.value("at_most_once", Flag(), default=False),
         teams=tuple(team for team, _ in teams),
