--- a/wagtailtrestle/declarations/yaml_source.py
+++ b/wagtailtrestle/declarations/yaml_source.py
@@ -9,7 +9,7 @@
 
 from wagtailtrestle.record import record
 
-LARGEST_TEXT_BYTES = 1_000_000
+MAX_TEXT_BYTES = 1_000_000
 LARGEST_DEPTH = 16
 LARGEST_REASON = 200
 NULL_WORDS = ("", "~", "null", "Null", "NULL")
@@ -160,7 +160,7 @@
     """
     try:
         with open(path, "rb") as file:
-            return file.read(LARGEST_TEXT_BYTES + 1)
+            return file.read(MAX_TEXT_BYTES + 1)
     except (OSError, ValueError) as error:
         return f"can't be read: {getattr(error, 'strerror', None) or error}"
 
@@ -182,8 +182,8 @@
     if not isinstance(text, (bytes, bytearray)):
         faults.add(line=0, field="", problem="is not text", allowed="YAML text")
         return None
-    if len(text) > LARGEST_TEXT_BYTES:
-        allowed = f"at most {LARGEST_TEXT_BYTES} bytes"
+    if len(text) > MAX_TEXT_BYTES:
+        allowed = f"at most {MAX_TEXT_BYTES} bytes"
         faults.add(line=0, field="", problem="is too long", allowed=allowed)
         return None
     try:
