--- a/wagtailtrestle/declarations/yaml_source.py
+++ b/wagtailtrestle/declarations/yaml_source.py
@@ -10,7 +10,7 @@
 from wagtailtrestle.record import record
 
 MAX_TEXT_BYTES = 1_000_000
-LARGEST_DEPTH = 16
+MAX_NESTING_DEPTH = 16
 LARGEST_REASON = 200
 NULL_WORDS = ("", "~", "null", "Null", "NULL")
 # A huge declaration takes several times longer with the pure Python reader, which is kept for
@@ -242,8 +242,8 @@
             )
         if event.tag is not None:
             return _Refused(problem="has a tag ('!')", allowed="plain YAML without tags")
-        if isinstance(event, yaml.CollectionStartEvent) and depth >= LARGEST_DEPTH:
-            return _Refused(problem="is nested too deeply", allowed=f"at most {LARGEST_DEPTH} levels")
+        if isinstance(event, yaml.CollectionStartEvent) and depth >= MAX_NESTING_DEPTH:
+            return _Refused(problem="is nested too deeply", allowed=f"at most {MAX_NESTING_DEPTH} levels")
     if isinstance(event, yaml.DocumentStartEvent) and is_second:
         return _Refused(problem="holds a second document", allowed="one YAML document in a file")
     return None
