--- a/wagtailtrestle/declarations/yaml_source.py
+++ b/wagtailtrestle/declarations/yaml_source.py
@@ -11,7 +11,7 @@
 
 MAX_TEXT_BYTES = 1_000_000
 MAX_NESTING_DEPTH = 16
-LARGEST_REASON = 200
+MAX_REASON_LENGTH = 200
 NULL_WORDS = ("", "~", "null", "Null", "NULL")
 # A huge declaration takes several times longer with the pure Python reader, which is kept for
 # machines where the C library is missing.
@@ -169,7 +169,7 @@
     mark = getattr(error, "problem_mark", None)
     began = getattr(error, "context_mark", None)
     reason = getattr(error, "problem", None) or getattr(error, "reason", None) or "unreadable"
-    problem = f"is not YAML: {str(reason)[:LARGEST_REASON]}"
+    problem = f"is not YAML: {str(reason)[:MAX_REASON_LENGTH]}"
     if began is not None and began.line != mark.line:
         problem += f", in what begins on line {began.line + 1}"
     faults.add(line=mark.line + 1 if mark else 0, field="", problem=problem, allowed="one YAML document")
