--- a/wagtailtrestle/declarations/check.py
+++ b/wagtailtrestle/declarations/check.py
@@ -13,7 +13,7 @@
 from wagtailtrestle.declarations.yaml_source import Fault, FaultList, compose
 from wagtailtrestle.record import record
 
-FORMAT = 1
+FORMAT_VERSION = 1
 DEFAULT_SHARE = 1.0
 CLOCK_DIFFERENCE_S = 30.0
 DEFAULT_SHARDS = 16
@@ -57,7 +57,7 @@
 def _read(root):
     """Return the declaration; meaningless if any fault was recorded."""
     names = DeclaredNames()
-    root.value("format", Integer(minimum=FORMAT, maximum=FORMAT))
+    root.value("format", Integer(minimum=FORMAT_VERSION, maximum=FORMAT_VERSION))
     organisation = root.value("organisation", Name())
     zones_by_region = _read_regions(root, names)
     tiers_by_name = _read_tiers(root, names)
