--- a/wagtailtrestle/declarations/check.py
+++ b/wagtailtrestle/declarations/check.py
@@ -15,7 +15,7 @@
 
 FORMAT_VERSION = 1
 DEFAULT_SHARE = 1.0
-CLOCK_DIFFERENCE_S = 30.0
+MAX_CLOCK_SKEW_S = 30.0
 DEFAULT_SHARDS = 16
 MAX_SHARDS = 4096
 DEFAULT_RETENTION_S = 3600.0
@@ -148,7 +148,7 @@
     # clocks may differ, and each dates its claims by its own.
     routes = [route for service in services_by_name.values() for route in service.routes_by_name.values()]
     longest_ms = max((route.deadline_ms or 0 for route in routes if route.at_most_once), default=0)
-    min_retention_s = longest_ms / 1000 + CLOCK_DIFFERENCE_S
+    min_retention_s = longest_ms / 1000 + MAX_CLOCK_SKEW_S
     if longest_ms and retention_s is not None and retention_s < min_retention_s:
         problem = "forgets claims while their requests may still run"
         reader.fault(
