--- a/wagtailtrestle/declarations/diff.py
+++ b/wagtailtrestle/declarations/diff.py
@@ -2,7 +2,7 @@
 
 from wagtailtrestle.record import record
 
-SHOWN_DIGEST = 8
+DIGEST_PREFIX_LENGTH = 8
 
 
 @record
@@ -116,7 +116,7 @@
 
 def _field_text(field, value):
     if field == "key_sha256":
-        value = tuple(f"{digest[:SHOWN_DIGEST]}…" for digest in value)
+        value = tuple(f"{digest[:DIGEST_PREFIX_LENGTH]}…" for digest in value)
     return _text(value)
 
 
