--- a/wagtailtrestle/declarations/yaml_source.py
+++ b/wagtailtrestle/declarations/yaml_source.py
@@ -12,7 +12,7 @@
 MAX_TEXT_BYTES = 1_000_000
 MAX_NESTING_DEPTH = 16
 MAX_REASON_LENGTH = 200
-NULL_WORDS = ("", "~", "null", "Null", "NULL")
+NULL_LITERALS = ("", "~", "null", "Null", "NULL")
 # A huge declaration takes several times longer with the pure Python reader, which is kept for
 # machines where the C library is missing.
 Loader = getattr(yaml, "CSafeLoader", yaml.SafeLoader)
@@ -79,7 +79,7 @@
     @property
     def is_null(self):
         """Whether nothing stands here."""
-        return not self.is_quoted and self.text in NULL_WORDS
+        return not self.is_quoted and self.text in NULL_LITERALS
 
     @property
     def is_text(self):
