--- a/wagtailtrestle/declarations/field_reader.py
+++ b/wagtailtrestle/declarations/field_reader.py
@@ -33,7 +33,7 @@
             self.fault(None, "has a key that is not a word", "a field's name", node=key)
         elif key.text in self._pairs_by_key:
             # The YAML library would keep the last one and drop the first without a word.
-            self.fault(_cut(key.text), "stands here twice", "each field once", node=key)
+            self.fault(_truncate(key.text), "stands here twice", "each field once", node=key)
         else:
             self._pairs_by_key[key.text] = (key, value)
 
@@ -118,7 +118,7 @@
         """Report every field that was never asked for."""
         for name, (key, _) in self._pairs_by_key.items():
             if name not in self._known:
-                self.fault(_cut(name), "is an unknown field", ", ".join(self._known), node=key)
+                self.fault(_truncate(name), "is an unknown field", ", ".join(self._known), node=key)
 
 
 def open_mapping(node, *, field, faults):
@@ -159,9 +159,9 @@
         return None
     for key, value in node.pairs:
         if isinstance(key, ScalarNode) and key.text == "name" and isinstance(value, ScalarNode):
-            return _cut(value.text)
+            return _truncate(value.text)
     return None
 
 
-def _cut(text):
+def _truncate(text):
     return quote_value(text)[1:-1]
