--- a/wagtailtrestle/declarations/field_reader.py
+++ b/wagtailtrestle/declarations/field_reader.py
@@ -17,14 +17,14 @@
     faults : FaultList
     """
 
-    __slots__ = ("node", "field", "faults", "_pairs_by_key", "_known")
+    __slots__ = ("node", "field", "faults", "_pairs_by_key", "_requested_fields")
 
     def __init__(self, *, node, field, faults):
         self.node = node
         self.field = field
         self.faults = faults
         self._pairs_by_key = {}
-        self._known = {}
+        self._requested_fields = {}
         for key, value in node.pairs:
             self._add(key, value)
 
@@ -59,7 +59,7 @@
 
     def get(self, name, *, allowed="this field", required=True):
         """Return the node of a field, or ``None`` (a fault if it is required)."""
-        self._known[name] = None
+        self._requested_fields[name] = None
         pair = self._pairs_by_key.get(name)
         if pair is not None:
             return pair[1]
@@ -117,8 +117,8 @@
     def close(self):
         """Report every field that was never asked for."""
         for name, (key, _) in self._pairs_by_key.items():
-            if name not in self._known:
-                self.fault(_truncate(name), "is an unknown field", ", ".join(self._known), node=key)
+            if name not in self._requested_fields:
+                self.fault(_truncate(name), "is an unknown field", ", ".join(self._requested_fields), node=key)
 
 
 def open_mapping(node, *, field, faults):
