--- a/wagtailtrestle/declarations/field_reader.py
+++ b/wagtailtrestle/declarations/field_reader.py
@@ -77,12 +77,12 @@
     def values(self, name, value_type, *, required=True):
         """Return ``(value, node)`` for each sound item of a list of scalars."""
         field = self.path(name)
-        sound = []
+        valid_items = []
         for node in self.items(name, required=required, allowed=f"a list: {value_type.allowed}"):
             value = read_scalar(node, value_type, field=field, faults=self.faults)
             if value is not None:
-                sound.append((value, node))
-        return sound
+                valid_items.append((value, node))
+        return valid_items
 
     def items(self, name, *, required=True, allowed="a list"):
         """Return the nodes of a list field; empty if it is absent or no list.
