--- a/wagtailtrestle/declarations/field_reader.py
+++ b/wagtailtrestle/declarations/field_reader.py
@@ -109,7 +109,7 @@
     def mappings(self, name, *, required=True):
         """Yield a reader for each mapping of a list field, called by its ``name`` or its place."""
         for index, node in enumerate(self.items(name, required=required, allowed="a list of mappings")):
-            field = f"{self.path(name)}[{_name_in(node) or index}]"
+            field = f"{self.path(name)}[{_declared_name(node) or index}]"
             reader = open_mapping(node, field=field, faults=self.faults)
             if reader is not None:
                 yield reader
@@ -153,7 +153,7 @@
     return None
 
 
-def _name_in(node):
+def _declared_name(node):
     """Return the name that a mapping gives itself, cut short, to call it by in faults."""
     if not isinstance(node, MappingNode):
         return None
