--- a/wagtailtrestle/declarations/argument_types.py
+++ b/wagtailtrestle/declarations/argument_types.py
@@ -207,7 +207,7 @@
             usable = parts.scheme in ("http", "https") and bool(parts.hostname) and parts.port != 0
         except ValueError:
             usable = False
-        if not usable or parts.query or parts.fragment or parts.username is not None or _has_blank(text):
+        if not usable or parts.query or parts.fragment or parts.username is not None or _has_whitespace(text):
             return InvalidValue(problem=f"is {quote_value(text)}, which is not the URL of a process")
         return text.rstrip("/")
 
@@ -233,5 +233,5 @@
         return False
 
 
-def _has_blank(text):
+def _has_whitespace(text):
     return any(character.isspace() or not character.isprintable() for character in text)
