--- a/wagtailtrestle/declarations/diff.py
+++ b/wagtailtrestle/declarations/diff.py
@@ -79,7 +79,7 @@
         for route in service.routes_by_name.values():
             routes[f"{service.name}/{route.name}"] = _fields(route)
     return {
-        "declaration": {"": _whole(declaration)},
+        "declaration": {"": _declaration_fields(declaration)},
         "regions": {name: {"zones": _text(zones)} for name, zones in declaration.zones_by_region.items()},
         "tiers": _fields_by_name(declaration.tiers_by_name),
         "teams": _fields_by_name(declaration.teams_by_name),
@@ -89,7 +89,7 @@
     }
 
 
-def _whole(declaration):
+def _declaration_fields(declaration):
     return {
         "organisation": declaration.organisation,
         "ledger.shards": _text(declaration.ledger_shards),
