--- a/wagtailtrestle/declarations/diff.py
+++ b/wagtailtrestle/declarations/diff.py
@@ -83,7 +83,7 @@
         "regions": {name: {"zones": _text(zones)} for name, zones in declaration.zones_by_region.items()},
         "tiers": _fields_by_name(declaration.tiers_by_name),
         "teams": _fields_by_name(declaration.teams_by_name),
-        "services": {name: _service(service) for name, service in declaration.services_by_name.items()},
+        "services": {name: _service_fields(service) for name, service in declaration.services_by_name.items()},
         "routes": routes,
         "engines": _fields_by_name(declaration.engines_by_name),
     }
@@ -97,7 +97,7 @@
     }
 
 
-def _service(service):
+def _service_fields(service):
     # The order counts: a team's first route on a path is its default.
     return {
         "kind": service.kind,
