--- a/wagtailtrestle/declarations/diff.py
+++ b/wagtailtrestle/declarations/diff.py
@@ -80,7 +80,7 @@
             routes[f"{service.name}/{route.name}"] = _fields(route)
     return {
         "declaration": {"": _declaration_fields(declaration)},
-        "regions": {name: {"zones": _text(zones)} for name, zones in declaration.zones_by_region.items()},
+        "regions": {name: {"zones": _format_value(zones)} for name, zones in declaration.zones_by_region.items()},
         "tiers": _fields_by_name(declaration.tiers_by_name),
         "teams": _fields_by_name(declaration.teams_by_name),
         "services": {name: _service_fields(service) for name, service in declaration.services_by_name.items()},
@@ -92,8 +92,8 @@
 def _declaration_fields(declaration):
     return {
         "organisation": declaration.organisation,
-        "ledger.shards": _text(declaration.ledger_shards),
-        "ledger.retention_s": _text(declaration.ledger_retention_s),
+        "ledger.shards": _format_value(declaration.ledger_shards),
+        "ledger.retention_s": _format_value(declaration.ledger_retention_s),
     }
 
 
@@ -101,8 +101,8 @@
     # The order counts: a team's first route on a path is its default.
     return {
         "kind": service.kind,
-        "prefill_weight": _text(service.prefill_weight),
-        "routes, in order": _text(tuple(service.routes_by_name)),
+        "prefill_weight": _format_value(service.prefill_weight),
+        "routes, in order": _format_value(tuple(service.routes_by_name)),
     }
 
 
@@ -117,10 +117,10 @@
 def _field_text(field, value):
     if field == "key_sha256":
         value = tuple(f"{digest[:DIGEST_PREFIX_LENGTH]}…" for digest in value)
-    return _text(value)
+    return _format_value(value)
 
 
-def _text(value):
+def _format_value(value):
     if isinstance(value, tuple):
         return "[" + ", ".join(value) + "]"
     if isinstance(value, bool):
