--- a/wagtailtrestle/declarations/diff.py
+++ b/wagtailtrestle/declarations/diff.py
@@ -111,10 +111,10 @@
 
 
 def _fields(item):
-    return {field: _field_text(field, getattr(item, field)) for field in item.__slots__ if field != "name"}
+    return {field: _format_field(field, getattr(item, field)) for field in item.__slots__ if field != "name"}
 
 
-def _field_text(field, value):
+def _format_field(field, value):
     if field == "key_sha256":
         value = tuple(f"{digest[:DIGEST_PREFIX_LENGTH]}…" for digest in value)
     return _format_value(value)
