--- a/wagtailtrestle/declarations/service_check.py
+++ b/wagtailtrestle/declarations/service_check.py
@@ -117,7 +117,7 @@
 
 
 def _check_plain_route(reader, route, *, service, earlier):
-    if service and _is_below(route.path, f"/{service}"):
+    if service and _is_under_prefix(route.path, f"/{service}"):
         problem = f"is {route.path}, which names the service again"
         reader.fault("path", problem, "the part of the path below the service, for instance /bookings")
     for other in earlier:
@@ -131,14 +131,14 @@
     The first declared route that fits a call is its default. A call that charges, hidden by a
     repeatable route above it, would be run again after a failure: the member pays twice.
     """
-    if not _is_below(route.path, other.path):
+    if not _is_under_prefix(route.path, other.path):
         return
-    if not _is_below(other.path, route.path):
+    if not _is_under_prefix(other.path, route.path):
         reader.fault("path", f"is {route.path}, hidden by route {other.name} above it", "the longer path first")
     elif (other.repeatable, other.at_most_once) != (route.repeatable, route.at_most_once):
         problem = f"is that of route {other.name}, which promises something else about repeats"
         reader.fault("path", problem, "the same repeatable and at_most_once for one method and path")
 
 
-def _is_below(path, prefix):
+def _is_under_prefix(path, prefix):
     return f"{path.rstrip('/')}/".startswith(f"{prefix.rstrip('/')}/")
