--- a/wagtailtrestle/declarations/service_check.py
+++ b/wagtailtrestle/declarations/service_check.py
@@ -45,7 +45,7 @@
 
 def _read_routes(service_reader, names, *, service, kind):
     table = NameTable(kind="route")
-    ceilings = _TeamCeilings(names=names)
+    ceilings = _DefaultRouteTiers(names=names)
     routes = []
     for reader in service_reader.mappings("routes"):
         route = _read_route(reader, names, table=table)
@@ -59,7 +59,7 @@
     return {route.name: route for route in routes}
 
 
-class _TeamCeilings:
+class _DefaultRouteTiers:
     """The tier of each team's default route on one method and path, which it can't go above.
 
     A route of a higher tier that comes later could never be used by that team: its calls
