--- a/wagtailtrestle/declarations/service_check.py
+++ b/wagtailtrestle/declarations/service_check.py
@@ -45,7 +45,7 @@
 
 def _read_routes(service_reader, names, *, service, kind):
     table = NameTable(kind="route")
-    ceilings = _DefaultRouteTiers(names=names)
+    default_tiers = _DefaultRouteTiers(names=names)
     routes = []
     for reader in service_reader.mappings("routes"):
         route = _read_route(reader, names, table=table)
@@ -53,7 +53,7 @@
             _check_language_route(reader, route)
         if kind == PLAIN and route.path is not None:
             _check_plain_route(reader, route, service=service, earlier=routes)
-        ceilings.check(reader, route)
+        default_tiers.check(reader, route)
         routes.append(route)
         reader.close()
     return {route.name: route for route in routes}
