--- a/wagtailtrestle/declarations/service_check.py
+++ b/wagtailtrestle/declarations/service_check.py
@@ -80,9 +80,9 @@
             return
         ranks_by_team = self._ranks_by_call.setdefault((route.method, route.path), {})
         teams = route.teams or self._names.teams.lines_by_name
-        barred = [team for team in teams if ranks_by_team.setdefault(team, rank) > rank]
-        if barred:
-            problem = f"is above that of team {barred[0]}'s default, an earlier route on the same path"
+        excluded_teams = [team for team in teams if ranks_by_team.setdefault(team, rank) > rank]
+        if excluded_teams:
+            problem = f"is above that of team {excluded_teams[0]}'s default, an earlier route on the same path"
             reader.fault("tier", problem, "routes on one path with the highest tier first, for each team")
 
 
