--- a/wagtailtrestle/declarations/service_check.py
+++ b/wagtailtrestle/declarations/service_check.py
@@ -122,10 +122,10 @@
         reader.fault("path", problem, "the part of the path below the service, for instance /bookings")
     for other in earlier:
         if other.method == route.method and other.path is not None:
-            _check_not_hidden(reader, route, other=other)
+            _check_not_shadowed(reader, route, other=other)
 
 
-def _check_not_hidden(reader, route, *, other):
+def _check_not_shadowed(reader, route, *, other):
     """Refuse a route that an earlier one answers for, or contradicts.
 
     The first declared route that fits a call is its default. A call that charges, hidden by a
