--- a/wagtailtrestle/declarations/service_check.py
+++ b/wagtailtrestle/declarations/service_check.py
@@ -52,7 +52,7 @@
         if kind == LANGUAGE:
             _check_language_route(reader, route)
         if kind == PLAIN and route.path is not None:
-            _check_plain_route(reader, route, service=service, earlier=routes)
+            _check_plain_route(reader, route, service=service, earlier_routes=routes)
         default_tiers.check(reader, route)
         routes.append(route)
         reader.close()
@@ -116,11 +116,11 @@
         reader.fault("method", f"is {route.method} on a language service", LANGUAGE_METHOD)
 
 
-def _check_plain_route(reader, route, *, service, earlier):
+def _check_plain_route(reader, route, *, service, earlier_routes):
     if service and _is_under_prefix(route.path, f"/{service}"):
         problem = f"is {route.path}, which names the service again"
         reader.fault("path", problem, "the part of the path below the service, for instance /bookings")
-    for other in earlier:
+    for other in earlier_routes:
         if other.method == route.method and other.path is not None:
             _check_not_shadowed(reader, route, other=other)
 
