--- a/wagtailtrestle/declarations/yaml_source.py
+++ b/wagtailtrestle/declarations/yaml_source.py
@@ -124,7 +124,7 @@
 
 
 @record
-class _Refused:
+class _Rejection:
     problem: str
     allowed: str
 
@@ -237,13 +237,13 @@
     """
     if isinstance(event, yaml.NodeEvent):
         if event.anchor is not None:
-            return _Refused(
+            return _Rejection(
                 problem="has an anchor or an alias ('&' or '*')", allowed="the value itself, or quoted text"
             )
         if event.tag is not None:
-            return _Refused(problem="has a tag ('!')", allowed="plain YAML without tags")
+            return _Rejection(problem="has a tag ('!')", allowed="plain YAML without tags")
         if isinstance(event, yaml.CollectionStartEvent) and depth >= MAX_NESTING_DEPTH:
-            return _Refused(problem="is nested too deeply", allowed=f"at most {MAX_NESTING_DEPTH} levels")
+            return _Rejection(problem="is nested too deeply", allowed=f"at most {MAX_NESTING_DEPTH} levels")
     if isinstance(event, yaml.DocumentStartEvent) and is_second:
-        return _Refused(problem="holds a second document", allowed="one YAML document in a file")
+        return _Rejection(problem="holds a second document", allowed="one YAML document in a file")
     return None
