--- a/wagtailtrestle/declarations/yaml_source.py
+++ b/wagtailtrestle/declarations/yaml_source.py
@@ -202,7 +202,7 @@
             open_nodes.pop()
             continue
         line = event.start_mark.line + 1
-        refused = _refusal(event, depth=len(open_nodes), is_second=root is not None)
+        refused = _find_forbidden(event, depth=len(open_nodes), is_second=root is not None)
         if refused is not None:
             faults.add(line=line, field="", problem=refused.problem, allowed=refused.allowed)
             return None
@@ -228,7 +228,7 @@
     return None
 
 
-def _refusal(event, *, depth, is_second):
+def _find_forbidden(event, *, depth, is_second):
     """Return why an event may not be built, or ``None``.
 
     A few bytes of nested aliases stand for billions of nodes, and deep nesting overruns
