--- a/wagtailtrestle/declarations/yaml_source.py
+++ b/wagtailtrestle/declarations/yaml_source.py
@@ -137,7 +137,7 @@
     text : str or bytes
     faults : FaultList
     """
-    text = _decoded(text, faults=faults)
+    text = _decode(text, faults=faults)
     if text is None:
         return None
     try:
@@ -175,7 +175,7 @@
     faults.add(line=mark.line + 1 if mark else 0, field="", problem=problem, allowed="one YAML document")
 
 
-def _decoded(text, *, faults):
+def _decode(text, *, faults):
     if isinstance(text, str):
         # A lone surrogate can't be sent to the platform; it turns into the fault below.
         text = text.encode(errors="surrogatepass")
