--- a/wagtailtrestle/declarations/yaml_source.py
+++ b/wagtailtrestle/declarations/yaml_source.py
@@ -167,11 +167,11 @@
 
 def _add_yaml_error(error, *, faults):
     mark = getattr(error, "problem_mark", None)
-    began = getattr(error, "context_mark", None)
+    context_mark = getattr(error, "context_mark", None)
     reason = getattr(error, "problem", None) or getattr(error, "reason", None) or "unreadable"
     problem = f"is not YAML: {str(reason)[:MAX_REASON_LENGTH]}"
-    if began is not None and began.line != mark.line:
-        problem += f", in what begins on line {began.line + 1}"
+    if context_mark is not None and context_mark.line != mark.line:
+        problem += f", in what begins on line {context_mark.line + 1}"
     faults.add(line=mark.line + 1 if mark else 0, field="", problem=problem, allowed="one YAML document")
 
 
