--- a/wagtailtrestle/declarations/engine_check.py
+++ b/wagtailtrestle/declarations/engine_check.py
@@ -36,14 +36,14 @@
 class _EngineSection:
     """Reads engines one by one and remembers what must be unique among them."""
 
-    __slots__ = ("names", "engines", "addresses", "services_by_cell", "served")
+    __slots__ = ("names", "engines", "addresses", "services_by_cell", "served_services")
 
     def __init__(self, *, names):
         self.names = names
         self.engines = NameTable(kind="engine")
         self.addresses = NameTable(kind="address")
         self.services_by_cell = {}
-        self.served = set()
+        self.served_services = set()
 
     def read(self, reader):
         """Return one engine."""
@@ -51,7 +51,7 @@
         self.engines.declare(reader, "name", name)
         service = reader.value("service", Name())
         self.names.services.check_declared(reader, "service", service)
-        self.served.add(service)
+        self.served_services.add(service)
         zone = reader.value("zone", Name())
         self.names.zones.check_declared(reader, "zone", zone)
         address = reader.value("address", HostPort())
@@ -74,7 +74,7 @@
     def check_services_served(self, root):
         """Record a fault for each service that no engine belongs to."""
         for name, line in self.names.services.lines_by_name.items():
-            if name not in self.served:
+            if name not in self.served_services:
                 root.faults.add(
                     line=line, field=f"services[{name}]", problem="has no engine", allowed="at least one engine"
                 )
