--- a/wagtailtrestle/declarations/engine_check.py
+++ b/wagtailtrestle/declarations/engine_check.py
@@ -100,7 +100,9 @@
         cell = reader.value("cell", Name(), default=service)
         if cell is None or service is None:
             return cell
-        owner = self.services_by_cell.setdefault(cell, service)
-        if owner != service:
-            reader.fault("cell", f"is {cell}, which holds engines of {owner}", "a cell with engines of one service")
+        cell_service = self.services_by_cell.setdefault(cell, service)
+        if cell_service != service:
+            reader.fault(
+                "cell", f"is {cell}, which holds engines of {cell_service}", "a cell with engines of one service"
+            )
         return cell
