--- a/wagtailtrestle/declarations/check.py
+++ b/wagtailtrestle/declarations/check.py
@@ -90,7 +90,7 @@
             names.zones.declare(section, key.text, zone, node=node)
         zones_by_region[region] = tuple(zone for zone, _ in zones)
     if not zones_by_region:
-        section.fault(None, "declares no region", "at least one region with its zones")
+        section.add_fault(None, "declares no region", "at least one region with its zones")
     return zones_by_region
 
 
@@ -128,7 +128,7 @@
         names.keys.lines_by_name.setdefault(digest, node.line)
         if first_line is not None:
             problem = f"has a key that stands on line {first_line} already"
-            reader.fault("key_sha256", problem, "each key once, for one team", node=node)
+            reader.add_fault("key_sha256", problem, "each key once, for one team", node=node)
     return tuple(digest for digest, _ in digests)
 
 
@@ -151,7 +151,7 @@
     min_retention_s = longest_ms / 1000 + MAX_CLOCK_SKEW_S
     if longest_ms and retention_s is not None and retention_s < min_retention_s:
         problem = "forgets claims while their requests may still run"
-        reader.fault(
+        reader.add_fault(
             "retention_s",
             problem,
             f"at least {min_retention_s:g}: the longest deadline of an at_most_once route + 30 s",
--- a/wagtailtrestle/declarations/engine_check.py
+++ b/wagtailtrestle/declarations/engine_check.py
@@ -102,7 +102,7 @@
             return cell
         cell_service = self.services_by_cell.setdefault(cell, service)
         if cell_service != service:
-            reader.fault(
+            reader.add_fault(
                 "cell", f"is {cell}, which holds engines of {cell_service}", "a cell with engines of one service"
             )
         return cell
--- a/wagtailtrestle/declarations/field_reader.py
+++ b/wagtailtrestle/declarations/field_reader.py
@@ -30,10 +30,10 @@
 
     def _add(self, key, value):
         if not isinstance(key, ScalarNode):
-            self.fault(None, "has a key that is not a word", "a field's name", node=key)
+            self.add_fault(None, "has a key that is not a word", "a field's name", node=key)
         elif key.text in self._pairs_by_key:
             # The YAML library would keep the last one and drop the first without a word.
-            self.fault(_truncate(key.text), "stands here twice", "each field once", node=key)
+            self.add_fault(_truncate(key.text), "stands here twice", "each field once", node=key)
         else:
             self._pairs_by_key[key.text] = (key, value)
 
@@ -43,7 +43,7 @@
             return self.field
         return f"{self.field}.{name}" if self.field else name
 
-    def fault(self, name, problem, allowed, *, node=None):
+    def add_fault(self, name, problem, allowed, *, node=None):
         """Record a fault of a field, at the line of ``node``, of the field, or of this mapping."""
         line = self.line_of(name) if node is None else node.line
         self.faults.add(line=line, field=self.path(name), problem=problem, allowed=allowed)
@@ -64,7 +64,7 @@
         if pair is not None:
             return pair[1]
         if required:
-            self.fault(name, "is missing", allowed)
+            self.add_fault(name, "is missing", allowed)
         return None
 
     def value(self, name, value_type, *, default=REQUIRED):
@@ -93,10 +93,10 @@
         if node is None:
             return ()
         if not isinstance(node, SequenceNode):
-            self.fault(name, "is not a list", allowed)
+            self.add_fault(name, "is not a list", allowed)
             return ()
         if required and not node.items:
-            self.fault(name, "is empty", "at least one")
+            self.add_fault(name, "is empty", "at least one")
         return node.items
 
     def mapping(self, name, *, required=True):
@@ -118,7 +118,7 @@
         """Report every field that was never asked for."""
         for name, (key, _) in self._pairs_by_key.items():
             if name not in self._requested_fields:
-                self.fault(_truncate(name), "is an unknown field", ", ".join(self._requested_fields), node=key)
+                self.add_fault(_truncate(name), "is an unknown field", ", ".join(self._requested_fields), node=key)
 
 
 def open_mapping(node, *, field, faults):
--- a/wagtailtrestle/declarations/names.py
+++ b/wagtailtrestle/declarations/names.py
@@ -23,7 +23,7 @@
         line = reader.line_of(field) if node is None else node.line
         if name in self.lines_by_name:
             problem = f"is the {self.kind} {name} again, as on line {self.lines_by_name[name]}"
-            reader.fault(field, problem, f"each {self.kind} once", node=node)
+            reader.add_fault(field, problem, f"each {self.kind} once", node=node)
             return False
         self.lines_by_name[name] = line
         return True
@@ -31,7 +31,7 @@
     def check_declared(self, reader, field, name, *, node=None):
         """Record a fault if nobody declared the name that stands in ``field``."""
         if name is not None and name not in self.lines_by_name:
-            reader.fault(field, f"is {name}, which is not declared", f"a declared {self.kind}", node=node)
+            reader.add_fault(field, f"is {name}, which is not declared", f"a declared {self.kind}", node=node)
 
 
 class DeclaredNames:
--- a/wagtailtrestle/declarations/service_check.py
+++ b/wagtailtrestle/declarations/service_check.py
@@ -35,7 +35,7 @@
     name = reader.value("name", Name())
     names.services.declare(reader, "name", name)
     if name == RESERVED_NAME:
-        reader.fault("name", f"is {name}, with which the paths of language services begin", "another name")
+        reader.add_fault("name", f"is {name}, with which the paths of language services begin", "another name")
     kind = reader.value("kind", OneOf(words=(LANGUAGE, PLAIN)))
     names.kinds_by_service[name] = kind
     prefill_weight = reader.value("prefill_weight", Number(minimum=0, maximum=1), default=DEFAULT_PREFILL_WEIGHT)
@@ -83,7 +83,7 @@
         excluded_teams = [team for team in teams if ranks_by_team.setdefault(team, rank) > rank]
         if excluded_teams:
             problem = f"is above that of team {excluded_teams[0]}'s default, an earlier route on the same path"
-            reader.fault("tier", problem, "routes on one path with the highest tier first, for each team")
+            reader.add_fault("tier", problem, "routes on one path with the highest tier first, for each team")
 
 
 def _read_route(reader, names, *, table):
@@ -105,21 +105,21 @@
         teams=tuple(team for team, _ in teams),
     )
     if route.repeatable and route.at_most_once:
-        reader.fault("at_most_once", "is true on a repeatable route", "true only beside repeatable: false")
+        reader.add_fault("at_most_once", "is true on a repeatable route", "true only beside repeatable: false")
     return route
 
 
 def _check_language_route(reader, route):
     if route.path is not None and route.path not in LANGUAGE_PATHS:
-        reader.fault("path", f"is {route.path} on a language service", " or ".join(LANGUAGE_PATHS))
+        reader.add_fault("path", f"is {route.path} on a language service", " or ".join(LANGUAGE_PATHS))
     if route.method is not None and route.method != LANGUAGE_METHOD:
-        reader.fault("method", f"is {route.method} on a language service", LANGUAGE_METHOD)
+        reader.add_fault("method", f"is {route.method} on a language service", LANGUAGE_METHOD)
 
 
 def _check_plain_route(reader, route, *, service, earlier_routes):
     if service and _is_under_prefix(route.path, f"/{service}"):
         problem = f"is {route.path}, which names the service again"
-        reader.fault("path", problem, "the part of the path below the service, for instance /bookings")
+        reader.add_fault("path", problem, "the part of the path below the service, for instance /bookings")
     for other in earlier_routes:
         if other.method == route.method and other.path is not None:
             _check_not_shadowed(reader, route, other=other)
@@ -134,10 +134,10 @@
     if not _is_under_prefix(route.path, other.path):
         return
     if not _is_under_prefix(other.path, route.path):
-        reader.fault("path", f"is {route.path}, hidden by route {other.name} above it", "the longer path first")
+        reader.add_fault("path", f"is {route.path}, hidden by route {other.name} above it", "the longer path first")
     elif (other.repeatable, other.at_most_once) != (route.repeatable, route.at_most_once):
         problem = f"is that of route {other.name}, which promises something else about repeats"
-        reader.fault("path", problem, "the same repeatable and at_most_once for one method and path")
+        reader.add_fault("path", problem, "the same repeatable and at_most_once for one method and path")
 
 
 def _is_under_prefix(path, prefix):
--- a/wagtailtrestle/declarations/settings.py
+++ b/wagtailtrestle/declarations/settings.py
@@ -356,4 +356,4 @@
             continue
         other = names_by_address.setdefault(address, name)
         if other != name:
-            reader.fault(name, f"is the same as {other}", "an address of its own")
+            reader.add_fault(name, f"is the same as {other}", "an address of its own")
