--- a/tests/test_foreign_entries.py
+++ b/tests/test_foreign_entries.py
@@ -140,7 +140,7 @@
     def test_a_configuration_is_read_or_its_faults_are_told(self, document):
         read = PlatformDeclarations().parse(json.dumps(document))
         self.assertTrue(hasattr(read, "faults") or hasattr(read, "host_routes"))
-        PlatformDeclarations().accepted(version=1, value=document)
+        PlatformDeclarations().parse_accepted(version=1, value=document)
 
 
 if __name__ == "__main__":
--- a/tests/test_platform_declarations.py
+++ b/tests/test_platform_declarations.py
@@ -124,9 +124,9 @@
             self.assertTrue(PlatformDeclarations().parse(text).faults)
 
     def test_the_version_is_the_generation(self):
-        accepted = PlatformDeclarations().accepted(version=530, value=CONFIGURATION)
+        accepted = PlatformDeclarations().parse_accepted(version=530, value=CONFIGURATION)
         self.assertEqual((accepted.version, accepted.generation), (530, 7))
-        self.assertIsNone(PlatformDeclarations().accepted(version=1, value={"routes": []}))
+        self.assertIsNone(PlatformDeclarations().parse_accepted(version=1, value={"routes": []}))
 
 
 class HostRouteTest(unittest.TestCase):
--- a/tests/test_store_readers.py
+++ b/tests/test_store_readers.py
@@ -34,7 +34,7 @@
     name = "main"
     reads_are_linearizable = True
 
-    def accepted(self, *, version, value):
+    def parse_accepted(self, *, version, value):
         return SimpleNamespace(generation=value, text="")
 
 
--- a/tests/utils/freshness_replay.py
+++ b/tests/utils/freshness_replay.py
@@ -28,7 +28,7 @@
     name = "main"
     reads_are_linearizable = True
 
-    def accepted(self, *, version, value):
+    def parse_accepted(self, *, version, value):
         """Read the generation."""
         return SimpleNamespace(generation=value, text="")
 
--- a/wagtailtrestle/configuration/sources.py
+++ b/wagtailtrestle/configuration/sources.py
@@ -77,7 +77,7 @@
     reads_are_linearizable = False
     """A read may come from a copy that lags, so that its being the newest needs a proof."""
 
-    def accepted(self, *, version, value):
+    def parse_accepted(self, *, version, value):
         """The declaration that an object holds, or ``None`` if it holds none."""
         return accepted_from_value(version=version, value=value)
 
@@ -272,7 +272,7 @@
         return outcome.version
 
     def _take(self, version, value, source):
-        accepted = self._place.accepted(version=version, value=value)
+        accepted = self._place.parse_accepted(version=version, value=value)
         if accepted is None:
             logger.error("the object {}/{} is not a declaration", self._place.kind, self._place.name)
             return
--- a/wagtailtrestle/contracts/ports.py
+++ b/wagtailtrestle/contracts/ports.py
@@ -56,7 +56,7 @@
     name: str
     reads_are_linearizable: bool
 
-    def accepted(self, *, version: int, value):
+    def parse_accepted(self, *, version: int, value):
         """Return the ``Accepted`` declaration in an object's value, or ``None`` if it is not acceptable."""
 
 
--- a/wagtailtrestle/platform/declarations.py
+++ b/wagtailtrestle/platform/declarations.py
@@ -43,7 +43,7 @@
     reads_are_linearizable = True
     """A plain read of this store is never stale, so it needs no second proof."""
 
-    def accepted(self, *, version, value):
+    def parse_accepted(self, *, version, value):
         """The configuration that an object holds, or ``None`` if it holds none."""
         if not isinstance(value, dict) or not isinstance(value.get("version"), int):
             return None
