--- a/wagtailtrestle/adapters.py
+++ b/wagtailtrestle/adapters.py
@@ -16,7 +16,7 @@
 
     Attributes
     ----------
-    place : DeclarationPlace
+    place : DeclarationLocation
     reports : ReportDialect
     ended_call : EngineDialect or None
         See :class:`wagtailtrestle.engines.client.EngineClient`.
--- a/wagtailtrestle/configuration/configuration.py
+++ b/wagtailtrestle/configuration/configuration.py
@@ -69,7 +69,7 @@
     start_wait_s : float
         How long a starting router tries to have its first declaration confirmed.
     jitter : random.Random, optional
-    place : DeclarationPlace, optional
+    place : DeclarationLocation, optional
         Where the store holds the declaration; the product's own by default.
     readers : StoreReaders, optional
         Who reads the platform for others; without it every router watches and polls it.
--- a/wagtailtrestle/configuration/sources.py
+++ b/wagtailtrestle/configuration/sources.py
@@ -88,7 +88,7 @@
     Parameters
     ----------
     store : ObjectStore
-    place : DeclarationPlace
+    place : DeclarationLocation
         Where the declaration lies in the store and how its object is read.
     offer : callable
         ``offer(generation, text, source)``.
--- a/wagtailtrestle/contracts/ports.py
+++ b/wagtailtrestle/contracts/ports.py
@@ -48,7 +48,7 @@
     Attributes
     ----------
     kind, name : str
-    reads_are_newest : bool
+    reads_are_linearizable : bool
         Whether a plain read is certain to return the newest version.
     """
 
