--- a/wagtailtrestle/declarations/__init__.py
+++ b/wagtailtrestle/declarations/__init__.py
@@ -1,1 +1,1 @@
-"""Files of operators, read and checked: declarations and settings."""
+"""Parsing and checking of the operator's files: declarations and settings."""
