--- a/wagtailtrestle/declarations/argument_types.py
+++ b/wagtailtrestle/declarations/argument_types.py
@@ -1,7 +1,7 @@
-"""Types of single values at the edge: what is allowed, and what is wrong with a bad one.
+"""Types of values in files and on the command line: parsing, and a description of what is allowed.
 
-The same types check YAML scalars and command-line arguments. ``read`` takes the text
-as it was written and returns the value or a :class:`Wrong`; it never raises.
+The same types check YAML scalars and command-line arguments. ``read`` parses the text
+as it was written and returns the value or an :class:`InvalidValue`; it never raises.
 """
 
 import ipaddress
@@ -13,7 +13,7 @@
 from wagtailtrestle.record import record
 
 NAME_PATTERN = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,62}")
-# Without leading zeros: YAML 1.1 reads 010 as eight.
+# No leading zeros, as YAML 1.1 reads 010 as eight.
 INTEGER_PATTERN = re.compile(r"[-+]?(0|[1-9][0-9]{0,17})")
 NUMBER_PATTERN = re.compile(r"[-+]?(0|[1-9][0-9]{0,17})(\.[0-9]{0,18})?([eE][-+]?[0-9]{1,2})?")
 SHA256_PATTERN = re.compile(r"[0-9a-f]{64}")
@@ -25,31 +25,31 @@
 
 @record
 class InvalidValue:
-    """What is wrong with a value, as the end of a sentence that begins with the field."""
+    """A rejected value; ``problem`` completes a sentence that begins with the field's name."""
 
     problem: str
 
 
 class ValueType(Protocol):
-    """One type of value.
+    """A type of value.
 
     Attributes
     ----------
     allowed : str
-        What may be written, for a person.
+        Description of the allowed values, for people to read.
     is_text : bool
-        Whether a value is text to YAML; otherwise it must stand unquoted.
+        Whether the value is a YAML string; any other value must be unquoted.
     """
 
     allowed: str
     is_text: bool
 
     def read(self, text: str) -> object:
-        """Return the value, or ``Wrong``."""
+        """Return the value, or ``InvalidValue``."""
 
 
 def quote_value(text):
-    """Quote a value for a message, cut short so that one long value can't flood it."""
+    """Return a value quoted for a message, truncated so that a long value can't flood it."""
     text = str(text)
     if len(text) > MAX_QUOTED_LENGTH:
         text = text[:MAX_QUOTED_LENGTH] + "…"
@@ -57,20 +57,20 @@
 
 
 class Name:
-    """Name of something declared; safe in a URL path, a header and a metric label."""
+    """Name of a declared item; safe in a URL path, a header and a metric label."""
 
     allowed = "1 to 63 letters, digits, '.', '_' or '-', beginning with a letter or digit"
     is_text = True
 
     def read(self, text):
-        """Return the name, or ``Wrong``."""
+        """Return the name, or ``InvalidValue``."""
         if NAME_PATTERN.fullmatch(text):
             return text
         return InvalidValue(problem=f"is {quote_value(text)}, which is not a name")
 
 
 class Integer:
-    """Whole number within bounds, both allowed."""
+    """Whole number within inclusive bounds."""
 
     is_text = False
 
@@ -80,7 +80,7 @@
         self.allowed = f"a whole number from {minimum} to {maximum}"
 
     def read(self, text):
-        """Return the number, or ``Wrong``."""
+        """Return the number, or ``InvalidValue``."""
         if not INTEGER_PATTERN.fullmatch(text):
             return InvalidValue(problem=f"is {quote_value(text)}, which is not a whole number")
         value = int(text)
@@ -90,7 +90,7 @@
 
 
 class Number:
-    """Finite decimal number within bounds, both allowed."""
+    """Finite decimal number within inclusive bounds."""
 
     is_text = False
 
@@ -100,7 +100,7 @@
         self.allowed = f"a number from {minimum} to {maximum}"
 
     def read(self, text):
-        """Return the number as a float, or ``Wrong``."""
+        """Return the number as a float, or ``InvalidValue``."""
         if not NUMBER_PATTERN.fullmatch(text):
             return InvalidValue(problem=f"is {quote_value(text)}, which is not a number")
         value = float(text)
@@ -110,13 +110,13 @@
 
 
 class Flag:
-    """Truth value, in YAML 1.2's two words only ('no' and 'off' are too easily misread)."""
+    """Boolean, only as ``true`` or ``false`` as in YAML 1.2: 'no' and 'off' are easily mistaken for text."""
 
     allowed = "true or false"
     is_text = False
 
     def read(self, text):
-        """Return the truth value, or ``Wrong``."""
+        """Return the boolean, or ``InvalidValue``."""
         if text.lower() == "true":
             return True
         if text.lower() == "false":
@@ -125,7 +125,7 @@
 
 
 class OneOf:
-    """One of a few words."""
+    """One of a fixed set of words."""
 
     is_text = True
 
@@ -134,20 +134,20 @@
         self.allowed = " or ".join(self.words) if len(self.words) < 3 else "one of " + ", ".join(self.words)
 
     def read(self, text):
-        """Return the word, or ``Wrong``."""
+        """Return the word, or ``InvalidValue``."""
         if text in self.words:
             return text
         return InvalidValue(problem=f"is {quote_value(text)}, which is not known")
 
 
 class HostPort:
-    """``host:port`` with an IP number; an IPv6 number stands in brackets."""
+    """``host:port`` with an IP address; an IPv6 address is in brackets."""
 
     allowed = "IP:PORT, for instance 10.0.0.7:8080 or [fd00::7]:8080"
     is_text = True
 
     def read(self, text):
-        """Return the address as written, or ``Wrong``."""
+        """Return the address as written, or ``InvalidValue``."""
         host, colon, port = text.rpartition(":")
         if not colon:
             return InvalidValue(problem=f"is {quote_value(text)}, which has no port")
@@ -160,19 +160,19 @@
 
 
 def split_address(text):
-    """Host and port of an address that :class:`HostPort` allows; brackets are taken off."""
+    """Split an address that :class:`HostPort` allows into host, without brackets, and port."""
     host, _, port = text.rpartition(":")
     return host.strip("[]"), int(port)
 
 
 class Sha256:
-    """Hex digest of a key. The value is never shown: a key itself may stand there by mistake."""
+    """Hex digest of a key; the value is never printed, as it may be the key itself by mistake."""
 
     allowed = "the SHA-256 of the key: 64 lower-case hex digits (printf %s KEY | sha256sum)"
     is_text = True
 
     def read(self, text):
-        """Return the digest, or ``Wrong``."""
+        """Return the digest, or ``InvalidValue``."""
         if SHA256_PATTERN.fullmatch(text):
             return text
         return InvalidValue(problem=f"is not a SHA-256 digest ({len(text)} characters; not shown, as it may be a key)")
@@ -185,7 +185,7 @@
     is_text = True
 
     def read(self, text):
-        """Return the path, or ``Wrong``."""
+        """Return the path, or ``InvalidValue``."""
         segments = text.split("/")
         if len(text) > MAX_PATH_LENGTH or not text.startswith("/") or "." in segments or ".." in segments:
             return InvalidValue(problem=f"is {quote_value(text)}, which is not a path")
@@ -195,13 +195,13 @@
 
 
 class Url:
-    """``http://host:port`` of a process, optionally with a path."""
+    """``http://host:port`` or ``https://host:port`` of a server, optionally with a path."""
 
     allowed = "http://HOST:PORT, for instance http://10.0.0.5:8700"
     is_text = True
 
     def read(self, text):
-        """Return the URL without a trailing slash, or ``Wrong``."""
+        """Return the URL without a trailing slash, or ``InvalidValue``."""
         try:
             parts = urlsplit(text)
             usable = parts.scheme in ("http", "https") and bool(parts.hostname) and parts.port != 0
@@ -219,7 +219,7 @@
     is_text = True
 
     def read(self, text):
-        """Return ``(name, address)``, or ``Wrong``."""
+        """Return ``(name, address)``, or ``InvalidValue``."""
         name, _, address = text.partition("=")
         if isinstance(Name().read(name), InvalidValue) or isinstance(HostPort().read(address), InvalidValue):
             return InvalidValue(problem=f"is {quote_value(text)}, which is not a named address")
