--- a/wagtailtrestle/declarations/check.py
+++ b/wagtailtrestle/declarations/check.py
@@ -1,7 +1,7 @@
-"""YAML text to a :class:`Declaration`, or every fault in it at once.
+"""Parsing of YAML text to a :class:`Declaration`, or to all its faults at once.
 
-Sections are read in the order in which they refer to each other, and reading goes on
-after a fault, so that one never hides another. Nothing here raises, whatever the text.
+Sections are read in the order in which they refer to each other, and reading continues
+after a fault, so that all are reported. Nothing here raises, whatever the text.
 """
 
 from wagtailtrestle.contracts.declaration import Declaration, Team, Tier
@@ -24,7 +24,7 @@
 
 @record
 class DeclarationFaults:
-    """Everything wrong with a declaration; none of it is applied."""
+    """All faults of a rejected declaration."""
 
     faults: tuple[Fault, ...]
 
@@ -37,7 +37,7 @@
     text : str or bytes
         At most 1 MB of YAML.
     file : str
-        Name of the file, for the faults.
+        Name of the file to give in faults.
 
     Returns
     -------
@@ -55,7 +55,7 @@
 
 
 def _read(root):
-    """Return the declaration; meaningless if any fault was recorded."""
+    """Return the declaration, which must not be used if any fault was recorded."""
     names = DeclaredNames()
     root.value("format", Integer(minimum=FORMAT_VERSION, maximum=FORMAT_VERSION))
     organisation = root.value("organisation", Name())
@@ -119,8 +119,8 @@
 def _read_keys(reader, names):
     """Return a team's key digests.
 
-    One key for two teams would leave it to chance whose share and routes a call gets; the digest
-    itself stays out of the fault, which may be shown to anybody.
+    A key of two teams would make it arbitrary which team's share and routes a call gets. The fault does not
+    contain the digest, as anybody may see it.
     """
     digests = reader.values("key_sha256", Sha256())
     for digest, node in digests:
@@ -144,8 +144,8 @@
 
 
 def _check_retention(reader, retention_s, services_by_name):
-    # A claim forgotten while its request may still run would let a re-send run a second time. Two VMs'
-    # clocks may differ, and each dates its claims by its own.
+    # If a claim expired while its request may still run, a repeated request would run a second time. The
+    # clocks of two VMs may differ, and each VM timestamps its claims by its own.
     routes = [route for service in services_by_name.values() for route in service.routes_by_name.values()]
     longest_ms = max((route.deadline_ms or 0 for route in routes if route.at_most_once), default=0)
     min_retention_s = longest_ms / 1000 + MAX_CLOCK_SKEW_S
