--- a/wagtailtrestle/declarations/diff.py
+++ b/wagtailtrestle/declarations/diff.py
@@ -1,4 +1,4 @@
-"""Typed difference of two declarations."""
+"""Difference of two declarations, as typed changes."""
 
 from wagtailtrestle.record import record
 
@@ -7,7 +7,7 @@
 
 @record
 class Added:
-    """Something that only the newer declaration has."""
+    """An item that only the newer declaration has."""
 
     section: str
     name: str
@@ -15,7 +15,7 @@
 
 @record
 class Removed:
-    """Something that only the older declaration has."""
+    """An item that only the older declaration has."""
 
     section: str
     name: str
@@ -23,7 +23,7 @@
 
 @record
 class Changed:
-    """A field that differs; ``before`` and ``after`` are for a person.
+    """A field that differs; ``before`` and ``after`` are its values, formatted for people to read.
 
     ``name`` is empty for a field of the whole section.
     """
@@ -44,13 +44,13 @@
     Parameters
     ----------
     before : Declaration or None
-        ``None`` if nothing was declared yet.
+        ``None`` if there was no declaration before.
     after : Declaration
 
     Returns
     -------
     tuple of Change
-        By section, in the order of a declaration's file.
+        Ordered by section, as in a declaration's file.
     """
     old, new = _sections(before), _sections(after)
     changes = []
@@ -71,7 +71,7 @@
 
 
 def _sections(declaration):
-    """Return the fields of each thing declared, by section and name, as text for a person."""
+    """Return the fields of each declared item by section and name, formatted for people to read."""
     if declaration is None:
         return {}
     routes = {}
@@ -98,7 +98,7 @@
 
 
 def _service_fields(service):
-    # The order counts: a team's first route on a path is its default.
+    # The order matters: a team's first route on a path is its default.
     return {
         "kind": service.kind,
         "prefill_weight": _format_value(service.prefill_weight),
