--- a/wagtailtrestle/declarations/engine_check.py
+++ b/wagtailtrestle/declarations/engine_check.py
@@ -1,4 +1,4 @@
-"""Checks of the section ``engines`` of a declaration."""
+"""Parsing and checks of the section ``engines`` of a declaration."""
 
 from wagtailtrestle.contracts.declaration import PLAIN, DeclaredEngine
 from wagtailtrestle.declarations.argument_types import Flag, HostPort, Integer, Name, Number
@@ -8,20 +8,20 @@
 MAX_SLOTS = 100_000
 MAX_STEP_MS = 600_000
 MAX_PREFILL_TOKENS_PER_S = 100_000_000
-# Priors of a plain service's engine, whose calls have no steps; measurement replaces them.
+# Priors for engines of plain services, whose calls have no decode steps; measurements replace them.
 PLAIN_STEP_MS = 10.0
 PLAIN_PREFILL_TOKENS_PER_S = 4000.0
 
 
 def read_engines(root, names):
-    """Return the engines by name; faults go to the reader.
+    """Return the engines by name; faults are added to the reader's list.
 
     Parameters
     ----------
     root : MappingReader
-        The whole declaration.
+        Reader of the complete declaration.
     names : DeclaredNames
-        With zones and services already declared.
+        Must already contain the declared zones and services.
     """
     section = _EngineSection(names=names)
     engines_by_name = {}
@@ -34,7 +34,7 @@
 
 
 class _EngineSection:
-    """Reads engines one by one and remembers what must be unique among them."""
+    """Reads engines one by one and checks that names and addresses are unique and cells hold one service."""
 
     __slots__ = ("names", "engines", "addresses", "services_by_cell", "served_services")
 
@@ -46,7 +46,7 @@
         self.served_services = set()
 
     def read(self, reader):
-        """Return one engine."""
+        """Parse one engine."""
         name = reader.value("name", Name())
         self.engines.declare(reader, "name", name)
         service = reader.value("service", Name())
@@ -72,7 +72,7 @@
         )
 
     def check_services_served(self, root):
-        """Record a fault for each service that no engine belongs to."""
+        """Record a fault for each service without engines."""
         for name, line in self.names.services.lines_by_name.items():
             if name not in self.served_services:
                 root.faults.add(
@@ -94,8 +94,8 @@
     def _read_cell(self, reader, *, service):
         """Return the engine's cell.
 
-        One scheduler decides a cell's admission in one queue; two services in it would be given
-        each other's engines.
+        A cell's scheduler decides admission from one queue: with two services in a cell, requests would be
+        sent to engines of the other service.
         """
         cell = reader.value("cell", Name(), default=service)
         if cell is None or service is None:
