--- a/wagtailtrestle/declarations/field_reader.py
+++ b/wagtailtrestle/declarations/field_reader.py
@@ -1,4 +1,4 @@
-"""Readers of YAML mappings, field by field, that record every fault and go on."""
+"""Reading of YAML mappings field by field; each fault is recorded and reading continues."""
 
 from wagtailtrestle.declarations.argument_types import InvalidValue, quote_value
 from wagtailtrestle.declarations.yaml_source import MappingNode, ScalarNode, SequenceNode
@@ -7,13 +7,13 @@
 
 
 class MappingReader:
-    """Reads the fields of one mapping; ``close`` reports those nobody asked for.
+    """Reads the fields of one mapping; ``close`` records a fault for each unknown field.
 
     Parameters
     ----------
     node : MappingNode
     field : str
-        Where the mapping stands, empty for the whole file.
+        Path of the mapping in the file; empty for the root.
     faults : FaultList
     """
 
@@ -32,19 +32,19 @@
         if not isinstance(key, ScalarNode):
             self.add_fault(None, "has a key that is not a word", "a field's name", node=key)
         elif key.text in self._pairs_by_key:
-            # The YAML library would keep the last one and drop the first without a word.
+            # The YAML library would keep the last one and silently drop the first.
             self.add_fault(_truncate(key.text), "stands here twice", "each field once", node=key)
         else:
             self._pairs_by_key[key.text] = (key, value)
 
     def path(self, name):
-        """Return the full name of one of this mapping's fields, or its own without a name."""
+        """Return the path of one of this mapping's fields, or of the mapping if ``name`` is ``None``."""
         if name is None:
             return self.field
         return f"{self.field}.{name}" if self.field else name
 
     def add_fault(self, name, problem, allowed, *, node=None):
-        """Record a fault of a field, at the line of ``node``, of the field, or of this mapping."""
+        """Record a fault of a field, at the line of ``node`` if given, else of the field, else of this mapping."""
         line = self.line_of(name) if node is None else node.line
         self.faults.add(line=line, field=self.path(name), problem=problem, allowed=allowed)
 
@@ -54,11 +54,11 @@
         return self.node.line if pair is None else pair[1].line
 
     def keys(self):
-        """Return the key nodes, for a mapping whose keys are data."""
+        """Return the key nodes, for a mapping whose keys are data rather than field names."""
         return tuple(key for key, _ in self._pairs_by_key.values())
 
     def get(self, name, *, allowed="this field", required=True):
-        """Return the node of a field, or ``None`` (a fault if it is required)."""
+        """Return the node of a field, or ``None`` if it is absent, which is a fault if it is required."""
         self._requested_fields[name] = None
         pair = self._pairs_by_key.get(name)
         if pair is not None:
@@ -68,14 +68,14 @@
         return None
 
     def value(self, name, value_type, *, default=REQUIRED):
-        """Return the value of a scalar field; ``None`` if it is faulty."""
+        """Return the value of a scalar field, its default if it is absent, or ``None`` if it is faulty."""
         node = self.get(name, allowed=value_type.allowed, required=default is REQUIRED)
         if node is None:
             return None if default is REQUIRED else default
         return read_scalar(node, value_type, field=self.path(name), faults=self.faults)
 
     def values(self, name, value_type, *, required=True):
-        """Return ``(value, node)`` for each sound item of a list of scalars."""
+        """Return ``(value, node)`` for each valid item of a list of scalars."""
         field = self.path(name)
         valid_items = []
         for node in self.items(name, required=required, allowed=f"a list: {value_type.allowed}"):
@@ -85,9 +85,9 @@
         return valid_items
 
     def items(self, name, *, required=True, allowed="a list"):
-        """Return the nodes of a list field; empty if it is absent or no list.
+        """Return the nodes of a list field; empty if it is absent or not a list.
 
-        A required list must hold something.
+        A required list must not be empty.
         """
         node = self.get(name, allowed=allowed, required=required)
         if node is None:
@@ -100,14 +100,14 @@
         return node.items
 
     def mapping(self, name, *, required=True):
-        """Return a reader of a mapping field, or ``None``."""
+        """Return a reader of a mapping field, or ``None`` if it is absent or faulty."""
         node = self.get(name, allowed="a mapping of fields", required=required)
         if node is None:
             return None
         return open_mapping(node, field=self.path(name), faults=self.faults)
 
     def mappings(self, name, *, required=True):
-        """Yield a reader for each mapping of a list field, called by its ``name`` or its place."""
+        """Yield a reader for each mapping of a list field, identified in faults by its ``name`` or its index."""
         for index, node in enumerate(self.items(name, required=required, allowed="a list of mappings")):
             field = f"{self.path(name)}[{_declared_name(node) or index}]"
             reader = open_mapping(node, field=field, faults=self.faults)
@@ -115,7 +115,7 @@
                 yield reader
 
     def close(self):
-        """Report every field that was never asked for."""
+        """Record a fault for each field that was never requested."""
         for name, (key, _) in self._pairs_by_key.items():
             if name not in self._requested_fields:
                 self.add_fault(_truncate(name), "is an unknown field", ", ".join(self._requested_fields), node=key)
@@ -154,7 +154,7 @@
 
 
 def _declared_name(node):
-    """Return the name that a mapping gives itself, cut short, to call it by in faults."""
+    """Return the value of a mapping's field ``name``, truncated, to identify the mapping in faults."""
     if not isinstance(node, MappingNode):
         return None
     for key, value in node.pairs:
