--- a/wagtailtrestle/declarations/names.py
+++ b/wagtailtrestle/declarations/names.py
@@ -1,8 +1,8 @@
-"""Names declared so far in a declaration, to find duplicates and dangling references."""
+"""Names declared so far in a declaration, to detect duplicates and undeclared references."""
 
 
 class NameTable:
-    """Names of one kind with the lines that declare them."""
+    """Names of one kind, with the lines on which they are declared."""
 
     __slots__ = ("kind", "lines_by_name")
 
@@ -11,7 +11,7 @@
         self.lines_by_name = {}
 
     def declare(self, reader, field, name, *, node=None):
-        """Take a name that stands in ``field``; a fault if it is taken already.
+        """Add the name in ``field``; record a fault if it is declared already.
 
         Returns
         -------
@@ -29,13 +29,13 @@
         return True
 
     def check_declared(self, reader, field, name, *, node=None):
-        """Record a fault if nobody declared the name that stands in ``field``."""
+        """Record a fault if the name in ``field`` is not declared."""
         if name is not None and name not in self.lines_by_name:
             reader.add_fault(field, f"is {name}, which is not declared", f"a declared {self.kind}", node=node)
 
 
 class DeclaredNames:
-    """The tables of one declaration that its sections share."""
+    """Tables of names that the sections of a declaration share."""
 
     __slots__ = ("zones", "tiers", "teams", "keys", "services", "kinds_by_service")
 
