--- a/wagtailtrestle/declarations/service_check.py
+++ b/wagtailtrestle/declarations/service_check.py
@@ -1,4 +1,4 @@
-"""Checks of the section ``services`` of a declaration, with the routes."""
+"""Parsing and checks of the section ``services`` of a declaration, including routes."""
 
 from wagtailtrestle.callers.route_match import CHAT_PATH, TEXT_PATH
 from wagtailtrestle.contracts.declaration import LANGUAGE, PLAIN, Route, Service
@@ -8,19 +8,19 @@
 LANGUAGE_PATHS = (CHAT_PATH, TEXT_PATH)
 LANGUAGE_METHOD = "POST"
 METHODS = ("GET", "HEAD", "POST", "PUT", "PATCH", "DELETE")
-# A plain service of this name would be reached by the paths of the language services.
+# The paths of language services begin with this name, so that a plain service of this name would clash with them.
 RESERVED_NAME = "v1"
 DEFAULT_PREFILL_WEIGHT = 0.5
 MAX_DEADLINE_MS = 86_400_000
 
 
 def read_services(root, names):
-    """Return the services by name; faults go to the reader.
+    """Return the services by name; faults are added to the reader's list.
 
     Parameters
     ----------
     root : MappingReader
-        The whole declaration.
+        Reader of the complete declaration.
     names : DeclaredNames
     """
     services_by_name = {}
@@ -60,10 +60,10 @@
 
 
 class _DefaultRouteTiers:
-    """The tier of each team's default route on one method and path, which it can't go above.
+    """Tier of each team's default route for a method and path, the highest tier that the team can use there.
 
-    A route of a higher tier that comes later could never be used by that team: its calls
-    would wait behind work they were meant to go before, and naming the route is refused.
+    The team could never use a later route of a higher tier: its calls would wait behind work
+    of lower priority, and a call that names the route is rejected.
     """
 
     __slots__ = ("_names", "_ranks_by_tier", "_ranks_by_call")
@@ -74,7 +74,7 @@
         self._ranks_by_call = {}
 
     def check(self, reader, route):
-        """Record a fault if a team of the route can never use it."""
+        """Record a fault if one of the route's teams can never use it."""
         rank = self._ranks_by_tier.get(route.tier)
         if rank is None:
             return
@@ -126,10 +126,10 @@
 
 
 def _check_not_shadowed(reader, route, *, other):
-    """Refuse a route that an earlier one answers for, or contradicts.
+    """Reject a route that an earlier one shadows, or whose guarantees differ on the same path.
 
-    The first declared route that fits a call is its default. A call that charges, hidden by a
-    repeatable route above it, would be run again after a failure: the member pays twice.
+    The first declared route that matches a call is its default. A call that charges a member, shadowed by an
+    earlier repeatable route, would be run again after a failure, and the member would be charged twice.
     """
     if not _is_under_prefix(route.path, other.path):
         return
