--- a/wagtailtrestle/declarations/settings.py
+++ b/wagtailtrestle/declarations/settings.py
@@ -1,4 +1,4 @@
-"""Checked settings of one process; its own file, apart from the declaration."""
+"""Parsing and checks of a process's settings, which have a file of their own beside the declaration."""
 
 from wagtailtrestle.capacity.retry_budget import RETRY_WINDOW_S
 from wagtailtrestle.declarations.argument_types import Flag, HostPort, Integer, Name, Number, OneOf, Peer, Url
@@ -12,24 +12,24 @@
 DEFAULT_DRAIN_TIMEOUT_S = 60.0
 DEFAULT_PEER_HEARTBEAT_S = 0.3
 DEFAULT_RETRY_SHARE = 0.1
-"""A tenth of what succeeds: enough for single losses, too little to feed a failure."""
+"""One retry per ten successes: enough to cover single losses, too few to amplify a failure."""
 DEFAULT_RETRY_EXTRA = 30.0
-"""Three a router and ten seconds in a fleet of ten, so that a quiet service can recover."""
+"""Three per router in ten seconds, in a fleet of ten routers, so that a service with little traffic can recover."""
 DEFAULT_ENGINE_RETURN_GRACE_S = 2.0
 DEFAULT_CONFIGURATION_POLL_S = 2.0
 DEFAULT_REPORT_INTERVAL_S = 0.5
 DEFAULT_VM_LIST_INTERVAL_S = 1.0
 DEFAULT_ENGINE_LEAVING_MS = 2000.0
-"""Engines mostly serve some seconds longer after they said that they leave."""
+"""Engines usually serve for some seconds after they announce that they drain."""
 DEFAULT_START_HOLD_S = 1.2
-"""Twice the half second for which routers that started together refused. Past it something is amiss, and another
-router is the better choice."""
+"""Twice the half second for which routers that were started together refused requests. After that something is wrong,
+and another router is the better choice."""
 DEFAULT_BALANCER_GRACE_S = 1.0
-"""A balancer that probes every second or faster has noticed by then."""
+"""Within this time a balancer that probes at least once a second has noticed the drain."""
 FRESHNESS_SHARE = 0.9
-"""Part of the bound on taken-away keys for which a proof counts: the rest is for the request's own way."""
+"""Share of the key revocation time for which a proof is valid; the rest covers the request's own transit time."""
 DRAIN_SHARE = 0.84
-"""Part of the time until it is killed that a process waits for requests in flight; ending takes 1.1 s."""
+"""Share of the stop grace period for which a process waits for requests in flight; shutting down takes 1.1 s."""
 OWN_ADAPTER = "own"
 PLATFORM_ADAPTER = "platform"
 ADAPTERS = (OWN_ADAPTER, PLATFORM_ADAPTER)
@@ -38,7 +38,7 @@
 
 @record
 class SettingsFaults:
-    """Everything wrong with a settings file; the process does not start."""
+    """All faults of a rejected settings file, with which the process does not start."""
 
     faults: tuple[Fault, ...]
 
@@ -53,61 +53,62 @@
     zone : str
         Availability zone.
     callers_address, peers_address, admin_address : str
-        ``IP:PORT`` on which callers, other routers and operators reach it.
+        ``IP:PORT`` of the listeners for callers, other routers and operators.
     platform_url : str
     peers : tuple of (str, str)
-        Name and peers address of routers to greet before the platform answers.
+        Name and peers address of routers to contact before the platform answers.
     caller_threads : int
-        Largest number of callers' requests in work.
+        Largest number of callers' requests in progress.
     max_body_bytes, max_header_bytes : int
-        Largest request from a caller.
+        Size limits of a caller's request.
     log_level : str
     log_json : bool
     drain_timeout_s : float
-        Longest wait for requests in flight on a graceful stop.
+        Longest wait for requests in flight during a graceful stop.
     peer_heartbeat_s : float
         Time between two heartbeats to a peer.
     adapter : {"own", "platform"}
-        Whose callers, engines and store are spoken to: the product's own interface, or the users' platform.
+        Interface to callers, engines and the store: the product's own, or that of the users' platform.
     metrics_address : str or None
         ``IP:PORT`` of a second listener for metrics and state.
     retry_share : float
-        Retries allowed for each success of a service within the window, over all routers.
+        Retries allowed per success of a service within the window, over all routers.
     retry_extra : float
-        Retries beyond that within the window, over all routers.
+        Retries allowed in addition within the window, over all routers.
     retry_window_s : float
+        Length of that window.
     key_revocation_ms : float
-        Time after which a revoked key may run nothing, wherever; 0 for no such bound.
+        Time after which a revoked key must not start a run on any router; 0 for no such bound.
     stop_grace_s : float
-        Time from SIGTERM until the process is killed; 0 if ``drain_timeout_s`` alone decides.
+        Time from SIGTERM until the process is killed; if 0, ``drain_timeout_s`` applies.
     quota_window_s : float
-        Time over which operators count what a team used; 0 if they tolerate no excess.
+        Time window over which operators measure a team's use; 0 if they tolerate no excess.
     quota_overage : float
-        Part of a quota that may be exceeded within that time.
+        Share of a quota by which it may be exceeded within that window.
     quota_slack : float
-        Units beyond that which may be exceeded, whatever the quota.
+        Units by which any quota may be exceeded in addition.
     configuration_poll_s : float
-        Time between two reads of the declaration, beside the watch on it.
+        Interval between reads of the declaration, in addition to the watch on it.
     vm_list_interval_s : float
-        Time between two reads of the list of VMs.
+        Interval between reads of the list of VMs.
     vm_list_settled_s : float
-        The same once the list has not changed for some reads; 0 for the same time always.
+        Interval once the list has not changed for some reads; 0 to keep ``vm_list_interval_s``.
     engine_leaving_ms : float
-        Time within which every router has to know that an engine leaves.
+        Time within which every router must know that an engine drains.
     report_interval_s : float
-        Time between two looks at an engine's load report, by the scheduler of its cell.
+        Interval at which the scheduler of a cell reads an engine's load report.
     balancer_grace_s : float
-        How long a leaving router still serves what the balancer sends it.
+        How long a draining router still serves requests that the balancer sends it.
     start_hold_s : float
-        Longest time for which requests are held that come before it can serve; 0 refuses them at once.
+        Longest time for which requests are held that arrive before the router is ready; 0 to refuse them immediately.
     plain_grace_s : float
-        How long it still serves calls of plain services; at least ``balancer_grace_s`` counts.
+        How long a draining router still serves calls of plain services, if longer than ``balancer_grace_s``.
     engine_return_grace_s : float
-        How long an engine that is missing from the list is kept after an outage of the store.
+        How long after an outage of the store an engine is kept that is missing from the list.
     rollout_share : float
-        Part of a service's requests that an untested version may get; 0 where no roll-outs are ordered.
+        Share of a service's requests that an untested version may get; 0 where no rollouts are ordered.
     rollout_slack : float
-        Requests that it may get besides.
+        Requests that an untested version may get in addition.
     """
 
     __slots__ = (
@@ -225,17 +226,17 @@
 
     @property
     def key_freshness_s(self):
-        """How long a key may be used without proof that it still holds; 0 for no such limit."""
+        """How long a key may be used without new proof that it is valid; 0 for no such limit."""
         return FRESHNESS_SHARE * self.key_revocation_ms / 1000.0
 
     @property
     def max_drain_s(self):
-        """Longest wait for requests in flight: the end of the process takes a second more."""
+        """Longest wait for requests in flight; shutting down takes another second."""
         return DRAIN_SHARE * self.stop_grace_s if self.stop_grace_s else self.drain_timeout_s
 
 
 def load_router_settings(path):
-    """Return the settings in the file at ``path``, or every fault in it.
+    """Return the settings in the file at ``path``, or all its faults.
 
     Parameters
     ----------
@@ -253,7 +254,7 @@
 
 
 def parse_router_settings(text, *, file="settings"):
-    """Return the settings written in ``text``, or every fault in it."""
+    """Return the settings in ``text``, or all its faults."""
     return check_settings(text, file=file, read=_read_router, settings_class=RouterSettings)
 
 
@@ -264,11 +265,11 @@
     ----------
     text : str or bytes
     file : str
-        Name of the file, for the faults.
+        Name of the file to give in faults.
     read : callable
-        Takes a ``MappingReader`` and returns the values by field name.
+        Called with a ``MappingReader``; returns the values by field name.
     settings_class : type
-        Built from those values if there is no fault.
+        Class of the settings, instantiated with those values if there is no fault.
     """
     faults = FaultList(file=file)
     node = compose(text, faults=faults)
