--- a/wagtailtrestle/declarations/settings_watch.py
+++ b/wagtailtrestle/declarations/settings_watch.py
@@ -1,4 +1,4 @@
-"""Notices that a process's settings file changed, told by SIGHUP or not, and puts in force what can be."""
+"""Reloads a process's settings when their file changes, with or without SIGHUP, and applies what can be applied."""
 
 import asyncio
 import os
@@ -8,7 +8,7 @@
 from wagtailtrestle.declarations.settings import RouterSettings, SettingsFaults, load_router_settings
 
 POLL_INTERVAL_S = 1.0
-"""Between two looks at the file: a change without a signal is in force about as soon as one with."""
+"""Interval between checks of the file, so that a change without a signal applies about as soon as one with it."""
 
 RELOADABLE = (
     "drain_timeout_s",
@@ -22,17 +22,18 @@
     "quota_overage",
     "quota_slack",
 )
-"""Fields that are read anew at each use; addresses and sizes of pools hold until the next start."""
+"""Fields whose change takes effect at once, as they are read at each use; others, such as addresses and pool sizes,
+only take effect at the next start."""
 
 
 class SettingsWatch:
-    """Keeps a router's settings as its file says.
+    """Keeps a router's settings up to date with its file.
 
     Parameters
     ----------
     path : str
     settings : RouterSettings
-        Changed in place.
+        Updated in place.
     """
 
     __slots__ = ("_path", "_settings", "_file_signature", "_task")
@@ -44,16 +45,16 @@
         self._task = None
 
     def start(self):
-        """Begin to look; must be called on the running event loop."""
+        """Start to poll the file; must be called on the running event loop."""
         self._task = asyncio.get_running_loop().create_task(self._poll())
 
     async def close(self):
-        """Stop looking."""
+        """Stop polling."""
         self._task.cancel()
         await asyncio.gather(self._task, return_exceptions=True)
 
     def reload(self):
-        """Read the file and put in force what can be; a faulty file changes nothing."""
+        """Read the file and apply the changed fields that are reloadable; a faulty file changes nothing."""
         self._file_signature = _file_signature(self._path)
         read = load_router_settings(self._path)
         if isinstance(read, SettingsFaults):
@@ -74,7 +75,7 @@
 
 
 def _file_signature(path):
-    """What tells two states of a file apart; ``None`` while it can't be read."""
+    """Return the modification time, size and inode of a file, to detect a change; ``None`` if it can't be read."""
     try:
         status = os.stat(path)
     except OSError:
