--- a/wagtailtrestle/declarations/yaml_source.py
+++ b/wagtailtrestle/declarations/yaml_source.py
@@ -1,8 +1,7 @@
-"""YAML text to nodes that know their lines.
+"""Parsing of YAML text to nodes with line numbers.
 
-Text comes from outside: nothing here raises on any input, however hostile. Nodes are built from
-the library's flat stream of events, which needs no recursion, in the same pass that refuses what
-must not be built.
+The text is untrusted: nothing here raises on any input, however hostile. Nodes are built from the
+library's flat stream of events, without recursion, in the same pass that rejects forbidden constructs.
 """
 
 import yaml
@@ -13,26 +12,26 @@
 MAX_NESTING_DEPTH = 16
 MAX_REASON_LENGTH = 200
 NULL_LITERALS = ("", "~", "null", "Null", "NULL")
-# A huge declaration takes several times longer with the pure Python reader, which is kept for
-# machines where the C library is missing.
+# The pure Python loader takes several times longer on a huge declaration; it is the fallback where
+# the C library is missing.
 Loader = getattr(yaml, "CSafeLoader", yaml.SafeLoader)
 
 
 @record
 class Fault:
-    """One thing wrong in a file.
+    """One fault in a file.
 
     Parameters
     ----------
     file : str
     line : int
-        From 1; 0 if the fault is the whole file's.
+        Counted from 1; 0 if the fault concerns the whole file.
     field : str
-        Where in the structure, for instance ``engines[asistente-3].zone``.
+        Path of the field, for instance ``engines[asistente-3].zone``.
     problem : str
         What is wrong.
     allowed : str
-        What may stand there.
+        What is allowed there.
     """
 
     file: str
@@ -42,7 +41,7 @@
     allowed: str
 
     def __str__(self):
-        """Say the fault in one line, in the form editors can jump to."""
+        """Return the fault in one line, as ``FILE:LINE``, which editors can jump to, and a description."""
         where = f"{self.file}:{self.line}" if self.line else self.file
         field = f" {self.field}:" if self.field else ""
         return f"{where}:{field} {self.problem}; allowed: {self.allowed}"
@@ -62,12 +61,12 @@
         self.faults.append(Fault(file=self.file, line=line, field=field, problem=problem, allowed=allowed))
 
     def sorted_by_line(self):
-        """Return the faults as a tuple, by line."""
+        """Return the faults as a tuple, sorted by line."""
         return tuple(sorted(self.faults, key=lambda fault: fault.line))
 
 
 class ScalarNode:
-    """A single value as written; ``is_quoted`` tells text from what YAML reads otherwise."""
+    """A scalar as written; ``is_quoted`` marks text that YAML must not read as another type."""
 
     __slots__ = ("line", "text", "is_quoted")
 
@@ -78,12 +77,12 @@
 
     @property
     def is_null(self):
-        """Whether nothing stands here."""
+        """Whether the value is empty or a null literal."""
         return not self.is_quoted and self.text in NULL_LITERALS
 
     @property
     def is_text(self):
-        """Whether any YAML reader takes this for text, and not for a number or a truth value."""
+        """Whether any YAML parser reads the value as a string, not as a number or boolean."""
         if self.is_quoted:
             return True
         resolvers = Loader.yaml_implicit_resolvers.get(self.text[:1], ())
@@ -100,7 +99,7 @@
         self.items = []
 
     def add(self, node):
-        """Take the next node of the list."""
+        """Append the next node."""
         self.items.append(node)
 
 
@@ -115,7 +114,7 @@
         self._key = None
 
     def add(self, node):
-        """Take the next node: keys and values come in turn."""
+        """Add the next node; keys and values alternate."""
         if self._key is None:
             self._key = node
             return
@@ -151,12 +150,12 @@
 
 
 def read_file(path):
-    """Return a file's bytes, no more of them than tell that it is too long.
+    """Return a file's bytes, at most one more than the limit, which shows that it is too long.
 
     Returns
     -------
     bytes or str
-        Text that says why the file can't be read.
+        If a string, the reason why the file can't be read.
     """
     try:
         with open(path, "rb") as file:
@@ -177,7 +176,7 @@
 
 def _decode(text, *, faults):
     if isinstance(text, str):
-        # A lone surrogate can't be sent to the platform; it turns into the fault below.
+        # A lone surrogate can't be sent to the platform; it gives the UTF-8 fault below.
         text = text.encode(errors="surrogatepass")
     if not isinstance(text, (bytes, bytearray)):
         faults.add(line=0, field="", problem="is not text", allowed="YAML text")
@@ -229,10 +228,10 @@
 
 
 def _find_forbidden(event, *, depth, is_second):
-    """Return why an event may not be built, or ``None``.
+    """Return why no node may be built for an event, or ``None``.
 
-    A few bytes of nested aliases stand for billions of nodes, and deep nesting overruns
-    whatever walks the tree: the process would hang or die. Without either, the tree is no
+    A few bytes of nested aliases expand to billions of nodes, and deep nesting overflows the stack of
+    code that traverses the tree: the process would hang or crash. Without either, the tree is no
     larger than the text, whose size is bounded.
     """
     if isinstance(event, yaml.NodeEvent):
