--- a/tests/test_declaration.py
+++ b/tests/test_declaration.py
@@ -40,30 +40,30 @@
 
 # Each: what is replaced in the sound file, by what, and the line, field and problem then told.
 REFUSED = (
-    ("retention_s: 60", "retention_s: 20", 23, "ledger.retention_s", "forgets claims while their requests"),
+    ("retention_s: 60", "retention_s: 20", 23, "ledger.retention_s", "lets claims expire while their requests"),
     ("format: 1", "format: 2", 1, "format", "out of range"),
     ("organisation: club\n", "", 1, "organisation", "is missing"),
     ("organisation: club", "organisation: no", 2, "organisation", "put it in quotes"),
     ("organisation: club", "organisation: club\nspeed: 9", 3, "speed", "unknown field"),
-    ("organisation: club", "organisation: club\norganisation: other", 3, "organisation", "stands here twice"),
-    ("{north: [a, b]}", "{north: [a, b], south: [a]}", 3, "regions.south", "is the zone a again"),
+    ("organisation: club", "organisation: club\norganisation: other", 3, "organisation", "is given twice"),
+    ("{north: [a, b]}", "{north: [a, b], south: [a]}", 3, "regions.south", "repeats the zone a, declared on line 3"),
     ("{north: [a, b]}", "{}", 3, "regions", "declares no region"),
     ("{north: [a, b]}", "[a, b]", 3, "regions", "is not a mapping"),
     ("tiers: [high, low]", "tiers: []", 4, "tiers", "is empty"),
     ("tiers: [high, low]", "tiers:", 4, "tiers", "is not a list"),
-    ("tiers: [high, low]", "tiers: [high, low, low]", 4, "tiers", "is the tier low again, as on line 4"),
-    ("name: members", "name: office", 7, "teams[office].name", "is the team office again, as on line 6"),
+    ("tiers: [high, low]", "tiers: [high, low, low]", 4, "tiers", "repeats the tier low, declared on line 4"),
+    ("name: members", "name: office", 7, "teams[office].name", "repeats the team office, declared on line 6"),
     ("name: members", "name: 'a/b'", 7, "teams[a/b].name", "is not a name"),
-    (OTHER_KEY, KEY, 7, "teams[members].key_sha256", "has a key that stands on line 6"),
+    (OTHER_KEY, KEY, 7, "teams[members].key_sha256", "has a key that is already declared on line 6"),
     (f"[{KEY}]", "[]", 6, "teams[office].key_sha256", "is empty"),
     (KEY, "my-real-key", 6, "teams[office].key_sha256", "not a SHA-256 digest (11 characters"),
     ("share: 2", "share: 0", 6, "teams[office].share", "out of range"),
     ("share: 2", 'share: "2"', 6, "teams[office].share", "is quoted text"),
     ("share: 2", "share: 02", 6, "teams[office].share", "is not a number"),
     ("share: 2", "share: .nan", 6, "teams[office].share", "is not a number"),
-    ("name: desk\n", "name: helper\n", 14, "services[helper].name", "is the service helper again"),
+    ("name: desk\n", "name: helper\n", 14, "services[helper].name", "repeats the service helper, declared on line 9"),
     ("name: desk\n", "name: v1\n", 14, "services[v1].name", "paths of language services"),
-    ("kind: language", "kind: verbal", 10, "services[helper].kind", "is not known"),
+    ("kind: language", "kind: verbal", 10, "services[helper].kind", "is not supported"),
     ("kind: plain", "kind: plain\n    prefill_weight: 2", 16, "services[desk].prefill_weight", "out of range"),
     ("tier: high", "tier: top", 12, "services[helper].routes[ask].tier", "is top, which is not declared"),
     ("teams: [office]", "teams: [offices]", 13, "services[helper].routes[ask].teams", "is offices, which is not"),
@@ -88,28 +88,28 @@
         "method: CALL, path: /book",
         17,
         "services[desk].routes[book].method",
-        "is not known",
+        "is not supported",
     ),
     ("path: /book", "path: /../book", 17, "services[desk].routes[book].path", "is not a path"),
-    ("path: /book", "path: /desk/book", 17, "services[desk].routes[book].path", "names the service again"),
-    ("name: rest", "name: book", 18, "services[desk].routes[book].name", "is the route book again"),
+    ("path: /book", "path: /desk/book", 17, "services[desk].routes[book].path", "repeats the service's name"),
+    ("name: rest", "name: book", 18, "services[desk].routes[book].name", "repeats the route book, declared on line 17"),
     ("repeatable: true}", "repeatable: true, at_most_once: true}", 18, "rest].at_most_once", "on a repeatable route"),
-    ("name: h1", "name: d1", 22, "engines[d1].name", "is the engine d1 again"),
+    ("name: h1", "name: d1", 22, "engines[d1].name", "repeats the engine d1, declared on line 20"),
     ("service: desk", "service: desks", 22, "engines[d1].service", "is desks, which is not declared"),
     ("service: desk", "service: helper", 14, "services[desk]", "has no engine"),
     ("zone: b", "zone: c", 22, "engines[d1].zone", "is c, which is not declared"),
-    ("cell: desks", "cell: helper", 22, "engines[d1].cell", "is helper, which holds engines of helper"),
-    ("10.0.0.2:80", "10.0.0.1:80", 22, "engines[d1].address", "is the address 10.0.0.1:80 again, as on line 20"),
+    ("cell: desks", "cell: helper", 22, "engines[d1].cell", "is helper, which already contains engines of helper"),
+    ("10.0.0.2:80", "10.0.0.1:80", 22, "engines[d1].address", "repeats the address 10.0.0.1:80, declared on line 20"),
     ("10.0.0.2:80", "10.0.0.2", 22, "engines[d1].address", "has no port"),
     ("10.0.0.2:80", "10.0.0.2:0", 22, "engines[d1].address", "port is not from 1"),
-    ("10.0.0.2:80", "desk.example:80", 22, "engines[d1].address", "host is not an IP number"),
+    ("10.0.0.2:80", "desk.example:80", 22, "engines[d1].address", "host is not an IP address"),
     ("slots: 8}", "slots: 0}", 22, "engines[d1].slots", "out of range"),
     ("slots: 8, step_ms: 4", "slots: 8", 20, "engines[h1].step_ms", "is missing"),
     ("shards: 4", "shards: many", 23, "ledger.shards", "is not a whole number"),
     ("organisation: club", "organisation: &c club", 2, "", "has an anchor"),
     ("organisation: club", "organisation: !!python/name:os.system club", 2, "", "has a tag"),
     ("ledger:", "---\nledger:", 23, "", "second document"),
-    ("ledger:", "ledger: [", 24, "", "in what begins on line 23"),
+    ("ledger:", "ledger: [", 24, "", "in the structure that begins on line 23"),
 )
 
 
@@ -152,7 +152,10 @@
         # the member charged twice. Such an order is refused.
         lines = SOUND.splitlines()
         lines[16], lines[17] = lines[17], lines[16]
-        self.assertIn("hidden by route rest above it", " ".join(str(fault) for fault in faults_of("\n".join(lines))))
+        self.assertIn(
+            "is /book, which the earlier route rest shadows",
+            " ".join(str(fault) for fault in faults_of("\n".join(lines))),
+        )
 
     def test_higher_tier_declared_after_the_default_of_a_team(self):
         # "office" may use "ask" (high) and "tell" (low) on one path; the first declared is its default
@@ -166,11 +169,13 @@
             self.assertTrue(all("above that of team office's default" in fault.problem for fault in found))
 
     def test_one_key_twice_on_one_line(self):
-        self.assertIn("stands on line 6 already", faults_of(SOUND.replace(f"[{KEY}]", f"[{KEY}, {KEY}]"))[0].problem)
+        self.assertIn(
+            "is already declared on line 6", faults_of(SOUND.replace(f"[{KEY}]", f"[{KEY}, {KEY}]"))[0].problem
+        )
 
     def test_two_promises_on_one_path(self):
         found = faults_of(SOUND.replace("path: /,", "path: /book/,"))
-        self.assertIn("promises something else about repeats", found[0].problem)
+        self.assertIn("whose repeatable or at_most_once differs", found[0].problem)
 
 
 class HostileTextTests(unittest.TestCase):
--- a/wagtailtrestle/declarations/argument_types.py
+++ b/wagtailtrestle/declarations/argument_types.py
@@ -137,7 +137,7 @@
         """Return the word, or ``InvalidValue``."""
         if text in self.words:
             return text
-        return InvalidValue(problem=f"is {quote_value(text)}, which is not known")
+        return InvalidValue(problem=f"is {quote_value(text)}, which is not supported")
 
 
 class HostPort:
@@ -155,7 +155,7 @@
             return InvalidValue(problem=f"is {quote_value(text)}, whose port is not from 1 to {MAX_PORT}")
         bracketed = host.startswith("[") and host.endswith("]")
         if not _is_ip(host[1:-1] if bracketed else host, version=6 if bracketed else 4):
-            return InvalidValue(problem=f"is {quote_value(text)}, whose host is not an IP number")
+            return InvalidValue(problem=f"is {quote_value(text)}, whose host is not an IP address")
         return text
 
 
@@ -208,7 +208,9 @@
         except ValueError:
             usable = False
         if not usable or parts.query or parts.fragment or parts.username is not None or _has_whitespace(text):
-            return InvalidValue(problem=f"is {quote_value(text)}, which is not the URL of a process")
+            return InvalidValue(
+                problem=f"is {quote_value(text)}, which is not an HTTP URL without user, query and fragment"
+            )
         return text.rstrip("/")
 
 
@@ -222,7 +224,7 @@
         """Return ``(name, address)``, or ``InvalidValue``."""
         name, _, address = text.partition("=")
         if isinstance(Name().read(name), InvalidValue) or isinstance(HostPort().read(address), InvalidValue):
-            return InvalidValue(problem=f"is {quote_value(text)}, which is not a named address")
+            return InvalidValue(problem=f"is {quote_value(text)}, which is not NAME=IP:PORT")
         return name, address
 
 
--- a/wagtailtrestle/declarations/check.py
+++ b/wagtailtrestle/declarations/check.py
@@ -127,7 +127,7 @@
         first_line = names.keys.lines_by_name.get(digest)
         names.keys.lines_by_name.setdefault(digest, node.line)
         if first_line is not None:
-            problem = f"has a key that stands on line {first_line} already"
+            problem = f"has a key that is already declared on line {first_line}"
             reader.add_fault("key_sha256", problem, "each key once, for one team", node=node)
     return tuple(digest for digest, _ in digests)
 
@@ -150,7 +150,7 @@
     longest_ms = max((route.deadline_ms or 0 for route in routes if route.at_most_once), default=0)
     min_retention_s = longest_ms / 1000 + MAX_CLOCK_SKEW_S
     if longest_ms and retention_s is not None and retention_s < min_retention_s:
-        problem = "forgets claims while their requests may still run"
+        problem = "lets claims expire while their requests may still run"
         reader.add_fault(
             "retention_s",
             problem,
--- a/wagtailtrestle/declarations/engine_check.py
+++ b/wagtailtrestle/declarations/engine_check.py
@@ -103,6 +103,8 @@
         cell_service = self.services_by_cell.setdefault(cell, service)
         if cell_service != service:
             reader.add_fault(
-                "cell", f"is {cell}, which holds engines of {cell_service}", "a cell with engines of one service"
+                "cell",
+                f"is {cell}, which already contains engines of {cell_service}",
+                "a cell with engines of one service",
             )
         return cell
--- a/wagtailtrestle/declarations/field_reader.py
+++ b/wagtailtrestle/declarations/field_reader.py
@@ -30,10 +30,10 @@
 
     def _add(self, key, value):
         if not isinstance(key, ScalarNode):
-            self.add_fault(None, "has a key that is not a word", "a field's name", node=key)
+            self.add_fault(None, "has a key that is not a single value", "a field's name", node=key)
         elif key.text in self._pairs_by_key:
             # The YAML library would keep the last one and silently drop the first.
-            self.add_fault(_truncate(key.text), "stands here twice", "each field once", node=key)
+            self.add_fault(_truncate(key.text), "is given twice", "each field once", node=key)
         else:
             self._pairs_by_key[key.text] = (key, value)
 
--- a/wagtailtrestle/declarations/names.py
+++ b/wagtailtrestle/declarations/names.py
@@ -22,7 +22,7 @@
             return False
         line = reader.line_of(field) if node is None else node.line
         if name in self.lines_by_name:
-            problem = f"is the {self.kind} {name} again, as on line {self.lines_by_name[name]}"
+            problem = f"repeats the {self.kind} {name}, declared on line {self.lines_by_name[name]}"
             reader.add_fault(field, problem, f"each {self.kind} once", node=node)
             return False
         self.lines_by_name[name] = line
--- a/wagtailtrestle/declarations/service_check.py
+++ b/wagtailtrestle/declarations/service_check.py
@@ -35,7 +35,7 @@
     name = reader.value("name", Name())
     names.services.declare(reader, "name", name)
     if name == RESERVED_NAME:
-        reader.add_fault("name", f"is {name}, with which the paths of language services begin", "another name")
+        reader.add_fault("name", f"is {name}, which is reserved for the paths of language services", "another name")
     kind = reader.value("kind", OneOf(words=(LANGUAGE, PLAIN)))
     names.kinds_by_service[name] = kind
     prefill_weight = reader.value("prefill_weight", Number(minimum=0, maximum=1), default=DEFAULT_PREFILL_WEIGHT)
@@ -118,7 +118,7 @@
 
 def _check_plain_route(reader, route, *, service, earlier_routes):
     if service and _is_under_prefix(route.path, f"/{service}"):
-        problem = f"is {route.path}, which names the service again"
+        problem = f"is {route.path}, which repeats the service's name"
         reader.add_fault("path", problem, "the part of the path below the service, for instance /bookings")
     for other in earlier_routes:
         if other.method == route.method and other.path is not None:
@@ -134,9 +134,11 @@
     if not _is_under_prefix(route.path, other.path):
         return
     if not _is_under_prefix(other.path, route.path):
-        reader.add_fault("path", f"is {route.path}, hidden by route {other.name} above it", "the longer path first")
+        reader.add_fault(
+            "path", f"is {route.path}, which the earlier route {other.name} shadows", "the longer path first"
+        )
     elif (other.repeatable, other.at_most_once) != (route.repeatable, route.at_most_once):
-        problem = f"is that of route {other.name}, which promises something else about repeats"
+        problem = f"is that of route {other.name}, whose repeatable or at_most_once differs"
         reader.add_fault("path", problem, "the same repeatable and at_most_once for one method and path")
 
 
--- a/wagtailtrestle/declarations/yaml_source.py
+++ b/wagtailtrestle/declarations/yaml_source.py
@@ -170,7 +170,7 @@
     reason = getattr(error, "problem", None) or getattr(error, "reason", None) or "unreadable"
     problem = f"is not YAML: {str(reason)[:MAX_REASON_LENGTH]}"
     if context_mark is not None and context_mark.line != mark.line:
-        problem += f", in what begins on line {context_mark.line + 1}"
+        problem += f", in the structure that begins on line {context_mark.line + 1}"
     faults.add(line=mark.line + 1 if mark else 0, field="", problem=problem, allowed="one YAML document")
 
 
