--- a/tests/test_declaration.py
+++ b/tests/test_declaration.py
@@ -12,7 +12,7 @@
 EXAMPLES = Path(__file__).parent.parent / "examples"
 KEY = hashlib.sha256(b"k").hexdigest()
 OTHER_KEY = hashlib.sha256(b"l").hexdigest()
-SOUND = f"""\
+VALID = f"""\
 format: 1
 organisation: club
 regions: {{north: [a, b]}}
@@ -120,7 +120,7 @@
 
 class RefusedTests(unittest.TestCase):
     def test_sound_file_is_accepted(self):
-        declaration = parse_declaration(SOUND)
+        declaration = parse_declaration(VALID)
         self.assertIsInstance(declaration, Declaration)
         self.assertEqual([tier.rank for tier in declaration.tiers_by_name.values()], [0, 1])
         self.assertEqual(declaration.engines_by_name["h1"].cell, "helper")
@@ -130,27 +130,27 @@
     def test_each_fault_is_told_with_its_line_and_field(self):
         for old, new, line, field, problem in REFUSED:
             with self.subTest(new=new, problem=problem):
-                self.assertIn(old, SOUND)
-                found = faults_of(SOUND.replace(old, new, 1))
+                self.assertIn(old, VALID)
+                found = faults_of(VALID.replace(old, new, 1))
                 matching = [f for f in found if f.line == line and f.field.endswith(field) and problem in f.problem]
                 self.assertTrue(matching, [str(fault) for fault in found])
                 self.assertTrue(all(fault.allowed for fault in found))
 
     def test_every_fault_is_told_at_once(self):
-        text = SOUND.replace("tier: high", "tier: top").replace("zone: b", "zone: c").replace("share: 2", "share: x")
+        text = VALID.replace("tier: high", "tier: top").replace("zone: b", "zone: c").replace("share: 2", "share: x")
         self.assertEqual([fault.line for fault in faults_of(text)], [6, 12, 22])
 
     def test_key_written_by_mistake_is_not_shown(self):
         # An operator writes the key itself where its digest belongs. The faults go to a
         # terminal and a CI log that others read: the key must not be in them.
-        found = faults_of(SOUND.replace(KEY, "my-real-key"))
+        found = faults_of(VALID.replace(KEY, "my-real-key"))
         self.assertNotIn("my-real-key", " ".join(str(fault) for fault in found))
 
     def test_charge_hidden_by_a_repeatable_route(self):
         # The first declared route that fits a call is its default. Were "/" (repeatable) declared
         # before "/book" (at most once), a booking cut on the way would be sent again and
         # the member charged twice. Such an order is refused.
-        lines = SOUND.splitlines()
+        lines = VALID.splitlines()
         lines[16], lines[17] = lines[17], lines[16]
         self.assertIn(
             "is /book, which the earlier route rest shadows",
@@ -163,18 +163,18 @@
         # low tier and naming "ask" would be refused. Another team's order does not matter.
         tell = "{name: tell, method: POST, path: /v1/completions, tier: low, deadline_ms: 9, repeatable: true"
         for teams, fault_count in (("", 1), (", teams: [office]", 1), (", teams: [members]", 0)):
-            text = SOUND.replace("      - {name: ask", f"      - {tell}{teams}}}\n      - {{name: ask")
+            text = VALID.replace("      - {name: ask", f"      - {tell}{teams}}}\n      - {{name: ask")
             found = faults_of(text)
             self.assertEqual(len(found), fault_count, found)
             self.assertTrue(all("above that of team office's default" in fault.problem for fault in found))
 
     def test_one_key_twice_on_one_line(self):
         self.assertIn(
-            "is already declared on line 6", faults_of(SOUND.replace(f"[{KEY}]", f"[{KEY}, {KEY}]"))[0].problem
+            "is already declared on line 6", faults_of(VALID.replace(f"[{KEY}]", f"[{KEY}, {KEY}]"))[0].problem
         )
 
     def test_two_promises_on_one_path(self):
-        found = faults_of(SOUND.replace("path: /,", "path: /book/,"))
+        found = faults_of(VALID.replace("path: /,", "path: /book/,"))
         self.assertIn("whose repeatable or at_most_once differs", found[0].problem)
 
 
@@ -219,7 +219,7 @@
             "9" * 400,
         )
         for _ in range(600):
-            text = SOUND
+            text = VALID
             for _ in range(source.randint(1, 4)):
                 start = source.randrange(len(text))
                 text = text[:start] + source.choice(pieces) + text[start + source.randint(0, 30) :]
@@ -247,8 +247,8 @@
 
 class DifferenceTests(unittest.TestCase):
     def test_changes_by_section_and_name(self):
-        before = parse_declaration(SOUND)
-        text = SOUND.replace("share: 2", "share: 3").replace("name: h1", "name: h2").replace("shards: 4", "shards: 8")
+        before = parse_declaration(VALID)
+        text = VALID.replace("share: 2", "share: 3").replace("name: h1", "name: h2").replace("shards: 4", "shards: 8")
         self.assertEqual(
             difference(before, parse_declaration(text)),
             (
@@ -258,5 +258,5 @@
                 Added(section="engines", name="h2"),
             ),
         )
-        self.assertEqual(difference(before, parse_declaration(SOUND)), ())
+        self.assertEqual(difference(before, parse_declaration(VALID)), ())
         self.assertIn(Added(section="routes", name="desk/book"), difference(None, before))
