--- a/tests/test_declaration.py
+++ b/tests/test_declaration.py
@@ -39,7 +39,7 @@
 """
 
 # Each: what is replaced in the sound file, by what, and the line, field and problem then told.
-REFUSED = (
+REJECTED_CASES = (
     ("retention_s: 60", "retention_s: 20", 23, "ledger.retention_s", "lets claims expire while their requests"),
     ("format: 1", "format: 2", 1, "format", "out of range"),
     ("organisation: club\n", "", 1, "organisation", "is missing"),
@@ -128,7 +128,7 @@
         self.assertTrue(declaration.services_by_name["desk"].routes_by_name["book"].at_most_once)
 
     def test_each_fault_is_told_with_its_line_and_field(self):
-        for old, new, line, field, problem in REFUSED:
+        for old, new, line, field, problem in REJECTED_CASES:
             with self.subTest(new=new, problem=problem):
                 self.assertIn(old, VALID)
                 found = faults_of(VALID.replace(old, new, 1))
