--- a/tests/test_declaration.py
+++ b/tests/test_declaration.py
@@ -118,7 +118,7 @@
     return parsed.faults if isinstance(parsed, DeclarationFaults) else ()
 
 
-class RefusedTests(unittest.TestCase):
+class RejectionTests(unittest.TestCase):
     def test_sound_file_is_accepted(self):
         declaration = parse_declaration(VALID)
         self.assertIsInstance(declaration, Declaration)
