--- a/tests/test_declaration.py
+++ b/tests/test_declaration.py
@@ -119,7 +119,7 @@
 
 
 class RejectionTests(unittest.TestCase):
-    def test_sound_file_is_accepted(self):
+    def test_valid_file_is_accepted(self):
         declaration = parse_declaration(VALID)
         self.assertIsInstance(declaration, Declaration)
         self.assertEqual([tier.rank for tier in declaration.tiers_by_name.values()], [0, 1])
