--- a/tests/test_declaration.py
+++ b/tests/test_declaration.py
@@ -127,7 +127,7 @@
         self.assertEqual(declaration.engines_by_name["d1"].cell, "desks")
         self.assertTrue(declaration.services_by_name["desk"].routes_by_name["book"].at_most_once)
 
-    def test_each_fault_is_told_with_its_line_and_field(self):
+    def test_each_fault_is_reported_with_its_line_and_field(self):
         for old, new, line, field, problem in REJECTED_CASES:
             with self.subTest(new=new, problem=problem):
                 self.assertIn(old, VALID)
