--- a/tests/test_declaration.py
+++ b/tests/test_declaration.py
@@ -136,7 +136,7 @@
                 self.assertTrue(matching, [str(fault) for fault in found])
                 self.assertTrue(all(fault.allowed for fault in found))
 
-    def test_every_fault_is_told_at_once(self):
+    def test_all_faults_are_reported_together(self):
         text = VALID.replace("tier: high", "tier: top").replace("zone: b", "zone: c").replace("share: 2", "share: x")
         self.assertEqual([fault.line for fault in faults_of(text)], [6, 12, 22])
 
