--- a/tests/test_declaration.py
+++ b/tests/test_declaration.py
@@ -140,7 +140,7 @@
         text = VALID.replace("tier: high", "tier: top").replace("zone: b", "zone: c").replace("share: 2", "share: x")
         self.assertEqual([fault.line for fault in faults_of(text)], [6, 12, 22])
 
-    def test_key_written_by_mistake_is_not_shown(self):
+    def test_key_in_place_of_its_digest_is_not_printed(self):
         # An operator writes the key itself where its digest belongs. The faults go to a
         # terminal and a CI log that others read: the key must not be in them.
         found = faults_of(VALID.replace(KEY, "my-real-key"))
