--- a/tests/test_declaration.py
+++ b/tests/test_declaration.py
@@ -146,7 +146,7 @@
         found = faults_of(VALID.replace(KEY, "my-real-key"))
         self.assertNotIn("my-real-key", " ".join(str(fault) for fault in found))
 
-    def test_charge_hidden_by_a_repeatable_route(self):
+    def test_charge_shadowed_by_a_repeatable_route(self):
         # The first declared route that fits a call is its default. Were "/" (repeatable) declared
         # before "/book" (at most once), a booking cut on the way would be sent again and
         # the member charged twice. Such an order is refused.
