--- a/tests/test_declaration.py
+++ b/tests/test_declaration.py
@@ -168,7 +168,7 @@
             self.assertEqual(len(found), fault_count, found)
             self.assertTrue(all("above that of team office's default" in fault.problem for fault in found))
 
-    def test_one_key_twice_on_one_line(self):
+    def test_duplicate_key_of_one_team(self):
         self.assertIn(
             "is already declared on line 6", faults_of(VALID.replace(f"[{KEY}]", f"[{KEY}, {KEY}]"))[0].problem
         )
