--- a/tests/test_declaration.py
+++ b/tests/test_declaration.py
@@ -173,7 +173,7 @@
             "is already declared on line 6", faults_of(VALID.replace(f"[{KEY}]", f"[{KEY}, {KEY}]"))[0].problem
         )
 
-    def test_two_promises_on_one_path(self):
+    def test_routes_on_one_path_with_different_guarantees(self):
         found = faults_of(VALID.replace("path: /,", "path: /book/,"))
         self.assertIn("whose repeatable or at_most_once differs", found[0].problem)
 
