--- a/tests/test_declaration.py
+++ b/tests/test_declaration.py
@@ -179,7 +179,7 @@
 
 
 class HostileTextTests(unittest.TestCase):
-    def test_text_that_is_no_declaration(self):
+    def test_text_that_is_not_a_declaration(self):
         hostile = ("", "\0", "\ud800", b"\xff\xfe", None, 7, "- a", "~", "a", "? [x]\n: y", "{[1]: 2, a: {b: [c}}")
         for text in hostile:
             with self.subTest(text=ascii(text)):
