--- a/tests/test_declaration.py
+++ b/tests/test_declaration.py
@@ -227,7 +227,7 @@
 
 
 class ExampleTests(unittest.TestCase):
-    def test_both_deployments_are_whole(self):
+    def test_both_deployments_are_complete(self):
         sizes = {
             "cometas": ({"gijon", "santander", "zarautz"}, {"asistente": 9, "reservas": 3}),
             "nagarchinha": ({"salt-lake", "howrah", "barasat", "behala"}, {"naamkosh": 6, "thikana": 4}),
