--- a/tests/test_declaration.py
+++ b/tests/test_declaration.py
@@ -198,7 +198,7 @@
 
     def test_damaged_files_never_raise(self):
         source = random.Random(20261202)
-        pieces = (
+        fragments = (
             "",
             "[",
             "]",
@@ -222,7 +222,7 @@
             text = VALID
             for _ in range(source.randint(1, 4)):
                 start = source.randrange(len(text))
-                text = text[:start] + source.choice(pieces) + text[start + source.randint(0, 30) :]
+                text = text[:start] + source.choice(fragments) + text[start + source.randint(0, 30) :]
             self.assertIsInstance(parse_declaration(text), (Declaration, DeclarationFaults))
 
 
