--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -20,7 +20,7 @@
 
 
 class RouterSettingsTests(unittest.TestCase):
-    def test_example_is_sound(self):
+    def test_example_is_valid(self):
         settings = load_router_settings(EXAMPLE)
         self.assertIsInstance(settings, RouterSettings)
         self.assertEqual(settings.peers[0], ("router-2", "127.0.0.1:7101"))
