--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -59,7 +59,7 @@
             ],
         )
 
-    def test_file_that_is_not_there(self):
+    def test_missing_file(self):
         self.assertIsInstance(load_router_settings(EXAMPLE / "nowhere"), SettingsFaults)
 
 
