--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -82,10 +82,10 @@
                 logger.exception("failed")
             logging.getLogger("urllib3").warning("Authorization: Bearer %s", secret)
             writer.close()
-            told = stream.getvalue()
-            self.assertNotIn(secret, told.replace("raise ValueError(secret)", ""))
-            self.assertIn("r1", told)
-            self.assertIn("ValueError", told)
+            log_text = stream.getvalue()
+            self.assertNotIn(secret, log_text.replace("raise ValueError(secret)", ""))
+            self.assertIn("r1", log_text)
+            self.assertIn("ValueError", log_text)
 
     def test_json_lines_hold_the_bound_fields(self):
         stream = io.StringIO()
