--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -30,7 +30,7 @@
 }
 
 
-def filled_in(template, fields):
+def render(template, fields):
     """A template as the platform fills it in: sections without a value are left out."""
     kept = SECTION.sub(lambda found: found.group(2) if found.group(1) in fields else "", template)
     return PLACEHOLDER.sub(lambda found: fields[found.group(1)], kept)
@@ -44,7 +44,7 @@
 
     def test_the_template_gives_sound_settings(self):
         template = (ROOT / "deploy" / "router.yaml").read_text()
-        settings = parse_router_settings(filled_in(template, FIELDS))
+        settings = parse_router_settings(render(template, FIELDS))
         self.assertNotIsInstance(settings, SettingsFaults, getattr(settings, "faults", ""))
         self.assertEqual(settings.adapter, "platform")
         self.assertEqual((settings.key_freshness_s, settings.max_drain_s), (4.5, 0.84 * 8))
@@ -53,7 +53,7 @@
     def test_a_deployment_without_some_bounds_starts_too(self):
         template = (ROOT / "deploy" / "router.yaml").read_text()
         fields = {name: value for name, value in FIELDS.items() if not name.startswith("bounds.")}
-        settings = parse_router_settings(filled_in(template, fields))
+        settings = parse_router_settings(render(template, fields))
         self.assertNotIsInstance(settings, SettingsFaults, getattr(settings, "faults", ""))
         self.assertEqual((settings.key_freshness_s, settings.quota_window_s), (0.0, 0.0))
 
