--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -42,7 +42,7 @@
         required = (ROOT / "deploy" / "requirements.txt").read_text().split()
         self.assertEqual(required, project["dependencies"])
 
-    def test_the_template_gives_sound_settings(self):
+    def test_rendered_template_is_valid(self):
         template = (ROOT / "deploy" / "router.yaml").read_text()
         settings = parse_router_settings(render(template, FIELDS))
         self.assertNotIsInstance(settings, SettingsFaults, getattr(settings, "faults", ""))
