--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -50,7 +50,7 @@
         self.assertEqual((settings.key_freshness_s, settings.max_drain_s), (4.5, 0.84 * 8))
         self.assertEqual((settings.retry_share, settings.retry_extra, settings.retry_window_s), (0.2, 58.0, 8.0))
 
-    def test_a_deployment_without_some_bounds_starts_too(self):
+    def test_template_without_optional_bounds_is_valid(self):
         template = (ROOT / "deploy" / "router.yaml").read_text()
         fields = {name: value for name, value in FIELDS.items() if not name.startswith("bounds.")}
         settings = parse_router_settings(render(template, fields))
