--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -37,7 +37,7 @@
 
 
 class DeployTest(unittest.TestCase):
-    def test_the_build_installs_what_the_project_declares(self):
+    def test_requirements_match_the_project_dependencies(self):
         project = tomllib.loads((ROOT / "pyproject.toml").read_text())["project"]
         required = (ROOT / "deploy" / "requirements.txt").read_text().split()
         self.assertEqual(required, project["dependencies"])
