--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -57,7 +57,7 @@
         self.assertNotIsInstance(settings, SettingsFaults, getattr(settings, "faults", ""))
         self.assertEqual((settings.key_freshness_s, settings.quota_window_s), (0.0, 0.0))
 
-    def test_the_role_runs_the_router_and_names_its_metrics(self):
+    def test_router_role_and_metrics_address_match_the_template(self):
         system = tomllib.loads((ROOT / "deploy" / "system.toml").read_text())
         role = system["roles"]["router"]
         self.assertIn("wagtailtrestle.cli.router", role["run"])
