--- a/tests/test_declaration.py
+++ b/tests/test_declaration.py
@@ -1,4 +1,4 @@
-"""Declarations: what is refused, where the fault is shown, and what hostile text does."""
+"""Declarations: which faults are reported and where, and robustness against hostile text."""
 
 import hashlib
 import random
@@ -38,7 +38,7 @@
 ledger: {{shards: 4, retention_s: 60}}
 """
 
-# Each: what is replaced in the sound file, by what, and the line, field and problem then told.
+# Each: text replaced in the valid file, its replacement, and the line, field and problem then reported.
 REJECTED_CASES = (
     ("retention_s: 60", "retention_s: 20", 23, "ledger.retention_s", "lets claims expire while their requests"),
     ("format: 1", "format: 2", 1, "format", "out of range"),
@@ -141,15 +141,15 @@
         self.assertEqual([fault.line for fault in faults_of(text)], [6, 12, 22])
 
     def test_key_in_place_of_its_digest_is_not_printed(self):
-        # An operator writes the key itself where its digest belongs. The faults go to a
-        # terminal and a CI log that others read: the key must not be in them.
+        # An operator writes the key itself in place of its digest. Faults are printed to a terminal
+        # and to a CI log that others can read, so they must not contain the key.
         found = faults_of(VALID.replace(KEY, "my-real-key"))
         self.assertNotIn("my-real-key", " ".join(str(fault) for fault in found))
 
     def test_charge_shadowed_by_a_repeatable_route(self):
-        # The first declared route that fits a call is its default. Were "/" (repeatable) declared
-        # before "/book" (at most once), a booking cut on the way would be sent again and
-        # the member charged twice. Such an order is refused.
+        # The first declared route that matches a call is its default. With "/" (repeatable) declared
+        # before "/book" (at most once), a booking whose connection is lost would be sent again and
+        # the member charged twice. Such an order is rejected.
         lines = VALID.splitlines()
         lines[16], lines[17] = lines[17], lines[16]
         self.assertIn(
@@ -159,8 +159,8 @@
 
     def test_higher_tier_declared_after_the_default_of_a_team(self):
         # "office" may use "ask" (high) and "tell" (low) on one path; the first declared is its default
-        # and the highest it can name. With "tell" first, its questions would all wait in the
-        # low tier and naming "ask" would be refused. Another team's order does not matter.
+        # and the highest that it can name. With "tell" first, all its calls would wait in the
+        # low tier and calls that name "ask" would be rejected. Another team's order does not matter.
         tell = "{name: tell, method: POST, path: /v1/completions, tier: low, deadline_ms: 9, repeatable: true"
         for teams, fault_count in (("", 1), (", teams: [office]", 1), (", teams: [members]", 0)):
             text = VALID.replace("      - {name: ask", f"      - {tell}{teams}}}\n      - {{name: ask")
@@ -186,12 +186,12 @@
                 self.assertTrue(faults_of(text))
 
     def test_alias_bomb(self):
-        # Twenty lines of nested aliases stand for 10^19 nodes: whoever walks them hangs.
+        # Twenty lines of nested aliases expand to 10^19 nodes: code that traverses them hangs.
         text = "a0: &a0 [x, x]\n" + "".join(f"a{n}: &a{n} [{f'*a{n - 1},' * 9}]\n" for n in range(1, 20))
         self.assertIn("anchor", faults_of(text)[0].problem)
 
     def test_depth_and_size_are_bounded(self):
-        # Composing 400,000 nested lists overruns the C stack: the process would die.
+        # Composing 400,000 nested lists overflows the C stack: the process would crash.
         for text in ("[" * 400_000, "{a: " * 200_000, "- " * 400_000, "? " * 400_000, "#" * 1_000_001):
             with self.subTest(text=text[:4]):
                 self.assertEqual(len(faults_of(text)), 1)
