--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -1,4 +1,4 @@
-"""What the users' platform builds and starts the product from."""
+"""Files from which the users' platform builds and starts the router: requirements, role and settings template."""
 
 import re
 import tomllib
@@ -31,7 +31,7 @@
 
 
 def render(template, fields):
-    """A template as the platform fills it in: sections without a value are left out."""
+    """Render a template as the platform does; sections without a value are omitted."""
     kept = SECTION.sub(lambda found: found.group(2) if found.group(1) in fields else "", template)
     return PLACEHOLDER.sub(lambda found: fields[found.group(1)], kept)
 
