--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""A process's own settings, and what its logs hide."""
+"""Settings of a router process, and secrets that its logs must not contain."""
 
 import io
 import json
@@ -69,8 +69,8 @@
         self.addCleanup(logging.basicConfig, force=True)
 
     def test_no_key_or_prompt_in_a_log(self):
-        # A call fails while a key and a prompt are at hand: in a field, in the message, in a local
-        # variable and in the exception's own message. None of them may reach the log.
+        # A call fails while a key and a prompt are in a bound field, in the message, in a local variable
+        # and in the exception's message. None of them may appear in the log.
         for as_json in (False, True):
             stream = io.StringIO()
             writer = start_logs(stream=stream, as_json=as_json)
