--- a/tests/test_confirmation.py
+++ b/tests/test_confirmation.py
@@ -136,7 +136,7 @@
             kind="config",
             name="main",
             reads_are_linearizable=True,
-            accepted=lambda version, value: SimpleNamespace(generation=value, text=""),
+            parse_accepted=lambda version, value: SimpleNamespace(generation=value, text=""),
         )
         await source.store.create(kind="config", name="main", value=GENERATION)
         await source.source._read("poll")
