--- a/tests/test_declaration.py
+++ b/tests/test_declaration.py
@@ -45,7 +45,7 @@
     ("organisation: club\n", "", 1, "organisation", "is missing"),
     ("organisation: club", "organisation: no", 2, "organisation", "put it in quotes"),
     ("organisation: club", "organisation: club\nspeed: 9", 3, "speed", "unknown field"),
-    ("organisation: club", "organisation: club\norganisation: other", 3, "organisation", "is given twice"),
+    ("organisation: club", "organisation: club\norganisation: other", 3, "organisation", "appears here twice"),
     ("{north: [a, b]}", "{north: [a, b], south: [a]}", 3, "regions.south", "repeats the zone a, declared on line 3"),
     ("{north: [a, b]}", "{}", 3, "regions", "declares no region"),
     ("{north: [a, b]}", "[a, b]", 3, "regions", "is not a mapping"),
@@ -102,7 +102,7 @@
     ("10.0.0.2:80", "10.0.0.1:80", 22, "engines[d1].address", "repeats the address 10.0.0.1:80, declared on line 20"),
     ("10.0.0.2:80", "10.0.0.2", 22, "engines[d1].address", "has no port"),
     ("10.0.0.2:80", "10.0.0.2:0", 22, "engines[d1].address", "port is not from 1"),
-    ("10.0.0.2:80", "desk.example:80", 22, "engines[d1].address", "host is not an IP address"),
+    ("10.0.0.2:80", "desk.example:80", 22, "engines[d1].address", "host is not an IP number"),
     ("slots: 8}", "slots: 0}", 22, "engines[d1].slots", "out of range"),
     ("slots: 8, step_ms: 4", "slots: 8", 20, "engines[h1].step_ms", "is missing"),
     ("shards: 4", "shards: many", 23, "ledger.shards", "is not a whole number"),
@@ -153,7 +153,7 @@
         lines = VALID.splitlines()
         lines[16], lines[17] = lines[17], lines[16]
         self.assertIn(
-            "is /book, which the earlier route rest shadows",
+            "is /book, shadowed by the earlier route rest",
             " ".join(str(fault) for fault in faults_of("\n".join(lines))),
         )
 
--- a/wagtailtrestle/declarations/argument_types.py
+++ b/wagtailtrestle/declarations/argument_types.py
@@ -155,7 +155,7 @@
             return InvalidValue(problem=f"is {quote_value(text)}, whose port is not from 1 to {MAX_PORT}")
         bracketed = host.startswith("[") and host.endswith("]")
         if not _is_ip(host[1:-1] if bracketed else host, version=6 if bracketed else 4):
-            return InvalidValue(problem=f"is {quote_value(text)}, whose host is not an IP address")
+            return InvalidValue(problem=f"is {quote_value(text)}, whose host is not an IP number")
         return text
 
 
@@ -208,9 +208,7 @@
         except ValueError:
             usable = False
         if not usable or parts.query or parts.fragment or parts.username is not None or _has_whitespace(text):
-            return InvalidValue(
-                problem=f"is {quote_value(text)}, which is not an HTTP URL without user, query and fragment"
-            )
+            return InvalidValue(problem=f"is {quote_value(text)}, which is not the URL of a process")
         return text.rstrip("/")
 
 
--- a/wagtailtrestle/declarations/field_reader.py
+++ b/wagtailtrestle/declarations/field_reader.py
@@ -33,7 +33,7 @@
             self.add_fault(None, "has a key that is not a single value", "a field's name", node=key)
         elif key.text in self._pairs_by_key:
             # The YAML library would keep the last one and silently drop the first.
-            self.add_fault(_truncate(key.text), "is given twice", "each field once", node=key)
+            self.add_fault(_truncate(key.text), "appears here twice", "each field once", node=key)
         else:
             self._pairs_by_key[key.text] = (key, value)
 
--- a/wagtailtrestle/declarations/service_check.py
+++ b/wagtailtrestle/declarations/service_check.py
@@ -35,7 +35,7 @@
     name = reader.value("name", Name())
     names.services.declare(reader, "name", name)
     if name == RESERVED_NAME:
-        reader.add_fault("name", f"is {name}, which is reserved for the paths of language services", "another name")
+        reader.add_fault("name", f"is {name}, with which the paths of language services begin", "another name")
     kind = reader.value("kind", OneOf(words=(LANGUAGE, PLAIN)))
     names.kinds_by_service[name] = kind
     prefill_weight = reader.value("prefill_weight", Number(minimum=0, maximum=1), default=DEFAULT_PREFILL_WEIGHT)
@@ -135,7 +135,7 @@
         return
     if not _is_under_prefix(other.path, route.path):
         reader.add_fault(
-            "path", f"is {route.path}, which the earlier route {other.name} shadows", "the longer path first"
+            "path", f"is {route.path}, shadowed by the earlier route {other.name}", "the longer path first"
         )
     elif (other.repeatable, other.at_most_once) != (route.repeatable, route.at_most_once):
         problem = f"is that of route {other.name}, whose repeatable or at_most_once differs"
