--- a/wagtailtrestle/declarations/argument_types.py
+++ b/wagtailtrestle/declarations/argument_types.py
@@ -222,7 +222,7 @@
         """Return ``(name, address)``, or ``InvalidValue``."""
         name, _, address = text.partition("=")
         if isinstance(Name().read(name), InvalidValue) or isinstance(HostPort().read(address), InvalidValue):
-            return InvalidValue(problem=f"is {quote_value(text)}, which is not NAME=IP:PORT")
+            return InvalidValue(problem=f"is {quote_value(text)}, which is not a router's name and address")
         return name, address
 
 
