--- a/wagtailtrestle/declarations/settings.py
+++ b/wagtailtrestle/declarations/settings.py
@@ -78,7 +78,7 @@
     retry_window_s : float
         Length of that window.
     key_revocation_ms : float
-        Time after which a revoked key must not start a run on any router; 0 for no such bound.
+        Time after which a revoked key must not run any request, on any router; 0 for no such bound.
     stop_grace_s : float
         Time from SIGTERM until the process is killed; if 0, ``drain_timeout_s`` applies.
     quota_window_s : float
