--- a/tests/test_confirmation.py
+++ b/tests/test_confirmation.py
@@ -135,8 +135,8 @@
         source.source._place = SimpleNamespace(
             kind="config",
             name="main",
-            reads_are_newest=True,
-            accepted=lambda version, value: SimpleNamespace(generation=value, text=""),
+            reads_are_linearizable=True,
+            parse_accepted=lambda version, value: SimpleNamespace(generation=value, text=""),
         )
         await source.store.create(kind="config", name="main", value=GENERATION)
         await source.source._read("poll")
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -1,4 +1,4 @@
-"""What the users' platform builds and starts the product from."""
+"""Files from which the users' platform builds and starts the router: requirements, role and settings template."""
 
 import re
 import tomllib
@@ -30,34 +30,34 @@
 }
 
 
-def filled_in(template, fields):
-    """A template as the platform fills it in: sections without a value are left out."""
+def render(template, fields):
+    """Render a template as the platform does; sections without a value are omitted."""
     kept = SECTION.sub(lambda found: found.group(2) if found.group(1) in fields else "", template)
     return PLACEHOLDER.sub(lambda found: fields[found.group(1)], kept)
 
 
 class DeployTest(unittest.TestCase):
-    def test_the_build_installs_what_the_project_declares(self):
+    def test_requirements_match_the_project_dependencies(self):
         project = tomllib.loads((ROOT / "pyproject.toml").read_text())["project"]
         required = (ROOT / "deploy" / "requirements.txt").read_text().split()
         self.assertEqual(required, project["dependencies"])
 
-    def test_the_template_gives_sound_settings(self):
+    def test_rendered_template_is_valid(self):
         template = (ROOT / "deploy" / "router.yaml").read_text()
-        settings = parse_router_settings(filled_in(template, FIELDS))
+        settings = parse_router_settings(render(template, FIELDS))
         self.assertNotIsInstance(settings, SettingsFaults, getattr(settings, "faults", ""))
         self.assertEqual(settings.adapter, "platform")
-        self.assertEqual((settings.key_freshness_s, settings.longest_drain_s), (4.5, 0.84 * 8))
+        self.assertEqual((settings.key_freshness_s, settings.max_drain_s), (4.5, 0.84 * 8))
         self.assertEqual((settings.retry_share, settings.retry_extra, settings.retry_window_s), (0.2, 58.0, 8.0))
 
-    def test_a_deployment_without_some_bounds_starts_too(self):
+    def test_template_without_optional_bounds_is_valid(self):
         template = (ROOT / "deploy" / "router.yaml").read_text()
         fields = {name: value for name, value in FIELDS.items() if not name.startswith("bounds.")}
-        settings = parse_router_settings(filled_in(template, fields))
+        settings = parse_router_settings(render(template, fields))
         self.assertNotIsInstance(settings, SettingsFaults, getattr(settings, "faults", ""))
         self.assertEqual((settings.key_freshness_s, settings.quota_window_s), (0.0, 0.0))
 
-    def test_the_role_runs_the_router_and_names_its_metrics(self):
+    def test_router_role_and_metrics_address_match_the_template(self):
         system = tomllib.loads((ROOT / "deploy" / "system.toml").read_text())
         role = system["roles"]["router"]
         self.assertIn("wagtailtrestle.cli.router", role["run"])
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""A process's own settings, and what its logs hide."""
+"""Settings of a router process, and secrets that its logs must not contain."""
 
 import io
 import json
@@ -20,7 +20,7 @@
 
 
 class RouterSettingsTests(unittest.TestCase):
-    def test_example_is_sound(self):
+    def test_example_is_valid(self):
         settings = load_router_settings(EXAMPLE)
         self.assertIsInstance(settings, RouterSettings)
         self.assertEqual(settings.peers[0], ("router-2", "127.0.0.1:7101"))
@@ -59,7 +59,7 @@
             ],
         )
 
-    def test_file_that_is_not_there(self):
+    def test_missing_file(self):
         self.assertIsInstance(load_router_settings(EXAMPLE / "nowhere"), SettingsFaults)
 
 
@@ -69,8 +69,8 @@
         self.addCleanup(logging.basicConfig, force=True)
 
     def test_no_key_or_prompt_in_a_log(self):
-        # A call fails while a key and a prompt are at hand: in a field, in the message, in a local
-        # variable and in the exception's own message. None of them may reach the log.
+        # A call fails while a key and a prompt are in a bound field, in the message, in a local variable
+        # and in the exception's message. None of them may appear in the log.
         for as_json in (False, True):
             stream = io.StringIO()
             writer = start_logs(stream=stream, as_json=as_json)
@@ -82,10 +82,10 @@
                 logger.exception("failed")
             logging.getLogger("urllib3").warning("Authorization: Bearer %s", secret)
             writer.close()
-            told = stream.getvalue()
-            self.assertNotIn(secret, told.replace("raise ValueError(secret)", ""))
-            self.assertIn("r1", told)
-            self.assertIn("ValueError", told)
+            log_text = stream.getvalue()
+            self.assertNotIn(secret, log_text.replace("raise ValueError(secret)", ""))
+            self.assertIn("r1", log_text)
+            self.assertIn("ValueError", log_text)
 
     def test_json_lines_hold_the_bound_fields(self):
         stream = io.StringIO()
--- a/tests/utils/freshness_replay.py
+++ b/tests/utils/freshness_replay.py
@@ -26,9 +26,9 @@
 
     kind = "config"
     name = "main"
-    reads_are_newest = True
+    reads_are_linearizable = True
 
-    def accepted(self, *, version, value):
+    def parse_accepted(self, *, version, value):
         """Read the generation."""
         return SimpleNamespace(generation=value, text="")
 
--- a/wagtailtrestle/configuration/configuration.py
+++ b/wagtailtrestle/configuration/configuration.py
@@ -69,7 +69,7 @@
     start_wait_s : float
         How long a starting router waits for its first declaration to be confirmed.
     jitter : random.Random, optional
-    place : DeclarationPlace, optional
+    place : DeclarationLocation, optional
         Where the store holds the declaration; by default the object that ``wagtailtrestle apply`` writes.
     readers : StoreReaders, optional
         Selects the routers that read the platform for all; without it every router watches and polls it.
--- a/wagtailtrestle/configuration/sources.py
+++ b/wagtailtrestle/configuration/sources.py
@@ -74,10 +74,10 @@
 
     kind = DECLARATION_KIND
     name = DECLARATION_NAME
-    reads_are_newest = False
+    reads_are_linearizable = False
     """A read may come from a replica that lags, so it has to be proved to be the newest."""
 
-    def accepted(self, *, version, value):
+    def parse_accepted(self, *, version, value):
         """Return the declaration that an object holds, or ``None`` if it holds none."""
         return accepted_from_value(version=version, value=value)
 
@@ -88,7 +88,7 @@
     Parameters
     ----------
     store : ObjectStore
-    place : DeclarationPlace
+    place : DeclarationLocation
         Location of the declaration in the store, and how its object is read.
     offer : callable
         ``offer(generation, text, source)``.
@@ -272,7 +272,7 @@
         return outcome.version
 
     def _offer_declaration(self, version, value, source):
-        accepted = self._place.accepted(version=version, value=value)
+        accepted = self._place.parse_accepted(version=version, value=value)
         if accepted is None:
             logger.error("object {}/{} is not a valid declaration", self._place.kind, self._place.name)
             return
@@ -297,7 +297,7 @@
         read_version = await self._read(Source.POLL)
         if read_version is None:
             return False
-        if self._place.reads_are_newest:
+        if self._place.reads_are_linearizable:
             return True
         outcome = await self._store.update(
             kind=self._place.kind, name=self._place.name, value=None, if_version=NO_VERSION
--- a/wagtailtrestle/declarations/check.py
+++ b/wagtailtrestle/declarations/check.py
@@ -1,7 +1,7 @@
-"""YAML text to a :class:`Declaration`, or every fault in it at once.
+"""Parsing of YAML text to a :class:`Declaration`, or to all its faults at once.
 
-Sections are read in the order in which they refer to each other, and reading goes on
-after a fault, so that one never hides another. Nothing here raises, whatever the text.
+Sections are read in the order in which they refer to each other, and reading continues
+after a fault, so that all are reported. Nothing here raises, whatever the text.
 """
 
 from wagtailtrestle.contracts.declaration import Declaration, Team, Tier
@@ -13,18 +13,18 @@
 from wagtailtrestle.declarations.yaml_source import Fault, FaultList, compose
 from wagtailtrestle.record import record
 
-FORMAT = 1
+FORMAT_VERSION = 1
 DEFAULT_SHARE = 1.0
-CLOCK_DIFFERENCE_S = 30.0
+MAX_CLOCK_SKEW_S = 30.0
 DEFAULT_SHARDS = 16
-LARGEST_SHARDS = 4096
+MAX_SHARDS = 4096
 DEFAULT_RETENTION_S = 3600.0
-LARGEST_RETENTION_S = 604_800
+MAX_RETENTION_S = 604_800
 
 
 @record
 class DeclarationFaults:
-    """Everything wrong with a declaration; none of it is applied."""
+    """All faults of a rejected declaration."""
 
     faults: tuple[Fault, ...]
 
@@ -37,7 +37,7 @@
     text : str or bytes
         At most 1 MB of YAML.
     file : str
-        Name of the file, for the faults.
+        Name of the file to give in faults.
 
     Returns
     -------
@@ -47,17 +47,17 @@
     node = compose(text, faults=faults)
     root = open_mapping(node, field="", faults=faults) if node is not None else None
     if root is None:
-        return DeclarationFaults(faults=faults.in_order())
+        return DeclarationFaults(faults=faults.sorted_by_line())
     declaration = _read(root)
     if faults.faults:
-        return DeclarationFaults(faults=faults.in_order())
+        return DeclarationFaults(faults=faults.sorted_by_line())
     return declaration
 
 
 def _read(root):
-    """Return the declaration; meaningless if any fault was recorded."""
+    """Return the declaration, which must not be used if any fault was recorded."""
     names = DeclaredNames()
-    root.value("format", Integer(least=FORMAT, most=FORMAT))
+    root.value("format", Integer(minimum=FORMAT_VERSION, maximum=FORMAT_VERSION))
     organisation = root.value("organisation", Name())
     zones_by_region = _read_regions(root, names)
     tiers_by_name = _read_tiers(root, names)
@@ -90,7 +90,7 @@
             names.zones.declare(section, key.text, zone, node=node)
         zones_by_region[region] = tuple(zone for zone, _ in zones)
     if not zones_by_region:
-        section.fault(None, "declares no region", "at least one region with its zones")
+        section.add_fault(None, "declares no region", "at least one region with its zones")
     return zones_by_region
 
 
@@ -110,7 +110,7 @@
         teams_by_name[name] = Team(
             name=name,
             key_sha256=_read_keys(reader, names),
-            share=reader.value("share", Number(least=0.001, most=1000), default=DEFAULT_SHARE),
+            share=reader.value("share", Number(minimum=0.001, maximum=1000), default=DEFAULT_SHARE),
         )
         reader.close()
     return teams_by_name
@@ -119,16 +119,16 @@
 def _read_keys(reader, names):
     """Return a team's key digests.
 
-    One key for two teams would leave it to chance whose share and routes a call gets; the digest
-    itself stays out of the fault, which may be shown to anybody.
+    A key of two teams would make it arbitrary which team's share and routes a call gets. The fault does not
+    contain the digest, as anybody may see it.
     """
     digests = reader.values("key_sha256", Sha256())
     for digest, node in digests:
         first_line = names.keys.lines_by_name.get(digest)
         names.keys.lines_by_name.setdefault(digest, node.line)
         if first_line is not None:
-            problem = f"has a key that stands on line {first_line} already"
-            reader.fault("key_sha256", problem, "each key once, for one team", node=node)
+            problem = f"has a key that is already declared on line {first_line}"
+            reader.add_fault("key_sha256", problem, "each key once, for one team", node=node)
     return tuple(digest for digest, _ in digests)
 
 
@@ -136,21 +136,23 @@
     reader = root.mapping("ledger", required=False)
     if reader is None:
         return DEFAULT_SHARDS, DEFAULT_RETENTION_S
-    shards = reader.value("shards", Integer(least=1, most=LARGEST_SHARDS), default=DEFAULT_SHARDS)
-    retention_s = reader.value("retention_s", Number(least=1, most=LARGEST_RETENTION_S), default=DEFAULT_RETENTION_S)
+    shards = reader.value("shards", Integer(minimum=1, maximum=MAX_SHARDS), default=DEFAULT_SHARDS)
+    retention_s = reader.value("retention_s", Number(minimum=1, maximum=MAX_RETENTION_S), default=DEFAULT_RETENTION_S)
     _check_retention(reader, retention_s, services_by_name)
     reader.close()
     return shards, retention_s
 
 
 def _check_retention(reader, retention_s, services_by_name):
-    # A claim forgotten while its request may still run would let a re-send run a second time. Two VMs'
-    # clocks may differ, and each dates its claims by its own.
+    # If a claim expired while its request may still run, a repeated request would run a second time. The
+    # clocks of two VMs may differ, and each VM timestamps its claims by its own.
     routes = [route for service in services_by_name.values() for route in service.routes_by_name.values()]
     longest_ms = max((route.deadline_ms or 0 for route in routes if route.at_most_once), default=0)
-    least_s = longest_ms / 1000 + CLOCK_DIFFERENCE_S
-    if longest_ms and retention_s is not None and retention_s < least_s:
-        problem = "forgets claims while their requests may still run"
-        reader.fault(
-            "retention_s", problem, f"at least {least_s:g}: the longest deadline of an at_most_once route + 30 s"
+    min_retention_s = longest_ms / 1000 + MAX_CLOCK_SKEW_S
+    if longest_ms and retention_s is not None and retention_s < min_retention_s:
+        problem = "lets claims expire while their requests may still run"
+        reader.add_fault(
+            "retention_s",
+            problem,
+            f"at least {min_retention_s:g}: the longest deadline of an at_most_once route + 30 s",
         )
--- a/wagtailtrestle/declarations/diff.py
+++ b/wagtailtrestle/declarations/diff.py
@@ -1,13 +1,13 @@
-"""Typed difference of two declarations."""
+"""Difference of two declarations, as typed changes."""
 
 from wagtailtrestle.record import record
 
-SHOWN_DIGEST = 8
+DIGEST_PREFIX_LENGTH = 8
 
 
 @record
 class Added:
-    """Something that only the newer declaration has."""
+    """An item that only the newer declaration has."""
 
     section: str
     name: str
@@ -15,7 +15,7 @@
 
 @record
 class Removed:
-    """Something that only the older declaration has."""
+    """An item that only the older declaration has."""
 
     section: str
     name: str
@@ -23,7 +23,7 @@
 
 @record
 class Changed:
-    """A field that differs; ``before`` and ``after`` are for a person.
+    """A field that differs; ``before`` and ``after`` are its values, formatted for people to read.
 
     ``name`` is empty for a field of the whole section.
     """
@@ -44,13 +44,13 @@
     Parameters
     ----------
     before : Declaration or None
-        ``None`` if nothing was declared yet.
+        ``None`` if there was no declaration before.
     after : Declaration
 
     Returns
     -------
     tuple of Change
-        By section, in the order of a declaration's file.
+        Ordered by section, as in a declaration's file.
     """
     old, new = _sections(before), _sections(after)
     changes = []
@@ -71,7 +71,7 @@
 
 
 def _sections(declaration):
-    """Return the fields of each thing declared, by section and name, as text for a person."""
+    """Return the fields of each declared item by section and name, formatted for people to read."""
     if declaration is None:
         return {}
     routes = {}
@@ -79,30 +79,30 @@
         for route in service.routes_by_name.values():
             routes[f"{service.name}/{route.name}"] = _fields(route)
     return {
-        "declaration": {"": _whole(declaration)},
-        "regions": {name: {"zones": _text(zones)} for name, zones in declaration.zones_by_region.items()},
+        "declaration": {"": _declaration_fields(declaration)},
+        "regions": {name: {"zones": _format_value(zones)} for name, zones in declaration.zones_by_region.items()},
         "tiers": _fields_by_name(declaration.tiers_by_name),
         "teams": _fields_by_name(declaration.teams_by_name),
-        "services": {name: _service(service) for name, service in declaration.services_by_name.items()},
+        "services": {name: _service_fields(service) for name, service in declaration.services_by_name.items()},
         "routes": routes,
         "engines": _fields_by_name(declaration.engines_by_name),
     }
 
 
-def _whole(declaration):
+def _declaration_fields(declaration):
     return {
         "organisation": declaration.organisation,
-        "ledger.shards": _text(declaration.ledger_shards),
-        "ledger.retention_s": _text(declaration.ledger_retention_s),
+        "ledger.shards": _format_value(declaration.ledger_shards),
+        "ledger.retention_s": _format_value(declaration.ledger_retention_s),
     }
 
 
-def _service(service):
-    # The order counts: a team's first route on a path is its default.
+def _service_fields(service):
+    # The order matters: a team's first route on a path is its default.
     return {
         "kind": service.kind,
-        "prefill_weight": _text(service.prefill_weight),
-        "routes, in order": _text(tuple(service.routes_by_name)),
+        "prefill_weight": _format_value(service.prefill_weight),
+        "routes, in order": _format_value(tuple(service.routes_by_name)),
     }
 
 
@@ -111,16 +111,16 @@
 
 
 def _fields(item):
-    return {field: _field_text(field, getattr(item, field)) for field in item.__slots__ if field != "name"}
+    return {field: _format_field(field, getattr(item, field)) for field in item.__slots__ if field != "name"}
 
 
-def _field_text(field, value):
+def _format_field(field, value):
     if field == "key_sha256":
-        value = tuple(f"{digest[:SHOWN_DIGEST]}…" for digest in value)
-    return _text(value)
+        value = tuple(f"{digest[:DIGEST_PREFIX_LENGTH]}…" for digest in value)
+    return _format_value(value)
 
 
-def _text(value):
+def _format_value(value):
     if isinstance(value, tuple):
         return "[" + ", ".join(value) + "]"
     if isinstance(value, bool):
--- a/wagtailtrestle/declarations/engine_check.py
+++ b/wagtailtrestle/declarations/engine_check.py
@@ -1,27 +1,27 @@
-"""Checks of the section ``engines`` of a declaration."""
+"""Parsing and checks of the section ``engines`` of a declaration."""
 
 from wagtailtrestle.contracts.declaration import PLAIN, DeclaredEngine
 from wagtailtrestle.declarations.argument_types import Flag, HostPort, Integer, Name, Number
 from wagtailtrestle.declarations.field_reader import REQUIRED
 from wagtailtrestle.declarations.names import NameTable
 
-LARGEST_SLOTS = 100_000
-LARGEST_STEP_MS = 600_000
-LARGEST_PREFILL_RATE = 100_000_000
-# Priors of a plain service's engine, whose calls have no steps; measurement replaces them.
+MAX_SLOTS = 100_000
+MAX_STEP_MS = 600_000
+MAX_PREFILL_TOKENS_PER_S = 100_000_000
+# Priors for engines of plain services, whose calls have no decode steps; measurements replace them.
 PLAIN_STEP_MS = 10.0
 PLAIN_PREFILL_TOKENS_PER_S = 4000.0
 
 
 def read_engines(root, names):
-    """Return the engines by name; faults go to the reader.
+    """Return the engines by name; faults are added to the reader's list.
 
     Parameters
     ----------
     root : MappingReader
-        The whole declaration.
+        Reader of the complete declaration.
     names : DeclaredNames
-        With zones and services already declared.
+        Must already contain the declared zones and services.
     """
     section = _EngineSection(names=names)
     engines_by_name = {}
@@ -34,26 +34,26 @@
 
 
 class _EngineSection:
-    """Reads engines one by one and remembers what must be unique among them."""
+    """Reads engines one by one and checks that names and addresses are unique and cells hold one service."""
 
-    __slots__ = ("names", "engines", "addresses", "services_by_cell", "served")
+    __slots__ = ("names", "engines", "addresses", "services_by_cell", "served_services")
 
     def __init__(self, *, names):
         self.names = names
         self.engines = NameTable(kind="engine")
         self.addresses = NameTable(kind="address")
         self.services_by_cell = {}
-        self.served = set()
+        self.served_services = set()
 
     def read(self, reader):
-        """Return one engine."""
+        """Parse one engine."""
         name = reader.value("name", Name())
         self.engines.declare(reader, "name", name)
         service = reader.value("service", Name())
-        self.names.services.refer(reader, "service", service)
-        self.served.add(service)
+        self.names.services.check_declared(reader, "service", service)
+        self.served_services.add(service)
         zone = reader.value("zone", Name())
-        self.names.zones.refer(reader, "zone", zone)
+        self.names.zones.check_declared(reader, "zone", zone)
         address = reader.value("address", HostPort())
         self.addresses.declare(reader, "address", address)
         step_ms, prefill_tokens_per_s = self._read_speed(reader, service=service)
@@ -64,7 +64,7 @@
             zone=zone,
             hardware=reader.value("hardware", Name()),
             address=address,
-            slots=reader.value("slots", Integer(least=1, most=LARGEST_SLOTS)),
+            slots=reader.value("slots", Integer(minimum=1, maximum=MAX_SLOTS)),
             step_ms=step_ms,
             prefill_tokens_per_s=prefill_tokens_per_s,
             checks_fencing=reader.value("checks_fencing", Flag(), default=False),
@@ -72,9 +72,9 @@
         )
 
     def check_services_served(self, root):
-        """Record a fault for each service that no engine belongs to."""
+        """Record a fault for each service without engines."""
         for name, line in self.names.services.lines_by_name.items():
-            if name not in self.served:
+            if name not in self.served_services:
                 root.faults.add(
                     line=line, field=f"services[{name}]", problem="has no engine", allowed="at least one engine"
                 )
@@ -82,11 +82,11 @@
     def _read_speed(self, reader, *, service):
         plain = self.names.kinds_by_service.get(service) == PLAIN
         step_ms = reader.value(
-            "step_ms", Number(least=0.001, most=LARGEST_STEP_MS), default=PLAIN_STEP_MS if plain else REQUIRED
+            "step_ms", Number(minimum=0.001, maximum=MAX_STEP_MS), default=PLAIN_STEP_MS if plain else REQUIRED
         )
         prefill_tokens_per_s = reader.value(
             "prefill_tokens_per_s",
-            Number(least=1, most=LARGEST_PREFILL_RATE),
+            Number(minimum=1, maximum=MAX_PREFILL_TOKENS_PER_S),
             default=PLAIN_PREFILL_TOKENS_PER_S if plain else REQUIRED,
         )
         return step_ms, prefill_tokens_per_s
@@ -94,13 +94,17 @@
     def _read_cell(self, reader, *, service):
         """Return the engine's cell.
 
-        One scheduler decides a cell's admission in one queue; two services in it would be given
-        each other's engines.
+        A cell's scheduler decides admission from one queue: with two services in a cell, requests would be
+        sent to engines of the other service.
         """
         cell = reader.value("cell", Name(), default=service)
         if cell is None or service is None:
             return cell
-        owner = self.services_by_cell.setdefault(cell, service)
-        if owner != service:
-            reader.fault("cell", f"is {cell}, which holds engines of {owner}", "a cell with engines of one service")
+        cell_service = self.services_by_cell.setdefault(cell, service)
+        if cell_service != service:
+            reader.add_fault(
+                "cell",
+                f"is {cell}, which already contains engines of {cell_service}",
+                "a cell with engines of one service",
+            )
         return cell
--- a/wagtailtrestle/declarations/yaml_source.py
+++ b/wagtailtrestle/declarations/yaml_source.py
@@ -1,38 +1,37 @@
-"""YAML text to nodes that know their lines.
+"""Parsing of YAML text to nodes with line numbers.
 
-Text comes from outside: nothing here raises on any input, however hostile. Nodes are built from
-the library's flat stream of events, which needs no recursion, in the same pass that refuses what
-must not be built.
+The text is untrusted: nothing here raises on any input, however hostile. Nodes are built from the
+library's flat stream of events, without recursion, in the same pass that rejects forbidden constructs.
 """
 
 import yaml
 
 from wagtailtrestle.record import record
 
-LARGEST_TEXT_BYTES = 1_000_000
-LARGEST_DEPTH = 16
-LARGEST_REASON = 200
-NULL_WORDS = ("", "~", "null", "Null", "NULL")
-# A huge declaration takes several times longer with the pure Python reader, which is kept for
-# machines where the C library is missing.
+MAX_TEXT_BYTES = 1_000_000
+MAX_NESTING_DEPTH = 16
+MAX_REASON_LENGTH = 200
+NULL_LITERALS = ("", "~", "null", "Null", "NULL")
+# The pure Python loader takes several times longer on a huge declaration; it is the fallback where
+# the C library is missing.
 Loader = getattr(yaml, "CSafeLoader", yaml.SafeLoader)
 
 
 @record
 class Fault:
-    """One thing wrong in a file.
+    """One fault in a file.
 
     Parameters
     ----------
     file : str
     line : int
-        From 1; 0 if the fault is the whole file's.
+        Counted from 1; 0 if the fault concerns the whole file.
     field : str
-        Where in the structure, for instance ``engines[asistente-3].zone``.
+        Path of the field, for instance ``engines[asistente-3].zone``.
     problem : str
         What is wrong.
     allowed : str
-        What may stand there.
+        What is allowed there.
     """
 
     file: str
@@ -42,7 +41,7 @@
     allowed: str
 
     def __str__(self):
-        """Say the fault in one line, in the form editors can jump to."""
+        """Return the fault in one line, as ``FILE:LINE``, which editors can jump to, and a description."""
         where = f"{self.file}:{self.line}" if self.line else self.file
         field = f" {self.field}:" if self.field else ""
         return f"{where}:{field} {self.problem}; allowed: {self.allowed}"
@@ -61,13 +60,13 @@
         """Record a fault at a line, or at line 0 for the whole file."""
         self.faults.append(Fault(file=self.file, line=line, field=field, problem=problem, allowed=allowed))
 
-    def in_order(self):
-        """Return the faults as a tuple, by line."""
+    def sorted_by_line(self):
+        """Return the faults as a tuple, sorted by line."""
         return tuple(sorted(self.faults, key=lambda fault: fault.line))
 
 
 class ScalarNode:
-    """A single value as written; ``is_quoted`` tells text from what YAML reads otherwise."""
+    """A scalar as written; ``is_quoted`` marks text that YAML must not read as another type."""
 
     __slots__ = ("line", "text", "is_quoted")
 
@@ -78,12 +77,12 @@
 
     @property
     def is_null(self):
-        """Whether nothing stands here."""
-        return not self.is_quoted and self.text in NULL_WORDS
+        """Whether the value is empty or a null literal."""
+        return not self.is_quoted and self.text in NULL_LITERALS
 
     @property
     def is_text(self):
-        """Whether any YAML reader takes this for text, and not for a number or a truth value."""
+        """Whether any YAML parser reads the value as a string, not as a number or boolean."""
         if self.is_quoted:
             return True
         resolvers = Loader.yaml_implicit_resolvers.get(self.text[:1], ())
@@ -100,7 +99,7 @@
         self.items = []
 
     def add(self, node):
-        """Take the next node of the list."""
+        """Append the next node."""
         self.items.append(node)
 
 
@@ -115,7 +114,7 @@
         self._key = None
 
     def add(self, node):
-        """Take the next node: keys and values come in turn."""
+        """Add the next node; keys and values alternate."""
         if self._key is None:
             self._key = node
             return
@@ -124,7 +123,7 @@
 
 
 @record
-class _Refused:
+class _Rejection:
     problem: str
     allowed: str
 
@@ -137,7 +136,7 @@
     text : str or bytes
     faults : FaultList
     """
-    text = _decoded(text, faults=faults)
+    text = _decode(text, faults=faults)
     if text is None:
         return None
     try:
@@ -151,39 +150,39 @@
 
 
 def read_file(path):
-    """Return a file's bytes, no more of them than tell that it is too long.
+    """Return a file's bytes, at most one more than the limit, which shows that it is too long.
 
     Returns
     -------
     bytes or str
-        Text that says why the file can't be read.
+        If a string, the reason why the file can't be read.
     """
     try:
         with open(path, "rb") as file:
-            return file.read(LARGEST_TEXT_BYTES + 1)
+            return file.read(MAX_TEXT_BYTES + 1)
     except (OSError, ValueError) as error:
         return f"can't be read: {getattr(error, 'strerror', None) or error}"
 
 
 def _add_yaml_error(error, *, faults):
     mark = getattr(error, "problem_mark", None)
-    began = getattr(error, "context_mark", None)
+    context_mark = getattr(error, "context_mark", None)
     reason = getattr(error, "problem", None) or getattr(error, "reason", None) or "unreadable"
-    problem = f"is not YAML: {str(reason)[:LARGEST_REASON]}"
-    if began is not None and began.line != mark.line:
-        problem += f", in what begins on line {began.line + 1}"
+    problem = f"is not YAML: {str(reason)[:MAX_REASON_LENGTH]}"
+    if context_mark is not None and context_mark.line != mark.line:
+        problem += f", in the structure that begins on line {context_mark.line + 1}"
     faults.add(line=mark.line + 1 if mark else 0, field="", problem=problem, allowed="one YAML document")
 
 
-def _decoded(text, *, faults):
+def _decode(text, *, faults):
     if isinstance(text, str):
-        # A lone surrogate can't be sent to the platform; it turns into the fault below.
+        # A lone surrogate can't be sent to the platform; it gives the UTF-8 fault below.
         text = text.encode(errors="surrogatepass")
     if not isinstance(text, (bytes, bytearray)):
         faults.add(line=0, field="", problem="is not text", allowed="YAML text")
         return None
-    if len(text) > LARGEST_TEXT_BYTES:
-        allowed = f"at most {LARGEST_TEXT_BYTES} bytes"
+    if len(text) > MAX_TEXT_BYTES:
+        allowed = f"at most {MAX_TEXT_BYTES} bytes"
         faults.add(line=0, field="", problem="is too long", allowed=allowed)
         return None
     try:
@@ -202,7 +201,7 @@
             open_nodes.pop()
             continue
         line = event.start_mark.line + 1
-        refused = _refusal(event, depth=len(open_nodes), is_second=root is not None)
+        refused = _find_forbidden(event, depth=len(open_nodes), is_second=root is not None)
         if refused is not None:
             faults.add(line=line, field="", problem=refused.problem, allowed=refused.allowed)
             return None
@@ -228,22 +227,22 @@
     return None
 
 
-def _refusal(event, *, depth, is_second):
-    """Return why an event may not be built, or ``None``.
+def _find_forbidden(event, *, depth, is_second):
+    """Return why no node may be built for an event, or ``None``.
 
-    A few bytes of nested aliases stand for billions of nodes, and deep nesting overruns
-    whatever walks the tree: the process would hang or die. Without either, the tree is no
+    A few bytes of nested aliases expand to billions of nodes, and deep nesting overflows the stack of
+    code that traverses the tree: the process would hang or crash. Without either, the tree is no
     larger than the text, whose size is bounded.
     """
     if isinstance(event, yaml.NodeEvent):
         if event.anchor is not None:
-            return _Refused(
+            return _Rejection(
                 problem="has an anchor or an alias ('&' or '*')", allowed="the value itself, or quoted text"
             )
         if event.tag is not None:
-            return _Refused(problem="has a tag ('!')", allowed="plain YAML without tags")
-        if isinstance(event, yaml.CollectionStartEvent) and depth >= LARGEST_DEPTH:
-            return _Refused(problem="is nested too deeply", allowed=f"at most {LARGEST_DEPTH} levels")
+            return _Rejection(problem="has a tag ('!')", allowed="plain YAML without tags")
+        if isinstance(event, yaml.CollectionStartEvent) and depth >= MAX_NESTING_DEPTH:
+            return _Rejection(problem="is nested too deeply", allowed=f"at most {MAX_NESTING_DEPTH} levels")
     if isinstance(event, yaml.DocumentStartEvent) and is_second:
-        return _Refused(problem="holds a second document", allowed="one YAML document in a file")
+        return _Rejection(problem="holds a second document", allowed="one YAML document in a file")
     return None
--- a/wagtailtrestle/platform/declarations.py
+++ b/wagtailtrestle/platform/declarations.py
@@ -40,10 +40,10 @@
 
     kind = DECLARATION_KIND
     name = DECLARATION_NAME
-    reads_are_newest = True
+    reads_are_linearizable = True
     """A plain read of this store is never stale, so it needs no second proof."""
 
-    def accepted(self, *, version, value):
+    def parse_accepted(self, *, version, value):
         """The configuration that an object holds, or ``None`` if it holds none."""
         if not isinstance(value, dict) or not isinstance(value.get("version"), int):
             return None
