--- a/wagtailtrestle/callers/server.py
+++ b/wagtailtrestle/callers/server.py
@@ -10,11 +10,11 @@
 from loguru import logger
 
 from wagtailtrestle.callers.answer import CallerResponse
-from wagtailtrestle.callers.carriage import CallerCarriage
 from wagtailtrestle.callers.dialect import Arrival, ModelList, Prepared
 from wagtailtrestle.callers.intake import Intake, closed
 from wagtailtrestle.callers.limits import DEFAULT_RECEIVE_BYTES, CallerLimits, Full, ReceiveLimit, held_for
 from wagtailtrestle.callers.link import CallerExchange
+from wagtailtrestle.callers.request_handler import CallerCarriage
 from wagtailtrestle.callers.start_hold import StartHold
 from wagtailtrestle.callers.stream import JSON_TYPE
 from wagtailtrestle.callers.watch import CallerWatch
