--- a/wagtailtrestle/adapters.py
+++ b/wagtailtrestle/adapters.py
@@ -2,7 +2,7 @@
 
 from typing import Protocol
 
-from wagtailtrestle.callers.intake import Intake
+from wagtailtrestle.callers.native_dialect import Intake
 from wagtailtrestle.configuration.sources import OwnDeclarations
 from wagtailtrestle.declarations.check import parse_declaration
 from wagtailtrestle.declarations.settings import PLATFORM_ADAPTER
--- a/wagtailtrestle/callers/server.py
+++ b/wagtailtrestle/callers/server.py
@@ -11,9 +11,9 @@
 
 from wagtailtrestle.callers.answer import CallerResponse
 from wagtailtrestle.callers.dialect import Arrival, ModelList, Prepared
-from wagtailtrestle.callers.intake import Intake, closed
 from wagtailtrestle.callers.limits import DEFAULT_RECEIVE_BYTES, CallerLimits, Full, ReceiveLimit, held_for
 from wagtailtrestle.callers.link import CallerExchange
+from wagtailtrestle.callers.native_dialect import Intake, closed
 from wagtailtrestle.callers.request_handler import CallerCarriage
 from wagtailtrestle.callers.start_hold import StartHold
 from wagtailtrestle.callers.stream import JSON_TYPE
--- a/wagtailtrestle/platform/callers.py
+++ b/wagtailtrestle/platform/callers.py
@@ -8,7 +8,7 @@
 from wagtailtrestle.callers.body import body_digest
 from wagtailtrestle.callers.body_reader import BodyReader
 from wagtailtrestle.callers.dialect import Prepared
-from wagtailtrestle.callers.intake import closed
+from wagtailtrestle.callers.native_dialect import closed
 from wagtailtrestle.callers.route_match import HostRouteIndex, choose_service
 from wagtailtrestle.callers.wsgi import REQUEST_ENVIRON
 from wagtailtrestle.contracts.exchange import CallerRequest
