--- a/wagtailtrestle/callers/request_handler.py
+++ b/wagtailtrestle/callers/request_handler.py
@@ -5,9 +5,9 @@
 
 from loguru import logger
 
+from wagtailtrestle.callers.caller_exchange import CallerExchange
 from wagtailtrestle.callers.dialect import Arrival, Prepared
 from wagtailtrestle.callers.limits import CallerLimits
-from wagtailtrestle.callers.link import CallerExchange
 from wagtailtrestle.contracts.exchange import AnswerRecorded, AnswerRefusal, AnswerWhole, RunEnded
 from wagtailtrestle.contracts.outcomes import Executed, Reason, Refusal, RunDone, RunNotSent, RunRejected
 from wagtailtrestle.observe.metrics import Metrics
--- a/wagtailtrestle/callers/server.py
+++ b/wagtailtrestle/callers/server.py
@@ -10,9 +10,9 @@
 from loguru import logger
 
 from wagtailtrestle.callers.answer import CallerResponse
+from wagtailtrestle.callers.caller_exchange import CallerExchange
 from wagtailtrestle.callers.dialect import Arrival, ModelList, Prepared
 from wagtailtrestle.callers.limits import DEFAULT_RECEIVE_BYTES, CallerLimits, Full, ReceiveLimit, held_for
-from wagtailtrestle.callers.link import CallerExchange
 from wagtailtrestle.callers.native_dialect import Intake, closed
 from wagtailtrestle.callers.request_handler import CallerCarriage
 from wagtailtrestle.callers.start_hold import StartHold
