--- a/tests/test_caller_watch.py
+++ b/tests/test_caller_watch.py
@@ -6,7 +6,7 @@
 import time
 import unittest
 
-from wagtailtrestle.callers.watch import CHECK_S, CallerWatch
+from wagtailtrestle.callers.connection_watcher import CHECK_S, CallerWatch
 
 SEEN_S = 3 * CHECK_S
 
--- a/wagtailtrestle/callers/body_reader.py
+++ b/wagtailtrestle/callers/body_reader.py
@@ -1,8 +1,8 @@
 """Reads a caller's body within the limits on receiving; one reader for every dialect of callers."""
 
 from wagtailtrestle.callers.body import BodyLength, body_length, read_body
+from wagtailtrestle.callers.connection_watcher import CallerWatch
 from wagtailtrestle.callers.limits import ReceiveLimit
-from wagtailtrestle.callers.watch import CallerWatch
 from wagtailtrestle.callers.wsgi import CONNECTION_ENVIRON
 from wagtailtrestle.contracts.outcomes import Executed, Reason, Refusal
 
--- a/wagtailtrestle/callers/native_dialect.py
+++ b/wagtailtrestle/callers/native_dialect.py
@@ -7,6 +7,7 @@
 from wagtailtrestle.callers.authentication import KeyIndex, authenticate
 from wagtailtrestle.callers.body import body_digest, parse_language
 from wagtailtrestle.callers.body_reader import BodyReader
+from wagtailtrestle.callers.connection_watcher import CallerWatch
 from wagtailtrestle.callers.dialect import Arrival, ModelList, Prepared
 from wagtailtrestle.callers.headers import asked_s, caller_headers, caller_request_id, deadline_s, forwarded_headers
 from wagtailtrestle.callers.limits import ReceiveLimit
@@ -23,7 +24,6 @@
     wrong_method,
 )
 from wagtailtrestle.callers.stream import EventWriter, model_list
-from wagtailtrestle.callers.watch import CallerWatch
 from wagtailtrestle.contracts.declaration import LANGUAGE, PLAIN
 from wagtailtrestle.contracts.exchange import CallerRequest
 from wagtailtrestle.contracts.outcomes import Executed, Reason, Refusal
--- a/wagtailtrestle/callers/server.py
+++ b/wagtailtrestle/callers/server.py
@@ -11,13 +11,13 @@
 
 from wagtailtrestle.callers.answer import CallerResponse
 from wagtailtrestle.callers.caller_exchange import CallerExchange
+from wagtailtrestle.callers.connection_watcher import CallerWatch
 from wagtailtrestle.callers.dialect import Arrival, ModelList, Prepared
 from wagtailtrestle.callers.limits import DEFAULT_RECEIVE_BYTES, CallerLimits, Full, ReceiveLimit, held_for
 from wagtailtrestle.callers.native_dialect import Intake, closed
 from wagtailtrestle.callers.request_handler import CallerCarriage
 from wagtailtrestle.callers.start_hold import StartHold
 from wagtailtrestle.callers.stream import JSON_TYPE
-from wagtailtrestle.callers.watch import CallerWatch
 from wagtailtrestle.callers.wsgi import CONNECTION_ENVIRON, REQUEST_ENVIRON, CallersWsgiServer
 from wagtailtrestle.contracts.exchange import AnswerRefusal
 from wagtailtrestle.contracts.outcomes import Executed, Reason, Refusal
