--- a/wagtailtrestle/callers/request_handler.py
+++ b/wagtailtrestle/callers/request_handler.py
@@ -16,7 +16,7 @@
 RECORDED = "recorded"
 
 
-class CallerCarriage:
+class RequestHandler:
     """Carries one request from its first run to its answer.
 
     Parameters
--- a/wagtailtrestle/callers/server.py
+++ b/wagtailtrestle/callers/server.py
@@ -15,7 +15,7 @@
 from wagtailtrestle.callers.dialect import Arrival, ModelList, Prepared
 from wagtailtrestle.callers.limits import DEFAULT_RECEIVE_BYTES, CallerLimits, Full, ReceiveLimit, held_for
 from wagtailtrestle.callers.native_dialect import Intake, closed
-from wagtailtrestle.callers.request_handler import CallerCarriage
+from wagtailtrestle.callers.request_handler import RequestHandler
 from wagtailtrestle.callers.start_hold import StartHold
 from wagtailtrestle.callers.stream import JSON_TYPE
 from wagtailtrestle.callers.wsgi import CONNECTION_ENVIRON, REQUEST_ENVIRON, CallersWsgiServer
@@ -315,7 +315,7 @@
 
     def _carry_held(self, arrival, prepared, exchange):
         arrival.response.on_gone = exchange.caller_gone
-        carriage = CallerCarriage(
+        carriage = RequestHandler(
             arrival=arrival,
             prepared=prepared,
             exchange=exchange,
