--- a/wagtailtrestle/callers/server.py
+++ b/wagtailtrestle/callers/server.py
@@ -315,7 +315,7 @@
 
     def _carry_held(self, arrival, prepared, exchange):
         arrival.response.on_gone = exchange.caller_gone
-        carriage = RequestHandler(
+        handler = RequestHandler(
             arrival=arrival,
             prepared=prepared,
             exchange=exchange,
@@ -327,7 +327,7 @@
         self._loop.call_soon_threadsafe(self._submit, prepared.request, exchange)
         self._watch.watch(fd=fd, on_gone=exchange.caller_gone)
         try:
-            carriage.carry(wait_s=max(0.0, prepared.request.deadline - self._loop.time()))
+            handler.carry(wait_s=max(0.0, prepared.request.deadline - self._loop.time()))
         finally:
             self._watch.forget(fd=fd)
 
