--- a/wagtailtrestle/callers/caller_exchange.py
+++ b/wagtailtrestle/callers/caller_exchange.py
@@ -73,7 +73,7 @@
         self.displaced = True
         self.caller_gone()
 
-    def carry(self, *, run, wait_s: float) -> AnswerWhole | AnswerRefusal | AnswerRecorded:
+    def run_commands(self, *, run, wait_s: float) -> AnswerWhole | AnswerRefusal | AnswerRecorded:
         """Obey the task until its final answer, which is returned.
 
         Parameters
--- a/wagtailtrestle/callers/request_handler.py
+++ b/wagtailtrestle/callers/request_handler.py
@@ -63,7 +63,7 @@
 
     def carry(self, *, wait_s: float):
         """Do what the task asks for, then answer the caller."""
-        command = self._exchange.carry(run=self._run, wait_s=wait_s)
+        command = self._exchange.run_commands(run=self._run, wait_s=wait_s)
         outcome = self._answer(command)
         self._note(outcome)
 
