--- a/wagtailtrestle/callers/request_handler.py
+++ b/wagtailtrestle/callers/request_handler.py
@@ -61,7 +61,7 @@
         self._first_run_at = 0.0
         self._first_token_at = 0.0
 
-    def carry(self, *, wait_s: float):
+    def handle(self, *, wait_s: float):
         """Do what the task asks for, then answer the caller."""
         command = self._exchange.run_commands(run=self._run, wait_s=wait_s)
         outcome = self._answer(command)
--- a/wagtailtrestle/callers/server.py
+++ b/wagtailtrestle/callers/server.py
@@ -327,7 +327,7 @@
         self._loop.call_soon_threadsafe(self._submit, prepared.request, exchange)
         self._watch.watch(fd=fd, on_gone=exchange.caller_gone)
         try:
-            handler.carry(wait_s=max(0.0, prepared.request.deadline - self._loop.time()))
+            handler.handle(wait_s=max(0.0, prepared.request.deadline - self._loop.time()))
         finally:
             self._watch.forget(fd=fd)
 
