--- a/wagtailtrestle/callers/server.py
+++ b/wagtailtrestle/callers/server.py
@@ -242,7 +242,7 @@
                     prepared.charge.refund()
                 self._refuse_early(arrival, closed(Reason.DRAINING))
             case Prepared():
-                self._carry(arrival, prepared)
+                self._handle(arrival, prepared)
         return response
 
     def _prepare(self, arrival):
@@ -276,7 +276,7 @@
 
     # Carrying.
 
-    def _carry(self, arrival, prepared):
+    def _handle(self, arrival, prepared):
         request = prepared.request
         exchange = CallerExchange(
             request_id=request.request_id,
