--- a/wagtailtrestle/callers/server.py
+++ b/wagtailtrestle/callers/server.py
@@ -290,7 +290,7 @@
             if full is not None:
                 self._refuse_early(arrival, full)
                 return
-            self._carry_held(arrival, prepared, exchange)
+            self._handle_admitted(arrival, prepared, exchange)
         finally:
             self._limits.release(request_id=request.request_id, held_s=time.monotonic() - arrival.at)
             with self._lock:
@@ -313,7 +313,7 @@
                 victim.displace()
         return None
 
-    def _carry_held(self, arrival, prepared, exchange):
+    def _handle_admitted(self, arrival, prepared, exchange):
         arrival.response.on_gone = exchange.caller_gone
         handler = RequestHandler(
             arrival=arrival,
