--- a/wagtailtrestle/callers/request_handler.py
+++ b/wagtailtrestle/callers/request_handler.py
@@ -65,7 +65,7 @@
         """Do what the task asks for, then answer the caller."""
         command = self._exchange.run_commands(run=self._run, wait_s=wait_s)
         outcome = self._answer(command)
-        self._note(outcome)
+        self._record_outcome(outcome)
 
     def _run(self, command):
         request = self._prepared.request
@@ -129,7 +129,7 @@
             )
         return refusal
 
-    def _note(self, outcome):
+    def _record_outcome(self, outcome):
         prepared = self._prepared
         request = prepared.request
         began_at = self._arrival.at
