--- a/wagtailtrestle/callers/request_handler.py
+++ b/wagtailtrestle/callers/request_handler.py
@@ -83,14 +83,14 @@
             )
         finally:
             self._limits.mark_waiting(request_id=request.request_id)
-        return self._with_record(ended)
+        return self._with_answer(ended)
 
     def _on_token(self, index, text):
         if not self._first_token_at:
             self._first_token_at = time.monotonic()
         self._prepared.answer.token(text)
 
-    def _with_record(self, ended):
+    def _with_answer(self, ended):
         """Add the whole answer to the run's end where the ledger will ask for it."""
         request = self._prepared.request
         kept = request.at_most_once and request.idempotency_key
