--- a/wagtailtrestle/callers/request_handler.py
+++ b/wagtailtrestle/callers/request_handler.py
@@ -109,14 +109,14 @@
                 answer.recorded(command)
                 return RECORDED
             case AnswerRefusal(refusal=refusal):
-                refusal = self._true_reason(refusal)
+                refusal = self._refusal_for_caller(refusal)
                 if self._prepared.charge is not None and refusal.executed is Executed.NO:
                     self._prepared.charge.refund()
                 if self._exchange.displaced or not self._exchange.gone:
                     answer.refuse(refusal)
                 return refusal.reason.value
 
-    def _true_reason(self, refusal):
+    def _refusal_for_caller(self, refusal):
         # The task was told that its caller had gone, which is how a request is given up; the
         # caller is still there and is told why.
         if self._exchange.displaced and refusal.reason is Reason.CALLER_GONE:
