--- a/wagtailtrestle/adapters.py
+++ b/wagtailtrestle/adapters.py
@@ -2,7 +2,7 @@
 
 from typing import Protocol
 
-from wagtailtrestle.callers.native_dialect import Intake
+from wagtailtrestle.callers.native_dialect import NativeDialect
 from wagtailtrestle.configuration.sources import OwnDeclarations
 from wagtailtrestle.declarations.check import parse_declaration
 from wagtailtrestle.declarations.settings import PLATFORM_ADAPTER
@@ -81,7 +81,7 @@
 
     def make_dialect(self, *, key_proof, quotas, **parts):
         """Return the product's own callers' HTTP."""
-        return Intake(**parts)
+        return NativeDialect(**parts)
 
 
 def adapter_of(settings) -> Adapter:
--- a/wagtailtrestle/callers/native_dialect.py
+++ b/wagtailtrestle/callers/native_dialect.py
@@ -34,7 +34,7 @@
 """When to come back to a router that takes nothing: at once, as others do; enough not to spin."""
 
 
-class Intake:
+class NativeDialect:
     """Reads and checks requests; called from callers' threads, keeps nothing of a request.
 
     Parameters
--- a/wagtailtrestle/callers/server.py
+++ b/wagtailtrestle/callers/server.py
@@ -14,7 +14,7 @@
 from wagtailtrestle.callers.connection_watcher import CallerWatch
 from wagtailtrestle.callers.dialect import Arrival, ModelList, Prepared
 from wagtailtrestle.callers.limits import DEFAULT_RECEIVE_BYTES, CallerLimits, Full, ReceiveLimit, held_for
-from wagtailtrestle.callers.native_dialect import Intake, closed
+from wagtailtrestle.callers.native_dialect import NativeDialect, closed
 from wagtailtrestle.callers.request_handler import RequestHandler
 from wagtailtrestle.callers.start_hold import StartHold
 from wagtailtrestle.callers.stream import JSON_TYPE
@@ -92,7 +92,7 @@
         most_deadline_s=DEFAULT_MAX_DEADLINE_S,
         start_hold_s=0.0,
         listener=None,
-        make_dialect=Intake,
+        make_dialect=NativeDialect,
     ):
         self._name = name
         self._submit = submit
