--- a/wagtailtrestle/callers/native_dialect.py
+++ b/wagtailtrestle/callers/native_dialect.py
@@ -96,7 +96,7 @@
         body = self._read(environ, declaration=in_force.declaration, team=team)
         if isinstance(body, Refusal):
             return body
-        reading = _Reading(arrival=arrival, in_force=in_force, team=team, headers=headers, body=body)
+        reading = _RequestContext(arrival=arrival, in_force=in_force, team=team, headers=headers, body=body)
         if environ["PATH_INFO"] in LANGUAGE_PATHS:
             return self._language(reading)
         return self._plain(reading)
@@ -200,7 +200,7 @@
         )
 
 
-class _Reading:
+class _RequestContext:
     """What is known of a request once it was read."""
 
     __slots__ = ("arrival", "in_force", "team", "headers", "body")
