--- a/wagtailtrestle/callers/native_dialect.py
+++ b/wagtailtrestle/callers/native_dialect.py
@@ -96,10 +96,10 @@
         body = self._read(environ, declaration=in_force.declaration, team=team)
         if isinstance(body, Refusal):
             return body
-        reading = _RequestContext(arrival=arrival, in_force=in_force, team=team, headers=headers, body=body)
+        context = _RequestContext(arrival=arrival, in_force=in_force, team=team, headers=headers, body=body)
         if environ["PATH_INFO"] in LANGUAGE_PATHS:
-            return self._language(reading)
-        return self._plain(reading)
+            return self._language(context)
+        return self._plain(context)
 
     def _key_index(self, declaration):
         # One tuple, replaced whole: two threads that see a new declaration at once must not
@@ -113,21 +113,21 @@
     def _read(self, environ, *, declaration, team):
         return self._bodies.read(environ, highest=_has_highest_tier(declaration=declaration, team=team))
 
-    def _language(self, reading):
-        environ = reading.arrival.environ
+    def _language(self, context):
+        environ = context.arrival.environ
         path = environ["PATH_INFO"]
         if environ["REQUEST_METHOD"] != "POST":
             return wrong_method(["POST"])
-        parsed = parse_language(body=reading.body, path=path)
+        parsed = parse_language(body=context.body, path=path)
         if isinstance(parsed, Refusal):
             return parsed
         matched = match_language(
-            declaration=reading.in_force.declaration,
-            team=reading.team,
+            declaration=context.in_force.declaration,
+            team=context.team,
             path=path,
             model=parsed.model,
-            route_name=reading.headers.route,
-            tier_name=reading.headers.tier,
+            route_name=context.headers.route,
+            tier_name=context.headers.tier,
         )
         if isinstance(matched, Refusal):
             return matched
@@ -136,23 +136,23 @@
             method="POST",
             path=path,
             document=parsed.fields,
-            caller_request_id=reading.arrival.response.request_id,
+            caller_request_id=context.arrival.response.request_id,
         )
-        answer = _language_answer(response=reading.arrival.response, parsed=parsed, chat=path == CHAT_PATH)
+        answer = _language_answer(response=context.arrival.response, parsed=parsed, chat=path == CHAT_PATH)
         return self._prepared(
-            reading, matched, call, answer, shape=parsed.shape, output_tokens=parsed.output_tokens, target=path
+            context, matched, call, answer, shape=parsed.shape, output_tokens=parsed.output_tokens, target=path
         )
 
-    def _plain(self, reading):
-        environ = reading.arrival.environ
+    def _plain(self, context):
+        environ = context.arrival.environ
         method = environ["REQUEST_METHOD"]
         matched = match_plain(
-            declaration=reading.in_force.declaration,
-            team=reading.team,
+            declaration=context.in_force.declaration,
+            team=context.team,
             method=method,
             path=environ["PATH_INFO"],
-            route_name=reading.headers.route,
-            tier_name=reading.headers.tier,
+            route_name=context.headers.route,
+            tier_name=context.headers.tier,
         )
         if isinstance(matched, Refusal):
             return matched
@@ -164,27 +164,27 @@
             path=path,
             query=query,
             headers=forwarded_headers(environ),
-            body=reading.body,
-            caller_request_id=reading.arrival.response.request_id,
+            body=context.body,
+            caller_request_id=context.arrival.response.request_id,
         )
-        answer = PlainAnswer(response=reading.arrival.response)
-        return self._prepared(reading, matched, call, answer, shape=NO_PROMPT, output_tokens=0, target=target)
+        answer = PlainAnswer(response=context.arrival.response)
+        return self._prepared(context, matched, call, answer, shape=NO_PROMPT, output_tokens=0, target=target)
 
-    def _prepared(self, reading, matched, call, answer, *, shape, output_tokens, target):
+    def _prepared(self, context, matched, call, answer, *, shape, output_tokens, target):
         route = matched.route
-        headers = reading.headers
+        headers = context.headers
         allowed_s = deadline_s(headers=headers, default_ms=route.deadline_ms, most_s=self._most_deadline_s)
-        elapsed_s = time.monotonic() - reading.arrival.at
+        elapsed_s = time.monotonic() - context.arrival.at
         request = CallerRequest(
-            request_id=reading.arrival.request_id,
+            request_id=context.arrival.request_id,
             service=matched.service.name,
-            team=reading.team.name,
+            team=context.team.name,
             route=route.name,
             tier=matched.tier.rank,
             repeatable=route.repeatable,
             at_most_once=route.at_most_once,
             idempotency_key=headers.idempotency_key,
-            body_digest=body_digest(method=call.method, path=target, body=reading.body),
+            body_digest=body_digest(method=call.method, path=target, body=context.body),
             prompt_tokens=shape.tokens,
             output_tokens=output_tokens,
             prefix_blocks=shape.prefix_blocks,
@@ -194,9 +194,9 @@
             request=request,
             call=call,
             answer=answer,
-            body_bytes=len(reading.body),
+            body_bytes=len(context.body),
             tier_name=matched.tier.name,
-            generation=reading.in_force.generation,
+            generation=context.in_force.generation,
         )
 
 
