--- a/wagtailtrestle/callers/native_dialect.py
+++ b/wagtailtrestle/callers/native_dialect.py
@@ -29,7 +29,7 @@
 from wagtailtrestle.contracts.outcomes import Executed, Reason, Refusal
 from wagtailtrestle.engines.native_call import NativeCall
 
-NO_PROMPT = PromptShape(tokens=0)
+EMPTY_PROMPT = PromptShape(tokens=0)
 ELSEWHERE_S = 0.1
 """When to come back to a router that takes nothing: at once, as others do; enough not to spin."""
 
@@ -168,7 +168,7 @@
             caller_request_id=context.arrival.response.request_id,
         )
         answer = PlainAnswer(response=context.arrival.response)
-        return self._prepared(context, matched, call, answer, shape=NO_PROMPT, output_tokens=0, target=target)
+        return self._prepared(context, matched, call, answer, shape=EMPTY_PROMPT, output_tokens=0, target=target)
 
     def _prepared(self, context, matched, call, answer, *, shape, output_tokens, target):
         route = matched.route
