--- a/wagtailtrestle/callers/native_dialect.py
+++ b/wagtailtrestle/callers/native_dialect.py
@@ -30,7 +30,7 @@
 from wagtailtrestle.engines.native_call import NativeCall
 
 EMPTY_PROMPT = PromptShape(tokens=0)
-ELSEWHERE_S = 0.1
+RETRY_ELSEWHERE_S = 0.1
 """When to come back to a router that takes nothing: at once, as others do; enough not to spin."""
 
 
@@ -220,7 +220,7 @@
         reason=reason,
         executed=Executed.NO,
         detail="This router takes no requests now; send it again and another one will.",
-        retry_after_s=ELSEWHERE_S,
+        retry_after_s=RETRY_ELSEWHERE_S,
     )
 
 
