--- a/wagtailtrestle/callers/native_dialect.py
+++ b/wagtailtrestle/callers/native_dialect.py
@@ -82,7 +82,7 @@
         """Read and check one request."""
         in_force = self._directory()
         if in_force is None:
-            return closed(Reason.NOT_READY)
+            return not_accepting(Reason.NOT_READY)
         environ = arrival.environ
         index = self._key_index(in_force.declaration)
         team = authenticate(header=environ.get("HTTP_AUTHORIZATION", ""), index=index)
@@ -213,7 +213,7 @@
         self.body = body
 
 
-def closed(reason: Reason) -> Refusal:
+def not_accepting(reason: Reason) -> Refusal:
     """The refusal of a router that takes no requests now."""
     return Refusal(
         status=503,
--- a/wagtailtrestle/callers/server.py
+++ b/wagtailtrestle/callers/server.py
@@ -14,7 +14,7 @@
 from wagtailtrestle.callers.connection_watcher import CallerWatch
 from wagtailtrestle.callers.dialect import Arrival, ModelList, Prepared
 from wagtailtrestle.callers.limits import DEFAULT_RECEIVE_BYTES, CallerLimits, Full, ReceiveLimit, held_for
-from wagtailtrestle.callers.native_dialect import NativeDialect, closed
+from wagtailtrestle.callers.native_dialect import NativeDialect, not_accepting
 from wagtailtrestle.callers.request_handler import RequestHandler
 from wagtailtrestle.callers.start_hold import StartHold
 from wagtailtrestle.callers.stream import JSON_TYPE
@@ -240,7 +240,7 @@
             case Prepared() if self._streams_over and prepared.call.is_streamed:
                 if prepared.charge is not None:
                     prepared.charge.refund()
-                self._refuse_early(arrival, closed(Reason.DRAINING))
+                self._refuse_early(arrival, not_accepting(Reason.DRAINING))
             case Prepared():
                 self._handle(arrival, prepared)
         return response
@@ -251,10 +251,10 @@
             caller_time_s=self._dialect.caller_time_s(arrival.environ),
         )
         if self._grace_over:
-            return closed(Reason.DRAINING)
+            return not_accepting(Reason.DRAINING)
         # While the grace lasts a leaving router still serves what the balancer sends it.
         if reason is not None and reason is not Reason.DRAINING:
-            return closed(reason)
+            return not_accepting(reason)
         return self._dialect.prepare(arrival)
 
     def _refuse_early(self, arrival, refusal):
--- a/wagtailtrestle/platform/callers.py
+++ b/wagtailtrestle/platform/callers.py
@@ -8,7 +8,7 @@
 from wagtailtrestle.callers.body import body_digest
 from wagtailtrestle.callers.body_reader import BodyReader
 from wagtailtrestle.callers.dialect import Prepared
-from wagtailtrestle.callers.native_dialect import closed
+from wagtailtrestle.callers.native_dialect import not_accepting
 from wagtailtrestle.callers.route_match import HostRouteIndex, choose_service
 from wagtailtrestle.callers.wsgi import REQUEST_ENVIRON
 from wagtailtrestle.contracts.exchange import CallerRequest
@@ -95,7 +95,7 @@
         """Read and check one request."""
         in_force = self._directory()
         if in_force is None:
-            return closed(Reason.NOT_READY)
+            return not_accepting(Reason.NOT_READY)
         routes, keys = self._indexes(in_force.declaration)
         environ = arrival.environ
         pairs = _header_pairs(environ)
