--- a/wagtailtrestle/callers/headers.py
+++ b/wagtailtrestle/callers/headers.py
@@ -102,7 +102,7 @@
     return None
 
 
-def asked_s(environ: dict) -> float | None:
+def requested_timeout_s(environ: dict) -> float | None:
     """Seconds that the caller says it will wait; ``None`` without a sound word of it."""
     deadline = environ.get(DEADLINE, "")
     return int(deadline) / MS_PER_S if DEADLINE_FORM.fullmatch(deadline) else None
--- a/wagtailtrestle/callers/native_dialect.py
+++ b/wagtailtrestle/callers/native_dialect.py
@@ -9,7 +9,13 @@
 from wagtailtrestle.callers.body_reader import BodyReader
 from wagtailtrestle.callers.connection_watcher import CallerWatch
 from wagtailtrestle.callers.dialect import Arrival, ModelList, Prepared
-from wagtailtrestle.callers.headers import asked_s, caller_headers, caller_request_id, deadline_s, forwarded_headers
+from wagtailtrestle.callers.headers import (
+    caller_headers,
+    caller_request_id,
+    deadline_s,
+    forwarded_headers,
+    requested_timeout_s,
+)
 from wagtailtrestle.callers.limits import ReceiveLimit
 from wagtailtrestle.callers.problem import problem_bytes, problem_headers
 from wagtailtrestle.callers.prompt_shape import PromptShape
@@ -71,7 +77,7 @@
 
     def caller_time_s(self, environ):
         """The deadline that the caller gives, seconds."""
-        return asked_s(environ)
+        return requested_timeout_s(environ)
 
     def problem(self, refusal, request_id):
         """A problem document."""
