--- a/wagtailtrestle/callers/native_dialect.py
+++ b/wagtailtrestle/callers/native_dialect.py
@@ -12,7 +12,7 @@
 from wagtailtrestle.callers.headers import (
     caller_headers,
     caller_request_id,
-    deadline_s,
+    effective_timeout_s,
     forwarded_headers,
     requested_timeout_s,
 )
@@ -179,7 +179,7 @@
     def _prepared(self, context, matched, call, answer, *, shape, output_tokens, target):
         route = matched.route
         headers = context.headers
-        allowed_s = deadline_s(headers=headers, default_ms=route.deadline_ms, most_s=self._most_deadline_s)
+        allowed_s = effective_timeout_s(headers=headers, default_ms=route.deadline_ms, most_s=self._most_deadline_s)
         elapsed_s = time.monotonic() - context.arrival.at
         request = CallerRequest(
             request_id=context.arrival.request_id,
