--- a/wagtailtrestle/callers/headers.py
+++ b/wagtailtrestle/callers/headers.py
@@ -108,10 +108,10 @@
     return int(deadline) / MS_PER_S if DEADLINE_FORM.fullmatch(deadline) else None
 
 
-def effective_timeout_s(*, headers: CallerHeaders, default_ms: int, most_s: float) -> float:
+def effective_timeout_s(*, headers: CallerHeaders, default_ms: int, max_s: float) -> float:
     """Seconds the whole answer may take: the caller's, else the route's, never above ``most_s``."""
     requested_ms = headers.deadline_ms if headers.deadline_ms is not None else default_ms
-    return min(requested_ms / MS_PER_S, most_s)
+    return min(requested_ms / MS_PER_S, max_s)
 
 
 def forwarded_headers(environ: dict) -> dict:
--- a/wagtailtrestle/callers/native_dialect.py
+++ b/wagtailtrestle/callers/native_dialect.py
@@ -179,7 +179,7 @@
     def _prepared(self, context, matched, call, answer, *, shape, output_tokens, target):
         route = matched.route
         headers = context.headers
-        allowed_s = effective_timeout_s(headers=headers, default_ms=route.deadline_ms, most_s=self._most_deadline_s)
+        allowed_s = effective_timeout_s(headers=headers, default_ms=route.deadline_ms, max_s=self._most_deadline_s)
         elapsed_s = time.monotonic() - context.arrival.at
         request = CallerRequest(
             request_id=context.arrival.request_id,
