--- a/tests/test_start_hold.py
+++ b/tests/test_start_hold.py
@@ -42,9 +42,9 @@
         self.hold = StartHold(reason=lambda: self.not_ready, watch=self.watch, longest_s=longest_s, most=most)
         self.told_by_fd = {}
 
-    def ask(self, *, fd=FD, caller_time_s=30.0):
+    def ask(self, *, fd=FD, caller_timeout_s=30.0):
         def run():
-            self.told_by_fd[fd] = self.hold.reason(fd=fd, caller_time_s=caller_time_s)
+            self.told_by_fd[fd] = self.hold.reason(fd=fd, caller_timeout_s=caller_timeout_s)
 
         thread = threading.Thread(target=run)
         thread.start()
@@ -83,7 +83,7 @@
     def test_a_short_caller_is_refused_while_it_can_still_be_served_elsewhere(self):
         router = StartingRouter()
         began_at = time.monotonic()
-        router.ask(caller_time_s=0.3).join(SOON_S)
+        router.ask(caller_timeout_s=0.3).join(SOON_S)
         self.assertEqual(router.told_by_fd, {FD: Reason.NOT_READY})
         self.assertGreaterEqual(time.monotonic() - began_at, CALLER_SHARE * 0.3)
 
--- a/wagtailtrestle/callers/dialect.py
+++ b/wagtailtrestle/callers/dialect.py
@@ -66,7 +66,7 @@
     def request_id(self, environ: dict) -> str | Refusal:
         """The caller's own id of the request, or one made for it."""
 
-    def caller_time_s(self, environ: dict) -> float | None:
+    def caller_timeout_s(self, environ: dict) -> float | None:
         """How long the caller says that it will wait, ``None`` where it doesn't."""
 
     def prepare(self, arrival: Arrival) -> Prepared | ModelList | Refusal:
--- a/wagtailtrestle/callers/native_dialect.py
+++ b/wagtailtrestle/callers/native_dialect.py
@@ -75,7 +75,7 @@
         """The caller's own id of the request, or one made for it."""
         return caller_request_id(environ)
 
-    def caller_time_s(self, environ):
+    def caller_timeout_s(self, environ):
         """The deadline that the caller gives, seconds."""
         return requested_timeout_s(environ)
 
--- a/wagtailtrestle/callers/server.py
+++ b/wagtailtrestle/callers/server.py
@@ -248,7 +248,7 @@
     def _prepare(self, arrival):
         reason = self._start_hold.reason(
             fd=arrival.environ[CONNECTION_ENVIRON].socket.fileno(),
-            caller_time_s=self._dialect.caller_time_s(arrival.environ),
+            caller_timeout_s=self._dialect.caller_timeout_s(arrival.environ),
         )
         if self._grace_over:
             return not_accepting(Reason.DRAINING)
--- a/wagtailtrestle/callers/start_hold.py
+++ b/wagtailtrestle/callers/start_hold.py
@@ -43,7 +43,7 @@
         with self._changed:
             self._changed.notify_all()
 
-    def reason(self, *, fd, caller_time_s):
+    def reason(self, *, fd, caller_timeout_s):
         """Why nothing can be served, told once the router serves or the wait is over.
 
         Parameters
@@ -56,7 +56,7 @@
         reason = self._reason()
         if reason is not Reason.NOT_READY or not self._longest_s:
             return reason
-        time_s = UNKNOWN_TIME_S if caller_time_s is None else caller_time_s
+        time_s = UNKNOWN_TIME_S if caller_timeout_s is None else caller_timeout_s
         return self._hold(fd, min(self._longest_s, CALLER_SHARE * time_s))
 
     def _hold(self, fd, longest_s):
--- a/wagtailtrestle/platform/callers.py
+++ b/wagtailtrestle/platform/callers.py
@@ -72,7 +72,7 @@
         """The caller's own id, or one made for a request without."""
         return environ.get("HTTP_REQUEST_ID") or uuid.uuid4().hex
 
-    def caller_time_s(self, environ):
+    def caller_timeout_s(self, environ):
         """What the caller has left, seconds."""
         asked_ms = environ.get("HTTP_DEADLINE_MILLISECONDS", "").strip()
         return int(asked_ms) / MS_PER_S if asked_ms.isdecimal() else None
@@ -185,9 +185,9 @@
 
     def _allowed_s(self, arrival, route, environ):
         allowed_s = min(route.timeout_ms / MS_PER_S, self._most_deadline_s)
-        caller_time_s = self.caller_time_s(environ)
-        if caller_time_s is not None:
-            allowed_s = min(allowed_s, caller_time_s)
+        caller_timeout_s = self.caller_timeout_s(environ)
+        if caller_timeout_s is not None:
+            allowed_s = min(allowed_s, caller_timeout_s)
         elapsed_s = time.monotonic() - arrival.at
         return allowed_s - elapsed_s
 
