--- a/wagtailtrestle/callers/start_hold.py
+++ b/wagtailtrestle/callers/start_hold.py
@@ -56,8 +56,8 @@
         reason = self._reason()
         if reason is not Reason.NOT_READY or not self._longest_s:
             return reason
-        time_s = UNKNOWN_TIME_S if caller_timeout_s is None else caller_timeout_s
-        return self._hold(fd, min(self._longest_s, CALLER_SHARE * time_s))
+        timeout_s = UNKNOWN_TIME_S if caller_timeout_s is None else caller_timeout_s
+        return self._hold(fd, min(self._longest_s, CALLER_SHARE * timeout_s))
 
     def _hold(self, fd, longest_s):
         gone = threading.Event()
