--- a/wagtailtrestle/callers/start_hold.py
+++ b/wagtailtrestle/callers/start_hold.py
@@ -6,7 +6,7 @@
 
 CALLER_SHARE = 1.0 / 3.0
 """Largest part of the caller's own time: what is left lets it come back elsewhere and be served."""
-UNKNOWN_TIME_S = 3.0
+DEFAULT_CALLER_TIMEOUT_S = 3.0
 """Time a caller is taken to have that tells none."""
 
 
@@ -56,7 +56,7 @@
         reason = self._reason()
         if reason is not Reason.NOT_READY or not self._longest_s:
             return reason
-        timeout_s = UNKNOWN_TIME_S if caller_timeout_s is None else caller_timeout_s
+        timeout_s = DEFAULT_CALLER_TIMEOUT_S if caller_timeout_s is None else caller_timeout_s
         return self._hold(fd, min(self._longest_s, CALLER_SHARE * timeout_s))
 
     def _hold(self, fd, longest_s):
