--- a/tests/test_start_hold.py
+++ b/tests/test_start_hold.py
@@ -36,10 +36,10 @@
 class StartingRouter:
     """What a hold sees of a router that starts."""
 
-    def __init__(self, *, longest_s=HOLD_S, most=8):
+    def __init__(self, *, max_hold_s=HOLD_S, most=8):
         self.not_ready = Reason.NOT_READY
         self.watch = Watch()
-        self.hold = StartHold(reason=lambda: self.not_ready, watch=self.watch, longest_s=longest_s, most=most)
+        self.hold = StartHold(reason=lambda: self.not_ready, watch=self.watch, max_hold_s=max_hold_s, most=most)
         self.told_by_fd = {}
 
     def ask(self, *, fd=FD, caller_timeout_s=30.0):
@@ -106,7 +106,7 @@
         self.assertEqual(router.told_by_fd, {FD: Reason.DRAINING})
 
     def test_no_hold_where_the_settings_say_so(self):
-        router = StartingRouter(longest_s=0.0)
+        router = StartingRouter(max_hold_s=0.0)
         router.ask().join(SOON_S)
         self.assertEqual(router.told_by_fd, {FD: Reason.NOT_READY})
 
--- a/wagtailtrestle/callers/start_hold.py
+++ b/wagtailtrestle/callers/start_hold.py
@@ -30,10 +30,10 @@
 
     __slots__ = ("_reason", "_watch", "_longest_s", "_most", "_changed", "_held")
 
-    def __init__(self, *, reason, watch, longest_s, most):
+    def __init__(self, *, reason, watch, max_hold_s, most):
         self._reason = reason
         self._watch = watch
-        self._longest_s = longest_s
+        self._longest_s = max_hold_s
         self._most = most
         self._changed = threading.Condition()
         self._held = 0
@@ -59,7 +59,7 @@
         timeout_s = DEFAULT_CALLER_TIMEOUT_S if caller_timeout_s is None else caller_timeout_s
         return self._hold(fd, min(self._longest_s, CALLER_SHARE * timeout_s))
 
-    def _hold(self, fd, longest_s):
+    def _hold(self, fd, max_hold_s):
         gone = threading.Event()
         with self._changed:
             if self._held >= self._most:
@@ -68,7 +68,7 @@
         self._watch.watch(fd=fd, on_gone=lambda: (gone.set(), self.open()))
         try:
             with self._changed:
-                self._changed.wait_for(lambda: gone.is_set() or self._reason() is not Reason.NOT_READY, longest_s)
+                self._changed.wait_for(lambda: gone.is_set() or self._reason() is not Reason.NOT_READY, max_hold_s)
         finally:
             self._watch.forget(fd=fd)
             with self._changed:
