--- a/wagtailtrestle/callers/start_hold.py
+++ b/wagtailtrestle/callers/start_hold.py
@@ -28,12 +28,12 @@
         Requests held at once; the others are refused, so that threads are left for what can be served.
     """
 
-    __slots__ = ("_reason", "_watch", "_longest_s", "_most", "_changed", "_held")
+    __slots__ = ("_reason", "_watch", "_max_hold_s", "_most", "_changed", "_held")
 
     def __init__(self, *, reason, watch, max_hold_s, most):
         self._reason = reason
         self._watch = watch
-        self._longest_s = max_hold_s
+        self._max_hold_s = max_hold_s
         self._most = most
         self._changed = threading.Condition()
         self._held = 0
@@ -54,10 +54,10 @@
             How long the caller will wait, where it says so.
         """
         reason = self._reason()
-        if reason is not Reason.NOT_READY or not self._longest_s:
+        if reason is not Reason.NOT_READY or not self._max_hold_s:
             return reason
         timeout_s = DEFAULT_CALLER_TIMEOUT_S if caller_timeout_s is None else caller_timeout_s
-        return self._hold(fd, min(self._longest_s, CALLER_SHARE * timeout_s))
+        return self._hold(fd, min(self._max_hold_s, CALLER_SHARE * timeout_s))
 
     def _hold(self, fd, max_hold_s):
         gone = threading.Event()
