--- a/tests/test_start_hold.py
+++ b/tests/test_start_hold.py
@@ -36,10 +36,10 @@
 class StartingRouter:
     """What a hold sees of a router that starts."""
 
-    def __init__(self, *, max_hold_s=HOLD_S, most=8):
+    def __init__(self, *, max_hold_s=HOLD_S, max_held=8):
         self.not_ready = Reason.NOT_READY
         self.watch = Watch()
-        self.hold = StartHold(reason=lambda: self.not_ready, watch=self.watch, max_hold_s=max_hold_s, most=most)
+        self.hold = StartHold(reason=lambda: self.not_ready, watch=self.watch, max_hold_s=max_hold_s, max_held=max_held)
         self.told_by_fd = {}
 
     def ask(self, *, fd=FD, caller_timeout_s=30.0):
@@ -89,7 +89,7 @@
 
     def test_more_than_may_be_held_are_refused_at_once(self):
         # A flood on a router that never gets its configuration must not take every thread.
-        router = StartingRouter(most=1)
+        router = StartingRouter(max_held=1)
         first = router.ask()
         self.assertTrue(router.is_held())
         router.ask(fd=FD + 1).join(SOON_S)
--- a/wagtailtrestle/callers/server.py
+++ b/wagtailtrestle/callers/server.py
@@ -105,7 +105,7 @@
         # senders among them must go.
         self._watch = CallerWatch(timeout_s=receive_timeout_s, crowd=(threads - held_for(threads)) // 2)
         self._start_hold = StartHold(
-            reason=ready, watch=self._watch, max_hold_s=start_hold_s, most=held_for(threads) // 2
+            reason=ready, watch=self._watch, max_hold_s=start_hold_s, max_held=held_for(threads) // 2
         )
         self._dialect = make_dialect(
             directory=directory,
--- a/wagtailtrestle/callers/start_hold.py
+++ b/wagtailtrestle/callers/start_hold.py
@@ -30,11 +30,11 @@
 
     __slots__ = ("_reason", "_watch", "_max_hold_s", "_most", "_changed", "_held")
 
-    def __init__(self, *, reason, watch, max_hold_s, most):
+    def __init__(self, *, reason, watch, max_hold_s, max_held):
         self._reason = reason
         self._watch = watch
         self._max_hold_s = max_hold_s
-        self._most = most
+        self._most = max_held
         self._changed = threading.Condition()
         self._held = 0
 
