--- a/wagtailtrestle/callers/start_hold.py
+++ b/wagtailtrestle/callers/start_hold.py
@@ -28,13 +28,13 @@
         Requests held at once; the others are refused, so that threads are left for what can be served.
     """
 
-    __slots__ = ("_reason", "_watch", "_max_hold_s", "_most", "_changed", "_held")
+    __slots__ = ("_reason", "_watch", "_max_hold_s", "_max_held", "_changed", "_held")
 
     def __init__(self, *, reason, watch, max_hold_s, max_held):
         self._reason = reason
         self._watch = watch
         self._max_hold_s = max_hold_s
-        self._most = max_held
+        self._max_held = max_held
         self._changed = threading.Condition()
         self._held = 0
 
@@ -62,7 +62,7 @@
     def _hold(self, fd, max_hold_s):
         gone = threading.Event()
         with self._changed:
-            if self._held >= self._most:
+            if self._held >= self._max_held:
                 return Reason.NOT_READY
             self._held += 1
         self._watch.watch(fd=fd, on_gone=lambda: (gone.set(), self.open()))
