--- a/wagtailtrestle/callers/server.py
+++ b/wagtailtrestle/callers/server.py
@@ -150,7 +150,7 @@
         self._thread = threading.Thread(target=self._server.serve, name="callers", daemon=True)
         self._thread.start()
 
-    def let_go(self):
+    def release_held(self):
         """Serve what came while the router was not ready."""
         self._start_hold.open()
 
--- a/wagtailtrestle/router.py
+++ b/wagtailtrestle/router.py
@@ -410,7 +410,7 @@
             engines_known = self._engine_list is None or self._engine_list.is_known
             self._begun = self._in_force is not None and engines_known and self._membership.trusted
             if self._begun:
-                self._callers.let_go()
+                self._callers.release_held()
         return self._begun
 
     def state(self):
