--- a/wagtailtrestle/callers/answer.py
+++ b/wagtailtrestle/callers/answer.py
@@ -155,7 +155,7 @@
         """End without a whole answer."""
 
 
-class WholeAnswer:
+class BufferedAnswer:
     """A completion given in one piece, once it was checked complete."""
 
     __slots__ = ("_response", "_model", "_chat")
@@ -193,7 +193,7 @@
         self._response.send_refusal(refusal)
 
 
-class StreamedAnswer(WholeAnswer):
+class StreamedAnswer(BufferedAnswer):
     """A completion given token by token; its head leaves with the first token."""
 
     __slots__ = ("_events",)
--- a/wagtailtrestle/callers/native_dialect.py
+++ b/wagtailtrestle/callers/native_dialect.py
@@ -3,7 +3,7 @@
 import time
 from collections.abc import Callable
 
-from wagtailtrestle.callers.answer import PlainAnswer, StreamedAnswer, WholeAnswer
+from wagtailtrestle.callers.answer import BufferedAnswer, PlainAnswer, StreamedAnswer
 from wagtailtrestle.callers.authentication import KeyIndex, authenticate
 from wagtailtrestle.callers.body import body_digest, parse_language
 from wagtailtrestle.callers.body_reader import BodyReader
@@ -243,7 +243,7 @@
 
 def _language_answer(*, response, parsed, chat):
     if not parsed.stream:
-        return WholeAnswer(response=response, model=parsed.model, chat=chat)
+        return BufferedAnswer(response=response, model=parsed.model, chat=chat)
     events = EventWriter(
         request_id=response.request_id, model=parsed.model, chat=chat, include_usage=parsed.include_usage
     )
