--- a/wagtailtrestle/callers/answer.py
+++ b/wagtailtrestle/callers/answer.py
@@ -142,7 +142,7 @@
     def token(self, text: str) -> None:
         """Take one token of the answer as it arrives."""
 
-    def whole(self, received: ReceivedAnswer) -> None:
+    def complete(self, received: ReceivedAnswer) -> None:
         """Everything arrived and was checked."""
 
     def recordable(self, received: ReceivedAnswer) -> Recordable:
@@ -168,7 +168,7 @@
     def token(self, text):
         """Nothing leaves before the end; the text is kept with what was received."""
 
-    def whole(self, received):
+    def complete(self, received):
         """Send the answer assembled from the engine's stream."""
         answer = self.recordable(received)
         self._response.send(status=200, content_type=answer.content_type, body=answer.body)
@@ -208,7 +208,7 @@
             self._begin()
         self._response.write(self._events.token(text))
 
-    def whole(self, received):
+    def complete(self, received):
         """Send the closing events; only these tell the caller that it has everything."""
         self._end(answer_end(received))
 
@@ -251,7 +251,7 @@
     def token(self, text):
         """Plain services send no tokens."""
 
-    def whole(self, received):
+    def complete(self, received):
         """Pass on the service's status, headers and body; its own refusal is a whole answer too."""
         headers = [(name, value) for name, value in received.headers.items() if name.lower() not in NOT_PASSED_ON]
         self._response.send(status=received.status, content_type="", body=received.body, extra_headers=headers)
--- a/wagtailtrestle/callers/request_handler.py
+++ b/wagtailtrestle/callers/request_handler.py
@@ -103,7 +103,7 @@
         answer = self._prepared.answer
         match command:
             case AnswerWhole():
-                answer.whole(self._received)
+                answer.complete(self._received)
                 return ANSWERED
             case AnswerRecorded():
                 answer.recorded(command)
--- a/wagtailtrestle/platform/callers.py
+++ b/wagtailtrestle/platform/callers.py
@@ -207,7 +207,7 @@
             self._response.begin(status=self._received.status, headers=_answer_headers(self._received))
         self._response.write(text)
 
-    def whole(self, received):
+    def complete(self, received):
         """Close a stream that was sent, or send everything at once."""
         if self._response.begun:
             return
