--- a/wagtailtrestle/callers/answer.py
+++ b/wagtailtrestle/callers/answer.py
@@ -12,7 +12,7 @@
     SSE_TYPE,
     AnswerEnd,
     EventWriter,
-    read_whole_answer,
+    decode_completion,
     whole_answer,
 )
 from wagtailtrestle.contracts.exchange import AnswerRecorded
@@ -214,7 +214,7 @@
 
     def recorded(self, command):
         """Give an earlier answer as a stream of one token, since a stream was asked for."""
-        text, end = read_whole_answer(command.body)
+        text, end = decode_completion(command.body)
         self.token(text)
         self._end(end)
 
--- a/wagtailtrestle/callers/stream.py
+++ b/wagtailtrestle/callers/stream.py
@@ -116,7 +116,7 @@
     return json.dumps(answer).encode()
 
 
-def read_whole_answer(body: bytes) -> tuple:
+def decode_completion(body: bytes) -> tuple:
     """Text and ``AnswerEnd`` of an answer written by ``whole_answer``."""
     answer = json.loads(body)
     choice = answer["choices"][0]
