--- a/wagtailtrestle/callers/answer.py
+++ b/wagtailtrestle/callers/answer.py
@@ -13,7 +13,7 @@
     AnswerEnd,
     EventWriter,
     decode_completion,
-    whole_answer,
+    encode_completion,
 )
 from wagtailtrestle.contracts.exchange import AnswerRecorded
 from wagtailtrestle.contracts.outcomes import Executed, Refusal
@@ -175,7 +175,7 @@
 
     def recordable(self, received):
         """The same JSON that a caller is sent."""
-        body = whole_answer(
+        body = encode_completion(
             request_id=self._response.request_id,
             model=self._model,
             chat=self._chat,
--- a/wagtailtrestle/callers/stream.py
+++ b/wagtailtrestle/callers/stream.py
@@ -98,7 +98,7 @@
         return stream_error_event(refusal=refusal, request_id=self._head["id"])
 
 
-def whole_answer(*, request_id: str, model: str, chat: bool, text: str, end: AnswerEnd) -> bytes:
+def encode_completion(*, request_id: str, model: str, chat: bool, text: str, end: AnswerEnd) -> bytes:
     """A non-streamed answer as JSON."""
     choice = {"index": 0, "finish_reason": end.finish_reason, "logprobs": None}
     if chat:
