--- a/wagtailtrestle/callers/answer.py
+++ b/wagtailtrestle/callers/answer.py
@@ -129,7 +129,7 @@
 
 
 @record
-class Recordable:
+class RecordableAnswer:
     """A whole answer as the ledger keeps it."""
 
     content_type: str
@@ -145,7 +145,7 @@
     def complete(self, received: ReceivedAnswer) -> None:
         """Everything arrived and was checked."""
 
-    def recordable(self, received: ReceivedAnswer) -> Recordable:
+    def recordable(self, received: ReceivedAnswer) -> RecordableAnswer:
         """The whole answer, for a later request with the same idempotency key."""
 
     def recorded(self, command: AnswerRecorded) -> None:
@@ -182,7 +182,7 @@
             text=received.text,
             end=answer_end(received),
         )
-        return Recordable(content_type=JSON_TYPE, body=body)
+        return RecordableAnswer(content_type=JSON_TYPE, body=body)
 
     def recorded(self, command):
         """Give an earlier answer."""
@@ -258,7 +258,7 @@
 
     def recordable(self, received):
         """Type and body; the status is recorded beside them."""
-        return Recordable(content_type=received.headers.get("Content-Type", ""), body=received.body)
+        return RecordableAnswer(content_type=received.headers.get("Content-Type", ""), body=received.body)
 
     def recorded(self, command):
         """Give an earlier answer."""
