--- a/wagtailtrestle/callers/answer.py
+++ b/wagtailtrestle/callers/answer.py
@@ -22,7 +22,7 @@
 
 BODYLESS_STATUSES = frozenset({204, 304})
 # Of the connection to the engine, or naming the run there.
-NOT_PASSED_ON = frozenset(
+UNFORWARDED_HEADERS = frozenset(
     {
         "connection",
         "content-length",
@@ -253,7 +253,7 @@
 
     def complete(self, received):
         """Pass on the service's status, headers and body; its own refusal is a whole answer too."""
-        headers = [(name, value) for name, value in received.headers.items() if name.lower() not in NOT_PASSED_ON]
+        headers = [(name, value) for name, value in received.headers.items() if name.lower() not in UNFORWARDED_HEADERS]
         self._response.send(status=received.status, content_type="", body=received.body, extra_headers=headers)
 
     def recordable(self, received):
