--- a/wagtailtrestle/callers/headers.py
+++ b/wagtailtrestle/callers/headers.py
@@ -23,7 +23,7 @@
 STEERING_PREFIX = "HTTP_WAGTAILTRESTLE_"
 # The caller's key is for this router alone. A coding is not offered on, so that an answer's
 # length is the length of its body.
-UNFORWARDED = frozenset(
+UNFORWARDED_HEADERS = frozenset(
     {
         "HTTP_ACCEPT_ENCODING",
         "HTTP_AUTHORIZATION",
@@ -118,7 +118,7 @@
     """The caller's headers that a plain service is sent."""
     value_by_name = {}
     for name, value in environ.items():
-        if not name.startswith(HEADER_PREFIX) or name in UNFORWARDED or name.startswith(STEERING_PREFIX):
+        if not name.startswith(HEADER_PREFIX) or name in UNFORWARDED_HEADERS or name.startswith(STEERING_PREFIX):
             continue
         value_by_name[name[len(HEADER_PREFIX) :].replace("_", "-").title()] = value
     if "CONTENT_TYPE" in environ:
