--- a/tests/test_caller_watch.py
+++ b/tests/test_caller_watch.py
@@ -40,7 +40,7 @@
         self.watch.start()
         self.addCleanup(self.watch.close)
 
-    def on_gone(self, name):
+    def on_disconnect(self, name):
         self.gone.append(name)
         self.events[name].set()
 
@@ -53,7 +53,7 @@
         ours, theirs = self.pair()
         self.addCleanup(ours.close)
         self.start()
-        self.watch.watch(fd=ours.fileno(), on_gone=lambda: self.on_gone("former"))
+        self.watch.watch(fd=ours.fileno(), on_disconnect=lambda: self.on_disconnect("former"))
         theirs.close()
         self.assertTrue(self.events["former"].wait(SEEN_S))
 
@@ -68,9 +68,9 @@
         def use_again():
             self.watch.forget(fd=fd)
             os.dup2(next_ours.fileno(), fd)
-            self.watch.watch(fd=fd, on_gone=lambda: self.on_gone("next"))
+            self.watch.watch(fd=fd, on_disconnect=lambda: self.on_disconnect("next"))
 
-        self.watch.watch(fd=fd, on_gone=lambda: self.on_gone("former"))
+        self.watch.watch(fd=fd, on_disconnect=lambda: self.on_disconnect("former"))
         self.watch._epoll = HookedEpoll(epoll=self.watch._epoll, hook=use_again)
         self.start()
         theirs.close()
--- a/tests/test_start_hold.py
+++ b/tests/test_start_hold.py
@@ -26,8 +26,8 @@
     def __init__(self):
         self.on_gone_by_fd = {}
 
-    def watch(self, *, fd, on_gone):
-        self.on_gone_by_fd[fd] = on_gone
+    def watch(self, *, fd, on_disconnect):
+        self.on_gone_by_fd[fd] = on_disconnect
 
     def forget(self, *, fd):
         self.on_gone_by_fd.pop(fd, None)
--- a/wagtailtrestle/callers/answer.py
+++ b/wagtailtrestle/callers/answer.py
@@ -66,7 +66,7 @@
         "aborted",
         "status",
         "_start_response",
-        "on_gone",
+        "on_disconnect",
         "_closing",
         "_problem",
         "_write",
@@ -80,7 +80,7 @@
         self.status = 0
         self._problem = problem
         self._start_response = start_response
-        self.on_gone = _ignore
+        self.on_disconnect = _ignore
         self._closing = closing
         self._write = None
 
@@ -100,7 +100,7 @@
             self._write(data)
         except OSError:
             self.gone = True
-            self.on_gone()
+            self.on_disconnect()
 
     def send(self, *, status: int, content_type: str, body: bytes, executed=Executed.YES, extra_headers=()):
         """Give a whole answer."""
--- a/wagtailtrestle/callers/connection_watcher.py
+++ b/wagtailtrestle/callers/connection_watcher.py
@@ -60,10 +60,10 @@
         self._thread.join()
         self._epoll.close()
 
-    def watch(self, *, fd: int, on_gone: Callable[[], None]):
+    def watch(self, *, fd: int, on_disconnect: Callable[[], None]):
         """Call ``on_gone`` once, in the watching thread, when the peer of ``fd`` closes."""
         with self._lock:
-            self._callback_by_fd[fd] = on_gone
+            self._callback_by_fd[fd] = on_disconnect
             self._epoll.register(fd, GONE_EVENTS)
 
     def forget(self, *, fd: int):
@@ -89,8 +89,8 @@
     def _run(self):
         while not self._closing.is_set():
             if self._epoll.poll(CHECK_S):
-                for on_gone in self._take_gone():
-                    on_gone()
+                for on_disconnect in self._take_gone():
+                    on_disconnect()
             self._stop_slow_senders()
 
     def _take_gone(self):
@@ -99,7 +99,7 @@
         # the kernel tells of the connections that are watched now.
         with self._lock:
             dropped = [self._drop(fd) for fd, _ in self._epoll.poll(0)]
-        return [on_gone for on_gone in dropped if on_gone is not None]
+        return [on_disconnect for on_disconnect in dropped if on_disconnect is not None]
 
     def _drop(self, fd):
         callback = self._callback_by_fd.pop(fd, None)
--- a/wagtailtrestle/callers/server.py
+++ b/wagtailtrestle/callers/server.py
@@ -314,7 +314,7 @@
         return None
 
     def _handle_admitted(self, arrival, prepared, exchange):
-        arrival.response.on_gone = exchange.caller_gone
+        arrival.response.on_disconnect = exchange.caller_gone
         handler = RequestHandler(
             arrival=arrival,
             prepared=prepared,
@@ -325,7 +325,7 @@
         )
         fd = arrival.environ[CONNECTION_ENVIRON].socket.fileno()
         self._loop.call_soon_threadsafe(self._submit, prepared.request, exchange)
-        self._watch.watch(fd=fd, on_gone=exchange.caller_gone)
+        self._watch.watch(fd=fd, on_disconnect=exchange.caller_gone)
         try:
             handler.handle(wait_s=max(0.0, prepared.request.deadline - self._loop.time()))
         finally:
--- a/wagtailtrestle/callers/start_hold.py
+++ b/wagtailtrestle/callers/start_hold.py
@@ -65,7 +65,7 @@
             if self._held >= self._max_held:
                 return Reason.NOT_READY
             self._held += 1
-        self._watch.watch(fd=fd, on_gone=lambda: (gone.set(), self.open()))
+        self._watch.watch(fd=fd, on_disconnect=lambda: (gone.set(), self.open()))
         try:
             with self._changed:
                 self._changed.wait_for(lambda: gone.is_set() or self._reason() is not Reason.NOT_READY, max_hold_s)
