--- a/tests/test_start_hold.py
+++ b/tests/test_start_hold.py
@@ -24,13 +24,13 @@
     """A ``CallerWatch`` whose callers leave when told."""
 
     def __init__(self):
-        self.on_gone_by_fd = {}
+        self.on_disconnect_by_fd = {}
 
     def watch(self, *, fd, on_disconnect):
-        self.on_gone_by_fd[fd] = on_disconnect
+        self.on_disconnect_by_fd[fd] = on_disconnect
 
     def forget(self, *, fd):
-        self.on_gone_by_fd.pop(fd, None)
+        self.on_disconnect_by_fd.pop(fd, None)
 
 
 class StartingRouter:
@@ -53,7 +53,7 @@
     def is_held(self, fd=FD):
         until = time.monotonic() + SOON_S
         while time.monotonic() < until:
-            if fd in self.watch.on_gone_by_fd:
+            if fd in self.watch.on_disconnect_by_fd:
                 return True
             time.sleep(0.001)
         return False
@@ -76,7 +76,7 @@
         router = StartingRouter()
         thread = router.ask()
         self.assertTrue(router.is_held())
-        router.watch.on_gone_by_fd[FD]()
+        router.watch.on_disconnect_by_fd[FD]()
         thread.join(SOON_S)
         self.assertEqual(router.told_by_fd, {FD: Reason.CALLER_GONE})
 
