--- a/wagtailtrestle/callers/connection_watcher.py
+++ b/wagtailtrestle/callers/connection_watcher.py
@@ -89,11 +89,11 @@
     def _run(self):
         while not self._closing.is_set():
             if self._epoll.poll(CHECK_S):
-                for on_disconnect in self._take_gone():
+                for on_disconnect in self._pop_disconnected():
                     on_disconnect()
             self._stop_slow_senders()
 
-    def _take_gone(self):
+    def _pop_disconnected(self):
         # What was found before the lock was taken may be of a connection that has ended since, whose number another
         # one bears by now: its caller, who waits, was told that the request is given up. Asked again under the lock,
         # the kernel tells of the connections that are watched now.
