--- a/wagtailtrestle/callers/connection_watcher.py
+++ b/wagtailtrestle/callers/connection_watcher.py
@@ -6,7 +6,7 @@
 import time
 from collections.abc import Callable
 
-GONE_EVENTS = select.EPOLLRDHUP | select.EPOLLHUP | select.EPOLLERR
+DISCONNECT_EVENTS = select.EPOLLRDHUP | select.EPOLLHUP | select.EPOLLERR
 CHECK_S = 0.25
 # With most threads receiving, a sender is allowed this long: enough for any request from a
 # caller within a few milliseconds, and short enough that the rest come through.
@@ -64,7 +64,7 @@
         """Call ``on_gone`` once, in the watching thread, when the peer of ``fd`` closes."""
         with self._lock:
             self._callback_by_fd[fd] = on_disconnect
-            self._epoll.register(fd, GONE_EVENTS)
+            self._epoll.register(fd, DISCONNECT_EVENTS)
 
     def forget(self, *, fd: int):
         """Stop watching ``fd``; to be called before it is closed, since numbers are used again."""
