--- a/tests/test_caller_watch.py
+++ b/tests/test_caller_watch.py
@@ -6,7 +6,7 @@
 import time
 import unittest
 
-from wagtailtrestle.callers.connection_watcher import CHECK_S, CallerWatch
+from wagtailtrestle.callers.connection_watcher import CHECK_S, ConnectionWatcher
 
 SEEN_S = 3 * CHECK_S
 
@@ -32,7 +32,7 @@
 
 class CallerWatchTest(unittest.TestCase):
     def setUp(self):
-        self.watch = CallerWatch(timeout_s=10.0, crowd=100)
+        self.watch = ConnectionWatcher(timeout_s=10.0, crowd=100)
         self.gone = []
         self.events = {name: threading.Event() for name in ("former", "next")}
 
--- a/wagtailtrestle/callers/body_reader.py
+++ b/wagtailtrestle/callers/body_reader.py
@@ -1,7 +1,7 @@
 """Reads a caller's body within the limits on receiving; one reader for every dialect of callers."""
 
 from wagtailtrestle.callers.body import BodyLength, body_length, read_body
-from wagtailtrestle.callers.connection_watcher import CallerWatch
+from wagtailtrestle.callers.connection_watcher import ConnectionWatcher
 from wagtailtrestle.callers.limits import ReceiveLimit
 from wagtailtrestle.callers.wsgi import CONNECTION_ENVIRON
 from wagtailtrestle.contracts.outcomes import Executed, Reason, Refusal
@@ -20,7 +20,7 @@
 
     __slots__ = ("_watch", "_limit")
 
-    def __init__(self, *, watch: CallerWatch, limit: ReceiveLimit):
+    def __init__(self, *, watch: ConnectionWatcher, limit: ReceiveLimit):
         self._watch = watch
         self._limit = limit
 
--- a/wagtailtrestle/callers/connection_watcher.py
+++ b/wagtailtrestle/callers/connection_watcher.py
@@ -13,7 +13,7 @@
 CROWDED_TIMEOUT_S = 2.0
 
 
-class CallerWatch:
+class ConnectionWatcher:
     """Watches callers' connections while their requests are received and in work.
 
     A caller's thread waits in a queue or reads from an engine, so it can't see its own
--- a/wagtailtrestle/callers/native_dialect.py
+++ b/wagtailtrestle/callers/native_dialect.py
@@ -7,7 +7,7 @@
 from wagtailtrestle.callers.authentication import KeyIndex, authenticate
 from wagtailtrestle.callers.body import body_digest, parse_language
 from wagtailtrestle.callers.body_reader import BodyReader
-from wagtailtrestle.callers.connection_watcher import CallerWatch
+from wagtailtrestle.callers.connection_watcher import ConnectionWatcher
 from wagtailtrestle.callers.dialect import Arrival, ModelList, Prepared
 from wagtailtrestle.callers.headers import (
     caller_headers,
@@ -61,7 +61,7 @@
         *,
         directory,
         now: Callable[[], float],
-        watch: CallerWatch,
+        watch: ConnectionWatcher,
         receive_limit: ReceiveLimit,
         most_deadline_s: float,
     ):
--- a/wagtailtrestle/callers/server.py
+++ b/wagtailtrestle/callers/server.py
@@ -11,7 +11,7 @@
 
 from wagtailtrestle.callers.answer import CallerResponse
 from wagtailtrestle.callers.caller_exchange import CallerExchange
-from wagtailtrestle.callers.connection_watcher import CallerWatch
+from wagtailtrestle.callers.connection_watcher import ConnectionWatcher
 from wagtailtrestle.callers.dialect import Arrival, ModelList, Prepared
 from wagtailtrestle.callers.limits import DEFAULT_RECEIVE_BYTES, CallerLimits, Full, ReceiveLimit, held_for
 from wagtailtrestle.callers.native_dialect import NativeDialect, not_accepting
@@ -103,7 +103,7 @@
         self._metrics = metrics
         # The threads kept in reserve are those that receive: once these are all at it, slow
         # senders among them must go.
-        self._watch = CallerWatch(timeout_s=receive_timeout_s, crowd=(threads - held_for(threads)) // 2)
+        self._watch = ConnectionWatcher(timeout_s=receive_timeout_s, crowd=(threads - held_for(threads)) // 2)
         self._start_hold = StartHold(
             reason=ready, watch=self._watch, max_hold_s=start_hold_s, max_held=held_for(threads) // 2
         )
