--- a/tests/test_caller_watch.py
+++ b/tests/test_caller_watch.py
@@ -66,7 +66,7 @@
         next_ours, next_theirs = self.pair()
 
         def use_again():
-            self.watch.forget(fd=fd)
+            self.watch.unwatch(fd=fd)
             os.dup2(next_ours.fileno(), fd)
             self.watch.watch(fd=fd, on_disconnect=lambda: self.on_disconnect("next"))
 
@@ -78,7 +78,7 @@
         self.assertEqual(self.gone, [])
         next_theirs.close()
         self.assertTrue(self.events["next"].wait(SEEN_S))
-        self.watch.forget(fd=fd)
+        self.watch.unwatch(fd=fd)
         ours.close()
         next_ours.close()
 
--- a/tests/test_start_hold.py
+++ b/tests/test_start_hold.py
@@ -29,7 +29,7 @@
     def watch(self, *, fd, on_disconnect):
         self.on_disconnect_by_fd[fd] = on_disconnect
 
-    def forget(self, *, fd):
+    def unwatch(self, *, fd):
         self.on_disconnect_by_fd.pop(fd, None)
 
 
--- a/wagtailtrestle/callers/connection_watcher.py
+++ b/wagtailtrestle/callers/connection_watcher.py
@@ -66,7 +66,7 @@
             self._callback_by_fd[fd] = on_disconnect
             self._epoll.register(fd, DISCONNECT_EVENTS)
 
-    def forget(self, *, fd: int):
+    def unwatch(self, *, fd: int):
         """Stop watching ``fd``; to be called before it is closed, since numbers are used again."""
         with self._lock:
             self._drop(fd)
--- a/wagtailtrestle/callers/server.py
+++ b/wagtailtrestle/callers/server.py
@@ -329,7 +329,7 @@
         try:
             handler.handle(wait_s=max(0.0, prepared.request.deadline - self._loop.time()))
         finally:
-            self._watch.forget(fd=fd)
+            self._watch.unwatch(fd=fd)
 
     def _cancel(self, *, run_id, address):
         self._cancels.submit(self._engine_client.cancel, address=address, run_id=run_id)
--- a/wagtailtrestle/callers/start_hold.py
+++ b/wagtailtrestle/callers/start_hold.py
@@ -70,7 +70,7 @@
             with self._changed:
                 self._changed.wait_for(lambda: gone.is_set() or self._reason() is not Reason.NOT_READY, max_hold_s)
         finally:
-            self._watch.forget(fd=fd)
+            self._watch.unwatch(fd=fd)
             with self._changed:
                 self._held -= 1
         return Reason.CALLER_GONE if gone.is_set() else self._reason()
