--- a/wagtailtrestle/callers/connection_watcher.py
+++ b/wagtailtrestle/callers/connection_watcher.py
@@ -69,7 +69,7 @@
     def unwatch(self, *, fd: int):
         """Stop watching ``fd``; to be called before it is closed, since numbers are used again."""
         with self._lock:
-            self._drop(fd)
+            self._unregister(fd)
 
     def expect(self, *, connection):
         """Begin to count the time in which a request must arrive on ``connection``.
@@ -98,10 +98,10 @@
         # one bears by now: its caller, who waits, was told that the request is given up. Asked again under the lock,
         # the kernel tells of the connections that are watched now.
         with self._lock:
-            dropped = [self._drop(fd) for fd, _ in self._epoll.poll(0)]
+            dropped = [self._unregister(fd) for fd, _ in self._epoll.poll(0)]
         return [on_disconnect for on_disconnect in dropped if on_disconnect is not None]
 
-    def _drop(self, fd):
+    def _unregister(self, fd):
         callback = self._callback_by_fd.pop(fd, None)
         if callback is not None:
             self._epoll.unregister(fd)
