--- a/wagtailtrestle/callers/limits.py
+++ b/wagtailtrestle/callers/limits.py
@@ -94,7 +94,7 @@
             if victims is None:
                 return Full(detail="Every place is held by requests of this tier or above, or by runs not to be cut.")
             for victim in victims:
-                self._drop(victim)
+                self._remove(victim)
             self.displaced_total += len(victims)
             self._hold(request_id=request_id, service=service, tier=tier, body_bytes=body_bytes, repeatable=repeatable)
         return Admitted(displaced=tuple(victim.request_id for victim in victims))
@@ -126,7 +126,7 @@
             if held is None:
                 return  # refused or displaced: its short stay says nothing of the others'
             self._hold_s += HOLD_TIME_WEIGHT * (held_s - self._hold_s)
-            self._drop(held)
+            self._remove(held)
 
     def retry_after_s(self) -> float:
         """When a refused caller should come back: by then each place has changed hands about once.
@@ -205,7 +205,7 @@
         )
         self._bytes_used += body_bytes
 
-    def _drop(self, held):
+    def _remove(self, held):
         del self._by_id[held.request_id]
         self._bytes_used -= held.body_bytes
 
