--- a/tests/test_caller_watch.py
+++ b/tests/test_caller_watch.py
@@ -32,7 +32,7 @@
 
 class CallerWatchTest(unittest.TestCase):
     def setUp(self):
-        self.watch = ConnectionWatcher(timeout_s=10.0, crowd=100)
+        self.watch = ConnectionWatcher(timeout_s=10.0, max_receiving=100)
         self.gone = []
         self.events = {name: threading.Event() for name in ("former", "next")}
 
--- a/wagtailtrestle/callers/connection_watcher.py
+++ b/wagtailtrestle/callers/connection_watcher.py
@@ -40,9 +40,9 @@
         "_crowd",
     )
 
-    def __init__(self, *, timeout_s, crowd):
+    def __init__(self, *, timeout_s, max_receiving):
         self._timeout_s = timeout_s
-        self._crowd = crowd
+        self._crowd = max_receiving
         self._epoll = select.epoll()
         self._lock = threading.Lock()
         self._callback_by_fd = {}
--- a/wagtailtrestle/callers/server.py
+++ b/wagtailtrestle/callers/server.py
@@ -103,7 +103,7 @@
         self._metrics = metrics
         # The threads kept in reserve are those that receive: once these are all at it, slow
         # senders among them must go.
-        self._watch = ConnectionWatcher(timeout_s=receive_timeout_s, crowd=(threads - held_for(threads)) // 2)
+        self._watch = ConnectionWatcher(timeout_s=receive_timeout_s, max_receiving=(threads - held_for(threads)) // 2)
         self._start_hold = StartHold(
             reason=ready, watch=self._watch, max_hold_s=start_hold_s, max_held=held_for(threads) // 2
         )
