--- a/wagtailtrestle/callers/connection_watcher.py
+++ b/wagtailtrestle/callers/connection_watcher.py
@@ -37,12 +37,12 @@
         "_closing",
         "_thread",
         "_timeout_s",
-        "_crowd",
+        "_max_receiving",
     )
 
     def __init__(self, *, timeout_s, max_receiving):
         self._timeout_s = timeout_s
-        self._crowd = max_receiving
+        self._max_receiving = max_receiving
         self._epoll = select.epoll()
         self._lock = threading.Lock()
         self._callback_by_fd = {}
@@ -110,7 +110,7 @@
     def _stop_slow_senders(self):
         now = time.monotonic()
         with self._lock:
-            crowded = len(self._since_by_connection) > self._crowd
+            crowded = len(self._since_by_connection) > self._max_receiving
             allowed_s = min(CROWDED_TIMEOUT_S, self._timeout_s) if crowded else self._timeout_s
             late = [c for c, since in self._since_by_connection.items() if now - since > allowed_s]
             for connection in late:
