--- a/wagtailtrestle/callers/connection_watcher.py
+++ b/wagtailtrestle/callers/connection_watcher.py
@@ -10,7 +10,7 @@
 CHECK_S = 0.25
 # With most threads receiving, a sender is allowed this long: enough for any request from a
 # caller within a few milliseconds, and short enough that the rest come through.
-CROWDED_TIMEOUT_S = 2.0
+BUSY_TIMEOUT_S = 2.0
 
 
 class ConnectionWatcher:
@@ -111,7 +111,7 @@
         now = time.monotonic()
         with self._lock:
             crowded = len(self._since_by_connection) > self._max_receiving
-            allowed_s = min(CROWDED_TIMEOUT_S, self._timeout_s) if crowded else self._timeout_s
+            allowed_s = min(BUSY_TIMEOUT_S, self._timeout_s) if crowded else self._timeout_s
             late = [c for c, since in self._since_by_connection.items() if now - since > allowed_s]
             for connection in late:
                 del self._since_by_connection[connection]
