--- a/tests/test_caller_watch.py
+++ b/tests/test_caller_watch.py
@@ -6,9 +6,9 @@
 import time
 import unittest
 
-from wagtailtrestle.callers.connection_watcher import CHECK_S, ConnectionWatcher
+from wagtailtrestle.callers.connection_watcher import POLL_INTERVAL_S, ConnectionWatcher
 
-SEEN_S = 3 * CHECK_S
+SEEN_S = 3 * POLL_INTERVAL_S
 
 
 class HookedEpoll:
--- a/wagtailtrestle/callers/connection_watcher.py
+++ b/wagtailtrestle/callers/connection_watcher.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 
 DISCONNECT_EVENTS = select.EPOLLRDHUP | select.EPOLLHUP | select.EPOLLERR
-CHECK_S = 0.25
+POLL_INTERVAL_S = 0.25
 # With most threads receiving, a sender is allowed this long: enough for any request from a
 # caller within a few milliseconds, and short enough that the rest come through.
 BUSY_TIMEOUT_S = 2.0
@@ -88,7 +88,7 @@
 
     def _run(self):
         while not self._closing.is_set():
-            if self._epoll.poll(CHECK_S):
+            if self._epoll.poll(POLL_INTERVAL_S):
                 for on_disconnect in self._pop_disconnected():
                     on_disconnect()
             self._stop_slow_senders()
