--- a/tests/test_caller_limits.py
+++ b/tests/test_caller_limits.py
@@ -1,6 +1,6 @@
 import unittest
 
-from wagtailtrestle.callers.limits import Admitted, CallerLimits, Full, ReceiveLimit, held_for
+from wagtailtrestle.callers.limits import Admitted, CallerLimits, Full, ReceiveLimit, max_held_requests
 
 HIGH, MIDDLE, LOW = 0, 1, 2
 
@@ -22,7 +22,7 @@
         self.assertEqual(admit(router, "b", LOW), Admitted())
 
     def test_some_threads_are_always_left_to_refuse(self):
-        self.assertEqual([held_for(threads) for threads in (1, 8, 16, 128)], [1, 4, 12, 112])
+        self.assertEqual([max_held_requests(threads) for threads in (1, 8, 16, 128)], [1, 4, 12, 112])
 
     def test_a_full_router_tells_when_its_places_will_have_changed_hands(self):
         router = limits()
--- a/wagtailtrestle/callers/limits.py
+++ b/wagtailtrestle/callers/limits.py
@@ -19,7 +19,7 @@
 MAX_RETRY_AFTER_S = 60.0
 
 
-def held_for(threads: int) -> int:
+def max_held_requests(threads: int) -> int:
     """Requests to hold with so many threads: an eighth, and at least four, are kept to read and refuse."""
     reserve = max(MIN_RESERVE_THREADS, threads // RESERVE_SHARE)
     return max(1, threads - reserve)
--- a/wagtailtrestle/callers/server.py
+++ b/wagtailtrestle/callers/server.py
@@ -13,7 +13,7 @@
 from wagtailtrestle.callers.caller_exchange import CallerExchange
 from wagtailtrestle.callers.connection_watcher import ConnectionWatcher
 from wagtailtrestle.callers.dialect import Arrival, ModelList, Prepared
-from wagtailtrestle.callers.limits import DEFAULT_RECEIVE_BYTES, CallerLimits, Full, ReceiveLimit, held_for
+from wagtailtrestle.callers.limits import DEFAULT_RECEIVE_BYTES, CallerLimits, Full, ReceiveLimit, max_held_requests
 from wagtailtrestle.callers.native_dialect import NativeDialect, not_accepting
 from wagtailtrestle.callers.request_handler import RequestHandler
 from wagtailtrestle.callers.start_hold import StartHold
@@ -103,9 +103,11 @@
         self._metrics = metrics
         # The threads kept in reserve are those that receive: once these are all at it, slow
         # senders among them must go.
-        self._watch = ConnectionWatcher(timeout_s=receive_timeout_s, max_receiving=(threads - held_for(threads)) // 2)
+        self._watch = ConnectionWatcher(
+            timeout_s=receive_timeout_s, max_receiving=(threads - max_held_requests(threads)) // 2
+        )
         self._start_hold = StartHold(
-            reason=ready, watch=self._watch, max_hold_s=start_hold_s, max_held=held_for(threads) // 2
+            reason=ready, watch=self._watch, max_hold_s=start_hold_s, max_held=max_held_requests(threads) // 2
         )
         self._dialect = make_dialect(
             directory=directory,
--- a/wagtailtrestle/router.py
+++ b/wagtailtrestle/router.py
@@ -10,7 +10,7 @@
 from wagtailtrestle.adapters import adapter_of
 from wagtailtrestle.broken_invariant import report_broken
 from wagtailtrestle.callers.authentication import KeyProof
-from wagtailtrestle.callers.limits import DEFAULT_BODY_BYTES, CallerLimits, held_for
+from wagtailtrestle.callers.limits import DEFAULT_BODY_BYTES, CallerLimits, max_held_requests
 from wagtailtrestle.callers.server import CallersServer
 from wagtailtrestle.capacity.retry_budget import RetryLimits
 from wagtailtrestle.capacity.scheduler_set import SchedulerSet
@@ -266,7 +266,7 @@
 
     def _make_servers(self):
         settings = self._settings
-        limits = CallerLimits(held=held_for(settings.caller_threads), body_bytes=DEFAULT_BODY_BYTES)
+        limits = CallerLimits(held=max_held_requests(settings.caller_threads), body_bytes=DEFAULT_BODY_BYTES)
         self._callers = CallersServer(
             name=f"{settings.name}-{self._incarnation}",
             address=split_address(settings.callers_address),
