--- a/wagtailtrestle/callers/limits.py
+++ b/wagtailtrestle/callers/limits.py
@@ -39,7 +39,7 @@
     detail: str
 
 
-class Held:
+class HeldRequest:
     """One request held: its service, its tier's rank, its body's bytes, whether a run may have begun."""
 
     __slots__ = ("request_id", "service", "tier", "body_bytes", "repeatable", "running", "order")
@@ -195,7 +195,7 @@
 
     def _hold(self, *, request_id, service, tier, body_bytes, repeatable):
         self._next_order += 1
-        self._by_id[request_id] = Held(
+        self._by_id[request_id] = HeldRequest(
             request_id=request_id,
             service=service,
             tier=tier,
