--- a/tests/test_caller_limits.py
+++ b/tests/test_caller_limits.py
@@ -113,14 +113,14 @@
         # A flood of long reports for tagging is being received; a council's plan, as long,
         # comes. The flood stops at three quarters of the room, so the plan is still read.
         limit = ReceiveLimit(total_bytes=400_000, most_bytes=100_000)
-        taken = [limit.take(size=100_000, highest=False) for _ in range(4)]
+        taken = [limit.try_reserve(size=100_000, highest=False) for _ in range(4)]
         self.assertEqual(taken, [True, True, True, False])
-        self.assertTrue(limit.take(size=100_000, highest=True))
-        self.assertFalse(limit.take(size=100_000, highest=True))
+        self.assertTrue(limit.try_reserve(size=100_000, highest=True))
+        self.assertFalse(limit.try_reserve(size=100_000, highest=True))
         limit.give_back(size=100_000)
-        self.assertTrue(limit.take(size=100_000, highest=True))
+        self.assertTrue(limit.try_reserve(size=100_000, highest=True))
 
     def test_small_bodies_are_always_read(self):
         limit = ReceiveLimit(total_bytes=100_000, most_bytes=100_000)
-        limit.take(size=100_000, highest=True)
-        self.assertTrue(limit.take(size=1000, highest=False))
+        limit.try_reserve(size=100_000, highest=True)
+        self.assertTrue(limit.try_reserve(size=1000, highest=False))
--- a/wagtailtrestle/callers/body_reader.py
+++ b/wagtailtrestle/callers/body_reader.py
@@ -30,7 +30,7 @@
         if isinstance(length, Refusal):
             return length
         size = self._limit.most_bytes if length.chunked else length.size
-        if not self._limit.take(size=size, highest=highest):
+        if not self._limit.try_reserve(size=size, highest=highest):
             return _no_room()
         try:
             return self._read_within(environ, length)
--- a/wagtailtrestle/callers/limits.py
+++ b/wagtailtrestle/callers/limits.py
@@ -232,7 +232,7 @@
         self._used = 0
         self._lock = threading.Lock()
 
-    def take(self, *, size, highest) -> bool:
+    def try_reserve(self, *, size, highest) -> bool:
         """Take room for one body; ``False`` if there is none."""
         if size <= SMALL_BODY_BYTES:
             return True
