--- a/tests/test_caller_limits.py
+++ b/tests/test_caller_limits.py
@@ -112,7 +112,7 @@
     def test_lower_tiers_leave_room_for_large_bodies_of_the_highest(self):
         # A flood of long reports for tagging is being received; a council's plan, as long,
         # comes. The flood stops at three quarters of the room, so the plan is still read.
-        limit = ReceiveLimit(total_bytes=400_000, most_bytes=100_000)
+        limit = ReceiveLimit(total_bytes=400_000, max_bytes=100_000)
         taken = [limit.try_reserve(size=100_000, highest=False) for _ in range(4)]
         self.assertEqual(taken, [True, True, True, False])
         self.assertTrue(limit.try_reserve(size=100_000, highest=True))
@@ -121,6 +121,6 @@
         self.assertTrue(limit.try_reserve(size=100_000, highest=True))
 
     def test_small_bodies_are_always_read(self):
-        limit = ReceiveLimit(total_bytes=100_000, most_bytes=100_000)
+        limit = ReceiveLimit(total_bytes=100_000, max_bytes=100_000)
         limit.try_reserve(size=100_000, highest=True)
         self.assertTrue(limit.try_reserve(size=1000, highest=False))
--- a/wagtailtrestle/callers/body_reader.py
+++ b/wagtailtrestle/callers/body_reader.py
@@ -29,7 +29,7 @@
         length = body_length(environ)
         if isinstance(length, Refusal):
             return length
-        size = self._limit.most_bytes if length.chunked else length.size
+        size = self._limit.max_bytes if length.chunked else length.size
         if not self._limit.try_reserve(size=size, highest=highest):
             return _no_room()
         try:
--- a/wagtailtrestle/callers/limits.py
+++ b/wagtailtrestle/callers/limits.py
@@ -224,11 +224,11 @@
         Largest single body, counted for one whose length is not declared.
     """
 
-    __slots__ = ("most_bytes", "_total_bytes", "_used", "_lock")
+    __slots__ = ("max_bytes", "_total_bytes", "_used", "_lock")
 
-    def __init__(self, *, total_bytes, most_bytes):
-        self.most_bytes = most_bytes
-        self._total_bytes = max(total_bytes, most_bytes)
+    def __init__(self, *, total_bytes, max_bytes):
+        self.max_bytes = max_bytes
+        self._total_bytes = max(total_bytes, max_bytes)
         self._used = 0
         self._lock = threading.Lock()
 
@@ -236,7 +236,7 @@
         """Take room for one body; ``False`` if there is none."""
         if size <= SMALL_BODY_BYTES:
             return True
-        allowed = self._total_bytes if highest else max(self.most_bytes, self._total_bytes * LOWER_TIERS_SHARE)
+        allowed = self._total_bytes if highest else max(self.max_bytes, self._total_bytes * LOWER_TIERS_SHARE)
         with self._lock:
             if self._used + size > allowed:
                 return False
--- a/wagtailtrestle/callers/server.py
+++ b/wagtailtrestle/callers/server.py
@@ -113,7 +113,7 @@
             directory=directory,
             now=loop.time,
             watch=self._watch,
-            receive_limit=ReceiveLimit(total_bytes=DEFAULT_RECEIVE_BYTES, most_bytes=max_body_bytes),
+            receive_limit=ReceiveLimit(total_bytes=DEFAULT_RECEIVE_BYTES, max_bytes=max_body_bytes),
             most_deadline_s=most_deadline_s,
         )
         self._cancels = ThreadPoolExecutor(max_workers=CANCEL_THREADS, thread_name_prefix="cancel")
