--- a/tests/test_callers_http.py
+++ b/tests/test_callers_http.py
@@ -227,7 +227,7 @@
         self.assertEqual(bench.requests, [])
 
     def test_deadlines_are_the_callers_or_the_routes_and_never_endless(self):
-        bench = self.bench(most_deadline_s=60.0)
+        bench = self.bench(max_deadline_s=60.0)
         for header in ({}, {"Wagtailtrestle-Deadline-Ms": "700"}, {"Wagtailtrestle-Deadline-Ms": "999999999"}):
             bench.ask("POST", CHAT, chat_body(), headers=header)
         left = [request.deadline - bench.loop.time() for request in bench.requests]
--- a/wagtailtrestle/callers/native_dialect.py
+++ b/wagtailtrestle/callers/native_dialect.py
@@ -63,12 +63,12 @@
         now: Callable[[], float],
         watch: ConnectionWatcher,
         receive_limit: ReceiveLimit,
-        most_deadline_s: float,
+        max_deadline_s: float,
     ):
         self._directory = directory
         self._now = now
         self._bodies = BodyReader(watch=watch, limit=receive_limit)
-        self._most_deadline_s = most_deadline_s
+        self._most_deadline_s = max_deadline_s
         self._keys = (None, None)
 
     def request_id(self, environ):
--- a/wagtailtrestle/callers/server.py
+++ b/wagtailtrestle/callers/server.py
@@ -89,7 +89,7 @@
         max_header_bytes=DEFAULT_MAX_HEADER_BYTES,
         max_connections=DEFAULT_MAX_CONNECTIONS,
         receive_timeout_s=DEFAULT_RECEIVE_TIMEOUT_S,
-        most_deadline_s=DEFAULT_MAX_DEADLINE_S,
+        max_deadline_s=DEFAULT_MAX_DEADLINE_S,
         start_hold_s=0.0,
         listener=None,
         make_dialect=NativeDialect,
@@ -114,7 +114,7 @@
             now=loop.time,
             watch=self._watch,
             receive_limit=ReceiveLimit(total_bytes=DEFAULT_RECEIVE_BYTES, max_bytes=max_body_bytes),
-            most_deadline_s=most_deadline_s,
+            max_deadline_s=max_deadline_s,
         )
         self._cancels = ThreadPoolExecutor(max_workers=CANCEL_THREADS, thread_name_prefix="cancel")
         self._lock = threading.Lock()
--- a/wagtailtrestle/platform/callers.py
+++ b/wagtailtrestle/platform/callers.py
@@ -59,11 +59,11 @@
         "_index",
     )
 
-    def __init__(self, *, directory, now, watch, receive_limit, most_deadline_s, key_proof, quotas):
+    def __init__(self, *, directory, now, watch, receive_limit, max_deadline_s, key_proof, quotas):
         self._directory = directory
         self._now = now
         self._bodies = BodyReader(watch=watch, limit=receive_limit)
-        self._most_deadline_s = most_deadline_s
+        self._most_deadline_s = max_deadline_s
         self._key_proof = key_proof
         self._quotas = quotas
         self._index = (None, None, None)
