--- a/wagtailtrestle/callers/native_dialect.py
+++ b/wagtailtrestle/callers/native_dialect.py
@@ -54,7 +54,7 @@
     most_deadline_s : float
     """
 
-    __slots__ = ("_directory", "_now", "_bodies", "_most_deadline_s", "_keys")
+    __slots__ = ("_directory", "_now", "_bodies", "_max_deadline_s", "_keys")
 
     def __init__(
         self,
@@ -68,7 +68,7 @@
         self._directory = directory
         self._now = now
         self._bodies = BodyReader(watch=watch, limit=receive_limit)
-        self._most_deadline_s = max_deadline_s
+        self._max_deadline_s = max_deadline_s
         self._keys = (None, None)
 
     def request_id(self, environ):
@@ -179,7 +179,7 @@
     def _prepared(self, context, matched, call, answer, *, shape, output_tokens, target):
         route = matched.route
         headers = context.headers
-        allowed_s = effective_timeout_s(headers=headers, default_ms=route.deadline_ms, max_s=self._most_deadline_s)
+        allowed_s = effective_timeout_s(headers=headers, default_ms=route.deadline_ms, max_s=self._max_deadline_s)
         elapsed_s = time.monotonic() - context.arrival.at
         request = CallerRequest(
             request_id=context.arrival.request_id,
--- a/wagtailtrestle/platform/callers.py
+++ b/wagtailtrestle/platform/callers.py
@@ -53,7 +53,7 @@
         "_directory",
         "_now",
         "_bodies",
-        "_most_deadline_s",
+        "_max_deadline_s",
         "_key_proof",
         "_quotas",
         "_index",
@@ -63,7 +63,7 @@
         self._directory = directory
         self._now = now
         self._bodies = BodyReader(watch=watch, limit=receive_limit)
-        self._most_deadline_s = max_deadline_s
+        self._max_deadline_s = max_deadline_s
         self._key_proof = key_proof
         self._quotas = quotas
         self._index = (None, None, None)
@@ -184,7 +184,7 @@
         )
 
     def _allowed_s(self, arrival, route, environ):
-        allowed_s = min(route.timeout_ms / MS_PER_S, self._most_deadline_s)
+        allowed_s = min(route.timeout_ms / MS_PER_S, self._max_deadline_s)
         caller_timeout_s = self.caller_timeout_s(environ)
         if caller_timeout_s is not None:
             allowed_s = min(allowed_s, caller_timeout_s)
