--- a/wagtailtrestle/callers/limits.py
+++ b/wagtailtrestle/callers/limits.py
@@ -165,7 +165,7 @@
         # Lowest tier first; within it those that wait before those that run (no prefill is lost),
         # and the youngest first, which waited least.
         candidates.sort(key=lambda held: (held.tier, not held.running, held.order), reverse=True)
-        candidates += self._over_share(service=service, tier=tier)
+        candidates += self._beyond_fair_share(service=service, tier=tier)
         victims = []
         for held in candidates:
             if excess_held <= 0 and excess_bytes <= 0:
@@ -175,7 +175,7 @@
             excess_bytes -= held.body_bytes
         return victims if excess_held <= 0 and excess_bytes <= 0 else None
 
-    def _over_share(self, *, service, tier):
+    def _beyond_fair_share(self, *, service, tier):
         """Waiting requests of the same tier to displace: of the service that holds most, beyond an even share."""
         # Calls of one overloaded service wait here and fill the router. Questions of the same tier to a
         # service whose engines have room would then be refused as router_full (seen: 62% of them
