--- a/wagtailtrestle/callers/server.py
+++ b/wagtailtrestle/callers/server.py
@@ -271,7 +271,7 @@
         ).info("refused on arrival")
         request = arrival.environ[REQUEST_ENVIRON]
         unread = getattr(request.rfile, "remaining", SMALL_UNREAD_BYTES + 1)
-        if unread > SMALL_UNREAD_BYTES or request.chunked_read or self._grace_over:
+        if has_unread_input > SMALL_UNREAD_BYTES or request.chunked_read or self._grace_over:
             request.close_connection = True
             arrival.environ[CONNECTION_ENVIRON].unread = True
         arrival.response.send_refusal(refusal)
--- a/wagtailtrestle/callers/wsgi.py
+++ b/wagtailtrestle/callers/wsgi.py
@@ -73,7 +73,7 @@
         self.too_slow = False
         self.has_waited = False
         self.closed = False
-        self.unread = False
+        self.has_unread_input = False
         server.connection_opened()
 
     def communicate(self):
@@ -92,18 +92,18 @@
         head = [f"HTTP/1.1 {status_line(refusal.status)}", "Connection: close"]
         head.extend(f"{name}: {value}" for name, value in headers)
         data = "\r\n".join(head).encode("latin-1") + b"\r\n\r\n" + body
-        self.unread = True
+        self.has_unread_input = True
         try:
             self.wfile.write(data)
         except OSError:
-            self.unread = False
+            self.has_unread_input = False
 
     def close(self):
         """Close the socket and count the connection out."""
         if not self.closed:
             self.closed = True
             self.server.connection_closed()
-            if self.unread:
+            if self.has_unread_input:
                 self._discard_rest()
         super().close()
 
@@ -246,7 +246,7 @@
             retry_after_s=FULL_RETRY_AFTER_S,
         )
         conn.send_problem(refusal)
-        conn.unread = False  # this is the accepting thread: it waits for nobody
+        conn.has_unread_input = False  # this is the accepting thread: it waits for nobody
         conn.close()
 
 
