--- a/wagtailtrestle/callers/wsgi.py
+++ b/wagtailtrestle/callers/wsgi.py
@@ -104,10 +104,10 @@
             self.closed = True
             self.server.connection_closed()
             if self.has_unread_input:
-                self._discard_rest()
+                self._discard_input()
         super().close()
 
-    def _discard_rest(self):
+    def _discard_input(self):
         # Closing with bytes unread makes the kernel reset the connection, and the caller reads
         # "connection reset" in place of the refusal just written. So the rest is taken and
         # thrown away, for a moment.
