--- a/wagtailtrestle/callers/wsgi.py
+++ b/wagtailtrestle/callers/wsgi.py
@@ -24,7 +24,7 @@
 SPARE_THREADS = 4
 """Idle threads kept beyond the connections that wait for one; the moment they cover takes microseconds."""
 DISCARD_S = 0.5
-DISCARD_PIECE_BYTES = 262_144
+DISCARD_CHUNK_BYTES = 262_144
 FULL_RETRY_AFTER_S = 1.0
 REASON_BY_STATUS = {413: Reason.TOO_LARGE, 414: Reason.TOO_LARGE, 431: Reason.TOO_LARGE}
 LOG_LEVELS = (10, 20, 30, 40, 50)
@@ -116,7 +116,7 @@
             self.socket.shutdown(socket.SHUT_WR)
             while time.monotonic() < deadline:
                 self.socket.settimeout(DISCARD_S)
-                if not self.socket.recv(DISCARD_PIECE_BYTES):
+                if not self.socket.recv(DISCARD_CHUNK_BYTES):
                     return
         except OSError:
             return
