--- a/wagtailtrestle/callers/wsgi.py
+++ b/wagtailtrestle/callers/wsgi.py
@@ -23,7 +23,7 @@
 """Threads made at the start: what a quiet router uses at once."""
 SPARE_THREADS = 4
 """Idle threads kept beyond the connections that wait for one; the moment they cover takes microseconds."""
-DISCARD_S = 0.5
+DISCARD_TIMEOUT_S = 0.5
 DISCARD_CHUNK_BYTES = 262_144
 FULL_RETRY_AFTER_S = 1.0
 REASON_BY_STATUS = {413: Reason.TOO_LARGE, 414: Reason.TOO_LARGE, 431: Reason.TOO_LARGE}
@@ -111,11 +111,11 @@
         # Closing with bytes unread makes the kernel reset the connection, and the caller reads
         # "connection reset" in place of the refusal just written. So the rest is taken and
         # thrown away, for a moment.
-        deadline = time.monotonic() + DISCARD_S
+        deadline = time.monotonic() + DISCARD_TIMEOUT_S
         try:
             self.socket.shutdown(socket.SHUT_WR)
             while time.monotonic() < deadline:
-                self.socket.settimeout(DISCARD_S)
+                self.socket.settimeout(DISCARD_TIMEOUT_S)
                 if not self.socket.recv(DISCARD_CHUNK_BYTES):
                     return
         except OSError:
