--- a/tests/test_caller_threads.py
+++ b/tests/test_caller_threads.py
@@ -5,7 +5,7 @@
 
 from cheroot.server import HTTPServer
 
-from wagtailtrestle.callers.wsgi import FIRST_THREADS, CallerThreads
+from wagtailtrestle.callers.wsgi import INITIAL_THREADS, CallerThreads
 
 MOST = 40
 TIMEOUT_S = 10.0
@@ -31,7 +31,7 @@
 class CallerThreadsTest(unittest.TestCase):
     def setUp(self):
         server = HTTPServer(("127.0.0.1", 0), gateway=None)
-        self.threads = server.requests = CallerThreads(server, min=FIRST_THREADS, max=MOST)
+        self.threads = server.requests = CallerThreads(server, min=INITIAL_THREADS, max=MOST)
         self.threads.start()
         self.begun = threading.Semaphore(0)
         self.release = threading.Event()
@@ -46,7 +46,7 @@
         return sum(self.begun.acquire(timeout=timeout_s) for _ in range(count))
 
     def test_a_quiet_server_has_few_threads(self):
-        self.assertEqual(len(self.threads._threads), FIRST_THREADS)
+        self.assertEqual(len(self.threads._threads), INITIAL_THREADS)
 
     def test_every_request_up_to_the_limit_is_in_work_at_once(self):
         # Callers send more requests than the server has threads, all at one moment, and each is long.
--- a/wagtailtrestle/callers/wsgi.py
+++ b/wagtailtrestle/callers/wsgi.py
@@ -19,7 +19,7 @@
 READ_TIMEOUT_S = 10.0
 IDLE_TIMEOUT_S = 75
 STOP_TIMEOUT_S = 5.0
-FIRST_THREADS = 8
+INITIAL_THREADS = 8
 """Threads made at the start: what a quiet router uses at once."""
 SPARE_THREADS = 4
 """Idle threads kept beyond the connections that wait for one; the moment they cover takes microseconds."""
@@ -187,7 +187,7 @@
         self._listener = listener
         super().__init__(address, application, numthreads=threads, server_name="wagtailtrestle")
         self.gateway = CallersGateway
-        self.requests = CallerThreads(self, min=min(FIRST_THREADS, threads), max=threads)
+        self.requests = CallerThreads(self, min=min(INITIAL_THREADS, threads), max=threads)
         self.request_queue_size = BACKLOG
         self.timeout = IDLE_TIMEOUT_S
         self.shutdown_timeout = STOP_TIMEOUT_S
