--- a/wagtailtrestle/callers/server.py
+++ b/wagtailtrestle/callers/server.py
@@ -116,7 +116,7 @@
             receive_limit=ReceiveLimit(total_bytes=DEFAULT_RECEIVE_BYTES, max_bytes=max_body_bytes),
             max_deadline_s=max_deadline_s,
         )
-        self._cancels = ThreadPoolExecutor(max_workers=CANCEL_THREADS, thread_name_prefix="cancel")
+        self._cancel_pool = ThreadPoolExecutor(max_workers=CANCEL_THREADS, thread_name_prefix="cancel")
         self._lock = threading.Lock()
         self._exchanges_by_id = {}
         self._in_work = 0
@@ -191,7 +191,7 @@
         if self._thread is not None:
             self._thread.join()
             self._watch.close()
-        self._cancels.shutdown(wait=False)
+        self._cancel_pool.shutdown(wait=False)
 
     def dump(self) -> dict:
         """Plain data for the state dump."""
@@ -334,7 +334,7 @@
             self._watch.unwatch(fd=fd)
 
     def _cancel(self, *, run_id, address):
-        self._cancels.submit(self._engine_client.cancel, address=address, run_id=run_id)
+        self._cancel_pool.submit(self._engine_client.cancel, address=address, run_id=run_id)
 
 
 def _full(detail, *, retry_after_s):
