--- a/wagtailtrestle/callers/server.py
+++ b/wagtailtrestle/callers/server.py
@@ -121,7 +121,7 @@
         self._exchanges_by_id = {}
         self._in_work = 0
         self._draining = False
-        self._streams_over = False
+        self._refuse_streams = False
         self._grace_over = False
         self._thread = None
         self._server = CallersWsgiServer(
@@ -167,7 +167,7 @@
         """
         self._draining = True
         await asyncio.sleep(grace_s)
-        self._streams_over = True
+        self._refuse_streams = True
         await self._idle_within(max(0.0, plain_grace_s - grace_s))
         self._grace_over = True
         while self._in_work:
@@ -239,7 +239,7 @@
                 self._refuse_early(arrival, prepared)
             case ModelList(body=body):
                 response.send(status=200, content_type=JSON_TYPE, body=body)
-            case Prepared() if self._streams_over and prepared.call.is_streamed:
+            case Prepared() if self._refuse_streams and prepared.call.is_streamed:
                 if prepared.charge is not None:
                     prepared.charge.refund()
                 self._refuse_early(arrival, not_accepting(Reason.DRAINING))
