--- a/wagtailtrestle/callers/server.py
+++ b/wagtailtrestle/callers/server.py
@@ -122,7 +122,7 @@
         self._in_work = 0
         self._draining = False
         self._refuse_streams = False
-        self._grace_over = False
+        self._refuse_all = False
         self._thread = None
         self._server = CallersWsgiServer(
             address=address,
@@ -169,7 +169,7 @@
         await asyncio.sleep(grace_s)
         self._refuse_streams = True
         await self._idle_within(max(0.0, plain_grace_s - grace_s))
-        self._grace_over = True
+        self._refuse_all = True
         while self._in_work:
             await asyncio.sleep(DRAIN_POLL_S)
 
@@ -181,7 +181,7 @@
     def close(self):
         """Stop listening; requests still in work are ended, at worst as not known to have run."""
         self._draining = True
-        self._grace_over = True
+        self._refuse_all = True
         for exchange in list(self._exchanges_by_id.values()):
             exchange.post(AnswerRefusal(refusal=_stopping(exchange)))
         # Threads read that only once their runs end. Left to read on, they would hold the process
@@ -252,7 +252,7 @@
             fd=arrival.environ[CONNECTION_ENVIRON].socket.fileno(),
             caller_timeout_s=self._dialect.caller_timeout_s(arrival.environ),
         )
-        if self._grace_over:
+        if self._refuse_all:
             return not_accepting(Reason.DRAINING)
         # While the grace lasts a leaving router still serves what the balancer sends it.
         if reason is not None and reason is not Reason.DRAINING:
@@ -271,7 +271,7 @@
         ).info("refused on arrival")
         request = arrival.environ[REQUEST_ENVIRON]
         unread = getattr(request.rfile, "remaining", SMALL_UNREAD_BYTES + 1)
-        if has_unread_input > SMALL_UNREAD_BYTES or request.chunked_read or self._grace_over:
+        if has_unread_input > SMALL_UNREAD_BYTES or request.chunked_read or self._refuse_all:
             request.close_connection = True
             arrival.environ[CONNECTION_ENVIRON].unread = True
         arrival.response.send_refusal(refusal)
