--- a/wagtailtrestle/callers/server.py
+++ b/wagtailtrestle/callers/server.py
@@ -119,7 +119,7 @@
         self._cancel_pool = ThreadPoolExecutor(max_workers=CANCEL_THREADS, thread_name_prefix="cancel")
         self._lock = threading.Lock()
         self._exchanges_by_id = {}
-        self._in_work = 0
+        self._active_requests = 0
         self._draining = False
         self._refuse_streams = False
         self._refuse_all = False
@@ -170,12 +170,12 @@
         self._refuse_streams = True
         await self._idle_within(max(0.0, plain_grace_s - grace_s))
         self._refuse_all = True
-        while self._in_work:
+        while self._active_requests:
             await asyncio.sleep(DRAIN_POLL_S)
 
     async def _idle_within(self, seconds):
         until = self._loop.time() + seconds
-        while self._in_work and self._loop.time() < until:
+        while self._active_requests and self._loop.time() < until:
             await asyncio.sleep(DRAIN_POLL_S)
 
     def close(self):
@@ -197,7 +197,7 @@
         """Plain data for the state dump."""
         return {
             "draining": self._draining,
-            "in_work": self._in_work,
+            "in_work": self._active_requests,
             "connections": self._server.connections,
             "limits": self._limits.usage(),
         }
@@ -207,12 +207,12 @@
     def _serve(self, environ, start_response):
         at = time.monotonic()
         with self._lock:
-            self._in_work += 1
+            self._active_requests += 1
         try:
             response = self._serve_one(environ, start_response, at)
         finally:
             with self._lock:
-                self._in_work -= 1
+                self._active_requests -= 1
         request = environ[REQUEST_ENVIRON]
         if response.gone or not response.begun:
             request.close_connection = True
