--- a/wagtailtrestle/callers/server.py
+++ b/wagtailtrestle/callers/server.py
@@ -168,12 +168,12 @@
         self._draining = True
         await asyncio.sleep(grace_s)
         self._refuse_streams = True
-        await self._idle_within(max(0.0, plain_grace_s - grace_s))
+        await self._wait_until_idle(max(0.0, plain_grace_s - grace_s))
         self._refuse_all = True
         while self._active_requests:
             await asyncio.sleep(DRAIN_POLL_S)
 
-    async def _idle_within(self, seconds):
+    async def _wait_until_idle(self, seconds):
         until = self._loop.time() + seconds
         while self._active_requests and self._loop.time() < until:
             await asyncio.sleep(DRAIN_POLL_S)
