--- a/wagtailtrestle/callers/server.py
+++ b/wagtailtrestle/callers/server.py
@@ -183,7 +183,7 @@
         self._draining = True
         self._refuse_all = True
         for exchange in list(self._exchanges_by_id.values()):
-            exchange.post(AnswerRefusal(refusal=_stopping(exchange)))
+            exchange.post(AnswerRefusal(refusal=_stopped_refusal(exchange)))
         # Threads read that only once their runs end. Left to read on, they would hold the process
         # until it is killed, and callers would see a reset in place of an end.
         self._engine_client.close()
@@ -343,7 +343,7 @@
     )
 
 
-def _stopping(exchange):
+def _stopped_refusal(exchange):
     return Refusal(
         status=503,
         reason=Reason.DRAINING,
