--- a/wagtailtrestle/callers/server.py
+++ b/wagtailtrestle/callers/server.py
@@ -308,7 +308,7 @@
             repeatable=request.repeatable,
         )
         if isinstance(admitted, Full):
-            return _full(admitted.detail, retry_after_s=self._limits.retry_after_s())
+            return _full_refusal(admitted.detail, retry_after_s=self._limits.retry_after_s())
         for request_id in admitted.displaced:
             victim = self._exchanges_by_id.get(request_id)
             if victim is not None:
@@ -337,7 +337,7 @@
         self._cancel_pool.submit(self._engine_client.cancel, address=address, run_id=run_id)
 
 
-def _full(detail, *, retry_after_s):
+def _full_refusal(detail, *, retry_after_s):
     return Refusal(
         status=503, reason=Reason.ROUTER_FULL, executed=Executed.NO, detail=detail, retry_after_s=retry_after_s
     )
