--- a/wagtailtrestle/callers/listening.py
+++ b/wagtailtrestle/callers/listening.py
@@ -40,7 +40,7 @@
     return sock
 
 
-def cannot_listen(error):
+def listen_error_message(error):
     """What to tell an operator whose router got no listener."""
     return f"The router could not listen: {error}. Check the addresses in its settings."
 
--- a/wagtailtrestle/cli/router.py
+++ b/wagtailtrestle/cli/router.py
@@ -4,7 +4,7 @@
 
 from fire.decorators import SetParseFn
 
-from wagtailtrestle.callers.listening import cannot_listen, listen
+from wagtailtrestle.callers.listening import listen, listen_error_message
 from wagtailtrestle.cli.runner import run_program
 from wagtailtrestle.declarations.argument_types import split_address
 from wagtailtrestle.declarations.settings import SettingsFaults, load_router_settings
@@ -47,7 +47,7 @@
     try:
         listener = listen(split_address(settings.callers_address))
     except OSError as error:
-        environment.complain(cannot_listen(error))
+        environment.complain(listen_error_message(error))
         return ExitStatus.CHECK_FAILED
     # Imported after the listener is there: they take longer than all that goes before.
     from wagtailtrestle.observe.logs import start_logs
--- a/wagtailtrestle/core.py
+++ b/wagtailtrestle/core.py
@@ -6,7 +6,7 @@
 from loguru import logger
 
 from wagtailtrestle.broken_invariant import stop_on_broken_invariant
-from wagtailtrestle.callers.listening import cannot_listen
+from wagtailtrestle.callers.listening import listen_error_message
 from wagtailtrestle.declarations.settings_watch import SettingsWatch
 from wagtailtrestle.exit_status import ExitStatus
 from wagtailtrestle.router import Router
@@ -20,7 +20,7 @@
     try:
         return asyncio.run(_run(settings, settings_file, listener))
     except OSError as error:
-        environment.complain(cannot_listen(error))
+        environment.complain(listen_error_message(error))
         return ExitStatus.CHECK_FAILED
 
 
