--- a/tests/test_authentication.py
+++ b/tests/test_authentication.py
@@ -2,7 +2,7 @@
 
 from tests.utils.callers import CHAT, HIGH_KEY, LOW_KEY, declaration
 from wagtailtrestle.callers.authentication import KeyIndex, KeyProof, authenticate, bearer_key, team_of_key
-from wagtailtrestle.callers.route_match import Matched, match_language, match_plain, path_fault, services_of
+from wagtailtrestle.callers.route_match import Matched, match_language, match_plain, path_error, services_of
 from wagtailtrestle.contracts.outcomes import Reason, Refusal
 
 
@@ -126,7 +126,7 @@
             "/reservas//slots",
             "/reservas/slots%2F..%2fbookings",
         ):
-            self.assertIsNotNone(path_fault(path), path)
+            self.assertIsNotNone(path_error(path), path)
             self.assertEqual(self.plain("GET", path).status, 400, path)
 
     def test_a_team_sees_the_services_it_may_use(self):
--- a/wagtailtrestle/callers/route_match.py
+++ b/wagtailtrestle/callers/route_match.py
@@ -39,7 +39,7 @@
     return found
 
 
-def path_fault(path: str) -> str | None:
+def path_error(path: str) -> str | None:
     """Why ``path`` is not accepted.
 
     An engine may resolve ``slots/../charge`` or a coded separator to another call than the
@@ -74,7 +74,7 @@
 
 def match_plain(*, declaration, team, method, path, route_name, tier_name) -> Matched | Refusal:
     """Match a plain service's call by ``/{service}/…`` and the declared prefixes."""
-    fault = path_fault(path)
+    fault = path_error(path)
     if fault is not None:
         return _bad_request(fault)
     name, _, rest = path.lstrip("/").partition("/")
