--- a/wagtailtrestle/callers/native_dialect.py
+++ b/wagtailtrestle/callers/native_dialect.py
@@ -26,8 +26,8 @@
     match_language,
     match_plain,
     may_use,
+    method_not_allowed,
     services_of,
-    wrong_method,
 )
 from wagtailtrestle.callers.stream import EventWriter, model_list
 from wagtailtrestle.contracts.declaration import LANGUAGE, PLAIN
@@ -123,7 +123,7 @@
         environ = context.arrival.environ
         path = environ["PATH_INFO"]
         if environ["REQUEST_METHOD"] != "POST":
-            return wrong_method(["POST"])
+            return method_not_allowed(["POST"])
         parsed = parse_language(body=context.body, path=path)
         if isinstance(parsed, Refusal):
             return parsed
@@ -232,7 +232,7 @@
 
 def _models(*, environ, declaration, team):
     if environ["REQUEST_METHOD"] != "GET":
-        return wrong_method(["GET"])
+        return method_not_allowed(["GET"])
     return ModelList(body=model_list([service.name for service in services_of(declaration=declaration, team=team)]))
 
 
--- a/wagtailtrestle/callers/route_match.py
+++ b/wagtailtrestle/callers/route_match.py
@@ -84,7 +84,7 @@
     on_path = [r for r in service.routes_by_name.values() if _has_prefix(rest=rest, prefix=r.path)]
     routes = [r for r in on_path if r.method == method]
     if on_path and not routes:
-        return wrong_method([route.method for route in on_path])
+        return method_not_allowed([route.method for route in on_path])
     return _choose(
         declaration=declaration,
         team=team,
@@ -132,7 +132,7 @@
     return next(iter(route.weight_by_service))
 
 
-def wrong_method(methods: list) -> Refusal:
+def method_not_allowed(methods: list) -> Refusal:
     """A 405 that names the methods allowed."""
     allowed = ", ".join(sorted(set(methods)))
     return Refusal(
