--- a/wagtailtrestle/callers/route_match.py
+++ b/wagtailtrestle/callers/route_match.py
@@ -159,10 +159,10 @@
     tier = declaration.tiers_by_name[route.tier]
     if tier.rank < ceiling.rank:
         return _forbidden(f"Route {route.name!r} is of a higher tier than {default.name!r}, the team's own here.")
-    return _lower(declaration=declaration, service=service, route=route, tier=tier, tier_name=tier_name)
+    return _lower_tier(declaration=declaration, service=service, route=route, tier=tier, tier_name=tier_name)
 
 
-def _lower(*, declaration, service, route, tier, tier_name):
+def _lower_tier(*, declaration, service, route, tier, tier_name):
     if not tier_name:
         return Matched(service=service, route=route, tier=tier)
     asked = declaration.tiers_by_name.get(tier_name)
