--- a/wagtailtrestle/callers/route_match.py
+++ b/wagtailtrestle/callers/route_match.py
@@ -62,7 +62,7 @@
     if service is None or service.kind != LANGUAGE:
         return _no_route(f"No language service is called {model[:64]!r}.")
     routes = [r for r in service.routes_by_name.values() if r.path == path and r.method == "POST"]
-    return _choose(
+    return _choose_route(
         declaration=declaration,
         team=team,
         service=service,
@@ -85,7 +85,7 @@
     routes = [r for r in on_path if r.method == method]
     if on_path and not routes:
         return method_not_allowed([route.method for route in on_path])
-    return _choose(
+    return _choose_route(
         declaration=declaration,
         team=team,
         service=service,
@@ -145,7 +145,7 @@
     return prefix == "" or rest == prefix or rest.startswith(prefix + "/")
 
 
-def _choose(*, declaration, team, service, routes, route_name, tier_name):
+def _choose_route(*, declaration, team, service, routes, route_name, tier_name):
     if not routes:
         return _no_route(f"Service {service.name!r} declares no route for this method and path.")
     usable = [route for route in routes if may_use(route=route, team=team)]
