--- a/tests/test_authentication.py
+++ b/tests/test_authentication.py
@@ -2,7 +2,7 @@
 
 from tests.utils.callers import CHAT, HIGH_KEY, LOW_KEY, declaration
 from wagtailtrestle.callers.authentication import KeyIndex, KeyProof, authenticate, bearer_key, team_of_key
-from wagtailtrestle.callers.route_match import Matched, match_language, match_plain, path_error, services_of
+from wagtailtrestle.callers.route_match import RouteMatch, match_language, match_plain, path_error, services_of
 from wagtailtrestle.contracts.outcomes import Reason, Refusal
 
 
@@ -114,7 +114,7 @@
     def test_plain_prefixes_match_whole_segments(self):
         self.assertEqual(self.plain("GET", "/reservas/slots/3/day").route.name, "slots")
         self.assertIsInstance(self.plain("GET", "/reservas/slotsx"), Refusal)
-        self.assertIsInstance(self.plain("GET", "/reservas/slots/"), Matched)
+        self.assertIsInstance(self.plain("GET", "/reservas/slots/"), RouteMatch)
 
     def test_a_path_that_resolves_to_another_call_is_refused(self):
         # A caller asks for /slots/../bookings: matched as slots it would be repeatable,
--- a/wagtailtrestle/callers/route_match.py
+++ b/wagtailtrestle/callers/route_match.py
@@ -16,7 +16,7 @@
 
 
 @record
-class Matched:
+class RouteMatch:
     """The service and route of a request, and its tier after any lowering."""
 
     service: Service
@@ -56,7 +56,7 @@
     return None
 
 
-def match_language(*, declaration, team, path, model, route_name, tier_name) -> Matched | Refusal:
+def match_language(*, declaration, team, path, model, route_name, tier_name) -> RouteMatch | Refusal:
     """Match a completion by its path and the service named in ``model``."""
     service = declaration.services_by_name.get(model)
     if service is None or service.kind != LANGUAGE:
@@ -72,7 +72,7 @@
     )
 
 
-def match_plain(*, declaration, team, method, path, route_name, tier_name) -> Matched | Refusal:
+def match_plain(*, declaration, team, method, path, route_name, tier_name) -> RouteMatch | Refusal:
     """Match a plain service's call by ``/{service}/…`` and the declared prefixes."""
     fault = path_error(path)
     if fault is not None:
@@ -164,13 +164,13 @@
 
 def _lower_tier(*, declaration, service, route, tier, tier_name):
     if not tier_name:
-        return Matched(service=service, route=route, tier=tier)
+        return RouteMatch(service=service, route=route, tier=tier)
     asked = declaration.tiers_by_name.get(tier_name)
     if asked is None:
         return _bad_request(f"No tier is called {tier_name[:64]!r}.")
     if asked.rank < tier.rank:
         return _forbidden("A caller may lower its tier, never raise it.")
-    return Matched(service=service, route=route, tier=asked)
+    return RouteMatch(service=service, route=route, tier=asked)
 
 
 def _bad_request(detail):
