--- a/wagtailtrestle/callers/route_match.py
+++ b/wagtailtrestle/callers/route_match.py
@@ -165,12 +165,12 @@
 def _lower_tier(*, declaration, service, route, tier, tier_name):
     if not tier_name:
         return RouteMatch(service=service, route=route, tier=tier)
-    asked = declaration.tiers_by_name.get(tier_name)
-    if asked is None:
+    requested = declaration.tiers_by_name.get(tier_name)
+    if requested is None:
         return _bad_request(f"No tier is called {tier_name[:64]!r}.")
-    if asked.rank < tier.rank:
+    if requested.rank < tier.rank:
         return _forbidden("A caller may lower its tier, never raise it.")
-    return RouteMatch(service=service, route=route, tier=asked)
+    return RouteMatch(service=service, route=route, tier=requested)
 
 
 def _bad_request(detail):
