--- a/wagtailtrestle/callers/headers.py
+++ b/wagtailtrestle/callers/headers.py
@@ -12,7 +12,7 @@
 ROUTE = "HTTP_WAGTAILTRESTLE_ROUTE"
 TIER = "HTTP_WAGTAILTRESTLE_TIER"
 IDEMPOTENCY_KEY = "HTTP_IDEMPOTENCY_KEY"
-REQUEST_ID_FORM = re.compile(r"[A-Za-z0-9._:/+=@-]{1,128}")
+REQUEST_ID_PATTERN = re.compile(r"[A-Za-z0-9._:/+=@-]{1,128}")
 KEY_FORM = re.compile(r"[\x21-\x7e]{1,255}")
 NAME_FORM = re.compile(r"HTTP_[A-Z0-9_]+")
 CONTROL_CHARACTER = re.compile(r"[\x00-\x08\x0a-\x1f\x7f]")
@@ -65,7 +65,7 @@
     given = environ.get(REQUEST_ID)
     if given is None:
         return uuid.uuid4().hex
-    if REQUEST_ID_FORM.fullmatch(given):
+    if REQUEST_ID_PATTERN.fullmatch(given):
         return given
     return bad_request("'Wagtailtrestle-Request-Id' must be 1 to 128 letters, digits or any of . _ : / + = @ -")
 
