--- a/wagtailtrestle/callers/headers.py
+++ b/wagtailtrestle/callers/headers.py
@@ -13,7 +13,7 @@
 TIER = "HTTP_WAGTAILTRESTLE_TIER"
 IDEMPOTENCY_KEY = "HTTP_IDEMPOTENCY_KEY"
 REQUEST_ID_PATTERN = re.compile(r"[A-Za-z0-9._:/+=@-]{1,128}")
-KEY_FORM = re.compile(r"[\x21-\x7e]{1,255}")
+KEY_PATTERN = re.compile(r"[\x21-\x7e]{1,255}")
 NAME_FORM = re.compile(r"HTTP_[A-Z0-9_]+")
 CONTROL_CHARACTER = re.compile(r"[\x00-\x08\x0a-\x1f\x7f]")
 TARGET_FORM = re.compile(r"[\x21-\x7e]+")
@@ -79,7 +79,7 @@
     if deadline is not None and (not DEADLINE_FORM.fullmatch(deadline) or int(deadline) == 0):
         return bad_request("'Wagtailtrestle-Deadline-Ms' must be a whole number of milliseconds above 0.")
     key = environ.get(IDEMPOTENCY_KEY, "")
-    if IDEMPOTENCY_KEY in environ and not KEY_FORM.fullmatch(key):
+    if IDEMPOTENCY_KEY in environ and not KEY_PATTERN.fullmatch(key):
         return bad_request("'Idempotency-Key' must be 1 to 255 visible ASCII characters.")
     return CallerHeaders(
         deadline_ms=int(deadline) if deadline is not None else None,
