--- a/wagtailtrestle/callers/headers.py
+++ b/wagtailtrestle/callers/headers.py
@@ -14,7 +14,7 @@
 IDEMPOTENCY_KEY = "HTTP_IDEMPOTENCY_KEY"
 REQUEST_ID_PATTERN = re.compile(r"[A-Za-z0-9._:/+=@-]{1,128}")
 KEY_PATTERN = re.compile(r"[\x21-\x7e]{1,255}")
-NAME_FORM = re.compile(r"HTTP_[A-Z0-9_]+")
+NAME_PATTERN = re.compile(r"HTTP_[A-Z0-9_]+")
 CONTROL_CHARACTER = re.compile(r"[\x00-\x08\x0a-\x1f\x7f]")
 TARGET_FORM = re.compile(r"[\x21-\x7e]+")
 DEADLINE_FORM = re.compile(r"[0-9]{1,12}")
@@ -95,7 +95,7 @@
     if not TARGET_FORM.fullmatch(environ["REQUEST_URI"]):
         return "The address must be of visible ASCII characters; code others with '%'."
     for name, value in environ.items():
-        if name.startswith(HEADER_PREFIX) and not NAME_FORM.fullmatch(name):
+        if name.startswith(HEADER_PREFIX) and not NAME_PATTERN.fullmatch(name):
             return "A header's name must be of letters, digits, '-' or '_'."
         if name.startswith((HEADER_PREFIX, "CONTENT_")) and CONTROL_CHARACTER.search(value):
             return "A header's value holds a control character."
