--- a/wagtailtrestle/callers/headers.py
+++ b/wagtailtrestle/callers/headers.py
@@ -16,7 +16,7 @@
 KEY_PATTERN = re.compile(r"[\x21-\x7e]{1,255}")
 NAME_PATTERN = re.compile(r"HTTP_[A-Z0-9_]+")
 CONTROL_CHARACTER = re.compile(r"[\x00-\x08\x0a-\x1f\x7f]")
-TARGET_FORM = re.compile(r"[\x21-\x7e]+")
+TARGET_PATTERN = re.compile(r"[\x21-\x7e]+")
 DEADLINE_FORM = re.compile(r"[0-9]{1,12}")
 MS_PER_S = 1000.0
 HEADER_PREFIX = "HTTP_"
@@ -92,7 +92,7 @@
 def _form_fault(environ):
     # What can't be written in a request to an engine must be found here: found there, in the
     # middle of a run, nobody could tell any more that the request was not run.
-    if not TARGET_FORM.fullmatch(environ["REQUEST_URI"]):
+    if not TARGET_PATTERN.fullmatch(environ["REQUEST_URI"]):
         return "The address must be of visible ASCII characters; code others with '%'."
     for name, value in environ.items():
         if name.startswith(HEADER_PREFIX) and not NAME_PATTERN.fullmatch(name):
