--- a/wagtailtrestle/callers/headers.py
+++ b/wagtailtrestle/callers/headers.py
@@ -17,7 +17,7 @@
 NAME_PATTERN = re.compile(r"HTTP_[A-Z0-9_]+")
 CONTROL_CHARACTER = re.compile(r"[\x00-\x08\x0a-\x1f\x7f]")
 TARGET_PATTERN = re.compile(r"[\x21-\x7e]+")
-DEADLINE_FORM = re.compile(r"[0-9]{1,12}")
+DEADLINE_PATTERN = re.compile(r"[0-9]{1,12}")
 MS_PER_S = 1000.0
 HEADER_PREFIX = "HTTP_"
 STEERING_PREFIX = "HTTP_WAGTAILTRESTLE_"
@@ -76,7 +76,7 @@
     if fault is not None:
         return bad_request(fault)
     deadline = environ.get(DEADLINE)
-    if deadline is not None and (not DEADLINE_FORM.fullmatch(deadline) or int(deadline) == 0):
+    if deadline is not None and (not DEADLINE_PATTERN.fullmatch(deadline) or int(deadline) == 0):
         return bad_request("'Wagtailtrestle-Deadline-Ms' must be a whole number of milliseconds above 0.")
     key = environ.get(IDEMPOTENCY_KEY, "")
     if IDEMPOTENCY_KEY in environ and not KEY_PATTERN.fullmatch(key):
@@ -105,7 +105,7 @@
 def requested_timeout_s(environ: dict) -> float | None:
     """Seconds that the caller says it will wait; ``None`` without a sound word of it."""
     deadline = environ.get(DEADLINE, "")
-    return int(deadline) / MS_PER_S if DEADLINE_FORM.fullmatch(deadline) else None
+    return int(deadline) / MS_PER_S if DEADLINE_PATTERN.fullmatch(deadline) else None
 
 
 def effective_timeout_s(*, headers: CallerHeaders, default_ms: int, max_s: float) -> float:
