--- a/wagtailtrestle/callers/body.py
+++ b/wagtailtrestle/callers/body.py
@@ -13,7 +13,7 @@
 
 DEFAULT_OUTPUT_TOKENS = 256
 MAX_OUTPUT_TOKENS = 1_000_000
-LENGTH_FORM = re.compile(r"[0-9]{1,18}")
+LENGTH_PATTERN = re.compile(r"[0-9]{1,18}")
 LIMIT_FIELDS = ("max_completion_tokens", "max_tokens")
 
 
@@ -49,7 +49,7 @@
         # A balancer that believes the length where this side believes the chunks would see
         # two requests in one: a caller's request could be answered to another.
         return bad_request("A body can't have both a length and a chunked coding.")
-    if declared is not None and not LENGTH_FORM.fullmatch(declared):
+    if declared is not None and not LENGTH_PATTERN.fullmatch(declared):
         return bad_request("'Content-Length' must be a whole number.")
     return BodyLength(size=int(declared or 0), chunked=chunked)
 
