--- a/wagtailtrestle/callers/headers.py
+++ b/wagtailtrestle/callers/headers.py
@@ -20,7 +20,7 @@
 DEADLINE_PATTERN = re.compile(r"[0-9]{1,12}")
 MS_PER_S = 1000.0
 HEADER_PREFIX = "HTTP_"
-STEERING_PREFIX = "HTTP_WAGTAILTRESTLE_"
+CONTROL_PREFIX = "HTTP_WAGTAILTRESTLE_"
 # The caller's key is for this router alone. A coding is not offered on, so that an answer's
 # length is the length of its body.
 UNFORWARDED_HEADERS = frozenset(
@@ -118,7 +118,7 @@
     """The caller's headers that a plain service is sent."""
     value_by_name = {}
     for name, value in environ.items():
-        if not name.startswith(HEADER_PREFIX) or name in UNFORWARDED_HEADERS or name.startswith(STEERING_PREFIX):
+        if not name.startswith(HEADER_PREFIX) or name in UNFORWARDED_HEADERS or name.startswith(CONTROL_PREFIX):
             continue
         value_by_name[name[len(HEADER_PREFIX) :].replace("_", "-").title()] = value
     if "CONTENT_TYPE" in environ:
