--- a/wagtailtrestle/callers/headers.py
+++ b/wagtailtrestle/callers/headers.py
@@ -72,7 +72,7 @@
 
 def caller_headers(environ: dict) -> CallerHeaders | Refusal:
     """Read and check the headers."""
-    fault = _form_fault(environ)
+    fault = _syntax_error(environ)
     if fault is not None:
         return bad_request(fault)
     deadline = environ.get(DEADLINE)
@@ -89,7 +89,7 @@
     )
 
 
-def _form_fault(environ):
+def _syntax_error(environ):
     # What can't be written in a request to an engine must be found here: found there, in the
     # middle of a run, nobody could tell any more that the request was not run.
     if not TARGET_PATTERN.fullmatch(environ["REQUEST_URI"]):
