--- a/wagtailtrestle/callers/dialect.py
+++ b/wagtailtrestle/callers/dialect.py
@@ -40,7 +40,7 @@
 
 
 @record
-class Arrival:
+class IncomingRequest:
     """One request as it came.
 
     Parameters
@@ -69,7 +69,7 @@
     def caller_timeout_s(self, environ: dict) -> float | None:
         """How long the caller says that it will wait, ``None`` where it doesn't."""
 
-    def prepare(self, arrival: Arrival) -> Prepared | ModelList | Refusal:
+    def prepare(self, arrival: IncomingRequest) -> Prepared | ModelList | Refusal:
         """Read and check one request."""
 
     def problem(self, refusal: Refusal, request_id: str) -> tuple[int, list, bytes]:
--- a/wagtailtrestle/callers/request_handler.py
+++ b/wagtailtrestle/callers/request_handler.py
@@ -6,7 +6,7 @@
 from loguru import logger
 
 from wagtailtrestle.callers.caller_exchange import CallerExchange
-from wagtailtrestle.callers.dialect import Arrival, Prepared
+from wagtailtrestle.callers.dialect import IncomingRequest, Prepared
 from wagtailtrestle.callers.limits import CallerLimits
 from wagtailtrestle.contracts.exchange import AnswerRecorded, AnswerRefusal, AnswerWhole, RunEnded
 from wagtailtrestle.contracts.outcomes import Executed, Reason, Refusal, RunDone, RunNotSent, RunRejected
@@ -44,7 +44,7 @@
     def __init__(
         self,
         *,
-        arrival: Arrival,
+        arrival: IncomingRequest,
         prepared: Prepared,
         exchange: CallerExchange,
         engine_client,
--- a/wagtailtrestle/callers/server.py
+++ b/wagtailtrestle/callers/server.py
@@ -12,7 +12,7 @@
 from wagtailtrestle.callers.answer import CallerResponse
 from wagtailtrestle.callers.caller_exchange import CallerExchange
 from wagtailtrestle.callers.connection_watcher import ConnectionWatcher
-from wagtailtrestle.callers.dialect import Arrival, ModelList, Prepared
+from wagtailtrestle.callers.dialect import IncomingRequest, ModelList, Prepared
 from wagtailtrestle.callers.limits import DEFAULT_RECEIVE_BYTES, CallerLimits, Full, ReceiveLimit, max_held_requests
 from wagtailtrestle.callers.native_dialect import NativeDialect, not_accepting
 from wagtailtrestle.callers.request_handler import RequestHandler
@@ -232,7 +232,9 @@
             closing=lambda: self._draining,
             problem=self._dialect.problem,
         )
-        arrival = Arrival(environ=environ, response=response, request_id=f"{self._name}-{uuid.uuid4().hex}", at=at)
+        arrival = IncomingRequest(
+            environ=environ, response=response, request_id=f"{self._name}-{uuid.uuid4().hex}", at=at
+        )
         prepared = given if isinstance(given, Refusal) else self._prepare(arrival)
         match prepared:
             case Refusal():
