--- a/wagtailtrestle/callers/dialect.py
+++ b/wagtailtrestle/callers/dialect.py
@@ -69,7 +69,7 @@
     def caller_timeout_s(self, environ: dict) -> float | None:
         """How long the caller says that it will wait, ``None`` where it doesn't."""
 
-    def prepare(self, arrival: IncomingRequest) -> Prepared | ModelList | Refusal:
+    def prepare(self, incoming: IncomingRequest) -> Prepared | ModelList | Refusal:
         """Read and check one request."""
 
     def problem(self, refusal: Refusal, request_id: str) -> tuple[int, list, bytes]:
--- a/wagtailtrestle/callers/native_dialect.py
+++ b/wagtailtrestle/callers/native_dialect.py
@@ -84,12 +84,12 @@
         body = problem_bytes(refusal=refusal, request_id=request_id)
         return refusal.status, problem_headers(refusal=refusal, request_id=request_id, length=len(body)), body
 
-    def prepare(self, arrival: IncomingRequest) -> Prepared | ModelList | Refusal:
+    def prepare(self, incoming: IncomingRequest) -> Prepared | ModelList | Refusal:
         """Read and check one request."""
         in_force = self._directory()
         if in_force is None:
             return not_accepting(Reason.NOT_READY)
-        environ = arrival.environ
+        environ = incoming.environ
         index = self._key_index(in_force.declaration)
         team = authenticate(header=environ.get("HTTP_AUTHORIZATION", ""), index=index)
         if isinstance(team, Refusal):
@@ -102,7 +102,7 @@
         body = self._read(environ, declaration=in_force.declaration, team=team)
         if isinstance(body, Refusal):
             return body
-        context = _RequestContext(arrival=arrival, in_force=in_force, team=team, headers=headers, body=body)
+        context = _RequestContext(incoming=incoming, in_force=in_force, team=team, headers=headers, body=body)
         if environ["PATH_INFO"] in LANGUAGE_PATHS:
             return self._language(context)
         return self._plain(context)
@@ -120,7 +120,7 @@
         return self._bodies.read(environ, highest=_has_highest_tier(declaration=declaration, team=team))
 
     def _language(self, context):
-        environ = context.arrival.environ
+        environ = context.incoming.environ
         path = environ["PATH_INFO"]
         if environ["REQUEST_METHOD"] != "POST":
             return method_not_allowed(["POST"])
@@ -142,15 +142,15 @@
             method="POST",
             path=path,
             document=parsed.fields,
-            caller_request_id=context.arrival.response.request_id,
+            caller_request_id=context.incoming.response.request_id,
         )
-        answer = _language_answer(response=context.arrival.response, parsed=parsed, chat=path == CHAT_PATH)
+        answer = _language_answer(response=context.incoming.response, parsed=parsed, chat=path == CHAT_PATH)
         return self._prepared(
             context, matched, call, answer, shape=parsed.shape, output_tokens=parsed.output_tokens, target=path
         )
 
     def _plain(self, context):
-        environ = context.arrival.environ
+        environ = context.incoming.environ
         method = environ["REQUEST_METHOD"]
         matched = match_plain(
             declaration=context.in_force.declaration,
@@ -171,18 +171,18 @@
             query=query,
             headers=forwarded_headers(environ),
             body=context.body,
-            caller_request_id=context.arrival.response.request_id,
+            caller_request_id=context.incoming.response.request_id,
         )
-        answer = PlainAnswer(response=context.arrival.response)
+        answer = PlainAnswer(response=context.incoming.response)
         return self._prepared(context, matched, call, answer, shape=EMPTY_PROMPT, output_tokens=0, target=target)
 
     def _prepared(self, context, matched, call, answer, *, shape, output_tokens, target):
         route = matched.route
         headers = context.headers
         allowed_s = effective_timeout_s(headers=headers, default_ms=route.deadline_ms, max_s=self._max_deadline_s)
-        elapsed_s = time.monotonic() - context.arrival.at
+        elapsed_s = time.monotonic() - context.incoming.at
         request = CallerRequest(
-            request_id=context.arrival.request_id,
+            request_id=context.incoming.request_id,
             service=matched.service.name,
             team=context.team.name,
             route=route.name,
@@ -209,10 +209,10 @@
 class _RequestContext:
     """What is known of a request once it was read."""
 
-    __slots__ = ("arrival", "in_force", "team", "headers", "body")
+    __slots__ = ("incoming", "in_force", "team", "headers", "body")
 
-    def __init__(self, *, arrival, in_force, team, headers, body):
-        self.arrival = arrival
+    def __init__(self, *, incoming, in_force, team, headers, body):
+        self.incoming = incoming
         self.in_force = in_force
         self.team = team
         self.headers = headers
--- a/wagtailtrestle/callers/request_handler.py
+++ b/wagtailtrestle/callers/request_handler.py
@@ -44,14 +44,14 @@
     def __init__(
         self,
         *,
-        arrival: IncomingRequest,
+        incoming: IncomingRequest,
         prepared: Prepared,
         exchange: CallerExchange,
         engine_client,
         limits: CallerLimits,
         metrics: Metrics,
     ):
-        self._arrival = arrival
+        self._arrival = incoming
         self._prepared = prepared
         self._exchange = exchange
         self._engine_client = engine_client
--- a/wagtailtrestle/callers/server.py
+++ b/wagtailtrestle/callers/server.py
@@ -232,55 +232,55 @@
             closing=lambda: self._draining,
             problem=self._dialect.problem,
         )
-        arrival = IncomingRequest(
+        incoming = IncomingRequest(
             environ=environ, response=response, request_id=f"{self._name}-{uuid.uuid4().hex}", at=at
         )
-        prepared = given if isinstance(given, Refusal) else self._prepare(arrival)
+        prepared = given if isinstance(given, Refusal) else self._prepare(incoming)
         match prepared:
             case Refusal():
-                self._refuse_early(arrival, prepared)
+                self._refuse_early(incoming, prepared)
             case ModelList(body=body):
                 response.send(status=200, content_type=JSON_TYPE, body=body)
             case Prepared() if self._refuse_streams and prepared.call.is_streamed:
                 if prepared.charge is not None:
                     prepared.charge.refund()
-                self._refuse_early(arrival, not_accepting(Reason.DRAINING))
+                self._refuse_early(incoming, not_accepting(Reason.DRAINING))
             case Prepared():
-                self._handle(arrival, prepared)
+                self._handle(incoming, prepared)
         return response
 
-    def _prepare(self, arrival):
+    def _prepare(self, incoming):
         reason = self._start_hold.reason(
-            fd=arrival.environ[CONNECTION_ENVIRON].socket.fileno(),
-            caller_timeout_s=self._dialect.caller_timeout_s(arrival.environ),
+            fd=incoming.environ[CONNECTION_ENVIRON].socket.fileno(),
+            caller_timeout_s=self._dialect.caller_timeout_s(incoming.environ),
         )
         if self._refuse_all:
             return not_accepting(Reason.DRAINING)
         # While the grace lasts a leaving router still serves what the balancer sends it.
         if reason is not None and reason is not Reason.DRAINING:
             return not_accepting(reason)
-        return self._dialect.prepare(arrival)
+        return self._dialect.prepare(incoming)
 
-    def _refuse_early(self, arrival, refusal):
+    def _refuse_early(self, incoming, refusal):
         self._metrics.count("refused_early", reason=refusal.reason.value)
         cause = {"cause": refusal.cause} if refusal.cause else {}
         logger.bind(
-            caller_request_id=arrival.response.request_id,
+            caller_request_id=incoming.response.request_id,
             reason=refusal.reason.value,
             executed=refusal.executed.value,
             retry_after_s=refusal.retry_after_s,
             **cause,
         ).info("refused on arrival")
-        request = arrival.environ[REQUEST_ENVIRON]
+        request = incoming.environ[REQUEST_ENVIRON]
         unread = getattr(request.rfile, "remaining", SMALL_UNREAD_BYTES + 1)
         if has_unread_input > SMALL_UNREAD_BYTES or request.chunked_read or self._refuse_all:
             request.close_connection = True
-            arrival.environ[CONNECTION_ENVIRON].unread = True
-        arrival.response.send_refusal(refusal)
+            incoming.environ[CONNECTION_ENVIRON].unread = True
+        incoming.response.send_refusal(refusal)
 
     # Carrying.
 
-    def _handle(self, arrival, prepared):
+    def _handle(self, incoming, prepared):
         request = prepared.request
         exchange = CallerExchange(
             request_id=request.request_id,
@@ -292,11 +292,11 @@
         try:
             full = self._hold(prepared)
             if full is not None:
-                self._refuse_early(arrival, full)
+                self._refuse_early(incoming, full)
                 return
-            self._handle_admitted(arrival, prepared, exchange)
+            self._handle_admitted(incoming, prepared, exchange)
         finally:
-            self._limits.release(request_id=request.request_id, held_s=time.monotonic() - arrival.at)
+            self._limits.release(request_id=request.request_id, held_s=time.monotonic() - incoming.at)
             with self._lock:
                 del self._exchanges_by_id[request.request_id]
 
@@ -317,17 +317,17 @@
                 victim.displace()
         return None
 
-    def _handle_admitted(self, arrival, prepared, exchange):
-        arrival.response.on_disconnect = exchange.caller_gone
+    def _handle_admitted(self, incoming, prepared, exchange):
+        incoming.response.on_disconnect = exchange.caller_gone
         handler = RequestHandler(
-            arrival=arrival,
+            incoming=incoming,
             prepared=prepared,
             exchange=exchange,
             engine_client=self._engine_client,
             limits=self._limits,
             metrics=self._metrics,
         )
-        fd = arrival.environ[CONNECTION_ENVIRON].socket.fileno()
+        fd = incoming.environ[CONNECTION_ENVIRON].socket.fileno()
         self._loop.call_soon_threadsafe(self._submit, prepared.request, exchange)
         self._watch.watch(fd=fd, on_disconnect=exchange.caller_gone)
         try:
--- a/wagtailtrestle/platform/callers.py
+++ b/wagtailtrestle/platform/callers.py
@@ -91,13 +91,13 @@
             pairs.append((names.RETRY_AFTER, f"{wait_s:.2f}"))
         return status, pairs, body
 
-    def prepare(self, arrival):
+    def prepare(self, incoming):
         """Read and check one request."""
         in_force = self._directory()
         if in_force is None:
             return not_accepting(Reason.NOT_READY)
         routes, keys = self._indexes(in_force.declaration)
-        environ = arrival.environ
+        environ = incoming.environ
         pairs = _header_pairs(environ)
         path, _, _ = environ["REQUEST_URI"].partition("?")
         route = routes.find(host=environ.get("HTTP_HOST", ""), path=path)
@@ -109,7 +109,7 @@
         body = self._bodies.read(environ, highest=True)
         if isinstance(body, Refusal):
             return body
-        return self._prepared(arrival, in_force, route, team, pairs, body)
+        return self._prepared(incoming, in_force, route, team, pairs, body)
 
     def _indexes(self, declaration):
         # One tuple, replaced whole, as two threads may see a new declaration at once.
@@ -128,14 +128,14 @@
         sent = key.strip() if scheme.lower() == names.KEY_SCHEME else ""
         return team_of_key(key=sent, index=keys, proof=self._key_proof(), hint=KEY_HINT)
 
-    def _prepared(self, arrival, in_force, route, team, pairs, body):
-        environ = arrival.environ
+    def _prepared(self, incoming, in_force, route, team, pairs, body):
+        environ = incoming.environ
         sizes = _token_counts(environ.get("HTTP_TOKEN_COUNTS"))
         charge = charge_team(accounts=self._quotas, team=team, tokens=None if sizes is None else sum(sizes))
         if isinstance(charge, Refusal):
             return charge
         declaration = in_force.declaration
-        service = choose_service(route=route, request_id=arrival.response.request_id)
+        service = choose_service(route=route, request_id=incoming.response.request_id)
         tier = declaration.tiers_by_name[tier_of(route=route, team=team)]
         prompt_tokens, output_tokens = sizes or (0, 0)
         declared = declaration.services_by_name.get(service)
@@ -146,13 +146,13 @@
             target=environ["REQUEST_URI"],
             headers=names.forwarded(pairs),
             body=body,
-            request_id=arrival.response.request_id,
+            request_id=incoming.response.request_id,
             team=team.name if team is not None else "",
             is_streamed=route.streaming,
         )
         prefix_blocks, block_tokens = _prefix(environ.get("HTTP_PROMPT_PREFIX", ""))
         request = CallerRequest(
-            request_id=arrival.request_id,
+            request_id=incoming.request_id,
             service=service,
             team=team.name if team is not None else "",
             route=route.name,
@@ -165,7 +165,7 @@
             output_tokens=output_tokens,
             prefix_blocks=prefix_blocks,
             block_tokens=block_tokens,
-            deadline=self._now() + self._allowed_s(arrival, route, environ),
+            deadline=self._now() + self._allowed_s(incoming, route, environ),
             max_runs=route.max_runs,
             first_token_within_s=route.target_ms / MS_PER_S,
             pause_within_s=route.pause_ms / MS_PER_S,
@@ -175,7 +175,7 @@
         return Prepared(
             request=request,
             call=call,
-            answer=PlatformAnswer(response=arrival.response, received=received),
+            answer=PlatformAnswer(response=incoming.response, received=received),
             body_bytes=len(body),
             tier_name=tier.name,
             generation=in_force.generation,
@@ -183,12 +183,12 @@
             charge=charge,
         )
 
-    def _allowed_s(self, arrival, route, environ):
+    def _allowed_s(self, incoming, route, environ):
         allowed_s = min(route.timeout_ms / MS_PER_S, self._max_deadline_s)
         caller_timeout_s = self.caller_timeout_s(environ)
         if caller_timeout_s is not None:
             allowed_s = min(allowed_s, caller_timeout_s)
-        elapsed_s = time.monotonic() - arrival.at
+        elapsed_s = time.monotonic() - incoming.at
         return allowed_s - elapsed_s
 
 
