--- a/wagtailtrestle/callers/request_handler.py
+++ b/wagtailtrestle/callers/request_handler.py
@@ -30,7 +30,7 @@
     """
 
     __slots__ = (
-        "_arrival",
+        "_incoming",
         "_prepared",
         "_exchange",
         "_engine_client",
@@ -51,7 +51,7 @@
         limits: CallerLimits,
         metrics: Metrics,
     ):
-        self._arrival = incoming
+        self._incoming = incoming
         self._prepared = prepared
         self._exchange = exchange
         self._engine_client = engine_client
@@ -132,7 +132,7 @@
     def _record_outcome(self, outcome):
         prepared = self._prepared
         request = prepared.request
-        began_at = self._arrival.at
+        began_at = self._incoming.at
         now = time.monotonic()
         labels = {"route": f"{request.service}/{request.route}", "tier": prepared.tier_name}
         self._metrics.count("requests", outcome=outcome, **labels)
@@ -143,7 +143,7 @@
             self._metrics.observe("first_token", seconds=self._first_token_at - began_at, **labels)
         bound = logger.bind(
             request_id=request.request_id,
-            caller_request_id=self._arrival.response.request_id,
+            caller_request_id=self._incoming.response.request_id,
             team=request.team,
             tier=prepared.tier_name,
             generation=prepared.generation,
