--- a/wagtailtrestle/callers/dialect.py
+++ b/wagtailtrestle/callers/dialect.py
@@ -19,7 +19,7 @@
 
 
 @record
-class Prepared:
+class PreparedRequest:
     """A request ready for its task, and how its caller will be answered."""
 
     request: CallerRequest
@@ -69,7 +69,7 @@
     def caller_timeout_s(self, environ: dict) -> float | None:
         """How long the caller says that it will wait, ``None`` where it doesn't."""
 
-    def prepare(self, incoming: IncomingRequest) -> Prepared | ModelList | Refusal:
+    def prepare(self, incoming: IncomingRequest) -> PreparedRequest | ModelList | Refusal:
         """Read and check one request."""
 
     def problem(self, refusal: Refusal, request_id: str) -> tuple[int, list, bytes]:
--- a/wagtailtrestle/callers/native_dialect.py
+++ b/wagtailtrestle/callers/native_dialect.py
@@ -8,7 +8,7 @@
 from wagtailtrestle.callers.body import body_digest, parse_language
 from wagtailtrestle.callers.body_reader import BodyReader
 from wagtailtrestle.callers.connection_watcher import ConnectionWatcher
-from wagtailtrestle.callers.dialect import IncomingRequest, ModelList, Prepared
+from wagtailtrestle.callers.dialect import IncomingRequest, ModelList, PreparedRequest
 from wagtailtrestle.callers.headers import (
     caller_headers,
     caller_request_id,
@@ -84,7 +84,7 @@
         body = problem_bytes(refusal=refusal, request_id=request_id)
         return refusal.status, problem_headers(refusal=refusal, request_id=request_id, length=len(body)), body
 
-    def prepare(self, incoming: IncomingRequest) -> Prepared | ModelList | Refusal:
+    def prepare(self, incoming: IncomingRequest) -> PreparedRequest | ModelList | Refusal:
         """Read and check one request."""
         in_force = self._directory()
         if in_force is None:
@@ -196,7 +196,7 @@
             prefix_blocks=shape.prefix_blocks,
             deadline=self._now() + allowed_s - elapsed_s,
         )
-        return Prepared(
+        return PreparedRequest(
             request=request,
             call=call,
             answer=answer,
--- a/wagtailtrestle/callers/request_handler.py
+++ b/wagtailtrestle/callers/request_handler.py
@@ -6,7 +6,7 @@
 from loguru import logger
 
 from wagtailtrestle.callers.caller_exchange import CallerExchange
-from wagtailtrestle.callers.dialect import IncomingRequest, Prepared
+from wagtailtrestle.callers.dialect import IncomingRequest, PreparedRequest
 from wagtailtrestle.callers.limits import CallerLimits
 from wagtailtrestle.contracts.exchange import AnswerRecorded, AnswerRefusal, AnswerWhole, RunEnded
 from wagtailtrestle.contracts.outcomes import Executed, Reason, Refusal, RunDone, RunNotSent, RunRejected
@@ -45,7 +45,7 @@
         self,
         *,
         incoming: IncomingRequest,
-        prepared: Prepared,
+        prepared: PreparedRequest,
         exchange: CallerExchange,
         engine_client,
         limits: CallerLimits,
--- a/wagtailtrestle/callers/server.py
+++ b/wagtailtrestle/callers/server.py
@@ -12,7 +12,7 @@
 from wagtailtrestle.callers.answer import CallerResponse
 from wagtailtrestle.callers.caller_exchange import CallerExchange
 from wagtailtrestle.callers.connection_watcher import ConnectionWatcher
-from wagtailtrestle.callers.dialect import IncomingRequest, ModelList, Prepared
+from wagtailtrestle.callers.dialect import IncomingRequest, ModelList, PreparedRequest
 from wagtailtrestle.callers.limits import DEFAULT_RECEIVE_BYTES, CallerLimits, Full, ReceiveLimit, max_held_requests
 from wagtailtrestle.callers.native_dialect import NativeDialect, not_accepting
 from wagtailtrestle.callers.request_handler import RequestHandler
@@ -241,11 +241,11 @@
                 self._refuse_early(incoming, prepared)
             case ModelList(body=body):
                 response.send(status=200, content_type=JSON_TYPE, body=body)
-            case Prepared() if self._refuse_streams and prepared.call.is_streamed:
+            case PreparedRequest() if self._refuse_streams and prepared.call.is_streamed:
                 if prepared.charge is not None:
                     prepared.charge.refund()
                 self._refuse_early(incoming, not_accepting(Reason.DRAINING))
-            case Prepared():
+            case PreparedRequest():
                 self._handle(incoming, prepared)
         return response
 
--- a/wagtailtrestle/platform/callers.py
+++ b/wagtailtrestle/platform/callers.py
@@ -7,7 +7,7 @@
 from wagtailtrestle.callers.authentication import KeyIndex, team_of_key
 from wagtailtrestle.callers.body import body_digest
 from wagtailtrestle.callers.body_reader import BodyReader
-from wagtailtrestle.callers.dialect import Prepared
+from wagtailtrestle.callers.dialect import PreparedRequest
 from wagtailtrestle.callers.native_dialect import not_accepting
 from wagtailtrestle.callers.route_match import HostRouteIndex, choose_service
 from wagtailtrestle.callers.wsgi import REQUEST_ENVIRON
@@ -172,7 +172,7 @@
             event_tokens=event_tokens,
             hinted_tokens=_length_hint(environ.get("HTTP_LENGTH_HINT", "")),
         )
-        return Prepared(
+        return PreparedRequest(
             request=request,
             call=call,
             answer=PlatformAnswer(response=incoming.response, received=received),
