--- a/wagtailtrestle/callers/prompt_shape.py
+++ b/wagtailtrestle/callers/prompt_shape.py
@@ -55,8 +55,8 @@
     """Chained 64-bit hashes of the whole blocks at the start of a prompt, at most ``MAX_BLOCKS``."""
     blocks = []
     previous = b""
-    whole = min(len(data) // BLOCK_BYTES, MAX_BLOCKS)
-    for index in range(whole):
+    n_blocks = min(len(data) // BLOCK_BYTES, MAX_BLOCKS)
+    for index in range(n_blocks):
         block = data[index * BLOCK_BYTES : (index + 1) * BLOCK_BYTES]
         previous = hashlib.sha256(previous + block).digest()[:HASH_BYTES]
         blocks.append(int.from_bytes(previous, "big"))
