--- a/tests/test_callers_http.py
+++ b/tests/test_callers_http.py
@@ -50,7 +50,9 @@
 class TestLanguage(BenchCase):
     def test_a_whole_chat_answer(self):
         bench = self.bench()
-        status, headers, body = bench.ask("POST", CHAT, chat_body(), headers={"Wagtailtrestle-Request-Id": "mine-1"})
+        status, headers, body = bench.send_request(
+            "POST", CHAT, chat_body(), headers={"Wagtailtrestle-Request-Id": "mine-1"}
+        )
         answer = json.loads(body)
         self.assertEqual((status, headers["Wagtailtrestle-Request-Id"], answer["id"]), (200, "mine-1", "mine-1"))
         self.assertEqual(answer["object"], "chat.completion")
@@ -61,14 +63,16 @@
     def test_a_whole_text_answer(self):
         body = {"model": "asistente", "prompt": "Tag this", "max_tokens": 7}
         bench = self.bench()
-        answer = json.loads(bench.ask("POST", "/v1/completions", body)[2])
+        answer = json.loads(bench.send_request("POST", "/v1/completions", body)[2])
         self.assertEqual((answer["object"], answer["choices"][0]["text"]), ("text_completion", "It is. "))
         self.assertEqual((bench.requests[0].output_tokens, bench.requests[0].prompt_tokens), (7, 2))
 
     def test_a_stream_carries_the_callers_id_and_ends_in_done(self):
         body = chat_body(stream=True, stream_options={"include_usage": True})
         bench = self.bench()
-        status, headers, answer = bench.ask("POST", CHAT, body, headers={"Wagtailtrestle-Request-Id": "mine-2"})
+        status, headers, answer = bench.send_request(
+            "POST", CHAT, body, headers={"Wagtailtrestle-Request-Id": "mine-2"}
+        )
         self.assertEqual((status, headers["Content-Type"]), (200, "text/event-stream; charset=utf-8"))
         *chunks, done = stream_data(answer)
         chunks = [json.loads(chunk) for chunk in chunks]
@@ -79,17 +83,17 @@
         self.assertEqual((chunks[3]["choices"], chunks[3]["usage"]["completion_tokens"]), ([], 2))
 
     def test_no_usage_event_unless_asked_for(self):
-        answer = self.bench().ask("POST", CHAT, chat_body(stream=True))[2]
+        answer = self.bench().send_request("POST", CHAT, chat_body(stream=True))[2]
         self.assertNotIn(b"usage", answer)
 
     def test_optional_fields_reach_the_engine_untouched(self):
         body = chat_body(temperature=0.2, stop=["\n"], tools=[], logit_bias={"5": 1}, seed=3, user="x", n=1)
         bench = self.bench()
-        self.assertEqual(bench.ask("POST", CHAT, body)[0], 200)
+        self.assertEqual(bench.send_request("POST", CHAT, body)[0], 200)
         self.assertEqual(bench.engine.calls[0].document, body)
 
     def test_services_of_the_team_are_listed_as_models(self):
-        answer = json.loads(self.bench().ask("GET", "/v1/models", key=LOW_KEY)[2])
+        answer = json.loads(self.bench().send_request("GET", "/v1/models", key=LOW_KEY)[2])
         self.assertEqual([model["id"] for model in answer["data"]], ["asistente"])
 
 
@@ -104,7 +108,7 @@
         # The caller reads tokens, then the engine dies and no other can go on. The stream
         # must not just stop, which libraries take for an end: it gives an error event with
         # the problem, in the members libraries look at too, and no [DONE].
-        status, _, body = self.bench(script=self.half_then_lost).ask("POST", CHAT, chat_body(stream=True))
+        status, _, body = self.bench(script=self.half_then_lost).send_request("POST", CHAT, chat_body(stream=True))
         *_, last = stream_data(body)
         self.assertEqual(status, 200)
         self.assertIn(b"\n\nevent: error\ndata: ", body)
@@ -116,7 +120,7 @@
     def test_a_whole_answer_is_never_a_fragment(self):
         # The same loss for a caller who did not ask for a stream: tokens were received here,
         # none of them may leave, and the status must still be the refusal's.
-        answer = self.bench(script=self.half_then_lost).ask("POST", CHAT, chat_body())
+        answer = self.bench(script=self.half_then_lost).send_request("POST", CHAT, chat_body())
         self.assertEqual(problem(answer), (502, "engine_lost", "yes"))
         self.assertNotIn(b"It is", answer[2])
 
@@ -124,7 +128,7 @@
         async def refuse(request, link, inbox):
             link.post(refusal(Reason.OVERLOADED, 429, retry_after_s=2.1))
 
-        answer = self.bench(script=refuse).ask("POST", CHAT, chat_body(stream=True))
+        answer = self.bench(script=refuse).send_request("POST", CHAT, chat_body(stream=True))
         self.assertEqual(problem(answer), (429, "overloaded", "no"))
         self.assertEqual(answer[1]["Retry-After"], "3")
         self.assertEqual(answer[1]["Content-Type"], "application/problem+json")
@@ -134,7 +138,7 @@
         # Without one the caller would wait until its deadline and its thread be lost.
         engine = FakeEngine()
         engine.run = None
-        answer = self.bench(engine=engine).ask("POST", CHAT, chat_body())
+        answer = self.bench(engine=engine).send_request("POST", CHAT, chat_body())
         self.assertEqual(answer[0], 499)
 
 
@@ -142,7 +146,9 @@
     def test_a_call_is_passed_on_without_the_callers_key(self):
         bench = self.bench()
         headers = {"Content-Type": "application/json", "X-Day": "4", "Wagtailtrestle-Deadline-Ms": "900"}
-        status, answered, body = bench.ask("POST", "/reservas/bookings/4?beach=a%20b", BOOKING, headers=headers)
+        status, answered, body = bench.send_request(
+            "POST", "/reservas/bookings/4?beach=a%20b", BOOKING, headers=headers
+        )
         call = bench.engine.calls[0]
         self.assertEqual((status, body, answered["Content-Type"]), (200, b'{"slot": 3}', "application/json"))
         self.assertNotIn("X-Request-Id", answered)
@@ -154,12 +160,12 @@
     def test_the_services_own_refusal_is_its_whole_answer(self):
         bench = self.bench()
         bench.engine.plain = (409, {"Content-Type": "text/plain"}, b"taken")
-        self.assertEqual(bench.ask("POST", "/reservas/bookings", BOOKING)[::2], (409, b"taken"))
+        self.assertEqual(bench.send_request("POST", "/reservas/bookings", BOOKING)[::2], (409, b"taken"))
 
     def test_routes_properties_come_from_the_declaration(self):
         bench = self.bench()
-        bench.ask("POST", "/reservas/bookings", BOOKING, headers={"Idempotency-Key": "k1"})
-        bench.ask("POST", "/reservas/bookings", BOOKING + b" ", headers={"Idempotency-Key": "k1"})
+        bench.send_request("POST", "/reservas/bookings", BOOKING, headers={"Idempotency-Key": "k1"})
+        bench.send_request("POST", "/reservas/bookings", BOOKING + b" ", headers={"Idempotency-Key": "k1"})
         first, second = bench.requests
         self.assertEqual((first.tier, first.repeatable, first.at_most_once, first.team), (0, False, True, "members"))
         self.assertEqual(first.idempotency_key, "k1")
@@ -171,22 +177,22 @@
         # an empty one: the ledger is given it whole and decides itself what it keeps.
         bench = self.bench()
         bench.engine.plain = (200, {"Content-Type": "text/plain"}, b"x" * 100_000)
-        bench.ask("POST", "/reservas/bookings", BOOKING, headers={"Idempotency-Key": "k1"})
+        bench.send_request("POST", "/reservas/bookings", BOOKING, headers={"Idempotency-Key": "k1"})
         ended = [event for event in bench.events if isinstance(event, RunEnded)]
         self.assertEqual((len(ended[0].body), ended[0].content_type), (100_000, "text/plain"))
 
 
 class TestRecorded(BenchCase):
     def test_a_recorded_answer_is_given_in_the_form_asked_for(self):
-        recorded = json.loads(self.bench().ask("POST", CHAT, chat_body())[2])
+        recorded = json.loads(self.bench().send_request("POST", CHAT, chat_body())[2])
 
         async def give(request, link, inbox):
             body = json.dumps(recorded).encode()
             link.post(AnswerRecorded(status=200, content_type="application/json", body=body))
 
         bench = self.bench(script=give)
-        self.assertEqual(json.loads(bench.ask("POST", CHAT, chat_body())[2]), recorded)
-        data = stream_data(bench.ask("POST", CHAT, chat_body(stream=True))[2])
+        self.assertEqual(json.loads(bench.send_request("POST", CHAT, chat_body())[2]), recorded)
+        data = stream_data(bench.send_request("POST", CHAT, chat_body(stream=True))[2])
         self.assertEqual(json.loads(data[0])["choices"][0]["delta"]["content"], "It is. ")
         self.assertEqual(data[-1], "[DONE]")
 
@@ -210,7 +216,9 @@
             chat_body(max_completion_tokens=True),
         )
         for body in bodies:
-            self.assertEqual(problem(bench.ask("POST", CHAT, body)), (400, "bad_request", "no"), str(body)[:60])
+            self.assertEqual(
+                problem(bench.send_request("POST", CHAT, body)), (400, "bad_request", "no"), str(body)[:60]
+            )
         for name, value in (
             ("Wagtailtrestle-Deadline-Ms", "soon"),
             ("Wagtailtrestle-Deadline-Ms", "0"),
@@ -219,17 +227,19 @@
             ("Idempotency-Key", big),
             ("Idempotency-Key", ""),
         ):
-            answer = bench.ask("POST", CHAT, chat_body(), headers={name: value})
+            answer = bench.send_request("POST", CHAT, chat_body(), headers={name: value})
             self.assertEqual(problem(answer), (400, "bad_request", "no"), name)
-        self.assertEqual(problem(bench.ask("POST", CHAT, chat_body(), key="other")), (401, "unauthenticated", "no"))
-        self.assertEqual(problem(bench.ask("GET", CHAT)), (405, "no_route", "no"))
-        self.assertEqual(problem(bench.ask("GET", "/nothing")), (404, "no_route", "no"))
+        self.assertEqual(
+            problem(bench.send_request("POST", CHAT, chat_body(), key="other")), (401, "unauthenticated", "no")
+        )
+        self.assertEqual(problem(bench.send_request("GET", CHAT)), (405, "no_route", "no"))
+        self.assertEqual(problem(bench.send_request("GET", "/nothing")), (404, "no_route", "no"))
         self.assertEqual(bench.requests, [])
 
     def test_deadlines_are_the_callers_or_the_routes_and_never_endless(self):
         bench = self.bench(max_deadline_s=60.0)
         for header in ({}, {"Wagtailtrestle-Deadline-Ms": "700"}, {"Wagtailtrestle-Deadline-Ms": "999999999"}):
-            bench.ask("POST", CHAT, chat_body(), headers=header)
+            bench.send_request("POST", CHAT, chat_body(), headers=header)
         left = [request.deadline - bench.loop.time() for request in bench.requests]
         for seconds, expected in zip(left, (5.0, 0.7, 60.0), strict=True):
             self.assertAlmostEqual(seconds, expected, delta=0.5)
@@ -240,8 +250,8 @@
         # A caller that still sends when it is refused must read the refusal, not a reset
         # connection: the answer is written, then the rest is thrown away for a moment.
         bench = self.bench(max_body_bytes=100_000, max_header_bytes=4000)
-        self.assertEqual(problem(bench.ask("POST", CHAT, b"x" * 1_000_000)), (413, "too_large", "no"))
-        self.assertEqual(problem(bench.ask("GET", CHAT, headers={"X": "x" * 5000})), (431, "too_large", "no"))
+        self.assertEqual(problem(bench.send_request("POST", CHAT, b"x" * 1_000_000)), (413, "too_large", "no"))
+        self.assertEqual(problem(bench.send_request("GET", CHAT, headers={"X": "x" * 5000})), (431, "too_large", "no"))
         head = f"POST {CHAT} HTTP/1.1\r\nAuthorization: Bearer {HIGH_KEY}\r\nTransfer-Encoding: chunked\r\n\r\n"
         chunked = head.encode() + b"20000\r\n" + b"x" * 0x20000 + b"\r\n0\r\n\r\n"
         self.assertIn("413 ", self.raw(bench, chunked).split("\r\n")[0])
@@ -303,7 +313,7 @@
         # eight of them would leave none for the request that comes on a ninth.
         bench = self.bench(threads=8, held=4)
         idle = [socket.create_connection(("127.0.0.1", bench.server.port)) for _ in range(20)]
-        self.assertEqual(bench.ask("POST", CHAT, chat_body())[0], 200)
+        self.assertEqual(bench.send_request("POST", CHAT, chat_body())[0], 200)
         for sock in idle:
             sock.close()
 
@@ -317,7 +327,7 @@
         for sock in idle:
             sock.close()
         bench.until(lambda: bench.server.dump()["connections"] == 0)
-        self.assertEqual(bench.ask("POST", CHAT, chat_body())[0], 200)
+        self.assertEqual(bench.send_request("POST", CHAT, chat_body())[0], 200)
 
 
 class TestTiers(BenchCase):
@@ -330,8 +340,10 @@
         bench = self.bench(script=by_tier, held=3)
         tagging = [bench.ask_later("POST", CHAT, chat_body(), key=LOW_KEY) for _ in range(3)]
         bench.until(lambda: len(bench.requests) == 3)
-        self.assertEqual(problem(bench.ask("POST", CHAT, chat_body(), key=LOW_KEY)), (503, "router_full", "no"))
-        self.assertEqual(bench.ask("POST", "/reservas/bookings", BOOKING)[0], 200)
+        self.assertEqual(
+            problem(bench.send_request("POST", CHAT, chat_body(), key=LOW_KEY)), (503, "router_full", "no")
+        )
+        self.assertEqual(bench.send_request("POST", "/reservas/bookings", BOOKING)[0], 200)
         bench.until(lambda: any(later.answers for later in tagging))
         (given_up,) = [later for later in tagging if later.answers]
         self.assertEqual(problem(given_up.result()), (503, "router_full", "no"))
@@ -344,7 +356,7 @@
         bench = self.bench(engine=engine, held=2)
         tagging = [bench.ask_later("POST", CHAT, chat_body(), key=LOW_KEY) for _ in range(2)]
         bench.until(lambda: len(engine.calls) == 2)
-        self.assertEqual(bench.ask("POST", "/reservas/bookings", BOOKING)[0], 200)
+        self.assertEqual(bench.send_request("POST", "/reservas/bookings", BOOKING)[0], 200)
         bench.until(lambda: engine.cancelled)
         bench.until(lambda: any(later.answers for later in tagging))
         engine.gate.set()
@@ -397,10 +409,10 @@
         reasons.append(Reason.DRAINING)
         drain = asyncio.run_coroutine_threadsafe(bench.server.drain(grace_s=0.5), bench.loop)
         bench.until(lambda: bench.server.draining)
-        late = bench.ask("POST", "/reservas/bookings", BOOKING)
+        late = bench.send_request("POST", "/reservas/bookings", BOOKING)
         self.assertEqual((late[0], late[1]["Connection"]), (200, "close"))
-        bench.until(lambda: problem_reason(bench.ask("GET", "/v1/models")) == "draining")
-        refused = bench.ask("POST", "/reservas/bookings", BOOKING)
+        bench.until(lambda: problem_reason(bench.send_request("GET", "/v1/models")) == "draining")
+        refused = bench.send_request("POST", "/reservas/bookings", BOOKING)
         self.assertEqual(problem(refused), (503, "draining", "no"))
         self.assertEqual(refused[1]["Connection"], "close")
         self.assertFalse(drain.done())
@@ -410,10 +422,10 @@
 
     def test_nothing_is_served_before_a_configuration_is_in_force(self):
         bench = self.bench(ready=lambda: Reason.NOT_READY)
-        self.assertEqual(problem(bench.ask("POST", CHAT, chat_body())), (503, "not_ready", "no"))
+        self.assertEqual(problem(bench.send_request("POST", CHAT, chat_body())), (503, "not_ready", "no"))
         other = self.bench()
         other.in_force = None
-        self.assertEqual(problem(other.ask("POST", CHAT, chat_body())), (503, "not_ready", "no"))
+        self.assertEqual(problem(other.send_request("POST", CHAT, chat_body())), (503, "not_ready", "no"))
 
     def test_a_forced_stop_ends_what_waits_as_not_run(self):
         bench = Bench(script=keep_waiting)
@@ -450,9 +462,9 @@
         sink = logger.add(lines.append, format="{message} {extra}")
         self.addCleanup(logger.remove, sink)
         bench = self.bench()
-        bench.ask("POST", CHAT, chat_body(), headers={"Idempotency-Key": "key-of-ours"})
-        bench.ask("POST", CHAT, b'{"model": "Is it windy?"}')
-        bench.ask("POST", CHAT, chat_body(), key="wrong-key")
+        bench.send_request("POST", CHAT, chat_body(), headers={"Idempotency-Key": "key-of-ours"})
+        bench.send_request("POST", CHAT, b'{"model": "Is it windy?"}')
+        bench.send_request("POST", CHAT, chat_body(), key="wrong-key")
         bench.until(lambda: "members" in str(lines))
         written = str(lines) + json.dumps(bench.server.dump()) + bench.metrics.exposition()
         for secret in (HIGH_KEY, "windy", "key-of-ours", "wrong-key"):
@@ -470,5 +482,5 @@
             link.post(AnswerWhole())
 
         bench = self.bench(script=twice)
-        self.assertEqual(problem(bench.ask("POST", CHAT, chat_body())), (503, "no_engine", "no"))
+        self.assertEqual(problem(bench.send_request("POST", CHAT, chat_body())), (503, "no_engine", "no"))
         bench.until(lambda: bench.limits.usage()["held"] == 0)
--- a/tests/test_start_hold.py
+++ b/tests/test_start_hold.py
@@ -42,7 +42,7 @@
         self.hold = StartHold(reason=lambda: self.not_ready, watch=self.watch, max_hold_s=max_hold_s, max_held=max_held)
         self.told_by_fd = {}
 
-    def ask(self, *, fd=FD, caller_timeout_s=30.0):
+    def send_request(self, *, fd=FD, caller_timeout_s=30.0):
         def run():
             self.told_by_fd[fd] = self.hold.reason(fd=fd, caller_timeout_s=caller_timeout_s)
 
@@ -64,7 +64,7 @@
         # Every router was killed; this one is up but knows no engines yet. Refused, the caller
         # would spend its one return on another router that starts too.
         router = StartingRouter()
-        thread = router.ask()
+        thread = router.send_request()
         self.assertTrue(router.is_held())
         router.not_ready = None
         router.hold.open()
@@ -74,7 +74,7 @@
     def test_a_caller_that_leaves_is_let_go_at_once(self):
         # Its thread would wait for nobody, and its request reach an engine after it left.
         router = StartingRouter()
-        thread = router.ask()
+        thread = router.send_request()
         self.assertTrue(router.is_held())
         router.watch.on_disconnect_by_fd[FD]()
         thread.join(SOON_S)
@@ -83,16 +83,16 @@
     def test_a_short_caller_is_refused_while_it_can_still_be_served_elsewhere(self):
         router = StartingRouter()
         began_at = time.monotonic()
-        router.ask(caller_timeout_s=0.3).join(SOON_S)
+        router.send_request(caller_timeout_s=0.3).join(SOON_S)
         self.assertEqual(router.told_by_fd, {FD: Reason.NOT_READY})
         self.assertGreaterEqual(time.monotonic() - began_at, CALLER_SHARE * 0.3)
 
     def test_more_than_may_be_held_are_refused_at_once(self):
         # A flood on a router that never gets its configuration must not take every thread.
         router = StartingRouter(max_held=1)
-        first = router.ask()
+        first = router.send_request()
         self.assertTrue(router.is_held())
-        router.ask(fd=FD + 1).join(SOON_S)
+        router.send_request(fd=FD + 1).join(SOON_S)
         self.assertEqual(router.told_by_fd, {FD + 1: Reason.NOT_READY})
         router.not_ready = Reason.DRAINING
         router.hold.open()
@@ -102,12 +102,12 @@
     def test_other_reasons_are_told_at_once(self):
         router = StartingRouter()
         router.not_ready = Reason.DRAINING
-        router.ask().join(SOON_S)
+        router.send_request().join(SOON_S)
         self.assertEqual(router.told_by_fd, {FD: Reason.DRAINING})
 
     def test_no_hold_where_the_settings_say_so(self):
         router = StartingRouter(max_hold_s=0.0)
-        router.ask().join(SOON_S)
+        router.send_request().join(SOON_S)
         self.assertEqual(router.told_by_fd, {FD: Reason.NOT_READY})
 
 
--- a/tests/utils/callers.py
+++ b/tests/utils/callers.py
@@ -180,7 +180,7 @@
     def connect(self):
         return http.client.HTTPConnection("127.0.0.1", self.server.port, timeout=WAIT_S)
 
-    def ask(self, method, path, body=None, *, key=HIGH_KEY, headers=None):
+    def send_request(self, method, path, body=None, *, key=HIGH_KEY, headers=None):
         """One request on its own connection; returns status, headers and the body's bytes."""
         connection = self.connect()
         data = json.dumps(body) if isinstance(body, dict) else body
@@ -193,7 +193,7 @@
     def ask_later(self, *args, **kwargs):
         """``ask`` in a thread; ``result()`` waits for its answer."""
         answers = []
-        thread = threading.Thread(target=lambda: answers.append(self.ask(*args, **kwargs)), daemon=True)
+        thread = threading.Thread(target=lambda: answers.append(self.send_request(*args, **kwargs)), daemon=True)
         thread.start()
 
         def result():
