--- a/tests/test_callers_http.py
+++ b/tests/test_callers_http.py
@@ -338,7 +338,7 @@
             await (serve if request.tier == 0 else keep_waiting)(request, link, inbox)
 
         bench = self.bench(script=by_tier, held=3)
-        tagging = [bench.ask_later("POST", CHAT, chat_body(), key=LOW_KEY) for _ in range(3)]
+        tagging = [bench.send_request_async("POST", CHAT, chat_body(), key=LOW_KEY) for _ in range(3)]
         bench.until(lambda: len(bench.requests) == 3)
         self.assertEqual(
             problem(bench.send_request("POST", CHAT, chat_body(), key=LOW_KEY)), (503, "router_full", "no")
@@ -354,7 +354,7 @@
         engine = FakeEngine()
         engine.gate.clear()
         bench = self.bench(engine=engine, held=2)
-        tagging = [bench.ask_later("POST", CHAT, chat_body(), key=LOW_KEY) for _ in range(2)]
+        tagging = [bench.send_request_async("POST", CHAT, chat_body(), key=LOW_KEY) for _ in range(2)]
         bench.until(lambda: len(engine.calls) == 2)
         self.assertEqual(bench.send_request("POST", "/reservas/bookings", BOOKING)[0], 200)
         bench.until(lambda: engine.cancelled)
@@ -404,7 +404,7 @@
         engine.gate.clear()
         reasons = []
         bench = self.bench(engine=engine, ready=lambda: reasons[0] if reasons else None)
-        first = bench.ask_later("POST", CHAT, chat_body())
+        first = bench.send_request_async("POST", CHAT, chat_body())
         bench.until(lambda: engine.calls)
         reasons.append(Reason.DRAINING)
         drain = asyncio.run_coroutine_threadsafe(bench.server.drain(grace_s=0.5), bench.loop)
@@ -429,7 +429,7 @@
 
     def test_a_forced_stop_ends_what_waits_as_not_run(self):
         bench = Bench(script=keep_waiting)
-        later = bench.ask_later("POST", CHAT, chat_body())
+        later = bench.send_request_async("POST", CHAT, chat_body())
         bench.until(lambda: bench.requests)
         bench.close()
         self.assertEqual(problem(later.result()), (503, "draining", "no"))
--- a/tests/utils/callers.py
+++ b/tests/utils/callers.py
@@ -190,7 +190,7 @@
         connection.close()
         return response.status, response.headers, answer
 
-    def ask_later(self, *args, **kwargs):
+    def send_request_async(self, *args, **kwargs):
         """``ask`` in a thread; ``result()`` waits for its answer."""
         answers = []
         thread = threading.Thread(target=lambda: answers.append(self.send_request(*args, **kwargs)), daemon=True)
