--- a/tests/test_caller_gone.py
+++ b/tests/test_caller_gone.py
@@ -34,7 +34,7 @@
     def held_by_callers(self):
         return sum(self.running.state(name)["callers"]["limits"]["held"] for name in self.running.routers)
 
-    def ask_and_leave(self, *, stream):
+    def send_and_disconnect(self, *, stream):
         """Open a call for a very long answer and return the connection once a run has begun."""
         url = self.running.deployment.callers_urls()[0]
         connection = http.client.HTTPConnection(url.removeprefix("http://"), timeout=ANSWER_S)
@@ -56,12 +56,12 @@
     def test_caller_of_a_stream_goes_away(self):
         # The caller closes its connection in the middle of a long stream. Its run is cancelled on the
         # engine and its place is free long before the answer would have been complete.
-        self.check_freed(self.ask_and_leave(stream=True))
+        self.check_freed(self.send_and_disconnect(stream=True))
 
     def test_caller_of_a_whole_answer_goes_away(self):
         # As above, but nothing is written to the caller before the end, so that only a look at the
         # connection tells that it was closed.
-        self.check_freed(self.ask_and_leave(stream=False))
+        self.check_freed(self.send_and_disconnect(stream=False))
 
 
 if __name__ == "__main__":
