--- a/tests/test_start_hold.py
+++ b/tests/test_start_hold.py
@@ -40,11 +40,11 @@
         self.not_ready = Reason.NOT_READY
         self.watch = Watch()
         self.hold = StartHold(reason=lambda: self.not_ready, watch=self.watch, max_hold_s=max_hold_s, max_held=max_held)
-        self.told_by_fd = {}
+        self.reason_by_fd = {}
 
     def send_request(self, *, fd=FD, caller_timeout_s=30.0):
         def run():
-            self.told_by_fd[fd] = self.hold.reason(fd=fd, caller_timeout_s=caller_timeout_s)
+            self.reason_by_fd[fd] = self.hold.reason(fd=fd, caller_timeout_s=caller_timeout_s)
 
         thread = threading.Thread(target=run)
         thread.start()
@@ -69,7 +69,7 @@
         router.not_ready = None
         router.hold.open()
         thread.join(SOON_S)
-        self.assertEqual(router.told_by_fd, {FD: None})
+        self.assertEqual(router.reason_by_fd, {FD: None})
 
     def test_a_caller_that_leaves_is_let_go_at_once(self):
         # Its thread would wait for nobody, and its request reach an engine after it left.
@@ -78,13 +78,13 @@
         self.assertTrue(router.is_held())
         router.watch.on_disconnect_by_fd[FD]()
         thread.join(SOON_S)
-        self.assertEqual(router.told_by_fd, {FD: Reason.CALLER_GONE})
+        self.assertEqual(router.reason_by_fd, {FD: Reason.CALLER_GONE})
 
     def test_a_short_caller_is_refused_while_it_can_still_be_served_elsewhere(self):
         router = StartingRouter()
         began_at = time.monotonic()
         router.send_request(caller_timeout_s=0.3).join(SOON_S)
-        self.assertEqual(router.told_by_fd, {FD: Reason.NOT_READY})
+        self.assertEqual(router.reason_by_fd, {FD: Reason.NOT_READY})
         self.assertGreaterEqual(time.monotonic() - began_at, CALLER_SHARE * 0.3)
 
     def test_more_than_may_be_held_are_refused_at_once(self):
@@ -93,22 +93,22 @@
         first = router.send_request()
         self.assertTrue(router.is_held())
         router.send_request(fd=FD + 1).join(SOON_S)
-        self.assertEqual(router.told_by_fd, {FD + 1: Reason.NOT_READY})
+        self.assertEqual(router.reason_by_fd, {FD + 1: Reason.NOT_READY})
         router.not_ready = Reason.DRAINING
         router.hold.open()
         first.join(SOON_S)
-        self.assertEqual(router.told_by_fd[FD], Reason.DRAINING)
+        self.assertEqual(router.reason_by_fd[FD], Reason.DRAINING)
 
     def test_other_reasons_are_told_at_once(self):
         router = StartingRouter()
         router.not_ready = Reason.DRAINING
         router.send_request().join(SOON_S)
-        self.assertEqual(router.told_by_fd, {FD: Reason.DRAINING})
+        self.assertEqual(router.reason_by_fd, {FD: Reason.DRAINING})
 
     def test_no_hold_where_the_settings_say_so(self):
         router = StartingRouter(max_hold_s=0.0)
         router.send_request().join(SOON_S)
-        self.assertEqual(router.told_by_fd, {FD: Reason.NOT_READY})
+        self.assertEqual(router.reason_by_fd, {FD: Reason.NOT_READY})
 
 
 class ListenerTest(unittest.TestCase):
