--- a/tests/test_callers_http.py
+++ b/tests/test_callers_http.py
@@ -320,13 +320,13 @@
     def test_connections_beyond_the_limit_are_told(self):
         bench = self.bench(max_connections=2)
         idle = [socket.create_connection(("127.0.0.1", bench.server.port)) for _ in range(2)]
-        bench.until(lambda: bench.server.dump()["connections"] == 2)
+        bench.wait_until(lambda: bench.server.dump()["connections"] == 2)
         answer = self.raw(bench, b"")
         self.assertIn("503 Service Unavailable", answer)
         self.assertIn("router_full", answer)
         for sock in idle:
             sock.close()
-        bench.until(lambda: bench.server.dump()["connections"] == 0)
+        bench.wait_until(lambda: bench.server.dump()["connections"] == 0)
         self.assertEqual(bench.send_request("POST", CHAT, chat_body())[0], 200)
 
 
@@ -339,12 +339,12 @@
 
         bench = self.bench(script=by_tier, held=3)
         tagging = [bench.send_request_async("POST", CHAT, chat_body(), key=LOW_KEY) for _ in range(3)]
-        bench.until(lambda: len(bench.requests) == 3)
+        bench.wait_until(lambda: len(bench.requests) == 3)
         self.assertEqual(
             problem(bench.send_request("POST", CHAT, chat_body(), key=LOW_KEY)), (503, "router_full", "no")
         )
         self.assertEqual(bench.send_request("POST", "/reservas/bookings", BOOKING)[0], 200)
-        bench.until(lambda: any(later.answers for later in tagging))
+        bench.wait_until(lambda: any(later.answers for later in tagging))
         (given_up,) = [later for later in tagging if later.answers]
         self.assertEqual(problem(given_up.result()), (503, "router_full", "no"))
 
@@ -355,10 +355,10 @@
         engine.gate.clear()
         bench = self.bench(engine=engine, held=2)
         tagging = [bench.send_request_async("POST", CHAT, chat_body(), key=LOW_KEY) for _ in range(2)]
-        bench.until(lambda: len(engine.calls) == 2)
+        bench.wait_until(lambda: len(engine.calls) == 2)
         self.assertEqual(bench.send_request("POST", "/reservas/bookings", BOOKING)[0], 200)
-        bench.until(lambda: engine.cancelled)
-        bench.until(lambda: any(later.answers for later in tagging))
+        bench.wait_until(lambda: engine.cancelled)
+        bench.wait_until(lambda: any(later.answers for later in tagging))
         engine.gate.set()
         given_up = [later.result() for later in tagging if later.result()[0] != 200]
         self.assertEqual([problem(answer) for answer in given_up], [(503, "router_full", "yes")])
@@ -369,13 +369,13 @@
     def leave(self, bench, *, body=None, read=0):
         connection = bench.connect()
         connection.request("POST", CHAT, json.dumps(body or chat_body()), {"Authorization": f"Bearer {HIGH_KEY}"})
-        bench.until(lambda: bench.requests)
+        bench.wait_until(lambda: bench.requests)
         if read:
             connection.getresponse().read(read)
         connection.close()
 
     def freed(self, bench):
-        bench.until(lambda: bench.limits.usage()["held"] == 0)
+        bench.wait_until(lambda: bench.limits.usage()["held"] == 0)
         self.assertEqual(sum(isinstance(event, CallerGone) for event in bench.events), 1)
 
     def test_a_caller_who_leaves_while_waiting_gives_its_place_back(self):
@@ -391,7 +391,7 @@
             engine.gate.clear()
             bench = self.bench(engine=engine)
             self.leave(bench, body=body, read=20 if "stream" in body else 0)
-            bench.until(lambda: engine.cancelled)  # noqa: B023
+            bench.wait_until(lambda: engine.cancelled)  # noqa: B023
             self.freed(bench)
 
 
@@ -405,13 +405,13 @@
         reasons = []
         bench = self.bench(engine=engine, ready=lambda: reasons[0] if reasons else None)
         first = bench.send_request_async("POST", CHAT, chat_body())
-        bench.until(lambda: engine.calls)
+        bench.wait_until(lambda: engine.calls)
         reasons.append(Reason.DRAINING)
         drain = asyncio.run_coroutine_threadsafe(bench.server.drain(grace_s=0.5), bench.loop)
-        bench.until(lambda: bench.server.draining)
+        bench.wait_until(lambda: bench.server.draining)
         late = bench.send_request("POST", "/reservas/bookings", BOOKING)
         self.assertEqual((late[0], late[1]["Connection"]), (200, "close"))
-        bench.until(lambda: problem_reason(bench.send_request("GET", "/v1/models")) == "draining")
+        bench.wait_until(lambda: problem_reason(bench.send_request("GET", "/v1/models")) == "draining")
         refused = bench.send_request("POST", "/reservas/bookings", BOOKING)
         self.assertEqual(problem(refused), (503, "draining", "no"))
         self.assertEqual(refused[1]["Connection"], "close")
@@ -430,7 +430,7 @@
     def test_a_forced_stop_ends_what_waits_as_not_run(self):
         bench = Bench(script=keep_waiting)
         later = bench.send_request_async("POST", CHAT, chat_body())
-        bench.until(lambda: bench.requests)
+        bench.wait_until(lambda: bench.requests)
         bench.close()
         self.assertEqual(problem(later.result()), (503, "draining", "no"))
 
@@ -465,7 +465,7 @@
         bench.send_request("POST", CHAT, chat_body(), headers={"Idempotency-Key": "key-of-ours"})
         bench.send_request("POST", CHAT, b'{"model": "Is it windy?"}')
         bench.send_request("POST", CHAT, chat_body(), key="wrong-key")
-        bench.until(lambda: "members" in str(lines))
+        bench.wait_until(lambda: "members" in str(lines))
         written = str(lines) + json.dumps(bench.server.dump()) + bench.metrics.exposition()
         for secret in (HIGH_KEY, "windy", "key-of-ours", "wrong-key"):
             self.assertNotIn(secret, written)
@@ -483,4 +483,4 @@
 
         bench = self.bench(script=twice)
         self.assertEqual(problem(bench.send_request("POST", CHAT, chat_body())), (503, "no_engine", "no"))
-        bench.until(lambda: bench.limits.usage()["held"] == 0)
+        bench.wait_until(lambda: bench.limits.usage()["held"] == 0)
--- a/tests/utils/callers.py
+++ b/tests/utils/callers.py
@@ -202,7 +202,7 @@
 
         return SimpleNamespace(result=result, answers=answers)
 
-    def until(self, condition):
+    def wait_until(self, condition):
         """Wait for a condition of the server's other threads."""
         deadline = threading.Event()
         for _ in range(int(WAIT_S / 0.01)):
