--- a/tests/test_caller_threads.py
+++ b/tests/test_caller_threads.py
@@ -7,7 +7,7 @@
 
 from wagtailtrestle.callers.wsgi import INITIAL_THREADS, CallerThreads
 
-MOST = 40
+MAX_THREADS = 40
 TIMEOUT_S = 10.0
 
 
@@ -31,7 +31,7 @@
 class CallerThreadsTest(unittest.TestCase):
     def setUp(self):
         server = HTTPServer(("127.0.0.1", 0), gateway=None)
-        self.threads = server.requests = CallerThreads(server, min=INITIAL_THREADS, max=MOST)
+        self.threads = server.requests = CallerThreads(server, min=INITIAL_THREADS, max=MAX_THREADS)
         self.threads.start()
         self.begun = threading.Semaphore(0)
         self.release = threading.Event()
@@ -51,14 +51,14 @@
     def test_every_request_up_to_the_limit_is_in_work_at_once(self):
         # Callers send more requests than the server has threads, all at one moment, and each is long.
         # A request left in the queue would wait for another's whole answer.
-        self.put(MOST)
-        self.assertEqual(self.count_begun(MOST, TIMEOUT_S), MOST)
+        self.put(MAX_THREADS)
+        self.assertEqual(self.count_begun(MAX_THREADS, TIMEOUT_S), MAX_THREADS)
 
     def test_there_are_never_more_than_the_limit(self):
-        self.put(MOST + 10)
-        self.assertEqual(self.count_begun(MOST, TIMEOUT_S), MOST)
+        self.put(MAX_THREADS + 10)
+        self.assertEqual(self.count_begun(MAX_THREADS, TIMEOUT_S), MAX_THREADS)
         self.assertEqual(self.count_begun(1, 0.2), 0)
-        self.assertEqual(len(self.threads._threads), MOST)
+        self.assertEqual(len(self.threads._threads), MAX_THREADS)
         self.release.set()
         self.assertEqual(self.count_begun(10, TIMEOUT_S), 10)
 
