--- a/tests/test_caller_limits.py
+++ b/tests/test_caller_limits.py
@@ -117,7 +117,7 @@
         self.assertEqual(taken, [True, True, True, False])
         self.assertTrue(limit.try_reserve(size=100_000, highest=True))
         self.assertFalse(limit.try_reserve(size=100_000, highest=True))
-        limit.give_back(size=100_000)
+        limit.release(size=100_000)
         self.assertTrue(limit.try_reserve(size=100_000, highest=True))
 
     def test_small_bodies_are_always_read(self):
--- a/wagtailtrestle/callers/body_reader.py
+++ b/wagtailtrestle/callers/body_reader.py
@@ -35,7 +35,7 @@
         try:
             return self._read_within(environ, length)
         finally:
-            self._limit.give_back(size=size)
+            self._limit.release(size=size)
 
     def _read_within(self, environ, length: BodyLength):
         connection = environ[CONNECTION_ENVIRON]
--- a/wagtailtrestle/callers/limits.py
+++ b/wagtailtrestle/callers/limits.py
@@ -243,7 +243,7 @@
             self._used += size
             return True
 
-    def give_back(self, *, size):
+    def release(self, *, size):
         """Give back what ``take`` took."""
         if size <= SMALL_BODY_BYTES:
             return
