--- a/tests/test_start_hold.py
+++ b/tests/test_start_hold.py
@@ -12,7 +12,7 @@
 import unittest
 
 from wagtailtrestle.callers.listening import listen
-from wagtailtrestle.callers.start_hold import CALLER_SHARE, StartHold
+from wagtailtrestle.callers.start_hold import MAX_CALLER_TIMEOUT_SHARE, StartHold
 from wagtailtrestle.contracts.outcomes import Reason
 
 HOLD_S = 5.0
@@ -85,7 +85,7 @@
         began_at = time.monotonic()
         router.send_request(caller_timeout_s=0.3).join(SOON_S)
         self.assertEqual(router.reason_by_fd, {FD: Reason.NOT_READY})
-        self.assertGreaterEqual(time.monotonic() - began_at, CALLER_SHARE * 0.3)
+        self.assertGreaterEqual(time.monotonic() - began_at, MAX_CALLER_TIMEOUT_SHARE * 0.3)
 
     def test_more_than_may_be_held_are_refused_at_once(self):
         # A flood on a router that never gets its configuration must not take every thread.
--- a/wagtailtrestle/callers/start_hold.py
+++ b/wagtailtrestle/callers/start_hold.py
@@ -4,7 +4,7 @@
 
 from wagtailtrestle.contracts.outcomes import Reason
 
-CALLER_SHARE = 1.0 / 3.0
+MAX_CALLER_TIMEOUT_SHARE = 1.0 / 3.0
 """Largest part of the caller's own time: what is left lets it come back elsewhere and be served."""
 DEFAULT_CALLER_TIMEOUT_S = 3.0
 """Time a caller is taken to have that tells none."""
@@ -57,7 +57,7 @@
         if reason is not Reason.NOT_READY or not self._max_hold_s:
             return reason
         timeout_s = DEFAULT_CALLER_TIMEOUT_S if caller_timeout_s is None else caller_timeout_s
-        return self._hold(fd, min(self._max_hold_s, CALLER_SHARE * timeout_s))
+        return self._hold(fd, min(self._max_hold_s, MAX_CALLER_TIMEOUT_SHARE * timeout_s))
 
     def _hold(self, fd, max_hold_s):
         gone = threading.Event()
