--- a/tests/test_start_hold.py
+++ b/tests/test_start_hold.py
@@ -16,7 +16,7 @@
 from wagtailtrestle.contracts.outcomes import Reason
 
 HOLD_S = 5.0
-SOON_S = 1.0
+WAIT_S = 1.0
 FD = 7
 
 
@@ -51,7 +51,7 @@
         return thread
 
     def is_held(self, fd=FD):
-        until = time.monotonic() + SOON_S
+        until = time.monotonic() + WAIT_S
         while time.monotonic() < until:
             if fd in self.watch.on_disconnect_by_fd:
                 return True
@@ -68,7 +68,7 @@
         self.assertTrue(router.is_held())
         router.not_ready = None
         router.hold.open()
-        thread.join(SOON_S)
+        thread.join(WAIT_S)
         self.assertEqual(router.reason_by_fd, {FD: None})
 
     def test_a_caller_that_leaves_is_let_go_at_once(self):
@@ -77,13 +77,13 @@
         thread = router.send_request()
         self.assertTrue(router.is_held())
         router.watch.on_disconnect_by_fd[FD]()
-        thread.join(SOON_S)
+        thread.join(WAIT_S)
         self.assertEqual(router.reason_by_fd, {FD: Reason.CALLER_GONE})
 
     def test_a_short_caller_is_refused_while_it_can_still_be_served_elsewhere(self):
         router = StartingRouter()
         began_at = time.monotonic()
-        router.send_request(caller_timeout_s=0.3).join(SOON_S)
+        router.send_request(caller_timeout_s=0.3).join(WAIT_S)
         self.assertEqual(router.reason_by_fd, {FD: Reason.NOT_READY})
         self.assertGreaterEqual(time.monotonic() - began_at, MAX_CALLER_TIMEOUT_SHARE * 0.3)
 
@@ -92,22 +92,22 @@
         router = StartingRouter(max_held=1)
         first = router.send_request()
         self.assertTrue(router.is_held())
-        router.send_request(fd=FD + 1).join(SOON_S)
+        router.send_request(fd=FD + 1).join(WAIT_S)
         self.assertEqual(router.reason_by_fd, {FD + 1: Reason.NOT_READY})
         router.not_ready = Reason.DRAINING
         router.hold.open()
-        first.join(SOON_S)
+        first.join(WAIT_S)
         self.assertEqual(router.reason_by_fd[FD], Reason.DRAINING)
 
     def test_other_reasons_are_told_at_once(self):
         router = StartingRouter()
         router.not_ready = Reason.DRAINING
-        router.send_request().join(SOON_S)
+        router.send_request().join(WAIT_S)
         self.assertEqual(router.reason_by_fd, {FD: Reason.DRAINING})
 
     def test_no_hold_where_the_settings_say_so(self):
         router = StartingRouter(max_hold_s=0.0)
-        router.send_request().join(SOON_S)
+        router.send_request().join(WAIT_S)
         self.assertEqual(router.reason_by_fd, {FD: Reason.NOT_READY})
 
 
@@ -116,7 +116,7 @@
         # The process has begun but reads its modules still. Without a listener the kernel
         # resets the caller's connection; with one, what it sent is there once the server reads.
         with listen(("127.0.0.1", 0)) as listener:
-            with socket.create_connection(listener.getsockname(), timeout=SOON_S) as caller:
+            with socket.create_connection(listener.getsockname(), timeout=WAIT_S) as caller:
                 caller.sendall(b"GET / HTTP/1.1\r\n\r\n")
                 taken, _ = listener.accept()
                 with taken:
