--- a/tests/test_caller_watch.py
+++ b/tests/test_caller_watch.py
@@ -8,7 +8,7 @@
 
 from wagtailtrestle.callers.connection_watcher import POLL_INTERVAL_S, ConnectionWatcher
 
-SEEN_S = 3 * POLL_INTERVAL_S
+DETECTION_S = 3 * POLL_INTERVAL_S
 
 
 class HookedEpoll:
@@ -55,7 +55,7 @@
         self.start()
         self.watch.watch(fd=ours.fileno(), on_disconnect=lambda: self.on_disconnect("former"))
         theirs.close()
-        self.assertTrue(self.events["former"].wait(SEEN_S))
+        self.assertTrue(self.events["former"].wait(DETECTION_S))
 
     def test_caller_whose_connection_has_the_number_of_one_that_ended_is_not_taken_for_gone(self):
         # A living caller's request ends after 3 ms, not run. The caller before it on that number left just as its
@@ -74,10 +74,10 @@
         self.watch._epoll = HookedEpoll(epoll=self.watch._epoll, hook=use_again)
         self.start()
         theirs.close()
-        time.sleep(SEEN_S)
+        time.sleep(DETECTION_S)
         self.assertEqual(self.gone, [])
         next_theirs.close()
-        self.assertTrue(self.events["next"].wait(SEEN_S))
+        self.assertTrue(self.events["next"].wait(DETECTION_S))
         self.watch.unwatch(fd=fd)
         ours.close()
         next_ours.close()
