--- a/tests/test_callers_http.py
+++ b/tests/test_callers_http.py
@@ -345,8 +345,8 @@
         )
         self.assertEqual(bench.send_request("POST", "/reservas/bookings", BOOKING)[0], 200)
         bench.wait_until(lambda: any(later.answers for later in tagging))
-        (given_up,) = [later for later in tagging if later.answers]
-        self.assertEqual(problem(given_up.result()), (503, "router_full", "no"))
+        (displaced,) = [later for later in tagging if later.answers]
+        self.assertEqual(problem(displaced.result()), (503, "router_full", "no"))
 
     def test_a_flood_that_runs_makes_room_for_a_higher_tier(self):
         # The same, but tagging already runs on engines. One run is cancelled, its caller is
@@ -360,8 +360,8 @@
         bench.wait_until(lambda: engine.cancelled)
         bench.wait_until(lambda: any(later.answers for later in tagging))
         engine.gate.set()
-        given_up = [later.result() for later in tagging if later.result()[0] != 200]
-        self.assertEqual([problem(answer) for answer in given_up], [(503, "router_full", "yes")])
+        displaced = [later.result() for later in tagging if later.result()[0] != 200]
+        self.assertEqual([problem(answer) for answer in displaced], [(503, "router_full", "yes")])
         self.assertEqual(len(engine.cancelled), 1)
 
 
