--- a/tests/test_caller_watch.py
+++ b/tests/test_caller_watch.py
@@ -17,15 +17,15 @@
     def __init__(self, *, epoll, hook):
         self._epoll = epoll
         self._hook = hook
-        self._is_used = False
+        self._has_run = False
 
     def __getattr__(self, name):
         return getattr(self._epoll, name)
 
     def poll(self, *arguments):
         events = self._epoll.poll(*arguments)
-        if events and not self._is_used:
-            self._is_used = True
+        if events and not self._has_run:
+            self._has_run = True
             self._hook()
         return events
 
