--- a/tests/test_caller_watch.py
+++ b/tests/test_caller_watch.py
@@ -65,13 +65,13 @@
         fd = ours.fileno()
         next_ours, next_theirs = self.pair()
 
-        def use_again():
+        def reuse_fd():
             self.watch.unwatch(fd=fd)
             os.dup2(next_ours.fileno(), fd)
             self.watch.watch(fd=fd, on_disconnect=lambda: self.on_disconnect("next"))
 
         self.watch.watch(fd=fd, on_disconnect=lambda: self.on_disconnect("former"))
-        self.watch._epoll = HookedEpoll(epoll=self.watch._epoll, hook=use_again)
+        self.watch._epoll = HookedEpoll(epoll=self.watch._epoll, hook=reuse_fd)
         self.start()
         theirs.close()
         time.sleep(DETECTION_S)
