--- a/wagtailtrestle/callers/server.py
+++ b/wagtailtrestle/callers/server.py
@@ -273,9 +273,9 @@
         ).info("refused on arrival")
         request = incoming.environ[REQUEST_ENVIRON]
         unread = getattr(request.rfile, "remaining", SMALL_UNREAD_BYTES + 1)
-        if has_unread_input > SMALL_UNREAD_BYTES or request.chunked_read or self._refuse_all:
+        if unread > SMALL_UNREAD_BYTES or request.chunked_read or self._refuse_all:
             request.close_connection = True
-            incoming.environ[CONNECTION_ENVIRON].unread = True
+            incoming.environ[CONNECTION_ENVIRON].has_unread_input = True
         incoming.response.send_refusal(refusal)
 
     # Carrying.
