--- a/wagtailtrestle/callers/caller_exchange.py
+++ b/wagtailtrestle/callers/caller_exchange.py
@@ -1,4 +1,4 @@
-"""One caller's request between its thread, which carries bytes, and its task, which decides."""
+"""Connects the worker thread of a request, which does the I/O, with its task, which makes the decisions."""
 
 import queue
 import threading
@@ -18,20 +18,20 @@
 )
 from wagtailtrestle.contracts.outcomes import Executed, Reason, Refusal, RunCut
 
-# The task answers by the deadline, and a moment later if a run must first be cancelled.
-# A task that failed answers never: past this the thread ends the request by itself.
+# The task posts its final answer by the deadline, or shortly after it if a run must first be cancelled.
+# A task that has failed never posts one: after this time the thread ends the request itself.
 ANSWER_GRACE_S = 30.0
 
 
 class CallerExchange:
-    """The caller's side of one request; implements ``CallerLink``.
+    """The worker thread's side of one request; implements ``CallerLink``.
 
     Parameters
     ----------
     request_id : str
-        Ours.
+        The router's own id of the request.
     post_event : callable
-        ``post_event(event)`` gives a ``CallerEvent`` to the request's task.
+        ``post_event(event)`` sends a ``CallerEvent`` to the request's task.
     cancel : callable
         ``cancel(run_id=…, address=…)``, which must not block.
     """
@@ -51,17 +51,17 @@
     # CallerLink, called by the task.
 
     def post(self, command: CallerCommand):
-        """Queue a command for the thread that carries this request."""
+        """Queue a command for the thread that handles this request."""
         self._commands.put(command)
 
     def cancel_run(self, *, run_id: str, engine: str, address: str):
-        """Ask the engine to cancel; the thread still posts the run's end."""
+        """Request the engine to cancel the run; the thread still posts the run's end."""
         self._cancel(run_id=run_id, address=address)
 
-    # Called by the caller's thread and by the watching thread.
+    # Called by the worker thread and by the thread of the connection watcher.
 
     def caller_gone(self):
-        """Tell the task, once, that nobody waits for the answer any more."""
+        """Notify the task, once, that the caller has disconnected."""
         with self._lock:
             if self.gone:
                 return
@@ -69,17 +69,17 @@
         self.post_event(CallerGone())
 
     def displace(self):
-        """Give the request up for a higher tier; the caller is told so."""
+        """Abort the request in favour of another one; its caller is sent ``router_full``."""
         self.displaced = True
         self.caller_gone()
 
     def run_commands(self, *, run, wait_s: float) -> AnswerWhole | AnswerRefusal | AnswerRecorded:
-        """Obey the task until its final answer, which is returned.
+        """Execute the task's commands until its final answer, which is returned.
 
         Parameters
         ----------
         run : callable
-            ``run(command)`` does one ``StartRun`` in this thread and returns its ``RunEnded``.
+            ``run(command)`` executes one ``StartRun`` in this thread and returns its ``RunEnded``.
         wait_s : float
             Time to the deadline.
         """
@@ -99,7 +99,7 @@
             return run(command)
         except Exception:
             # The task waits for exactly one end of each run. Without it the request would
-            # hold its thread and its place on the engine for ever.
+            # occupy its thread and its slot on the engine forever.
             logger.exception("run {} failed in its thread", command.run_id)
             outcome = RunCut(detail="the run failed inside the router", reached=True)
             return RunEnded(run_id=command.run_id, outcome=outcome, duration_s=0.0)
--- a/wagtailtrestle/callers/request_handler.py
+++ b/wagtailtrestle/callers/request_handler.py
@@ -1,4 +1,4 @@
-"""One held request in its thread: runs on engines, the caller's answer, and what is noted of it."""
+"""Handling of one admitted request in its worker thread: runs on engines, the response, metrics and the log line."""
 
 import dataclasses
 import time
@@ -17,12 +17,12 @@
 
 
 class RequestHandler:
-    """Carries one request from its first run to its answer.
+    """Handles one request from its first run to its response.
 
     Parameters
     ----------
-    arrival : Arrival
-    prepared : Prepared
+    incoming : IncomingRequest
+    prepared : PreparedRequest
     exchange : CallerExchange
     engine_client : EngineClient
     limits : CallerLimits
@@ -62,7 +62,7 @@
         self._first_token_at = 0.0
 
     def handle(self, *, wait_s: float):
-        """Do what the task asks for, then answer the caller."""
+        """Execute the task's commands, then send the response and record the outcome."""
         command = self._exchange.run_commands(run=self._run, wait_s=wait_s)
         outcome = self._answer(command)
         self._record_outcome(outcome)
@@ -91,7 +91,7 @@
         self._prepared.answer.token(text)
 
     def _with_answer(self, ended):
-        """Add the whole answer to the run's end where the ledger will ask for it."""
+        """Attach the complete answer to the run's end if the ledger has to record it."""
         request = self._prepared.request
         kept = request.at_most_once and request.idempotency_key
         if not kept or not isinstance(ended.outcome, RunDone | RunRejected):
@@ -117,8 +117,8 @@
                 return refusal.reason.value
 
     def _refusal_for_caller(self, refusal):
-        # The task was told that its caller had gone, which is how a request is given up; the
-        # caller is still there and is told why.
+        # A request is displaced by reporting to its task that the caller disconnected. The caller
+        # is still connected, so it is sent the actual reason.
         if self._exchange.displaced and refusal.reason is Reason.CALLER_GONE:
             return Refusal(
                 status=503,
