--- a/wagtailtrestle/adapters.py
+++ b/wagtailtrestle/adapters.py
@@ -52,7 +52,7 @@
         """Return the ``DeclaredEngine`` of an engine's own entry, or ``None``."""
 
     def make_dialect(self, *, key_proof, quotas, **parts):
-        """Return the ``CallerDialect``; ``parts`` are those of ``callers.intake.Intake``."""
+        """Return the ``CallerDialect``; ``parts`` are the arguments of ``NativeDialect``."""
 
 
 class OwnAdapter:
--- a/wagtailtrestle/callers/native_dialect.py
+++ b/wagtailtrestle/callers/native_dialect.py
@@ -1,4 +1,4 @@
-"""From a caller's HTTP request to what the decisions take: read, authenticated, matched, checked."""
+"""The native HTTP interface: authenticates, reads, validates and routes callers' requests."""
 
 import time
 from collections.abc import Callable
@@ -37,21 +37,21 @@
 
 EMPTY_PROMPT = PromptShape(tokens=0)
 RETRY_ELSEWHERE_S = 0.1
-"""When to come back to a router that takes nothing: at once, as others do; enough not to spin."""
+"""Retry delay of a router that accepts no requests: short, since others do, and above 0 to prevent a busy loop."""
 
 
 class NativeDialect:
-    """Reads and checks requests; called from callers' threads, keeps nothing of a request.
+    """The ``CallerDialect`` of the native interface; called from worker threads, holds no per-request state.
 
     Parameters
     ----------
     directory : callable
         Returns the configuration in force or ``None``.
     now : callable
-        The loop's clock.
-    watch : CallerWatch
+        The event loop's clock.
+    watch : ConnectionWatcher
     receive_limit : ReceiveLimit
-    most_deadline_s : float
+    max_deadline_s : float
     """
 
     __slots__ = ("_directory", "_now", "_bodies", "_max_deadline_s", "_keys")
@@ -72,20 +72,20 @@
         self._keys = (None, None)
 
     def request_id(self, environ):
-        """The caller's own id of the request, or one made for it."""
+        """Return the request id sent by the caller, or a generated one."""
         return caller_request_id(environ)
 
     def caller_timeout_s(self, environ):
-        """The deadline that the caller gives, seconds."""
+        """Return the deadline requested by the caller, in seconds, or ``None``."""
         return requested_timeout_s(environ)
 
     def problem(self, refusal, request_id):
-        """A problem document."""
+        """Return status, headers and body of a refusal as a problem document."""
         body = problem_bytes(refusal=refusal, request_id=request_id)
         return refusal.status, problem_headers(refusal=refusal, request_id=request_id, length=len(body)), body
 
     def prepare(self, incoming: IncomingRequest) -> PreparedRequest | ModelList | Refusal:
-        """Read and check one request."""
+        """Authenticate, read and validate one request."""
         in_force = self._directory()
         if in_force is None:
             return not_accepting(Reason.NOT_READY)
@@ -108,8 +108,8 @@
         return self._plain(context)
 
     def _key_index(self, declaration):
-        # One tuple, replaced whole: two threads that see a new declaration at once must not
-        # leave the keys of the old one beside the new.
+        # One tuple, replaced atomically: two threads that see a new declaration at the same time
+        # must not leave the new declaration paired with the keys of the old one.
         indexed, index = self._keys
         if indexed is not declaration:
             index = KeyIndex(declaration=declaration)
@@ -207,7 +207,7 @@
 
 
 class _RequestContext:
-    """What is known of a request once it was read."""
+    """A request that was authenticated and read, with the configuration it is handled under."""
 
     __slots__ = ("incoming", "in_force", "team", "headers", "body")
 
@@ -220,7 +220,7 @@
 
 
 def not_accepting(reason: Reason) -> Refusal:
-    """The refusal of a router that takes no requests now."""
+    """Return the refusal of a router that currently accepts no requests."""
     return Refusal(
         status=503,
         reason=reason,
--- a/wagtailtrestle/platform/callers.py
+++ b/wagtailtrestle/platform/callers.py
@@ -41,9 +41,9 @@
         Returns the configuration in force or ``None``.
     now : callable
         The loop's clock.
-    watch : CallerWatch
+    watch : ConnectionWatcher
     receive_limit : ReceiveLimit
-    most_deadline_s : float
+    max_deadline_s : float
     key_proof : callable
         Whether a key that was revoked would be known here by now.
     quotas : QuotaAccounts
