--- a/wagtailtrestle/callers/server.py
+++ b/wagtailtrestle/callers/server.py
@@ -1,4 +1,4 @@
-"""Callers' HTTP: each request is read, checked and carried by one thread."""
+"""The HTTP server for callers: each request is read, validated and handled by one worker thread."""
 
 import asyncio
 import threading
@@ -36,39 +36,39 @@
 
 
 class CallersServer:
-    """Serves callers and hands their requests to the tasks on the loop.
+    """Serves callers and submits their requests to tasks on the event loop.
 
     Parameters
     ----------
     name : str
-        The router's name, part of each request's id.
+        The router's name, the prefix of each request's id.
     address : tuple of (str, int)
-        Where to listen; port 0 picks a free one, see ``port``.
+        Address to listen on; with port 0 the kernel picks a free one, see ``port``.
     directory : callable
         Returns the configuration in force (``generation``, ``declaration``) or ``None``.
     submit : callable
-        ``submit(request, link)``, called on the loop.
+        ``submit(request, link)``, called on the event loop.
     post : callable
-        ``post(request_id, event)``, called on the loop.
+        ``post(request_id, event)``, called on the event loop.
     engine_client : EngineClient
     loop : asyncio.AbstractEventLoop
     limits : CallerLimits
-        Holds ``held_for(threads)`` requests; the other threads read heads and refuse.
+        Admits up to ``max_held_requests(threads)`` requests; the other threads read requests and refuse them.
     metrics : Metrics
     ready : callable
-        Returns ``None`` or the ``Reason`` why no request can be served yet.
+        Returns ``None``, or the ``Reason`` why the router can't serve requests yet.
     threads, max_body_bytes, max_header_bytes, max_connections : int
     receive_timeout_s : float
-        Longest time for the arrival of one whole request.
-    most_deadline_s : float
-        Longest deadline a caller is given.
+        Maximum time to receive one complete request.
+    max_deadline_s : float
+        Upper limit of the deadline of a request.
     start_hold_s : float
-        Longest time for which requests are held while ``ready`` says ``NOT_READY``; 0 refuses them at once.
+        Maximum time to hold requests while ``ready`` returns ``NOT_READY``; with 0 they are refused immediately.
     listener : socket.socket, optional
-        Listens on ``address`` already.
+        A socket that already listens on ``address``.
     make_dialect : callable
         Builds the ``CallerDialect`` from ``directory``, ``now``, ``watch``, ``receive_limit`` and
-        ``most_deadline_s``; the product's own interface by default.
+        ``max_deadline_s``; ``NativeDialect`` by default.
     """
 
     def __init__(
@@ -101,8 +101,8 @@
         self._loop = loop
         self._limits = limits
         self._metrics = metrics
-        # The threads kept in reserve are those that receive: once these are all at it, slow
-        # senders among them must go.
+        # The reserved threads do the receiving. Once half of them are busy receiving, the shorter
+        # timeout applies, so that slow senders can't occupy all of them.
         self._watch = ConnectionWatcher(
             timeout_s=receive_timeout_s, max_receiving=(threads - max_held_requests(threads)) // 2
         )
@@ -137,7 +137,7 @@
 
     @property
     def port(self):
-        """Port listened on."""
+        """The port that the server listens on."""
         return self._server.bind_addr[1]
 
     @property
@@ -146,24 +146,23 @@
         return self._draining
 
     def start(self):
-        """Bind and serve in threads."""
+        """Bind the listener and start the server thread."""
         self._watch.start()
         self._server.prepare()
         self._thread = threading.Thread(target=self._server.serve, name="callers", daemon=True)
         self._thread.start()
 
     def release_held(self):
-        """Serve what came while the router was not ready."""
+        """Continue the requests held while the router was not ready."""
         self._start_hold.open()
 
     async def drain(self, *, grace_s: float, plain_grace_s: float = 0.0):
-        """Finish every request in work, and those still coming within the grace.
+        """Serve new requests during the grace period, then refuse them; return once no request is active.
 
-        The balancer learns late that this router leaves. For ``grace_s`` what it still
-        sends is served, and calls of plain services for ``plain_grace_s``: callers who keep
-        a connection learn only by their next answer that it ends, and a short call is done long
-        before this router is. After that all is refused as not run, and once nothing is in
-        work this returns.
+        The load balancer notices the drain with a delay. New requests are served for ``grace_s``,
+        and calls of plain services for ``plain_grace_s``: a caller with a keep-alive connection
+        learns only from its next response that the connection closes, and a short call finishes
+        long before the router exits. After that, new requests are refused as not executed.
         """
         self._draining = True
         await asyncio.sleep(grace_s)
@@ -179,13 +178,13 @@
             await asyncio.sleep(DRAIN_POLL_S)
 
     def close(self):
-        """Stop listening; requests still in work are ended, at worst as not known to have run."""
+        """Stop listening and end active requests; one with a run is refused with ``executed`` unknown."""
         self._draining = True
         self._refuse_all = True
         for exchange in list(self._exchanges_by_id.values()):
             exchange.post(AnswerRefusal(refusal=_stopped_refusal(exchange)))
-        # Threads read that only once their runs end. Left to read on, they would hold the process
-        # until it is killed, and callers would see a reset in place of an end.
+        # A thread reads that refusal only once its run has ended. Without closing the engine client,
+        # the runs would keep the process alive until it is killed, and callers would see a connection reset.
         self._engine_client.close()
         self._server.stop()
         if self._thread is not None:
@@ -194,7 +193,7 @@
         self._cancel_pool.shutdown(wait=False)
 
     def dump(self) -> dict:
-        """Plain data for the state dump."""
+        """Return the server's part of the state dump."""
         return {
             "draining": self._draining,
             "in_work": self._active_requests,
@@ -217,11 +216,11 @@
         if response.gone or not response.begun:
             request.close_connection = True
         if response.aborted:
-            # Without its last chunk the answer can't be taken for whole.
+            # Omits the last chunk, so that the caller can't mistake the response for a complete one.
             request.chunked_write = False
             request.close_connection = True
         if not response.begun:
-            request.sent_headers = True  # the caller left before its answer: nothing is to be written
+            request.sent_headers = True  # the caller disconnected before its response: write nothing
         return ()
 
     def _serve_one(self, environ, start_response, at):
@@ -256,7 +255,7 @@
         )
         if self._refuse_all:
             return not_accepting(Reason.DRAINING)
-        # While the grace lasts a leaving router still serves what the balancer sends it.
+        # A draining router still serves new requests during the grace period.
         if reason is not None and reason is not Reason.DRAINING:
             return not_accepting(reason)
         return self._dialect.prepare(incoming)
@@ -278,7 +277,7 @@
             incoming.environ[CONNECTION_ENVIRON].has_unread_input = True
         incoming.response.send_refusal(refusal)
 
-    # Carrying.
+    # Handling of admitted requests.
 
     def _handle(self, incoming, prepared):
         request = prepared.request
