--- a/wagtailtrestle/callers/limits.py
+++ b/wagtailtrestle/callers/limits.py
@@ -1,6 +1,6 @@
-"""The router's own resources, cut by tier: requests held (one thread each) and body memory.
+"""Limits on the router's own resources, by tier: requests held (one thread each) and body memory.
 
-Pure bookkeeping: no I/O and no clock. Called from the threads that carry callers' bytes.
+No I/O and no clock. Called from the worker threads of the callers' server.
 """
 
 import threading
@@ -20,27 +20,27 @@
 
 
 def max_held_requests(threads: int) -> int:
-    """Requests to hold with so many threads: an eighth, and at least four, are kept to read and refuse."""
+    """Return how many requests to hold; an eighth of the threads, at least four, only read and refuse requests."""
     reserve = max(MIN_RESERVE_THREADS, threads // RESERVE_SHARE)
     return max(1, threads - reserve)
 
 
 @record
 class Admitted:
-    """The request is held; each of ``displaced`` must be answered ``router_full`` in its place."""
+    """The request is held; each request in ``displaced`` must be refused with ``router_full``."""
 
     displaced: tuple = ()
 
 
 @record
 class Full:
-    """The request can't be held, and nothing of a lower tier could make room for it."""
+    """The request can't be held, and displacing other requests can't free enough capacity."""
 
     detail: str
 
 
 class HeldRequest:
-    """One request held: its service, its tier's rank, its body's bytes, whether a run may have begun."""
+    """A held request: service, rank of its tier, body size in bytes, and whether a run may have started."""
 
     __slots__ = ("request_id", "service", "tier", "body_bytes", "repeatable", "running", "order")
 
@@ -55,20 +55,20 @@
 
     @property
     def displaceable(self):
-        """Whether it may be given up: it waits, or its run may be cancelled."""
+        """Whether the request may be displaced: it is waiting, or its run may be repeated."""
         return self.repeatable or not self.running
 
 
 class CallerLimits:
-    """Which requests this router holds, and which give way.
+    """Admits requests to this router and displaces requests of lower tiers when it is full.
 
     Parameters
     ----------
     held : int
-        Requests held at once. The server has more threads than this: the rest read
-        heads and refuse, so that a full router still answers.
+        Maximum number of requests held at the same time. The server has more threads than this: the
+        others read requests and refuse them, so that a full router still responds.
     body_bytes : int
-        Bytes of the bodies of all requests held.
+        Maximum total size of the bodies of all held requests.
     """
 
     __slots__ = ("_held", "_body_bytes", "_lock", "_by_id", "_bytes_used", "_next_order", "_hold_s", "displaced_total")
@@ -84,11 +84,11 @@
         self.displaced_total = 0
 
     def admit(self, *, request_id, service, tier, body_bytes, repeatable) -> Admitted | Full:
-        """Hold one more request, displacing lower tiers if there is no room."""
-        # A flood of low-tier requests can hold every thread of this router while engines still
-        # have room for the tiers above; seen from outside, the family's booking is shed while
-        # tagging runs. So whoever is of a lower tier makes room, lowest first, before any
-        # arrival is refused; only an arrival below everything held is refused itself.
+        """Hold one more request, displacing requests of lower tiers if the router is full."""
+        # A flood of low-tier requests can hold every thread of this router while engines still have
+        # free slots for higher tiers: a booking would be refused while tagging runs. So requests of
+        # lower tiers are displaced, lowest tier first, before a new request is refused; it is refused
+        # only if nothing held may be displaced for it.
         with self._lock:
             victims = self._victims(service=service, tier=tier, body_bytes=body_bytes)
             if victims is None:
@@ -100,9 +100,9 @@
         return Admitted(displaced=tuple(victim.request_id for victim in victims))
 
     def mark_running(self, *, request_id) -> bool:
-        """Note that a run of this request begins; ``False`` if it was displaced just before.
+        """Mark the request as running; return ``False`` if it was displaced before.
 
-        Both happen under one lock, so a request that may not be repeated is either displaced
+        Both checks use the same lock, so a request that may not be repeated is either displaced
         and never sent, or sent and never displaced.
         """
         with self._lock:
@@ -113,32 +113,32 @@
             return True
 
     def mark_waiting(self, *, request_id):
-        """Note that the request waits again after a run that ended."""
+        """Mark the request as waiting again after a run has ended."""
         with self._lock:
             held = self._by_id.get(request_id)
             if held is not None:
                 held.running = False
 
     def release(self, *, request_id, held_s):
-        """Give back what the request held for ``held_s`` seconds."""
+        """Release the capacity that the request held for ``held_s`` seconds."""
         with self._lock:
             held = self._by_id.get(request_id)
             if held is None:
-                return  # refused or displaced: its short stay says nothing of the others'
+                return  # refused or displaced: not representative of the hold time of served requests
             self._hold_s += HOLD_TIME_WEIGHT * (held_s - self._hold_s)
             self._remove(held)
 
     def retry_after_s(self) -> float:
-        """When a refused caller should come back: by then each place has changed hands about once.
+        """Return the time after which a refused caller should retry: the mean hold time of a request.
 
-        Places come free all the time, but go first to those who ask in that very moment;
-        after one mean time of holding, none of the present holders is in the way.
+        Capacity is freed all the time, but goes to whichever request comes at that moment. After one
+        mean hold time, most of the requests held now have ended.
         """
         with self._lock:
             return min(MAX_RETRY_AFTER_S, max(MIN_RETRY_AFTER_S, self._hold_s))
 
     def usage(self) -> dict:
-        """Figures for the state dump."""
+        """Return the usage for the state dump."""
         with self._lock:
             count_by_tier = {}
             for held in self._by_id.values():
@@ -154,7 +154,7 @@
             }
 
     def _victims(self, *, service, tier, body_bytes):
-        """The requests to displace, ``[]`` if there is room, ``None`` if there can be none."""
+        """Return the requests to displace: ``[]`` if none is needed, ``None`` if not enough may be displaced."""
         excess_held = len(self._by_id) + 1 - self._held
         excess_bytes = self._bytes_used + body_bytes - self._body_bytes
         if excess_held <= 0 and excess_bytes <= 0:
@@ -162,8 +162,8 @@
         if self._held < 1 or body_bytes > self._body_bytes:
             return None
         candidates = [held for held in self._by_id.values() if held.tier > tier and held.displaceable]
-        # Lowest tier first; within it those that wait before those that run (no prefill is lost),
-        # and the youngest first, which waited least.
+        # Lowest tier first; within a tier, waiting requests before running ones, since no prefill is
+        # lost, and the newest first, since it has waited the shortest time.
         candidates.sort(key=lambda held: (held.tier, not held.running, held.order), reverse=True)
         candidates += self._beyond_fair_share(service=service, tier=tier)
         victims = []
@@ -176,10 +176,10 @@
         return victims if excess_held <= 0 and excess_bytes <= 0 else None
 
     def _beyond_fair_share(self, *, service, tier):
-        """Waiting requests of the same tier to displace: of the service that holds most, beyond an even share."""
-        # Calls of one overloaded service wait here and fill the router. Questions of the same tier to a
-        # service whose engines have room would then be refused as router_full (seen: 62% of them
-        # answered in time). Two services that hold alike never displace each other.
+        """Return waiting requests of the same tier that the service with the most of them holds beyond a fair share."""
+        # Requests to one overloaded service wait here and fill the router. Requests of the same tier to a
+        # service whose engines have free slots would then be refused with router_full: only 62% of them
+        # were answered in time. Two services that hold equally many requests never displace each other.
         count_by_service = Counter(held.service for held in self._by_id.values() if held.tier == tier)
         if not count_by_service:
             return []
@@ -211,17 +211,17 @@
 
 
 class ReceiveLimit:
-    """Bytes of large bodies being read, before the request's tier is known.
+    """Limits the memory for large bodies that are being read, before the request's tier is known.
 
-    The tier of a completion stands in its body. Small bodies are bounded by the threads;
-    of the room for large ones, teams without a route of the highest tier may fill three
-    quarters, so that their flood leaves room for the highest.
+    The tier of a completion depends on its body. The memory for small bodies is bounded by the number
+    of threads. Teams without a route of the highest tier may use up to three quarters of the
+    memory for large bodies, so that a flood from them leaves memory for the highest tier.
 
     Parameters
     ----------
     total_bytes : int
-    most_bytes : int
-        Largest single body, counted for one whose length is not declared.
+    max_bytes : int
+        Largest allowed body, reserved for a body whose length is not declared.
     """
 
     __slots__ = ("max_bytes", "_total_bytes", "_used", "_lock")
@@ -233,7 +233,7 @@
         self._lock = threading.Lock()
 
     def try_reserve(self, *, size, highest) -> bool:
-        """Take room for one body; ``False`` if there is none."""
+        """Reserve memory for one body; return ``False`` if there is not enough."""
         if size <= SMALL_BODY_BYTES:
             return True
         allowed = self._total_bytes if highest else max(self.max_bytes, self._total_bytes * LOWER_TIERS_SHARE)
@@ -244,7 +244,7 @@
             return True
 
     def release(self, *, size):
-        """Give back what ``take`` took."""
+        """Release memory reserved by ``try_reserve``."""
         if size <= SMALL_BODY_BYTES:
             return
         with self._lock:
