--- a/wagtailtrestle/callers/answer.py
+++ b/wagtailtrestle/callers/answer.py
@@ -1,4 +1,4 @@
-"""What a caller is sent: the response being written, and one way of answering for each kind of request."""
+"""Responses to callers: the response being written, and one ``Answer`` for each kind of request."""
 
 from typing import Protocol
 
@@ -21,7 +21,7 @@
 from wagtailtrestle.record import record
 
 BODYLESS_STATUSES = frozenset({204, 304})
-# Of the connection to the engine, or naming the run there.
+# Headers of the connection to the engine, and the id of the run on it.
 UNFORWARDED_HEADERS = frozenset(
     {
         "connection",
@@ -38,25 +38,25 @@
 
 
 class CallerResponse:
-    """The response of one request, written from the thread that carries it.
+    """The response to one request, written by the thread that handles it.
 
     Parameters
     ----------
     start_response : callable
-        WSGI's.
+        The ``start_response`` of WSGI.
     request_id : str
-        As the caller reads it.
+        The request id that the caller receives.
     closing : callable
-        Whether the connection is to end with this answer.
+        Returns whether to close the connection after this response.
     problem : callable
-        ``problem(refusal, request_id)`` gives status, header pairs and body of a refusal.
+        ``problem(refusal, request_id)`` returns status, header pairs and body of a refusal.
 
     Attributes
     ----------
-    on_gone : callable
-        Called once when a write finds the caller gone.
+    on_disconnect : callable
+        Called once when a write fails because the caller has disconnected.
     aborted : bool
-        Whether the answer was broken off; its connection ends without the mark of a whole answer.
+        Whether the response was aborted; the connection then closes without the last chunk.
     """
 
     __slots__ = (
@@ -85,7 +85,7 @@
         self._write = None
 
     def begin(self, *, status: int, headers: list):
-        """Give the head; it leaves with the first bytes written."""
+        """Set status and headers, which are sent with the first bytes of the body."""
         if self._closing():
             headers = [*headers, ("Connection", "close")]
         self.begun = True
@@ -93,7 +93,7 @@
         self._write = self._start_response(status_line(status), headers)
 
     def write(self, data: bytes):
-        """Send bytes now; once the caller is gone they are dropped."""
+        """Send bytes immediately; discard them if the caller has disconnected."""
         if self.gone:
             return
         try:
@@ -103,7 +103,7 @@
             self.on_disconnect()
 
     def send(self, *, status: int, content_type: str, body: bytes, executed=Executed.YES, extra_headers=()):
-        """Give a whole answer."""
+        """Send a complete response."""
         headers = [(EXECUTED_HEADER, executed.value), (REQUEST_ID_HEADER, self.request_id), *extra_headers]
         if status not in BODYLESS_STATUSES:
             headers.append(("Content-Length", str(len(body))))
@@ -114,49 +114,49 @@
             self.write(body)
 
     def send_refusal(self, refusal: Refusal):
-        """Give a refusal as the whole answer."""
+        """Send a refusal as the complete response."""
         status, headers, body = self._problem(refusal, self.request_id)
         self.begin(status=status, headers=headers)
         self.write(body)
 
     def abort(self):
-        """Break the answer off: what was sent must not look whole."""
+        """Abort the response, so that the caller can't mistake what was sent for a complete one."""
         self.aborted = True
 
 
 def _ignore():
-    """Nothing is to be told yet of a caller who left."""
+    """Ignore a disconnect that no handler was set for."""
 
 
 @record
 class RecordableAnswer:
-    """A whole answer as the ledger keeps it."""
+    """A complete answer as the ledger stores it."""
 
     content_type: str
     body: bytes
 
 
 class Answer(Protocol):
-    """How one kind of request is answered, once or in pieces."""
+    """How one kind of request is answered, in one piece or as a stream."""
 
     def token(self, text: str) -> None:
-        """Take one token of the answer as it arrives."""
+        """Process one token when it arrives from the engine."""
 
     def complete(self, received: ReceivedAnswer) -> None:
-        """Everything arrived and was checked."""
+        """Finish the response with an answer that was received completely and checked."""
 
     def recordable(self, received: ReceivedAnswer) -> RecordableAnswer:
-        """The whole answer, for a later request with the same idempotency key."""
+        """Return the complete answer, to be replayed to a later request with the same idempotency key."""
 
     def recorded(self, command: AnswerRecorded) -> None:
-        """Give the recorded answer of an earlier request."""
+        """Send the recorded answer of an earlier request."""
 
     def refuse(self, refusal: Refusal) -> None:
-        """End without a whole answer."""
+        """Finish the response with a refusal."""
 
 
 class BufferedAnswer:
-    """A completion given in one piece, once it was checked complete."""
+    """A completion sent in one piece, after it was received completely and checked."""
 
     __slots__ = ("_response", "_model", "_chat")
 
@@ -166,7 +166,7 @@
         self._chat = chat
 
     def token(self, text):
-        """Nothing leaves before the end; the text is kept with what was received."""
+        """Send nothing before the end; the text is kept in the ``ReceivedAnswer``."""
 
     def complete(self, received):
         """Send the answer assembled from the engine's stream."""
@@ -174,7 +174,7 @@
         self._response.send(status=200, content_type=answer.content_type, body=answer.body)
 
     def recordable(self, received):
-        """The same JSON that a caller is sent."""
+        """Return the JSON document that the caller is sent."""
         body = encode_completion(
             request_id=self._response.request_id,
             model=self._model,
@@ -194,7 +194,7 @@
 
 
 class StreamedAnswer(BufferedAnswer):
-    """A completion given token by token; its head leaves with the first token."""
+    """A completion streamed token by token; the headers are sent with the first token."""
 
     __slots__ = ("_events",)
 
@@ -209,17 +209,17 @@
         self._response.write(self._events.token(text))
 
     def complete(self, received):
-        """Send the closing events; only these tell the caller that it has everything."""
+        """Send the final events, by which the caller knows that the answer is complete."""
         self._end(answer_end(received))
 
     def recorded(self, command):
-        """Give an earlier answer as a stream of one token, since a stream was asked for."""
+        """Send a recorded answer as a stream with a single token, since the caller requested a stream."""
         text, end = decode_completion(command.body)
         self.token(text)
         self._end(end)
 
     def refuse(self, refusal):
-        """A problem if nothing was sent yet, else an error event and no ``[DONE]``."""
+        """Send a problem if the response has not started, else an error event without ``[DONE]``."""
         if self._response.begun:
             self._response.write(self._events.error(refusal=refusal))
         else:
@@ -241,7 +241,7 @@
 
 
 class PlainAnswer:
-    """A plain service's answer, passed on whole."""
+    """The answer of a plain service, forwarded in one piece."""
 
     __slots__ = ("_response",)
 
@@ -249,15 +249,15 @@
         self._response = response
 
     def token(self, text):
-        """Plain services send no tokens."""
+        """Do nothing: plain services send no tokens."""
 
     def complete(self, received):
-        """Pass on the service's status, headers and body; its own refusal is a whole answer too."""
+        """Forward the service's status, headers and body; an error status of the service is a complete answer too."""
         headers = [(name, value) for name, value in received.headers.items() if name.lower() not in UNFORWARDED_HEADERS]
         self._response.send(status=received.status, content_type="", body=received.body, extra_headers=headers)
 
     def recordable(self, received):
-        """Type and body; the status is recorded beside them."""
+        """Return content type and body; the status is recorded separately."""
         return RecordableAnswer(content_type=received.headers.get("Content-Type", ""), body=received.body)
 
     def recorded(self, command):
@@ -270,7 +270,7 @@
 
 
 def answer_end(received: ReceivedAnswer) -> AnswerEnd:
-    """The closing facts of what an engine sent."""
+    """Return the finish reason and token counts of a received answer."""
     return AnswerEnd(
         finish_reason=received.finish_reason,
         prompt_tokens=received.prompt_tokens,
--- a/wagtailtrestle/callers/stream.py
+++ b/wagtailtrestle/callers/stream.py
@@ -1,8 +1,7 @@
-"""How a language service's answer is given to its caller: streamed or whole.
+"""Encoding of a language service's answers: as server-sent events or as one JSON document.
 
-The engine's own events are not passed on: each one is written anew with the
-caller's request id, so that nothing of a run's identity, nor an answer that belongs to
-another run, can leave through here.
+The engine's events are not forwarded. Each event is encoded anew with the caller's request id, so that
+neither a run's id nor an answer of another run can reach the caller.
 """
 
 import json
@@ -23,7 +22,7 @@
 
 @record
 class AnswerEnd:
-    """What closes an answer that was checked whole."""
+    """Finish reason and token counts of an answer that was checked to be complete."""
 
     finish_reason: str
     prompt_tokens: int
@@ -31,7 +30,7 @@
     cached_tokens: int
 
     def usage(self) -> dict:
-        """Usage in the shape callers' libraries read."""
+        """Return the ``usage`` object in the format that client libraries expect."""
         return {
             "prompt_tokens": self.prompt_tokens,
             "completion_tokens": self.completion_tokens,
@@ -49,7 +48,7 @@
     chat : bool
         Chat completion; otherwise text completion.
     include_usage : bool
-        Whether the caller asked for a last event with the usage.
+        Whether the caller requested a final event with the usage.
     """
 
     __slots__ = ("_head", "_first", "_prefix", "_suffix", "_include_usage", "_chat")
@@ -63,8 +62,8 @@
             "created": int(time.time()),
             "model": model,
         }
-        # All but the token's text is the same in each event, so it is encoded once: a token
-        # costs one encoding of a short string.
+        # Everything except the token's text is the same in each event, so it is encoded only once
+        # and each token costs the encoding of one short string.
         opening = b"data: " + json.dumps(self._head).encode()[:-1] + b', "choices": [{"index": 0, '
         if chat:
             self._first = opening + b'"delta": {"role": "assistant", "content": '
@@ -75,13 +74,13 @@
             self._suffix = b', "finish_reason": null}]}' + EVENT_END
 
     def token(self, text: str) -> bytes:
-        """Event of one token."""
+        """Return the event of one token."""
         event = self._first + json.dumps(text).encode() + self._suffix
         self._first = self._prefix
         return event
 
     def end(self, end: AnswerEnd) -> bytes:
-        """The closing events of a whole answer."""
+        """Return the final events of a complete answer."""
         choice = {"index": 0, "finish_reason": end.finish_reason}
         choice.update({"delta": {}} if self._chat else {"text": ""})
         events = [self._event({"choices": [choice]})]
@@ -94,12 +93,12 @@
         return b"data: " + json.dumps(self._head | members).encode() + EVENT_END
 
     def error(self, *, refusal: Refusal) -> bytes:
-        """The closing event of a stream that can't be finished; no ``[DONE]`` follows."""
+        """Return the final event of a stream that can't be completed; no ``[DONE]`` follows."""
         return stream_error_event(refusal=refusal, request_id=self._head["id"])
 
 
 def encode_completion(*, request_id: str, model: str, chat: bool, text: str, end: AnswerEnd) -> bytes:
-    """A non-streamed answer as JSON."""
+    """Encode a non-streamed completion as JSON."""
     choice = {"index": 0, "finish_reason": end.finish_reason, "logprobs": None}
     if chat:
         choice["message"] = {"role": "assistant", "content": text}
@@ -117,7 +116,7 @@
 
 
 def decode_completion(body: bytes) -> tuple:
-    """Text and ``AnswerEnd`` of an answer written by ``whole_answer``."""
+    """Return text and ``AnswerEnd`` of an answer encoded by ``encode_completion``."""
     answer = json.loads(body)
     choice = answer["choices"][0]
     text = choice["text"] if "text" in choice else choice["message"]["content"]
@@ -132,6 +131,6 @@
 
 
 def model_list(names: list) -> bytes:
-    """Answer of ``/v1/models``."""
+    """Return the response body of ``/v1/models``."""
     data = [{"id": name, "object": "model", "created": 0, "owned_by": "wagtailtrestle"} for name in names]
     return json.dumps({"object": "list", "data": data}).encode()
