--- a/wagtailtrestle/callers/connection_watcher.py
+++ b/wagtailtrestle/callers/connection_watcher.py
@@ -1,4 +1,4 @@
-"""One thread that notices callers who left and callers who send too slowly."""
+"""A thread that detects callers that disconnect and callers that send too slowly."""
 
 import select
 import socket
@@ -8,25 +8,25 @@
 
 DISCONNECT_EVENTS = select.EPOLLRDHUP | select.EPOLLHUP | select.EPOLLERR
 POLL_INTERVAL_S = 0.25
-# With most threads receiving, a sender is allowed this long: enough for any request from a
-# caller within a few milliseconds, and short enough that the rest come through.
+# Time to receive a request while most threads are receiving: enough for any request from a caller with
+# a latency of a few milliseconds, and short enough that the requests of other callers get a thread.
 BUSY_TIMEOUT_S = 2.0
 
 
 class ConnectionWatcher:
-    """Watches callers' connections while their requests are received and in work.
+    """Watches callers' connections while their requests are being received or handled.
 
-    A caller's thread waits in a queue or reads from an engine, so it can't see its own
-    caller leave; unwatched, the engine would go on generating for nobody and the slot would
-    stay taken until the run's end. The kernel reports a closed peer by an event that costs
-    nothing until then. Data that a caller pipelines is not reported.
+    A worker thread waits in a queue or reads from an engine, so it can't detect that its caller
+    disconnects; without the watcher, the engine would continue to generate and its slot would stay
+    occupied until the run's end. The kernel reports a closed peer through epoll, which costs nothing
+    until then. Pipelined data is not reported.
 
     Parameters
     ----------
     timeout_s : float
-        Longest time for the arrival of one whole request.
-    crowd : int
-        Requests being received at once above which only ``CROWDED_TIMEOUT_S`` is allowed.
+        Maximum time to receive one complete request.
+    max_receiving : int
+        Number of requests being received above which the timeout is ``BUSY_TIMEOUT_S``.
     """
 
     __slots__ = (
@@ -51,38 +51,38 @@
         self._thread = threading.Thread(target=self._run, name="caller-watch", daemon=True)
 
     def start(self):
-        """Start the watching thread."""
+        """Start the watcher thread."""
         self._thread.start()
 
     def close(self):
-        """End the watching thread."""
+        """Stop the watcher thread."""
         self._closing.set()
         self._thread.join()
         self._epoll.close()
 
     def watch(self, *, fd: int, on_disconnect: Callable[[], None]):
-        """Call ``on_gone`` once, in the watching thread, when the peer of ``fd`` closes."""
+        """Call ``on_disconnect`` once, in the watcher thread, when the peer of ``fd`` closes the connection."""
         with self._lock:
             self._callback_by_fd[fd] = on_disconnect
             self._epoll.register(fd, DISCONNECT_EVENTS)
 
     def unwatch(self, *, fd: int):
-        """Stop watching ``fd``; to be called before it is closed, since numbers are used again."""
+        """Stop watching ``fd``; must be called before it is closed, since descriptors are reused."""
         with self._lock:
             self._unregister(fd)
 
     def expect(self, *, connection):
-        """Begin to count the time in which a request must arrive on ``connection``.
+        """Start the timeout for receiving a request on ``connection``.
 
-        The timeout of a socket holds for each read: a caller that sends a byte now and then
-        would hold a thread for hours, and a hundred of them the router. This limit is for
-        the whole request, however it trickles in, and tightens while most threads receive.
+        A socket timeout applies to each read: a caller that sends a byte now and then could occupy
+        a thread for hours, and a hundred such callers the whole router. This timeout applies to the
+        complete request and is shortened while most threads are receiving.
         """
         with self._lock:
             self._started_at_by_connection[connection] = time.monotonic()
 
     def received(self, *, connection):
-        """The request of ``connection`` has arrived whole, or its connection ended."""
+        """Stop the timeout: the request was received completely, or its connection ended."""
         with self._lock:
             self._started_at_by_connection.pop(connection, None)
 
@@ -94,9 +94,9 @@
             self._stop_slow_senders()
 
     def _pop_disconnected(self):
-        # What was found before the lock was taken may be of a connection that has ended since, whose number another
-        # one bears by now: its caller, who waits, was told that the request is given up. Asked again under the lock,
-        # the kernel tells of the connections that are watched now.
+        # An event found before the lock was acquired may belong to a connection that has been closed since, and its
+        # descriptor may have been reused: the request of a connected caller was aborted that way. Polled again under
+        # the lock, the kernel reports only connections that are watched now.
         with self._lock:
             dropped = [self._unregister(fd) for fd, _ in self._epoll.poll(0)]
         return [on_disconnect for on_disconnect in dropped if on_disconnect is not None]
--- a/wagtailtrestle/callers/listening.py
+++ b/wagtailtrestle/callers/listening.py
@@ -1,9 +1,9 @@
-"""The socket on which callers are listened to, opened before there is a server to serve it."""
+"""The listening socket for callers, opened before the server is created."""
 
 import socket
 
 BACKLOG = 512
-"""Connections the kernel accepts ahead of the server: those of a second at 500 a second."""
+"""Connections that the kernel queues for the server: those of one second at 500 per second."""
 KEEPALIVE_IDLE_S = 10
 KEEPALIVE_INTERVAL_S = 5
 KEEPALIVE_PROBES = 3
@@ -11,11 +11,11 @@
 
 
 def listen(address):
-    """Bind and listen at once, with options that accepted connections inherit.
+    """Bind and listen, with socket options that accepted connections inherit.
 
-    A router that starts reads its modules for a third of a second. Without a listener the kernel
-    resets every connection of that time, and a caller that comes back once has spent its return
-    on it; with one they wait in the backlog until the server takes them.
+    A starting router imports its modules for a third of a second. Without a listener the kernel
+    resets every connection during that time, which uses up the only retry of a caller that retries
+    once; with one, connections wait in the backlog until the server accepts them.
 
     Parameters
     ----------
@@ -24,7 +24,7 @@
     Raises
     ------
     OSError
-        If the address can't be listened on.
+        If listening on the address fails.
     """
     family, kind, protocol, _, full_address = socket.getaddrinfo(
         *address, type=socket.SOCK_STREAM, flags=socket.AI_PASSIVE
@@ -41,18 +41,18 @@
 
 
 def listen_error_message(error):
-    """What to tell an operator whose router got no listener."""
+    """Return the message for an operator whose router can't listen."""
     return f"The router could not listen: {error}. Check the addresses in its settings."
 
 
 def set_options(sock, *, is_port_given):
-    """Set what the listener and its connections need."""
+    """Set the socket options of the listener and its connections."""
     if is_port_given:
-        # A port that a killed process held a moment ago is free for its successor.
+        # Allows binding a port whose previous process was killed just before.
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-    # A caller's VM that vanishes sends no end of connection: without these its thread
-    # and its run would be held until the deadline.
+    # A caller's VM that fails doesn't close its connections: without keepalive and a write timeout,
+    # the thread and the run would be occupied until the deadline.
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_S)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_S)
--- a/wagtailtrestle/callers/start_hold.py
+++ b/wagtailtrestle/callers/start_hold.py
@@ -1,31 +1,31 @@
-"""Requests that reach a router before it can serve, held until it can."""
+"""Holds requests that reach a router before it is ready."""
 
 import threading
 
 from wagtailtrestle.contracts.outcomes import Reason
 
 MAX_CALLER_TIMEOUT_SHARE = 1.0 / 3.0
-"""Largest part of the caller's own time: what is left lets it come back elsewhere and be served."""
+"""Maximum share of the caller's timeout for which it is held; the rest is left for a retry at another router."""
 DEFAULT_CALLER_TIMEOUT_S = 3.0
-"""Time a caller is taken to have that tells none."""
+"""Timeout assumed for a caller that states none."""
 
 
 class StartHold:
-    """Holds callers' threads while the router isn't ready yet.
+    """Holds requests in their worker threads while the router isn't ready yet.
 
-    When many routers start together, each refusal sends its caller to another one that starts too,
-    and its one return is spent on a second refusal. The wait until the router serves is short and
-    known, so it is waited out instead.
+    When many routers start at the same time, a refused caller retries at another router that is also
+    starting, and a second refusal uses up its only retry. The time until the router is ready is short
+    and limited, so the request is held instead.
 
     Parameters
     ----------
     reason : callable
-        ``reason()`` returns why nothing can be served now, or ``None``.
-    watch : CallerWatch
-        Tells when a caller that is held leaves.
-    longest_s : float
-    most : int
-        Requests held at once; the others are refused, so that threads are left for what can be served.
+        ``reason()`` returns why the router can't serve requests now, or ``None``.
+    watch : ConnectionWatcher
+        Reports when a held caller disconnects.
+    max_hold_s : float
+    max_held : int
+        Maximum number of requests held; others are refused, so that threads remain for requests that can be served.
     """
 
     __slots__ = ("_reason", "_watch", "_max_hold_s", "_max_held", "_changed", "_held")
@@ -39,19 +39,19 @@
         self._held = 0
 
     def open(self):
-        """Let go what is held: the router serves now, or never will."""
+        """Continue the held requests: the router is ready now, or never will be."""
         with self._changed:
             self._changed.notify_all()
 
     def reason(self, *, fd, caller_timeout_s):
-        """Why nothing can be served, told once the router serves or the wait is over.
+        """Wait until the router is ready or the hold time is over; return why the router can't serve, or ``None``.
 
         Parameters
         ----------
         fd : int
-            The caller's connection.
-        caller_time_s : float or None
-            How long the caller will wait, where it says so.
+            File descriptor of the caller's connection.
+        caller_timeout_s : float or None
+            Time that the caller states it will wait.
         """
         reason = self._reason()
         if reason is not Reason.NOT_READY or not self._max_hold_s:
--- a/wagtailtrestle/callers/wsgi.py
+++ b/wagtailtrestle/callers/wsgi.py
@@ -1,4 +1,4 @@
-"""The HTTP library's server fitted to callers: errors as problems, limits, the connection shown to the application."""
+"""Cheroot's WSGI server adapted to callers: problem documents, connection limits, access to the connection."""
 
 import socket
 import threading
@@ -20,9 +20,9 @@
 IDLE_TIMEOUT_S = 75
 STOP_TIMEOUT_S = 5.0
 INITIAL_THREADS = 8
-"""Threads made at the start: what a quiet router uses at once."""
+"""Threads created at the start: as many as an idle router needs."""
 SPARE_THREADS = 4
-"""Idle threads kept beyond the connections that wait for one; the moment they cover takes microseconds."""
+"""Idle threads kept beyond the queued connections; the delay that they cover lasts microseconds."""
 DISCARD_TIMEOUT_S = 0.5
 DISCARD_CHUNK_BYTES = 262_144
 FULL_RETRY_AFTER_S = 1.0
@@ -31,10 +31,10 @@
 
 
 class CallersGateway(wsgi.Gateway_10):
-    """Shows the application its connection, so that a caller who leaves can be noticed."""
+    """Gives the application access to its connection, so that a disconnect of the caller can be detected."""
 
     def get_environ(self):
-        """The environ with the connection and the library's request added."""
+        """Return the environ with cheroot's connection and request added."""
         environ = super().get_environ()
         environ[CONNECTION_ENVIRON] = self.req.conn
         environ[REQUEST_ENVIRON] = self.req
@@ -42,10 +42,10 @@
 
 
 class CallersRequest(http_server.HTTPRequest):
-    """Writes the library's own errors as problem documents."""
+    """Sends cheroot's own errors as problem documents."""
 
     def simple_response(self, status, msg=""):
-        """Answer an error found while the head is read; nothing was run."""
+        """Send an error that occurred while the request was read; nothing was executed."""
         code = int(str(status)[:3])
         if self.conn.too_slow:
             code, msg = 408, "The request took too long to arrive."
@@ -63,7 +63,7 @@
 
 
 class CallersConnection(http_server.HTTPConnection):
-    """A caller's connection, counted, with a deadline for the arrival of each request."""
+    """A caller's connection, counted, with a time limit for receiving each request."""
 
     RequestHandlerClass = CallersRequest
 
@@ -77,7 +77,7 @@
         server.connection_opened()
 
     def communicate(self):
-        """Read one request and answer it."""
+        """Read one request and respond to it."""
         self.server.watch.expect(connection=self)
         try:
             return super().communicate()
@@ -85,7 +85,7 @@
             self.server.watch.received(connection=self)
 
     def send_problem(self, refusal):
-        """Write a whole problem answer and mark the connection as ending."""
+        """Send a problem as the complete response; the connection closes after it."""
         request_id = uuid.uuid4().hex
         body = problem_bytes(refusal=refusal, request_id=request_id)
         headers = problem_headers(refusal=refusal, request_id=request_id, length=len(body))
@@ -99,7 +99,7 @@
             self.has_unread_input = False
 
     def close(self):
-        """Close the socket and count the connection out."""
+        """Close the socket and stop counting the connection."""
         if not self.closed:
             self.closed = True
             self.server.connection_closed()
@@ -108,9 +108,9 @@
         super().close()
 
     def _discard_input(self):
-        # Closing with bytes unread makes the kernel reset the connection, and the caller reads
-        # "connection reset" in place of the refusal just written. So the rest is taken and
-        # thrown away, for a moment.
+        # If a socket is closed with unread input, the kernel resets the connection and the caller
+        # sees "connection reset" instead of the refusal. So the input is read and discarded first,
+        # for a limited time.
         deadline = time.monotonic() + DISCARD_TIMEOUT_S
         try:
             self.socket.shutdown(socket.SHUT_WR)
@@ -123,17 +123,17 @@
 
 
 class CallerThreads(ThreadPool):
-    """The worker threads, made as they are needed, which never keep the process from ending.
+    """Worker threads, created on demand; as daemon threads they don't prevent the process from exiting.
 
-    Made all at the start, 256 threads cost each router its first moments and their stacks, and
-    some hundred routers side by side used up the machine's threads. A router of a small fleet has
-    30 to 65 threads in all under load, counted from outside.
+    When all 256 threads were created at the start, they delayed each router's start and used memory
+    for their stacks, and about a hundred routers on one VM exhausted its threads. A router of a small
+    fleet has 30 to 65 threads in total under load, counted from outside the process.
     """
 
     def put(self, obj):
-        """Queue a connection, with a thread to take it; called by the one thread that accepts."""
-        # A thread counts as idle for a moment after it took a connection off the queue. The spare
-        # ones make up for that, so that no request waits for another's answer to end.
+        """Queue a connection and create a thread for it if needed; called only by the accepting thread."""
+        # A thread still counts as idle for a moment after it took a connection from the queue. The
+        # spare threads compensate for that, so that no request waits until another one has ended.
         if self.idle < self._queue.qsize() + SPARE_THREADS and len(self._threads) < self.max:
             self._threads.append(self._spawn_worker())
         super().put(obj)
@@ -146,7 +146,7 @@
         return worker
 
     def stop(self, timeout=STOP_TIMEOUT_S):
-        """End the threads, waiting at most ``timeout`` seconds for all of them together."""
+        """Stop the threads, waiting at most ``timeout`` seconds in total."""
         deadline = time.monotonic() + timeout
         threads, self._threads[:] = self._threads[:], []
         for _ in threads:
@@ -156,7 +156,7 @@
 
 
 class CallersWsgiServer(wsgi.Server):
-    """The listening server.
+    """The listening WSGI server.
 
     Parameters
     ----------
@@ -164,10 +164,10 @@
     application : callable
         WSGI application.
     threads : int
-    watch : CallerWatch
+    watch : ConnectionWatcher
     max_connections, max_header_bytes, max_body_bytes : int
     listener : socket.socket, optional
-        Listens on the address already; made at the start where left out.
+        A socket that already listens on the address; by default one is bound at the start.
     """
 
     ConnectionClass = CallersConnection
@@ -200,23 +200,23 @@
         self._count_lock = threading.Lock()
 
     def connection_opened(self):
-        """Count a connection in."""
+        """Count a connection as open."""
         with self._count_lock:
             self.connections += 1
 
     def connection_closed(self):
-        """Count a connection out."""
+        """Count a connection as closed."""
         with self._count_lock:
             self.connections -= 1
 
     def process_conn(self, conn):
-        """Give a connection to a worker once it has something to read."""
+        """Pass a connection to a worker thread once it has data to read."""
         if conn.has_waited:
             super().process_conn(conn)
             return
-        # The library hands a new connection to a worker before a byte has come. A balancer
-        # that opens connections ahead would hold a thread by each; so a new one waits with
-        # the idle ones, where it costs no thread.
+        # Cheroot passes a new connection to a worker thread before any data has arrived. A load
+        # balancer that opens connections in advance would occupy a thread with each of them, so a
+        # new connection waits among the idle keep-alive connections, which need no thread.
         conn.has_waited = True
         if self.connections > self.max_connections:
             self._refuse_connection(conn)
@@ -224,7 +224,7 @@
         self.put_conn(conn)
 
     def bind(self, family, type, proto=0):  # noqa: A002
-        """Take the listener that there is, or bind one."""
+        """Use the given listener, or bind one."""
         if self._listener is None:
             sock = super().bind(family, type, proto)
             set_options(sock, is_port_given=self.bind_addr[1] != 0)
@@ -234,7 +234,7 @@
         return self.socket
 
     def error_log(self, msg="", level=20, traceback=False):
-        """Send the library's messages to the log."""
+        """Log a message of cheroot."""
         logger.opt(exception=traceback).log(_level_name(level), "callers' server: {}", msg)
 
     def _refuse_connection(self, conn):
@@ -246,7 +246,7 @@
             retry_after_s=FULL_RETRY_AFTER_S,
         )
         conn.send_problem(refusal)
-        conn.has_unread_input = False  # this is the accepting thread: it waits for nobody
+        conn.has_unread_input = False  # the accepting thread must not block on the caller
         conn.close()
 
 
