--- a/wagtailtrestle/callers/__init__.py
+++ b/wagtailtrestle/callers/__init__.py
@@ -1,1 +1,1 @@
-"""The callers' side: HTTP in, checks, answers out."""
+"""The HTTP interface for callers: receives, validates and answers requests."""
--- a/wagtailtrestle/callers/authentication.py
+++ b/wagtailtrestle/callers/authentication.py
@@ -1,4 +1,4 @@
-"""Bearer keys: which team a request comes from."""
+"""Authentication by bearer keys, each of which belongs to a team."""
 
 import hashlib
 import hmac
@@ -15,14 +15,14 @@
 
 @record
 class KeyProof:
-    """How lately the platform showed that the keys known here are the ones that hold.
+    """How recently the platform confirmed that the keys known to this router are current.
 
     Parameters
     ----------
     age_s : float or None
-        Time since; ``None`` if it never did.
+        Time since the last confirmation; ``None`` if there was none.
     limit_s : float
-        Age from which no key is used; 0 where keys may be used without a proof.
+        Age from which no key is accepted; 0 if keys are accepted without confirmation.
     """
 
     age_s: float | None
@@ -30,18 +30,18 @@
 
     @property
     def is_fresh(self):
-        """Whether keys may be used."""
+        """Whether keys may be accepted or rejected on this confirmation."""
         return not self.limit_s or (self.age_s is not None and self.age_s < self.limit_s)
 
     @property
     def cause(self):
-        """What a refusal's log line tells."""
+        """The cause of a refusal for the log."""
         age = "never" if self.age_s is None else f"{self.age_s:.1f} s ago"
         return f"keys proved {age}, limit {self.limit_s:g} s"
 
 
 class KeyIndex:
-    """Teams of one declaration by the digest of their keys.
+    """Index of the teams of one declaration by the digests of their keys.
 
     Parameters
     ----------
@@ -61,12 +61,12 @@
         bucket.append((digest, team))
 
     def find(self, *, key: str) -> Team | None:
-        """The team that holds ``key``."""
-        # Comparing keys byte by byte would let a caller find one by timing its guesses. Here the
-        # clock can tell only whether 32 bits of SHA-256(guess) occur in the index: a caller can't
-        # steer a digest towards a key it doesn't know, so that tells nothing about the key. The
-        # rest is compared in constant time. A scan of all digests would cost about 0.25 ms a
-        # request at 1,700 teams and protect nothing more.
+        """Return the team that owns ``key``, or ``None``."""
+        # Comparing keys byte by byte would be open to a timing attack. Here the timing reveals only
+        # whether the first 32 bits of SHA-256(guess) occur in the index. A caller can't choose a guess
+        # whose digest approaches that of an unknown key, so this reveals nothing about the key. The
+        # remaining bits are compared in constant time. Scanning all digests would take about 0.25 ms
+        # per request with 1,700 teams and give no additional protection.
         digest = hashlib.sha256(key.encode("utf-8", "surrogateescape")).hexdigest()
         found = None
         for known, team in self._keys_by_bucket.get(digest[:BUCKET_CHARACTERS], ()):
@@ -76,7 +76,7 @@
 
 
 def bearer_key(header: str) -> str | None:
-    """The key in an ``Authorization`` header, or ``None`` if there is none."""
+    """Return the key in an ``Authorization`` header, or ``None`` if there is none."""
     scheme, _, key = header.strip().partition(" ")
     key = key.strip()
     if scheme.lower() != SCHEME or not key or len(key) > MAX_KEY_CHARACTERS:
@@ -85,9 +85,9 @@
 
 
 def authenticate(*, header: str, index: KeyIndex) -> Team | Refusal:
-    """The team named by an ``Authorization`` header, or the refusal to send.
+    """Return the team identified by an ``Authorization`` header, or a refusal.
 
-    One answer serves a missing and an unknown key, so that nothing is learnt from the difference.
+    The refusal is the same for a missing and an unknown key, so that it reveals nothing about keys.
     """
     key = bearer_key(header)
     team = index.find(key=key) if key is not None else None
@@ -95,17 +95,17 @@
 
 
 def team_of_key(*, key: str, index: KeyIndex, proof: KeyProof, hint: str) -> Team | Refusal:
-    """The team that holds ``key``, as far as this router can prove it.
+    """Return the team that owns ``key``, or a refusal; no key is judged without a fresh ``proof``.
 
     Parameters
     ----------
     key : str
-        Empty where the caller sent none.
+        Empty if the caller sent none.
     hint : str
-        One sentence that tells a caller how to send its key.
+        The detail of the refusal, one sentence for the caller.
     """
-    # The proof comes first: a router cut off from the platform may not know a key that is good, or still
-    # know one that was revoked. Either answer would be a guess.
+    # The proof is checked first: a router without connection to the platform may not know a valid key,
+    # or still know a revoked one, so neither accepting nor rejecting the key would be reliable.
     if not proof.is_fresh:
         return refusal_of(Reason.KEYS_STALE, executed=Executed.NO, cause=proof.cause)
     team = index.find(key=key) if key else None
--- a/wagtailtrestle/callers/body.py
+++ b/wagtailtrestle/callers/body.py
@@ -1,4 +1,4 @@
-"""A caller's body: read within limits, checked at the edge, its size and prefix taken."""
+"""Request bodies: read within limits and validated; size and prefix hashes of the prompt are determined."""
 
 import hashlib
 import json
@@ -19,7 +19,7 @@
 
 @record
 class LanguageBody:
-    """A completion's body after its checks; ``fields`` is what the caller sent, whole."""
+    """The validated body of a completion request; ``fields`` is the complete document that the caller sent."""
 
     fields: dict
     model: str
@@ -31,23 +31,23 @@
 
 @record
 class BodyLength:
-    """Declared bytes of a body, or that its chunks tell its end."""
+    """The declared length of a body in bytes, or that it is sent in chunks."""
 
     size: int
     chunked: bool
 
 
 class BodyFault(Exception):
-    """A body that can't be taken; carries the sentence for the caller. Stays in this module."""
+    """An invalid body, with the detail for the caller. Not raised outside this module."""
 
 
 def body_length(environ: dict) -> BodyLength | Refusal:
-    """How the body's end is known."""
+    """Return how the end of the body is determined, or a refusal if that is ambiguous."""
     chunked = bool(environ.get("wsgi.input_terminated"))
     declared = environ.get("CONTENT_LENGTH")
     if chunked and declared is not None:
-        # A balancer that believes the length where this side believes the chunks would see
-        # two requests in one: a caller's request could be answered to another.
+        # Request smuggling: a load balancer that uses the length while this server uses the chunks
+        # would find another request boundary, and one caller could receive another's response.
         return bad_request("A body can't have both a length and a chunked coding.")
     if declared is not None and not LENGTH_PATTERN.fullmatch(declared):
         return bad_request("'Content-Length' must be a whole number.")
@@ -55,7 +55,7 @@
 
 
 def read_body(*, stream, length: BodyLength) -> bytes | Refusal:
-    """Read a body whole; one that ends early is never taken for a shorter one."""
+    """Read a complete body; a truncated one is refused."""
     if length.chunked:
         return _read_chunked(stream)
     body = stream.read(length.size)
@@ -67,8 +67,8 @@
 def _read_chunked(stream):
     try:
         body = stream.read()
-        # The line after the last chunk is part of this request; left unread, it would look
-        # like the start of the next one and hold a thread until that never came.
+        # The line after the last chunk belongs to this request. If it were left unread, it would look
+        # like the start of a next request and occupy a thread that waits for the rest.
         for _ in stream.read_trailer_lines():
             pass
     except TimeoutError:
@@ -81,7 +81,7 @@
 
 
 def parse_language(*, body: bytes, path: str) -> LanguageBody | Refusal:
-    """Check a completion's body; every fault is answered with the field's name."""
+    """Validate the body of a completion request; a refusal names the invalid field."""
     try:
         return _parse(body=body, chat=path == CHAT_PATH)
     except BodyFault as fault:
@@ -89,7 +89,7 @@
 
 
 def body_digest(*, method: str, path: str, body: bytes) -> str:
-    """SHA-256 of method, path and body: tells whether a key is used again for another request."""
+    """Return the SHA-256 of method, path and body, which detects an idempotency key reused for another request."""
     digest = hashlib.sha256()
     digest.update(f"{method} {path}\n".encode("utf-8", "surrogateescape"))
     digest.update(body)
@@ -97,12 +97,12 @@
 
 
 def bad_request(detail: str) -> Refusal:
-    """A 400 for something the caller can mend."""
+    """Return a 400 for an error that the caller can correct."""
     return Refusal(status=400, reason=Reason.BAD_REQUEST, executed=Executed.NO, detail=detail)
 
 
 def too_large(detail: str) -> Refusal:
-    """A 413."""
+    """Return a 413."""
     return Refusal(status=413, reason=Reason.TOO_LARGE, executed=Executed.NO, detail=detail)
 
 
--- a/wagtailtrestle/callers/body_reader.py
+++ b/wagtailtrestle/callers/body_reader.py
@@ -1,4 +1,4 @@
-"""Reads a caller's body within the limits on receiving; one reader for every dialect of callers."""
+"""Reads request bodies within the receive limits, for every ``CallerDialect``."""
 
 from wagtailtrestle.callers.body import BodyLength, body_length, read_body
 from wagtailtrestle.callers.connection_watcher import ConnectionWatcher
@@ -10,11 +10,11 @@
 
 
 class BodyReader:
-    """Reads bodies; called from callers' threads, keeps nothing of a request.
+    """Reads bodies; called from worker threads, holds no per-request state.
 
     Parameters
     ----------
-    watch : CallerWatch
+    watch : ConnectionWatcher
     limit : ReceiveLimit
     """
 
@@ -25,7 +25,7 @@
         self._limit = limit
 
     def read(self, environ, *, highest) -> bytes | Refusal:
-        """Read the body whole; ``highest`` tells whether its request may be of the highest tier."""
+        """Read the complete body; ``highest`` states whether the request may be of the highest tier."""
         length = body_length(environ)
         if isinstance(length, Refusal):
             return length
@@ -45,7 +45,7 @@
 
 
 def slow_sender() -> Refusal:
-    """A 408 for a request that takes too long to arrive."""
+    """Return a 408 for a request that was not received in time."""
     return Refusal(
         status=408, reason=Reason.BAD_REQUEST, executed=Executed.NO, detail="The request took too long to arrive."
     )
--- a/wagtailtrestle/callers/dialect.py
+++ b/wagtailtrestle/callers/dialect.py
@@ -1,4 +1,4 @@
-"""What varies between interfaces of callers: how a request is read and how it is refused."""
+"""The protocol for HTTP interfaces of callers: how requests are read and how they are refused."""
 
 from dataclasses import field
 from typing import Protocol
@@ -12,15 +12,15 @@
 
 
 class Charge(Protocol):
-    """What a request took from its team's quota."""
+    """The quota units consumed by a request."""
 
     def refund(self) -> None:
-        """Give it back, since the request was not run."""
+        """Refund the units, since the request was not executed."""
 
 
 @record
 class PreparedRequest:
-    """A request ready for its task, and how its caller will be answered."""
+    """A validated request, ready to be submitted, with the ``Answer`` that responds to its caller."""
 
     request: CallerRequest
     call: EngineDialect
@@ -34,24 +34,24 @@
 
 @record
 class ModelList:
-    """The answer of ``/v1/models``, which needs no task."""
+    """The response body of ``/v1/models``, which needs no task."""
 
     body: bytes
 
 
 @record
 class IncomingRequest:
-    """One request as it came.
+    """One request as received.
 
     Parameters
     ----------
     environ : dict
-        WSGI's.
+        The environ of WSGI.
     response : CallerResponse
     request_id : str
-        Ours.
+        The router's own id of the request.
     at : float
-        ``time.monotonic`` when its head had been read.
+        ``time.monotonic`` after its headers were read.
     """
 
     environ: dict
@@ -61,16 +61,16 @@
 
 
 class CallerDialect(Protocol):
-    """One interface of callers; called from callers' threads, keeps nothing of a request."""
+    """An HTTP interface for callers; called from worker threads, holds no per-request state."""
 
     def request_id(self, environ: dict) -> str | Refusal:
-        """The caller's own id of the request, or one made for it."""
+        """Return the request id sent by the caller, or a generated one."""
 
     def caller_timeout_s(self, environ: dict) -> float | None:
-        """How long the caller says that it will wait, ``None`` where it doesn't."""
+        """Return the time that the caller states it will wait, or ``None``."""
 
     def prepare(self, incoming: IncomingRequest) -> PreparedRequest | ModelList | Refusal:
-        """Read and check one request."""
+        """Authenticate, read and validate one request."""
 
     def problem(self, refusal: Refusal, request_id: str) -> tuple[int, list, bytes]:
-        """Status, header pairs and body of a refusal as this interface's callers read it."""
+        """Return status, header pairs and body of a refusal in the format of this interface."""
--- a/wagtailtrestle/callers/headers.py
+++ b/wagtailtrestle/callers/headers.py
@@ -1,4 +1,4 @@
-"""Headers by which callers steer one request, checked at the edge."""
+"""Request headers: validation, the headers that control a request, and the ones forwarded to plain services."""
 
 import re
 import uuid
@@ -21,8 +21,8 @@
 MS_PER_S = 1000.0
 HEADER_PREFIX = "HTTP_"
 CONTROL_PREFIX = "HTTP_WAGTAILTRESTLE_"
-# The caller's key is for this router alone. A coding is not offered on, so that an answer's
-# length is the length of its body.
+# The caller's key is meant only for this router. Accept-Encoding is not forwarded, so that the length
+# of an answer is the length of its body.
 UNFORWARDED_HEADERS = frozenset(
     {
         "HTTP_ACCEPT_ENCODING",
@@ -44,14 +44,14 @@
 
 @record
 class CallerHeaders:
-    """The steering headers of one request.
+    """The control headers of one request.
 
     Parameters
     ----------
     deadline_ms : int or None
-        ``None`` where the caller gave none.
+        ``None`` if the caller sent none.
     route, tier, idempotency_key : str
-        Empty where the caller gave none.
+        Empty if the caller sent none.
     """
 
     deadline_ms: int | None
@@ -61,7 +61,7 @@
 
 
 def caller_request_id(environ: dict) -> str | Refusal:
-    """The caller's own id of the request, or one made for it."""
+    """Return the request id sent by the caller, or a generated one."""
     given = environ.get(REQUEST_ID)
     if given is None:
         return uuid.uuid4().hex
@@ -71,7 +71,7 @@
 
 
 def caller_headers(environ: dict) -> CallerHeaders | Refusal:
-    """Read and check the headers."""
+    """Read and validate the control headers."""
     fault = _syntax_error(environ)
     if fault is not None:
         return bad_request(fault)
@@ -90,8 +90,8 @@
 
 
 def _syntax_error(environ):
-    # What can't be written in a request to an engine must be found here: found there, in the
-    # middle of a run, nobody could tell any more that the request was not run.
+    # Anything that can't be sent in a request to an engine must be detected here. Detected during
+    # a run, it could no longer be ruled out that the request was executed.
     if not TARGET_PATTERN.fullmatch(environ["REQUEST_URI"]):
         return "The address must be of visible ASCII characters; code others with '%'."
     for name, value in environ.items():
@@ -103,19 +103,19 @@
 
 
 def requested_timeout_s(environ: dict) -> float | None:
-    """Seconds that the caller says it will wait; ``None`` without a sound word of it."""
+    """Return the deadline in the header, in seconds, or ``None`` if it is missing or malformed."""
     deadline = environ.get(DEADLINE, "")
     return int(deadline) / MS_PER_S if DEADLINE_PATTERN.fullmatch(deadline) else None
 
 
 def effective_timeout_s(*, headers: CallerHeaders, default_ms: int, max_s: float) -> float:
-    """Seconds the whole answer may take: the caller's, else the route's, never above ``most_s``."""
+    """Return the seconds allowed for the complete answer: the caller's deadline or the route's, at most ``max_s``."""
     requested_ms = headers.deadline_ms if headers.deadline_ms is not None else default_ms
     return min(requested_ms / MS_PER_S, max_s)
 
 
 def forwarded_headers(environ: dict) -> dict:
-    """The caller's headers that a plain service is sent."""
+    """Return the caller's headers to forward to a plain service."""
     value_by_name = {}
     for name, value in environ.items():
         if not name.startswith(HEADER_PREFIX) or name in UNFORWARDED_HEADERS or name.startswith(CONTROL_PREFIX):
--- a/wagtailtrestle/callers/problem.py
+++ b/wagtailtrestle/callers/problem.py
@@ -1,4 +1,4 @@
-"""Errors as callers read them: RFC 9457 problem documents built from a ``Refusal``."""
+"""RFC 9457 problem documents built from a ``Refusal``."""
 
 import json
 import math
@@ -42,7 +42,7 @@
 
 
 def retry_after_seconds(refusal: Refusal) -> int | None:
-    """Whole seconds for ``Retry-After``, rounded up so that no caller comes back early."""
+    """Return the seconds for ``Retry-After``, rounded up so that no caller retries too early."""
     if refusal.status not in RETRY_STATUSES:
         return None
     estimate = refusal.retry_after_s or 0.0
@@ -50,7 +50,7 @@
 
 
 def problem_document(*, refusal: Refusal, request_id: str) -> dict:
-    """The members of the problem document."""
+    """Return the members of the problem document."""
     document = {
         "type": TYPE_PREFIX + refusal.reason.value,
         "title": TITLE_BY_REASON[refusal.reason],
@@ -67,12 +67,12 @@
 
 
 def problem_bytes(*, refusal: Refusal, request_id: str) -> bytes:
-    """The problem document as JSON on one line."""
+    """Return the problem document as JSON on one line."""
     return json.dumps(problem_document(refusal=refusal, request_id=request_id)).encode()
 
 
 def problem_headers(*, refusal: Refusal, request_id: str, length: int) -> list:
-    """Header pairs of an answer whose body is the problem document."""
+    """Return the header pairs of a response whose body is the problem document."""
     headers = [
         ("Content-Type", CONTENT_TYPE),
         ("Content-Length", str(length)),
@@ -88,7 +88,7 @@
 
 
 def status_line(status: int) -> str:
-    """``503 Service Unavailable``; a status without a registered phrase is sent with ``Status``."""
+    """Return the status line, like ``503 Service Unavailable``; an unregistered status gets the phrase ``Status``."""
     try:
         phrase = HTTPStatus(status).phrase
     except ValueError:
@@ -97,10 +97,10 @@
 
 
 def stream_error_event(*, refusal: Refusal, request_id: str) -> bytes:
-    """Server-sent event that ends a stream which cannot be finished.
+    """Return the server-sent event that ends a stream which can't be completed.
 
-    The member ``error`` repeats the problem in the place where callers' chat libraries look for an
-    error inside a stream; without it some of them take the stream for finished.
+    The member ``error`` repeats the problem where chat client libraries look for an error inside a
+    stream; without it some of them treat the stream as complete.
     """
     document = problem_document(refusal=refusal, request_id=request_id)
     document["error"] = {"message": refusal.detail, "type": refusal.reason.value, "code": int(refusal.status)}
--- a/wagtailtrestle/callers/prompt_shape.py
+++ b/wagtailtrestle/callers/prompt_shape.py
@@ -1,7 +1,7 @@
-"""Sizes and prefix of a prompt, as engines count them: no text leaves this module.
+"""Token count and prefix hashes of a prompt, computed as engines do; the results contain no prompt text.
 
-Engines count four bytes of prompt text as one token and cache whole blocks of 64
-tokens; see the engine's HTTP in docs/design/architecture.md.
+Engines count four bytes of prompt text as one token and cache complete blocks of 64
+tokens; see the engine's HTTP interface in docs/design/architecture.md.
 """
 
 import hashlib
@@ -12,8 +12,8 @@
 BLOCK_TOKENS = 64
 BLOCK_BYTES = BLOCK_TOKENS * BYTES_PER_TOKEN
 HASH_BYTES = 8
-# Blocks told to a scheduler: 16 × 64 tokens of common prefix tell engines apart as well as four
-# times that (docs/design/membership.md), and an ask stays under 300 bytes on the link between routers.
+# Blocks sent to a scheduler: a common prefix of 16 × 64 tokens distinguishes engines as well as four
+# times that (docs/design/membership.md), and a request stays under 300 bytes on the link between routers.
 MAX_BLOCKS = 16
 
 
@@ -26,7 +26,7 @@
 
 
 def chat_text(messages: list) -> str:
-    """The text of all messages joined; parts that are not text count nothing."""
+    """Return the concatenated text of all messages; parts that are not text are ignored."""
     pieces = []
     for message in messages:
         content = message.get("content")
@@ -45,14 +45,14 @@
 
 
 def shape_of(text: str) -> PromptShape:
-    """Shape of a prompt given as text."""
+    """Return the shape of a prompt given as text."""
     data = text.encode("utf-8", "surrogatepass")
     tokens = -(-len(data) // BYTES_PER_TOKEN)
     return PromptShape(tokens=tokens, prefix_blocks=prefix_blocks(data))
 
 
 def prefix_blocks(data: bytes) -> tuple:
-    """Chained 64-bit hashes of the whole blocks at the start of a prompt, at most ``MAX_BLOCKS``."""
+    """Return chained 64-bit hashes of the complete blocks at the start of a prompt, at most ``MAX_BLOCKS``."""
     blocks = []
     previous = b""
     n_blocks = min(len(data) // BLOCK_BYTES, MAX_BLOCKS)
--- a/wagtailtrestle/callers/route_match.py
+++ b/wagtailtrestle/callers/route_match.py
@@ -1,4 +1,4 @@
-"""Which declared route a request takes, and the tier it is served in."""
+"""Matching of requests to declared routes, and the tier in which each is served."""
 
 import re
 import zlib
@@ -17,7 +17,7 @@
 
 @record
 class RouteMatch:
-    """The service and route of a request, and its tier after any lowering."""
+    """The service and route of a request, and its tier after an optional downgrade."""
 
     service: Service
     route: Route
@@ -25,12 +25,12 @@
 
 
 def may_use(*, route: Route, team: Team) -> bool:
-    """Whether the declaration lets ``team`` use ``route``."""
+    """Return whether ``team`` may use ``route``."""
     return not route.teams or team.name in route.teams
 
 
 def services_of(*, declaration: Declaration, team: Team) -> list:
-    """Language services with at least one route that ``team`` may use, in declared order."""
+    """Return the language services with at least one route that ``team`` may use, in declared order."""
     found = []
     for service in declaration.services_by_name.values():
         usable = any(may_use(route=route, team=team) for route in service.routes_by_name.values())
@@ -40,11 +40,11 @@
 
 
 def path_error(path: str) -> str | None:
-    """Why ``path`` is not accepted.
+    """Return why ``path`` is not accepted, or ``None``.
 
-    An engine may resolve ``slots/../charge`` or a coded separator to another call than the
-    one matched here, and run a call that must not be repeated under a route that may be.
-    Such paths are refused whole; no client library sends them by itself.
+    An engine may resolve ``slots/../charge`` or an encoded separator to another call than the one
+    matched here, and execute a call that must not be repeated under a route that may be repeated.
+    Such paths are always refused; no client library generates them by itself.
     """
     if ENCODED_SEPARATOR.search(path) or FORBIDDEN_IN_PATH.search(path):
         return "The path holds a coded separator or a control character."
@@ -111,7 +111,7 @@
             self._routes_by_host.setdefault(route.host, []).append(route)
 
     def find(self, *, host, path):
-        """The route of a request, or ``None``; ``host`` may carry a port."""
+        """Return the route of a request, or ``None``; ``host`` may include a port."""
         name = host.strip().lower().partition(":")[0]
         for route in self._routes_by_host.get(name, ()):
             if path.startswith(route.prefix):
@@ -120,7 +120,7 @@
 
 
 def choose_service(*, route: HostRoute, request_id: str) -> str:
-    """The service that serves this request, by the route's weights; the same each time it is asked."""
+    """Choose a service by the route's weights; the choice is deterministic for a request id."""
     if len(route.weight_by_service) == 1:
         return next(iter(route.weight_by_service))
     total = sum(route.weight_by_service.values())
@@ -133,7 +133,7 @@
 
 
 def method_not_allowed(methods: list) -> Refusal:
-    """A 405 that names the methods allowed."""
+    """Return a 405 that lists the allowed methods."""
     allowed = ", ".join(sorted(set(methods)))
     return Refusal(
         status=405, reason=Reason.NO_ROUTE, executed=Executed.NO, detail=f"Allowed methods on this path: {allowed}."
