--- a/wagtailtrestle/callers/answer.py
+++ b/wagtailtrestle/callers/answer.py
@@ -62,7 +62,7 @@
     __slots__ = (
         "request_id",
         "begun",
-        "gone",
+        "disconnected",
         "aborted",
         "status",
         "_start_response",
@@ -75,7 +75,7 @@
     def __init__(self, *, start_response, request_id, closing, problem):
         self.request_id = request_id
         self.begun = False
-        self.gone = False
+        self.disconnected = False
         self.aborted = False
         self.status = 0
         self._problem = problem
@@ -94,12 +94,12 @@
 
     def write(self, data: bytes):
         """Send bytes immediately; discard them if the caller has disconnected."""
-        if self.gone:
+        if self.disconnected:
             return
         try:
             self._write(data)
         except OSError:
-            self.gone = True
+            self.disconnected = True
             self.on_disconnect()
 
     def send(self, *, status: int, content_type: str, body: bytes, executed=Executed.YES, extra_headers=()):
--- a/wagtailtrestle/callers/caller_exchange.py
+++ b/wagtailtrestle/callers/caller_exchange.py
@@ -36,7 +36,7 @@
         ``cancel(run_id=…, address=…)``, which must not block.
     """
 
-    __slots__ = ("request_id", "displaced", "runs", "post_event", "_cancel", "_commands", "gone", "_lock")
+    __slots__ = ("request_id", "displaced", "runs", "post_event", "_cancel", "_commands", "disconnected", "_lock")
 
     def __init__(self, *, request_id, post_event: Callable[[CallerEvent], None], cancel):
         self.request_id = request_id
@@ -45,7 +45,7 @@
         self.post_event = post_event
         self._cancel = cancel
         self._commands = queue.SimpleQueue()
-        self.gone = False
+        self.disconnected = False
         self._lock = threading.Lock()
 
     # CallerLink, called by the task.
@@ -63,9 +63,9 @@
     def caller_gone(self):
         """Notify the task, once, that the caller has disconnected."""
         with self._lock:
-            if self.gone:
+            if self.disconnected:
                 return
-            self.gone = True
+            self.disconnected = True
         self.post_event(CallerGone())
 
     def displace(self):
--- a/wagtailtrestle/callers/request_handler.py
+++ b/wagtailtrestle/callers/request_handler.py
@@ -112,7 +112,7 @@
                 refusal = self._refusal_for_caller(refusal)
                 if self._prepared.charge is not None and refusal.executed is Executed.NO:
                     self._prepared.charge.refund()
-                if self._exchange.displaced or not self._exchange.gone:
+                if self._exchange.displaced or not self._exchange.disconnected:
                     answer.refuse(refusal)
                 return refusal.reason.value
 
--- a/wagtailtrestle/callers/server.py
+++ b/wagtailtrestle/callers/server.py
@@ -213,7 +213,7 @@
             with self._lock:
                 self._active_requests -= 1
         request = environ[REQUEST_ENVIRON]
-        if response.gone or not response.begun:
+        if response.disconnected or not response.begun:
             request.close_connection = True
         if response.aborted:
             # Omits the last chunk, so that the caller can't mistake the response for a complete one.
--- a/wagtailtrestle/callers/start_hold.py
+++ b/wagtailtrestle/callers/start_hold.py
@@ -60,17 +60,19 @@
         return self._hold(fd, min(self._max_hold_s, MAX_CALLER_TIMEOUT_SHARE * timeout_s))
 
     def _hold(self, fd, max_hold_s):
-        gone = threading.Event()
+        disconnected = threading.Event()
         with self._changed:
             if self._held >= self._max_held:
                 return Reason.NOT_READY
             self._held += 1
-        self._watch.watch(fd=fd, on_disconnect=lambda: (gone.set(), self.open()))
+        self._watch.watch(fd=fd, on_disconnect=lambda: (disconnected.set(), self.open()))
         try:
             with self._changed:
-                self._changed.wait_for(lambda: gone.is_set() or self._reason() is not Reason.NOT_READY, max_hold_s)
+                self._changed.wait_for(
+                    lambda: disconnected.is_set() or self._reason() is not Reason.NOT_READY, max_hold_s
+                )
         finally:
             self._watch.unwatch(fd=fd)
             with self._changed:
                 self._held -= 1
-        return Reason.CALLER_GONE if gone.is_set() else self._reason()
+        return Reason.CALLER_GONE if disconnected.is_set() else self._reason()
