--- a/wagtailtrestle/callers/answer.py
+++ b/wagtailtrestle/callers/answer.py
@@ -61,7 +61,7 @@
 
     __slots__ = (
         "request_id",
-        "begun",
+        "started",
         "disconnected",
         "aborted",
         "status",
@@ -74,7 +74,7 @@
 
     def __init__(self, *, start_response, request_id, closing, problem):
         self.request_id = request_id
-        self.begun = False
+        self.started = False
         self.disconnected = False
         self.aborted = False
         self.status = 0
@@ -88,7 +88,7 @@
         """Set status and headers, which are sent with the first bytes of the body."""
         if self._closing():
             headers = [*headers, ("Connection", "close")]
-        self.begun = True
+        self.started = True
         self.status = status
         self._write = self._start_response(status_line(status), headers)
 
@@ -204,7 +204,7 @@
 
     def token(self, text):
         """Send one token's event."""
-        if not self._response.begun:
+        if not self._response.started:
             self._begin()
         self._response.write(self._events.token(text))
 
@@ -220,13 +220,13 @@
 
     def refuse(self, refusal):
         """Send a problem if the response has not started, else an error event without ``[DONE]``."""
-        if self._response.begun:
+        if self._response.started:
             self._response.write(self._events.error(refusal=refusal))
         else:
             self._response.send_refusal(refusal)
 
     def _end(self, end):
-        if not self._response.begun:
+        if not self._response.started:
             self._begin()
         self._response.write(self._events.end(end))
 
--- a/wagtailtrestle/callers/server.py
+++ b/wagtailtrestle/callers/server.py
@@ -213,13 +213,13 @@
             with self._lock:
                 self._active_requests -= 1
         request = environ[REQUEST_ENVIRON]
-        if response.disconnected or not response.begun:
+        if response.disconnected or not response.started:
             request.close_connection = True
         if response.aborted:
             # Omits the last chunk, so that the caller can't mistake the response for a complete one.
             request.chunked_write = False
             request.close_connection = True
-        if not response.begun:
+        if not response.started:
             request.sent_headers = True  # the caller disconnected before its response: write nothing
         return ()
 
--- a/wagtailtrestle/platform/callers.py
+++ b/wagtailtrestle/platform/callers.py
@@ -203,13 +203,13 @@
 
     def token(self, text):
         """Send whole events as the bytes that they are; the head of the first engine goes before them."""
-        if not self._response.begun:
+        if not self._response.started:
             self._response.begin(status=self._received.status, headers=_answer_headers(self._received))
         self._response.write(text)
 
     def complete(self, received):
         """Close a stream that was sent, or send everything at once."""
-        if self._response.begun:
+        if self._response.started:
             return
         headers = _answer_headers(received)
         if received.body or not received.events:
@@ -228,7 +228,7 @@
 
     def refuse(self, refusal):
         """A refusal if nothing was sent yet; a stream that began is broken off and must look so."""
-        if self._response.begun:
+        if self._response.started:
             self._response.abort()
         else:
             self._response.send_refusal(refusal)
