--- a/wagtailtrestle/callers/connection_watcher.py
+++ b/wagtailtrestle/callers/connection_watcher.py
@@ -33,7 +33,7 @@
         "_epoll",
         "_lock",
         "_callback_by_fd",
-        "_started_at_by_connection",
+        "_since_by_connection",
         "_closing",
         "_thread",
         "_timeout_s",
@@ -46,7 +46,7 @@
         self._epoll = select.epoll()
         self._lock = threading.Lock()
         self._callback_by_fd = {}
-        self._started_at_by_connection = {}
+        self._since_by_connection = {}
         self._closing = threading.Event()
         self._thread = threading.Thread(target=self._run, name="caller-watch", daemon=True)
 
@@ -79,12 +79,12 @@
         complete request and is shortened while most threads are receiving.
         """
         with self._lock:
-            self._started_at_by_connection[connection] = time.monotonic()
+            self._since_by_connection[connection] = time.monotonic()
 
     def received(self, *, connection):
         """Stop the timeout: the request was received completely, or its connection ended."""
         with self._lock:
-            self._started_at_by_connection.pop(connection, None)
+            self._since_by_connection.pop(connection, None)
 
     def _run(self):
         while not self._closing.is_set():
@@ -110,11 +110,11 @@
     def _stop_slow_senders(self):
         now = time.monotonic()
         with self._lock:
-            crowded = len(self._started_at_by_connection) > self._max_receiving
+            crowded = len(self._since_by_connection) > self._max_receiving
             allowed_s = min(BUSY_TIMEOUT_S, self._timeout_s) if crowded else self._timeout_s
-            late = [c for c, since in self._started_at_by_connection.items() if now - since > allowed_s]
+            late = [c for c, since in self._since_by_connection.items() if now - since > allowed_s]
             for connection in late:
-                del self._started_at_by_connection[connection]
+                del self._since_by_connection[connection]
                 connection.too_slow = True
                 _stop_reading(connection.socket)
 
