--- a/wagtailtrestle/callers/caller_exchange.py
+++ b/wagtailtrestle/callers/caller_exchange.py
@@ -58,7 +58,7 @@
         """Request the engine to cancel the run; the thread still posts the run's end."""
         self._cancel(run_id=run_id, address=address)
 
-    # Called by the worker thread and by the thread of the connection watcher.
+    # Called by the worker thread and by the watching thread.
 
     def caller_gone(self):
         """Notify the task, once, that the caller has disconnected."""
--- a/wagtailtrestle/callers/connection_watcher.py
+++ b/wagtailtrestle/callers/connection_watcher.py
@@ -14,7 +14,7 @@
 
 
 class ConnectionWatcher:
-    """Watches callers' connections while their requests are being received or handled.
+    """Watches callers' connections while their requests are received and handled.
 
     A worker thread waits in a queue or reads from an engine, so it can't detect that its caller
     disconnects; without the watcher, the engine would continue to generate and its slot would stay
@@ -51,17 +51,17 @@
         self._thread = threading.Thread(target=self._run, name="caller-watch", daemon=True)
 
     def start(self):
-        """Start the watcher thread."""
+        """Start the watching thread."""
         self._thread.start()
 
     def close(self):
-        """Stop the watcher thread."""
+        """End the watching thread."""
         self._closing.set()
         self._thread.join()
         self._epoll.close()
 
     def watch(self, *, fd: int, on_disconnect: Callable[[], None]):
-        """Call ``on_disconnect`` once, in the watcher thread, when the peer of ``fd`` closes the connection."""
+        """Call ``on_disconnect`` once, in the watching thread, when the peer of ``fd`` closes."""
         with self._lock:
             self._callback_by_fd[fd] = on_disconnect
             self._epoll.register(fd, DISCONNECT_EVENTS)
--- a/wagtailtrestle/callers/server.py
+++ b/wagtailtrestle/callers/server.py
@@ -142,7 +142,7 @@
 
     @property
     def draining(self):
-        """Whether the drain has begun; ``/readyz`` is false from then on."""
+        """Whether the drain has started; ``/readyz`` is false from then on."""
         return self._draining
 
     def start(self):
