--- a/tests/test_caller_watch.py
+++ b/tests/test_caller_watch.py
@@ -1,4 +1,4 @@
-"""The thread that notices callers who left, while numbers of connections are used again."""
+"""Detection of disconnected callers while file descriptors are reused."""
 
 import os
 import socket
@@ -12,7 +12,7 @@
 
 
 class HookedEpoll:
-    """An epoll that runs a hook between the first event that it finds and its being told."""
+    """An epoll that calls a hook after it has found the first event and before it returns it."""
 
     def __init__(self, *, epoll, hook):
         self._epoll = epoll
@@ -58,9 +58,9 @@
         self.assertTrue(self.events["former"].wait(DETECTION_S))
 
     def test_caller_whose_connection_has_the_number_of_one_that_ended_is_not_taken_for_gone(self):
-        # A living caller's request ends after 3 ms, not run. The caller before it on that number left just as its
-        # answer was sent: the kernel's word of that was on its way through this thread while the request was
-        # forgotten, its connection closed, and the next one accepted under the same number and watched.
+        # The request of a connected caller ended after 3 ms without a run. The previous caller on that descriptor had
+        # disconnected just as its answer was sent: while this thread processed the kernel's event, the request was
+        # unwatched, its connection closed, and the next one accepted with the same descriptor and watched.
         ours, theirs = self.pair()
         fd = ours.fileno()
         next_ours, next_theirs = self.pair()
