--- a/tests/test_start_hold.py
+++ b/tests/test_start_hold.py
@@ -1,9 +1,9 @@
-"""Load on routers that start together: all are killed and come back while callers go on sending.
+"""Requests to routers that all restart at the same time while callers continue to send.
 
-The pattern: some 70 requests a second reach nine routers; all stop for half a second or more, and
-each refused for half a second before it served. A caller comes back once, and finds another
-router that starts too. Figures: the hold's default is twice that half second, a caller is
-held for a third of its own time at most, as it grants that much to a wait that it is told.
+About 70 requests per second reach nine routers. All routers stop for half a second or more, and each
+refused requests for another half a second before it was ready. A caller retries once, and its retry
+reached another starting router. The default hold time is twice that half second. A caller is held for at
+most a third of its timeout, the same share that it allows for the delay stated in ``Retry-After``.
 """
 
 import socket
@@ -21,7 +21,7 @@
 
 
 class Watch:
-    """A ``CallerWatch`` whose callers leave when told."""
+    """A fake ``ConnectionWatcher``; the test calls ``on_disconnect``."""
 
     def __init__(self):
         self.on_disconnect_by_fd = {}
@@ -34,7 +34,7 @@
 
 
 class StartingRouter:
-    """What a hold sees of a router that starts."""
+    """The part of a starting router that ``StartHold`` uses."""
 
     def __init__(self, *, max_hold_s=HOLD_S, max_held=8):
         self.not_ready = Reason.NOT_READY
@@ -61,8 +61,8 @@
 
 class StartHoldTest(unittest.TestCase):
     def test_a_request_that_comes_early_is_served_once_the_router_serves(self):
-        # Every router was killed; this one is up but knows no engines yet. Refused, the caller
-        # would spend its one return on another router that starts too.
+        # All routers were killed; this one runs but knows no engines yet. If the caller were refused,
+        # its only retry would reach another starting router.
         router = StartingRouter()
         thread = router.send_request()
         self.assertTrue(router.is_held())
@@ -72,7 +72,7 @@
         self.assertEqual(router.reason_by_fd, {FD: None})
 
     def test_a_caller_that_leaves_is_let_go_at_once(self):
-        # Its thread would wait for nobody, and its request reach an engine after it left.
+        # Otherwise its thread would keep waiting, and its request be sent to an engine after the disconnect.
         router = StartingRouter()
         thread = router.send_request()
         self.assertTrue(router.is_held())
@@ -88,7 +88,7 @@
         self.assertGreaterEqual(time.monotonic() - began_at, MAX_CALLER_TIMEOUT_SHARE * 0.3)
 
     def test_more_than_may_be_held_are_refused_at_once(self):
-        # A flood on a router that never gets its configuration must not take every thread.
+        # A flood of requests to a router that never receives its configuration must not occupy every thread.
         router = StartingRouter(max_held=1)
         first = router.send_request()
         self.assertTrue(router.is_held())
@@ -113,8 +113,8 @@
 
 class ListenerTest(unittest.TestCase):
     def test_a_connection_made_before_there_is_a_server_waits(self):
-        # The process has begun but reads its modules still. Without a listener the kernel
-        # resets the caller's connection; with one, what it sent is there once the server reads.
+        # The process has started but is still importing its modules. Without a listener the kernel
+        # resets the caller's connection; with one, the data it sent is available once the server reads.
         with listen(("127.0.0.1", 0)) as listener:
             with socket.create_connection(listener.getsockname(), timeout=WAIT_S) as caller:
                 caller.sendall(b"GET / HTTP/1.1\r\n\r\n")
