--- a/tests/test_caller_threads.py
+++ b/tests/test_caller_threads.py
@@ -1,4 +1,4 @@
-"""The callers' worker threads: made as they are needed, and enough of them."""
+"""The worker threads of the callers' server: created on demand, and enough of them."""
 
 import threading
 import unittest
@@ -12,20 +12,20 @@
 
 
 class HeldConnection:
-    """A connection whose request is in work until released."""
+    """A connection whose request is being handled until ``release`` is set."""
 
     def __init__(self, *, begun, release):
         self._begun = begun
         self._release = release
 
     def communicate(self):
-        """Stand for reading and answering one request."""
+        """Simulate reading and answering one request."""
         self._begun.release()
         self._release.wait(TIMEOUT_S)
         return False
 
     def close(self):
-        """Nothing is open."""
+        """Do nothing: there is no socket."""
 
 
 class CallerThreadsTest(unittest.TestCase):
@@ -49,8 +49,8 @@
         self.assertEqual(len(self.threads._threads), INITIAL_THREADS)
 
     def test_every_request_up_to_the_limit_is_in_work_at_once(self):
-        # Callers send more requests than the server has threads, all at one moment, and each is long.
-        # A request left in the queue would wait for another's whole answer.
+        # As many long requests as the server may have threads arrive at the same moment. A request
+        # left in the queue would have to wait until another one has ended.
         self.put(MAX_THREADS)
         self.assertEqual(self.count_begun(MAX_THREADS, TIMEOUT_S), MAX_THREADS)
 
