--- a/tests/test_caller_gone.py
+++ b/tests/test_caller_gone.py
@@ -1,4 +1,4 @@
-"""A caller that goes away holds no engine, no place and no thread."""
+"""A caller that disconnects occupies no engine, no slot and no thread afterwards."""
 
 import http.client
 import json
@@ -35,7 +35,7 @@
         return sum(self.running.state(name)["callers"]["limits"]["held"] for name in self.running.routers)
 
     def send_and_disconnect(self, *, stream):
-        """Open a call for a very long answer and return the connection once a run has begun."""
+        """Request a very long answer and return the connection once its run has started."""
         url = self.running.deployment.callers_urls()[0]
         connection = http.client.HTTPConnection(url.removeprefix("http://"), timeout=ANSWER_S)
         body = {"model": "asistente", "max_tokens": LONG_ANSWER, "stream": stream, "messages": MESSAGES}
@@ -50,17 +50,17 @@
         left_at = time.monotonic()
         wait_until(lambda: self.running_on_engines() == 0, "the run to be cancelled", timeout_s=4)
         print(f"caller gone: its run was cancelled after {time.monotonic() - left_at:.2f} s")
-        wait_until(lambda: not self.held_by_scheduler(), "the place to be free", timeout_s=4)
+        wait_until(lambda: not self.held_by_scheduler(), "the slot to be free", timeout_s=4)
         wait_until(lambda: self.held_by_callers() == 0, "the caller's thread to be free", timeout_s=4)
 
     def test_caller_of_a_stream_goes_away(self):
         # The caller closes its connection in the middle of a long stream. Its run is cancelled on the
-        # engine and its place is free long before the answer would have been complete.
+        # engine and its slot is free long before the answer would have been complete.
         self.check_freed(self.send_and_disconnect(stream=True))
 
     def test_caller_of_a_whole_answer_goes_away(self):
-        # As above, but nothing is written to the caller before the end, so that only a look at the
-        # connection tells that it was closed.
+        # As above, but nothing is written to the caller before the end, so that the disconnect can only
+        # be detected by watching the connection.
         self.check_freed(self.send_and_disconnect(stream=False))
 
 
