--- a/tests/test_authentication.py
+++ b/tests/test_authentication.py
@@ -44,8 +44,8 @@
         self.assertEqual(self.answer(HIGH_KEY, age_s=4.4).name, "members")
 
     def test_without_a_proof_no_key_is_judged(self):
-        # A router is cut off from the platform. A key that it doesn't know may be new, and one that it
-        # knows may be revoked: 401 for the first would be final for the caller, and wrong.
+        # The router has no connection to the platform. A key that it doesn't know may be new, and one that
+        # it knows may be revoked: a 401 for a new key would be wrong, and callers don't retry it.
         for key in (HIGH_KEY, "unknown", ""):
             for age_s in (4.5, None):
                 with self.subTest(key=key, age_s=age_s):
@@ -117,9 +117,9 @@
         self.assertIsInstance(self.plain("GET", "/reservas/slots/"), RouteMatch)
 
     def test_a_path_that_resolves_to_another_call_is_refused(self):
-        # A caller asks for /slots/../bookings: matched as slots it would be repeatable,
-        # but the service resolves it to a charge, and a retry would charge twice. So any
-        # path that two readers may resolve in two ways is refused before it is matched.
+        # A caller requests /slots/../bookings: matched as slots it would be repeatable, but the
+        # service resolves it to a booking, and a retry would charge twice. So any path that
+        # may be resolved in different ways is refused before it is matched.
         for path in (
             "/reservas/slots/../bookings",
             "/reservas/./slots",
