--- a/tests/test_caller_limits.py
+++ b/tests/test_caller_limits.py
@@ -42,8 +42,8 @@
 
 class TestSharing(unittest.TestCase):
     def test_one_overloaded_service_leaves_room_for_another_of_its_tier(self):
-        # Callers of a question see router_full though its engines are idle: calls of the same tier
-        # to a service without free engines came first, wait in the router and hold every place.
+        # Callers of one service see router_full though its engines are idle: requests of the same tier
+        # to a service without free engines came first and occupy the router's whole capacity.
         router = limits(held=6)
         for number in range(6):
             admit(router, f"slow-{number}", HIGH, service="slow")
@@ -62,9 +62,9 @@
 
 class TestDisplacing(unittest.TestCase):
     def test_a_flood_of_the_lowest_tier_makes_room_for_every_higher_arrival(self):
-        # The caller of a booking would see router_full while tagging holds every thread.
-        # Tagging fills the router, then bookings come: each must be held, one tagging
-        # request given up for it, and only tagging beyond the limit is refused.
+        # The caller of a booking would see router_full while tagging occupies every thread.
+        # Tagging fills the router, then bookings arrive: each must be held and displace one
+        # tagging request, and only requests beyond the limit are refused.
         router = limits(held=4)
         for number in range(4):
             admit(router, f"tag-{number}", LOW)
@@ -83,16 +83,16 @@
         self.assertEqual(order, ["low-waiting", "low-running", "middle"])
 
     def test_a_run_that_may_not_be_repeated_is_never_displaced(self):
-        # Given up in its run, a charge would be told "unknown" to a family for the sake of
-        # this router's memory. Its thread says that the run begins, then the router fills.
+        # If a charge were displaced during its run, a family would be told "unknown" only to free
+        # capacity of this router. Its thread marks the run as started, then the router fills.
         router = limits(held=1)
         admit(router, "charge", LOW, repeatable=False)
         self.assertTrue(router.mark_running(request_id="charge"))
         self.assertIsInstance(admit(router, "book", HIGH), Full)
 
     def test_a_displaced_request_is_not_sent_any_more(self):
-        # Its caller is told that it was not run. The grant arrives at its thread a moment
-        # after it was displaced: the thread asks here, and must be told not to send.
+        # Its caller is told that it was not executed. Its thread receives the grant just after the
+        # request was displaced: ``mark_running`` must return ``False``, so that it isn't sent.
         router = limits(held=1)
         admit(router, "charge", LOW, repeatable=False)
         self.assertEqual(admit(router, "book", HIGH).displaced, ("charge",))
@@ -110,8 +110,8 @@
 
 class TestReceiving(unittest.TestCase):
     def test_lower_tiers_leave_room_for_large_bodies_of_the_highest(self):
-        # A flood of long reports for tagging is being received; a council's plan, as long,
-        # comes. The flood stops at three quarters of the room, so the plan is still read.
+        # A flood of long reports for tagging is being received when a plan of the same size arrives.
+        # The flood is limited to three quarters of the memory, so the plan can still be read.
         limit = ReceiveLimit(total_bytes=400_000, max_bytes=100_000)
         taken = [limit.try_reserve(size=100_000, highest=False) for _ in range(4)]
         self.assertEqual(taken, [True, True, True, False])
