--- a/tests/utils/callers.py
+++ b/tests/utils/callers.py
@@ -1,4 +1,4 @@
-"""A callers' server with scripted fakes in place of the request's task and of the engines."""
+"""A callers' server with scripted fakes instead of the request task and the engines."""
 
 import asyncio
 import hashlib
@@ -80,7 +80,7 @@
 
 
 async def serve(request, link, inbox):
-    """Run once, then answer whole; like the entry, always give one final answer."""
+    """Start one run, then post the complete answer; like the entry, always post exactly one final answer."""
     link.post(start_run(request))
     while True:
         match await inbox.get():
@@ -93,14 +93,14 @@
 
 
 async def keep_waiting(request, link, inbox):
-    """Wait for a place that never comes, until the caller is gone."""
+    """Wait for a slot that never becomes free, until the caller disconnects."""
     while not isinstance(await inbox.get(), CallerGone):
         pass
     link.post(refusal(Reason.CALLER_GONE, 499))
 
 
 class FakeEngine:
-    """Plays tokens; ``gate`` holds the rest of a run back until it is set or the run cancelled."""
+    """Sends tokens; while ``gate`` is not set, a run doesn't end unless it is cancelled."""
 
     def __init__(self, tokens=("It ", "is. ")):
         self.tokens = tokens
@@ -111,7 +111,7 @@
         self.plain = (200, {"Content-Type": "application/json", "X-Request-Id": "run"}, b'{"slot": 3}')
 
     def close(self):
-        """Nothing is open."""
+        """Do nothing: there are no connections."""
 
     def run(self, *, command, request, received, on_event, on_token):
         self.calls.append(request)
@@ -139,7 +139,7 @@
 
 
 class Bench:
-    """One callers' server on a loop of its own."""
+    """A callers' server with its own event loop."""
 
     def __init__(self, *, script=serve, engine=None, held=8, threads=16, ready=lambda: None, **settings):
         self.script = script
@@ -168,7 +168,7 @@
             threads=threads,
             **settings,
         )
-        self.server._server.expiration_interval = 0.02  # the time its close takes
+        self.server._server.expiration_interval = 0.02  # closing takes this long
         self.server.start()
 
     def close(self):
@@ -181,7 +181,7 @@
         return http.client.HTTPConnection("127.0.0.1", self.server.port, timeout=WAIT_S)
 
     def send_request(self, method, path, body=None, *, key=HIGH_KEY, headers=None):
-        """One request on its own connection; returns status, headers and the body's bytes."""
+        """Send one request on a new connection; return status, headers and the body as bytes."""
         connection = self.connect()
         data = json.dumps(body) if isinstance(body, dict) else body
         connection.request(method, path, data, {"Authorization": f"Bearer {key}"} | (headers or {}))
@@ -191,7 +191,7 @@
         return response.status, response.headers, answer
 
     def send_request_async(self, *args, **kwargs):
-        """``ask`` in a thread; ``result()`` waits for its answer."""
+        """Call ``send_request`` in a thread; ``result()`` of the returned object waits for its answer."""
         answers = []
         thread = threading.Thread(target=lambda: answers.append(self.send_request(*args, **kwargs)), daemon=True)
         thread.start()
@@ -203,13 +203,13 @@
         return SimpleNamespace(result=result, answers=answers)
 
     def wait_until(self, condition):
-        """Wait for a condition of the server's other threads."""
+        """Wait until ``condition()`` is true."""
         deadline = threading.Event()
         for _ in range(int(WAIT_S / 0.01)):
             if condition():
                 return
             deadline.wait(0.01)
-        raise AssertionError("the condition never came")
+        raise AssertionError("the condition was not met in time")
 
     def _submit(self, request, link):
         self.requests.append(request)
@@ -222,7 +222,7 @@
 
 
 def problem(answer):
-    """Status, reason and ``executed`` of a problem answer."""
+    """Return status, reason and ``executed`` of a problem response."""
     status, headers, body = answer
     document = json.loads(body)
     assert headers["Wagtailtrestle-Executed"] == document["executed"]
@@ -230,6 +230,6 @@
 
 
 def stream_data(body):
-    """The data of each event of a stream."""
+    """Return the data of each event of a stream."""
     events = body.decode().split("\n\n")
     return [line[6:] for event in events for line in event.split("\n") if line.startswith("data: ")]
