--- a/tests/test_callers_http.py
+++ b/tests/test_callers_http.py
@@ -36,7 +36,7 @@
         return bench
 
     def raw(self, bench, data, *, end=False):
-        """Send bytes on a connection of their own and read until the server ends it."""
+        """Send bytes on a new connection and read until the server closes it."""
         with socket.create_connection(("127.0.0.1", bench.server.port), timeout=WAIT_S) as sock:
             sock.sendall(data)
             if end:
@@ -105,9 +105,9 @@
         link.post(refusal(Reason.ENGINE_LOST, 502, Executed.YES))
 
     def test_a_stream_that_can_not_be_finished_ends_in_an_error(self):
-        # The caller reads tokens, then the engine dies and no other can go on. The stream
-        # must not just stop, which libraries take for an end: it gives an error event with
-        # the problem, in the members libraries look at too, and no [DONE].
+        # The caller receives tokens, then the engine fails and no other can continue. The stream must
+        # not just stop, which client libraries treat as its end: it ends with an error event that
+        # contains the problem, also in the member where libraries look for it, and no [DONE].
         status, _, body = self.bench(script=self.half_then_lost).send_request("POST", CHAT, chat_body(stream=True))
         *_, last = stream_data(body)
         self.assertEqual(status, 200)
@@ -118,8 +118,8 @@
         self.assertEqual(document["error"]["type"], "engine_lost")
 
     def test_a_whole_answer_is_never_a_fragment(self):
-        # The same loss for a caller who did not ask for a stream: tokens were received here,
-        # none of them may leave, and the status must still be the refusal's.
+        # The same failure for a caller that did not request a stream: the router received tokens, but
+        # must send none of them, and the status must be that of the refusal.
         answer = self.bench(script=self.half_then_lost).send_request("POST", CHAT, chat_body())
         self.assertEqual(problem(answer), (502, "engine_lost", "yes"))
         self.assertNotIn(b"It is", answer[2])
@@ -134,8 +134,8 @@
         self.assertEqual(answer[1]["Content-Type"], "application/problem+json")
 
     def test_a_run_that_fails_inside_the_router_still_ends(self):
-        # A fault of ours in the run's code: the task waits for exactly one end of the run.
-        # Without one the caller would wait until its deadline and its thread be lost.
+        # A bug of the router in the code of a run: the task waits for exactly one end of the run.
+        # Without it the caller would wait until its deadline and its thread would stay occupied.
         engine = FakeEngine()
         engine.run = None
         answer = self.bench(engine=engine).send_request("POST", CHAT, chat_body())
@@ -173,8 +173,8 @@
         self.assertNotEqual(first.request_id, second.request_id)
 
     def test_an_answer_is_handed_to_the_ledger_whole_whatever_its_size(self):
-        # A re-sent booking is given the recorded answer. A large one must not be recorded as
-        # an empty one: the ledger is given it whole and decides itself what it keeps.
+        # A repeated booking is sent the recorded answer. A large answer must not be recorded as an
+        # empty one: the ledger receives the complete answer and decides itself what it stores.
         bench = self.bench()
         bench.engine.plain = (200, {"Content-Type": "text/plain"}, b"x" * 100_000)
         bench.send_request("POST", "/reservas/bookings", BOOKING, headers={"Idempotency-Key": "k1"})
@@ -247,8 +247,8 @@
 
 class TestLimits(BenchCase):
     def test_what_is_too_large_is_told_and_the_answer_arrives(self):
-        # A caller that still sends when it is refused must read the refusal, not a reset
-        # connection: the answer is written, then the rest is thrown away for a moment.
+        # A caller that is still sending when it is refused must receive the refusal, not a connection
+        # reset: after the response, the remaining input is read and discarded for a limited time.
         bench = self.bench(max_body_bytes=100_000, max_header_bytes=4000)
         self.assertEqual(problem(bench.send_request("POST", CHAT, b"x" * 1_000_000)), (413, "too_large", "no"))
         self.assertEqual(problem(bench.send_request("GET", CHAT, headers={"X": "x" * 5000})), (431, "too_large", "no"))
@@ -274,8 +274,9 @@
         self.assertEqual(bench.requests, [])
 
     def test_what_no_engine_can_be_sent_is_refused_before_a_run(self):
-        # A raw control character or letter passes this server's reader but not the writer of
-        # the engine's request. Found in the middle of a run it would be told as "may have run".
+        # A raw control character or non-ASCII letter is accepted by this server's parser, but not by the
+        # client that sends the request to an engine. Detected during a run, it would be reported as
+        # possibly executed.
         bench = self.bench()
         key = f"Authorization: Bearer {HIGH_KEY}\r\n"
         for line, header in (
@@ -301,16 +302,16 @@
         self.assertEqual((len(socks), len(bench.requests)), (1, 1))
 
     def test_slow_senders_are_cut_off_and_told(self):
-        # A caller sends a byte now and then: no read ever times out, and a hundred such
-        # callers would hold every thread for hours. The whole request has a time to arrive.
+        # A caller sends a byte now and then: no read ever times out, and a hundred such callers
+        # would occupy every thread for hours. So there is a timeout for the complete request.
         bench = self.bench(receive_timeout_s=0.5)
         head = f"POST {CHAT} HTTP/1.1\r\nAuthorization: Bearer {HIGH_KEY}\r\nContent-Length: 50\r\n"
         for part in ("POST /v1", head, head + "\r\n{"):
             self.assertIn("408 Request Timeout", self.raw(bench, part.encode()), part)
 
     def test_idle_connections_hold_no_thread(self):
-        # A balancer opens connections ahead and sends nothing yet. If each took a thread,
-        # eight of them would leave none for the request that comes on a ninth.
+        # A load balancer opens connections in advance and sends nothing yet. If each of them occupied a
+        # thread, eight connections would leave none for a request on a ninth.
         bench = self.bench(threads=8, held=4)
         idle = [socket.create_connection(("127.0.0.1", bench.server.port)) for _ in range(20)]
         self.assertEqual(bench.send_request("POST", CHAT, chat_body())[0], 200)
@@ -332,8 +333,8 @@
 
 class TestTiers(BenchCase):
     def test_a_flood_that_waits_makes_room_for_a_higher_tier(self):
-        # Tagging fills every place of this router and waits for engines. A booking comes: it
-        # must be held and answered at once, and one tagging caller told that nothing ran.
+        # Tagging requests fill this router and wait for engines. A booking arrives: it must be held and
+        # answered immediately, and one tagging caller is told that its request was not executed.
         async def by_tier(request, link, inbox):
             await (serve if request.tier == 0 else keep_waiting)(request, link, inbox)
 
@@ -349,8 +350,8 @@
         self.assertEqual(problem(displaced.result()), (503, "router_full", "no"))
 
     def test_a_flood_that_runs_makes_room_for_a_higher_tier(self):
-        # The same, but tagging already runs on engines. One run is cancelled, its caller is
-        # told router_full and that it did run; the booking is answered meanwhile.
+        # The same, but the tagging requests already run on engines. One run is cancelled and its caller
+        # is sent router_full and that it was executed; the booking is answered meanwhile.
         engine = FakeEngine()
         engine.gate.clear()
         bench = self.bench(engine=engine, held=2)
@@ -384,8 +385,8 @@
         self.freed(bench)
 
     def test_a_caller_who_leaves_during_its_run_has_it_cancelled(self):
-        # Nobody reads the answer any more, and the thread is busy reading from the engine.
-        # Unnoticed, the engine would generate to the end for nobody and its slot stay taken.
+        # The caller has disconnected while the thread is busy reading from the engine. If that were not
+        # detected, the engine would generate the complete answer and its slot would stay occupied.
         for body in (chat_body(), chat_body(stream=True)):
             engine = FakeEngine()
             engine.gate.clear()
@@ -397,9 +398,9 @@
 
 class TestDrain(BenchCase):
     def test_no_request_is_cut_and_late_ones_are_told_the_truth(self):
-        # The router leaves while a request runs. The balancer, late, still sends another: it
-        # is served, on a connection that then ends. After the grace a third is refused as not
-        # run. The drain returns only once the first has its whole answer.
+        # The router drains while a request runs. The load balancer, which has not noticed yet, sends
+        # another: it is served, and its connection is closed. After the grace period a third is refused as
+        # not executed. The drain returns only once the first request has received its complete answer.
         engine = FakeEngine()
         engine.gate.clear()
         reasons = []
