--- a/tests/test_callers_http.py
+++ b/tests/test_callers_http.py
@@ -48,7 +48,7 @@
 
 
 class TestLanguage(BenchCase):
-    def test_a_whole_chat_answer(self):
+    def test_complete_chat_answer(self):
         bench = self.bench()
         status, headers, body = bench.send_request(
             "POST", CHAT, chat_body(), headers={"Wagtailtrestle-Request-Id": "mine-1"}
