--- a/tests/test_callers_http.py
+++ b/tests/test_callers_http.py
@@ -60,7 +60,7 @@
         self.assertEqual(answer["choices"][0]["finish_reason"], "stop")
         self.assertEqual(answer["usage"]["total_tokens"], 5)
 
-    def test_a_whole_text_answer(self):
+    def test_complete_text_answer(self):
         body = {"model": "asistente", "prompt": "Tag this", "max_tokens": 7}
         bench = self.bench()
         answer = json.loads(bench.send_request("POST", "/v1/completions", body)[2])
