--- a/tests/test_callers_http.py
+++ b/tests/test_callers_http.py
@@ -97,7 +97,7 @@
         self.assertEqual([model["id"] for model in answer["data"]], ["asistente"])
 
 
-class TestWholeOrError(BenchCase):
+class TestCompleteOrError(BenchCase):
     async def half_then_lost(self, request, link, inbox):
         link.post(start_run(request))
         while not isinstance(await inbox.get(), RunEnded):
