--- a/tests/test_callers_http.py
+++ b/tests/test_callers_http.py
@@ -117,7 +117,7 @@
         self.assertEqual((document["reason"], document["executed"]), ("engine_lost", "yes"))
         self.assertEqual(document["error"]["type"], "engine_lost")
 
-    def test_a_whole_answer_is_never_a_fragment(self):
+    def test_unstreamed_answer_is_never_partial(self):
         # The same failure for a caller that did not request a stream: the router received tokens, but
         # must send none of them, and the status must be that of the refusal.
         answer = self.bench(script=self.half_then_lost).send_request("POST", CHAT, chat_body())
