--- a/tests/test_callers_http.py
+++ b/tests/test_callers_http.py
@@ -157,7 +157,7 @@
         self.assertNotIn(HIGH_KEY, str(call.headers))
         self.assertNotIn("Deadline", str(call.headers))
 
-    def test_the_services_own_refusal_is_its_whole_answer(self):
+    def test_error_of_the_service_is_a_complete_answer(self):
         bench = self.bench()
         bench.engine.plain = (409, {"Content-Type": "text/plain"}, b"taken")
         self.assertEqual(bench.send_request("POST", "/reservas/bookings", BOOKING)[::2], (409, b"taken"))
