--- a/tests/test_callers_http.py
+++ b/tests/test_callers_http.py
@@ -172,7 +172,7 @@
         self.assertNotEqual(first.body_digest, second.body_digest)
         self.assertNotEqual(first.request_id, second.request_id)
 
-    def test_an_answer_is_handed_to_the_ledger_whole_whatever_its_size(self):
+    def test_ledger_receives_the_complete_answer_of_any_size(self):
         # A repeated booking is sent the recorded answer. A large answer must not be recorded as an
         # empty one: the ledger receives the complete answer and decides itself what it stores.
         bench = self.bench()
