--- a/tests/test_callers_http.py
+++ b/tests/test_callers_http.py
@@ -183,7 +183,7 @@
 
 
 class TestRecorded(BenchCase):
-    def test_a_recorded_answer_is_given_in_the_form_asked_for(self):
+    def test_recorded_answer_has_the_requested_format(self):
         recorded = json.loads(self.bench().send_request("POST", CHAT, chat_body())[2])
 
         async def give(request, link, inbox):
