--- a/tests/test_callers_http.py
+++ b/tests/test_callers_http.py
@@ -82,7 +82,7 @@
         self.assertEqual(deltas, [{"role": "assistant", "content": "It "}, {"content": "is. "}, {}])
         self.assertEqual((chunks[3]["choices"], chunks[3]["usage"]["completion_tokens"]), ([], 2))
 
-    def test_no_usage_event_unless_asked_for(self):
+    def test_no_usage_event_unless_requested(self):
         answer = self.bench().send_request("POST", CHAT, chat_body(stream=True))[2]
         self.assertNotIn(b"usage", answer)
 
