--- a/tests/test_callers_http.py
+++ b/tests/test_callers_http.py
@@ -143,7 +143,7 @@
 
 
 class TestPlain(BenchCase):
-    def test_a_call_is_passed_on_without_the_callers_key(self):
+    def test_call_is_forwarded_without_the_callers_key(self):
         bench = self.bench()
         headers = {"Content-Type": "application/json", "X-Day": "4", "Wagtailtrestle-Deadline-Ms": "900"}
         status, answered, body = bench.send_request(
