--- a/tests/test_callers_http.py
+++ b/tests/test_callers_http.py
@@ -246,7 +246,7 @@
 
 
 class TestLimits(BenchCase):
-    def test_what_is_too_large_is_told_and_the_answer_arrives(self):
+    def test_refusal_of_a_too_large_request_reaches_the_caller(self):
         # A caller that is still sending when it is refused must receive the refusal, not a connection
         # reset: after the response, the remaining input is read and discarded for a limited time.
         bench = self.bench(max_body_bytes=100_000, max_header_bytes=4000)
