--- a/tests/test_callers_http.py
+++ b/tests/test_callers_http.py
@@ -257,7 +257,7 @@
         self.assertIn("413 ", self.raw(bench, chunked).split("\r\n")[0])
         self.assertEqual(bench.requests, [])
 
-    def test_a_body_that_ends_early_is_never_taken_for_a_shorter_one(self):
+    def test_truncated_body_is_refused(self):
         bench = self.bench()
         head = f"POST /reservas/bookings HTTP/1.1\r\nAuthorization: Bearer {HIGH_KEY}\r\n"
         cut = (
