--- a/tests/test_callers_http.py
+++ b/tests/test_callers_http.py
@@ -273,7 +273,7 @@
             self.assertIn('"executed": "no"', answer, rest)
         self.assertEqual(bench.requests, [])
 
-    def test_what_no_engine_can_be_sent_is_refused_before_a_run(self):
+    def test_what_can_not_be_sent_to_an_engine_is_refused_before_a_run(self):
         # A raw control character or non-ASCII letter is accepted by this server's parser, but not by the
         # client that sends the request to an engine. Detected during a run, it would be reported as
         # possibly executed.
