--- a/tests/test_callers_http.py
+++ b/tests/test_callers_http.py
@@ -301,7 +301,7 @@
         connection.close()
         self.assertEqual((len(socks), len(bench.requests)), (1, 1))
 
-    def test_slow_senders_are_cut_off_and_told(self):
+    def test_slow_senders_are_refused(self):
         # A caller sends a byte now and then: no read ever times out, and a hundred such callers
         # would occupy every thread for hours. So there is a timeout for the complete request.
         bench = self.bench(receive_timeout_s=0.5)
