--- a/tests/test_callers_http.py
+++ b/tests/test_callers_http.py
@@ -309,7 +309,7 @@
         for part in ("POST /v1", head, head + "\r\n{"):
             self.assertIn("408 Request Timeout", self.raw(bench, part.encode()), part)
 
-    def test_idle_connections_hold_no_thread(self):
+    def test_idle_connections_occupy_no_thread(self):
         # A load balancer opens connections in advance and sends nothing yet. If each of them occupied a
         # thread, eight connections would leave none for a request on a ninth.
         bench = self.bench(threads=8, held=4)
