--- a/tests/test_callers_http.py
+++ b/tests/test_callers_http.py
@@ -318,7 +318,7 @@
         for sock in idle:
             sock.close()
 
-    def test_connections_beyond_the_limit_are_told(self):
+    def test_connections_beyond_the_limit_are_refused(self):
         bench = self.bench(max_connections=2)
         idle = [socket.create_connection(("127.0.0.1", bench.server.port)) for _ in range(2)]
         bench.wait_until(lambda: bench.server.dump()["connections"] == 2)
