--- a/tests/test_callers_http.py
+++ b/tests/test_callers_http.py
@@ -332,7 +332,7 @@
 
 
 class TestTiers(BenchCase):
-    def test_a_flood_that_waits_makes_room_for_a_higher_tier(self):
+    def test_waiting_requests_are_displaced_by_a_higher_tier(self):
         # Tagging requests fill this router and wait for engines. A booking arrives: it must be held and
         # answered immediately, and one tagging caller is told that its request was not executed.
         async def by_tier(request, link, inbox):
