--- a/tests/test_callers_http.py
+++ b/tests/test_callers_http.py
@@ -349,7 +349,7 @@
         (displaced,) = [later for later in tagging if later.answers]
         self.assertEqual(problem(displaced.result()), (503, "router_full", "no"))
 
-    def test_a_flood_that_runs_makes_room_for_a_higher_tier(self):
+    def test_running_requests_are_displaced_by_a_higher_tier(self):
         # The same, but the tagging requests already run on engines. One run is cancelled and its caller
         # is sent router_full and that it was executed; the booking is answered meanwhile.
         engine = FakeEngine()
