--- a/tests/test_callers_http.py
+++ b/tests/test_callers_http.py
@@ -379,7 +379,7 @@
         bench.wait_until(lambda: bench.limits.usage()["held"] == 0)
         self.assertEqual(sum(isinstance(event, CallerGone) for event in bench.events), 1)
 
-    def test_a_caller_who_leaves_while_waiting_gives_its_place_back(self):
+    def test_disconnect_while_waiting_releases_capacity(self):
         bench = self.bench(script=keep_waiting)
         self.leave(bench)
         self.freed(bench)
