--- a/tests/test_callers_http.py
+++ b/tests/test_callers_http.py
@@ -384,7 +384,7 @@
         self.leave(bench)
         self.freed(bench)
 
-    def test_a_caller_who_leaves_during_its_run_has_it_cancelled(self):
+    def test_disconnect_during_a_run_cancels_it(self):
         # The caller has disconnected while the thread is busy reading from the engine. If that were not
         # detected, the engine would generate the complete answer and its slot would stay occupied.
         for body in (chat_body(), chat_body(stream=True)):
