--- a/tests/test_callers_http.py
+++ b/tests/test_callers_http.py
@@ -397,7 +397,7 @@
 
 
 class TestDrain(BenchCase):
-    def test_no_request_is_cut_and_late_ones_are_told_the_truth(self):
+    def test_drain_finishes_requests_and_refuses_late_ones_as_not_executed(self):
         # The router drains while a request runs. The load balancer, which has not noticed yet, sends
         # another: it is served, and its connection is closed. After the grace period a third is refused as
         # not executed. The drain returns only once the first request has received its complete answer.
