--- a/tests/test_callers_http.py
+++ b/tests/test_callers_http.py
@@ -236,7 +236,7 @@
         self.assertEqual(problem(bench.send_request("GET", "/nothing")), (404, "no_route", "no"))
         self.assertEqual(bench.requests, [])
 
-    def test_deadlines_are_the_callers_or_the_routes_and_never_endless(self):
+    def test_deadlines_are_the_callers_or_the_routes_and_always_limited(self):
         bench = self.bench(max_deadline_s=60.0)
         for header in ({}, {"Wagtailtrestle-Deadline-Ms": "700"}, {"Wagtailtrestle-Deadline-Ms": "999999999"}):
             bench.send_request("POST", CHAT, chat_body(), headers=header)
