--- a/tests/test_caller_watch.py
+++ b/tests/test_caller_watch.py
@@ -49,7 +49,7 @@
         self.addCleanup(theirs.close)
         return ours, theirs
 
-    def test_caller_that_leaves_is_noticed(self):
+    def test_disconnect_is_detected(self):
         ours, theirs = self.pair()
         self.addCleanup(ours.close)
         self.start()
