--- a/tests/test_caller_watch.py
+++ b/tests/test_caller_watch.py
@@ -57,7 +57,7 @@
         theirs.close()
         self.assertTrue(self.events["former"].wait(DETECTION_S))
 
-    def test_caller_whose_connection_has_the_number_of_one_that_ended_is_not_taken_for_gone(self):
+    def test_caller_on_a_reused_descriptor_is_not_reported_as_disconnected(self):
         # The request of a connected caller ended after 3 ms without a run. The previous caller on that descriptor had
         # disconnected just as its answer was sent: while this thread processed the kernel's event, the request was
         # unwatched, its connection closed, and the next one accepted with the same descriptor and watched.
