--- a/tests/test_start_hold.py
+++ b/tests/test_start_hold.py
@@ -60,7 +60,7 @@
 
 
 class StartHoldTest(unittest.TestCase):
-    def test_a_request_that_comes_early_is_served_once_the_router_serves(self):
+    def test_early_request_is_served_once_the_router_is_ready(self):
         # All routers were killed; this one runs but knows no engines yet. If the caller were refused,
         # its only retry would reach another starting router.
         router = StartingRouter()
