--- a/tests/test_start_hold.py
+++ b/tests/test_start_hold.py
@@ -71,7 +71,7 @@
         thread.join(WAIT_S)
         self.assertEqual(router.reason_by_fd, {FD: None})
 
-    def test_a_caller_that_leaves_is_let_go_at_once(self):
+    def test_disconnect_ends_the_hold_immediately(self):
         # Otherwise its thread would keep waiting, and its request be sent to an engine after the disconnect.
         router = StartingRouter()
         thread = router.send_request()
