--- a/tests/test_start_hold.py
+++ b/tests/test_start_hold.py
@@ -99,7 +99,7 @@
         first.join(WAIT_S)
         self.assertEqual(router.reason_by_fd[FD], Reason.DRAINING)
 
-    def test_other_reasons_are_told_at_once(self):
+    def test_other_reasons_are_returned_immediately(self):
         router = StartingRouter()
         router.not_ready = Reason.DRAINING
         router.send_request().join(WAIT_S)
