--- a/tests/test_start_hold.py
+++ b/tests/test_start_hold.py
@@ -87,7 +87,7 @@
         self.assertEqual(router.reason_by_fd, {FD: Reason.NOT_READY})
         self.assertGreaterEqual(time.monotonic() - began_at, MAX_CALLER_TIMEOUT_SHARE * 0.3)
 
-    def test_more_than_may_be_held_are_refused_at_once(self):
+    def test_requests_beyond_the_limit_are_refused_immediately(self):
         # A flood of requests to a router that never receives its configuration must not occupy every thread.
         router = StartingRouter(max_held=1)
         first = router.send_request()
