--- a/tests/test_start_hold.py
+++ b/tests/test_start_hold.py
@@ -105,7 +105,7 @@
         router.send_request().join(WAIT_S)
         self.assertEqual(router.reason_by_fd, {FD: Reason.DRAINING})
 
-    def test_no_hold_where_the_settings_say_so(self):
+    def test_no_hold_if_disabled(self):
         router = StartingRouter(max_hold_s=0.0)
         router.send_request().join(WAIT_S)
         self.assertEqual(router.reason_by_fd, {FD: Reason.NOT_READY})
