--- a/tests/test_start_hold.py
+++ b/tests/test_start_hold.py
@@ -122,7 +122,7 @@
                 with taken:
                     self.assertEqual(taken.recv(3), b"GET")
 
-    def test_an_address_in_use_is_told(self):
+    def test_address_in_use_is_an_error(self):
         with listen(("127.0.0.1", 0)) as listener, self.assertRaises(OSError):
             listen(listener.getsockname())
 
