--- a/tests/test_start_hold.py
+++ b/tests/test_start_hold.py
@@ -80,7 +80,7 @@
         thread.join(WAIT_S)
         self.assertEqual(router.reason_by_fd, {FD: Reason.CALLER_GONE})
 
-    def test_a_short_caller_is_refused_while_it_can_still_be_served_elsewhere(self):
+    def test_caller_with_a_short_timeout_is_refused_in_time_for_a_retry(self):
         router = StartingRouter()
         began_at = time.monotonic()
         router.send_request(caller_timeout_s=0.3).join(WAIT_S)
