--- a/tests/test_start_hold.py
+++ b/tests/test_start_hold.py
@@ -112,7 +112,7 @@
 
 
 class ListenerTest(unittest.TestCase):
-    def test_a_connection_made_before_there_is_a_server_waits(self):
+    def test_connection_made_before_the_server_exists_is_queued(self):
         # The process has started but is still importing its modules. Without a listener the kernel
         # resets the caller's connection; with one, the data it sent is available once the server reads.
         with listen(("127.0.0.1", 0)) as listener:
