--- a/tests/test_caller_gone.py
+++ b/tests/test_caller_gone.py
@@ -58,7 +58,7 @@
         # engine and its slot is free long before the answer would have been complete.
         self.check_freed(self.send_and_disconnect(stream=True))
 
-    def test_caller_of_a_whole_answer_goes_away(self):
+    def test_caller_of_an_unstreamed_answer_disconnects(self):
         # As above, but nothing is written to the caller before the end, so that the disconnect can only
         # be detected by watching the connection.
         self.check_freed(self.send_and_disconnect(stream=False))
