--- a/tests/test_caller_gone.py
+++ b/tests/test_caller_gone.py
@@ -53,7 +53,7 @@
         wait_until(lambda: not self.held_by_scheduler(), "the slot to be free", timeout_s=4)
         wait_until(lambda: self.held_by_callers() == 0, "the caller's thread to be free", timeout_s=4)
 
-    def test_caller_of_a_stream_goes_away(self):
+    def test_caller_of_a_stream_disconnects(self):
         # The caller closes its connection in the middle of a long stream. Its run is cancelled on the
         # engine and its slot is free long before the answer would have been complete.
         self.check_freed(self.send_and_disconnect(stream=True))
