--- a/tests/test_caller_threads.py
+++ b/tests/test_caller_threads.py
@@ -45,7 +45,7 @@
     def count_begun(self, count, timeout_s):
         return sum(self.begun.acquire(timeout=timeout_s) for _ in range(count))
 
-    def test_a_quiet_server_has_few_threads(self):
+    def test_idle_server_has_few_threads(self):
         self.assertEqual(len(self.threads._threads), INITIAL_THREADS)
 
     def test_every_request_up_to_the_limit_is_in_work_at_once(self):
