--- a/tests/test_caller_threads.py
+++ b/tests/test_caller_threads.py
@@ -48,7 +48,7 @@
     def test_idle_server_has_few_threads(self):
         self.assertEqual(len(self.threads._threads), INITIAL_THREADS)
 
-    def test_every_request_up_to_the_limit_is_in_work_at_once(self):
+    def test_all_requests_up_to_the_limit_are_handled_concurrently(self):
         # As many long requests as the server may have threads arrive at the same moment. A request
         # left in the queue would have to wait until another one has ended.
         self.put(MAX_THREADS)
