--- a/tests/test_authentication.py
+++ b/tests/test_authentication.py
@@ -102,7 +102,7 @@
         for refused in (self.chat(team="logbook", route="question"), self.chat(route="text"), self.chat(route="none")):
             self.assertEqual(refused.reason, Reason.FORBIDDEN)
 
-    def test_unknown_services_paths_methods_and_tiers_are_told_apart(self):
+    def test_unknown_services_paths_methods_and_tiers_get_different_statuses(self):
         self.assertEqual(self.chat(model="other").status, 404)
         self.assertEqual(self.chat(model="reservas").status, 404)
         self.assertEqual(self.chat(tier="none").status, 400)
