--- a/tests/test_authentication.py
+++ b/tests/test_authentication.py
@@ -56,7 +56,7 @@
             answer = self.answer(key, age_s=0.1)
             self.assertEqual((answer.reason, answer.detail), (Reason.UNAUTHENTICATED, "Send a key."))
 
-    def test_where_no_proof_is_asked_for_keys_hold(self):
+    def test_keys_are_accepted_if_no_proof_is_required(self):
         self.assertEqual(self.answer(HIGH_KEY, age_s=None, limit_s=0.0).name, "members")
 
 
