--- a/tests/test_authentication.py
+++ b/tests/test_authentication.py
@@ -51,7 +51,7 @@
                 with self.subTest(key=key, age_s=age_s):
                     self.assertEqual(self.answer(key, age_s=age_s).reason, Reason.KEYS_STALE)
 
-    def test_missing_and_unknown_keys_are_refused_once_that_is_proved(self):
+    def test_missing_and_unknown_keys_are_refused_with_a_fresh_proof(self):
         for key in ("unknown", ""):
             answer = self.answer(key, age_s=0.1)
             self.assertEqual((answer.reason, answer.detail), (Reason.UNAUTHENTICATED, "Send a key."))
