--- a/tests/test_caller_limits.py
+++ b/tests/test_caller_limits.py
@@ -14,7 +14,7 @@
 
 
 class TestHolding(unittest.TestCase):
-    def test_room_is_given_and_taken_back(self):
+    def test_capacity_is_acquired_and_released(self):
         router = limits(held=1)
         self.assertEqual(admit(router, "a", LOW), Admitted())
         self.assertIsInstance(admit(router, "b", LOW), Full)
