--- a/tests/test_caller_limits.py
+++ b/tests/test_caller_limits.py
@@ -24,7 +24,7 @@
     def test_some_threads_are_always_left_to_refuse(self):
         self.assertEqual([max_held_requests(threads) for threads in (1, 8, 16, 128)], [1, 4, 12, 112])
 
-    def test_a_full_router_tells_when_its_places_will_have_changed_hands(self):
+    def test_retry_after_of_a_full_router_is_the_mean_hold_time(self):
         router = limits()
         self.assertEqual(router.retry_after_s(), 1.0)
         self.hold(router, held_s=8.0)
