--- a/tests/test_caller_limits.py
+++ b/tests/test_caller_limits.py
@@ -41,7 +41,7 @@
 
 
 class TestSharing(unittest.TestCase):
-    def test_one_overloaded_service_leaves_room_for_another_of_its_tier(self):
+    def test_overloaded_service_leaves_capacity_for_another_of_its_tier(self):
         # Callers of one service see router_full though its engines are idle: requests of the same tier
         # to a service without free engines came first and occupy the router's whole capacity.
         router = limits(held=6)
