--- a/tests/test_caller_limits.py
+++ b/tests/test_caller_limits.py
@@ -61,7 +61,7 @@
 
 
 class TestDisplacing(unittest.TestCase):
-    def test_a_flood_of_the_lowest_tier_makes_room_for_every_higher_arrival(self):
+    def test_flood_of_the_lowest_tier_is_displaced_by_higher_tiers(self):
         # The caller of a booking would see router_full while tagging occupies every thread.
         # Tagging fills the router, then bookings arrive: each must be held and displace one
         # tagging request, and only requests beyond the limit are refused.
