--- a/tests/test_caller_limits.py
+++ b/tests/test_caller_limits.py
@@ -109,7 +109,7 @@
 
 
 class TestReceiving(unittest.TestCase):
-    def test_lower_tiers_leave_room_for_large_bodies_of_the_highest(self):
+    def test_lower_tiers_leave_memory_for_large_bodies_of_the_highest(self):
         # A flood of long reports for tagging is being received when a plan of the same size arrives.
         # The flood is limited to three quarters of the memory, so the plan can still be read.
         limit = ReceiveLimit(total_bytes=400_000, max_bytes=100_000)
