--- a/wagtailtrestle/callers/caller_exchange.py
+++ b/wagtailtrestle/callers/caller_exchange.py
@@ -88,7 +88,7 @@
                 command = self._commands.get(timeout=wait_s + ANSWER_GRACE_S)
             except queue.Empty:
                 logger.error("no final answer was decided for request {}", self.request_id)
-                return AnswerRefusal(refusal=self._undecided())
+                return AnswerRefusal(refusal=self._timeout_refusal())
             if not isinstance(command, StartRun):
                 return command
             self.post_event(self._run(run, command))
@@ -104,7 +104,7 @@
             outcome = RunCut(detail="the run failed inside the router", reached=True)
             return RunEnded(run_id=command.run_id, outcome=outcome, duration_s=0.0)
 
-    def _undecided(self):
+    def _timeout_refusal(self):
         return Refusal(
             status=504,
             reason=Reason.DEADLINE_EXCEEDED,
