--- a/wagtailtrestle/callers/body_reader.py
+++ b/wagtailtrestle/callers/body_reader.py
@@ -31,7 +31,7 @@
             return length
         size = self._limit.max_bytes if length.chunked else length.size
         if not self._limit.try_reserve(size=size, highest=highest):
-            return _no_room()
+            return _receive_limit_refusal()
         try:
             return self._read_within(environ, length)
         finally:
@@ -51,7 +51,7 @@
     )
 
 
-def _no_room():
+def _receive_limit_refusal():
     return Refusal(
         status=503,
         reason=Reason.ROUTER_FULL,
