--- a/wagtailtrestle/callers/body_reader.py
+++ b/wagtailtrestle/callers/body_reader.py
@@ -41,10 +41,10 @@
         connection = environ[CONNECTION_ENVIRON]
         body = read_body(stream=environ["wsgi.input"], length=length)
         self._watch.received(connection=connection)
-        return slow_sender() if connection.too_slow else body
+        return receive_timeout_refusal() if connection.too_slow else body
 
 
-def slow_sender() -> Refusal:
+def receive_timeout_refusal() -> Refusal:
     """Return a 408 for a request that was not received in time."""
     return Refusal(
         status=408, reason=Reason.BAD_REQUEST, executed=Executed.NO, detail="The request took too long to arrive."
