--- a/wagtailtrestle/callers/limits.py
+++ b/wagtailtrestle/callers/limits.py
@@ -11,7 +11,7 @@
 DEFAULT_BODY_BYTES = 64 * 1024 * 1024
 DEFAULT_RECEIVE_BYTES = 64 * 1024 * 1024
 MIN_RESERVE_THREADS = 4
-RESERVE_SHARE = 8
+RESERVE_DIVISOR = 8
 SMALL_BODY_BYTES = 65_536
 LOWER_TIERS_SHARE = 0.75
 HOLD_TIME_WEIGHT = 0.05
@@ -21,7 +21,7 @@
 
 def max_held_requests(threads: int) -> int:
     """Return how many requests to hold; an eighth of the threads, at least four, only read and refuse requests."""
-    reserve = max(MIN_RESERVE_THREADS, threads // RESERVE_SHARE)
+    reserve = max(MIN_RESERVE_THREADS, threads // RESERVE_DIVISOR)
     return max(1, threads - reserve)
 
 
