--- a/wagtailtrestle/callers/limits.py
+++ b/wagtailtrestle/callers/limits.py
@@ -13,7 +13,7 @@
 MIN_RESERVE_THREADS = 4
 RESERVE_DIVISOR = 8
 SMALL_BODY_BYTES = 65_536
-LOWER_TIERS_SHARE = 0.75
+MAX_LOWER_TIERS_SHARE = 0.75
 HOLD_TIME_WEIGHT = 0.05
 MIN_RETRY_AFTER_S = 1.0
 MAX_RETRY_AFTER_S = 60.0
@@ -236,7 +236,7 @@
         """Reserve memory for one body; return ``False`` if there is not enough."""
         if size <= SMALL_BODY_BYTES:
             return True
-        allowed = self._total_bytes if highest else max(self.max_bytes, self._total_bytes * LOWER_TIERS_SHARE)
+        allowed = self._total_bytes if highest else max(self.max_bytes, self._total_bytes * MAX_LOWER_TIERS_SHARE)
         with self._lock:
             if self._used + size > allowed:
                 return False
