--- a/wagtailtrestle/callers/native_dialect.py
+++ b/wagtailtrestle/callers/native_dialect.py
@@ -98,7 +98,7 @@
         if isinstance(headers, Refusal):
             return headers
         if environ["PATH_INFO"] == MODELS_PATH:
-            return _models(environ=environ, declaration=in_force.declaration, team=team)
+            return _list_models(environ=environ, declaration=in_force.declaration, team=team)
         body = self._read(environ, declaration=in_force.declaration, team=team)
         if isinstance(body, Refusal):
             return body
@@ -230,7 +230,7 @@
     )
 
 
-def _models(*, environ, declaration, team):
+def _list_models(*, environ, declaration, team):
     if environ["REQUEST_METHOD"] != "GET":
         return method_not_allowed(["GET"])
     return ModelList(body=model_list([service.name for service in services_of(declaration=declaration, team=team)]))
