--- a/wagtailtrestle/callers/answer.py
+++ b/wagtailtrestle/callers/answer.py
@@ -67,7 +67,7 @@
         "status",
         "_start_response",
         "on_disconnect",
-        "_closing",
+        "_closes_connection",
         "_problem",
         "_write",
     )
@@ -81,12 +81,12 @@
         self._problem = problem
         self._start_response = start_response
         self.on_disconnect = _ignore
-        self._closing = closing
+        self._closes_connection = closing
         self._write = None
 
     def begin(self, *, status: int, headers: list):
         """Set status and headers, which are sent with the first bytes of the body."""
-        if self._closing():
+        if self._closes_connection():
             headers = [*headers, ("Connection", "close")]
         self.started = True
         self.status = status
