--- a/wagtailtrestle/callers/answer.py
+++ b/wagtailtrestle/callers/answer.py
@@ -72,7 +72,7 @@
         "_write",
     )
 
-    def __init__(self, *, start_response, request_id, closing, problem):
+    def __init__(self, *, start_response, request_id, closes_connection, problem):
         self.request_id = request_id
         self.started = False
         self.disconnected = False
@@ -81,7 +81,7 @@
         self._problem = problem
         self._start_response = start_response
         self.on_disconnect = _ignore
-        self._closes_connection = closing
+        self._closes_connection = closes_connection
         self._write = None
 
     def begin(self, *, status: int, headers: list):
--- a/wagtailtrestle/callers/server.py
+++ b/wagtailtrestle/callers/server.py
@@ -228,7 +228,7 @@
         response = CallerResponse(
             start_response=start_response,
             request_id=uuid.uuid4().hex if isinstance(given, Refusal) else given,
-            closing=lambda: self._draining,
+            closes_connection=lambda: self._draining,
             problem=self._dialect.problem,
         )
         incoming = IncomingRequest(
