--- a/wagtailtrestle/callers/answer.py
+++ b/wagtailtrestle/callers/answer.py
@@ -46,7 +46,7 @@
         The ``start_response`` of WSGI.
     request_id : str
         The request id that the caller receives.
-    closing : callable
+    closes_connection : callable
         Returns whether to close the connection after this response.
     problem : callable
         ``problem(refusal, request_id)`` returns status, header pairs and body of a refusal.
