--- a/tests/test_caller_watch.py
+++ b/tests/test_caller_watch.py
@@ -33,7 +33,7 @@
 class CallerWatchTest(unittest.TestCase):
     def setUp(self):
         self.watch = ConnectionWatcher(timeout_s=10.0, max_receiving=100)
-        self.gone = []
+        self.disconnected = []
         self.events = {name: threading.Event() for name in ("former", "next")}
 
     def start(self):
@@ -41,7 +41,7 @@
         self.addCleanup(self.watch.close)
 
     def on_disconnect(self, name):
-        self.gone.append(name)
+        self.disconnected.append(name)
         self.events[name].set()
 
     def pair(self):
@@ -75,7 +75,7 @@
         self.start()
         theirs.close()
         time.sleep(DETECTION_S)
-        self.assertEqual(self.gone, [])
+        self.assertEqual(self.disconnected, [])
         next_theirs.close()
         self.assertTrue(self.events["next"].wait(DETECTION_S))
         self.watch.unwatch(fd=fd)
