--- a/tests/test_caller_watch.py
+++ b/tests/test_caller_watch.py
@@ -30,7 +30,7 @@
         return events
 
 
-class CallerWatchTest(unittest.TestCase):
+class ConnectionWatcherTest(unittest.TestCase):
     def setUp(self):
         self.watch = ConnectionWatcher(timeout_s=10.0, max_receiving=100)
         self.disconnected = []
