--- a/tests/test_callers_http.py
+++ b/tests/test_callers_http.py
@@ -375,14 +375,14 @@
             connection.getresponse().read(read)
         connection.close()
 
-    def freed(self, bench):
+    def wait_until_released(self, bench):
         bench.wait_until(lambda: bench.limits.usage()["held"] == 0)
         self.assertEqual(sum(isinstance(event, CallerGone) for event in bench.events), 1)
 
     def test_disconnect_while_waiting_releases_capacity(self):
         bench = self.bench(script=keep_waiting)
         self.leave(bench)
-        self.freed(bench)
+        self.wait_until_released(bench)
 
     def test_disconnect_during_a_run_cancels_it(self):
         # The caller has disconnected while the thread is busy reading from the engine. If that were not
@@ -393,7 +393,7 @@
             bench = self.bench(engine=engine)
             self.leave(bench, body=body, read=20 if "stream" in body else 0)
             bench.wait_until(lambda: engine.cancelled)  # noqa: B023
-            self.freed(bench)
+            self.wait_until_released(bench)
 
 
 class TestDrain(BenchCase):
