--- a/tests/test_caller_threads.py
+++ b/tests/test_caller_threads.py
@@ -14,8 +14,8 @@
 class HeldConnection:
     """A connection whose request is being handled until ``release`` is set."""
 
-    def __init__(self, *, begun, release):
-        self._begun = begun
+    def __init__(self, *, started, release):
+        self._begun = started
         self._release = release
 
     def communicate(self):
@@ -33,17 +33,17 @@
         server = HTTPServer(("127.0.0.1", 0), gateway=None)
         self.threads = server.requests = CallerThreads(server, min=INITIAL_THREADS, max=MAX_THREADS)
         self.threads.start()
-        self.begun = threading.Semaphore(0)
+        self.started = threading.Semaphore(0)
         self.release = threading.Event()
         self.addCleanup(self.threads.stop, TIMEOUT_S)
         self.addCleanup(self.release.set)
 
     def put(self, count):
         for _ in range(count):
-            self.threads.put(HeldConnection(begun=self.begun, release=self.release))
+            self.threads.put(HeldConnection(started=self.started, release=self.release))
 
     def count_begun(self, count, timeout_s):
-        return sum(self.begun.acquire(timeout=timeout_s) for _ in range(count))
+        return sum(self.started.acquire(timeout=timeout_s) for _ in range(count))
 
     def test_idle_server_has_few_threads(self):
         self.assertEqual(len(self.threads._threads), INITIAL_THREADS)
