--- a/tests/test_caller_threads.py
+++ b/tests/test_caller_threads.py
@@ -15,12 +15,12 @@
     """A connection whose request is being handled until ``release`` is set."""
 
     def __init__(self, *, started, release):
-        self._begun = started
+        self._started = started
         self._release = release
 
     def communicate(self):
         """Simulate reading and answering one request."""
-        self._begun.release()
+        self._started.release()
         self._release.wait(TIMEOUT_S)
         return False
 
