--- a/tests/test_caller_threads.py
+++ b/tests/test_caller_threads.py
@@ -42,7 +42,7 @@
         for _ in range(count):
             self.threads.put(HeldConnection(started=self.started, release=self.release))
 
-    def count_begun(self, count, timeout_s):
+    def count_started(self, count, timeout_s):
         return sum(self.started.acquire(timeout=timeout_s) for _ in range(count))
 
     def test_idle_server_has_few_threads(self):
@@ -52,15 +52,15 @@
         # As many long requests as the server may have threads arrive at the same moment. A request
         # left in the queue would have to wait until another one has ended.
         self.put(MAX_THREADS)
-        self.assertEqual(self.count_begun(MAX_THREADS, TIMEOUT_S), MAX_THREADS)
+        self.assertEqual(self.count_started(MAX_THREADS, TIMEOUT_S), MAX_THREADS)
 
     def test_there_are_never_more_than_the_limit(self):
         self.put(MAX_THREADS + 10)
-        self.assertEqual(self.count_begun(MAX_THREADS, TIMEOUT_S), MAX_THREADS)
-        self.assertEqual(self.count_begun(1, 0.2), 0)
+        self.assertEqual(self.count_started(MAX_THREADS, TIMEOUT_S), MAX_THREADS)
+        self.assertEqual(self.count_started(1, 0.2), 0)
         self.assertEqual(len(self.threads._threads), MAX_THREADS)
         self.release.set()
-        self.assertEqual(self.count_begun(10, TIMEOUT_S), 10)
+        self.assertEqual(self.count_started(10, TIMEOUT_S), 10)
 
 
 if __name__ == "__main__":
