--- a/tests/test_caller_gone.py
+++ b/tests/test_caller_gone.py
@@ -47,9 +47,9 @@
     def check_freed(self, connection):
         self.assertTrue(self.held_by_scheduler())
         connection.close()
-        left_at = time.monotonic()
+        disconnected_at = time.monotonic()
         wait_until(lambda: self.running_on_engines() == 0, "the run to be cancelled", timeout_s=4)
-        print(f"caller gone: its run was cancelled after {time.monotonic() - left_at:.2f} s")
+        print(f"caller gone: its run was cancelled after {time.monotonic() - disconnected_at:.2f} s")
         wait_until(lambda: not self.held_by_scheduler(), "the slot to be free", timeout_s=4)
         wait_until(lambda: self.held_by_callers() == 0, "the caller's thread to be free", timeout_s=4)
 
