--- a/wagtailtrestle/callers/body.py
+++ b/wagtailtrestle/callers/body.py
@@ -84,8 +84,8 @@
     """Validate the body of a completion request; a refusal names the invalid field."""
     try:
         return _parse(body=body, chat=path == CHAT_PATH)
-    except BodyFault as fault:
-        return bad_request(str(fault))
+    except BodyFault as error:
+        return bad_request(str(error))
 
 
 def body_digest(*, method: str, path: str, body: bytes) -> str:
