--- a/wagtailtrestle/callers/headers.py
+++ b/wagtailtrestle/callers/headers.py
@@ -72,9 +72,9 @@
 
 def caller_headers(environ: dict) -> CallerHeaders | Refusal:
     """Read and validate the control headers."""
-    fault = _syntax_error(environ)
-    if fault is not None:
-        return bad_request(fault)
+    error = _syntax_error(environ)
+    if error is not None:
+        return bad_request(error)
     deadline = environ.get(DEADLINE)
     if deadline is not None and (not DEADLINE_PATTERN.fullmatch(deadline) or int(deadline) == 0):
         return bad_request("'Wagtailtrestle-Deadline-Ms' must be a whole number of milliseconds above 0.")
