--- a/wagtailtrestle/callers/route_match.py
+++ b/wagtailtrestle/callers/route_match.py
@@ -74,9 +74,9 @@
 
 def match_plain(*, declaration, team, method, path, route_name, tier_name) -> RouteMatch | Refusal:
     """Match a plain service's call by ``/{service}/…`` and the declared prefixes."""
-    fault = path_error(path)
-    if fault is not None:
-        return _bad_request(fault)
+    error = path_error(path)
+    if error is not None:
+        return _bad_request(error)
     name, _, rest = path.lstrip("/").partition("/")
     service = declaration.services_by_name.get(name)
     if service is None or service.kind != PLAIN:
