--- a/tests/test_caller_watch.py
+++ b/tests/test_caller_watch.py
@@ -11,7 +11,7 @@
 DETECTION_S = 3 * POLL_INTERVAL_S
 
 
-class HookedEpoll:
+class EpollWithHook:
     """An epoll that calls a hook after it has found the first event and before it returns it."""
 
     def __init__(self, *, epoll, hook):
@@ -71,7 +71,7 @@
             self.watch.watch(fd=fd, on_disconnect=lambda: self.on_disconnect("next"))
 
         self.watch.watch(fd=fd, on_disconnect=lambda: self.on_disconnect("former"))
-        self.watch._epoll = HookedEpoll(epoll=self.watch._epoll, hook=reuse_fd)
+        self.watch._epoll = EpollWithHook(epoll=self.watch._epoll, hook=reuse_fd)
         self.start()
         theirs.close()
         time.sleep(DETECTION_S)
