--- a/tests/test_callers_http.py
+++ b/tests/test_callers_http.py
@@ -292,8 +292,8 @@
         bench = self.bench()
         connection = bench.connect()
         socks = set()
-        whole = iter([b'{"model": "asistente", ', b'"messages": [{"role": "user", "content": "x"}]}'])
-        for body in (whole, b"{", b"{"):
+        body_pieces = iter([b'{"model": "asistente", ', b'"messages": [{"role": "user", "content": "x"}]}'])
+        for body in (body_pieces, b"{", b"{"):
             connection.request("POST", CHAT, body, {"Authorization": f"Bearer {HIGH_KEY}"})
             response = connection.getresponse()
             response.read()
