--- a/tests/test_authentication.py
+++ b/tests/test_authentication.py
@@ -2,7 +2,7 @@
 
 from tests.utils.callers import CHAT, HIGH_KEY, LOW_KEY, declaration
 from wagtailtrestle.callers.authentication import KeyIndex, KeyProof, authenticate, bearer_key, team_of_key
-from wagtailtrestle.callers.route_match import Matched, match_language, match_plain, path_fault, services_of
+from wagtailtrestle.callers.route_match import RouteMatch, match_language, match_plain, path_error, services_of
 from wagtailtrestle.contracts.outcomes import Reason, Refusal
 
 
@@ -27,7 +27,7 @@
         answers = {authenticate(header=header, index=self.index) for header in headers}
         self.assertEqual([answer.reason for answer in answers], [Reason.UNAUTHENTICATED])
 
-    def test_a_key_of_endless_length_is_not_hashed(self):
+    def test_overlong_key_is_not_hashed(self):
         self.assertIsNone(bearer_key("Bearer " + "k" * 10_000))
 
     def test_the_digest_itself_is_no_key(self):
@@ -44,19 +44,19 @@
         self.assertEqual(self.answer(HIGH_KEY, age_s=4.4).name, "members")
 
     def test_without_a_proof_no_key_is_judged(self):
-        # A router is cut off from the platform. A key that it doesn't know may be new, and one that it
-        # knows may be revoked: 401 for the first would be final for the caller, and wrong.
+        # The router has no connection to the platform. A key that it doesn't know may be new, and one that
+        # it knows may be revoked: a 401 for a new key would be wrong, and callers don't retry it.
         for key in (HIGH_KEY, "unknown", ""):
             for age_s in (4.5, None):
                 with self.subTest(key=key, age_s=age_s):
                     self.assertEqual(self.answer(key, age_s=age_s).reason, Reason.KEYS_STALE)
 
-    def test_missing_and_unknown_keys_are_refused_once_that_is_proved(self):
+    def test_missing_and_unknown_keys_are_refused_with_a_fresh_proof(self):
         for key in ("unknown", ""):
             answer = self.answer(key, age_s=0.1)
             self.assertEqual((answer.reason, answer.detail), (Reason.UNAUTHENTICATED, "Send a key."))
 
-    def test_where_no_proof_is_asked_for_keys_hold(self):
+    def test_keys_are_accepted_if_no_proof_is_required(self):
         self.assertEqual(self.answer(HIGH_KEY, age_s=None, limit_s=0.0).name, "members")
 
 
@@ -102,7 +102,7 @@
         for refused in (self.chat(team="logbook", route="question"), self.chat(route="text"), self.chat(route="none")):
             self.assertEqual(refused.reason, Reason.FORBIDDEN)
 
-    def test_unknown_services_paths_methods_and_tiers_are_told_apart(self):
+    def test_unknown_services_paths_methods_and_tiers_get_different_statuses(self):
         self.assertEqual(self.chat(model="other").status, 404)
         self.assertEqual(self.chat(model="reservas").status, 404)
         self.assertEqual(self.chat(tier="none").status, 400)
@@ -114,19 +114,19 @@
     def test_plain_prefixes_match_whole_segments(self):
         self.assertEqual(self.plain("GET", "/reservas/slots/3/day").route.name, "slots")
         self.assertIsInstance(self.plain("GET", "/reservas/slotsx"), Refusal)
-        self.assertIsInstance(self.plain("GET", "/reservas/slots/"), Matched)
+        self.assertIsInstance(self.plain("GET", "/reservas/slots/"), RouteMatch)
 
     def test_a_path_that_resolves_to_another_call_is_refused(self):
-        # A caller asks for /slots/../bookings: matched as slots it would be repeatable,
-        # but the service resolves it to a charge, and a retry would charge twice. So any
-        # path that two readers may resolve in two ways is refused before it is matched.
+        # A caller requests /slots/../bookings: matched as slots it would be repeatable, but the
+        # service resolves it to a booking, and a retry would charge twice. So any path that
+        # may be resolved in different ways is refused before it is matched.
         for path in (
             "/reservas/slots/../bookings",
             "/reservas/./slots",
             "/reservas//slots",
             "/reservas/slots%2F..%2fbookings",
         ):
-            self.assertIsNotNone(path_fault(path), path)
+            self.assertIsNotNone(path_error(path), path)
             self.assertEqual(self.plain("GET", path).status, 400, path)
 
     def test_a_team_sees_the_services_it_may_use(self):
--- a/tests/test_caller_limits.py
+++ b/tests/test_caller_limits.py
@@ -1,6 +1,6 @@
 import unittest
 
-from wagtailtrestle.callers.limits import Admitted, CallerLimits, Full, ReceiveLimit, held_for
+from wagtailtrestle.callers.limits import Admitted, CallerLimits, Full, ReceiveLimit, max_held_requests
 
 HIGH, MIDDLE, LOW = 0, 1, 2
 
@@ -14,7 +14,7 @@
 
 
 class TestHolding(unittest.TestCase):
-    def test_room_is_given_and_taken_back(self):
+    def test_capacity_is_acquired_and_released(self):
         router = limits(held=1)
         self.assertEqual(admit(router, "a", LOW), Admitted())
         self.assertIsInstance(admit(router, "b", LOW), Full)
@@ -22,9 +22,9 @@
         self.assertEqual(admit(router, "b", LOW), Admitted())
 
     def test_some_threads_are_always_left_to_refuse(self):
-        self.assertEqual([held_for(threads) for threads in (1, 8, 16, 128)], [1, 4, 12, 112])
+        self.assertEqual([max_held_requests(threads) for threads in (1, 8, 16, 128)], [1, 4, 12, 112])
 
-    def test_a_full_router_tells_when_its_places_will_have_changed_hands(self):
+    def test_retry_after_of_a_full_router_is_the_mean_hold_time(self):
         router = limits()
         self.assertEqual(router.retry_after_s(), 1.0)
         self.hold(router, held_s=8.0)
@@ -41,9 +41,9 @@
 
 
 class TestSharing(unittest.TestCase):
-    def test_one_overloaded_service_leaves_room_for_another_of_its_tier(self):
-        # Callers of a question see router_full though its engines are idle: calls of the same tier
-        # to a service without free engines came first, wait in the router and hold every place.
+    def test_overloaded_service_leaves_capacity_for_another_of_its_tier(self):
+        # Callers of one service see router_full though its engines are idle: requests of the same tier
+        # to a service without free engines came first and occupy the router's whole capacity.
         router = limits(held=6)
         for number in range(6):
             admit(router, f"slow-{number}", HIGH, service="slow")
@@ -61,10 +61,10 @@
 
 
 class TestDisplacing(unittest.TestCase):
-    def test_a_flood_of_the_lowest_tier_makes_room_for_every_higher_arrival(self):
-        # The caller of a booking would see router_full while tagging holds every thread.
-        # Tagging fills the router, then bookings come: each must be held, one tagging
-        # request given up for it, and only tagging beyond the limit is refused.
+    def test_flood_of_the_lowest_tier_is_displaced_by_higher_tiers(self):
+        # The caller of a booking would see router_full while tagging occupies every thread.
+        # Tagging fills the router, then bookings arrive: each must be held and displace one
+        # tagging request, and only requests beyond the limit are refused.
         router = limits(held=4)
         for number in range(4):
             admit(router, f"tag-{number}", LOW)
@@ -83,16 +83,16 @@
         self.assertEqual(order, ["low-waiting", "low-running", "middle"])
 
     def test_a_run_that_may_not_be_repeated_is_never_displaced(self):
-        # Given up in its run, a charge would be told "unknown" to a family for the sake of
-        # this router's memory. Its thread says that the run begins, then the router fills.
+        # If a charge were displaced during its run, a family would be told "unknown" only to free
+        # capacity of this router. Its thread marks the run as started, then the router fills.
         router = limits(held=1)
         admit(router, "charge", LOW, repeatable=False)
         self.assertTrue(router.mark_running(request_id="charge"))
         self.assertIsInstance(admit(router, "book", HIGH), Full)
 
     def test_a_displaced_request_is_not_sent_any_more(self):
-        # Its caller is told that it was not run. The grant arrives at its thread a moment
-        # after it was displaced: the thread asks here, and must be told not to send.
+        # Its caller is told that it was not executed. Its thread receives the grant just after the
+        # request was displaced: ``mark_running`` must return ``False``, so that it isn't sent.
         router = limits(held=1)
         admit(router, "charge", LOW, repeatable=False)
         self.assertEqual(admit(router, "book", HIGH).displaced, ("charge",))
@@ -109,18 +109,18 @@
 
 
 class TestReceiving(unittest.TestCase):
-    def test_lower_tiers_leave_room_for_large_bodies_of_the_highest(self):
-        # A flood of long reports for tagging is being received; a council's plan, as long,
-        # comes. The flood stops at three quarters of the room, so the plan is still read.
-        limit = ReceiveLimit(total_bytes=400_000, most_bytes=100_000)
-        taken = [limit.take(size=100_000, highest=False) for _ in range(4)]
+    def test_lower_tiers_leave_memory_for_large_bodies_of_the_highest(self):
+        # A flood of long reports for tagging is being received when a plan of the same size arrives.
+        # The flood is limited to three quarters of the memory, so the plan can still be read.
+        limit = ReceiveLimit(total_bytes=400_000, max_bytes=100_000)
+        taken = [limit.try_reserve(size=100_000, highest=False) for _ in range(4)]
         self.assertEqual(taken, [True, True, True, False])
-        self.assertTrue(limit.take(size=100_000, highest=True))
-        self.assertFalse(limit.take(size=100_000, highest=True))
-        limit.give_back(size=100_000)
-        self.assertTrue(limit.take(size=100_000, highest=True))
+        self.assertTrue(limit.try_reserve(size=100_000, highest=True))
+        self.assertFalse(limit.try_reserve(size=100_000, highest=True))
+        limit.release(size=100_000)
+        self.assertTrue(limit.try_reserve(size=100_000, highest=True))
 
     def test_small_bodies_are_always_read(self):
-        limit = ReceiveLimit(total_bytes=100_000, most_bytes=100_000)
-        limit.take(size=100_000, highest=True)
-        self.assertTrue(limit.take(size=1000, highest=False))
+        limit = ReceiveLimit(total_bytes=100_000, max_bytes=100_000)
+        limit.try_reserve(size=100_000, highest=True)
+        self.assertTrue(limit.try_reserve(size=1000, highest=False))
--- a/tests/test_caller_watch.py
+++ b/tests/test_caller_watch.py
@@ -1,4 +1,4 @@
-"""The thread that notices callers who left, while numbers of connections are used again."""
+"""Detection of disconnected callers while file descriptors are reused."""
 
 import os
 import socket
@@ -6,42 +6,42 @@
 import time
 import unittest
 
-from wagtailtrestle.callers.watch import CHECK_S, CallerWatch
+from wagtailtrestle.callers.connection_watcher import POLL_INTERVAL_S, ConnectionWatcher
 
-SEEN_S = 3 * CHECK_S
+DETECTION_S = 3 * POLL_INTERVAL_S
 
 
-class HookedEpoll:
-    """An epoll that runs a hook between the first event that it finds and its being told."""
+class EpollWithHook:
+    """An epoll that calls a hook after it has found the first event and before it returns it."""
 
     def __init__(self, *, epoll, hook):
         self._epoll = epoll
         self._hook = hook
-        self._is_used = False
+        self._has_run = False
 
     def __getattr__(self, name):
         return getattr(self._epoll, name)
 
     def poll(self, *arguments):
         events = self._epoll.poll(*arguments)
-        if events and not self._is_used:
-            self._is_used = True
+        if events and not self._has_run:
+            self._has_run = True
             self._hook()
         return events
 
 
-class CallerWatchTest(unittest.TestCase):
+class ConnectionWatcherTest(unittest.TestCase):
     def setUp(self):
-        self.watch = CallerWatch(timeout_s=10.0, crowd=100)
-        self.gone = []
+        self.watch = ConnectionWatcher(timeout_s=10.0, max_receiving=100)
+        self.disconnected = []
         self.events = {name: threading.Event() for name in ("former", "next")}
 
     def start(self):
         self.watch.start()
         self.addCleanup(self.watch.close)
 
-    def on_gone(self, name):
-        self.gone.append(name)
+    def on_disconnect(self, name):
+        self.disconnected.append(name)
         self.events[name].set()
 
     def pair(self):
@@ -49,36 +49,36 @@
         self.addCleanup(theirs.close)
         return ours, theirs
 
-    def test_caller_that_leaves_is_noticed(self):
+    def test_disconnect_is_detected(self):
         ours, theirs = self.pair()
         self.addCleanup(ours.close)
         self.start()
-        self.watch.watch(fd=ours.fileno(), on_gone=lambda: self.on_gone("former"))
+        self.watch.watch(fd=ours.fileno(), on_disconnect=lambda: self.on_disconnect("former"))
         theirs.close()
-        self.assertTrue(self.events["former"].wait(SEEN_S))
+        self.assertTrue(self.events["former"].wait(DETECTION_S))
 
-    def test_caller_whose_connection_has_the_number_of_one_that_ended_is_not_taken_for_gone(self):
-        # A living caller's request ends after 3 ms, not run. The caller before it on that number left just as its
-        # answer was sent: the kernel's word of that was on its way through this thread while the request was
-        # forgotten, its connection closed, and the next one accepted under the same number and watched.
+    def test_caller_on_a_reused_descriptor_is_not_reported_as_disconnected(self):
+        # The request of a connected caller ended after 3 ms without a run. The previous caller on that descriptor had
+        # disconnected just as its answer was sent: while this thread processed the kernel's event, the request was
+        # unwatched, its connection closed, and the next one accepted with the same descriptor and watched.
         ours, theirs = self.pair()
         fd = ours.fileno()
         next_ours, next_theirs = self.pair()
 
-        def use_again():
-            self.watch.forget(fd=fd)
+        def reuse_fd():
+            self.watch.unwatch(fd=fd)
             os.dup2(next_ours.fileno(), fd)
-            self.watch.watch(fd=fd, on_gone=lambda: self.on_gone("next"))
+            self.watch.watch(fd=fd, on_disconnect=lambda: self.on_disconnect("next"))
 
-        self.watch.watch(fd=fd, on_gone=lambda: self.on_gone("former"))
-        self.watch._epoll = HookedEpoll(epoll=self.watch._epoll, hook=use_again)
+        self.watch.watch(fd=fd, on_disconnect=lambda: self.on_disconnect("former"))
+        self.watch._epoll = EpollWithHook(epoll=self.watch._epoll, hook=reuse_fd)
         self.start()
         theirs.close()
-        time.sleep(SEEN_S)
-        self.assertEqual(self.gone, [])
+        time.sleep(DETECTION_S)
+        self.assertEqual(self.disconnected, [])
         next_theirs.close()
-        self.assertTrue(self.events["next"].wait(SEEN_S))
-        self.watch.forget(fd=fd)
+        self.assertTrue(self.events["next"].wait(DETECTION_S))
+        self.watch.unwatch(fd=fd)
         ours.close()
         next_ours.close()
 
--- a/wagtailtrestle/adapters.py
+++ b/wagtailtrestle/adapters.py
@@ -2,7 +2,7 @@
 
 from typing import Protocol
 
-from wagtailtrestle.callers.intake import Intake
+from wagtailtrestle.callers.native_dialect import NativeDialect
 from wagtailtrestle.configuration.sources import NativeDeclarations
 from wagtailtrestle.declarations.check import parse_declaration
 from wagtailtrestle.declarations.settings import PLATFORM_ADAPTER
@@ -52,7 +52,7 @@
         """Return the ``DeclaredEngine`` of an engine's own entry, or ``None``."""
 
     def make_dialect(self, *, key_proof, quotas, **parts):
-        """Return the ``CallerDialect``; ``parts`` are those of ``callers.intake.Intake``."""
+        """Return the ``CallerDialect``; ``parts`` are the arguments of ``NativeDialect``."""
 
 
 class OwnAdapter:
@@ -81,7 +81,7 @@
 
     def make_dialect(self, *, key_proof, quotas, **parts):
         """Return the product's own callers' HTTP."""
-        return Intake(**parts)
+        return NativeDialect(**parts)
 
 
 def adapter_of(settings) -> Adapter:
--- a/wagtailtrestle/callers/answer.py
+++ b/wagtailtrestle/callers/answer.py
@@ -1,4 +1,4 @@
-"""What a caller is sent: the response being written, and one way of answering for each kind of request."""
+"""Responses to callers: the response being written, and one ``Answer`` for each kind of request."""
 
 from typing import Protocol
 
@@ -12,8 +12,8 @@
     SSE_TYPE,
     AnswerEnd,
     EventWriter,
-    read_whole_answer,
-    whole_answer,
+    decode_completion,
+    encode_completion,
 )
 from wagtailtrestle.contracts.exchange import AnswerRecorded
 from wagtailtrestle.contracts.outcomes import Executed, Refusal
@@ -21,8 +21,8 @@
 from wagtailtrestle.record import record
 
 BODYLESS_STATUSES = frozenset({204, 304})
-# Of the connection to the engine, or naming the run there.
-NOT_PASSED_ON = frozenset(
+# Headers of the connection to the engine, and the id of the run on it.
+UNFORWARDED_HEADERS = frozenset(
     {
         "connection",
         "content-length",
@@ -38,72 +38,72 @@
 
 
 class CallerResponse:
-    """The response of one request, written from the thread that carries it.
+    """The response to one request, written by the thread that handles it.
 
     Parameters
     ----------
     start_response : callable
-        WSGI's.
+        The ``start_response`` of WSGI.
     request_id : str
-        As the caller reads it.
-    closing : callable
-        Whether the connection is to end with this answer.
+        The request id that the caller receives.
+    closes_connection : callable
+        Returns whether to close the connection after this response.
     problem : callable
-        ``problem(refusal, request_id)`` gives status, header pairs and body of a refusal.
+        ``problem(refusal, request_id)`` returns status, header pairs and body of a refusal.
 
     Attributes
     ----------
-    on_gone : callable
-        Called once when a write finds the caller gone.
+    on_disconnect : callable
+        Called once when a write fails because the caller has disconnected.
     aborted : bool
-        Whether the answer was broken off; its connection ends without the mark of a whole answer.
+        Whether the response was aborted; the connection then closes without the last chunk.
     """
 
     __slots__ = (
         "request_id",
-        "begun",
-        "gone",
+        "started",
+        "disconnected",
         "aborted",
         "status",
         "_start_response",
-        "on_gone",
-        "_closing",
+        "on_disconnect",
+        "_closes_connection",
         "_problem",
         "_write",
     )
 
-    def __init__(self, *, start_response, request_id, closing, problem):
+    def __init__(self, *, start_response, request_id, closes_connection, problem):
         self.request_id = request_id
-        self.begun = False
-        self.gone = False
+        self.started = False
+        self.disconnected = False
         self.aborted = False
         self.status = 0
         self._problem = problem
         self._start_response = start_response
-        self.on_gone = _ignore
-        self._closing = closing
+        self.on_disconnect = _ignore
+        self._closes_connection = closes_connection
         self._write = None
 
     def begin(self, *, status: int, headers: list):
-        """Give the head; it leaves with the first bytes written."""
-        if self._closing():
+        """Set status and headers, which are sent with the first bytes of the body."""
+        if self._closes_connection():
             headers = [*headers, ("Connection", "close")]
-        self.begun = True
+        self.started = True
         self.status = status
         self._write = self._start_response(status_line(status), headers)
 
     def write(self, data: bytes):
-        """Send bytes now; once the caller is gone they are dropped."""
-        if self.gone:
+        """Send bytes immediately; discard them if the caller has disconnected."""
+        if self.disconnected:
             return
         try:
             self._write(data)
         except OSError:
-            self.gone = True
-            self.on_gone()
+            self.disconnected = True
+            self.on_disconnect()
 
     def send(self, *, status: int, content_type: str, body: bytes, executed=Executed.YES, extra_headers=()):
-        """Give a whole answer."""
+        """Send a complete response."""
         headers = [(EXECUTED_HEADER, executed.value), (REQUEST_ID_HEADER, self.request_id), *extra_headers]
         if status not in BODYLESS_STATUSES:
             headers.append(("Content-Length", str(len(body))))
@@ -114,49 +114,49 @@
             self.write(body)
 
     def send_refusal(self, refusal: Refusal):
-        """Give a refusal as the whole answer."""
+        """Send a refusal as the complete response."""
         status, headers, body = self._problem(refusal, self.request_id)
         self.begin(status=status, headers=headers)
         self.write(body)
 
     def abort(self):
-        """Break the answer off: what was sent must not look whole."""
+        """Abort the response, so that the caller can't mistake what was sent for a complete one."""
         self.aborted = True
 
 
 def _ignore():
-    """Nothing is to be told yet of a caller who left."""
+    """Ignore a disconnect that no handler was set for."""
 
 
 @record
-class Recordable:
-    """A whole answer as the ledger keeps it."""
+class RecordableAnswer:
+    """A complete answer as the ledger stores it."""
 
     content_type: str
     body: bytes
 
 
 class Answer(Protocol):
-    """How one kind of request is answered, once or in pieces."""
+    """How one kind of request is answered, in one piece or as a stream."""
 
     def token(self, text: str) -> None:
-        """Take one token of the answer as it arrives."""
+        """Process one token when it arrives from the engine."""
 
-    def whole(self, received: ReceivedAnswer) -> None:
-        """Everything arrived and was checked."""
+    def complete(self, received: ReceivedAnswer) -> None:
+        """Finish the response with an answer that was received completely and checked."""
 
-    def recordable(self, received: ReceivedAnswer) -> Recordable:
-        """The whole answer, for a later request with the same idempotency key."""
+    def recordable(self, received: ReceivedAnswer) -> RecordableAnswer:
+        """Return the complete answer, to be replayed to a later request with the same idempotency key."""
 
     def recorded(self, command: AnswerRecorded) -> None:
-        """Give the recorded answer of an earlier request."""
+        """Send the recorded answer of an earlier request."""
 
     def refuse(self, refusal: Refusal) -> None:
-        """End without a whole answer."""
+        """Finish the response with a refusal."""
 
 
-class WholeAnswer:
-    """A completion given in one piece, once it was checked complete."""
+class BufferedAnswer:
+    """A completion sent in one piece, after it was received completely and checked."""
 
     __slots__ = ("_response", "_model", "_chat")
 
@@ -166,23 +166,23 @@
         self._chat = chat
 
     def token(self, text):
-        """Nothing leaves before the end; the text is kept with what was received."""
+        """Send nothing before the end; the text is kept in the ``ReceivedAnswer``."""
 
-    def whole(self, received):
+    def complete(self, received):
         """Send the answer assembled from the engine's stream."""
         answer = self.recordable(received)
         self._response.send(status=200, content_type=answer.content_type, body=answer.body)
 
     def recordable(self, received):
-        """The same JSON that a caller is sent."""
-        body = whole_answer(
+        """Return the JSON document that the caller is sent."""
+        body = encode_completion(
             request_id=self._response.request_id,
             model=self._model,
             chat=self._chat,
             text=received.text,
             end=answer_end(received),
         )
-        return Recordable(content_type=JSON_TYPE, body=body)
+        return RecordableAnswer(content_type=JSON_TYPE, body=body)
 
     def recorded(self, command):
         """Give an earlier answer."""
@@ -193,8 +193,8 @@
         self._response.send_refusal(refusal)
 
 
-class StreamedAnswer(WholeAnswer):
-    """A completion given token by token; its head leaves with the first token."""
+class StreamedAnswer(BufferedAnswer):
+    """A completion streamed token by token; the headers are sent with the first token."""
 
     __slots__ = ("_events",)
 
@@ -204,29 +204,29 @@
 
     def token(self, text):
         """Send one token's event."""
-        if not self._response.begun:
+        if not self._response.started:
             self._begin()
         self._response.write(self._events.token(text))
 
-    def whole(self, received):
-        """Send the closing events; only these tell the caller that it has everything."""
+    def complete(self, received):
+        """Send the final events, by which the caller knows that the answer is complete."""
         self._end(answer_end(received))
 
     def recorded(self, command):
-        """Give an earlier answer as a stream of one token, since a stream was asked for."""
-        text, end = read_whole_answer(command.body)
+        """Send a recorded answer as a stream with a single token, since the caller requested a stream."""
+        text, end = decode_completion(command.body)
         self.token(text)
         self._end(end)
 
     def refuse(self, refusal):
-        """A problem if nothing was sent yet, else an error event and no ``[DONE]``."""
-        if self._response.begun:
+        """Send a problem if the response has not started, else an error event without ``[DONE]``."""
+        if self._response.started:
             self._response.write(self._events.error(refusal=refusal))
         else:
             self._response.send_refusal(refusal)
 
     def _end(self, end):
-        if not self._response.begun:
+        if not self._response.started:
             self._begin()
         self._response.write(self._events.end(end))
 
@@ -241,7 +241,7 @@
 
 
 class PlainAnswer:
-    """A plain service's answer, passed on whole."""
+    """The answer of a plain service, forwarded in one piece."""
 
     __slots__ = ("_response",)
 
@@ -249,16 +249,16 @@
         self._response = response
 
     def token(self, text):
-        """Plain services send no tokens."""
+        """Do nothing: plain services send no tokens."""
 
-    def whole(self, received):
-        """Pass on the service's status, headers and body; its own refusal is a whole answer too."""
-        headers = [(name, value) for name, value in received.headers.items() if name.lower() not in NOT_PASSED_ON]
+    def complete(self, received):
+        """Forward the service's status, headers and body; an error status of the service is a complete answer too."""
+        headers = [(name, value) for name, value in received.headers.items() if name.lower() not in UNFORWARDED_HEADERS]
         self._response.send(status=received.status, content_type="", body=received.body, extra_headers=headers)
 
     def recordable(self, received):
-        """Type and body; the status is recorded beside them."""
-        return Recordable(content_type=received.headers.get("Content-Type", ""), body=received.body)
+        """Return content type and body; the status is recorded separately."""
+        return RecordableAnswer(content_type=received.headers.get("Content-Type", ""), body=received.body)
 
     def recorded(self, command):
         """Give an earlier answer."""
@@ -270,7 +270,7 @@
 
 
 def answer_end(received: ReceivedAnswer) -> AnswerEnd:
-    """The closing facts of what an engine sent."""
+    """Return the finish reason and token counts of a received answer."""
     return AnswerEnd(
         finish_reason=received.finish_reason,
         prompt_tokens=received.prompt_tokens,
--- a/wagtailtrestle/callers/headers.py
+++ b/wagtailtrestle/callers/headers.py
@@ -1,4 +1,4 @@
-"""Headers by which callers steer one request, checked at the edge."""
+"""Request headers: validation, the headers that control a request, and the ones forwarded to plain services."""
 
 import re
 import uuid
@@ -12,18 +12,18 @@
 ROUTE = "HTTP_WAGTAILTRESTLE_ROUTE"
 TIER = "HTTP_WAGTAILTRESTLE_TIER"
 IDEMPOTENCY_KEY = "HTTP_IDEMPOTENCY_KEY"
-REQUEST_ID_FORM = re.compile(r"[A-Za-z0-9._:/+=@-]{1,128}")
-KEY_FORM = re.compile(r"[\x21-\x7e]{1,255}")
-NAME_FORM = re.compile(r"HTTP_[A-Z0-9_]+")
+REQUEST_ID_PATTERN = re.compile(r"[A-Za-z0-9._:/+=@-]{1,128}")
+KEY_PATTERN = re.compile(r"[\x21-\x7e]{1,255}")
+NAME_PATTERN = re.compile(r"HTTP_[A-Z0-9_]+")
 CONTROL_CHARACTER = re.compile(r"[\x00-\x08\x0a-\x1f\x7f]")
-TARGET_FORM = re.compile(r"[\x21-\x7e]+")
-DEADLINE_FORM = re.compile(r"[0-9]{1,12}")
+TARGET_PATTERN = re.compile(r"[\x21-\x7e]+")
+DEADLINE_PATTERN = re.compile(r"[0-9]{1,12}")
 MS_PER_S = 1000.0
 HEADER_PREFIX = "HTTP_"
-STEERING_PREFIX = "HTTP_WAGTAILTRESTLE_"
-# The caller's key is for this router alone. A coding is not offered on, so that an answer's
-# length is the length of its body.
-UNFORWARDED = frozenset(
+CONTROL_PREFIX = "HTTP_WAGTAILTRESTLE_"
+# The caller's key is meant only for this router. Accept-Encoding is not forwarded, so that the length
+# of an answer is the length of its body.
+UNFORWARDED_HEADERS = frozenset(
     {
         "HTTP_ACCEPT_ENCODING",
         "HTTP_AUTHORIZATION",
@@ -44,14 +44,14 @@
 
 @record
 class CallerHeaders:
-    """The steering headers of one request.
+    """The control headers of one request.
 
     Parameters
     ----------
     deadline_ms : int or None
-        ``None`` where the caller gave none.
+        ``None`` if the caller sent none.
     route, tier, idempotency_key : str
-        Empty where the caller gave none.
+        Empty if the caller sent none.
     """
 
     deadline_ms: int | None
@@ -61,25 +61,25 @@
 
 
 def caller_request_id(environ: dict) -> str | Refusal:
-    """The caller's own id of the request, or one made for it."""
+    """Return the request id sent by the caller, or a generated one."""
     given = environ.get(REQUEST_ID)
     if given is None:
         return uuid.uuid4().hex
-    if REQUEST_ID_FORM.fullmatch(given):
+    if REQUEST_ID_PATTERN.fullmatch(given):
         return given
     return bad_request("'Wagtailtrestle-Request-Id' must be 1 to 128 letters, digits or any of . _ : / + = @ -")
 
 
 def caller_headers(environ: dict) -> CallerHeaders | Refusal:
-    """Read and check the headers."""
-    fault = _form_fault(environ)
-    if fault is not None:
-        return bad_request(fault)
+    """Read and validate the control headers."""
+    error = _syntax_error(environ)
+    if error is not None:
+        return bad_request(error)
     deadline = environ.get(DEADLINE)
-    if deadline is not None and (not DEADLINE_FORM.fullmatch(deadline) or int(deadline) == 0):
+    if deadline is not None and (not DEADLINE_PATTERN.fullmatch(deadline) or int(deadline) == 0):
         return bad_request("'Wagtailtrestle-Deadline-Ms' must be a whole number of milliseconds above 0.")
     key = environ.get(IDEMPOTENCY_KEY, "")
-    if IDEMPOTENCY_KEY in environ and not KEY_FORM.fullmatch(key):
+    if IDEMPOTENCY_KEY in environ and not KEY_PATTERN.fullmatch(key):
         return bad_request("'Idempotency-Key' must be 1 to 255 visible ASCII characters.")
     return CallerHeaders(
         deadline_ms=int(deadline) if deadline is not None else None,
@@ -89,36 +89,36 @@
     )
 
 
-def _form_fault(environ):
-    # What can't be written in a request to an engine must be found here: found there, in the
-    # middle of a run, nobody could tell any more that the request was not run.
-    if not TARGET_FORM.fullmatch(environ["REQUEST_URI"]):
+def _syntax_error(environ):
+    # Anything that can't be sent in a request to an engine must be detected here. Detected during
+    # a run, it could no longer be ruled out that the request was executed.
+    if not TARGET_PATTERN.fullmatch(environ["REQUEST_URI"]):
         return "The address must be of visible ASCII characters; code others with '%'."
     for name, value in environ.items():
-        if name.startswith(HEADER_PREFIX) and not NAME_FORM.fullmatch(name):
+        if name.startswith(HEADER_PREFIX) and not NAME_PATTERN.fullmatch(name):
             return "A header's name must be of letters, digits, '-' or '_'."
         if name.startswith((HEADER_PREFIX, "CONTENT_")) and CONTROL_CHARACTER.search(value):
             return "A header's value holds a control character."
     return None
 
 
-def asked_s(environ: dict) -> float | None:
-    """Seconds that the caller says it will wait; ``None`` without a sound word of it."""
+def requested_timeout_s(environ: dict) -> float | None:
+    """Return the deadline in the header, in seconds, or ``None`` if it is missing or malformed."""
     deadline = environ.get(DEADLINE, "")
-    return int(deadline) / MS_PER_S if DEADLINE_FORM.fullmatch(deadline) else None
+    return int(deadline) / MS_PER_S if DEADLINE_PATTERN.fullmatch(deadline) else None
 
 
-def deadline_s(*, headers: CallerHeaders, default_ms: int, most_s: float) -> float:
-    """Seconds the whole answer may take: the caller's, else the route's, never above ``most_s``."""
-    asked_ms = headers.deadline_ms if headers.deadline_ms is not None else default_ms
-    return min(asked_ms / MS_PER_S, most_s)
+def effective_timeout_s(*, headers: CallerHeaders, default_ms: int, max_s: float) -> float:
+    """Return the seconds allowed for the complete answer: the caller's deadline or the route's, at most ``max_s``."""
+    requested_ms = headers.deadline_ms if headers.deadline_ms is not None else default_ms
+    return min(requested_ms / MS_PER_S, max_s)
 
 
 def forwarded_headers(environ: dict) -> dict:
-    """The caller's headers that a plain service is sent."""
+    """Return the caller's headers to forward to a plain service."""
     value_by_name = {}
     for name, value in environ.items():
-        if not name.startswith(HEADER_PREFIX) or name in UNFORWARDED or name.startswith(STEERING_PREFIX):
+        if not name.startswith(HEADER_PREFIX) or name in UNFORWARDED_HEADERS or name.startswith(CONTROL_PREFIX):
             continue
         value_by_name[name[len(HEADER_PREFIX) :].replace("_", "-").title()] = value
     if "CONTENT_TYPE" in environ:
--- a/wagtailtrestle/callers/intake.py
+++ b/wagtailtrestle/callers/native_dialect.py
@@ -1,14 +1,21 @@
-"""From a caller's HTTP request to what the decisions take: read, authenticated, matched, checked."""
+"""The native HTTP interface: authenticates, reads, validates and routes callers' requests."""
 
 import time
 from collections.abc import Callable
 
-from wagtailtrestle.callers.answer import PlainAnswer, StreamedAnswer, WholeAnswer
+from wagtailtrestle.callers.answer import BufferedAnswer, PlainAnswer, StreamedAnswer
 from wagtailtrestle.callers.authentication import KeyIndex, authenticate
 from wagtailtrestle.callers.body import body_digest, parse_language
 from wagtailtrestle.callers.body_reader import BodyReader
-from wagtailtrestle.callers.dialect import Arrival, ModelList, Prepared
-from wagtailtrestle.callers.headers import asked_s, caller_headers, caller_request_id, deadline_s, forwarded_headers
+from wagtailtrestle.callers.connection_watcher import ConnectionWatcher
+from wagtailtrestle.callers.dialect import IncomingRequest, ModelList, PreparedRequest
+from wagtailtrestle.callers.headers import (
+    caller_headers,
+    caller_request_id,
+    effective_timeout_s,
+    forwarded_headers,
+    requested_timeout_s,
+)
 from wagtailtrestle.callers.limits import ReceiveLimit
 from wagtailtrestle.callers.problem import problem_bytes, problem_headers
 from wagtailtrestle.callers.prompt_shape import PromptShape
@@ -19,71 +26,70 @@
     match_language,
     match_plain,
     may_use,
+    method_not_allowed,
     services_of,
-    wrong_method,
 )
 from wagtailtrestle.callers.stream import EventWriter, model_list
-from wagtailtrestle.callers.watch import CallerWatch
 from wagtailtrestle.contracts.declaration import LANGUAGE, PLAIN
 from wagtailtrestle.contracts.exchange import CallerRequest
 from wagtailtrestle.contracts.outcomes import Executed, Reason, Refusal
 from wagtailtrestle.engines.native_call import NativeCall
 
-NO_PROMPT = PromptShape(tokens=0)
-ELSEWHERE_S = 0.1
-"""When to come back to a router that takes nothing: at once, as others do; enough not to spin."""
+EMPTY_PROMPT = PromptShape(tokens=0)
+RETRY_ELSEWHERE_S = 0.1
+"""Retry delay of a router that accepts no requests: short, since others do, and above 0 to prevent a busy loop."""
 
 
-class Intake:
-    """Reads and checks requests; called from callers' threads, keeps nothing of a request.
+class NativeDialect:
+    """The ``CallerDialect`` of the native interface; called from worker threads, holds no per-request state.
 
     Parameters
     ----------
     directory : callable
         Returns the configuration in force or ``None``.
     now : callable
-        The loop's clock.
-    watch : CallerWatch
+        The event loop's clock.
+    watch : ConnectionWatcher
     receive_limit : ReceiveLimit
-    most_deadline_s : float
+    max_deadline_s : float
     """
 
-    __slots__ = ("_directory", "_now", "_bodies", "_most_deadline_s", "_keys")
+    __slots__ = ("_directory", "_now", "_bodies", "_max_deadline_s", "_keys")
 
     def __init__(
         self,
         *,
         directory,
         now: Callable[[], float],
-        watch: CallerWatch,
+        watch: ConnectionWatcher,
         receive_limit: ReceiveLimit,
-        most_deadline_s: float,
+        max_deadline_s: float,
     ):
         self._directory = directory
         self._now = now
         self._bodies = BodyReader(watch=watch, limit=receive_limit)
-        self._most_deadline_s = most_deadline_s
+        self._max_deadline_s = max_deadline_s
         self._keys = (None, None)
 
     def request_id(self, environ):
-        """The caller's own id of the request, or one made for it."""
+        """Return the request id sent by the caller, or a generated one."""
         return caller_request_id(environ)
 
-    def caller_time_s(self, environ):
-        """The deadline that the caller gives, seconds."""
-        return asked_s(environ)
+    def caller_timeout_s(self, environ):
+        """Return the deadline requested by the caller, in seconds, or ``None``."""
+        return requested_timeout_s(environ)
 
     def problem(self, refusal, request_id):
-        """A problem document."""
+        """Return status, headers and body of a refusal as a problem document."""
         body = problem_bytes(refusal=refusal, request_id=request_id)
         return refusal.status, problem_headers(refusal=refusal, request_id=request_id, length=len(body)), body
 
-    def prepare(self, arrival: Arrival) -> Prepared | ModelList | Refusal:
-        """Read and check one request."""
+    def prepare(self, incoming: IncomingRequest) -> PreparedRequest | ModelList | Refusal:
+        """Authenticate, read and validate one request."""
         in_force = self._directory()
         if in_force is None:
-            return closed(Reason.NOT_READY)
-        environ = arrival.environ
+            return not_accepting(Reason.NOT_READY)
+        environ = incoming.environ
         index = self._key_index(in_force.declaration)
         team = authenticate(header=environ.get("HTTP_AUTHORIZATION", ""), index=index)
         if isinstance(team, Refusal):
@@ -92,18 +98,18 @@
         if isinstance(headers, Refusal):
             return headers
         if environ["PATH_INFO"] == MODELS_PATH:
-            return _models(environ=environ, declaration=in_force.declaration, team=team)
+            return _list_models(environ=environ, declaration=in_force.declaration, team=team)
         body = self._read(environ, declaration=in_force.declaration, team=team)
         if isinstance(body, Refusal):
             return body
-        reading = _Reading(arrival=arrival, in_force=in_force, team=team, headers=headers, body=body)
+        context = _RequestContext(incoming=incoming, in_force=in_force, team=team, headers=headers, body=body)
         if environ["PATH_INFO"] in LANGUAGE_PATHS:
-            return self._language(reading)
-        return self._plain(reading)
+            return self._language(context)
+        return self._plain(context)
 
     def _key_index(self, declaration):
-        # One tuple, replaced whole: two threads that see a new declaration at once must not
-        # leave the keys of the old one beside the new.
+        # One tuple, replaced atomically: two threads that see a new declaration at the same time
+        # must not leave the new declaration paired with the keys of the old one.
         indexed, index = self._keys
         if indexed is not declaration:
             index = KeyIndex(declaration=declaration)
@@ -113,21 +119,21 @@
     def _read(self, environ, *, declaration, team):
         return self._bodies.read(environ, highest=_has_highest_tier(declaration=declaration, team=team))
 
-    def _language(self, reading):
-        environ = reading.arrival.environ
+    def _language(self, context):
+        environ = context.incoming.environ
         path = environ["PATH_INFO"]
         if environ["REQUEST_METHOD"] != "POST":
-            return wrong_method(["POST"])
-        parsed = parse_language(body=reading.body, path=path)
+            return method_not_allowed(["POST"])
+        parsed = parse_language(body=context.body, path=path)
         if isinstance(parsed, Refusal):
             return parsed
         matched = match_language(
-            declaration=reading.in_force.declaration,
-            team=reading.team,
+            declaration=context.in_force.declaration,
+            team=context.team,
             path=path,
             model=parsed.model,
-            route_name=reading.headers.route,
-            tier_name=reading.headers.tier,
+            route_name=context.headers.route,
+            tier_name=context.headers.tier,
         )
         if isinstance(matched, Refusal):
             return matched
@@ -136,23 +142,23 @@
             method="POST",
             path=path,
             document=parsed.fields,
-            caller_request_id=reading.arrival.response.request_id,
+            caller_request_id=context.incoming.response.request_id,
         )
-        answer = _language_answer(response=reading.arrival.response, parsed=parsed, chat=path == CHAT_PATH)
+        answer = _language_answer(response=context.incoming.response, parsed=parsed, chat=path == CHAT_PATH)
         return self._prepared(
-            reading, matched, call, answer, shape=parsed.shape, output_tokens=parsed.output_tokens, target=path
+            context, matched, call, answer, shape=parsed.shape, output_tokens=parsed.output_tokens, target=path
         )
 
-    def _plain(self, reading):
-        environ = reading.arrival.environ
+    def _plain(self, context):
+        environ = context.incoming.environ
         method = environ["REQUEST_METHOD"]
         matched = match_plain(
-            declaration=reading.in_force.declaration,
-            team=reading.team,
+            declaration=context.in_force.declaration,
+            team=context.team,
             method=method,
             path=environ["PATH_INFO"],
-            route_name=reading.headers.route,
-            tier_name=reading.headers.tier,
+            route_name=context.headers.route,
+            tier_name=context.headers.tier,
         )
         if isinstance(matched, Refusal):
             return matched
@@ -164,69 +170,69 @@
             path=path,
             query=query,
             headers=forwarded_headers(environ),
-            body=reading.body,
-            caller_request_id=reading.arrival.response.request_id,
+            body=context.body,
+            caller_request_id=context.incoming.response.request_id,
         )
-        answer = PlainAnswer(response=reading.arrival.response)
-        return self._prepared(reading, matched, call, answer, shape=NO_PROMPT, output_tokens=0, target=target)
+        answer = PlainAnswer(response=context.incoming.response)
+        return self._prepared(context, matched, call, answer, shape=EMPTY_PROMPT, output_tokens=0, target=target)
 
-    def _prepared(self, reading, matched, call, answer, *, shape, output_tokens, target):
+    def _prepared(self, context, matched, call, answer, *, shape, output_tokens, target):
         route = matched.route
-        headers = reading.headers
-        allowed_s = deadline_s(headers=headers, default_ms=route.deadline_ms, most_s=self._most_deadline_s)
-        elapsed_s = time.monotonic() - reading.arrival.at
+        headers = context.headers
+        allowed_s = effective_timeout_s(headers=headers, default_ms=route.deadline_ms, max_s=self._max_deadline_s)
+        elapsed_s = time.monotonic() - context.incoming.at
         request = CallerRequest(
-            request_id=reading.arrival.request_id,
+            request_id=context.incoming.request_id,
             service=matched.service.name,
-            team=reading.team.name,
+            team=context.team.name,
             route=route.name,
             tier=matched.tier.rank,
             repeatable=route.repeatable,
             at_most_once=route.at_most_once,
             idempotency_key=headers.idempotency_key,
-            body_digest=body_digest(method=call.method, path=target, body=reading.body),
+            body_digest=body_digest(method=call.method, path=target, body=context.body),
             prompt_tokens=shape.tokens,
             output_tokens=output_tokens,
             prefix_blocks=shape.prefix_blocks,
             deadline=self._now() + allowed_s - elapsed_s,
         )
-        return Prepared(
+        return PreparedRequest(
             request=request,
             call=call,
             answer=answer,
-            body_bytes=len(reading.body),
+            body_bytes=len(context.body),
             tier_name=matched.tier.name,
-            generation=reading.in_force.generation,
+            generation=context.in_force.generation,
         )
 
 
-class _Reading:
-    """What is known of a request once it was read."""
+class _RequestContext:
+    """A request that was authenticated and read, with the configuration it is handled under."""
 
-    __slots__ = ("arrival", "in_force", "team", "headers", "body")
+    __slots__ = ("incoming", "in_force", "team", "headers", "body")
 
-    def __init__(self, *, arrival, in_force, team, headers, body):
-        self.arrival = arrival
+    def __init__(self, *, incoming, in_force, team, headers, body):
+        self.incoming = incoming
         self.in_force = in_force
         self.team = team
         self.headers = headers
         self.body = body
 
 
-def closed(reason: Reason) -> Refusal:
-    """The refusal of a router that takes no requests now."""
+def not_accepting(reason: Reason) -> Refusal:
+    """Return the refusal of a router that currently accepts no requests."""
     return Refusal(
         status=503,
         reason=reason,
         executed=Executed.NO,
         detail="This router takes no requests now; send it again and another one will.",
-        retry_after_s=ELSEWHERE_S,
+        retry_after_s=RETRY_ELSEWHERE_S,
     )
 
 
-def _models(*, environ, declaration, team):
+def _list_models(*, environ, declaration, team):
     if environ["REQUEST_METHOD"] != "GET":
-        return wrong_method(["GET"])
+        return method_not_allowed(["GET"])
     return ModelList(body=model_list([service.name for service in services_of(declaration=declaration, team=team)]))
 
 
@@ -237,7 +243,7 @@
 
 def _language_answer(*, response, parsed, chat):
     if not parsed.stream:
-        return WholeAnswer(response=response, model=parsed.model, chat=chat)
+        return BufferedAnswer(response=response, model=parsed.model, chat=chat)
     events = EventWriter(
         request_id=response.request_id, model=parsed.model, chat=chat, include_usage=parsed.include_usage
     )
--- a/wagtailtrestle/callers/carriage.py
+++ b/wagtailtrestle/callers/request_handler.py
@@ -1,13 +1,13 @@
-"""One held request in its thread: runs on engines, the caller's answer, and what is noted of it."""
+"""Handling of one admitted request in its worker thread: runs on engines, the response, metrics and the log line."""
 
 import dataclasses
 import time
 
 from loguru import logger
 
-from wagtailtrestle.callers.dialect import Arrival, Prepared
+from wagtailtrestle.callers.caller_exchange import CallerExchange
+from wagtailtrestle.callers.dialect import IncomingRequest, PreparedRequest
 from wagtailtrestle.callers.limits import CallerLimits
-from wagtailtrestle.callers.link import CallerExchange
 from wagtailtrestle.contracts.exchange import AnswerRecorded, AnswerRefusal, AnswerWhole, RunEnded
 from wagtailtrestle.contracts.outcomes import Executed, Reason, Refusal, RunDone, RunNotSent, RunRejected
 from wagtailtrestle.observe.metrics import Metrics
@@ -16,13 +16,13 @@
 RECORDED = "recorded"
 
 
-class CallerCarriage:
-    """Carries one request from its first run to its answer.
+class RequestHandler:
+    """Handles one request from its first run to its response.
 
     Parameters
     ----------
-    arrival : Arrival
-    prepared : Prepared
+    incoming : IncomingRequest
+    prepared : PreparedRequest
     exchange : CallerExchange
     engine_client : EngineClient
     limits : CallerLimits
@@ -30,7 +30,7 @@
     """
 
     __slots__ = (
-        "_arrival",
+        "_incoming",
         "_prepared",
         "_exchange",
         "_engine_client",
@@ -44,14 +44,14 @@
     def __init__(
         self,
         *,
-        arrival: Arrival,
-        prepared: Prepared,
+        incoming: IncomingRequest,
+        prepared: PreparedRequest,
         exchange: CallerExchange,
         engine_client,
         limits: CallerLimits,
         metrics: Metrics,
     ):
-        self._arrival = arrival
+        self._incoming = incoming
         self._prepared = prepared
         self._exchange = exchange
         self._engine_client = engine_client
@@ -61,11 +61,11 @@
         self._first_run_at = 0.0
         self._first_token_at = 0.0
 
-    def carry(self, *, wait_s: float):
-        """Do what the task asks for, then answer the caller."""
-        command = self._exchange.carry(run=self._run, wait_s=wait_s)
+    def handle(self, *, wait_s: float):
+        """Execute the task's commands, then send the response and record the outcome."""
+        command = self._exchange.run_commands(run=self._run, wait_s=wait_s)
         outcome = self._answer(command)
-        self._note(outcome)
+        self._record_outcome(outcome)
 
     def _run(self, command):
         request = self._prepared.request
@@ -83,15 +83,15 @@
             )
         finally:
             self._limits.mark_waiting(request_id=request.request_id)
-        return self._with_record(ended)
+        return self._with_answer(ended)
 
     def _on_token(self, index, text):
         if not self._first_token_at:
             self._first_token_at = time.monotonic()
         self._prepared.answer.token(text)
 
-    def _with_record(self, ended):
-        """Add the whole answer to the run's end where the ledger will ask for it."""
+    def _with_answer(self, ended):
+        """Attach the complete answer to the run's end if the ledger has to record it."""
         request = self._prepared.request
         kept = request.at_most_once and request.idempotency_key
         if not kept or not isinstance(ended.outcome, RunDone | RunRejected):
@@ -103,22 +103,22 @@
         answer = self._prepared.answer
         match command:
             case AnswerWhole():
-                answer.whole(self._received)
+                answer.complete(self._received)
                 return ANSWERED
             case AnswerRecorded():
                 answer.recorded(command)
                 return RECORDED
             case AnswerRefusal(refusal=refusal):
-                refusal = self._true_reason(refusal)
+                refusal = self._refusal_for_caller(refusal)
                 if self._prepared.charge is not None and refusal.executed is Executed.NO:
                     self._prepared.charge.refund()
-                if self._exchange.displaced or not self._exchange.gone:
+                if self._exchange.displaced or not self._exchange.disconnected:
                     answer.refuse(refusal)
                 return refusal.reason.value
 
-    def _true_reason(self, refusal):
-        # The task was told that its caller had gone, which is how a request is given up; the
-        # caller is still there and is told why.
+    def _refusal_for_caller(self, refusal):
+        # A request is displaced by reporting to its task that the caller disconnected. The caller
+        # is still connected, so it is sent the actual reason.
         if self._exchange.displaced and refusal.reason is Reason.CALLER_GONE:
             return Refusal(
                 status=503,
@@ -129,10 +129,10 @@
             )
         return refusal
 
-    def _note(self, outcome):
+    def _record_outcome(self, outcome):
         prepared = self._prepared
         request = prepared.request
-        began_at = self._arrival.at
+        began_at = self._incoming.at
         now = time.monotonic()
         labels = {"route": f"{request.service}/{request.route}", "tier": prepared.tier_name}
         self._metrics.count("requests", outcome=outcome, **labels)
@@ -143,7 +143,7 @@
             self._metrics.observe("first_token", seconds=self._first_token_at - began_at, **labels)
         bound = logger.bind(
             request_id=request.request_id,
-            caller_request_id=self._arrival.response.request_id,
+            caller_request_id=self._incoming.response.request_id,
             team=request.team,
             tier=prepared.tier_name,
             generation=prepared.generation,
--- a/wagtailtrestle/callers/route_match.py
+++ b/wagtailtrestle/callers/route_match.py
@@ -1,4 +1,4 @@
-"""Which declared route a request takes, and the tier it is served in."""
+"""Matching of requests to declared routes, and the tier in which each is served."""
 
 import re
 import zlib
@@ -16,8 +16,8 @@
 
 
 @record
-class Matched:
-    """The service and route of a request, and its tier after any lowering."""
+class RouteMatch:
+    """The service and route of a request, and its tier after an optional downgrade."""
 
     service: Service
     route: Route
@@ -25,12 +25,12 @@
 
 
 def may_use(*, route: Route, team: Team) -> bool:
-    """Whether the declaration lets ``team`` use ``route``."""
+    """Return whether ``team`` may use ``route``."""
     return not route.teams or team.name in route.teams
 
 
 def services_of(*, declaration: Declaration, team: Team) -> list:
-    """Language services with at least one route that ``team`` may use, in declared order."""
+    """Return the language services with at least one route that ``team`` may use, in declared order."""
     found = []
     for service in declaration.services_by_name.values():
         usable = any(may_use(route=route, team=team) for route in service.routes_by_name.values())
@@ -39,12 +39,12 @@
     return found
 
 
-def path_fault(path: str) -> str | None:
-    """Why ``path`` is not accepted.
+def path_error(path: str) -> str | None:
+    """Return why ``path`` is not accepted, or ``None``.
 
-    An engine may resolve ``slots/../charge`` or a coded separator to another call than the
-    one matched here, and run a call that must not be repeated under a route that may be.
-    Such paths are refused whole; no client library sends them by itself.
+    An engine may resolve ``slots/../charge`` or an encoded separator to another call than the one
+    matched here, and execute a call that must not be repeated under a route that may be repeated.
+    Such paths are always refused; no client library generates them by itself.
     """
     if ENCODED_SEPARATOR.search(path) or FORBIDDEN_IN_PATH.search(path):
         return "The path holds a coded separator or a control character."
@@ -56,13 +56,13 @@
     return None
 
 
-def match_language(*, declaration, team, path, model, route_name, tier_name) -> Matched | Refusal:
+def match_language(*, declaration, team, path, model, route_name, tier_name) -> RouteMatch | Refusal:
     """Match a completion by its path and the service named in ``model``."""
     service = declaration.services_by_name.get(model)
     if service is None or service.kind != LANGUAGE:
         return _no_route(f"No language service is called {model[:64]!r}.")
     routes = [r for r in service.routes_by_name.values() if r.path == path and r.method == "POST"]
-    return _choose(
+    return _choose_route(
         declaration=declaration,
         team=team,
         service=service,
@@ -72,11 +72,11 @@
     )
 
 
-def match_plain(*, declaration, team, method, path, route_name, tier_name) -> Matched | Refusal:
+def match_plain(*, declaration, team, method, path, route_name, tier_name) -> RouteMatch | Refusal:
     """Match a plain service's call by ``/{service}/…`` and the declared prefixes."""
-    fault = path_fault(path)
-    if fault is not None:
-        return _bad_request(fault)
+    error = path_error(path)
+    if error is not None:
+        return _bad_request(error)
     name, _, rest = path.lstrip("/").partition("/")
     service = declaration.services_by_name.get(name)
     if service is None or service.kind != PLAIN:
@@ -84,8 +84,8 @@
     on_path = [r for r in service.routes_by_name.values() if _has_prefix(rest=rest, prefix=r.path)]
     routes = [r for r in on_path if r.method == method]
     if on_path and not routes:
-        return wrong_method([route.method for route in on_path])
-    return _choose(
+        return method_not_allowed([route.method for route in on_path])
+    return _choose_route(
         declaration=declaration,
         team=team,
         service=service,
@@ -111,7 +111,7 @@
             self._routes_by_host.setdefault(route.host, []).append(route)
 
     def find(self, *, host, path):
-        """The route of a request, or ``None``; ``host`` may carry a port."""
+        """Return the route of a request, or ``None``; ``host`` may include a port."""
         name = host.strip().lower().partition(":")[0]
         for route in self._routes_by_host.get(name, ()):
             if path.startswith(route.prefix):
@@ -120,7 +120,7 @@
 
 
 def choose_service(*, route: HostRoute, request_id: str) -> str:
-    """The service that serves this request, by the route's weights; the same each time it is asked."""
+    """Choose a service by the route's weights; the choice is deterministic for a request id."""
     if len(route.weight_by_service) == 1:
         return next(iter(route.weight_by_service))
     total = sum(route.weight_by_service.values())
@@ -132,8 +132,8 @@
     return next(iter(route.weight_by_service))
 
 
-def wrong_method(methods: list) -> Refusal:
-    """A 405 that names the methods allowed."""
+def method_not_allowed(methods: list) -> Refusal:
+    """Return a 405 that lists the allowed methods."""
     allowed = ", ".join(sorted(set(methods)))
     return Refusal(
         status=405, reason=Reason.NO_ROUTE, executed=Executed.NO, detail=f"Allowed methods on this path: {allowed}."
@@ -145,7 +145,7 @@
     return prefix == "" or rest == prefix or rest.startswith(prefix + "/")
 
 
-def _choose(*, declaration, team, service, routes, route_name, tier_name):
+def _choose_route(*, declaration, team, service, routes, route_name, tier_name):
     if not routes:
         return _no_route(f"Service {service.name!r} declares no route for this method and path.")
     usable = [route for route in routes if may_use(route=route, team=team)]
@@ -159,18 +159,18 @@
     tier = declaration.tiers_by_name[route.tier]
     if tier.rank < ceiling.rank:
         return _forbidden(f"Route {route.name!r} is of a higher tier than {default.name!r}, the team's own here.")
-    return _lower(declaration=declaration, service=service, route=route, tier=tier, tier_name=tier_name)
+    return _lower_tier(declaration=declaration, service=service, route=route, tier=tier, tier_name=tier_name)
 
 
-def _lower(*, declaration, service, route, tier, tier_name):
+def _lower_tier(*, declaration, service, route, tier, tier_name):
     if not tier_name:
-        return Matched(service=service, route=route, tier=tier)
-    asked = declaration.tiers_by_name.get(tier_name)
-    if asked is None:
+        return RouteMatch(service=service, route=route, tier=tier)
+    requested = declaration.tiers_by_name.get(tier_name)
+    if requested is None:
         return _bad_request(f"No tier is called {tier_name[:64]!r}.")
-    if asked.rank < tier.rank:
+    if requested.rank < tier.rank:
         return _forbidden("A caller may lower its tier, never raise it.")
-    return Matched(service=service, route=route, tier=asked)
+    return RouteMatch(service=service, route=route, tier=requested)
 
 
 def _bad_request(detail):
--- a/wagtailtrestle/callers/server.py
+++ b/wagtailtrestle/callers/server.py
@@ -1,4 +1,4 @@
-"""Callers' HTTP: each request is read, checked and carried by one thread."""
+"""The HTTP server for callers: each request is read, validated and handled by one worker thread."""
 
 import asyncio
 import threading
@@ -10,14 +10,14 @@
 from loguru import logger
 
 from wagtailtrestle.callers.answer import CallerResponse
-from wagtailtrestle.callers.carriage import CallerCarriage
-from wagtailtrestle.callers.dialect import Arrival, ModelList, Prepared
-from wagtailtrestle.callers.intake import Intake, closed
-from wagtailtrestle.callers.limits import DEFAULT_RECEIVE_BYTES, CallerLimits, Full, ReceiveLimit, held_for
-from wagtailtrestle.callers.link import CallerExchange
+from wagtailtrestle.callers.caller_exchange import CallerExchange
+from wagtailtrestle.callers.connection_watcher import ConnectionWatcher
+from wagtailtrestle.callers.dialect import IncomingRequest, ModelList, PreparedRequest
+from wagtailtrestle.callers.limits import DEFAULT_RECEIVE_BYTES, CallerLimits, Full, ReceiveLimit, max_held_requests
+from wagtailtrestle.callers.native_dialect import NativeDialect, not_accepting
+from wagtailtrestle.callers.request_handler import RequestHandler
 from wagtailtrestle.callers.start_hold import StartHold
 from wagtailtrestle.callers.stream import JSON_TYPE
-from wagtailtrestle.callers.watch import CallerWatch
 from wagtailtrestle.callers.wsgi import CONNECTION_ENVIRON, REQUEST_ENVIRON, CallersWsgiServer
 from wagtailtrestle.contracts.exchange import AnswerRefusal
 from wagtailtrestle.contracts.outcomes import Executed, Reason, Refusal
@@ -36,39 +36,39 @@
 
 
 class CallersServer:
-    """Serves callers and hands their requests to the tasks on the loop.
+    """Serves callers and submits their requests to tasks on the event loop.
 
     Parameters
     ----------
     name : str
-        The router's name, part of each request's id.
+        The router's name, the prefix of each request's id.
     address : tuple of (str, int)
-        Where to listen; port 0 picks a free one, see ``port``.
+        Address to listen on; with port 0 the kernel picks a free one, see ``port``.
     directory : callable
         Returns the configuration in force (``generation``, ``declaration``) or ``None``.
     submit : callable
-        ``submit(request, link)``, called on the loop.
+        ``submit(request, link)``, called on the event loop.
     post : callable
-        ``post(request_id, event)``, called on the loop.
+        ``post(request_id, event)``, called on the event loop.
     engine_client : EngineClient
     loop : asyncio.AbstractEventLoop
     limits : CallerLimits
-        Holds ``held_for(threads)`` requests; the other threads read heads and refuse.
+        Admits up to ``max_held_requests(threads)`` requests; the other threads read requests and refuse them.
     metrics : Metrics
     ready : callable
-        Returns ``None`` or the ``Reason`` why no request can be served yet.
+        Returns ``None``, or the ``Reason`` why the router can't serve requests yet.
     threads, max_body_bytes, max_header_bytes, max_connections : int
     receive_timeout_s : float
-        Longest time for the arrival of one whole request.
-    most_deadline_s : float
-        Longest deadline a caller is given.
+        Maximum time to receive one complete request.
+    max_deadline_s : float
+        Upper limit of the deadline of a request.
     start_hold_s : float
-        Longest time for which requests are held while ``ready`` says ``NOT_READY``; 0 refuses them at once.
+        Maximum time to hold requests while ``ready`` returns ``NOT_READY``; with 0 they are refused immediately.
     listener : socket.socket, optional
-        Listens on ``address`` already.
+        A socket that already listens on ``address``.
     make_dialect : callable
         Builds the ``CallerDialect`` from ``directory``, ``now``, ``watch``, ``receive_limit`` and
-        ``most_deadline_s``; the product's own interface by default.
+        ``max_deadline_s``; ``NativeDialect`` by default.
     """
 
     def __init__(
@@ -89,10 +89,10 @@
         max_header_bytes=DEFAULT_MAX_HEADER_BYTES,
         max_connections=DEFAULT_MAX_CONNECTIONS,
         receive_timeout_s=DEFAULT_RECEIVE_TIMEOUT_S,
-        most_deadline_s=DEFAULT_MAX_DEADLINE_S,
+        max_deadline_s=DEFAULT_MAX_DEADLINE_S,
         start_hold_s=0.0,
         listener=None,
-        make_dialect=Intake,
+        make_dialect=NativeDialect,
     ):
         self._name = name
         self._submit = submit
@@ -101,26 +101,28 @@
         self._loop = loop
         self._limits = limits
         self._metrics = metrics
-        # The threads kept in reserve are those that receive: once these are all at it, slow
-        # senders among them must go.
-        self._watch = CallerWatch(timeout_s=receive_timeout_s, crowd=(threads - held_for(threads)) // 2)
+        # The reserved threads do the receiving. Once half of them are busy receiving, the shorter
+        # timeout applies, so that slow senders can't occupy all of them.
+        self._watch = ConnectionWatcher(
+            timeout_s=receive_timeout_s, max_receiving=(threads - max_held_requests(threads)) // 2
+        )
         self._start_hold = StartHold(
-            reason=ready, watch=self._watch, longest_s=start_hold_s, most=held_for(threads) // 2
+            reason=ready, watch=self._watch, max_hold_s=start_hold_s, max_held=max_held_requests(threads) // 2
         )
         self._dialect = make_dialect(
             directory=directory,
             now=loop.time,
             watch=self._watch,
-            receive_limit=ReceiveLimit(total_bytes=DEFAULT_RECEIVE_BYTES, most_bytes=max_body_bytes),
-            most_deadline_s=most_deadline_s,
+            receive_limit=ReceiveLimit(total_bytes=DEFAULT_RECEIVE_BYTES, max_bytes=max_body_bytes),
+            max_deadline_s=max_deadline_s,
         )
-        self._cancels = ThreadPoolExecutor(max_workers=CANCEL_THREADS, thread_name_prefix="cancel")
+        self._cancel_pool = ThreadPoolExecutor(max_workers=CANCEL_THREADS, thread_name_prefix="cancel")
         self._lock = threading.Lock()
         self._exchanges_by_id = {}
-        self._in_work = 0
+        self._active_requests = 0
         self._draining = False
-        self._streams_over = False
-        self._grace_over = False
+        self._refuse_streams = False
+        self._refuse_all = False
         self._thread = None
         self._server = CallersWsgiServer(
             address=address,
@@ -135,67 +137,66 @@
 
     @property
     def port(self):
-        """Port listened on."""
+        """The port that the server listens on."""
         return self._server.bind_addr[1]
 
     @property
     def draining(self):
-        """Whether the drain has begun; ``/readyz`` is false from then on."""
+        """Whether the drain has started; ``/readyz`` is false from then on."""
         return self._draining
 
     def start(self):
-        """Bind and serve in threads."""
+        """Bind the listener and start the server thread."""
         self._watch.start()
         self._server.prepare()
         self._thread = threading.Thread(target=self._server.serve, name="callers", daemon=True)
         self._thread.start()
 
-    def let_go(self):
-        """Serve what came while the router was not ready."""
+    def release_held(self):
+        """Continue the requests held while the router was not ready."""
         self._start_hold.open()
 
     async def drain(self, *, grace_s: float, plain_grace_s: float = 0.0):
-        """Finish every request in work, and those still coming within the grace.
+        """Serve new requests during the grace period, then refuse them; return once no request is active.
 
-        The balancer learns late that this router leaves. For ``grace_s`` what it still
-        sends is served, and calls of plain services for ``plain_grace_s``: callers who keep
-        a connection learn only by their next answer that it ends, and a short call is done long
-        before this router is. After that all is refused as not run, and once nothing is in
-        work this returns.
+        The load balancer notices the drain with a delay. New requests are served for ``grace_s``,
+        and calls of plain services for ``plain_grace_s``: a caller with a keep-alive connection
+        learns only from its next response that the connection closes, and a short call finishes
+        long before the router exits. After that, new requests are refused as not executed.
         """
         self._draining = True
         await asyncio.sleep(grace_s)
-        self._streams_over = True
-        await self._idle_within(max(0.0, plain_grace_s - grace_s))
-        self._grace_over = True
-        while self._in_work:
+        self._refuse_streams = True
+        await self._wait_until_idle(max(0.0, plain_grace_s - grace_s))
+        self._refuse_all = True
+        while self._active_requests:
             await asyncio.sleep(DRAIN_POLL_S)
 
-    async def _idle_within(self, seconds):
+    async def _wait_until_idle(self, seconds):
         until = self._loop.time() + seconds
-        while self._in_work and self._loop.time() < until:
+        while self._active_requests and self._loop.time() < until:
             await asyncio.sleep(DRAIN_POLL_S)
 
     def close(self):
-        """Stop listening; requests still in work are ended, at worst as not known to have run."""
+        """Stop listening and end active requests; one with a run is refused with ``executed`` unknown."""
         self._draining = True
-        self._grace_over = True
+        self._refuse_all = True
         for exchange in list(self._exchanges_by_id.values()):
-            exchange.post(AnswerRefusal(refusal=_stopping(exchange)))
-        # Threads read that only once their runs end. Left to read on, they would hold the process
-        # until it is killed, and callers would see a reset in place of an end.
+            exchange.post(AnswerRefusal(refusal=_stopped_refusal(exchange)))
+        # A thread reads that refusal only once its run has ended. Without closing the engine client,
+        # the runs would keep the process alive until it is killed, and callers would see a connection reset.
         self._engine_client.close()
         self._server.stop()
         if self._thread is not None:
             self._thread.join()
             self._watch.close()
-        self._cancels.shutdown(wait=False)
+        self._cancel_pool.shutdown(wait=False)
 
     def dump(self) -> dict:
-        """Plain data for the state dump."""
+        """Return the server's part of the state dump."""
         return {
             "draining": self._draining,
-            "in_work": self._in_work,
+            "in_work": self._active_requests,
             "connections": self._server.connections,
             "limits": self._limits.usage(),
         }
@@ -205,21 +206,21 @@
     def _serve(self, environ, start_response):
         at = time.monotonic()
         with self._lock:
-            self._in_work += 1
+            self._active_requests += 1
         try:
             response = self._serve_one(environ, start_response, at)
         finally:
             with self._lock:
-                self._in_work -= 1
+                self._active_requests -= 1
         request = environ[REQUEST_ENVIRON]
-        if response.gone or not response.begun:
+        if response.disconnected or not response.started:
             request.close_connection = True
         if response.aborted:
-            # Without its last chunk the answer can't be taken for whole.
+            # Omits the last chunk, so that the caller can't mistake the response for a complete one.
             request.chunked_write = False
             request.close_connection = True
-        if not response.begun:
-            request.sent_headers = True  # the caller left before its answer: nothing is to be written
+        if not response.started:
+            request.sent_headers = True  # the caller disconnected before its response: write nothing
         return ()
 
     def _serve_one(self, environ, start_response, at):
@@ -227,56 +228,58 @@
         response = CallerResponse(
             start_response=start_response,
             request_id=uuid.uuid4().hex if isinstance(given, Refusal) else given,
-            closing=lambda: self._draining,
+            closes_connection=lambda: self._draining,
             problem=self._dialect.problem,
         )
-        arrival = Arrival(environ=environ, response=response, request_id=f"{self._name}-{uuid.uuid4().hex}", at=at)
-        prepared = given if isinstance(given, Refusal) else self._prepare(arrival)
+        incoming = IncomingRequest(
+            environ=environ, response=response, request_id=f"{self._name}-{uuid.uuid4().hex}", at=at
+        )
+        prepared = given if isinstance(given, Refusal) else self._prepare(incoming)
         match prepared:
             case Refusal():
-                self._refuse_early(arrival, prepared)
+                self._refuse_early(incoming, prepared)
             case ModelList(body=body):
                 response.send(status=200, content_type=JSON_TYPE, body=body)
-            case Prepared() if self._streams_over and prepared.call.is_streamed:
+            case PreparedRequest() if self._refuse_streams and prepared.call.is_streamed:
                 if prepared.charge is not None:
                     prepared.charge.refund()
-                self._refuse_early(arrival, closed(Reason.DRAINING))
-            case Prepared():
-                self._carry(arrival, prepared)
+                self._refuse_early(incoming, not_accepting(Reason.DRAINING))
+            case PreparedRequest():
+                self._handle(incoming, prepared)
         return response
 
-    def _prepare(self, arrival):
+    def _prepare(self, incoming):
         reason = self._start_hold.reason(
-            fd=arrival.environ[CONNECTION_ENVIRON].socket.fileno(),
-            caller_time_s=self._dialect.caller_time_s(arrival.environ),
+            fd=incoming.environ[CONNECTION_ENVIRON].socket.fileno(),
+            caller_timeout_s=self._dialect.caller_timeout_s(incoming.environ),
         )
-        if self._grace_over:
-            return closed(Reason.DRAINING)
-        # While the grace lasts a leaving router still serves what the balancer sends it.
+        if self._refuse_all:
+            return not_accepting(Reason.DRAINING)
+        # A draining router still serves new requests during the grace period.
         if reason is not None and reason is not Reason.DRAINING:
-            return closed(reason)
-        return self._dialect.prepare(arrival)
+            return not_accepting(reason)
+        return self._dialect.prepare(incoming)
 
-    def _refuse_early(self, arrival, refusal):
+    def _refuse_early(self, incoming, refusal):
         self._metrics.count("refused_early", reason=refusal.reason.value)
         cause = {"cause": refusal.cause} if refusal.cause else {}
         logger.bind(
-            caller_request_id=arrival.response.request_id,
+            caller_request_id=incoming.response.request_id,
             reason=refusal.reason.value,
             executed=refusal.executed.value,
             retry_after_s=refusal.retry_after_s,
             **cause,
         ).info("refused on arrival")
-        request = arrival.environ[REQUEST_ENVIRON]
+        request = incoming.environ[REQUEST_ENVIRON]
         unread = getattr(request.rfile, "remaining", SMALL_UNREAD_BYTES + 1)
-        if unread > SMALL_UNREAD_BYTES or request.chunked_read or self._grace_over:
+        if unread > SMALL_UNREAD_BYTES or request.chunked_read or self._refuse_all:
             request.close_connection = True
-            arrival.environ[CONNECTION_ENVIRON].unread = True
-        arrival.response.send_refusal(refusal)
+            incoming.environ[CONNECTION_ENVIRON].has_unread_input = True
+        incoming.response.send_refusal(refusal)
 
-    # Carrying.
+    # Handling of admitted requests.
 
-    def _carry(self, arrival, prepared):
+    def _handle(self, incoming, prepared):
         request = prepared.request
         exchange = CallerExchange(
             request_id=request.request_id,
@@ -288,11 +291,11 @@
         try:
             full = self._hold(prepared)
             if full is not None:
-                self._refuse_early(arrival, full)
+                self._refuse_early(incoming, full)
                 return
-            self._carry_held(arrival, prepared, exchange)
+            self._handle_admitted(incoming, prepared, exchange)
         finally:
-            self._limits.release(request_id=request.request_id, held_s=time.monotonic() - arrival.at)
+            self._limits.release(request_id=request.request_id, held_s=time.monotonic() - incoming.at)
             with self._lock:
                 del self._exchanges_by_id[request.request_id]
 
@@ -306,42 +309,42 @@
             repeatable=request.repeatable,
         )
         if isinstance(admitted, Full):
-            return _full(admitted.detail, retry_after_s=self._limits.retry_after_s())
+            return _full_refusal(admitted.detail, retry_after_s=self._limits.retry_after_s())
         for request_id in admitted.displaced:
             victim = self._exchanges_by_id.get(request_id)
             if victim is not None:
                 victim.displace()
         return None
 
-    def _carry_held(self, arrival, prepared, exchange):
-        arrival.response.on_gone = exchange.caller_gone
-        carriage = CallerCarriage(
-            arrival=arrival,
+    def _handle_admitted(self, incoming, prepared, exchange):
+        incoming.response.on_disconnect = exchange.caller_gone
+        handler = RequestHandler(
+            incoming=incoming,
             prepared=prepared,
             exchange=exchange,
             engine_client=self._engine_client,
             limits=self._limits,
             metrics=self._metrics,
         )
-        fd = arrival.environ[CONNECTION_ENVIRON].socket.fileno()
+        fd = incoming.environ[CONNECTION_ENVIRON].socket.fileno()
         self._loop.call_soon_threadsafe(self._submit, prepared.request, exchange)
-        self._watch.watch(fd=fd, on_gone=exchange.caller_gone)
+        self._watch.watch(fd=fd, on_disconnect=exchange.caller_gone)
         try:
-            carriage.carry(wait_s=max(0.0, prepared.request.deadline - self._loop.time()))
+            handler.handle(wait_s=max(0.0, prepared.request.deadline - self._loop.time()))
         finally:
-            self._watch.forget(fd=fd)
+            self._watch.unwatch(fd=fd)
 
     def _cancel(self, *, run_id, address):
-        self._cancels.submit(self._engine_client.cancel, address=address, run_id=run_id)
+        self._cancel_pool.submit(self._engine_client.cancel, address=address, run_id=run_id)
 
 
-def _full(detail, *, retry_after_s):
+def _full_refusal(detail, *, retry_after_s):
     return Refusal(
         status=503, reason=Reason.ROUTER_FULL, executed=Executed.NO, detail=detail, retry_after_s=retry_after_s
     )
 
 
-def _stopping(exchange):
+def _stopped_refusal(exchange):
     return Refusal(
         status=503,
         reason=Reason.DRAINING,
--- a/wagtailtrestle/platform/callers.py
+++ b/wagtailtrestle/platform/callers.py
@@ -7,8 +7,8 @@
 from wagtailtrestle.callers.authentication import KeyIndex, team_of_key
 from wagtailtrestle.callers.body import body_digest
 from wagtailtrestle.callers.body_reader import BodyReader
-from wagtailtrestle.callers.dialect import Prepared
-from wagtailtrestle.callers.intake import closed
+from wagtailtrestle.callers.dialect import PreparedRequest
+from wagtailtrestle.callers.native_dialect import not_accepting
 from wagtailtrestle.callers.route_match import HostRouteIndex, choose_service
 from wagtailtrestle.callers.wsgi import REQUEST_ENVIRON
 from wagtailtrestle.contracts.exchange import CallerRequest
@@ -41,9 +41,9 @@
         Returns the configuration in force or ``None``.
     now : callable
         The loop's clock.
-    watch : CallerWatch
+    watch : ConnectionWatcher
     receive_limit : ReceiveLimit
-    most_deadline_s : float
+    max_deadline_s : float
     key_proof : callable
         Whether a key that was revoked would be known here by now.
     quotas : QuotaAccounts
@@ -53,17 +53,17 @@
         "_directory",
         "_now",
         "_bodies",
-        "_most_deadline_s",
+        "_max_deadline_s",
         "_key_proof",
         "_quotas",
         "_index",
     )
 
-    def __init__(self, *, directory, now, watch, receive_limit, most_deadline_s, key_proof, quotas):
+    def __init__(self, *, directory, now, watch, receive_limit, max_deadline_s, key_proof, quotas):
         self._directory = directory
         self._now = now
         self._bodies = BodyReader(watch=watch, limit=receive_limit)
-        self._most_deadline_s = most_deadline_s
+        self._max_deadline_s = max_deadline_s
         self._key_proof = key_proof
         self._quotas = quotas
         self._index = (None, None, None)
@@ -72,7 +72,7 @@
         """The caller's own id, or one made for a request without."""
         return environ.get("HTTP_REQUEST_ID") or uuid.uuid4().hex
 
-    def caller_time_s(self, environ):
+    def caller_timeout_s(self, environ):
         """What the caller has left, seconds."""
         asked_ms = environ.get("HTTP_DEADLINE_MILLISECONDS", "").strip()
         return int(asked_ms) / MS_PER_S if asked_ms.isdecimal() else None
@@ -91,13 +91,13 @@
             pairs.append((names.RETRY_AFTER, f"{wait_s:.2f}"))
         return status, pairs, body
 
-    def prepare(self, arrival):
+    def prepare(self, incoming):
         """Read and check one request."""
         in_force = self._directory()
         if in_force is None:
-            return closed(Reason.NOT_READY)
+            return not_accepting(Reason.NOT_READY)
         routes, keys = self._indexes(in_force.declaration)
-        environ = arrival.environ
+        environ = incoming.environ
         pairs = _header_pairs(environ)
         path, _, _ = environ["REQUEST_URI"].partition("?")
         route = routes.find(host=environ.get("HTTP_HOST", ""), path=path)
@@ -109,7 +109,7 @@
         body = self._bodies.read(environ, highest=True)
         if isinstance(body, Refusal):
             return body
-        return self._prepared(arrival, in_force, route, team, pairs, body)
+        return self._prepared(incoming, in_force, route, team, pairs, body)
 
     def _indexes(self, declaration):
         # One tuple, replaced whole, as two threads may see a new declaration at once.
@@ -128,14 +128,14 @@
         sent = key.strip() if scheme.lower() == names.KEY_SCHEME else ""
         return team_of_key(key=sent, index=keys, proof=self._key_proof(), hint=KEY_HINT)
 
-    def _prepared(self, arrival, in_force, route, team, pairs, body):
-        environ = arrival.environ
+    def _prepared(self, incoming, in_force, route, team, pairs, body):
+        environ = incoming.environ
         sizes = _token_counts(environ.get("HTTP_TOKEN_COUNTS"))
         charge = charge_team(accounts=self._quotas, team=team, tokens=None if sizes is None else sum(sizes))
         if isinstance(charge, Refusal):
             return charge
         declaration = in_force.declaration
-        service = choose_service(route=route, request_id=arrival.response.request_id)
+        service = choose_service(route=route, request_id=incoming.response.request_id)
         tier = declaration.tiers_by_name[tier_of(route=route, team=team)]
         prompt_tokens, output_tokens = sizes or (0, 0)
         declared = declaration.services_by_name.get(service)
@@ -146,13 +146,13 @@
             target=environ["REQUEST_URI"],
             headers=names.forwarded(pairs),
             body=body,
-            request_id=arrival.response.request_id,
+            request_id=incoming.response.request_id,
             team=team.name if team is not None else "",
             is_streamed=route.streaming,
         )
         prefix_blocks, block_tokens = _prefix(environ.get("HTTP_PROMPT_PREFIX", ""))
         request = CallerRequest(
-            request_id=arrival.request_id,
+            request_id=incoming.request_id,
             service=service,
             team=team.name if team is not None else "",
             route=route.name,
@@ -165,17 +165,17 @@
             output_tokens=output_tokens,
             prefix_blocks=prefix_blocks,
             block_tokens=block_tokens,
-            deadline=self._now() + self._allowed_s(arrival, route, environ),
+            deadline=self._now() + self._allowed_s(incoming, route, environ),
             max_runs=route.max_runs,
             first_token_within_s=route.target_ms / MS_PER_S,
             pause_within_s=route.pause_ms / MS_PER_S,
             event_tokens=event_tokens,
             hinted_tokens=_length_hint(environ.get("HTTP_LENGTH_HINT", "")),
         )
-        return Prepared(
+        return PreparedRequest(
             request=request,
             call=call,
-            answer=PlatformAnswer(response=arrival.response, received=received),
+            answer=PlatformAnswer(response=incoming.response, received=received),
             body_bytes=len(body),
             tier_name=tier.name,
             generation=in_force.generation,
@@ -183,12 +183,12 @@
             charge=charge,
         )
 
-    def _allowed_s(self, arrival, route, environ):
-        allowed_s = min(route.timeout_ms / MS_PER_S, self._most_deadline_s)
-        caller_time_s = self.caller_time_s(environ)
-        if caller_time_s is not None:
-            allowed_s = min(allowed_s, caller_time_s)
-        elapsed_s = time.monotonic() - arrival.at
+    def _allowed_s(self, incoming, route, environ):
+        allowed_s = min(route.timeout_ms / MS_PER_S, self._max_deadline_s)
+        caller_timeout_s = self.caller_timeout_s(environ)
+        if caller_timeout_s is not None:
+            allowed_s = min(allowed_s, caller_timeout_s)
+        elapsed_s = time.monotonic() - incoming.at
         return allowed_s - elapsed_s
 
 
@@ -203,13 +203,13 @@
 
     def token(self, text):
         """Send whole events as the bytes that they are; the head of the first engine goes before them."""
-        if not self._response.begun:
+        if not self._response.started:
             self._response.begin(status=self._received.status, headers=_answer_headers(self._received))
         self._response.write(text)
 
-    def whole(self, received):
+    def complete(self, received):
         """Close a stream that was sent, or send everything at once."""
-        if self._response.begun:
+        if self._response.started:
             return
         headers = _answer_headers(received)
         if received.body or not received.events:
@@ -228,7 +228,7 @@
 
     def refuse(self, refusal):
         """A refusal if nothing was sent yet; a stream that began is broken off and must look so."""
-        if self._response.begun:
+        if self._response.started:
             self._response.abort()
         else:
             self._response.send_refusal(refusal)
