--- a/tests/test_rollout_decisions.py
+++ b/tests/test_rollout_decisions.py
@@ -12,9 +12,9 @@
 from wagtailtrestle.measure.rollout_ways import GOOD, VERSIONS_BY_NAME, play
 from wagtailtrestle.platform.adapter import PlatformAdapter
 from wagtailtrestle.platform.rollouts import read_rollout, rollout_status
+from wagtailtrestle.rollouts.canary_analysis import CUT_PAUSE_S, DONE, Judgement
 from wagtailtrestle.rollouts.coordinator import Coordinator
 from wagtailtrestle.rollouts.exposure import Exposure
-from wagtailtrestle.rollouts.judgement import CUT_PAUSE_S, DONE, Judgement
 from wagtailtrestle.rollouts.rollout import Phase, Rollout
 from wagtailtrestle.rollouts.versions import held_names
 
--- a/wagtailtrestle/measure/rollout_ways.py
+++ b/wagtailtrestle/measure/rollout_ways.py
@@ -13,7 +13,7 @@
 
 from wagtailtrestle.contracts.rollout_messages import RolloutOrder, RolloutState
 from wagtailtrestle.output.table import table
-from wagtailtrestle.rollouts.judgement import DONE, FAILED
+from wagtailtrestle.rollouts.canary_analysis import DONE, FAILED
 from wagtailtrestle.rollouts.rollout import Phase, Rollout
 
 SEEDS = 400
--- a/wagtailtrestle/rollouts/rollout.py
+++ b/wagtailtrestle/rollouts/rollout.py
@@ -12,8 +12,8 @@
 from loguru import logger
 
 from wagtailtrestle.contracts.rollout_messages import RolloutState, RolloutWord
+from wagtailtrestle.rollouts.canary_analysis import SHIFT_THRESHOLD, Judgement
 from wagtailtrestle.rollouts.exposure import Exposure
-from wagtailtrestle.rollouts.judgement import SHIFT_THRESHOLD, Judgement
 
 TRIAL_PART = 0.5
 """Part of the time for the trial, if the target has run enough by then."""
