--- a/wagtailtrestle/rollouts/coordinator.py
+++ b/wagtailtrestle/rollouts/coordinator.py
@@ -11,7 +11,7 @@
 from loguru import logger
 
 from wagtailtrestle.contracts.rollout_messages import RolloutState, RolloutWord
-from wagtailtrestle.rollouts.orders import Orders
+from wagtailtrestle.rollouts.order_watcher import Orders
 from wagtailtrestle.rollouts.rollout import Phase, Rollout
 from wagtailtrestle.rollouts.versions import held_names
 
