--- a/tests/test_rollout_decisions.py
+++ b/tests/test_rollout_decisions.py
@@ -12,7 +12,7 @@
 from wagtailtrestle.measure.rollout_ways import GOOD, VERSIONS_BY_NAME, play
 from wagtailtrestle.platform.adapter import PlatformAdapter
 from wagtailtrestle.platform.rollouts import read_rollout, rollout_status
-from wagtailtrestle.rollouts.canary_analysis import CUT_PAUSE_S, DONE, Judgement
+from wagtailtrestle.rollouts.canary_analysis import CUT_PAUSE_S, DONE, CanaryAnalysis
 from wagtailtrestle.rollouts.coordinator import Coordinator
 from wagtailtrestle.rollouts.exposure import Exposure
 from wagtailtrestle.rollouts.rollout import Phase, Rollout
@@ -69,19 +69,19 @@
 
     def test_crash_of_one_engine_is_not_a_versions_fault(self):
         # All runs of an engine that crashed are cut at once.
-        judgement = Judgement()
+        judgement = CanaryAnalysis()
         self.note(judgement, 100, is_target=False)
         self.note(judgement, 30, is_target=True, result="RunCut", gap_s=CUT_PAUSE_S / 100)
         self.assertFalse(judgement.is_bad)
 
     def test_version_that_crashes_again_and_again_is_bad(self):
-        judgement = Judgement()
+        judgement = CanaryAnalysis()
         self.note(judgement, 100, is_target=False)
         self.note(judgement, 10, is_target=True, result="RunCut", gap_s=2 * CUT_PAUSE_S)
         self.assertTrue(judgement.is_bad)
 
     def test_what_both_versions_fail_is_not_the_targets_fault(self):
-        judgement = Judgement()
+        judgement = CanaryAnalysis()
         for _ in range(20):
             self.note(judgement, 5, is_target=False)
             self.note(judgement, 5, is_target=False, result="RunFailed")
@@ -90,14 +90,14 @@
         self.assertFalse(judgement.is_bad)
 
     def test_slow_engine_of_a_good_version_is_as_slow_as_the_slowest_old_one(self):
-        judgement = Judgement()
+        judgement = CanaryAnalysis()
         self.note(judgement, 50, is_target=False, pace=0.16)
         self.note(judgement, 50, is_target=True, pace=0.16)
         self.assertFalse(judgement.is_bad)
 
     # Guards against failures of full engines that are lost among the many runs of engines that aren't.
     def test_version_that_fails_only_on_full_engines_is_bad(self):
-        judgement = Judgement()
+        judgement = CanaryAnalysis()
         self.note(judgement, 300, is_target=False)
         for _ in range(4):
             self.note(judgement, 22, is_target=True)
@@ -107,7 +107,7 @@
 
     # Guards against a good version that is blamed for what the old one does on full engines too.
     def test_what_both_versions_fail_on_full_engines_is_not_the_targets_fault(self):
-        judgement = Judgement()
+        judgement = CanaryAnalysis()
         self.note(judgement, 300, is_target=False)
         self.note(judgement, 20, is_target=False, was_full=True)
         self.note(judgement, 20, is_target=False, was_full=True, result="RunFailed")
--- a/wagtailtrestle/rollouts/canary_analysis.py
+++ b/wagtailtrestle/rollouts/canary_analysis.py
@@ -93,7 +93,7 @@
         return sorted(self._last)[len(self._last) // 4]
 
 
-class Judgement:
+class CanaryAnalysis:
     """The evidence on one target.
 
     Parameters
--- a/wagtailtrestle/rollouts/rollout.py
+++ b/wagtailtrestle/rollouts/rollout.py
@@ -12,7 +12,7 @@
 from loguru import logger
 
 from wagtailtrestle.contracts.rollout_messages import RolloutState, RolloutWord
-from wagtailtrestle.rollouts.canary_analysis import SHIFT_THRESHOLD, Judgement
+from wagtailtrestle.rollouts.canary_analysis import SHIFT_THRESHOLD, CanaryAnalysis
 from wagtailtrestle.rollouts.exposure import Exposure
 
 TRIAL_PART = 0.5
@@ -75,7 +75,7 @@
         self.order = order
         self.phase = Phase.TRIAL
         self.state = RolloutState.RUNNING
-        self.judgement = Judgement(word=word)
+        self.judgement = CanaryAnalysis(word=word)
         self.exposure = Exposure(
             share=share,
             slack=slack,
