--- a/tests/test_rollout_decisions.py
+++ b/tests/test_rollout_decisions.py
@@ -53,7 +53,7 @@
         self.assertFalse(exposure.may_expose("a", 1.0))
 
 
-class JudgementTest(unittest.TestCase):
+class CanaryAnalysisTest(unittest.TestCase):
     def note(self, judgement, count, *, is_target, result=DONE, pace=0.04, at_s=0.0, gap_s=0.1, was_full=False):
         for number in range(count):
             name = "new" if is_target else "old"
