--- a/wagtailtrestle/rollouts/rollout.py
+++ b/wagtailtrestle/rollouts/rollout.py
@@ -67,7 +67,7 @@
     state : RolloutState
     """
 
-    __slots__ = ("order", "phase", "state", "exposure", "judgement", "_clock", "_began_at", "_durations")
+    __slots__ = ("order", "phase", "state", "exposure", "analysis", "_clock", "_began_at", "_durations")
 
     def __init__(self, *, order, share, slack, clock, word=None):
         now = clock()
@@ -75,7 +75,7 @@
         self.order = order
         self.phase = Phase.TRIAL
         self.state = RolloutState.RUNNING
-        self.judgement = CanaryAnalysis(word=word)
+        self.analysis = CanaryAnalysis(word=word)
         self.exposure = Exposure(
             share=share,
             slack=slack,
@@ -114,7 +114,7 @@
         if self.phase is Phase.ENDED:
             return
         self._durations.append(finished.duration_s)
-        self.judgement.note(
+        self.analysis.note(
             route=request.route,
             engine=engine,
             is_target=self.is_target(version),
@@ -123,7 +123,7 @@
             now=self._clock(),
             was_full=was_full,
         )
-        if self.judgement.is_bad:
+        if self.analysis.is_bad:
             self._end(RolloutState.ROLLED_BACK)
 
     def step(self, *, old_places, target_places, old_runs):
@@ -162,9 +162,9 @@
             duration_s=self.order.duration_s,
             granted=self.exposure.granted,
             exposed=self.exposure.exposed,
-            target_runs=self.judgement.target_runs,
-            target_bad=self.judgement.target_bad,
-            suspicion=self.judgement.suspicion,
+            target_runs=self.analysis.target_runs,
+            target_bad=self.analysis.target_bad,
+            suspicion=self.analysis.suspicion,
         )
 
     def dump(self):
@@ -177,13 +177,13 @@
             "duration_s": self.order.duration_s,
             "granted": self.exposure.granted,
             "exposed": self.exposure.exposed,
-            **self.judgement.dump(),
+            **self.analysis.dump(),
         }
 
     def _trial_is_over(self, part):
         if part >= LONGEST_TRIAL_PART:
             return True
-        return part >= TRIAL_PART and self.judgement.target_runs >= ENOUGH_RUNS
+        return part >= TRIAL_PART and self.analysis.target_runs >= ENOUGH_RUNS
 
     def _ramp(self):
         self.phase = Phase.RAMP
@@ -191,7 +191,7 @@
         self._log("nothing speaks against the target; it gets as much as it may untested")
 
     def _ramp_is_over(self, part):
-        if self.judgement.target_runs < min(MIN_RUNS, MIN_RUNS_PART * self.exposure.granted):
+        if self.analysis.target_runs < min(MIN_RUNS, MIN_RUNS_PART * self.exposure.granted):
             return False
         needed_s = END_ROOM_S + LONG_RUN_TIMES * self._long_run_s()
         return part >= min(MAX_RAMP_END, max(MIN_RAMP_END, 1.0 - needed_s / self.order.duration_s))
@@ -202,7 +202,7 @@
 
     def _shift(self):
         self.phase = Phase.SHIFT
-        self.judgement.threshold = SHIFT_THRESHOLD
+        self.analysis.threshold = SHIFT_THRESHOLD
         self._log("the target is as good as the old version; all requests go to it")
 
     def _end(self, state):
