--- a/wagtailtrestle/rollouts/coordinator.py
+++ b/wagtailtrestle/rollouts/coordinator.py
@@ -11,7 +11,7 @@
 from loguru import logger
 
 from wagtailtrestle.contracts.rollout_messages import RolloutState, RolloutWord
-from wagtailtrestle.rollouts.order_watcher import Orders
+from wagtailtrestle.rollouts.order_watcher import OrderWatcher
 from wagtailtrestle.rollouts.rollout import Phase, Rollout
 from wagtailtrestle.rollouts.versions import held_names
 
@@ -65,7 +65,7 @@
     def __init__(self, *, store, adapter, schedulers, broadcast, own_services, engines, share, slack, clock):
         self.rollout_by_service = {}
         self._own = frozenset()
-        self._orders = Orders(
+        self._orders = OrderWatcher(
             store=store,
             adapter=adapter,
             is_needed=lambda: bool(self._own),
--- a/wagtailtrestle/rollouts/order_watcher.py
+++ b/wagtailtrestle/rollouts/order_watcher.py
@@ -14,7 +14,7 @@
 """Between two looks at whether this router has to follow the orders."""
 
 
-class Orders:
+class OrderWatcher:
     """Reads and watches the orders, and tells the store how each stands.
 
     Parameters
