--- a/wagtailtrestle/rollouts/coordinator.py
+++ b/wagtailtrestle/rollouts/coordinator.py
@@ -46,7 +46,7 @@
 
     __slots__ = (
         "rollout_by_service",
-        "_orders",
+        "_order_watcher",
         "_own",
         "_schedulers",
         "_broadcast",
@@ -65,7 +65,7 @@
     def __init__(self, *, store, adapter, schedulers, broadcast, own_services, engines, share, slack, clock):
         self.rollout_by_service = {}
         self._own = frozenset()
-        self._orders = OrderWatcher(
+        self._order_watcher = OrderWatcher(
             store=store,
             adapter=adapter,
             is_needed=lambda: bool(self._own),
@@ -88,17 +88,19 @@
 
     def start(self):
         """Begin to follow orders; must be called on the running event loop."""
-        self._orders.start()
+        self._order_watcher.start()
 
     async def close(self):
         """Stop; what is decided is with the other routers."""
-        await self._orders.close()
+        await self._order_watcher.close()
 
     def dump(self):
         """Return the state as a plain dict."""
         return {
-            "read_age_s": None if self._orders.read_at is None else round(self._clock() - self._orders.read_at, 3),
-            "orders": {name: order.target for name, order in self._orders.by_service.items()},
+            "read_age_s": None
+            if self._order_watcher.read_at is None
+            else round(self._clock() - self._order_watcher.read_at, 3),
+            "orders": {name: order.target for name, order in self._order_watcher.by_service.items()},
             "words": {name: f"{word.target} {word.state}" for name, word in self._word_by_service.items()},
             "rollouts": {name: rollout.dump() for name, rollout in self.rollout_by_service.items()},
         }
@@ -124,7 +126,7 @@
     def _take_orders(self):
         """The store answered: what it holds of roll-outs here ends them, or is gone with its order."""
         for service, rollout in list(self.rollout_by_service.items()):
-            order = self._orders.by_service.get(service)
+            order = self._order_watcher.by_service.get(service)
             if order is not None and order.target == rollout.order.target and order.state is not None:
                 rollout.end_as(order.state)
         self.refresh()
@@ -154,14 +156,14 @@
         for key in present - self._seen_at_by_version.keys():
             self._seen_at_by_version[key] = now
             # Whether a version that is new here was ordered is read anew: the order may have been missed.
-            self._orders.read_again()
+            self._order_watcher.read_again()
 
     def _held(self, service, engines, rollout):
         state = self._state_of(service)
         unread = {
             version
             for (of, version), at in self._seen_at_by_version.items()
-            if of == service and (self._orders.read_at is None or at >= self._orders.read_at)
+            if of == service and (self._order_watcher.read_at is None or at >= self._order_watcher.read_at)
         }
         return held_names(
             engines,
@@ -195,7 +197,7 @@
         return self._stopped_by_service[service]
 
     def _target_of(self, service):
-        order = self._orders.by_service.get(service)
+        order = self._order_watcher.by_service.get(service)
         if order is not None:
             return order.target
         word = self._word_by_service.get(service)
@@ -206,7 +208,7 @@
         target = self._target_of(service)
         if target is None:
             return None
-        order = self._orders.by_service.get(service)
+        order = self._order_watcher.by_service.get(service)
         word = self._word_by_service.get(service)
         rollout = self.rollout_by_service.get(service)
         states = [
@@ -219,7 +221,7 @@
 
     def _rollout_of(self, service):
         """The roll-out that this router coordinates, or ``None``."""
-        order = self._orders.by_service.get(service)
+        order = self._order_watcher.by_service.get(service)
         if order is None or self._state_of(service).is_final:
             return self._ended(service)
         rollout = self.rollout_by_service.get(service)
@@ -268,9 +270,9 @@
             if (rollout.phase, rollout.state) != was or self._is_untold(service, rollout):
                 self._tell(service, rollout)
                 self.refresh()
-        for service in self._own & self._orders.by_service.keys():
+        for service in self._own & self._order_watcher.by_service.keys():
             # Also the verdict of a coordinator that died before the store had it.
-            self._orders.tell(service, self._target_of(service), self._state_of(service))
+            self._order_watcher.tell(service, self._target_of(service), self._state_of(service))
 
     def _step(self, service, rollout):
         places = {True: 0, False: 0}
