--- a/tests/test_rollout_decisions.py
+++ b/tests/test_rollout_decisions.py
@@ -181,15 +181,17 @@
     def test_next_coordinator_completes_nothing_of_which_it_knows_nothing(self):
         # The scheduler dies in the ramp, shortly before the end. Its successor has seen no run on the target, and the
         # last word it heard is old: everything would move to a version that nobody judged.
-        word = RolloutWord(service="s", target="v2", state=RolloutState.RUNNING, elapsed_s=7.5, granted=400, exposed=5)
-        rollout = Rollout(order=self.rollout.order, share=SHARE, slack=SLACK, clock=lambda: self.now, word=word)
+        progress = RolloutWord(
+            service="s", target="v2", state=RolloutState.RUNNING, elapsed_s=7.5, granted=400, exposed=5
+        )
+        rollout = Rollout(order=self.rollout.order, share=SHARE, slack=SLACK, clock=lambda: self.now, progress=progress)
         for at_s in (0.1, 0.6, 1.6, 2.4):
             self.now = at_s
             rollout.step(old_places=12, target_places=12, old_runs=0)
         self.assertIs(rollout.phase, Phase.RAMP)
 
     def test_next_coordinator_goes_on_from_what_was_judged(self):
-        word = RolloutWord(
+        progress = RolloutWord(
             service="s",
             target="v2",
             state=RolloutState.RUNNING,
@@ -200,14 +202,14 @@
             target_bad=4,
             suspicion=5.0,
         )
-        rollout = Rollout(order=self.rollout.order, share=SHARE, slack=SLACK, clock=lambda: self.now, word=word)
+        rollout = Rollout(order=self.rollout.order, share=SHARE, slack=SLACK, clock=lambda: self.now, progress=progress)
         failed = finished("a", result="RunFailed")
         rollout.note_end(request=ask("a"), engine="e2", version="v2", finished=failed)
         self.assertIs(rollout.state, RolloutState.ROLLED_BACK)
 
     def test_next_coordinator_knows_the_time_that_passed(self):
-        word = RolloutWord(service="s", target="v2", state=RolloutState.RUNNING, elapsed_s=6.0, duration_s=10.0)
-        rollout = Rollout(order=self.rollout.order, share=SHARE, slack=SLACK, clock=lambda: 100.0, word=word)
+        progress = RolloutWord(service="s", target="v2", state=RolloutState.RUNNING, elapsed_s=6.0, duration_s=10.0)
+        rollout = Rollout(order=self.rollout.order, share=SHARE, slack=SLACK, clock=lambda: 100.0, progress=progress)
         self.assertAlmostEqual(rollout.elapsed_s, 6.0)
 
 
--- a/wagtailtrestle/rollouts/canary_analysis.py
+++ b/wagtailtrestle/rollouts/canary_analysis.py
@@ -119,13 +119,13 @@
         "_cut_at_by_engine",
     )
 
-    def __init__(self, *, word=None):
+    def __init__(self, *, progress=None):
         self.threshold = THRESHOLD
-        self.target_runs = 0 if word is None else word.target_runs
-        self.target_bad = 0 if word is None else word.target_bad
+        self.target_runs = 0 if progress is None else progress.target_runs
+        self.target_bad = 0 if progress is None else progress.target_bad
         self._route_by_name = {}
         self._all = _Seen()
-        self._all.total = 0.0 if word is None else word.suspicion
+        self._all.total = 0.0 if progress is None else progress.suspicion
         self._full = _Seen()
         self._paces_by_key = {}
         self._cut_at_by_engine = {}
--- a/wagtailtrestle/rollouts/coordinator.py
+++ b/wagtailtrestle/rollouts/coordinator.py
@@ -101,22 +101,22 @@
             if self._order_watcher.read_at is None
             else round(self._clock() - self._order_watcher.read_at, 3),
             "orders": {name: order.target for name, order in self._order_watcher.by_service.items()},
-            "words": {name: f"{word.target} {word.state}" for name, word in self._word_by_service.items()},
+            "words": {name: f"{progress.target} {progress.state}" for name, progress in self._word_by_service.items()},
             "rollouts": {name: rollout.dump() for name, rollout in self.rollout_by_service.items()},
         }
 
     # What others tell.
 
-    def hear(self, word):
+    def hear(self, progress):
         """Take in how another router says that a roll-out stands."""
-        known = self._word_by_service.get(word.service)
-        if known is not None and known.target == word.target and known.state.is_final:
+        known = self._word_by_service.get(progress.service)
+        if known is not None and known.target == progress.target and known.state.is_final:
             return
-        self._word_by_service[word.service] = word
-        self._targets_by_service.setdefault(word.service, set()).add(word.target)
-        rollout = self.rollout_by_service.get(word.service)
-        if word.state.is_final and rollout is not None and rollout.order.target == word.target:
-            rollout.end_as(word.state)
+        self._word_by_service[progress.service] = progress
+        self._targets_by_service.setdefault(progress.service, set()).add(progress.target)
+        rollout = self.rollout_by_service.get(progress.service)
+        if progress.state.is_final and rollout is not None and rollout.order.target == progress.target:
+            rollout.end_as(progress.state)
         self.refresh()
 
     def words(self):
@@ -200,8 +200,8 @@
         order = self._order_watcher.by_service.get(service)
         if order is not None:
             return order.target
-        word = self._word_by_service.get(service)
-        return None if word is None else word.target
+        progress = self._word_by_service.get(service)
+        return None if progress is None else progress.target
 
     def _state_of(self, service):
         """How the service's present order stands, by all that is known here; a final state outweighs others."""
@@ -209,11 +209,11 @@
         if target is None:
             return None
         order = self._order_watcher.by_service.get(service)
-        word = self._word_by_service.get(service)
+        progress = self._word_by_service.get(service)
         rollout = self.rollout_by_service.get(service)
         states = [
             order.state if order is not None else None,
-            word.state if word is not None and word.target == target else None,
+            progress.state if progress is not None and progress.target == target else None,
             rollout.state if rollout is not None and rollout.order.target == target else None,
         ]
         final = [state for state in states if state is not None and state.is_final]
@@ -231,16 +231,16 @@
                 share=self._share,
                 slack=self._slack,
                 clock=self._clock,
-                word=self._last_word(order),
+                progress=self._last_word(order),
             )
             logger.bind(service=service, target=order.target, duration_s=order.duration_s).info("a roll-out begins")
         return rollout
 
     def _last_word(self, order):
         """What is known of a roll-out that others have begun; ``None`` for one that begins now."""
-        word = self._word_by_service.get(order.service)
-        if word is not None and word.target == order.target:
-            return word
+        progress = self._word_by_service.get(order.service)
+        if progress is not None and progress.target == order.target:
+            return progress
         if order.state is not RolloutState.RUNNING:
             return None
         # The store says that it runs, and nobody told what the target got: all routers started again. Counted from
@@ -284,17 +284,17 @@
         rollout.step(old_places=places[False], target_places=places[True], old_runs=old_runs)
 
     def _is_untold(self, service, rollout):
-        word = self._word_by_service.get(service)
+        progress = self._word_by_service.get(service)
         if rollout.state.is_final:
-            return word is None or word.target != rollout.order.target or not word.state.is_final
+            return progress is None or progress.target != rollout.order.target or not progress.state.is_final
         return self._clock() - self._told_at_by_service.get(service, -WORD_S) >= WORD_S
 
     def _tell(self, service, rollout):
-        word = rollout.word()
+        progress = rollout.progress()
         self._told_at_by_service[service] = self._clock()
-        self._word_by_service[service] = word
-        self._broadcast.send(word)
+        self._word_by_service[service] = progress
+        self._broadcast.send(progress)
 
 
-def _word_key(word):
-    return word.service, word.target, str(word.state), round(word.elapsed_s, 1)
+def _word_key(progress):
+    return progress.service, progress.target, str(progress.state), round(progress.elapsed_s, 1)
--- a/wagtailtrestle/rollouts/rollout.py
+++ b/wagtailtrestle/rollouts/rollout.py
@@ -69,19 +69,19 @@
 
     __slots__ = ("order", "phase", "state", "exposure", "analysis", "_clock", "_began_at", "_durations")
 
-    def __init__(self, *, order, share, slack, clock, word=None):
+    def __init__(self, *, order, share, slack, clock, progress=None):
         now = clock()
-        elapsed_s = word.elapsed_s if word is not None else 0.0
+        elapsed_s = progress.elapsed_s if progress is not None else 0.0
         self.order = order
         self.phase = Phase.TRIAL
         self.state = RolloutState.RUNNING
-        self.analysis = CanaryAnalysis(word=word)
+        self.analysis = CanaryAnalysis(progress=progress)
         self.exposure = Exposure(
             share=share,
             slack=slack,
             now=now,
-            granted=word.granted if word is not None else 0,
-            exposed=word.exposed if word is not None else 0,
+            granted=progress.granted if progress is not None else 0,
+            exposed=progress.exposed if progress is not None else 0,
         )
         self._clock = clock
         self._began_at = now - elapsed_s
@@ -152,7 +152,7 @@
         if state.is_final and not self.state.is_final:
             self._end(state)
 
-    def word(self):
+    def progress(self):
         """How it stands, for others."""
         return RolloutWord(
             service=self.order.service,
