--- a/wagtailtrestle/rollouts/coordinator.py
+++ b/wagtailtrestle/rollouts/coordinator.py
@@ -55,7 +55,7 @@
         "_share",
         "_slack",
         "_clock",
-        "_word_by_service",
+        "_progress_by_service",
         "_stopped_by_service",
         "_targets_by_service",
         "_seen_at_by_version",
@@ -79,7 +79,7 @@
         self._share = share
         self._slack = slack
         self._clock = clock
-        self._word_by_service = {}
+        self._progress_by_service = {}
         self._stopped_by_service = {}
         self._targets_by_service = {}
         self._seen_at_by_version = {}
@@ -101,7 +101,9 @@
             if self._order_watcher.read_at is None
             else round(self._clock() - self._order_watcher.read_at, 3),
             "orders": {name: order.target for name, order in self._order_watcher.by_service.items()},
-            "words": {name: f"{progress.target} {progress.state}" for name, progress in self._word_by_service.items()},
+            "words": {
+                name: f"{progress.target} {progress.state}" for name, progress in self._progress_by_service.items()
+            },
             "rollouts": {name: rollout.dump() for name, rollout in self.rollout_by_service.items()},
         }
 
@@ -109,10 +111,10 @@
 
     def hear(self, progress):
         """Take in how another router says that a roll-out stands."""
-        known = self._word_by_service.get(progress.service)
+        known = self._progress_by_service.get(progress.service)
         if known is not None and known.target == progress.target and known.state.is_final:
             return
-        self._word_by_service[progress.service] = progress
+        self._progress_by_service[progress.service] = progress
         self._targets_by_service.setdefault(progress.service, set()).add(progress.target)
         rollout = self.rollout_by_service.get(progress.service)
         if progress.state.is_final and rollout is not None and rollout.order.target == progress.target:
@@ -121,7 +123,7 @@
 
     def words(self):
         """What is known of each service's roll-out, for a router that has just come."""
-        return tuple(self._word_by_service.values())
+        return tuple(self._progress_by_service.values())
 
     def _take_orders(self):
         """The store answered: what it holds of roll-outs here ends them, or is gone with its order."""
@@ -200,7 +202,7 @@
         order = self._order_watcher.by_service.get(service)
         if order is not None:
             return order.target
-        progress = self._word_by_service.get(service)
+        progress = self._progress_by_service.get(service)
         return None if progress is None else progress.target
 
     def _state_of(self, service):
@@ -209,7 +211,7 @@
         if target is None:
             return None
         order = self._order_watcher.by_service.get(service)
-        progress = self._word_by_service.get(service)
+        progress = self._progress_by_service.get(service)
         rollout = self.rollout_by_service.get(service)
         states = [
             order.state if order is not None else None,
@@ -238,7 +240,7 @@
 
     def _last_word(self, order):
         """What is known of a roll-out that others have begun; ``None`` for one that begins now."""
-        progress = self._word_by_service.get(order.service)
+        progress = self._progress_by_service.get(order.service)
         if progress is not None and progress.target == order.target:
             return progress
         if order.state is not RolloutState.RUNNING:
@@ -284,7 +286,7 @@
         rollout.step(old_places=places[False], target_places=places[True], old_runs=old_runs)
 
     def _is_untold(self, service, rollout):
-        progress = self._word_by_service.get(service)
+        progress = self._progress_by_service.get(service)
         if rollout.state.is_final:
             return progress is None or progress.target != rollout.order.target or not progress.state.is_final
         return self._clock() - self._told_at_by_service.get(service, -WORD_S) >= WORD_S
@@ -292,7 +294,7 @@
     def _tell(self, service, rollout):
         progress = rollout.progress()
         self._told_at_by_service[service] = self._clock()
-        self._word_by_service[service] = progress
+        self._progress_by_service[service] = progress
         self._broadcast.send(progress)
 
 
