--- a/wagtailtrestle/rollouts/coordinator.py
+++ b/wagtailtrestle/rollouts/coordinator.py
@@ -84,7 +84,7 @@
         self._targets_by_service = {}
         self._seen_at_by_version = {}
         self._told_at_by_service = {}
-        broadcast.on(RolloutWord, key=_word_key, handler=self.hear)
+        broadcast.on(RolloutWord, key=_progress_key, handler=self.hear)
 
     def start(self):
         """Begin to follow orders; must be called on the running event loop."""
@@ -298,5 +298,5 @@
         self._broadcast.send(progress)
 
 
-def _word_key(progress):
+def _progress_key(progress):
     return progress.service, progress.target, str(progress.state), round(progress.elapsed_s, 1)
