--- a/wagtailtrestle/rollouts/coordinator.py
+++ b/wagtailtrestle/rollouts/coordinator.py
@@ -233,12 +233,12 @@
                 share=self._share,
                 slack=self._slack,
                 clock=self._clock,
-                progress=self._last_word(order),
+                progress=self._last_progress(order),
             )
             logger.bind(service=service, target=order.target, duration_s=order.duration_s).info("a roll-out begins")
         return rollout
 
-    def _last_word(self, order):
+    def _last_progress(self, order):
         """What is known of a roll-out that others have begun; ``None`` for one that begins now."""
         progress = self._progress_by_service.get(order.service)
         if progress is not None and progress.target == order.target:
