--- a/wagtailtrestle/rollouts/coordinator.py
+++ b/wagtailtrestle/rollouts/coordinator.py
@@ -15,7 +15,7 @@
 from wagtailtrestle.rollouts.rollout import Phase, Rollout
 from wagtailtrestle.rollouts.versions import held_names
 
-WORD_S = 1.0
+PROGRESS_INTERVAL_S = 1.0
 
 
 class Coordinator:
@@ -289,7 +289,7 @@
         progress = self._progress_by_service.get(service)
         if rollout.state.is_final:
             return progress is None or progress.target != rollout.order.target or not progress.state.is_final
-        return self._clock() - self._told_at_by_service.get(service, -WORD_S) >= WORD_S
+        return self._clock() - self._told_at_by_service.get(service, -PROGRESS_INTERVAL_S) >= PROGRESS_INTERVAL_S
 
     def _tell(self, service, rollout):
         progress = rollout.progress()
