--- a/wagtailtrestle/rollouts/coordinator.py
+++ b/wagtailtrestle/rollouts/coordinator.py
@@ -84,7 +84,7 @@
         self._targets_by_service = {}
         self._seen_at_by_version = {}
         self._told_at_by_service = {}
-        broadcast.on(RolloutWord, key=_progress_key, handler=self.hear)
+        broadcast.on(RolloutWord, key=_progress_key, handler=self.on_progress)
 
     def start(self):
         """Begin to follow orders; must be called on the running event loop."""
@@ -109,7 +109,7 @@
 
     # What others tell.
 
-    def hear(self, progress):
+    def on_progress(self, progress):
         """Take in how another router says that a roll-out stands."""
         known = self._progress_by_service.get(progress.service)
         if known is not None and known.target == progress.target and known.state.is_final:
