--- a/tests/test_rollout_decisions.py
+++ b/tests/test_rollout_decisions.py
@@ -348,7 +348,7 @@
     """A broadcast that nobody hears."""
 
     def on(self, message_type, *, key, handler):
-        self.hear = handler
+        self.deliver = handler
 
     def send(self, message):
         pass
@@ -394,7 +394,7 @@
         # operator's platform went on running the bad version, and its time ran out without a status.
         store = OrderStore(status={"state": "running", "target": "v2"})
         coordinator = self.start(store)
-        self.broadcast.hear(RolloutWord(service="s", target="v2", state=RolloutState.ROLLED_BACK))
+        self.broadcast.deliver(RolloutWord(service="s", target="v2", state=RolloutState.ROLLED_BACK))
         await self.pass_time(coordinator, 1.0)
         self.assertEqual(store.told, ["rolled_back"])
         self.assertEqual(self.schedulers.held_by_service["s"], {"e2"})
@@ -425,7 +425,7 @@
         store = OrderStore(status={"state": "completed", "target": "v2"})
         coordinator = self.start(store)
         await self.pass_time(coordinator, 1.0)
-        self.broadcast.hear(RolloutWord(service="s", target="v2", state=RolloutState.ROLLED_BACK))
+        self.broadcast.deliver(RolloutWord(service="s", target="v2", state=RolloutState.ROLLED_BACK))
         await self.pass_time(coordinator, 1.0)
         self.assertEqual(store.told, [])
         self.assertEqual(self.schedulers.held_by_service["s"], {"e1"})
