--- a/wagtailtrestle/rollouts/coordinator.py
+++ b/wagtailtrestle/rollouts/coordinator.py
@@ -69,7 +69,7 @@
             store=store,
             adapter=adapter,
             is_needed=lambda: bool(self._own),
-            on_change=self._take_orders,
+            on_change=self._on_orders_changed,
             clock=clock,
         )
         self._schedulers = schedulers
@@ -125,7 +125,7 @@
         """What is known of each service's roll-out, for a router that has just come."""
         return tuple(self._progress_by_service.values())
 
-    def _take_orders(self):
+    def _on_orders_changed(self):
         """The store answered: what it holds of roll-outs here ends them, or is gone with its order."""
         for service, rollout in list(self.rollout_by_service.items()):
             order = self._order_watcher.by_service.get(service)
