--- a/wagtailtrestle/rollouts/coordinator.py
+++ b/wagtailtrestle/rollouts/coordinator.py
@@ -144,13 +144,13 @@
         engines_by_service = {}
         for engine in self._engines().values():
             engines_by_service.setdefault(engine.service, []).append(engine)
-        self._note_versions(engines_by_service)
+        self._update_versions(engines_by_service)
         for service in self._own:
             engines = engines_by_service.get(service, [])
             rollout = self._rollout_of(service)
             self._schedulers.set_rollout(service, rollout, self._held(service, engines, rollout))
 
-    def _note_versions(self, engines_by_service):
+    def _update_versions(self, engines_by_service):
         now = self._clock()
         present = {(service, engine.version) for service, engines in engines_by_service.items() for engine in engines}
         for key in self._seen_at_by_version.keys() - present:
