--- a/wagtailtrestle/rollouts/coordinator.py
+++ b/wagtailtrestle/rollouts/coordinator.py
@@ -269,7 +269,7 @@
             was = (rollout.phase, rollout.state)
             if rollout.phase is not Phase.ENDED:
                 self._step(service, rollout)
-            if (rollout.phase, rollout.state) != was or self._is_untold(service, rollout):
+            if (rollout.phase, rollout.state) != was or self._is_progress_due(service, rollout):
                 self._tell(service, rollout)
                 self.refresh()
         for service in self._own & self._order_watcher.by_service.keys():
@@ -285,7 +285,7 @@
         old_runs = sum(count for version, count in runs.items() if not rollout.is_target(version))
         rollout.step(old_places=places[False], target_places=places[True], old_runs=old_runs)
 
-    def _is_untold(self, service, rollout):
+    def _is_progress_due(self, service, rollout):
         progress = self._progress_by_service.get(service)
         if rollout.state.is_final:
             return progress is None or progress.target != rollout.order.target or not progress.state.is_final
