--- a/wagtailtrestle/rollouts/coordinator.py
+++ b/wagtailtrestle/rollouts/coordinator.py
@@ -270,7 +270,7 @@
             if rollout.phase is not Phase.ENDED:
                 self._step(service, rollout)
             if (rollout.phase, rollout.state) != was or self._is_progress_due(service, rollout):
-                self._tell(service, rollout)
+                self._send_progress(service, rollout)
                 self.refresh()
         for service in self._own & self._order_watcher.by_service.keys():
             # Also the verdict of a coordinator that died before the store had it.
@@ -291,7 +291,7 @@
             return progress is None or progress.target != rollout.order.target or not progress.state.is_final
         return self._clock() - self._told_at_by_service.get(service, -PROGRESS_INTERVAL_S) >= PROGRESS_INTERVAL_S
 
-    def _tell(self, service, rollout):
+    def _send_progress(self, service, rollout):
         progress = rollout.progress()
         self._told_at_by_service[service] = self._clock()
         self._progress_by_service[service] = progress
