--- a/wagtailtrestle/rollouts/coordinator.py
+++ b/wagtailtrestle/rollouts/coordinator.py
@@ -59,7 +59,7 @@
         "_stopped_by_service",
         "_targets_by_service",
         "_seen_at_by_version",
-        "_told_at_by_service",
+        "_sent_at_by_service",
     )
 
     def __init__(self, *, store, adapter, schedulers, broadcast, own_services, engines, share, slack, clock):
@@ -83,7 +83,7 @@
         self._stopped_by_service = {}
         self._targets_by_service = {}
         self._seen_at_by_version = {}
-        self._told_at_by_service = {}
+        self._sent_at_by_service = {}
         broadcast.on(RolloutWord, key=_progress_key, handler=self.on_progress)
 
     def start(self):
@@ -289,11 +289,11 @@
         progress = self._progress_by_service.get(service)
         if rollout.state.is_final:
             return progress is None or progress.target != rollout.order.target or not progress.state.is_final
-        return self._clock() - self._told_at_by_service.get(service, -PROGRESS_INTERVAL_S) >= PROGRESS_INTERVAL_S
+        return self._clock() - self._sent_at_by_service.get(service, -PROGRESS_INTERVAL_S) >= PROGRESS_INTERVAL_S
 
     def _send_progress(self, service, rollout):
         progress = rollout.progress()
-        self._told_at_by_service[service] = self._clock()
+        self._sent_at_by_service[service] = self._clock()
         self._progress_by_service[service] = progress
         self._broadcast.send(progress)
 
