--- a/wagtailtrestle/rollouts/coordinator.py
+++ b/wagtailtrestle/rollouts/coordinator.py
@@ -274,7 +274,7 @@
                 self.refresh()
         for service in self._own & self._order_watcher.by_service.keys():
             # Also the verdict of a coordinator that died before the store had it.
-            self._order_watcher.tell(service, self._target_of(service), self._state_of(service))
+            self._order_watcher.write_status(service, self._target_of(service), self._state_of(service))
 
     def _step(self, service, rollout):
         places = {True: 0, False: 0}
--- a/wagtailtrestle/rollouts/order_watcher.py
+++ b/wagtailtrestle/rollouts/order_watcher.py
@@ -84,7 +84,7 @@
         self._is_list_due = True
         self._wake.set()
 
-    def tell(self, service, target, state):
+    def write_status(self, service, target, state):
         """Have the store hold this state of the order for ``target``; one write of a service at a time."""
         order = self.by_service.get(service)
         if order is None or order.target != target or order.state is state or service in self._writing_by_service:
