--- a/wagtailtrestle/rollouts/order_watcher.py
+++ b/wagtailtrestle/rollouts/order_watcher.py
@@ -111,7 +111,7 @@
         if not self._is_list_due:
             outcome = await self._watch()
             if isinstance(outcome, StoreDone):
-                self._take({name: (version, value) for name, version, value in outcome.value})
+                self._apply({name: (version, value) for name, version, value in outcome.value})
                 self._version = max(self._version, outcome.version)
                 return True
             if not isinstance(outcome, StoreHistoryGone) and not self._is_list_due:
@@ -130,7 +130,7 @@
         self.read_at = began_at
         self._version = outcome.version
         gone = {name: (0, None) for name in self.by_service.keys() - outcome.value.keys()}
-        self._take({**gone, **outcome.value})
+        self._apply({**gone, **outcome.value})
         return True
 
     async def _watch(self):
@@ -147,7 +147,7 @@
             watch.cancel()
             woken.cancel()
 
-    def _take(self, found_by_name):
+    def _apply(self, found_by_name):
         for name, (version, value) in found_by_name.items():
             order = None if value is None else self._adapter.read_rollout(name, version, value)
             if order is None:
