--- a/tests/test_rollout_decisions.py
+++ b/tests/test_rollout_decisions.py
@@ -16,7 +16,7 @@
 from wagtailtrestle.rollouts.coordinator import Coordinator
 from wagtailtrestle.rollouts.exposure import Exposure
 from wagtailtrestle.rollouts.rollout import Phase, Rollout
-from wagtailtrestle.rollouts.versions import held_names
+from wagtailtrestle.rollouts.versions import reserved_names
 
 SEEDS = range(20)
 SHARE, SLACK = 0.1, 50
@@ -222,7 +222,7 @@
             engines.append(made)
         given = {"target": None, "state": None, "is_shifting": False, "unread_versions": set()}
         given |= {"untested_versions": set(), "stopped_names": ()}
-        return set(held_names(engines, **{**given, **more}))
+        return set(reserved_names(engines, **{**given, **more}))
 
     def test_without_an_order_all_versions_are_used(self):
         self.assertEqual(self.held("v1", "v2"), set())
--- a/wagtailtrestle/rollouts/coordinator.py
+++ b/wagtailtrestle/rollouts/coordinator.py
@@ -13,7 +13,7 @@
 from wagtailtrestle.contracts.rollout_messages import RolloutState, RolloutWord
 from wagtailtrestle.rollouts.order_watcher import OrderWatcher
 from wagtailtrestle.rollouts.rollout import Phase, Rollout
-from wagtailtrestle.rollouts.versions import held_names
+from wagtailtrestle.rollouts.versions import reserved_names
 
 PROGRESS_INTERVAL_S = 1.0
 
@@ -167,7 +167,7 @@
             for (of, version), at in self._seen_at_by_version.items()
             if of == service and (self._order_watcher.read_at is None or at >= self._order_watcher.read_at)
         }
-        return held_names(
+        return reserved_names(
             engines,
             target=self._target_of(service),
             state=state,
--- a/wagtailtrestle/rollouts/versions.py
+++ b/wagtailtrestle/rollouts/versions.py
@@ -5,7 +5,7 @@
 from wagtailtrestle.contracts.rollout_messages import RolloutState
 
 
-def held_names(engines, *, target, state, is_shifting, unread_versions, untested_versions, stopped_names):
+def reserved_names(engines, *, target, state, is_shifting, unread_versions, untested_versions, stopped_names):
     """Names of the engines to hold back.
 
     Parameters
