--- a/tests/test_rollout_decisions.py
+++ b/tests/test_rollout_decisions.py
@@ -213,7 +213,7 @@
         self.assertAlmostEqual(rollout.elapsed_s, 6.0)
 
 
-class HeldNamesTest(unittest.TestCase):
+class ReservedNamesTest(unittest.TestCase):
     def held(self, *versions, **more):
         engines = []
         for number, version in enumerate(versions):
