--- a/wagtailtrestle/rollouts/coordinator.py
+++ b/wagtailtrestle/rollouts/coordinator.py
@@ -148,7 +148,7 @@
         for service in self._own:
             engines = engines_by_service.get(service, [])
             rollout = self._rollout_of(service)
-            self._schedulers.set_rollout(service, rollout, self._held(service, engines, rollout))
+            self._schedulers.set_rollout(service, rollout, self._reserved(service, engines, rollout))
 
     def _update_versions(self, engines_by_service):
         now = self._clock()
@@ -160,7 +160,7 @@
             # Whether a version that is new here was ordered is read anew: the order may have been missed.
             self._order_watcher.read_again()
 
-    def _held(self, service, engines, rollout):
+    def _reserved(self, service, engines, rollout):
         state = self._state_of(service)
         unread = {
             version
