--- a/tests/test_rollout_decisions.py
+++ b/tests/test_rollout_decisions.py
@@ -335,10 +335,10 @@
     """Keeps what each service is told of its roll-out."""
 
     def __init__(self):
-        self.held_by_service = {}
+        self.reserved_by_service = {}
 
     def set_rollout(self, service, rollout, held_back):
-        self.held_by_service[service] = held_back
+        self.reserved_by_service[service] = held_back
 
     def runs_by_version(self, service):
         return {}
@@ -383,9 +383,9 @@
     @on_paused_clock
     async def test_target_gets_nothing_before_its_order_is_read_nor_after(self):
         coordinator = self.start(OrderStore())
-        self.assertEqual(self.schedulers.held_by_service["s"], {"e2"})
+        self.assertEqual(self.schedulers.reserved_by_service["s"], {"e2"})
         await self.pass_time(coordinator, 1.0)
-        self.assertEqual(self.schedulers.held_by_service["s"], {"e2"})
+        self.assertEqual(self.schedulers.reserved_by_service["s"], {"e2"})
         await coordinator.close()
 
     @on_paused_clock
@@ -397,7 +397,7 @@
         self.broadcast.deliver(RolloutWord(service="s", target="v2", state=RolloutState.ROLLED_BACK))
         await self.pass_time(coordinator, 1.0)
         self.assertEqual(store.told, ["rolled_back"])
-        self.assertEqual(self.schedulers.held_by_service["s"], {"e2"})
+        self.assertEqual(self.schedulers.reserved_by_service["s"], {"e2"})
         await coordinator.close()
 
     @on_paused_clock
@@ -428,7 +428,7 @@
         self.broadcast.deliver(RolloutWord(service="s", target="v2", state=RolloutState.ROLLED_BACK))
         await self.pass_time(coordinator, 1.0)
         self.assertEqual(store.told, [])
-        self.assertEqual(self.schedulers.held_by_service["s"], {"e1"})
+        self.assertEqual(self.schedulers.reserved_by_service["s"], {"e1"})
         await coordinator.close()
 
 
