--- a/tests/test_rollout_decisions.py
+++ b/tests/test_rollout_decisions.py
@@ -337,8 +337,8 @@
     def __init__(self):
         self.reserved_by_service = {}
 
-    def set_rollout(self, service, rollout, held_back):
-        self.reserved_by_service[service] = held_back
+    def set_rollout(self, service, rollout, reserved):
+        self.reserved_by_service[service] = reserved
 
     def runs_by_version(self, service):
         return {}
