--- a/wagtailtrestle/rollouts/order_watcher.py
+++ b/wagtailtrestle/rollouts/order_watcher.py
@@ -7,7 +7,7 @@
 
 from wagtailtrestle.contracts.outcomes import StoreDone, StoreHistoryGone
 
-WATCH_S = 20.0
+WATCH_TIMEOUT_S = 20.0
 RETRY_S = 0.2
 MAX_RETRY_S = 1.0
 IDLE_S = 0.5
@@ -137,7 +137,7 @@
         """Wait for a change; ``None`` if the orders have to be read anew meanwhile."""
         self._wake.clear()
         watch = asyncio.create_task(
-            self._store.watch(kind=self._adapter.rollout_kind, from_version=self._version, timeout_s=WATCH_S)
+            self._store.watch(kind=self._adapter.rollout_kind, from_version=self._version, timeout_s=WATCH_TIMEOUT_S)
         )
         woken = asyncio.create_task(self._wake.wait())
         try:
