--- a/wagtailtrestle/rollouts/order_watcher.py
+++ b/wagtailtrestle/rollouts/order_watcher.py
@@ -9,7 +9,7 @@
 
 WATCH_TIMEOUT_S = 20.0
 RETRY_S = 0.2
-MAX_RETRY_S = 1.0
+MAX_RETRY_DELAY_S = 1.0
 IDLE_S = 0.5
 """Between two looks at whether this router has to follow the orders."""
 
@@ -104,7 +104,7 @@
                 self._on_change()
             else:
                 await asyncio.sleep(retry_s * self._jitter.uniform(0.5, 1.0))
-                retry_s = min(MAX_RETRY_S, 2 * retry_s)
+                retry_s = min(MAX_RETRY_DELAY_S, 2 * retry_s)
 
     async def _step(self):
         """Watch or read once; whether the store answered."""
