--- a/wagtailtrestle/rollouts/order_watcher.py
+++ b/wagtailtrestle/rollouts/order_watcher.py
@@ -8,7 +8,7 @@
 from wagtailtrestle.contracts.outcomes import StoreDone, StoreHistoryGone
 
 WATCH_TIMEOUT_S = 20.0
-RETRY_S = 0.2
+RETRY_DELAY_S = 0.2
 MAX_RETRY_DELAY_S = 1.0
 IDLE_S = 0.5
 """Between two looks at whether this router has to follow the orders."""
@@ -94,13 +94,13 @@
         task.add_done_callback(lambda _: self._writing_by_service.pop(service, None))
 
     async def _follow(self):
-        retry_s = RETRY_S
+        retry_s = RETRY_DELAY_S
         while True:
             if not self._is_needed():
                 self._is_list_due = True
                 await asyncio.sleep(IDLE_S)
             elif await self._step():
-                retry_s = RETRY_S
+                retry_s = RETRY_DELAY_S
                 self._on_change()
             else:
                 await asyncio.sleep(retry_s * self._jitter.uniform(0.5, 1.0))
@@ -169,4 +169,4 @@
             log.bind(outcome=type(outcome).__name__).warning("the store could not be told of a roll-out")
         # Whatever came of it, what stands there now is read: an answer may be lost, another scheduler may have written.
         self.read_again()
-        await asyncio.sleep(RETRY_S * self._jitter.uniform(0.5, 1.0))
+        await asyncio.sleep(RETRY_DELAY_S * self._jitter.uniform(0.5, 1.0))
