--- a/wagtailtrestle/rollouts/order_watcher.py
+++ b/wagtailtrestle/rollouts/order_watcher.py
@@ -10,7 +10,7 @@
 WATCH_TIMEOUT_S = 20.0
 RETRY_DELAY_S = 0.2
 MAX_RETRY_DELAY_S = 1.0
-IDLE_S = 0.5
+IDLE_POLL_INTERVAL_S = 0.5
 """Between two looks at whether this router has to follow the orders."""
 
 
@@ -98,7 +98,7 @@
         while True:
             if not self._is_needed():
                 self._is_list_due = True
-                await asyncio.sleep(IDLE_S)
+                await asyncio.sleep(IDLE_POLL_INTERVAL_S)
             elif await self._step():
                 retry_s = RETRY_DELAY_S
                 self._on_change()
