--- a/tests/test_rollout_decisions.py
+++ b/tests/test_rollout_decisions.py
@@ -34,7 +34,7 @@
                 if number == 300:
                     exposure.widen()
                 route = chance.choice("aaaab")
-                exposure.note_grant(route, is_target=exposure.may_expose(route, now), now=now)
+                exposure.record_grant(route, is_target=exposure.may_expose(route, now), now=now)
                 self.assertLessEqual(exposure.exposed, SHARE * exposure.granted + SLACK)
 
     def test_each_route_gets_its_part(self):
@@ -45,7 +45,7 @@
             route = "a" if chance.random() < 0.9 else "b"
             exposed = exposure.may_expose(route, number / 60.0)
             by_route[route] += exposed
-            exposure.note_grant(route, is_target=exposed, now=number / 60.0)
+            exposure.record_grant(route, is_target=exposed, now=number / 60.0)
         self.assertGreater(by_route["b"], 0.1 * sum(by_route.values()))
 
     def test_next_coordinator_goes_on_from_what_was_told(self):
@@ -172,7 +172,7 @@
 
     def test_second_try_of_a_failed_answer_is_not_exposed(self):
         for _ in range(200):
-            self.rollout.exposure.note_grant("", is_target=False, now=0.0)
+            self.rollout.exposure.record_grant("", is_target=False, now=0.0)
         self.now = 2.0
         self.assertTrue(self.rollout.wants(ask("a")))
         self.assertFalse(self.rollout.wants(ask("a", excluded_engines=("n-1",))))
@@ -262,7 +262,7 @@
     def is_target(self, version):
         return version == "v2"
 
-    def note_grant(self, request, version):
+    def record_grant(self, request, version):
         self.granted.append(version)
 
     def note_end(self, *, request, engine, version, finished, was_full):
@@ -413,7 +413,7 @@
                 for _ in range(SLACK):
                     now = asyncio.get_running_loop().time()
                     is_target = exposure.may_expose("r", now)
-                    exposure.note_grant("r", is_target=is_target, now=now)
+                    exposure.record_grant("r", is_target=is_target, now=now)
                     exposed += is_target
                 self.assertLessEqual(exposed, SHARE * SLACK + most)
                 self.assertEqual(exposed > 0, most > 0)
--- a/wagtailtrestle/capacity/scheduler.py
+++ b/wagtailtrestle/capacity/scheduler.py
@@ -533,7 +533,7 @@
         if waiting.request.is_retry:
             self._retries.spend(entry=waiting.request.entry, request_id=waiting.request_id)
         if self._rollout is not None:
-            self._rollout.note_grant(waiting.request, engine.version)
+            self._rollout.record_grant(waiting.request, engine.version)
         self._send_granted(grant)
 
     def _send_granted(self, grant):
--- a/wagtailtrestle/measure/rollout_ways.py
+++ b/wagtailtrestle/measure/rollout_ways.py
@@ -156,7 +156,7 @@
         granted += 1
         exposed += is_target
         version_name = "new" if is_target else "old"
-        rollout.note_grant(request, version_name)
+        rollout.record_grant(request, version_name)
         behaviour = version if is_target else VERSIONS_BY_NAME[GOOD]
         bad = chance.random() < behaviour.fails(route, clock.now)
         pace = MEAN_RUN_S * behaviour.slower * math.exp(chance.gauss(0.0, SPREAD))
--- a/wagtailtrestle/rollouts/exposure.py
+++ b/wagtailtrestle/rollouts/exposure.py
@@ -71,7 +71,7 @@
             return False
         return self._is_wide or (now >= self._opens_at and self._credit_by_route[route] >= 1.0)
 
-    def note_grant(self, route, *, is_target, now):
+    def record_grant(self, route, *, is_target, now):
         """Count a run that was granted."""
         self.granted += 1
         self._granted_by_route[route] += 1
--- a/wagtailtrestle/rollouts/rollout.py
+++ b/wagtailtrestle/rollouts/rollout.py
@@ -105,9 +105,9 @@
             return False
         return self.exposure.may_expose(request.route, self._clock())
 
-    def note_grant(self, request, version):
+    def record_grant(self, request, version):
         """Count a run that was granted."""
-        self.exposure.note_grant(request.route, is_target=self.is_target(version), now=self._clock())
+        self.exposure.record_grant(request.route, is_target=self.is_target(version), now=self._clock())
 
     def note_end(self, *, request, engine, version, finished, was_full=False):
         """Take in how a run ended, and whether its engine was full with it when it began."""
