--- a/tests/test_rollout_decisions.py
+++ b/tests/test_rollout_decisions.py
@@ -54,10 +54,10 @@
 
 
 class CanaryAnalysisTest(unittest.TestCase):
-    def note(self, analysis, count, *, is_target, result=DONE, pace=0.04, at_s=0.0, gap_s=0.1, was_full=False):
+    def record_run(self, analysis, count, *, is_target, result=DONE, pace=0.04, at_s=0.0, gap_s=0.1, was_full=False):
         for number in range(count):
             name = "new" if is_target else "old"
-            analysis.note(
+            analysis.record_run(
                 route="r",
                 engine=name,
                 is_target=is_target,
@@ -70,51 +70,51 @@
     def test_crash_of_one_engine_is_not_a_versions_fault(self):
         # All runs of an engine that crashed are cut at once.
         analysis = CanaryAnalysis()
-        self.note(analysis, 100, is_target=False)
-        self.note(analysis, 30, is_target=True, result="RunCut", gap_s=CUT_PAUSE_S / 100)
+        self.record_run(analysis, 100, is_target=False)
+        self.record_run(analysis, 30, is_target=True, result="RunCut", gap_s=CUT_PAUSE_S / 100)
         self.assertFalse(analysis.is_bad)
 
     def test_version_that_crashes_again_and_again_is_bad(self):
         analysis = CanaryAnalysis()
-        self.note(analysis, 100, is_target=False)
-        self.note(analysis, 10, is_target=True, result="RunCut", gap_s=2 * CUT_PAUSE_S)
+        self.record_run(analysis, 100, is_target=False)
+        self.record_run(analysis, 10, is_target=True, result="RunCut", gap_s=2 * CUT_PAUSE_S)
         self.assertTrue(analysis.is_bad)
 
     def test_what_both_versions_fail_is_not_the_targets_fault(self):
         analysis = CanaryAnalysis()
         for _ in range(20):
-            self.note(analysis, 5, is_target=False)
-            self.note(analysis, 5, is_target=False, result="RunFailed")
-            self.note(analysis, 1, is_target=True)
-            self.note(analysis, 1, is_target=True, result="RunFailed")
+            self.record_run(analysis, 5, is_target=False)
+            self.record_run(analysis, 5, is_target=False, result="RunFailed")
+            self.record_run(analysis, 1, is_target=True)
+            self.record_run(analysis, 1, is_target=True, result="RunFailed")
         self.assertFalse(analysis.is_bad)
 
     def test_slow_engine_of_a_good_version_is_as_slow_as_the_slowest_old_one(self):
         analysis = CanaryAnalysis()
-        self.note(analysis, 50, is_target=False, pace=0.16)
-        self.note(analysis, 50, is_target=True, pace=0.16)
+        self.record_run(analysis, 50, is_target=False, pace=0.16)
+        self.record_run(analysis, 50, is_target=True, pace=0.16)
         self.assertFalse(analysis.is_bad)
 
     # Guards against failures of full engines that are lost among the many runs of engines that aren't.
     def test_version_that_fails_only_on_full_engines_is_bad(self):
         analysis = CanaryAnalysis()
-        self.note(analysis, 300, is_target=False)
+        self.record_run(analysis, 300, is_target=False)
         for _ in range(4):
-            self.note(analysis, 22, is_target=True)
-            self.note(analysis, 1, is_target=True, was_full=True)
-            self.note(analysis, 1, is_target=True, was_full=True, result="RunFailed")
+            self.record_run(analysis, 22, is_target=True)
+            self.record_run(analysis, 1, is_target=True, was_full=True)
+            self.record_run(analysis, 1, is_target=True, was_full=True, result="RunFailed")
         self.assertTrue(analysis.is_bad)
 
     # Guards against a good version that is blamed for what the old one does on full engines too.
     def test_what_both_versions_fail_on_full_engines_is_not_the_targets_fault(self):
         analysis = CanaryAnalysis()
-        self.note(analysis, 300, is_target=False)
-        self.note(analysis, 20, is_target=False, was_full=True)
-        self.note(analysis, 20, is_target=False, was_full=True, result="RunFailed")
+        self.record_run(analysis, 300, is_target=False)
+        self.record_run(analysis, 20, is_target=False, was_full=True)
+        self.record_run(analysis, 20, is_target=False, was_full=True, result="RunFailed")
         for _ in range(4):
-            self.note(analysis, 22, is_target=True)
-            self.note(analysis, 1, is_target=True, was_full=True)
-            self.note(analysis, 1, is_target=True, was_full=True, result="RunFailed")
+            self.record_run(analysis, 22, is_target=True)
+            self.record_run(analysis, 1, is_target=True, was_full=True)
+            self.record_run(analysis, 1, is_target=True, was_full=True, result="RunFailed")
         self.assertFalse(analysis.is_bad)
 
 
--- a/wagtailtrestle/rollouts/canary_analysis.py
+++ b/wagtailtrestle/rollouts/canary_analysis.py
@@ -142,7 +142,7 @@
             return 0.0
         return max(seen.total for seen in (self._all, self._full, *self._route_by_name.values()))
 
-    def note(self, *, route, engine, is_target, result, pace, now, was_full=False):
+    def record_run(self, *, route, engine, is_target, result, pace, now, was_full=False):
         """Take in how a run ended.
 
         Parameters
--- a/wagtailtrestle/rollouts/rollout.py
+++ b/wagtailtrestle/rollouts/rollout.py
@@ -114,7 +114,7 @@
         if self.phase is Phase.ENDED:
             return
         self._durations.append(finished.duration_s)
-        self.analysis.note(
+        self.analysis.record_run(
             route=request.route,
             engine=engine,
             is_target=self.is_target(version),
