--- a/wagtailtrestle/rollouts/canary_analysis.py
+++ b/wagtailtrestle/rollouts/canary_analysis.py
@@ -50,7 +50,7 @@
         self.old_bad = 0
         self.total = 0.0
 
-    def note_old(self, bad):
+    def add_baseline(self, bad):
         """Count a run on the old version."""
         self.old_runs += 1
         self.old_bad += bad
@@ -164,9 +164,9 @@
         if is_target:
             self._note_target(seen, bad, was_full)
             return
-        seen.note_old(bad)
+        seen.add_baseline(bad)
         if was_full:
-            self._full.note_old(bad)
+            self._full.add_baseline(bad)
 
     def dump(self):
         """Return the state as a plain dict."""
