--- a/wagtailtrestle/rollouts/canary_analysis.py
+++ b/wagtailtrestle/rollouts/canary_analysis.py
@@ -162,7 +162,7 @@
             return
         seen = self._route_by_name.setdefault(route, _Seen())
         if is_target:
-            self._note_target(seen, bad, was_full)
+            self._record_target_run(seen, bad, was_full)
             return
         seen.add_baseline(bad)
         if was_full:
@@ -204,7 +204,7 @@
         usual = min((each for each in known if each is not None), default=None)
         return usual is not None and pace > SLOW_FACTOR * usual
 
-    def _note_target(self, seen, bad, was_full):
+    def _record_target_run(self, seen, bad, was_full):
         self.target_runs += 1
         self.target_bad += bad
         usual = seen.usual()
