--- a/wagtailtrestle/rollouts/canary_analysis.py
+++ b/wagtailtrestle/rollouts/canary_analysis.py
@@ -40,7 +40,7 @@
 DONE = "RunDone"
 
 
-class _Seen:
+class _Evidence:
     """What both versions showed in one kind of runs, those of a route or those on full engines."""
 
     __slots__ = ("old_runs", "old_bad", "total")
@@ -124,9 +124,9 @@
         self.target_runs = 0 if progress is None else progress.target_runs
         self.target_bad = 0 if progress is None else progress.target_bad
         self._route_by_name = {}
-        self._all = _Seen()
+        self._all = _Evidence()
         self._all.total = 0.0 if progress is None else progress.suspicion
-        self._full = _Seen()
+        self._full = _Evidence()
         self._paces_by_key = {}
         self._cut_at_by_engine = {}
 
@@ -160,7 +160,7 @@
         bad = self._is_bad_run(route, engine, is_target, result, pace, now)
         if bad is None:
             return
-        seen = self._route_by_name.setdefault(route, _Seen())
+        seen = self._route_by_name.setdefault(route, _Evidence())
         if is_target:
             self._record_target_run(seen, bad, was_full)
             return
