--- a/wagtailtrestle/rollouts/canary_analysis.py
+++ b/wagtailtrestle/rollouts/canary_analysis.py
@@ -140,7 +140,7 @@
         """The largest of the sums; 0 while too few runs were bad."""
         if self.target_bad < MIN_BAD:
             return 0.0
-        return max(seen.total for seen in (self._all, self._full, *self._route_by_name.values()))
+        return max(evidence.total for evidence in (self._all, self._full, *self._route_by_name.values()))
 
     def record_run(self, *, route, engine, is_target, result, pace, now, was_full=False):
         """Take in how a run ended.
@@ -160,11 +160,11 @@
         bad = self._is_bad_run(route, engine, is_target, result, pace, now)
         if bad is None:
             return
-        seen = self._route_by_name.setdefault(route, _Evidence())
+        evidence = self._route_by_name.setdefault(route, _Evidence())
         if is_target:
-            self._record_target_run(seen, bad, was_full)
+            self._record_target_run(evidence, bad, was_full)
             return
-        seen.add_baseline(bad)
+        evidence.add_baseline(bad)
         if was_full:
             self._full.add_baseline(bad)
 
@@ -204,11 +204,11 @@
         usual = min((each for each in known if each is not None), default=None)
         return usual is not None and pace > SLOW_FACTOR * usual
 
-    def _record_target_run(self, seen, bad, was_full):
+    def _record_target_run(self, evidence, bad, was_full):
         self.target_runs += 1
         self.target_bad += bad
-        usual = seen.usual()
-        seen.add(bad, usual)
+        usual = evidence.usual()
+        evidence.add(bad, usual)
         self._all.add(bad, usual)
         if was_full:
-            self._full.add(bad, max(usual, self._full.usual(prior=seen.part())))
+            self._full.add(bad, max(usual, self._full.usual(prior=evidence.part())))
