--- a/tests/test_rollout_decisions.py
+++ b/tests/test_rollout_decisions.py
@@ -54,7 +54,7 @@
 
 
 class CanaryAnalysisTest(unittest.TestCase):
-    def record_run(self, analysis, count, *, is_target, result=DONE, pace=0.04, at_s=0.0, gap_s=0.1, was_full=False):
+    def record_run(self, analysis, count, *, is_target, result=DONE, latency=0.04, at_s=0.0, gap_s=0.1, was_full=False):
         for number in range(count):
             name = "new" if is_target else "old"
             analysis.record_run(
@@ -62,7 +62,7 @@
                 engine=name,
                 is_target=is_target,
                 result=result,
-                pace=pace,
+                latency=latency,
                 now=at_s + number * gap_s,
                 was_full=was_full,
             )
@@ -91,8 +91,8 @@
 
     def test_slow_engine_of_a_good_version_is_as_slow_as_the_slowest_old_one(self):
         analysis = CanaryAnalysis()
-        self.record_run(analysis, 50, is_target=False, pace=0.16)
-        self.record_run(analysis, 50, is_target=True, pace=0.16)
+        self.record_run(analysis, 50, is_target=False, latency=0.16)
+        self.record_run(analysis, 50, is_target=True, latency=0.16)
         self.assertFalse(analysis.is_bad)
 
     # Guards against failures of full engines that are lost among the many runs of engines that aren't.
--- a/wagtailtrestle/rollouts/canary_analysis.py
+++ b/wagtailtrestle/rollouts/canary_analysis.py
@@ -82,8 +82,8 @@
     def __init__(self):
         self._last = deque(maxlen=PACES_KEPT)
 
-    def add(self, pace):
-        self._last.append(pace)
+    def add(self, latency):
+        self._last.append(latency)
 
     @property
     def usual(self):
@@ -142,7 +142,7 @@
             return 0.0
         return max(evidence.total for evidence in (self._all, self._full, *self._route_by_name.values()))
 
-    def record_run(self, *, route, engine, is_target, result, pace, now, was_full=False):
+    def record_run(self, *, route, engine, is_target, result, latency, now, was_full=False):
         """Take in how a run ended.
 
         Parameters
@@ -157,7 +157,7 @@
         was_full : bool
             Whether the engine was full with it when it began.
         """
-        bad = self._is_bad_run(route, engine, is_target, result, pace, now)
+        bad = self._is_bad_run(route, engine, is_target, result, latency, now)
         if bad is None:
             return
         evidence = self._route_by_name.setdefault(route, _Evidence())
@@ -178,7 +178,7 @@
             "total_by_route": {name: round(route.total, 2) for name, route in self._route_by_name.items()},
         }
 
-    def _is_bad_run(self, route, engine, is_target, result, pace, now):
+    def _is_bad_run(self, route, engine, is_target, result, latency, now):
         """Whether a run was bad; ``None`` if it tells nothing."""
         if result == FAILED:
             return True
@@ -188,9 +188,9 @@
             return True if is_first else None
         if result != DONE:
             return None
-        return pace > 0.0 and self._is_slow(route, engine, is_target, pace)
+        return latency > 0.0 and self._is_slow(route, engine, is_target, latency)
 
-    def _is_slow(self, route, engine, is_target, pace):
+    def _is_slow(self, route, engine, is_target, latency):
         own = self._paces_by_key.setdefault((route, engine, is_target), _Paces())
         known = [own.usual]
         if is_target:
@@ -200,9 +200,9 @@
                 if of == route and not of_target and paces.usual is not None
             ]
             known.append(max(old, default=None))
-        own.add(pace)
+        own.add(latency)
         usual = min((each for each in known if each is not None), default=None)
-        return usual is not None and pace > SLOW_FACTOR * usual
+        return usual is not None and latency > SLOW_FACTOR * usual
 
     def _record_target_run(self, evidence, bad, was_full):
         self.target_runs += 1
--- a/wagtailtrestle/rollouts/rollout.py
+++ b/wagtailtrestle/rollouts/rollout.py
@@ -119,7 +119,7 @@
             engine=engine,
             is_target=self.is_target(version),
             result=finished.result,
-            pace=_pace(finished),
+            latency=_pace(finished),
             now=self._clock(),
             was_full=was_full,
         )
