--- a/wagtailtrestle/rollouts/rollout.py
+++ b/wagtailtrestle/rollouts/rollout.py
@@ -119,7 +119,7 @@
             engine=engine,
             is_target=self.is_target(version),
             result=finished.result,
-            latency=_pace(finished),
+            latency=_latency(finished),
             now=self._clock(),
             was_full=was_full,
         )
@@ -214,7 +214,7 @@
         logger.bind(service=self.order.service, **self.dump()).info("roll-out of {}: {}", self.order.service, text)
 
 
-def _pace(finished):
+def _latency(finished):
     """Seconds a token where there are tokens enough, else of the whole run."""
     if finished.output_tokens >= PACED_TOKENS:
         return (finished.duration_s - finished.first_token_s) / finished.output_tokens
