--- a/wagtailtrestle/rollouts/canary_analysis.py
+++ b/wagtailtrestle/rollouts/canary_analysis.py
@@ -74,7 +74,7 @@
         self.total = max(0.0, self.total + step)
 
 
-class _Paces:
+class _LatencyWindow:
     """The last paces of one engine on one route."""
 
     __slots__ = ("_last",)
@@ -191,7 +191,7 @@
         return latency > 0.0 and self._is_slow(route, engine, is_target, latency)
 
     def _is_slow(self, route, engine, is_target, latency):
-        own = self._paces_by_key.setdefault((route, engine, is_target), _Paces())
+        own = self._paces_by_key.setdefault((route, engine, is_target), _LatencyWindow())
         known = [own.usual]
         if is_target:
             old = [
