--- a/wagtailtrestle/rollouts/canary_analysis.py
+++ b/wagtailtrestle/rollouts/canary_analysis.py
@@ -115,7 +115,7 @@
         "_route_by_name",
         "_all",
         "_full",
-        "_paces_by_key",
+        "_latencies_by_key",
         "_cut_at_by_engine",
     )
 
@@ -127,7 +127,7 @@
         self._all = _Evidence()
         self._all.total = 0.0 if progress is None else progress.suspicion
         self._full = _Evidence()
-        self._paces_by_key = {}
+        self._latencies_by_key = {}
         self._cut_at_by_engine = {}
 
     @property
@@ -191,12 +191,12 @@
         return latency > 0.0 and self._is_slow(route, engine, is_target, latency)
 
     def _is_slow(self, route, engine, is_target, latency):
-        own = self._paces_by_key.setdefault((route, engine, is_target), _LatencyWindow())
+        own = self._latencies_by_key.setdefault((route, engine, is_target), _LatencyWindow())
         known = [own.usual]
         if is_target:
             old = [
                 paces.usual
-                for (of, _, of_target), paces in self._paces_by_key.items()
+                for (of, _, of_target), paces in self._latencies_by_key.items()
                 if of == route and not of_target and paces.usual is not None
             ]
             known.append(max(old, default=None))
