--- a/wagtailtrestle/rollouts/canary_analysis.py
+++ b/wagtailtrestle/rollouts/canary_analysis.py
@@ -195,9 +195,9 @@
         known = [own.usual]
         if is_target:
             old = [
-                paces.usual
-                for (of, _, of_target), paces in self._latencies_by_key.items()
-                if of == route and not of_target and paces.usual is not None
+                latencies.usual
+                for (of, _, of_target), latencies in self._latencies_by_key.items()
+                if of == route and not of_target and latencies.usual is not None
             ]
             known.append(max(old, default=None))
         own.add(latency)
