--- a/wagtailtrestle/rollouts/canary_analysis.py
+++ b/wagtailtrestle/rollouts/canary_analysis.py
@@ -30,7 +30,7 @@
 """Times its usual pace from which a run counts as slow; engines of one version alone differ fourfold, so that each is
 set against its own pace and against the slowest of the old ones."""
 
-PACES_KEPT = 64
+LATENCY_WINDOW_RUNS = 64
 PACES_NEEDED = 4
 CUT_PAUSE_S = 1.0
 """A crash ends all runs of its engine at once: of those within so long one counts."""
@@ -80,7 +80,7 @@
     __slots__ = ("_last",)
 
     def __init__(self):
-        self._last = deque(maxlen=PACES_KEPT)
+        self._last = deque(maxlen=LATENCY_WINDOW_RUNS)
 
     def add(self, latency):
         self._last.append(latency)
