--- a/wagtailtrestle/rollouts/canary_analysis.py
+++ b/wagtailtrestle/rollouts/canary_analysis.py
@@ -31,7 +31,7 @@
 set against its own pace and against the slowest of the old ones."""
 
 LATENCY_WINDOW_RUNS = 64
-PACES_NEEDED = 4
+MIN_LATENCIES = 4
 CUT_PAUSE_S = 1.0
 """A crash ends all runs of its engine at once: of those within so long one counts."""
 
@@ -88,7 +88,7 @@
     @property
     def usual(self):
         """Pace of its faster runs, or ``None`` while too few are known."""
-        if len(self._last) < PACES_NEEDED:
+        if len(self._last) < MIN_LATENCIES:
             return None
         return sorted(self._last)[len(self._last) // 4]
 
