--- a/wagtailtrestle/rollouts/rollout.py
+++ b/wagtailtrestle/rollouts/rollout.py
@@ -33,7 +33,7 @@
 RUNS_KEPT = 200
 END_ROOM_S = 1.0
 """Time before the end of the roll-out at which it is told as completed, whatever still runs."""
-PACED_TOKENS = 8
+MIN_TOKENS_FOR_RATE = 8
 MIN_CAPACITY = 0.5
 """Part of the old engines' places that the target's must have to take over."""
 
@@ -216,6 +216,6 @@
 
 def _latency(finished):
     """Seconds a token where there are tokens enough, else of the whole run."""
-    if finished.output_tokens >= PACED_TOKENS:
+    if finished.output_tokens >= MIN_TOKENS_FOR_RATE:
         return (finished.duration_s - finished.first_token_s) / finished.output_tokens
     return 0.0 if finished.output_tokens else finished.duration_s
