--- a/wagtailtrestle/rollouts/canary_analysis.py
+++ b/wagtailtrestle/rollouts/canary_analysis.py
@@ -10,7 +10,7 @@
 import math
 from collections import deque
 
-BAD_EXTRA = 0.16
+MIN_EXCESS_BAD_RATE = 0.16
 """Least extra part of bad runs that is looked for."""
 
 THRESHOLD = 5.5
@@ -69,7 +69,7 @@
 
     def add(self, bad, usual):
         """Add the evidence of a run on the target where this part is bad with any version."""
-        worse = usual + BAD_EXTRA * (1.0 - usual)
+        worse = usual + MIN_EXCESS_BAD_RATE * (1.0 - usual)
         step = math.log(worse / usual) if bad else math.log((1.0 - worse) / (1.0 - usual))
         self.total = max(0.0, self.total + step)
 
