--- a/wagtailtrestle/rollouts/canary_analysis.py
+++ b/wagtailtrestle/rollouts/canary_analysis.py
@@ -16,7 +16,7 @@
 THRESHOLD = 5.5
 """Sum at which a version counts as bad; natural logarithm."""
 
-SHIFT_THRESHOLD = 12.0
+SHIFT_CUSUM_THRESHOLD = 12.0
 """The same once it gets everything: ten times the runs give chance ten times the occasions."""
 
 MIN_BAD = 3
--- a/wagtailtrestle/rollouts/rollout.py
+++ b/wagtailtrestle/rollouts/rollout.py
@@ -12,7 +12,7 @@
 from loguru import logger
 
 from wagtailtrestle.contracts.rollout_messages import RolloutState, RolloutWord
-from wagtailtrestle.rollouts.canary_analysis import SHIFT_THRESHOLD, CanaryAnalysis
+from wagtailtrestle.rollouts.canary_analysis import SHIFT_CUSUM_THRESHOLD, CanaryAnalysis
 from wagtailtrestle.rollouts.exposure import Exposure
 
 TRIAL_PART = 0.5
@@ -202,7 +202,7 @@
 
     def _shift(self):
         self.phase = Phase.SHIFT
-        self.analysis.threshold = SHIFT_THRESHOLD
+        self.analysis.threshold = SHIFT_CUSUM_THRESHOLD
         self._log("the target is as good as the old version; all requests go to it")
 
     def _end(self, state):
