--- a/wagtailtrestle/rollouts/canary_analysis.py
+++ b/wagtailtrestle/rollouts/canary_analysis.py
@@ -13,7 +13,7 @@
 MIN_EXCESS_BAD_RATE = 0.16
 """Least extra part of bad runs that is looked for."""
 
-THRESHOLD = 5.5
+CUSUM_THRESHOLD = 5.5
 """Sum at which a version counts as bad; natural logarithm."""
 
 SHIFT_CUSUM_THRESHOLD = 12.0
@@ -120,7 +120,7 @@
     )
 
     def __init__(self, *, progress=None):
-        self.threshold = THRESHOLD
+        self.threshold = CUSUM_THRESHOLD
         self.target_runs = 0 if progress is None else progress.target_runs
         self.target_bad = 0 if progress is None else progress.target_bad
         self._route_by_name = {}
