--- a/wagtailtrestle/rollouts/canary_analysis.py
+++ b/wagtailtrestle/rollouts/canary_analysis.py
@@ -19,7 +19,7 @@
 SHIFT_CUSUM_THRESHOLD = 12.0
 """The same once it gets everything: ten times the runs give chance ten times the occasions."""
 
-MIN_BAD = 3
+MIN_BAD_RUNS = 3
 """A single crash or a slow moment is not a version's fault."""
 
 PRIOR_RUNS = 20.0
@@ -138,7 +138,7 @@
     @property
     def suspicion(self):
         """The largest of the sums; 0 while too few runs were bad."""
-        if self.target_bad < MIN_BAD:
+        if self.target_bad < MIN_BAD_RUNS:
             return 0.0
         return max(evidence.total for evidence in (self._all, self._full, *self._route_by_name.values()))
 
