--- a/wagtailtrestle/rollouts/canary_analysis.py
+++ b/wagtailtrestle/rollouts/canary_analysis.py
@@ -23,7 +23,7 @@
 """A single crash or a slow moment is not a version's fault."""
 
 PRIOR_RUNS = 20.0
-PRIOR_BAD = 2.0
+PRIOR_BAD_RUNS = 2.0
 """What is believed of a route of which the old version has shown little: one bad run in ten."""
 
 SLOW_FACTOR = 2.5
@@ -55,11 +55,11 @@
         self.old_runs += 1
         self.old_bad += bad
 
-    def part(self, prior=PRIOR_BAD / PRIOR_RUNS):
+    def part(self, prior=PRIOR_BAD_RUNS / PRIOR_RUNS):
         """Part of the old version's runs that were bad; ``prior`` is what is believed before any is seen."""
         return (self.old_bad + PRIOR_RUNS * prior) / (self.old_runs + PRIOR_RUNS)
 
-    def usual(self, prior=PRIOR_BAD / PRIOR_RUNS):
+    def usual(self, prior=PRIOR_BAD_RUNS / PRIOR_RUNS):
         """Part of the runs that are bad with any version, one standard deviation above what was seen.
 
         Taken as seen, chance among the old version's runs alone would make a good target look worse.
