--- a/tests/test_rollout_decisions.py
+++ b/tests/test_rollout_decisions.py
@@ -12,7 +12,7 @@
 from wagtailtrestle.measure.rollout_ways import GOOD, VERSIONS_BY_NAME, play
 from wagtailtrestle.platform.adapter import PlatformAdapter
 from wagtailtrestle.platform.rollouts import read_rollout, rollout_status
-from wagtailtrestle.rollouts.canary_analysis import CUT_PAUSE_S, DONE, CanaryAnalysis
+from wagtailtrestle.rollouts.canary_analysis import CRASH_WINDOW_S, DONE, CanaryAnalysis
 from wagtailtrestle.rollouts.coordinator import Coordinator
 from wagtailtrestle.rollouts.exposure import Exposure
 from wagtailtrestle.rollouts.rollout import Phase, Rollout
@@ -71,13 +71,13 @@
         # All runs of an engine that crashed are cut at once.
         analysis = CanaryAnalysis()
         self.record_run(analysis, 100, is_target=False)
-        self.record_run(analysis, 30, is_target=True, result="RunCut", gap_s=CUT_PAUSE_S / 100)
+        self.record_run(analysis, 30, is_target=True, result="RunCut", gap_s=CRASH_WINDOW_S / 100)
         self.assertFalse(analysis.is_bad)
 
     def test_version_that_crashes_again_and_again_is_bad(self):
         analysis = CanaryAnalysis()
         self.record_run(analysis, 100, is_target=False)
-        self.record_run(analysis, 10, is_target=True, result="RunCut", gap_s=2 * CUT_PAUSE_S)
+        self.record_run(analysis, 10, is_target=True, result="RunCut", gap_s=2 * CRASH_WINDOW_S)
         self.assertTrue(analysis.is_bad)
 
     def test_what_both_versions_fail_is_not_the_targets_fault(self):
--- a/wagtailtrestle/rollouts/canary_analysis.py
+++ b/wagtailtrestle/rollouts/canary_analysis.py
@@ -32,7 +32,7 @@
 
 LATENCY_WINDOW_RUNS = 64
 MIN_LATENCIES = 4
-CUT_PAUSE_S = 1.0
+CRASH_WINDOW_S = 1.0
 """A crash ends all runs of its engine at once: of those within so long one counts."""
 
 FAILED = "RunFailed"
@@ -183,7 +183,7 @@
         if result == FAILED:
             return True
         if result in CUT_RESULTS:
-            is_first = now - self._cut_at_by_engine.get(engine, -math.inf) > CUT_PAUSE_S
+            is_first = now - self._cut_at_by_engine.get(engine, -math.inf) > CRASH_WINDOW_S
             self._cut_at_by_engine[engine] = now
             return True if is_first else None
         if result != DONE:
