--- a/wagtailtrestle/rollouts/rollout.py
+++ b/wagtailtrestle/rollouts/rollout.py
@@ -15,7 +15,7 @@
 from wagtailtrestle.rollouts.canary_analysis import SHIFT_CUSUM_THRESHOLD, CanaryAnalysis
 from wagtailtrestle.rollouts.exposure import Exposure
 
-TRIAL_PART = 0.5
+TRIAL_FRACTION = 0.5
 """Part of the time for the trial, if the target has run enough by then."""
 LONGEST_TRIAL_PART = 0.7
 ENOUGH_RUNS = 30
@@ -183,7 +183,7 @@
     def _trial_is_over(self, part):
         if part >= LONGEST_TRIAL_PART:
             return True
-        return part >= TRIAL_PART and self.analysis.target_runs >= ENOUGH_RUNS
+        return part >= TRIAL_FRACTION and self.analysis.target_runs >= ENOUGH_RUNS
 
     def _ramp(self):
         self.phase = Phase.RAMP
