--- a/wagtailtrestle/rollouts/rollout.py
+++ b/wagtailtrestle/rollouts/rollout.py
@@ -17,7 +17,7 @@
 
 TRIAL_FRACTION = 0.5
 """Part of the time for the trial, if the target has run enough by then."""
-LONGEST_TRIAL_PART = 0.7
+MAX_TRIAL_FRACTION = 0.7
 ENOUGH_RUNS = 30
 """Runs on the target by which one that fails a fifth of them is found."""
 MIN_RUNS = 15
@@ -181,7 +181,7 @@
         }
 
     def _trial_is_over(self, part):
-        if part >= LONGEST_TRIAL_PART:
+        if part >= MAX_TRIAL_FRACTION:
             return True
         return part >= TRIAL_FRACTION and self.analysis.target_runs >= ENOUGH_RUNS
 
