--- a/wagtailtrestle/rollouts/rollout.py
+++ b/wagtailtrestle/rollouts/rollout.py
@@ -18,7 +18,7 @@
 TRIAL_FRACTION = 0.5
 """Part of the time for the trial, if the target has run enough by then."""
 MAX_TRIAL_FRACTION = 0.7
-ENOUGH_RUNS = 30
+TRIAL_RUNS = 30
 """Runs on the target by which one that fails a fifth of them is found."""
 MIN_RUNS = 15
 MIN_RUNS_PART = 0.25
@@ -183,7 +183,7 @@
     def _trial_is_over(self, part):
         if part >= MAX_TRIAL_FRACTION:
             return True
-        return part >= TRIAL_FRACTION and self.analysis.target_runs >= ENOUGH_RUNS
+        return part >= TRIAL_FRACTION and self.analysis.target_runs >= TRIAL_RUNS
 
     def _ramp(self):
         self.phase = Phase.RAMP
