--- a/wagtailtrestle/rollouts/rollout.py
+++ b/wagtailtrestle/rollouts/rollout.py
@@ -21,7 +21,7 @@
 TRIAL_RUNS = 30
 """Runs on the target by which one that fails a fifth of them is found."""
 MIN_RUNS = 15
-MIN_RUNS_PART = 0.25
+MIN_RUNS_FRACTION = 0.25
 """Runs on the target, and part of all runs; either is enough for everything to move there. A coordinator that took over
 late never completes a roll-out of which it has seen nothing."""
 MIN_RAMP_END, MAX_RAMP_END = 0.55, 0.8
@@ -191,7 +191,7 @@
         self._log("nothing speaks against the target; it gets as much as it may untested")
 
     def _ramp_is_over(self, part):
-        if self.analysis.target_runs < min(MIN_RUNS, MIN_RUNS_PART * self.exposure.granted):
+        if self.analysis.target_runs < min(MIN_RUNS, MIN_RUNS_FRACTION * self.exposure.granted):
             return False
         needed_s = END_ROOM_S + LONG_RUN_TIMES * self._long_run_s()
         return part >= min(MAX_RAMP_END, max(MIN_RAMP_END, 1.0 - needed_s / self.order.duration_s))
