--- a/wagtailtrestle/rollouts/rollout.py
+++ b/wagtailtrestle/rollouts/rollout.py
@@ -24,7 +24,7 @@
 MIN_RUNS_FRACTION = 0.25
 """Runs on the target, and part of all runs; either is enough for everything to move there. A coordinator that took over
 late never completes a roll-out of which it has seen nothing."""
-MIN_RAMP_END_FRACTION, MAX_RAMP_END = 0.55, 0.8
+MIN_RAMP_END_FRACTION, MAX_RAMP_END_FRACTION = 0.55, 0.8
 """Parts of the time between which the ramp ends, the sooner the longer the service's runs are: what the old engines
 hold then has to end before they stop."""
 LONG_RUN_QUANTILE = 0.95
@@ -194,7 +194,7 @@
         if self.analysis.target_runs < min(MIN_RUNS, MIN_RUNS_FRACTION * self.exposure.granted):
             return False
         needed_s = END_ROOM_S + LONG_RUN_TIMES * self._long_run_s()
-        return part >= min(MAX_RAMP_END, max(MIN_RAMP_END_FRACTION, 1.0 - needed_s / self.order.duration_s))
+        return part >= min(MAX_RAMP_END_FRACTION, max(MIN_RAMP_END_FRACTION, 1.0 - needed_s / self.order.duration_s))
 
     def _long_run_s(self):
         durations = sorted(self._durations)
