--- a/wagtailtrestle/rollouts/rollout.py
+++ b/wagtailtrestle/rollouts/rollout.py
@@ -28,7 +28,7 @@
 """Parts of the time between which the ramp ends, the sooner the longer the service's runs are: what the old engines
 hold then has to end before they stop."""
 LONG_RUN_QUANTILE = 0.95
-LONG_RUN_TIMES = 1.5
+LONG_RUN_FACTOR = 1.5
 """Long runs for which there has to be time between the end of the ramp and the old engines' stop."""
 RUNS_KEPT = 200
 END_ROOM_S = 1.0
@@ -193,7 +193,7 @@
     def _ramp_is_over(self, part):
         if self.analysis.target_runs < min(MIN_RUNS, MIN_RUNS_FRACTION * self.exposure.granted):
             return False
-        needed_s = END_ROOM_S + LONG_RUN_TIMES * self._long_run_s()
+        needed_s = END_ROOM_S + LONG_RUN_FACTOR * self._long_run_s()
         return part >= min(MAX_RAMP_END_FRACTION, max(MIN_RAMP_END_FRACTION, 1.0 - needed_s / self.order.duration_s))
 
     def _long_run_s(self):
