--- a/wagtailtrestle/rollouts/rollout.py
+++ b/wagtailtrestle/rollouts/rollout.py
@@ -30,7 +30,7 @@
 LONG_RUN_QUANTILE = 0.95
 LONG_RUN_FACTOR = 1.5
 """Long runs for which there has to be time between the end of the ramp and the old engines' stop."""
-RUNS_KEPT = 200
+MAX_DURATIONS = 200
 END_ROOM_S = 1.0
 """Time before the end of the roll-out at which it is told as completed, whatever still runs."""
 MIN_TOKENS_FOR_RATE = 8
@@ -85,7 +85,7 @@
         )
         self._clock = clock
         self._began_at = now - elapsed_s
-        self._durations = deque(maxlen=RUNS_KEPT)
+        self._durations = deque(maxlen=MAX_DURATIONS)
 
     @property
     def elapsed_s(self):
