--- a/wagtailtrestle/rollouts/rollout.py
+++ b/wagtailtrestle/rollouts/rollout.py
@@ -31,7 +31,7 @@
 LONG_RUN_FACTOR = 1.5
 """Long runs for which there has to be time between the end of the ramp and the old engines' stop."""
 MAX_DURATIONS = 200
-END_ROOM_S = 1.0
+COMPLETION_MARGIN_S = 1.0
 """Time before the end of the roll-out at which it is told as completed, whatever still runs."""
 MIN_TOKENS_FOR_RATE = 8
 MIN_CAPACITY = 0.5
@@ -143,7 +143,7 @@
         elif self.phase is Phase.RAMP and self._ramp_is_over(part):
             self._shift()
         elif self.phase is Phase.SHIFT:
-            has_room = self.elapsed_s < self.order.duration_s - END_ROOM_S
+            has_room = self.elapsed_s < self.order.duration_s - COMPLETION_MARGIN_S
             if not (has_room and old_runs):
                 self._end(RolloutState.COMPLETED)
 
@@ -193,7 +193,7 @@
     def _ramp_is_over(self, part):
         if self.analysis.target_runs < min(MIN_RUNS, MIN_RUNS_FRACTION * self.exposure.granted):
             return False
-        needed_s = END_ROOM_S + LONG_RUN_FACTOR * self._long_run_s()
+        needed_s = COMPLETION_MARGIN_S + LONG_RUN_FACTOR * self._long_run_s()
         return part >= min(MAX_RAMP_END_FRACTION, max(MIN_RAMP_END_FRACTION, 1.0 - needed_s / self.order.duration_s))
 
     def _long_run_s(self):
