--- a/wagtailtrestle/rollouts/rollout.py
+++ b/wagtailtrestle/rollouts/rollout.py
@@ -34,7 +34,7 @@
 COMPLETION_MARGIN_S = 1.0
 """Time before the end of the roll-out at which it is told as completed, whatever still runs."""
 MIN_TOKENS_FOR_RATE = 8
-MIN_CAPACITY = 0.5
+MIN_CAPACITY_FRACTION = 0.5
 """Part of the old engines' places that the target's must have to take over."""
 
 
@@ -137,7 +137,7 @@
             Runs that the old engines hold.
         """
         part = self.elapsed_s / self.order.duration_s
-        can_bear = target_places > 0 and target_places >= MIN_CAPACITY * old_places
+        can_bear = target_places > 0 and target_places >= MIN_CAPACITY_FRACTION * old_places
         if self.phase is Phase.TRIAL and can_bear and self._trial_is_over(part):
             self._ramp()
         elif self.phase is Phase.RAMP and self._ramp_is_over(part):
