--- a/wagtailtrestle/rollouts/exposure.py
+++ b/wagtailtrestle/rollouts/exposure.py
@@ -2,7 +2,7 @@
 
 from collections import Counter
 
-TRIAL_SHARE = 0.85
+TRIAL_SHARE_FRACTION = 0.85
 """Part of the operator's share that is spent while the version is judged; the rest is for what two schedulers of one
 service may grant beside each other for a moment."""
 
@@ -95,4 +95,4 @@
     def _most(self):
         if self._is_wide:
             return RAMP_PART * (self._share * self.granted + self._slack)
-        return TRIAL_SHARE * self._share * self.granted + TRIAL_SLACK * self._slack
+        return TRIAL_SHARE_FRACTION * self._share * self.granted + TRIAL_SLACK * self._slack
