--- a/wagtailtrestle/rollouts/exposure.py
+++ b/wagtailtrestle/rollouts/exposure.py
@@ -6,7 +6,7 @@
 """Part of the operator's share that is spent while the version is judged; the rest is for what two schedulers of one
 service may grant beside each other for a moment."""
 
-TRIAL_SLACK = 0.5
+TRIAL_SLACK_FRACTION = 0.5
 """Part of the operator's slack that is spent likewise. The rest bounds what a version gets that turns bad only once all
 traffic moves to it, until that is noticed."""
 
@@ -95,4 +95,4 @@
     def _most(self):
         if self._is_wide:
             return RAMP_PART * (self._share * self.granted + self._slack)
-        return TRIAL_SHARE_FRACTION * self._share * self.granted + TRIAL_SLACK * self._slack
+        return TRIAL_SHARE_FRACTION * self._share * self.granted + TRIAL_SLACK_FRACTION * self._slack
