--- a/wagtailtrestle/rollouts/exposure.py
+++ b/wagtailtrestle/rollouts/exposure.py
@@ -10,7 +10,7 @@
 """Part of the operator's slack that is spent likewise. The rest bounds what a version gets that turns bad only once all
 traffic moves to it, until that is noticed."""
 
-RAMP_PART = 0.97
+RAMP_FRACTION = 0.97
 """Part of all that the operator allows which is spent before all requests go to the target."""
 
 COMMON_PART = 0.05
@@ -94,5 +94,5 @@
 
     def _most(self):
         if self._is_wide:
-            return RAMP_PART * (self._share * self.granted + self._slack)
+            return RAMP_FRACTION * (self._share * self.granted + self._slack)
         return TRIAL_SHARE_FRACTION * self._share * self.granted + TRIAL_SLACK_FRACTION * self._slack
