--- a/wagtailtrestle/rollouts/exposure.py
+++ b/wagtailtrestle/rollouts/exposure.py
@@ -13,7 +13,7 @@
 RAMP_FRACTION = 0.97
 """Part of all that the operator allows which is spent before all requests go to the target."""
 
-COMMON_PART = 0.05
+COMMON_ROUTE_FRACTION = 0.05
 """Part of a service's runs from which on a route is waited for, so that it gets its exposures as others do."""
 MAX_TIMES = 1.5
 MAX_AHEAD = 3
@@ -87,7 +87,7 @@
 
     def _is_ahead(self, route):
         """Whether a route has had more than its part: a version that is bad on one of them is found by that one."""
-        least_granted = COMMON_PART * self.granted
+        least_granted = COMMON_ROUTE_FRACTION * self.granted
         common = [other for other, count in self._granted_by_route.items() if count >= least_granted]
         least = min((self._exposed_by_route[other] for other in common), default=0)
         return self._exposed_by_route[route] >= MAX_TIMES * least + MAX_AHEAD
