--- a/wagtailtrestle/rollouts/exposure.py
+++ b/wagtailtrestle/rollouts/exposure.py
@@ -16,7 +16,7 @@
 COMMON_ROUTE_FRACTION = 0.05
 """Part of a service's runs from which on a route is waited for, so that it gets its exposures as others do."""
 MAX_EXPOSURE_RATIO = 1.5
-MAX_AHEAD = 3
+MAX_EXPOSURE_LEAD = 3
 """Exposures that one route may have of each of another's, and besides."""
 
 COLLECT_S = 1.2
@@ -90,7 +90,7 @@
         least_granted = COMMON_ROUTE_FRACTION * self.granted
         common = [other for other, count in self._granted_by_route.items() if count >= least_granted]
         least = min((self._exposed_by_route[other] for other in common), default=0)
-        return self._exposed_by_route[route] >= MAX_EXPOSURE_RATIO * least + MAX_AHEAD
+        return self._exposed_by_route[route] >= MAX_EXPOSURE_RATIO * least + MAX_EXPOSURE_LEAD
 
     def _most(self):
         if self._is_wide:
