--- a/wagtailtrestle/rollouts/exposure.py
+++ b/wagtailtrestle/rollouts/exposure.py
@@ -19,7 +19,7 @@
 MAX_EXPOSURE_LEAD = 3
 """Exposures that one route may have of each of another's, and besides."""
 
-COLLECT_S = 1.2
+CREDIT_ACCUMULATION_S = 1.2
 """Time for which exposures are saved up, to be spent on one engine in a row: spread thinly, they would never show a
 version that fails only when its engine is full."""
 
@@ -83,7 +83,7 @@
         self._exposed_by_route[route] += 1
         self._credit_by_route[route] -= 1.0
         if not any(credit >= 1.0 for credit in self._credit_by_route.values()):
-            self._opens_at = now + COLLECT_S
+            self._opens_at = now + CREDIT_ACCUMULATION_S
 
     def _is_ahead(self, route):
         """Whether a route has had more than its part: a version that is bad on one of them is found by that one."""
