--- a/tests/test_rollout_decisions.py
+++ b/tests/test_rollout_decisions.py
@@ -140,7 +140,7 @@
 
     def step(self, at_s, *, old_runs=0, target_places=12):
         self.now = at_s
-        self.rollout.step(old_places=12, target_places=target_places, old_runs=old_runs)
+        self.rollout.step(old_slots=12, target_places=target_places, old_runs=old_runs)
 
     def shift(self):
         self.step(7.1)
@@ -187,7 +187,7 @@
         rollout = Rollout(order=self.rollout.order, share=SHARE, slack=SLACK, clock=lambda: self.now, progress=progress)
         for at_s in (0.1, 0.6, 1.6, 2.4):
             self.now = at_s
-            rollout.step(old_places=12, target_places=12, old_runs=0)
+            rollout.step(old_slots=12, target_places=12, old_runs=0)
         self.assertIs(rollout.phase, Phase.RAMP)
 
     def test_next_coordinator_goes_on_from_what_was_judged(self):
