--- a/tests/test_rollout_decisions.py
+++ b/tests/test_rollout_decisions.py
@@ -138,9 +138,9 @@
         order = RolloutOrder(service="s", target="v2", duration_s=10.0, store_version=1)
         self.rollout = Rollout(order=order, share=SHARE, slack=SLACK, clock=lambda: self.now)
 
-    def step(self, at_s, *, old_runs=0, target_places=12):
+    def step(self, at_s, *, old_runs=0, target_slots=12):
         self.now = at_s
-        self.rollout.step(old_slots=12, target_places=target_places, old_runs=old_runs)
+        self.rollout.step(old_slots=12, target_slots=target_slots, old_runs=old_runs)
 
     def shift(self):
         self.step(7.1)
@@ -161,7 +161,7 @@
         self.assertIs(self.rollout.state, RolloutState.COMPLETED)
 
     def test_too_few_new_engines_never_take_over(self):
-        self.step(9.5, target_places=3)
+        self.step(9.5, target_slots=3)
         self.assertIs(self.rollout.phase, Phase.TRIAL)
 
     def test_final_state_never_turns(self):
@@ -187,7 +187,7 @@
         rollout = Rollout(order=self.rollout.order, share=SHARE, slack=SLACK, clock=lambda: self.now, progress=progress)
         for at_s in (0.1, 0.6, 1.6, 2.4):
             self.now = at_s
-            rollout.step(old_slots=12, target_places=12, old_runs=0)
+            rollout.step(old_slots=12, target_slots=12, old_runs=0)
         self.assertIs(rollout.phase, Phase.RAMP)
 
     def test_next_coordinator_goes_on_from_what_was_judged(self):
--- a/wagtailtrestle/measure/rollout_ways.py
+++ b/wagtailtrestle/measure/rollout_ways.py
@@ -168,7 +168,7 @@
         if found_at_s is None and rollout.state is RolloutState.ROLLED_BACK:
             found_at_s = clock.now
         # The old engines hold something until the end, so that the shift is as long as it may be.
-        rollout.step(old_slots=12, target_places=12, old_runs=1)
+        rollout.step(old_slots=12, target_slots=12, old_runs=1)
     return Played(found_at_s=found_at_s, exposed=exposed, granted=granted, found_at_end=at_end.is_bad)
 
 
--- a/wagtailtrestle/rollouts/coordinator.py
+++ b/wagtailtrestle/rollouts/coordinator.py
@@ -283,7 +283,7 @@
                 places[rollout.is_target(engine.version)] += engine.slots
         runs = self._schedulers.runs_by_version(service)
         old_runs = sum(count for version, count in runs.items() if not rollout.is_target(version))
-        rollout.step(old_slots=places[False], target_places=places[True], old_runs=old_runs)
+        rollout.step(old_slots=places[False], target_slots=places[True], old_runs=old_runs)
 
     def _is_progress_due(self, service, rollout):
         progress = self._progress_by_service.get(service)
--- a/wagtailtrestle/rollouts/rollout.py
+++ b/wagtailtrestle/rollouts/rollout.py
@@ -126,7 +126,7 @@
         if self.analysis.is_bad:
             self._end(RolloutState.ROLLED_BACK)
 
-    def step(self, *, old_slots, target_places, old_runs):
+    def step(self, *, old_slots, target_slots, old_runs):
         """Go on as time passes.
 
         Parameters
@@ -137,7 +137,7 @@
             Runs that the old engines hold.
         """
         part = self.elapsed_s / self.order.duration_s
-        can_bear = target_places > 0 and target_places >= MIN_CAPACITY_FRACTION * old_slots
+        can_bear = target_slots > 0 and target_slots >= MIN_CAPACITY_FRACTION * old_slots
         if self.phase is Phase.TRIAL and can_bear and self._trial_is_over(part):
             self._ramp()
         elif self.phase is Phase.RAMP and self._ramp_is_over(part):
