--- a/tests/test_rollout_decisions.py
+++ b/tests/test_rollout_decisions.py
@@ -174,9 +174,9 @@
         for _ in range(200):
             self.rollout.exposure.record_grant("", is_target=False, now=0.0)
         self.now = 2.0
-        self.assertTrue(self.rollout.wants(ask("a")))
-        self.assertFalse(self.rollout.wants(ask("a", excluded_engines=("n-1",))))
-        self.assertFalse(self.rollout.wants(ask("a", alone=True)))
+        self.assertTrue(self.rollout.should_expose(ask("a")))
+        self.assertFalse(self.rollout.should_expose(ask("a", excluded_engines=("n-1",))))
+        self.assertFalse(self.rollout.should_expose(ask("a", alone=True)))
 
     def test_next_coordinator_completes_nothing_of_which_it_knows_nothing(self):
         # The scheduler dies in the ramp, shortly before the end. Its successor has seen no run on the target, and the
@@ -256,7 +256,7 @@
         self.ended = []
         self.full_by_request_id = {}
 
-    def wants(self, request):
+    def should_expose(self, request):
         return self.is_open
 
     def is_target(self, version):
--- a/wagtailtrestle/capacity/scheduler.py
+++ b/wagtailtrestle/capacity/scheduler.py
@@ -491,7 +491,7 @@
 
         The fullest one is used so that the new version is also observed on a full engine.
         """
-        if self._rollout is None or not self._rollout.wants(request):
+        if self._rollout is None or not self._rollout.should_expose(request):
             return None
         tried = [
             engine
--- a/wagtailtrestle/measure/rollout_ways.py
+++ b/wagtailtrestle/measure/rollout_ways.py
@@ -152,7 +152,7 @@
         clock.now += chance.expovariate(RATE_PER_S)
         route = "read" if chance.random() < 2 / 3 else "book"
         request = SimpleNamespace(route=route, excluded_engines=(), alone=False, done_tokens=0)
-        is_target = rollout.phase is Phase.SHIFT or rollout.wants(request)
+        is_target = rollout.phase is Phase.SHIFT or rollout.should_expose(request)
         granted += 1
         exposed += is_target
         version_name = "new" if is_target else "old"
--- a/wagtailtrestle/rollouts/rollout.py
+++ b/wagtailtrestle/rollouts/rollout.py
@@ -96,7 +96,7 @@
         """Whether engines of this version are the ones to move to."""
         return version == self.order.target
 
-    def wants(self, request):
+    def should_expose(self, request):
         """Whether a request goes to the target."""
         if self.phase not in (Phase.TRIAL, Phase.RAMP):
             return False
