--- a/wagtailtrestle/rollouts/rollout.py
+++ b/wagtailtrestle/rollouts/rollout.py
@@ -137,8 +137,8 @@
             Runs that the old engines hold.
         """
         part = self.elapsed_s / self.order.duration_s
-        can_bear = target_slots > 0 and target_slots >= MIN_CAPACITY_FRACTION * old_slots
-        if self.phase is Phase.TRIAL and can_bear and self._trial_is_over(part):
+        has_capacity = target_slots > 0 and target_slots >= MIN_CAPACITY_FRACTION * old_slots
+        if self.phase is Phase.TRIAL and has_capacity and self._trial_is_over(part):
             self._ramp()
         elif self.phase is Phase.RAMP and self._ramp_is_over(part):
             self._shift()
