--- a/wagtailtrestle/rollouts/rollout.py
+++ b/wagtailtrestle/rollouts/rollout.py
@@ -138,7 +138,7 @@
         """
         part = self.elapsed_s / self.order.duration_s
         has_capacity = target_slots > 0 and target_slots >= MIN_CAPACITY_FRACTION * old_slots
-        if self.phase is Phase.TRIAL and has_capacity and self._trial_is_over(part):
+        if self.phase is Phase.TRIAL and has_capacity and self._is_trial_over(part):
             self._ramp()
         elif self.phase is Phase.RAMP and self._ramp_is_over(part):
             self._shift()
@@ -180,7 +180,7 @@
             **self.analysis.dump(),
         }
 
-    def _trial_is_over(self, part):
+    def _is_trial_over(self, part):
         if part >= MAX_TRIAL_FRACTION:
             return True
         return part >= TRIAL_FRACTION and self.analysis.target_runs >= TRIAL_RUNS
