--- a/wagtailtrestle/rollouts/rollout.py
+++ b/wagtailtrestle/rollouts/rollout.py
@@ -140,7 +140,7 @@
         has_capacity = target_slots > 0 and target_slots >= MIN_CAPACITY_FRACTION * old_slots
         if self.phase is Phase.TRIAL and has_capacity and self._is_trial_over(part):
             self._ramp()
-        elif self.phase is Phase.RAMP and self._ramp_is_over(part):
+        elif self.phase is Phase.RAMP and self._is_ramp_over(part):
             self._shift()
         elif self.phase is Phase.SHIFT:
             has_room = self.elapsed_s < self.order.duration_s - COMPLETION_MARGIN_S
@@ -190,7 +190,7 @@
         self.exposure.widen()
         self._log("nothing speaks against the target; it gets as much as it may untested")
 
-    def _ramp_is_over(self, part):
+    def _is_ramp_over(self, part):
         if self.analysis.target_runs < min(MIN_RUNS, MIN_RUNS_FRACTION * self.exposure.granted):
             return False
         needed_s = COMPLETION_MARGIN_S + LONG_RUN_FACTOR * self._long_run_s()
