--- a/wagtailtrestle/rollouts/exposure.py
+++ b/wagtailtrestle/rollouts/exposure.py
@@ -67,7 +67,7 @@
 
     def may_expose(self, route, now):
         """Whether a request of this route may go to the target now."""
-        if self.exposed + 1 > self._most() or self._is_ahead(route):
+        if self.exposed + 1 > self._max_exposed() or self._is_ahead(route):
             return False
         return self._is_wide or (now >= self._opens_at and self._credit_by_route[route] >= 1.0)
 
@@ -92,7 +92,7 @@
         least = min((self._exposed_by_route[other] for other in common), default=0)
         return self._exposed_by_route[route] >= MAX_EXPOSURE_RATIO * least + MAX_EXPOSURE_LEAD
 
-    def _most(self):
+    def _max_exposed(self):
         if self._is_wide:
             return RAMP_FRACTION * (self._share * self.granted + self._slack)
         return TRIAL_SHARE_FRACTION * self._share * self.granted + TRIAL_SLACK_FRACTION * self._slack
