--- a/wagtailtrestle/rollouts/exposure.py
+++ b/wagtailtrestle/rollouts/exposure.py
@@ -89,8 +89,8 @@
         """Whether a route has had more than its part: a version that is bad on one of them is found by that one."""
         least_granted = COMMON_ROUTE_FRACTION * self.granted
         common = [other for other, count in self._granted_by_route.items() if count >= least_granted]
-        least = min((self._exposed_by_route[other] for other in common), default=0)
-        return self._exposed_by_route[route] >= MAX_EXPOSURE_RATIO * least + MAX_EXPOSURE_LEAD
+        min_exposed = min((self._exposed_by_route[other] for other in common), default=0)
+        return self._exposed_by_route[route] >= MAX_EXPOSURE_RATIO * min_exposed + MAX_EXPOSURE_LEAD
 
     def _max_exposed(self):
         if self._is_wide:
