--- a/wagtailtrestle/rollouts/exposure.py
+++ b/wagtailtrestle/rollouts/exposure.py
@@ -87,8 +87,8 @@
 
     def _is_ahead(self, route):
         """Whether a route has had more than its part: a version that is bad on one of them is found by that one."""
-        least_granted = COMMON_ROUTE_FRACTION * self.granted
-        common = [other for other, count in self._granted_by_route.items() if count >= least_granted]
+        min_granted = COMMON_ROUTE_FRACTION * self.granted
+        common = [other for other, count in self._granted_by_route.items() if count >= min_granted]
         min_exposed = min((self._exposed_by_route[other] for other in common), default=0)
         return self._exposed_by_route[route] >= MAX_EXPOSURE_RATIO * min_exposed + MAX_EXPOSURE_LEAD
 
