--- a/wagtailtrestle/rollouts/rollout.py
+++ b/wagtailtrestle/rollouts/rollout.py
@@ -136,11 +136,11 @@
         old_runs : int
             Runs that the old engines hold.
         """
-        part = self.elapsed_s / self.order.duration_s
+        fraction = self.elapsed_s / self.order.duration_s
         has_capacity = target_slots > 0 and target_slots >= MIN_CAPACITY_FRACTION * old_slots
-        if self.phase is Phase.TRIAL and has_capacity and self._is_trial_over(part):
+        if self.phase is Phase.TRIAL and has_capacity and self._is_trial_over(fraction):
             self._ramp()
-        elif self.phase is Phase.RAMP and self._is_ramp_over(part):
+        elif self.phase is Phase.RAMP and self._is_ramp_over(fraction):
             self._shift()
         elif self.phase is Phase.SHIFT:
             has_room = self.elapsed_s < self.order.duration_s - COMPLETION_MARGIN_S
@@ -180,21 +180,23 @@
             **self.analysis.dump(),
         }
 
-    def _is_trial_over(self, part):
-        if part >= MAX_TRIAL_FRACTION:
+    def _is_trial_over(self, fraction):
+        if fraction >= MAX_TRIAL_FRACTION:
             return True
-        return part >= TRIAL_FRACTION and self.analysis.target_runs >= TRIAL_RUNS
+        return fraction >= TRIAL_FRACTION and self.analysis.target_runs >= TRIAL_RUNS
 
     def _ramp(self):
         self.phase = Phase.RAMP
         self.exposure.widen()
         self._log("nothing speaks against the target; it gets as much as it may untested")
 
-    def _is_ramp_over(self, part):
+    def _is_ramp_over(self, fraction):
         if self.analysis.target_runs < min(MIN_RUNS, MIN_RUNS_FRACTION * self.exposure.granted):
             return False
         needed_s = COMPLETION_MARGIN_S + LONG_RUN_FACTOR * self._long_run_s()
-        return part >= min(MAX_RAMP_END_FRACTION, max(MIN_RAMP_END_FRACTION, 1.0 - needed_s / self.order.duration_s))
+        return fraction >= min(
+            MAX_RAMP_END_FRACTION, max(MIN_RAMP_END_FRACTION, 1.0 - needed_s / self.order.duration_s)
+        )
 
     def _long_run_s(self):
         durations = sorted(self._durations)
