--- a/wagtailtrestle/rollouts/canary_analysis.py
+++ b/wagtailtrestle/rollouts/canary_analysis.py
@@ -55,7 +55,7 @@
         self.old_runs += 1
         self.old_bad += bad
 
-    def part(self, prior=PRIOR_BAD_RUNS / PRIOR_RUNS):
+    def bad_rate(self, prior=PRIOR_BAD_RUNS / PRIOR_RUNS):
         """Part of the old version's runs that were bad; ``prior`` is what is believed before any is seen."""
         return (self.old_bad + PRIOR_RUNS * prior) / (self.old_runs + PRIOR_RUNS)
 
@@ -64,8 +64,8 @@
 
         Taken as seen, chance among the old version's runs alone would make a good target look worse.
         """
-        part = self.part(prior)
-        return part + math.sqrt(part * (1.0 - part) / (self.old_runs + PRIOR_RUNS))
+        bad_rate = self.bad_rate(prior)
+        return bad_rate + math.sqrt(bad_rate * (1.0 - bad_rate) / (self.old_runs + PRIOR_RUNS))
 
     def add(self, bad, usual):
         """Add the evidence of a run on the target where this part is bad with any version."""
@@ -211,4 +211,4 @@
         evidence.add(bad, usual)
         self._all.add(bad, usual)
         if was_full:
-            self._full.add(bad, max(usual, self._full.usual(prior=evidence.part())))
+            self._full.add(bad, max(usual, self._full.usual(prior=evidence.bad_rate())))
