--- a/wagtailtrestle/rollouts/coordinator.py
+++ b/wagtailtrestle/rollouts/coordinator.py
@@ -56,7 +56,7 @@
         "_slack",
         "_clock",
         "_progress_by_service",
-        "_stopped_by_service",
+        "_old_engines_by_service",
         "_targets_by_service",
         "_seen_at_by_version",
         "_sent_at_by_service",
@@ -80,7 +80,7 @@
         self._slack = slack
         self._clock = clock
         self._progress_by_service = {}
-        self._stopped_by_service = {}
+        self._old_engines_by_service = {}
         self._targets_by_service = {}
         self._seen_at_by_version = {}
         self._sent_at_by_service = {}
@@ -191,12 +191,12 @@
         """Names of the old engines of a completed roll-out: they stop at once, and may still be listed."""
         target = self._target_of(service)
         if state is not RolloutState.COMPLETED:
-            self._stopped_by_service.pop(service, None)
+            self._old_engines_by_service.pop(service, None)
             return frozenset()
-        if service not in self._stopped_by_service:
+        if service not in self._old_engines_by_service:
             old = frozenset(engine.name for engine in engines if engine.version != target)
-            self._stopped_by_service[service] = old
-        return self._stopped_by_service[service]
+            self._old_engines_by_service[service] = old
+        return self._old_engines_by_service[service]
 
     def _target_of(self, service):
         order = self._order_watcher.by_service.get(service)
