--- a/wagtailtrestle/rollouts/coordinator.py
+++ b/wagtailtrestle/rollouts/coordinator.py
@@ -225,7 +225,7 @@
         """The roll-out that this router coordinates, or ``None``."""
         order = self._order_watcher.by_service.get(service)
         if order is None or self._state_of(service).is_final:
-            return self._ended(service)
+            return self._ended_rollout(service)
         rollout = self.rollout_by_service.get(service)
         if rollout is None or rollout.order.target != order.target:
             rollout = self.rollout_by_service[service] = Rollout(
@@ -255,7 +255,7 @@
             exposed=math.ceil(self._slack),
         )
 
-    def _ended(self, service):
+    def _ended_rollout(self, service):
         rollout = self.rollout_by_service.get(service)
         return rollout if rollout is not None and rollout.phase is Phase.ENDED else None
 
