--- a/tests/test_rollout_decisions.py
+++ b/tests/test_rollout_decisions.py
@@ -247,7 +247,7 @@
         self.assertEqual(self.held("v1", "v2", "v3", target="v2", state=RolloutState.ROLLED_BACK), {"e1"})
 
 
-class Wanting:
+class ExposingRollout:
     """A roll-out that wants every request on version v2, or none."""
 
     def __init__(self):
@@ -276,7 +276,7 @@
         new = engine("e2")
         new.version = "v2"
         self.cell.scheduler.set_engines({"e1": engine("e1"), "e2": new})
-        self.rollout = Wanting()
+        self.rollout = ExposingRollout()
         self.cell.scheduler.set_rollout(self.rollout, frozenset({"e2"}))
 
     def engines_granted(self):
