--- a/tests/test_rollout_decisions.py
+++ b/tests/test_rollout_decisions.py
@@ -344,7 +344,7 @@
         return {}
 
 
-class Silent:
+class SilentBroadcast:
     """A broadcast that nobody hears."""
 
     def on(self, message_type, *, key, handler):
@@ -356,7 +356,7 @@
 
 class CoordinatorTest(unittest.TestCase):
     def start(self, store):
-        self.schedulers, self.broadcast = Schedulers(), Silent()
+        self.schedulers, self.broadcast = Schedulers(), SilentBroadcast()
         old, new = engine("e1"), engine("e2")
         old.service = new.service = "s"
         old.version, new.version = "v1", "v2"
