--- a/tests/test_rollout_decisions.py
+++ b/tests/test_rollout_decisions.py
@@ -315,7 +315,7 @@
 
     def __init__(self, *, status=None):
         self.status = status
-        self.told = []
+        self.written = []
 
     async def list(self, *, kind):
         value = {"specification": {"service": "s", "target": "v2", "duration_s": 10.0}, "status": self.status}
@@ -326,7 +326,7 @@
         return StoreDone(version=from_version, value=())
 
     async def update_status(self, *, kind, name, value, if_version):
-        self.told.append(value["state"])
+        self.written.append(value["state"])
         self.status = value
         return StoreDone(version=6)
 
@@ -396,7 +396,7 @@
         coordinator = self.start(store)
         self.broadcast.deliver(RolloutWord(service="s", target="v2", state=RolloutState.ROLLED_BACK))
         await self.pass_time(coordinator, 1.0)
-        self.assertEqual(store.told, ["rolled_back"])
+        self.assertEqual(store.written, ["rolled_back"])
         self.assertEqual(self.schedulers.reserved_by_service["s"], {"e2"})
         await coordinator.close()
 
@@ -427,7 +427,7 @@
         await self.pass_time(coordinator, 1.0)
         self.broadcast.deliver(RolloutWord(service="s", target="v2", state=RolloutState.ROLLED_BACK))
         await self.pass_time(coordinator, 1.0)
-        self.assertEqual(store.told, [])
+        self.assertEqual(store.written, [])
         self.assertEqual(self.schedulers.reserved_by_service["s"], {"e1"})
         await coordinator.close()
 
@@ -454,8 +454,8 @@
     def test_status_of_an_earlier_target_is_none(self):
         order = {"service": "s", "target": "v3", "duration_s": 12}
         self.assertIsNone(self.read(order, {"state": "completed", "target": "v2"}).state)
-        told = rollout_status("v3", RolloutState.ROLLED_BACK)
-        self.assertIs(self.read(order, told).state, RolloutState.ROLLED_BACK)
+        written = rollout_status("v3", RolloutState.ROLLED_BACK)
+        self.assertIs(self.read(order, written).state, RolloutState.ROLLED_BACK)
 
 
 if __name__ == "__main__":
