--- a/tests/utils/rollout_world.py
+++ b/tests/utils/rollout_world.py
@@ -43,7 +43,7 @@
         self.arrived_at = []
         self.bad_at = []
         self.chance = random.Random(name)
-        self._places = threading.Semaphore(SLOTS)
+        self._slots = threading.Semaphore(SLOTS)
         self._lock = threading.Lock()
         super().__init__(name=name, service=SERVICE)
 
@@ -54,7 +54,7 @@
         with self._lock:
             self.arrived_at.append(time.monotonic())
             self.running += 1
-        with self._places:
+        with self._slots:
             bad = self.is_bad(self, handler.path)
             time.sleep(self.work_s * self.slow_by(self, handler.path))
             if bad:
