--- a/tests/test_rollout_decisions.py
+++ b/tests/test_rollout_decisions.py
@@ -204,7 +204,7 @@
         )
         rollout = Rollout(order=self.rollout.order, share=SHARE, slack=SLACK, clock=lambda: self.now, progress=progress)
         failed = finished("a", result="RunFailed")
-        rollout.note_end(request=ask("a"), engine="e2", version="v2", finished=failed)
+        rollout.record_run_end(request=ask("a"), engine="e2", version="v2", finished=failed)
         self.assertIs(rollout.state, RolloutState.ROLLED_BACK)
 
     def test_next_coordinator_knows_the_time_that_passed(self):
@@ -265,7 +265,7 @@
     def record_grant(self, request, version):
         self.granted.append(version)
 
-    def note_end(self, *, request, engine, version, finished, was_full):
+    def record_run_end(self, *, request, engine, version, finished, was_full):
         self.ended.append((engine, version, finished.result))
         self.full_by_request_id[request.request_id] = was_full
 
--- a/wagtailtrestle/capacity/scheduler.py
+++ b/wagtailtrestle/capacity/scheduler.py
@@ -316,7 +316,7 @@
         if self._rollout is not None and grant is not None and grant.engine == message.engine and message.duration_s:
             engine = self._runs.engines_by_name.get(grant.engine)
             if engine is not None:
-                self._rollout.note_end(
+                self._rollout.record_run_end(
                     request=grant.request,
                     engine=engine.name,
                     version=engine.version,
--- a/wagtailtrestle/measure/rollout_ways.py
+++ b/wagtailtrestle/measure/rollout_ways.py
@@ -164,7 +164,7 @@
             at_end.note(is_target=is_target, bad=bad, pace=pace)
         finished = SimpleNamespace(result=FAILED if bad else DONE, duration_s=pace, output_tokens=0, first_token_s=0.0)
         engine = f"{version_name}-{chance.randint(1, 2)}"
-        rollout.note_end(request=request, engine=engine, version=version_name, finished=finished)
+        rollout.record_run_end(request=request, engine=engine, version=version_name, finished=finished)
         if found_at_s is None and rollout.state is RolloutState.ROLLED_BACK:
             found_at_s = clock.now
         # The old engines hold something until the end, so that the shift is as long as it may be.
--- a/wagtailtrestle/rollouts/rollout.py
+++ b/wagtailtrestle/rollouts/rollout.py
@@ -109,7 +109,7 @@
         """Count a run that was granted."""
         self.exposure.record_grant(request.route, is_target=self.is_target(version), now=self._clock())
 
-    def note_end(self, *, request, engine, version, finished, was_full=False):
+    def record_run_end(self, *, request, engine, version, finished, was_full=False):
         """Take in how a run ended, and whether its engine was full with it when it began."""
         if self.phase is Phase.ENDED:
             return
