--- a/tests/test_rollout_decisions.py
+++ b/tests/test_rollout_decisions.py
@@ -67,7 +67,7 @@
                 was_full=was_full,
             )
 
-    def test_crash_of_one_engine_is_not_a_versions_fault(self):
+    def test_single_engine_crash_is_not_blamed_on_the_version(self):
         # All runs of an engine that crashed are cut at once.
         analysis = CanaryAnalysis()
         self.record_run(analysis, 100, is_target=False)
