--- a/tests/test_rollout_decisions.py
+++ b/tests/test_rollout_decisions.py
@@ -80,7 +80,7 @@
         self.record_run(analysis, 10, is_target=True, result="RunCut", gap_s=2 * CRASH_WINDOW_S)
         self.assertTrue(analysis.is_bad)
 
-    def test_what_both_versions_fail_is_not_the_targets_fault(self):
+    def test_failures_of_both_versions_are_not_blamed_on_the_target(self):
         analysis = CanaryAnalysis()
         for _ in range(20):
             self.record_run(analysis, 5, is_target=False)
