--- a/tests/test_rollout_decisions.py
+++ b/tests/test_rollout_decisions.py
@@ -106,7 +106,7 @@
         self.assertTrue(analysis.is_bad)
 
     # Guards against a good version that is blamed for what the old one does on full engines too.
-    def test_what_both_versions_fail_on_full_engines_is_not_the_targets_fault(self):
+    def test_full_engine_failures_of_both_versions_are_not_blamed_on_the_target(self):
         analysis = CanaryAnalysis()
         self.record_run(analysis, 300, is_target=False)
         self.record_run(analysis, 20, is_target=False, was_full=True)
