--- a/tests/test_rollout_decisions.py
+++ b/tests/test_rollout_decisions.py
@@ -74,7 +74,7 @@
         self.record_run(analysis, 30, is_target=True, result="RunCut", gap_s=CRASH_WINDOW_S / 100)
         self.assertFalse(analysis.is_bad)
 
-    def test_version_that_crashes_again_and_again_is_bad(self):
+    def test_version_that_crashes_repeatedly_is_bad(self):
         analysis = CanaryAnalysis()
         self.record_run(analysis, 100, is_target=False)
         self.record_run(analysis, 10, is_target=True, result="RunCut", gap_s=2 * CRASH_WINDOW_S)
