--- a/tests/test_rollout_decisions.py
+++ b/tests/test_rollout_decisions.py
@@ -48,7 +48,7 @@
             exposure.record_grant(route, is_target=exposed, now=number / 60.0)
         self.assertGreater(by_route["b"], 0.1 * sum(by_route.values()))
 
-    def test_next_coordinator_goes_on_from_what_was_told(self):
+    def test_next_coordinator_resumes_from_reported_counts(self):
         exposure = Exposure(share=SHARE, slack=SLACK, now=0.0, granted=10, exposed=50)
         self.assertFalse(exposure.may_expose("a", 1.0))
 
