--- a/tests/test_rollout_decisions.py
+++ b/tests/test_rollout_decisions.py
@@ -190,7 +190,7 @@
             rollout.step(old_slots=12, target_slots=12, old_runs=0)
         self.assertIs(rollout.phase, Phase.RAMP)
 
-    def test_next_coordinator_goes_on_from_what_was_judged(self):
+    def test_next_coordinator_resumes_from_reported_analysis(self):
         progress = RolloutWord(
             service="s",
             target="v2",
