--- a/tests/test_rollout_decisions.py
+++ b/tests/test_rollout_decisions.py
@@ -178,7 +178,7 @@
         self.assertFalse(self.rollout.should_expose(ask("a", excluded_engines=("n-1",))))
         self.assertFalse(self.rollout.should_expose(ask("a", alone=True)))
 
-    def test_next_coordinator_completes_nothing_of_which_it_knows_nothing(self):
+    def test_next_coordinator_without_runs_on_the_target_does_not_complete(self):
         # The scheduler dies in the ramp, shortly before the end. Its successor has seen no run on the target, and the
         # last word it heard is old: everything would move to a version that nobody judged.
         progress = RolloutWord(
