--- a/tests/test_rollout_decisions.py
+++ b/tests/test_rollout_decisions.py
@@ -207,7 +207,7 @@
         rollout.record_run_end(request=ask("a"), engine="e2", version="v2", finished=failed)
         self.assertIs(rollout.state, RolloutState.ROLLED_BACK)
 
-    def test_next_coordinator_knows_the_time_that_passed(self):
+    def test_next_coordinator_resumes_from_reported_elapsed_time(self):
         progress = RolloutWord(service="s", target="v2", state=RolloutState.RUNNING, elapsed_s=6.0, duration_s=10.0)
         rollout = Rollout(order=self.rollout.order, share=SHARE, slack=SLACK, clock=lambda: 100.0, progress=progress)
         self.assertAlmostEqual(rollout.elapsed_s, 6.0)
