--- a/tests/test_rollout_decisions.py
+++ b/tests/test_rollout_decisions.py
@@ -37,7 +37,7 @@
                 exposure.record_grant(route, is_target=exposure.may_expose(route, now), now=now)
                 self.assertLessEqual(exposure.exposed, SHARE * exposure.granted + SLACK)
 
-    def test_each_route_gets_its_part(self):
+    def test_each_route_gets_its_share(self):
         chance = random.Random(1)
         exposure = Exposure(share=SHARE, slack=SLACK, now=0.0)
         by_route = dict.fromkeys("ab", 0)
