--- a/tests/test_rollout_decisions.py
+++ b/tests/test_rollout_decisions.py
@@ -155,7 +155,7 @@
         self.step(8.3)
         self.assertIs(self.rollout.state, RolloutState.COMPLETED)
 
-    def test_completed_in_time_though_something_runs_on(self):
+    def test_completed_before_the_deadline_despite_running_requests(self):
         self.shift()
         self.step(9.1, old_runs=1)
         self.assertIs(self.rollout.state, RolloutState.COMPLETED)
