--- a/tests/test_rollout_decisions.py
+++ b/tests/test_rollout_decisions.py
@@ -147,7 +147,7 @@
         self.step(8.0)
         self.assertIs(self.rollout.phase, Phase.SHIFT)
 
-    def test_completed_only_when_nothing_runs_on_the_old_engines(self):
+    def test_completed_only_when_old_engines_are_idle(self):
         # They stop without a drain at that moment: whatever ran there would be lost to its caller.
         self.shift()
         self.step(8.1, old_runs=1)
