--- a/tests/test_rollout_decisions.py
+++ b/tests/test_rollout_decisions.py
@@ -164,7 +164,7 @@
         self.step(9.5, target_slots=3)
         self.assertIs(self.rollout.phase, Phase.TRIAL)
 
-    def test_final_state_never_turns(self):
+    def test_final_state_never_changes(self):
         self.rollout.end_as(RolloutState.ROLLED_BACK)
         self.rollout.end_as(RolloutState.COMPLETED)
         self.step(9.5)
