--- a/tests/test_rollout_decisions.py
+++ b/tests/test_rollout_decisions.py
@@ -170,7 +170,7 @@
         self.step(9.5)
         self.assertIs(self.rollout.state, RolloutState.ROLLED_BACK)
 
-    def test_second_try_of_a_failed_answer_is_not_exposed(self):
+    def test_retry_of_a_failed_run_is_not_exposed(self):
         for _ in range(200):
             self.rollout.exposure.record_grant("", is_target=False, now=0.0)
         self.now = 2.0
