--- a/tests/test_rollout_decisions.py
+++ b/tests/test_rollout_decisions.py
@@ -233,7 +233,7 @@
     def test_only_version_is_used_though_the_orders_are_not_read(self):
         self.assertEqual(self.held("v2", "v2", unread_versions={"v2"}), set())
 
-    def test_target_is_held_back_while_it_is_tried_and_the_old_ones_in_the_shift(self):
+    def test_target_is_reserved_during_the_trial_and_old_engines_during_the_shift(self):
         order = {"target": "v2", "state": RolloutState.RUNNING}
         self.assertEqual(self.held("v1", "v2", **order), {"e1"})
         self.assertEqual(self.held("v1", "v2", is_shifting=True, **order), {"e0"})
