--- a/tests/test_rollout_decisions.py
+++ b/tests/test_rollout_decisions.py
@@ -238,7 +238,7 @@
         self.assertEqual(self.held("v1", "v2", **order), {"e1"})
         self.assertEqual(self.held("v1", "v2", is_shifting=True, **order), {"e0"})
 
-    def test_target_of_a_former_order_gets_nothing_either(self):
+    def test_target_of_an_earlier_order_is_reserved(self):
         # A version was rolled back, and its engines still drain when the operator orders the next one.
         order = {"target": "v3", "state": RolloutState.RUNNING, "untested_versions": {"v2"}}
         self.assertEqual(self.held("v1", "v2", "v3", **order), {"e1", "e2"})
