--- a/tests/test_rollout_decisions.py
+++ b/tests/test_rollout_decisions.py
@@ -282,7 +282,7 @@
     def engines_granted(self):
         return [granted.engine for granted in self.cell.entries.of(Granted)]
 
-    def test_exposed_request_goes_to_the_held_back_engine_and_others_do_not(self):
+    def test_only_exposed_requests_go_to_the_reserved_engine(self):
         self.cell.receive(ask("a"))
         self.rollout.is_open = False
         self.cell.receive(ask("b"), ask("c"), ask("d"))
