--- a/tests/test_rollout_decisions.py
+++ b/tests/test_rollout_decisions.py
@@ -289,7 +289,7 @@
         self.assertEqual(self.engines_granted(), ["e2", "e1", "e1"])
         self.assertEqual(self.rollout.granted, ["v2", "", ""])
 
-    def test_end_of_a_run_is_told_with_its_version(self):
+    def test_end_of_a_run_is_reported_with_its_version(self):
         self.cell.receive(ask("a"), finished("a", on="e2", result="RunFailed"))
         self.assertEqual(self.rollout.ended, [("e2", "v2", "RunFailed")])
 
