--- a/tests/test_rollout_decisions.py
+++ b/tests/test_rollout_decisions.py
@@ -293,7 +293,7 @@
         self.cell.receive(ask("a"), finished("a", on="e2", result="RunFailed"))
         self.assertEqual(self.rollout.ended, [("e2", "v2", "RunFailed")])
 
-    def test_end_of_a_run_tells_whether_its_engine_was_full(self):
+    def test_end_of_a_run_reports_whether_its_engine_was_full(self):
         self.cell.receive(ask("a"), ask("b"), finished("a", on="e2"), finished("b", on="e2"))
         self.assertEqual(self.rollout.full_by_request_id, {"a": False, "b": True})
 
