--- a/tests/test_rollout_decisions.py
+++ b/tests/test_rollout_decisions.py
@@ -297,7 +297,7 @@
         self.cell.receive(ask("a"), ask("b"), finished("a", on="e2"), finished("b", on="e2"))
         self.assertEqual(self.rollout.full_by_request_id, {"a": False, "b": True})
 
-    def test_held_back_engine_that_is_full_leaves_the_request_to_others(self):
+    def test_exposed_request_goes_to_another_engine_if_the_reserved_one_is_full(self):
         self.cell.receive(ask("a"), ask("b"), ask("c"))
         self.assertEqual(self.engines_granted(), ["e2", "e2", "e1"])
 
