--- a/tests/test_rollout_decisions.py
+++ b/tests/test_rollout_decisions.py
@@ -301,7 +301,7 @@
         self.cell.receive(ask("a"), ask("b"), ask("c"))
         self.assertEqual(self.engines_granted(), ["e2", "e2", "e1"])
 
-    def test_request_is_not_refused_nor_another_cancelled_for_engines_held_back(self):
+    def test_reserved_engines_cause_no_refusals_or_preemptions(self):
         self.rollout.is_open = False
         self.cell.receive(ask("a"), ask("b"), ask("c"))
         self.cell.scheduler.on_load_report(report(on="e2"))
