--- a/tests/test_rollout_decisions.py
+++ b/tests/test_rollout_decisions.py
@@ -401,7 +401,7 @@
         await coordinator.close()
 
     @on_paused_clock
-    async def test_restart_of_all_routers_does_not_give_an_untested_version_its_slack_again(self):
+    async def test_restart_of_all_routers_does_not_renew_the_slack_of_an_untested_version(self):
         # All routers lose power while a version is tried. Nobody is left who counted what it got; the store says that
         # the roll-out runs. Counted from nothing, a bad version would get the slack once more with each restart.
         for status, most in ((None, SLACK), ({"state": "running", "target": "v2"}, 0)):
