--- a/tests/test_rollout_decisions.py
+++ b/tests/test_rollout_decisions.py
@@ -436,7 +436,7 @@
     def read(self, specification, status=None):
         return read_rollout("s", 7, {"specification": specification, "status": status})
 
-    def test_forged_orders_are_not_read(self):
+    def test_invalid_orders_are_rejected(self):
         good = {"service": "s", "target": "v2", "duration_s": 12}
         for change in (
             {"service": "other"},
