--- a/tests/test_rollout_decisions.py
+++ b/tests/test_rollout_decisions.py
@@ -118,7 +118,7 @@
         self.assertFalse(analysis.is_bad)
 
 
-class PlayedTest(unittest.TestCase):
+class SimulatedRolloutTest(unittest.TestCase):
     def test_good_version_is_never_rolled_back(self):
         found = [seed for seed in SEEDS if play(VERSIONS_BY_NAME[GOOD], seed).found_at_s is not None]
         self.assertEqual(found, [])
