--- a/tests/test_rollouts.py
+++ b/tests/test_rollouts.py
@@ -96,7 +96,7 @@
         world, _ = self.play(is_bad=fails(0.3), after_order=kill_scheduler, end="rolled_back")
         self.assert_exposed_little(world)
 
-    def test_store_that_comes_back_from_a_copy_does_not_turn_the_verdict(self):
+    def test_store_restored_from_a_backup_does_not_reverse_the_verdict(self):
         # The store loses the status of a version that was rolled back. It is told again, and its engines get nothing
         # meanwhile.
         world = RolloutWorld(is_bad=fails(0.5))
