--- a/tests/test_rollouts.py
+++ b/tests/test_rollouts.py
@@ -116,7 +116,7 @@
         callers.stop()
         self.assertLess(world.arrivals(world.new)[-1], ended_at + 0.5)
 
-    def test_newer_order_before_the_former_one_ended(self):
+    def test_newer_order_before_the_previous_one_ended(self):
         # The operator orders another version while one is tried. The former target is as untested as the new one; taken
         # for any other version, it would get its full part of all requests.
         world = RolloutWorld()
