--- a/tests/test_rollouts.py
+++ b/tests/test_rollouts.py
@@ -139,7 +139,7 @@
         self.addCleanup(world.close)
         return world.start()
 
-    def test_running_is_told_at_once(self):
+    def test_running_status_is_written_immediately(self):
         world = self.start()
         world.order(duration_s=DURATION_S)
         wait_until(lambda: world.state() == "running", "the roll-out is told as running")
