--- a/tests/test_rollout_decisions.py
+++ b/tests/test_rollout_decisions.py
@@ -26,23 +26,23 @@
     def test_never_more_than_the_operator_allows(self):
         # Whatever routes come and however fast, and also in the ramp.
         for seed in range(200):
-            chance = random.Random(seed)
+            rng = random.Random(seed)
             exposure = Exposure(share=SHARE, slack=SLACK, now=0.0)
             now = 0.0
-            for number in range(chance.randint(10, 2000)):
-                now += chance.expovariate(chance.choice((5.0, 60.0, 600.0)))
+            for number in range(rng.randint(10, 2000)):
+                now += rng.expovariate(rng.choice((5.0, 60.0, 600.0)))
                 if number == 300:
                     exposure.widen()
-                route = chance.choice("aaaab")
+                route = rng.choice("aaaab")
                 exposure.record_grant(route, is_target=exposure.may_expose(route, now), now=now)
                 self.assertLessEqual(exposure.exposed, SHARE * exposure.granted + SLACK)
 
     def test_each_route_gets_its_share(self):
-        chance = random.Random(1)
+        rng = random.Random(1)
         exposure = Exposure(share=SHARE, slack=SLACK, now=0.0)
         by_route = dict.fromkeys("ab", 0)
         for number in range(600):
-            route = "a" if chance.random() < 0.9 else "b"
+            route = "a" if rng.random() < 0.9 else "b"
             exposed = exposure.may_expose(route, number / 60.0)
             by_route[route] += exposed
             exposure.record_grant(route, is_target=exposed, now=number / 60.0)
--- a/tests/utils/rollout_world.py
+++ b/tests/utils/rollout_world.py
@@ -42,7 +42,7 @@
         self.began_at = time.monotonic()
         self.arrived_at = []
         self.bad_at = []
-        self.chance = random.Random(name)
+        self.rng = random.Random(name)
         self._slots = threading.Semaphore(SLOTS)
         self._lock = threading.Lock()
         super().__init__(name=name, service=SERVICE)
@@ -73,7 +73,7 @@
             return False
         if time.monotonic() - engine.began_at < after_s or (when_full and engine.running < SLOTS):
             return False
-        return engine.chance.random() < share
+        return engine.rng.random() < share
 
     return is_bad
 
