--- a/tests/utils/rollout_world.py
+++ b/tests/utils/rollout_world.py
@@ -158,7 +158,7 @@
     """
 
     def __init__(self, *, world, rate_per_s, routers=None):
-        self.seen = []
+        self.responses = []
         self._world = world
         self._rate_per_s = rate_per_s
         self._routers = routers or range(len(world.routers))
@@ -176,7 +176,7 @@
         self._thread.join()
         for thread in self._threads:
             thread.join()
-        return Counter(status for _, status in self.seen)
+        return Counter(status for _, status in self.responses)
 
     def _run(self):
         number = 0
@@ -197,4 +197,4 @@
             status = answer.status if answer.whole else 0
         except OSError:
             status = 0
-        self.seen.append((time.monotonic(), status))
+        self.responses.append((time.monotonic(), status))
