--- a/tests/utils/rollout_world.py
+++ b/tests/utils/rollout_world.py
@@ -182,14 +182,14 @@
         number = 0
         next_at = time.monotonic()
         while not self._stop.is_set():
-            thread = threading.Thread(target=self._ask, args=(number,), daemon=True)
+            thread = threading.Thread(target=self._send_request, args=(number,), daemon=True)
             self._threads.append(thread)
             thread.start()
             number += 1
             next_at += 1.0 / self._rate_per_s
             time.sleep(max(0.0, next_at - time.monotonic()))
 
-    def _ask(self, number):
+    def _send_request(self, number):
         router = self._routers[number % len(self._routers)]
         method, path = ("GET", READ_PATH) if number % 3 else ("POST", BOOK_PATH)
         try:
