--- a/wagtailtrestle/rollouts/__init__.py
+++ b/wagtailtrestle/rollouts/__init__.py
@@ -1,1 +1,1 @@
-"""Roll-outs: a service's traffic moves to engines of another version, if that version proves as good."""
+"""Rollouts: move a service's traffic to engines of another version after a canary analysis."""
--- a/wagtailtrestle/rollouts/coordinator.py
+++ b/wagtailtrestle/rollouts/coordinator.py
@@ -1,9 +1,9 @@
-"""The roll-outs of the services of which this router is scheduler: orders in, verdicts out.
+"""Coordinates the rollouts of the services whose scheduler is this router.
 
-The scheduler of a service decides its roll-out, since it grants nearly all of its runs and hears how each ended. It
-tells all routers how the roll-out stands each second, so that whoever is scheduler next goes on from there, and at
-once when it has ended. The state in the store is written on condition that the order is as it was read; a final
-state there is never replaced.
+The scheduler of a service decides its rollout, since it grants nearly all of its runs and receives their outcomes. It
+broadcasts the rollout's progress to all routers each second, so that the next scheduler can resume from there, and
+immediately when the rollout has ended. The state in the store is written on condition that the order is unchanged; a
+final state there is never replaced.
 """
 
 import math
@@ -19,25 +19,25 @@
 
 
 class Coordinator:
-    """Follows the operator's orders and ends them.
+    """Runs the rollouts that the operator ordered and writes their results to the store.
 
     Parameters
     ----------
     store : StatusStore
     adapter : Adapter
-        Its ``rollout_kind`` and how its objects read.
+        Gives the ``rollout_kind`` and parses its objects.
     schedulers : SchedulerSet
     broadcast : Broadcast
     own_services : callable
-        ``own_services()`` gives the services of which this router is scheduler.
+        ``own_services()`` returns the services whose scheduler is this router.
     engines : callable
-        ``engines()`` gives the engines by name, as they are listed.
+        ``engines()`` returns the listed engines by name.
     share : float
-        Part of a service's requests that an untested version may get.
+        Fraction of a service's requests that an untested version may get.
     slack : int
-        Requests that it may get besides.
+        Number of requests that it may get in addition.
     clock : callable
-        The loop's time, seconds.
+        Event loop time in seconds.
 
     Attributes
     ----------
@@ -87,11 +87,11 @@
         broadcast.on(RolloutWord, key=_progress_key, handler=self.on_progress)
 
     def start(self):
-        """Begin to follow orders; must be called on the running event loop."""
+        """Start watching orders; must be called on the running event loop."""
         self._order_watcher.start()
 
     async def close(self):
-        """Stop; what is decided is with the other routers."""
+        """Stop; the other routers already have the final states."""
         await self._order_watcher.close()
 
     def dump(self):
@@ -107,10 +107,10 @@
             "rollouts": {name: rollout.dump() for name, rollout in self.rollout_by_service.items()},
         }
 
-    # What others tell.
+    # Progress reports of other routers.
 
     def on_progress(self, progress):
-        """Take in how another router says that a roll-out stands."""
+        """Process another router's progress report; a final state that is known already is kept."""
         known = self._progress_by_service.get(progress.service)
         if known is not None and known.target == progress.target and known.state.is_final:
             return
@@ -122,11 +122,11 @@
         self.refresh()
 
     def words(self):
-        """What is known of each service's roll-out, for a router that has just come."""
+        """Return the last progress report of each service, to be sent to a router that has just joined."""
         return tuple(self._progress_by_service.values())
 
     def _on_orders_changed(self):
-        """The store answered: what it holds of roll-outs here ends them, or is gone with its order."""
+        """Apply final states that the store holds for running rollouts; an order that was deleted is dropped."""
         for service, rollout in list(self.rollout_by_service.items()):
             order = self._order_watcher.by_service.get(service)
             if order is not None and order.target == rollout.order.target and order.state is not None:
@@ -136,9 +136,9 @@
     # Versions and engines.
 
     def refresh(self):
-        """Hold back the engines that a roll-out, or the lack of an order that was read, keeps from use.
+        """Reserve the engines that a rollout excludes from use, or whose order may not have been read yet.
 
-        To be called when engines, routers, the configuration or orders have changed.
+        Must be called when engines, routers, the configuration or orders have changed.
         """
         self._own = frozenset(self._own_services())
         engines_by_service = {}
@@ -157,7 +157,7 @@
             del self._seen_at_by_version[key]
         for key in present - self._seen_at_by_version.keys():
             self._seen_at_by_version[key] = now
-            # Whether a version that is new here was ordered is read anew: the order may have been missed.
+            # The order for a new version may have been missed, so all orders are read again.
             self._order_watcher.read_again()
 
     def _reserved(self, service, engines, rollout):
@@ -178,7 +178,7 @@
         )
 
     def _untested(self, service, state):
-        """Targets of former orders that no roll-out completed; their engines may be there for a while."""
+        """Return targets of earlier orders that were not completed; their engines may stay listed for a while."""
         targets = self._targets_by_service.setdefault(service, set())
         target = self._target_of(service)
         if target is not None:
@@ -188,7 +188,7 @@
         return targets - {target}
 
     def _stopped(self, service, engines, state):
-        """Names of the old engines of a completed roll-out: they stop at once, and may still be listed."""
+        """Return the old engines of a completed rollout: they stop immediately but may still be listed."""
         target = self._target_of(service)
         if state is not RolloutState.COMPLETED:
             self._old_engines_by_service.pop(service, None)
@@ -206,7 +206,7 @@
         return None if progress is None else progress.target
 
     def _state_of(self, service):
-        """How the service's present order stands, by all that is known here; a final state outweighs others."""
+        """Return the state of the service's current order from all sources; a final state takes precedence."""
         target = self._target_of(service)
         if target is None:
             return None
@@ -222,7 +222,7 @@
         return final[0] if final else RolloutState.RUNNING
 
     def _rollout_of(self, service):
-        """The roll-out that this router coordinates, or ``None``."""
+        """Return the rollout that this router coordinates, or ``None``."""
         order = self._order_watcher.by_service.get(service)
         if order is None or self._state_of(service).is_final:
             return self._ended_rollout(service)
@@ -239,14 +239,14 @@
         return rollout
 
     def _last_progress(self, order):
-        """What is known of a roll-out that others have begun; ``None`` for one that begins now."""
+        """Return the last progress of a rollout that another router started; ``None`` for a new one."""
         progress = self._progress_by_service.get(order.service)
         if progress is not None and progress.target == order.target:
             return progress
         if order.state is not RolloutState.RUNNING:
             return None
-        # The store says that it runs, and nobody told what the target got: all routers started again. Counted from
-        # nothing, a bad version would get the slack once more with each such start; taken as spent, it never does.
+        # The store says that it is running, but no router reported its counts: all routers were restarted. Counting
+        # from zero would give a bad version the slack again with each such restart, so it counts as used up.
         return RolloutWord(
             service=order.service,
             target=order.target,
@@ -259,10 +259,10 @@
         rollout = self.rollout_by_service.get(service)
         return rollout if rollout is not None and rollout.phase is Phase.ENDED else None
 
-    # Time.
+    # Periodic work.
 
     def tick(self):
-        """Let the roll-outs go on; about every 100 ms."""
+        """Advance the rollouts; to be called about every 100 ms."""
         for service in self.rollout_by_service.keys() - self._own:
             del self.rollout_by_service[service]
         for service, rollout in self.rollout_by_service.items():
@@ -273,7 +273,7 @@
                 self._send_progress(service, rollout)
                 self.refresh()
         for service in self._own & self._order_watcher.by_service.keys():
-            # Also the verdict of a coordinator that died before the store had it.
+            # This includes the final state of a coordinator that died before writing it to the store.
             self._order_watcher.write_status(service, self._target_of(service), self._state_of(service))
 
     def _step(self, service, rollout):
