--- a/wagtailtrestle/rollouts/exposure.py
+++ b/wagtailtrestle/rollouts/exposure.py
@@ -1,41 +1,41 @@
-"""How much of a service's traffic an untested version may get."""
+"""Limits how much of a service's traffic an untested version gets."""
 
 from collections import Counter
 
 TRIAL_SHARE_FRACTION = 0.85
-"""Part of the operator's share that is spent while the version is judged; the rest is for what two schedulers of one
-service may grant beside each other for a moment."""
+"""Fraction of the operator's share that is used during the trial. The rest covers runs granted while a service briefly
+has two schedulers."""
 
 TRIAL_SLACK_FRACTION = 0.5
-"""Part of the operator's slack that is spent likewise. The rest bounds what a version gets that turns bad only once all
-traffic moves to it, until that is noticed."""
+"""Fraction of the operator's slack that is used during the trial. The rest bounds the requests that a version gets, until
+it is detected, if it fails only once all traffic moves to it."""
 
 RAMP_FRACTION = 0.97
-"""Part of all that the operator allows which is spent before all requests go to the target."""
+"""Fraction of the operator's total allowance that is used before all requests go to the target."""
 
 COMMON_ROUTE_FRACTION = 0.05
-"""Part of a service's runs from which on a route is waited for, so that it gets its exposures as others do."""
+"""A route with at least this fraction of a service's runs limits the exposures of the other routes."""
 MAX_EXPOSURE_RATIO = 1.5
 MAX_EXPOSURE_LEAD = 3
-"""Exposures that one route may have of each of another's, and besides."""
+"""Exposures that a route may have for each one of the least exposed common route, and in addition."""
 
 CREDIT_ACCUMULATION_S = 1.2
-"""Time for which exposures are saved up, to be spent on one engine in a row: spread thinly, they would never show a
+"""Time for which exposures accumulate, to be used in one burst on one engine: spread thinly, they would never detect a
 version that fails only when its engine is full."""
 
 
 class Exposure:
-    """Counts the grants of a service and those of the target, and tells when the target may get one more.
+    """Counts the runs granted in a service and on the target, and decides whether the target may get another.
 
     Parameters
     ----------
     share : float
-        Part of the service's requests that an untested version may get.
+        Fraction of the service's requests that an untested version may get.
     slack : int
-        Requests that it may get besides.
+        Number of requests that it may get in addition.
     now : float
     granted, exposed : int
-        What a former coordinator counted.
+        Counts of the previous coordinator.
     """
 
     __slots__ = (
@@ -62,11 +62,11 @@
         self._is_wide = False
 
     def widen(self):
-        """Allow nearly all that the operator allows, as fast as requests come."""
+        """Raise the limit to ``RAMP_FRACTION`` of the operator's allowance and stop spacing exposures."""
         self._is_wide = True
 
     def may_expose(self, route, now):
-        """Whether a request of this route may go to the target now."""
+        """Return whether a request of this route may go to the target now."""
         if self.exposed + 1 > self._max_exposed() or self._is_ahead(route):
             return False
         return self._is_wide or (now >= self._opens_at and self._credit_by_route[route] >= 1.0)
@@ -75,7 +75,7 @@
         """Count a run that was granted."""
         self.granted += 1
         self._granted_by_route[route] += 1
-        # Each route saves by itself, so that a rare one gets its part: a version may be bad on one route only.
+        # Each route accumulates its own credit, so that a rare one gets its share: a version may be bad on one route only.
         self._credit_by_route[route] += 2.0 * self._share
         if not is_target:
             return
@@ -86,7 +86,7 @@
             self._opens_at = now + CREDIT_ACCUMULATION_S
 
     def _is_ahead(self, route):
-        """Whether a route has had more than its part: a version that is bad on one of them is found by that one."""
+        """Return whether a route has used more than its share, as a version may be bad on another route only."""
         min_granted = COMMON_ROUTE_FRACTION * self.granted
         common = [other for other, count in self._granted_by_route.items() if count >= min_granted]
         min_exposed = min((self._exposed_by_route[other] for other in common), default=0)
