--- a/wagtailtrestle/contracts/rollout_messages.py
+++ b/wagtailtrestle/contracts/rollout_messages.py
@@ -58,7 +58,7 @@
     target_runs, target_bad : int
         Runs on the target that were judged, and those of them that were bad.
     suspicion : float
-        How much speaks against the target; see ``Judgement``.
+        How much speaks against the target; see ``CanaryAnalysis``.
     """
 
     service: str
--- a/wagtailtrestle/rollouts/canary_analysis.py
+++ b/wagtailtrestle/rollouts/canary_analysis.py
@@ -1,39 +1,39 @@
-"""Whether a version is worse than the one that it is to replace.
+"""Detects whether a version is worse than the one that it replaces.
 
-Each run on the target is compared with what the old version shows on the same route: a service may answer a
-seventh of one route's calls with failures of its own, with any version. A cumulative sum of log likelihood ratios
-(CUSUM), one for each route, one over all and one over those begun on a full engine, grows with bad runs and never
-falls below zero, so that a version which turns bad after a good beginning is found as soon as one that always was.
-Few runs of an untested version find its engine full; among all others a failure that comes only then is too rare.
+Each run on the target is compared with the old version's runs on the same route: a service may answer a seventh of one
+route's calls with failures of its own, with any version. A cumulative sum of log likelihood ratios (CUSUM) grows with
+bad runs and never falls below zero, so that a version which becomes bad later is detected as fast as one that was bad
+from the start. There is one sum for each route, one over all runs and one over runs that began on a full engine: few
+runs of an untested version do, so failures that occur only then are too rare to show among all runs.
 """
 
 import math
 from collections import deque
 
 MIN_EXCESS_BAD_RATE = 0.16
-"""Least extra part of bad runs that is looked for."""
+"""Smallest excess rate of bad runs that the analysis is designed to detect."""
 
 CUSUM_THRESHOLD = 5.5
-"""Sum at which a version counts as bad; natural logarithm."""
+"""CUSUM value at which a version counts as bad; natural logarithm."""
 
 SHIFT_CUSUM_THRESHOLD = 12.0
-"""The same once it gets everything: ten times the runs give chance ten times the occasions."""
+"""Threshold while the target gets all requests: with ten times the runs, a false alarm is ten times as likely."""
 
 MIN_BAD_RUNS = 3
-"""A single crash or a slow moment is not a version's fault."""
+"""Fewer bad runs are not held against a version, as a single crash or slow moment may cause them."""
 
 PRIOR_RUNS = 20.0
 PRIOR_BAD_RUNS = 2.0
-"""What is believed of a route of which the old version has shown little: one bad run in ten."""
+"""Prior for a route with few runs on the old version: one bad run in ten."""
 
 SLOW_FACTOR = 2.5
-"""Times its usual pace from which a run counts as slow; engines of one version alone differ fourfold, so that each is
-set against its own pace and against the slowest of the old ones."""
+"""A run counts as slow above this multiple of the usual latency. Engines of one version alone differ fourfold, so each
+is compared with its own usual latency and with that of the slowest old engine."""
 
 LATENCY_WINDOW_RUNS = 64
 MIN_LATENCIES = 4
 CRASH_WINDOW_S = 1.0
-"""A crash ends all runs of its engine at once: of those within so long one counts."""
+"""A crash ends all runs of its engine together, so only one lost run per engine counts within this time."""
 
 FAILED = "RunFailed"
 CUT_RESULTS = frozenset({"RunCut", "RunSilent", "RunLost"})
@@ -41,7 +41,7 @@
 
 
 class _Evidence:
-    """What both versions showed in one kind of runs, those of a route or those on full engines."""
+    """Bad runs of both versions in one group of runs: those of a route, on full engines, or all."""
 
     __slots__ = ("old_runs", "old_bad", "total")
 
@@ -56,26 +56,26 @@
         self.old_bad += bad
 
     def bad_rate(self, prior=PRIOR_BAD_RUNS / PRIOR_RUNS):
-        """Part of the old version's runs that were bad; ``prior`` is what is believed before any is seen."""
+        """Return the old version's rate of bad runs, smoothed by ``prior``."""
         return (self.old_bad + PRIOR_RUNS * prior) / (self.old_runs + PRIOR_RUNS)
 
     def usual(self, prior=PRIOR_BAD_RUNS / PRIOR_RUNS):
-        """Part of the runs that are bad with any version, one standard deviation above what was seen.
+        """Return the expected rate of bad runs, one standard deviation above the observed rate.
 
-        Taken as seen, chance among the old version's runs alone would make a good target look worse.
+        With the observed rate alone, noise in the old version's runs would make a good target look worse.
         """
         bad_rate = self.bad_rate(prior)
         return bad_rate + math.sqrt(bad_rate * (1.0 - bad_rate) / (self.old_runs + PRIOR_RUNS))
 
     def add(self, bad, usual):
-        """Add the evidence of a run on the target where this part is bad with any version."""
+        """Add a run on the target to the CUSUM; ``usual`` is the expected rate of bad runs."""
         worse = usual + MIN_EXCESS_BAD_RATE * (1.0 - usual)
         step = math.log(worse / usual) if bad else math.log((1.0 - worse) / (1.0 - usual))
         self.total = max(0.0, self.total + step)
 
 
 class _LatencyWindow:
-    """The last paces of one engine on one route."""
+    """The last latencies of one engine on one route."""
 
     __slots__ = ("_last",)
 
@@ -87,24 +87,24 @@
 
     @property
     def usual(self):
-        """Pace of its faster runs, or ``None`` while too few are known."""
+        """First quartile of the latencies, or ``None`` while too few are known."""
         if len(self._last) < MIN_LATENCIES:
             return None
         return sorted(self._last)[len(self._last) // 4]
 
 
 class CanaryAnalysis:
-    """The evidence on one target.
+    """Compares one target with the old version.
 
     Parameters
     ----------
-    word : RolloutWord, optional
-        What a former coordinator told; what it knew of each route is lost with it.
+    progress : RolloutWord, optional
+        Last report of the previous coordinator; its evidence for each route is lost.
 
     Attributes
     ----------
     threshold : float
-        Sum at which the target counts as bad.
+        CUSUM value at which the target counts as bad.
     target_runs, target_bad : int
     """
 
@@ -132,18 +132,18 @@
 
     @property
     def is_bad(self):
-        """Whether the target is worse than the old version."""
+        """Whether the target counts as worse than the old version."""
         return self.suspicion >= self.threshold
 
     @property
     def suspicion(self):
-        """The largest of the sums; 0 while too few runs were bad."""
+        """Largest of the CUSUM values; 0 while too few runs were bad."""
         if self.target_bad < MIN_BAD_RUNS:
             return 0.0
         return max(evidence.total for evidence in (self._all, self._full, *self._route_by_name.values()))
 
     def record_run(self, *, route, engine, is_target, result, latency, now, was_full=False):
-        """Take in how a run ended.
+        """Record the result of a run.
 
         Parameters
         ----------
@@ -151,11 +151,11 @@
         is_target : bool
         result : str
             The class name of the outcome.
-        pace : float
-            Seconds, or seconds a token; 0 where the run shows none.
+        latency : float
+            Seconds, or seconds per token; 0 if the run gives no measurement.
         now : float
         was_full : bool
-            Whether the engine was full with it when it began.
+            Whether this run filled the engine when it began.
         """
         bad = self._is_bad_run(route, engine, is_target, result, latency, now)
         if bad is None:
@@ -179,7 +179,7 @@
         }
 
     def _is_bad_run(self, route, engine, is_target, result, latency, now):
-        """Whether a run was bad; ``None`` if it tells nothing."""
+        """Return whether a run was bad; ``None`` if it gives no evidence."""
         if result == FAILED:
             return True
         if result in CUT_RESULTS:
