--- a/wagtailtrestle/rollouts/order_watcher.py
+++ b/wagtailtrestle/rollouts/order_watcher.py
@@ -1,4 +1,4 @@
-"""The operator's orders as the platform's store holds them, followed by the routers that have to act on them."""
+"""Watches rollout orders in the platform's store and writes their states back."""
 
 import asyncio
 import random
@@ -11,30 +11,30 @@
 RETRY_DELAY_S = 0.2
 MAX_RETRY_DELAY_S = 1.0
 IDLE_POLL_INTERVAL_S = 0.5
-"""Between two looks at whether this router has to follow the orders."""
+"""Interval of checks whether this router needs the orders."""
 
 
 class OrderWatcher:
-    """Reads and watches the orders, and tells the store how each stands.
+    """Reads and watches the orders, and writes the state of each to the store.
 
     Parameters
     ----------
     store : StatusStore
     adapter : Adapter
-        Its ``rollout_kind`` and how its objects read.
+        Gives the ``rollout_kind`` and parses its objects.
     is_needed : callable
-        Whether this router follows them.
+        Returns whether this router needs the orders.
     on_change : callable
-        ``on_change()``, called on the loop after each answer of the store.
+        ``on_change()`` is called on the event loop after each successful response of the store.
     clock : callable
-        The loop's time, seconds.
+        Event loop time in seconds.
     jitter : random.Random, optional
 
     Attributes
     ----------
     by_service : dict of str to RolloutOrder
     read_at : float or None
-        When the last whole read began.
+        When the last complete read began.
     """
 
     __slots__ = (
@@ -73,19 +73,19 @@
         self._task = asyncio.get_running_loop().create_task(self._follow())
 
     async def close(self):
-        """Stop; a write under way may have taken effect."""
+        """Stop; a write in flight may have taken effect."""
         tasks = [self._task, *self._writing_by_service.values()]
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
     def read_again(self):
-        """Read all orders at once, whatever the watch waits for."""
+        """Read all orders immediately, interrupting the watch."""
         self._is_list_due = True
         self._wake.set()
 
     def write_status(self, service, target, state):
-        """Have the store hold this state of the order for ``target``; one write of a service at a time."""
+        """Write the state of the order for ``target`` to the store; one write per service at a time."""
         order = self.by_service.get(service)
         if order is None or order.target != target or order.state is state or service in self._writing_by_service:
             return
@@ -107,7 +107,7 @@
                 retry_s = min(MAX_RETRY_DELAY_S, 2 * retry_s)
 
     async def _step(self):
-        """Watch or read once; whether the store answered."""
+        """Watch or read once; return whether the store answered."""
         if not self._is_list_due:
             outcome = await self._watch()
             if isinstance(outcome, StoreDone):
@@ -121,7 +121,7 @@
 
     async def _read(self):
         began_at = self._clock()
-        # Cleared before the read: what asks for another one meanwhile gets it.
+        # Cleared before the read, so that a request for another read meanwhile is not lost.
         self._is_list_due = False
         outcome = await self._store.list(kind=self._adapter.rollout_kind)
         if not isinstance(outcome, StoreDone):
@@ -134,7 +134,7 @@
         return True
 
     async def _watch(self):
-        """Wait for a change; ``None`` if the orders have to be read anew meanwhile."""
+        """Wait for a change; ``None`` if a read is requested meanwhile."""
         self._wake.clear()
         watch = asyncio.create_task(
             self._store.watch(kind=self._adapter.rollout_kind, from_version=self._version, timeout_s=WATCH_TIMEOUT_S)
@@ -166,7 +166,7 @@
         if isinstance(outcome, StoreDone):
             log.info("roll-out told to the store")
         else:
-            log.bind(outcome=type(outcome).__name__).warning("the store could not be told of a roll-out")
-        # Whatever came of it, what stands there now is read: an answer may be lost, another scheduler may have written.
+            log.bind(outcome=type(outcome).__name__).warning("rollout state could not be written to the store")
+        # Read back in any case: the response may be lost, or another scheduler may have written.
         self.read_again()
         await asyncio.sleep(RETRY_DELAY_S * self._jitter.uniform(0.5, 1.0))
