--- a/wagtailtrestle/rollouts/rollout.py
+++ b/wagtailtrestle/rollouts/rollout.py
@@ -1,9 +1,9 @@
-"""One roll-out at its coordinator, the scheduler of the service: trial, ramp, shift, verdict.
+"""One rollout at its coordinator, the scheduler of the service: trial, ramp, shift, end.
 
-Trial: the old version serves; the target gets a small share and is judged by it. Ramp: judged good so far, it gets
-the rest of what an untested version may get, in a row. Shift: it gets everything, while what runs on the old engines
-ends, since these stop without a drain once the roll-out is told as completed. The verdict is told only then. A
-target that turns out to be bad in any phase gets nothing more from that moment.
+Trial: the old version serves; the target gets a small share of the requests and is evaluated on it. Ramp: if it is good
+so far, it gets the rest of what an untested version may get, in one burst. Shift: it gets all requests while the runs
+on the old engines end, since these engines stop without a drain once the rollout is reported as completed; it is
+reported only then. A target that is found bad in any phase gets no further requests.
 """
 
 from collections import deque
@@ -16,30 +16,30 @@
 from wagtailtrestle.rollouts.exposure import Exposure
 
 TRIAL_FRACTION = 0.5
-"""Part of the time for the trial, if the target has run enough by then."""
+"""Fraction of the rollout's time for the trial, if the target has had ``TRIAL_RUNS`` runs by then."""
 MAX_TRIAL_FRACTION = 0.7
 TRIAL_RUNS = 30
-"""Runs on the target by which one that fails a fifth of them is found."""
+"""Runs on the target within which one that fails a fifth of them is detected."""
 MIN_RUNS = 15
 MIN_RUNS_FRACTION = 0.25
-"""Runs on the target, and part of all runs; either is enough for everything to move there. A coordinator that took over
-late never completes a roll-out of which it has seen nothing."""
+"""Runs on the target, and fraction of all runs; either is enough to move all requests there. A coordinator that took over
+late thus never completes a rollout without having seen runs on the target."""
 MIN_RAMP_END_FRACTION, MAX_RAMP_END_FRACTION = 0.55, 0.8
-"""Parts of the time between which the ramp ends, the sooner the longer the service's runs are: what the old engines
-hold then has to end before they stop."""
+"""Fractions of the rollout's time between which the ramp ends: earlier for a service with longer runs, since the runs on
+the old engines have to end before these stop."""
 LONG_RUN_QUANTILE = 0.95
 LONG_RUN_FACTOR = 1.5
-"""Long runs for which there has to be time between the end of the ramp and the old engines' stop."""
+"""Time between the end of the ramp and the stop of the old engines, as a multiple of a long run's duration."""
 MAX_DURATIONS = 200
 COMPLETION_MARGIN_S = 1.0
-"""Time before the end of the roll-out at which it is told as completed, whatever still runs."""
+"""The rollout is reported as completed this long before its end, even if runs on old engines remain."""
 MIN_TOKENS_FOR_RATE = 8
 MIN_CAPACITY_FRACTION = 0.5
-"""Part of the old engines' places that the target's must have to take over."""
+"""Fraction of the old engines' slots that the target's engines must have before the trial can end."""
 
 
 class Phase(StrEnum):
-    """What happens to the service's requests."""
+    """Phase of a rollout; decides where the service's requests go."""
 
     TRIAL = "trial"
     RAMP = "ramp"
@@ -48,7 +48,7 @@
 
 
 class Rollout:
-    """Decides which version a request goes to, and how the roll-out ends.
+    """Decides which version a request goes to, and how the rollout ends.
 
     Parameters
     ----------
@@ -57,9 +57,9 @@
     slack : int
         See :class:`wagtailtrestle.rollouts.exposure.Exposure`.
     clock : callable
-        The loop's time, seconds.
-    word : RolloutWord, optional
-        What the former coordinator told last.
+        Event loop time in seconds.
+    progress : RolloutWord, optional
+        Last report of the previous coordinator.
 
     Attributes
     ----------
@@ -89,18 +89,18 @@
 
     @property
     def elapsed_s(self):
-        """Time since the order was seen first."""
+        """Time since the order was first seen."""
         return self._clock() - self._began_at
 
     def is_target(self, version):
-        """Whether engines of this version are the ones to move to."""
+        """Return whether this is the target version."""
         return version == self.order.target
 
     def should_expose(self, request):
-        """Whether a request goes to the target."""
+        """Return whether a request goes to the target as one of its limited exposures."""
         if self.phase not in (Phase.TRIAL, Phase.RAMP):
             return False
-        # What an engine failed already is not tried on the untested version, nor what is suspected of crashes.
+        # Retries and requests suspected of crashes are not sent to the untested version.
         if request.excluded_engines or request.alone or request.done_tokens:
             return False
         return self.exposure.may_expose(request.route, self._clock())
@@ -110,7 +110,7 @@
         self.exposure.record_grant(request.route, is_target=self.is_target(version), now=self._clock())
 
     def record_run_end(self, *, request, engine, version, finished, was_full=False):
-        """Take in how a run ended, and whether its engine was full with it when it began."""
+        """Record the result of a run; ``was_full``: whether it filled its engine when it began."""
         if self.phase is Phase.ENDED:
             return
         self._durations.append(finished.duration_s)
@@ -127,14 +127,14 @@
             self._end(RolloutState.ROLLED_BACK)
 
     def step(self, *, old_slots, target_slots, old_runs):
-        """Go on as time passes.
+        """Advance to the next phase when its conditions are met.
 
         Parameters
         ----------
-        old_places, target_places : int
-            Places of the engines of either version.
+        old_slots, target_slots : int
+            Slots of the engines of either version.
         old_runs : int
-            Runs that the old engines hold.
+            Runs in progress on the old engines.
         """
         fraction = self.elapsed_s / self.order.duration_s
         has_capacity = target_slots > 0 and target_slots >= MIN_CAPACITY_FRACTION * old_slots
@@ -148,12 +148,12 @@
                 self._end(RolloutState.COMPLETED)
 
     def end_as(self, state):
-        """Take over the final state that another router told; the running state changes nothing."""
+        """Adopt a final state that another router reported; a running state is ignored."""
         if state.is_final and not self.state.is_final:
             self._end(state)
 
     def progress(self):
-        """How it stands, for others."""
+        """Return the progress report for the other routers."""
         return RolloutWord(
             service=self.order.service,
             target=self.order.target,
@@ -188,7 +188,7 @@
     def _ramp(self):
         self.phase = Phase.RAMP
         self.exposure.widen()
-        self._log("nothing speaks against the target; it gets as much as it may untested")
+        self._log("trial passed; ramping the target up to the limit for untested versions")
 
     def _is_ramp_over(self, fraction):
         if self.analysis.target_runs < min(MIN_RUNS, MIN_RUNS_FRACTION * self.exposure.granted):
@@ -205,7 +205,7 @@
     def _shift(self):
         self.phase = Phase.SHIFT
         self.analysis.threshold = SHIFT_CUSUM_THRESHOLD
-        self._log("the target is as good as the old version; all requests go to it")
+        self._log("ramp passed; sending all requests to the target")
 
     def _end(self, state):
         self.phase = Phase.ENDED
@@ -217,7 +217,7 @@
 
 
 def _latency(finished):
-    """Seconds a token where there are tokens enough, else of the whole run."""
+    """Return seconds per output token if there are enough tokens, else the duration of the run in seconds."""
     if finished.output_tokens >= MIN_TOKENS_FOR_RATE:
         return (finished.duration_s - finished.first_token_s) / finished.output_tokens
     return 0.0 if finished.output_tokens else finished.duration_s
