--- a/wagtailtrestle/rollouts/versions.py
+++ b/wagtailtrestle/rollouts/versions.py
@@ -1,4 +1,4 @@
-"""Which engines of a service no request may be sent to because of their version."""
+"""Selects the engines of a service that get no requests because of their version."""
 
 from collections import Counter
 
@@ -6,24 +6,24 @@
 
 
 def reserved_names(engines, *, target, state, is_shifting, unread_versions, untested_versions, stopped_names):
-    """Names of the engines to hold back.
+    """Return the names of the engines to reserve.
 
     Parameters
     ----------
     engines : list of DeclaredEngine
-        Those of one service.
+        Engines of one service.
     target : str or None
-        Version that was ordered.
+        Version of the current order.
     state : RolloutState or None
-        How that order stands; ``None`` without one.
+        State of that order; ``None`` without an order.
     is_shifting : bool
-        Whether all requests go to the target though the roll-out has not ended.
+        Whether all requests go to the target before the rollout has ended.
     unread_versions : set of str
-        Versions that appeared since the orders were read last.
+        Versions that appeared since the last read of the orders.
     untested_versions : set of str
-        Targets of earlier orders that were not completed; rolled back, or given up for a newer order.
+        Targets of earlier orders that were rolled back or superseded by a newer order.
     stopped_names : frozenset of str
-        Engines that stop without a drain, for their roll-out is completed.
+        Old engines of a completed rollout, which stop without a drain.
 
     Returns
     -------
@@ -38,10 +38,10 @@
 
 
 def _unread(engines, unread_versions):
-    """Engines of versions that may have been ordered without anybody here having read it.
+    """Return the engines of versions whose order may not have been read yet.
 
-    Without orders at hand the version with the most engines counts as the one in use. Used at once, an untested
-    version would get its full part of all requests until its order is read.
+    Until the orders are read, the version with the most engines counts as the one in use. Otherwise an untested version
+    would get a full share of all requests until its order is read.
     """
     count_by_version = Counter(engine.version for engine in engines)
     if len(count_by_version) < 2:
