--- a/wagtailtrestle/rollouts/canary_analysis.py
+++ b/wagtailtrestle/rollouts/canary_analysis.py
@@ -68,7 +68,7 @@
         return bad_rate + math.sqrt(bad_rate * (1.0 - bad_rate) / (self.old_runs + PRIOR_RUNS))
 
     def add(self, bad, expected):
-        """Add a run on the target to the CUSUM; ``usual`` is the expected rate of bad runs."""
+        """Add a run on the target to the CUSUM; ``expected`` is the expected rate of bad runs."""
         worse = expected + MIN_EXCESS_BAD_RATE * (1.0 - expected)
         step = math.log(worse / expected) if bad else math.log((1.0 - worse) / (1.0 - expected))
         self.total = max(0.0, self.total + step)
--- a/wagtailtrestle/rollouts/exposure.py
+++ b/wagtailtrestle/rollouts/exposure.py
@@ -7,8 +7,8 @@
 has two schedulers."""
 
 TRIAL_SLACK_FRACTION = 0.5
-"""Fraction of the operator's slack that is used during the trial. The rest bounds the requests that a version gets, until
-it is detected, if it fails only once all traffic moves to it."""
+"""Fraction of the operator's slack that is used during the trial. The rest bounds the requests that a version gets,
+until it is detected, if it fails only once all traffic moves to it."""
 
 RAMP_FRACTION = 0.97
 """Fraction of the operator's total allowance that is used before all requests go to the target."""
@@ -75,7 +75,7 @@
         """Count a run that was granted."""
         self.granted += 1
         self._granted_by_route[route] += 1
-        # Each route accumulates its own credit, so that a rare one gets its share: a version may be bad on one route only.
+        # Credit is kept for each route, so that a rare one gets its share: a version may be bad on that route only.
         self._credit_by_route[route] += 2.0 * self._share
         if not is_target:
             return
--- a/wagtailtrestle/rollouts/rollout.py
+++ b/wagtailtrestle/rollouts/rollout.py
@@ -22,11 +22,11 @@
 """Runs on the target within which one that fails a fifth of them is detected."""
 MIN_RUNS = 15
 MIN_RUNS_FRACTION = 0.25
-"""Runs on the target, and fraction of all runs; either is enough to move all requests there. A coordinator that took over
-late thus never completes a rollout without having seen runs on the target."""
+"""Runs on the target, and fraction of all runs; either is enough to move all requests there. A coordinator that took
+over late thus never completes a rollout without having seen runs on the target."""
 MIN_RAMP_END_FRACTION, MAX_RAMP_END_FRACTION = 0.55, 0.8
-"""Fractions of the rollout's time between which the ramp ends: earlier for a service with longer runs, since the runs on
-the old engines have to end before these stop."""
+"""Fractions of the rollout's time between which the ramp ends: earlier for a service with longer runs, since the runs
+on the old engines have to end before these stop."""
 LONG_RUN_QUANTILE = 0.95
 LONG_RUN_FACTOR = 1.5
 """Time between the end of the ramp and the stop of the old engines, as a multiple of a long run's duration."""
