--- a/tests/test_rollout_decisions.py
+++ b/tests/test_rollout_decisions.py
@@ -1,4 +1,4 @@
-"""Exposure, judgement and phases of a roll-out, without network: the pattern is a version that is bad in one way."""
+"""Exposure, canary analysis and phases of a rollout without a network, for versions that are bad in one way each."""
 
 import asyncio
 import random
@@ -24,7 +24,7 @@
 
 class ExposureTest(unittest.TestCase):
     def test_never_more_than_the_operator_allows(self):
-        # Whatever routes come and however fast, and also in the ramp.
+        # Holds for any mix of routes and any request rate, and during the ramp.
         for seed in range(200):
             rng = random.Random(seed)
             exposure = Exposure(share=SHARE, slack=SLACK, now=0.0)
@@ -68,7 +68,7 @@
             )
 
     def test_single_engine_crash_is_not_blamed_on_the_version(self):
-        # All runs of an engine that crashed are cut at once.
+        # A crash cuts all runs of its engine together.
         analysis = CanaryAnalysis()
         self.record_run(analysis, 100, is_target=False)
         self.record_run(analysis, 30, is_target=True, result="RunCut", gap_s=CRASH_WINDOW_S / 100)
@@ -95,7 +95,7 @@
         self.record_run(analysis, 50, is_target=True, latency=0.16)
         self.assertFalse(analysis.is_bad)
 
-    # Guards against failures of full engines that are lost among the many runs of engines that aren't.
+    # Guards against missing failures on full engines among the many runs on engines that are not full.
     def test_version_that_fails_only_on_full_engines_is_bad(self):
         analysis = CanaryAnalysis()
         self.record_run(analysis, 300, is_target=False)
@@ -105,7 +105,7 @@
             self.record_run(analysis, 1, is_target=True, was_full=True, result="RunFailed")
         self.assertTrue(analysis.is_bad)
 
-    # Guards against a good version that is blamed for what the old one does on full engines too.
+    # Guards against blaming a good version for failures that the old one has on full engines too.
     def test_full_engine_failures_of_both_versions_are_not_blamed_on_the_target(self):
         analysis = CanaryAnalysis()
         self.record_run(analysis, 300, is_target=False)
@@ -148,7 +148,7 @@
         self.assertIs(self.rollout.phase, Phase.SHIFT)
 
     def test_completed_only_when_old_engines_are_idle(self):
-        # They stop without a drain at that moment: whatever ran there would be lost to its caller.
+        # The old engines stop without a drain on completion, so callers would lose the runs in progress there.
         self.shift()
         self.step(8.1, old_runs=1)
         self.assertIs(self.rollout.state, RolloutState.RUNNING)
@@ -179,8 +179,8 @@
         self.assertFalse(self.rollout.should_expose(ask("a", alone=True)))
 
     def test_next_coordinator_without_runs_on_the_target_does_not_complete(self):
-        # The scheduler dies in the ramp, shortly before the end. Its successor has seen no run on the target, and the
-        # last word it heard is old: everything would move to a version that nobody judged.
+        # The scheduler dies in the ramp, shortly before the end. Its successor has seen no run on the target and has
+        # an old progress report: all requests would move to a version that was not evaluated.
         progress = RolloutWord(
             service="s", target="v2", state=RolloutState.RUNNING, elapsed_s=7.5, granted=400, exposed=5
         )
@@ -239,7 +239,7 @@
         self.assertEqual(self.held("v1", "v2", is_shifting=True, **order), {"e0"})
 
     def test_target_of_an_earlier_order_is_reserved(self):
-        # A version was rolled back, and its engines still drain when the operator orders the next one.
+        # A version was rolled back, and its engines are still draining when the operator orders the next one.
         order = {"target": "v3", "state": RolloutState.RUNNING, "untested_versions": {"v2"}}
         self.assertEqual(self.held("v1", "v2", "v3", **order), {"e1", "e2"})
 
@@ -248,7 +248,7 @@
 
 
 class ExposingRollout:
-    """A roll-out that wants every request on version v2, or none."""
+    """A rollout that exposes every request to version v2, or none."""
 
     def __init__(self):
         self.is_open = True
@@ -311,7 +311,7 @@
 
 
 class OrderStore:
-    """Holds one order and keeps what it is told of it."""
+    """Holds one order and records the states written for it."""
 
     def __init__(self, *, status=None):
         self.status = status
@@ -332,7 +332,7 @@
 
 
 class Schedulers:
-    """Keeps what each service is told of its roll-out."""
+    """Records the engines reserved for each service."""
 
     def __init__(self):
         self.reserved_by_service = {}
@@ -345,7 +345,7 @@
 
 
 class SilentBroadcast:
-    """A broadcast that nobody hears."""
+    """A broadcast that sends to no router; ``deliver`` passes a message to its handler."""
 
     def on(self, message_type, *, key, handler):
         self.deliver = handler
@@ -390,8 +390,8 @@
 
     @on_paused_clock
     async def test_verdict_of_a_coordinator_that_died_is_written_by_the_next(self):
-        # The former coordinator told all routers that the version is rolled back and died before the store had it: the
-        # operator's platform went on running the bad version, and its time ran out without a status.
+        # The previous coordinator reported the rollback to all routers and died before writing it to the store: the
+        # operator's platform kept running the bad version, and the rollout's time ran out without a status.
         store = OrderStore(status={"state": "running", "target": "v2"})
         coordinator = self.start(store)
         self.broadcast.deliver(RolloutWord(service="s", target="v2", state=RolloutState.ROLLED_BACK))
@@ -402,8 +402,8 @@
 
     @on_paused_clock
     async def test_restart_of_all_routers_does_not_renew_the_slack_of_an_untested_version(self):
-        # All routers lose power while a version is tried. Nobody is left who counted what it got; the store says that
-        # the roll-out runs. Counted from nothing, a bad version would get the slack once more with each restart.
+        # All routers lose power during a trial, and its counts are lost; the store says that the rollout is running.
+        # Counting from zero would give a bad version the slack again with each restart.
         for status, most in ((None, SLACK), ({"state": "running", "target": "v2"}, 0)):
             with self.subTest(status=status):
                 coordinator = self.start(OrderStore(status=status))
@@ -421,7 +421,7 @@
 
     @on_paused_clock
     async def test_final_state_in_the_store_is_never_replaced(self):
-        # Another scheduler, of which this one has not heard, has written that the version is completed.
+        # A scheduler unknown to this one has written that the rollout is completed.
         store = OrderStore(status={"state": "completed", "target": "v2"})
         coordinator = self.start(store)
         await self.pass_time(coordinator, 1.0)
--- a/tests/test_rollouts.py
+++ b/tests/test_rollouts.py
@@ -1,4 +1,4 @@
-"""A service moves to another version: engines of it are tried with few requests, then get all, or nothing more."""
+"""Rollouts of a service to another version, with routers, engines and callers in real time."""
 
 import os
 import time
@@ -12,12 +12,12 @@
 ROLLBACK_S = 5.0
 BAD_ANSWERS = 50
 REPEATS = int(os.environ.get("ROLLOUT_REPEATS", "1"))
-"""By hand, ``ROLLOUT_REPEATS=20 python -m unittest tests.test_rollouts``."""
+"""Repetitions of each test; set with ``ROLLOUT_REPEATS=20 python -m unittest tests.test_rollouts``."""
 
 
 class RolloutTest(unittest.TestCase):
     def play(self, *, after_order=None, duration_s=DURATION_S, end="completed", **version):
-        """Order a version and wait until the roll-out ends; the world and the callers' answers by status."""
+        """Order a version and wait until its rollout ends; return the world and the callers' answers by status."""
         world = RolloutWorld(**version)
         self.addCleanup(world.close)
         world.start()
@@ -39,7 +39,7 @@
         return world, counts
 
     def assert_exposed_little(self, world):
-        """The bad version got no more than its part, and nothing five seconds after its fiftieth bad answer."""
+        """Check that the bad version got at most its share, and nothing five seconds after its fiftieth bad answer."""
         new, old = world.arrivals(world.new), world.arrivals(world.old)
         self.assertLessEqual(len(new), SHARE * (len(new) + len(old)) + SLACK)
         bad = sorted(at for engine in world.new for at in engine.bad_at)
@@ -48,16 +48,16 @@
         self.assertLess(new[-1], world.ended_at + 0.5)
 
     def test_good_version_is_completed_and_no_caller_notices(self):
-        # All callers get their answers. The old engines stop at the moment at which the roll-out is told as completed,
-        # so nothing may run on them then, nor be sent to them after it.
+        # All callers get their answers. The old engines stop as soon as the rollout is reported as completed, so they
+        # must have no runs at that moment and get none afterwards.
         for _ in range(REPEATS):
             world, counts = self.play()
             self.assertEqual(set(counts), {200})
             self.assertLess(world.arrivals(world.old)[-1], world.ended_at)
 
     def test_version_that_fails_half_of_its_runs_is_rolled_back(self):
-        # Few callers see a failure: calls that may be repeated go to the old version, bookings keep the engine's own
-        # answer.
+        # Few callers see a failure: repeatable calls are retried on the old version, while bookings get the engine's
+        # own answer.
         for _ in range(REPEATS):
             world, _ = self.play(is_bad=fails(0.5), end="rolled_back")
             self.assert_exposed_little(world)
@@ -73,8 +73,8 @@
             self.assert_exposed_little(world)
 
     def test_version_that_fails_only_when_full_is_rolled_back(self):
-        # Thinly spread, the few requests of an untested version would never fill an engine. Here the old engines are
-        # nearly full, so the new ones would be.
+        # The few requests of an untested version would never fill an engine if they were spread thinly. Here the old
+        # engines are nearly full, so the new ones would be too.
         for _ in range(REPEATS):
             world, _ = self.play(is_bad=fails(0.5, when_full=True), work_s=0.15, end="rolled_back")
             self.assert_exposed_little(world)
@@ -85,8 +85,8 @@
             self.assert_exposed_little(world)
 
     def test_bad_version_is_rolled_back_though_the_scheduler_dies(self):
-        # The router that counts the exposure and judges the version is killed two seconds after the order. The next
-        # one goes on from what all were told, and neither begins to expose anew nor forgets the order.
+        # The router that coordinates the rollout is killed two seconds after the order. The next one must resume from
+        # the last progress report: it neither starts counting exposures again nor loses the order.
         def kill_scheduler(world):
             time.sleep(2.0)
             coordinators = [router for router in world.routers if world.coordinates(router)]
@@ -97,8 +97,8 @@
         self.assert_exposed_little(world)
 
     def test_store_restored_from_a_backup_does_not_reverse_the_verdict(self):
-        # The store loses the status of a version that was rolled back. It is told again, and its engines get nothing
-        # meanwhile.
+        # A restored backup lacks the status of a version that was rolled back. The status must be written again, and
+        # the version's engines must get nothing meanwhile.
         world = RolloutWorld(is_bad=fails(0.5))
         self.addCleanup(world.close)
         world.store.era = 1
@@ -106,19 +106,19 @@
         world.start()
         callers = Callers(world=world, rate_per_s=RATE_PER_S).start()
         world.order(duration_s=DURATION_S)
-        wait_until(lambda: world.state() == "running", "the roll-out is told as running")
+        wait_until(lambda: world.state() == "running", "the rollout is reported as running")
         copy = world.store.copy()
         wait_until(lambda: world.state() == "rolled_back", "the version is rolled back")
         ended_at = time.monotonic()
         world.store.drill(copy)
-        wait_until(lambda: world.state() == "rolled_back", "the verdict is told again")
+        wait_until(lambda: world.state() == "rolled_back", "the rollback is reported again")
         time.sleep(1.0)
         callers.stop()
         self.assertLess(world.arrivals(world.new)[-1], ended_at + 0.5)
 
     def test_newer_order_before_the_previous_one_ended(self):
-        # The operator orders another version while one is tried. The former target is as untested as the new one; taken
-        # for any other version, it would get its full part of all requests.
+        # The operator orders another version during a trial. The previous target is as untested as the new one;
+        # treated as an ordinary version, it would get a full share of all requests.
         world = RolloutWorld()
         self.addCleanup(world.close)
         world.start()
@@ -142,11 +142,11 @@
     def test_running_status_is_written_immediately(self):
         world = self.start()
         world.order(duration_s=DURATION_S)
-        wait_until(lambda: world.state() == "running", "the roll-out is told as running")
+        wait_until(lambda: world.state() == "running", "the rollout is reported as running")
 
     def test_engines_listed_before_their_order_get_nothing(self):
-        # The callers are served by the old version. Engines of a new one list themselves, and nobody has ordered
-        # anything yet that routers could have read: the store does not answer them.
+        # The old version serves the callers. Engines of a new one are listed before its order is written, so that the
+        # routers cannot have read the order yet.
         world = self.start()
         time.sleep(0.5)
         for engine in world.new:
--- a/tests/utils/rollout_world.py
+++ b/tests/utils/rollout_world.py
@@ -1,4 +1,4 @@
-"""A service whose traffic is ordered to another version: engines of two versions, the operator, and steady callers."""
+"""Routers, engines of two versions, an operator and steady callers, for tests of rollouts."""
 
 import random
 import threading
@@ -23,14 +23,14 @@
 
 
 class VersionedEngine(Engine):
-    """An engine of one version, with a limited number of places.
+    """An engine of one version, with a limited number of slots.
 
     Parameters
     ----------
     is_bad : callable, optional
-        ``is_bad(engine, path)``: whether this run fails.
+        ``is_bad(engine, path)`` returns whether this run fails.
     slow_by : callable, optional
-        ``slow_by(engine, path)``: by how much this run takes longer.
+        ``slow_by(engine, path)`` returns the factor on this run's duration.
     """
 
     def __init__(self, *, name, version, is_bad=None, slow_by=None, work_s=WORK_S):
@@ -66,7 +66,7 @@
 
 
 def fails(share, *, path=None, after_s=0.0, when_full=False):
-    """A version that fails a share of its runs, on one path, from a moment on, or when its engine is full."""
+    """Return an ``is_bad`` that fails a share of runs, optionally on one path, after a time or on full engines only."""
 
     def is_bad(engine, requested):
         if path is not None and requested != path:
@@ -79,7 +79,7 @@
 
 
 class RolloutWorld(World):
-    """Routers before two engines of the old version; the new ones come with the order."""
+    """Routers with two engines of the old version; the order starts the new ones."""
 
     def __init__(self, *, routers=3, is_bad=None, slow_by=None, work_s=WORK_S, **settings):
         super().__init__(routers=routers, rollout_share=SHARE, rollout_slack=SLACK, **settings)
@@ -99,7 +99,7 @@
         self._is_closed = False
 
     def order(self, *, duration_s, target=NEW):
-        """Write the order and start the engines of the new version, as the operator's platform does."""
+        """Write the order and list the engines of the new version, as the operator's platform does."""
         self.store.put(KIND, SERVICE, {"service": SERVICE, "target": target, "duration_s": duration_s})
         self.ordered_at = time.monotonic()
         for engine in self.new:
@@ -109,17 +109,17 @@
         self._operator.start()
 
     def state(self):
-        """The state that the system told of the order, or ``None``."""
+        """Return the order's state in the store, or ``None``."""
         status = self.store.status(KIND, SERVICE)
         return status["state"] if status else None
 
     def coordinates(self, router):
-        """Whether a router is the one that decides the roll-out."""
+        """Return whether a router coordinates the rollout."""
         with urllib.request.urlopen(f"http://{router.values['admin_address']}/state") as answer:
             return bool(yaml.safe_load(answer.read())["rollouts"]["rollouts"])
 
     def _operate(self):
-        """Act on the state: the old engines stop without a drain, or the new ones drain some seconds later."""
+        """Act on the final state: stop the old engines without a drain, or drain the new ones some seconds later."""
         while not self._is_closed:
             state = self.state()
             if state == "completed":
@@ -144,16 +144,16 @@
         super().close()
 
     def arrivals(self, engines):
-        """When runs reached these engines since the order."""
+        """Return the times at which runs reached these engines since the order."""
         return sorted(at for engine in engines for at in engine.arrived_at if at >= self.ordered_at)
 
 
 class Callers:
-    """Steady callers of both routes, through all routers in turn.
+    """Calls both routes at a steady rate, through all routers in turn.
 
     Attributes
     ----------
-    seen : list of tuple
+    responses : list of tuple
         Time and status of each answer; status 0 for a broken connection.
     """
 
@@ -171,7 +171,7 @@
         return self
 
     def stop(self):
-        """End, and wait for the last answers."""
+        """Stop, wait for the last answers and return their number by status."""
         self._stop.set()
         self._thread.join()
         for thread in self._threads:
