--- a/wagtailtrestle/rollouts/canary_analysis.py
+++ b/wagtailtrestle/rollouts/canary_analysis.py
@@ -59,7 +59,7 @@
         """Return the old version's rate of bad runs, smoothed by ``prior``."""
         return (self.old_bad + PRIOR_RUNS * prior) / (self.old_runs + PRIOR_RUNS)
 
-    def expected(self, prior=PRIOR_BAD_RUNS / PRIOR_RUNS):
+    def usual(self, prior=PRIOR_BAD_RUNS / PRIOR_RUNS):
         """Return the expected rate of bad runs, one standard deviation above the observed rate.
 
         With the observed rate alone, noise in the old version's runs would make a good target look worse.
@@ -67,10 +67,10 @@
         bad_rate = self.bad_rate(prior)
         return bad_rate + math.sqrt(bad_rate * (1.0 - bad_rate) / (self.old_runs + PRIOR_RUNS))
 
-    def add(self, bad, expected):
+    def add(self, bad, usual):
         """Add a run on the target to the CUSUM; ``expected`` is the expected rate of bad runs."""
-        worse = expected + MIN_EXCESS_BAD_RATE * (1.0 - expected)
-        step = math.log(worse / expected) if bad else math.log((1.0 - worse) / (1.0 - expected))
+        worse = usual + MIN_EXCESS_BAD_RATE * (1.0 - usual)
+        step = math.log(worse / usual) if bad else math.log((1.0 - worse) / (1.0 - usual))
         self.total = max(0.0, self.total + step)
 
 
@@ -86,7 +86,7 @@
         self._last.append(latency)
 
     @property
-    def expected(self):
+    def usual(self):
         """First quartile of the latencies, or ``None`` while too few are known."""
         if len(self._last) < MIN_LATENCIES:
             return None
@@ -192,23 +192,23 @@
 
     def _is_slow(self, route, engine, is_target, latency):
         own = self._latencies_by_key.setdefault((route, engine, is_target), _LatencyWindow())
-        known = [own.expected]
+        known = [own.usual]
         if is_target:
             old = [
-                latencies.expected
+                latencies.usual
                 for (of, _, of_target), latencies in self._latencies_by_key.items()
-                if of == route and not of_target and latencies.expected is not None
+                if of == route and not of_target and latencies.usual is not None
             ]
             known.append(max(old, default=None))
         own.add(latency)
-        expected = min((each for each in known if each is not None), default=None)
-        return expected is not None and latency > SLOW_FACTOR * expected
+        usual = min((each for each in known if each is not None), default=None)
+        return usual is not None and latency > SLOW_FACTOR * usual
 
     def _record_target_run(self, evidence, bad, was_full):
         self.target_runs += 1
         self.target_bad += bad
-        expected = evidence.expected()
-        evidence.add(bad, expected)
-        self._all.add(bad, expected)
+        usual = evidence.usual()
+        evidence.add(bad, usual)
+        self._all.add(bad, usual)
         if was_full:
-            self._full.add(bad, max(expected, self._full.expected(prior=evidence.bad_rate())))
+            self._full.add(bad, max(usual, self._full.usual(prior=evidence.bad_rate())))
