--- a/wagtailtrestle/rollouts/canary_analysis.py
+++ b/wagtailtrestle/rollouts/canary_analysis.py
@@ -1,10 +1,10 @@
 """Detects whether a version is worse than the one that it replaces.
 
-Each run on the target is compared with the old version's runs on the same route: a service may answer a seventh of one
-route's calls with failures of its own, with any version. A cumulative sum of log likelihood ratios (CUSUM) grows with
-bad runs and never falls below zero, so that a version which becomes bad later is detected as fast as one that was bad
-from the start. There is one sum for each route, one over all runs and one over runs that began on a full engine: few
-runs of an untested version do, so failures that occur only then are too rare to show among all runs.
+Each run on the target is compared with what the old version shows on the same route: a service may answer a
+seventh of one route's calls with failures of its own, with any version. A cumulative sum of log likelihood ratios
+(CUSUM), one for each route, one over all and one over those begun on a full engine, grows with bad runs and never
+falls below zero, so that a version which turns bad after a good beginning is found as soon as one that always was.
+Few runs of an untested version find its engine full; among all others a failure that comes only then is too rare.
 """
 
 import math
@@ -68,7 +68,7 @@
         return bad_rate + math.sqrt(bad_rate * (1.0 - bad_rate) / (self.old_runs + PRIOR_RUNS))
 
     def add(self, bad, usual):
-        """Add a run on the target to the CUSUM; ``expected`` is the expected rate of bad runs."""
+        """Add a run on the target to the CUSUM; ``usual`` is the expected rate of bad runs."""
         worse = usual + MIN_EXCESS_BAD_RATE * (1.0 - usual)
         step = math.log(worse / usual) if bad else math.log((1.0 - worse) / (1.0 - usual))
         self.total = max(0.0, self.total + step)
@@ -104,7 +104,7 @@
     Attributes
     ----------
     threshold : float
-        CUSUM value at which the target counts as bad.
+        Sum at which the target counts as bad.
     target_runs, target_bad : int
     """
 
@@ -132,12 +132,12 @@
 
     @property
     def is_bad(self):
-        """Whether the target counts as worse than the old version."""
+        """Whether the target is worse than the old version."""
         return self.suspicion >= self.threshold
 
     @property
     def suspicion(self):
-        """Largest of the CUSUM values; 0 while too few runs were bad."""
+        """The largest of the sums; 0 while too few runs were bad."""
         if self.target_bad < MIN_BAD_RUNS:
             return 0.0
         return max(evidence.total for evidence in (self._all, self._full, *self._route_by_name.values()))
@@ -179,7 +179,7 @@
         }
 
     def _is_bad_run(self, route, engine, is_target, result, latency, now):
-        """Return whether a run was bad; ``None`` if it gives no evidence."""
+        """Whether a run was bad; ``None`` if it tells nothing."""
         if result == FAILED:
             return True
         if result in CUT_RESULTS:
--- a/wagtailtrestle/rollouts/rollout.py
+++ b/wagtailtrestle/rollouts/rollout.py
@@ -188,7 +188,7 @@
     def _ramp(self):
         self.phase = Phase.RAMP
         self.exposure.widen()
-        self._log("trial passed; ramping the target up to the limit for untested versions")
+        self._log("trial passed, no evidence against the target; it is ramped up to the limit for untested versions")
 
     def _is_ramp_over(self, fraction):
         if self.analysis.target_runs < min(MIN_RUNS, MIN_RUNS_FRACTION * self.exposure.granted):
@@ -205,7 +205,7 @@
     def _shift(self):
         self.phase = Phase.SHIFT
         self.analysis.threshold = SHIFT_CUSUM_THRESHOLD
-        self._log("ramp passed; sending all requests to the target")
+        self._log("ramp passed, the target is as good as the old version; all requests go to it")
 
     def _end(self, state):
         self.phase = Phase.ENDED
