--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -51,7 +51,7 @@
             incarnation=incarnation,
             store=self.store_by_name[name],
             owner_of=lambda shard: self.owner,
-            ask=self.ask,
+            query_peer=self.query_peer,
             shards=lambda: 1,
             retention_s=lambda: RETENTION_S,
             wall_clock=lambda: self.wall_s,
--- a/tests/utils/ledger_replay.py
+++ b/tests/utils/ledger_replay.py
@@ -266,7 +266,7 @@
             incarnation=str(self._incarnations[router]),
             store=store,
             owner_of=lambda shard: str(self._owner),
-            ask=lambda peer, message, timeout_s: self._ask(router, int(peer), message, timeout_s),
+            query_peer=lambda peer, message, timeout_s: self._ask(router, int(peer), message, timeout_s),
             shards=lambda: 1,
             retention_s=lambda: 3600.0,
             wall_clock=lambda: 1e6,
--- a/wagtailtrestle/ledger/ledger.py
+++ b/wagtailtrestle/ledger/ledger.py
@@ -80,7 +80,7 @@
         incarnation,
         store,
         owner_of,
-        ask,
+        query_peer,
         shards,
         retention_s,
         live_routers=lambda: 1,
@@ -90,7 +90,7 @@
         self.incarnation = incarnation
         self._store = store
         self._owner_of = owner_of
-        self._ask = ask
+        self._ask = query_peer
         self._shards = shards
         self._retention_s = retention_s
         self._wall_clock = wall_clock
--- a/wagtailtrestle/measure/platform_store.py
+++ b/wagtailtrestle/measure/platform_store.py
@@ -84,7 +84,7 @@
             incarnation="1",
             store=store,
             owner_of=lambda shard: self._rendezvous.ranked(key=shard, members=routers)[0],
-            ask=self._ask,
+            query_peer=self._ask,
             shards=lambda: declared.ledger_shards,
             retention_s=lambda: declared.ledger_retention_s,
             live_routers=lambda: len(routers),
--- a/wagtailtrestle/router.py
+++ b/wagtailtrestle/router.py
@@ -256,7 +256,7 @@
             incarnation=str(self._incarnation),
             store=self._store,
             owner_of=lambda shard: self._rendezvous.choose(key=shard, members=self._membership.view.members) or "",
-            ask=self._ask,
+            query_peer=self._ask,
             shards=lambda: self._declaration().ledger_shards,
             retention_s=lambda: self._declaration().ledger_retention_s,
             live_routers=lambda: len(self._membership.view.everyone),
--- a/wagtailtrestle/slopes/ledger.py
+++ b/wagtailtrestle/slopes/ledger.py
@@ -65,7 +65,7 @@
         incarnation="1",
         store=store,
         owner_of=lambda shard: "router-1",
-        ask=lambda peer, message, timeout_s: ledger.handle(message),
+        query_peer=lambda peer, message, timeout_s: ledger.handle(message),
         shards=lambda: shards,
         retention_s=lambda: RETENTION_S,
     )
