--- a/wagtailtrestle/ledger/ledger.py
+++ b/wagtailtrestle/ledger/ledger.py
@@ -90,7 +90,7 @@
         self.incarnation = incarnation
         self._store = store
         self._owner_of = owner_of
-        self._ask = query_peer
+        self._query_peer = query_peer
         self._shards = shards
         self._retention_s = retention_s
         self._wall_clock = wall_clock
@@ -213,7 +213,7 @@
         if owner == self.name:
             return await writer.claim(ask, timeout_s=timeout_s)
         if owner:
-            answer = await self._ask(owner, ask, timeout_s)
+            answer = await self._query_peer(owner, ask, timeout_s)
             if isinstance(answer, ClaimAnswer) and answer.result != ClaimResult.UNAVAILABLE:
                 return answer
         # The owner may be dead, paused, or cut off, before or after its write. Reading the
@@ -256,7 +256,7 @@
             if held.entry == self.name:
                 told = await self.handle(ask)
             else:
-                told = await self._ask(held.entry, ask, min(wait_s + HOLDER_ROOM_S, answered_by - _now()))
+                told = await self._query_peer(held.entry, ask, min(wait_s + HOLDER_ROOM_S, answered_by - _now()))
             if not isinstance(told, NonceAnswer):
                 silences += 1
             elif told.state not in (NonceState.CLAIMING, NonceState.RUNNING) or _now() >= last_end:
@@ -299,7 +299,7 @@
     async def _store_once(self, ask):
         owner = self._owner_of(ask.shard)
         if owner and owner != self.name:
-            answer = await self._ask(owner, ask, SETTLE_S)
+            answer = await self._query_peer(owner, ask, SETTLE_S)
             if isinstance(answer, SettleAnswer) and answer.stored:
                 return True
         return await self._writer(ask.shard).settle(ask)
