--- a/tests/utils/ledger_replay.py
+++ b/tests/utils/ledger_replay.py
@@ -333,8 +333,8 @@
 
             def _answer(self, batch, answers):
                 for pending, answer in zip(batch, answers, strict=True):
-                    if isinstance(pending.ask, ClaimAsk) and not pending.answered.done():
-                        replay._tell_answer(replay._router_of(self), pending.ask, answer)
+                    if isinstance(pending.request, ClaimAsk) and not pending.answered.done():
+                        replay._tell_answer(replay._router_of(self), pending.request, answer)
                 super()._answer(batch, answers)
 
         return ObservedWriter
--- a/wagtailtrestle/ledger/ledger.py
+++ b/wagtailtrestle/ledger/ledger.py
@@ -185,7 +185,7 @@
             return ClaimUnavailable(detail=self._layout_detail)
         replaces = ""
         for _ in range(MAX_TAKEOVERS):
-            ask = ClaimAsk(
+            request = ClaimAsk(
                 shard=shard,
                 key=key,
                 digest=digest,
@@ -194,26 +194,26 @@
                 incarnation=self.incarnation,
                 replaces=replaces,
             )
-            answer = await self._write(ask, deadline)
+            answer = await self._write(request, deadline)
             if answer.result == ClaimResult.WON:
                 return ClaimWon(nonce=nonce)
             if answer.result == ClaimResult.UNAVAILABLE:
                 return ClaimUnavailable(detail=answer.detail)
-            outcome = await self._learn_outcome(answer, ask, deadline)
+            outcome = await self._learn_outcome(answer, request, deadline)
             if outcome is not None:
                 return outcome
             replaces = answer.nonce
         return ClaimTaken(detail="others claim this key at the same moment")
 
-    async def _write(self, ask, deadline):
+    async def _write(self, request, deadline):
         """Have the claim written by the shard's owner, else write it here."""
-        owner = self._owner_of(ask.shard)
+        owner = self._owner_of(request.shard)
         timeout_s = min(WRITE_S, deadline - _now())
-        writer = self._writer(ask.shard)
+        writer = self._writer(request.shard)
         if owner == self.name:
-            return await writer.claim(ask, timeout_s=timeout_s)
+            return await writer.claim(request, timeout_s=timeout_s)
         if owner:
-            answer = await self._query_peer(owner, ask, timeout_s)
+            answer = await self._query_peer(owner, request, timeout_s)
             if isinstance(answer, ClaimAnswer) and answer.result != ClaimResult.UNAVAILABLE:
                 return answer
         # The owner may be dead, paused, or cut off, before or after its write. Reading the
@@ -222,11 +222,11 @@
         if timeout_s <= 0:
             return ClaimAnswer(result=str(ClaimResult.UNAVAILABLE), detail="no answer from the ledger in time")
         writer.forget()
-        return await writer.claim(ask, timeout_s=timeout_s)
+        return await writer.claim(request, timeout_s=timeout_s)
 
-    async def _learn_outcome(self, held, ask, deadline):
+    async def _learn_outcome(self, held, request, deadline):
         """Outcome for a re-send whose key another request holds; ``None`` if it may be taken over."""
-        if held.digest != ask.digest:
+        if held.digest != request.digest:
             return ClaimMismatch()
         if held.state == ClaimState.CLAIMED:
             told = await self._ask_holder(held, deadline)
@@ -236,7 +236,7 @@
                 return _recorded(told)
             if told.state in (NonceState.CLAIMING, NonceState.RUNNING):
                 return ClaimTaken(detail="the earlier request has not ended yet")
-            held = await self._read_again(held, ask, deadline)
+            held = await self._read_again(held, request, deadline)
         if held.state == ClaimState.FINISHED and held.body_kept:
             return _recorded(held)
         if held.state == ClaimState.FINISHED:
@@ -252,24 +252,24 @@
         silences = 0
         while silences < HOLDER_SILENCES and _now() < answered_by:
             wait_s = max(min(last_end - _now(), HOLDER_SLICE_S), 0.0)
-            ask = NonceAsk(nonce=held.nonce, incarnation=held.incarnation, wait_s=wait_s)
+            request = NonceAsk(nonce=held.nonce, incarnation=held.incarnation, wait_s=wait_s)
             if held.entry == self.name:
-                told = await self.handle(ask)
+                told = await self.handle(request)
             else:
-                told = await self._query_peer(held.entry, ask, min(wait_s + HOLDER_ROOM_S, answered_by - _now()))
+                told = await self._query_peer(held.entry, request, min(wait_s + HOLDER_ROOM_S, answered_by - _now()))
             if not isinstance(told, NonceAnswer):
                 silences += 1
             elif told.state not in (NonceState.CLAIMING, NonceState.RUNNING) or _now() >= last_end:
                 return told
         return SILENT
 
-    async def _read_again(self, held, ask, deadline):
+    async def _read_again(self, held, request, deadline):
         """Look once more in the store: the holder may have recorded its end before it went."""
         timeout_s = max(deadline - _now(), 0.0)
-        outcome = await bounded(self._store.get(kind=LEDGER_KIND, name=ask.shard), timeout_s=timeout_s)
+        outcome = await bounded(self._store.get(kind=LEDGER_KIND, name=request.shard), timeout_s=timeout_s)
         if not isinstance(outcome, StoreDone):
             return held
-        record = ShardContents.from_value(outcome.value).records_by_key.get(ask.key)
+        record = ShardContents.from_value(outcome.value).records_by_key.get(request.key)
         return record.answer(ClaimResult.HELD) if record is not None and record.nonce == held.nonce else held
 
     # Ends of requests.
@@ -296,13 +296,13 @@
             await asyncio.sleep(pause_s)
             pause_s = min(2 * pause_s, SETTLE_PAUSE_LIMIT_S)
 
-    async def _store_once(self, ask):
-        owner = self._owner_of(ask.shard)
+    async def _store_once(self, request):
+        owner = self._owner_of(request.shard)
         if owner and owner != self.name:
-            answer = await self._query_peer(owner, ask, SETTLE_S)
+            answer = await self._query_peer(owner, request, SETTLE_S)
             if isinstance(answer, SettleAnswer) and answer.stored:
                 return True
-        return await self._writer(ask.shard).settle(ask)
+        return await self._writer(request.shard).settle(request)
 
     # Shards.
 
--- a/wagtailtrestle/ledger/record.py
+++ b/wagtailtrestle/ledger/record.py
@@ -90,7 +90,7 @@
             body,
         ]
 
-    def settled(self, ask):
+    def settled(self, request):
         """Give the record after its request's end."""
         return ClaimRecord(
             nonce=self.nonce,
@@ -98,10 +98,10 @@
             incarnation=self.incarnation,
             digest=self.digest,
             claimed_at=self.claimed_at,
-            state=ClaimState(ask.state),
-            status=ask.status,
-            content_type=ask.content_type,
-            body=ask.body if ask.body_kept and len(ask.body) <= MAX_BODY_BYTES else None,
+            state=ClaimState(request.state),
+            status=request.status,
+            content_type=request.content_type,
+            body=request.body if request.body_kept and len(request.body) <= MAX_BODY_BYTES else None,
         )
 
     def without_body(self):
@@ -168,7 +168,7 @@
         """Give an unchanged copy to apply a batch to."""
         return ShardContents(records_by_key=dict(self.records_by_key), size=self.size)
 
-    def apply(self, ask, *, now):
+    def apply(self, request, *, now):
         """Apply one ask.
 
         Returns
@@ -176,9 +176,9 @@
         ClaimAnswer or bool
             For a claim its answer; for an end of a request whether its claim was found.
         """
-        if isinstance(ask, ClaimAsk):
-            return self._claim(ask, now)
-        return self._settle(ask)
+        if isinstance(request, ClaimAsk):
+            return self._claim(request, now)
+        return self._settle(request)
 
     def prune(self, *, now, retention_s):
         """Drop claims that nobody has to remember any more.
@@ -191,37 +191,37 @@
         for key in [key for key, record in self.records_by_key.items() if record.claimed_at < horizon]:
             self._remove(key)
 
-    def _claim(self, ask, now):
-        record = self.records_by_key.get(ask.key)
-        if record is not None and record.nonce == ask.nonce:
+    def _claim(self, request, now):
+        record = self.records_by_key.get(request.key)
+        if record is not None and record.nonce == request.nonce:
             # An earlier write of the same ask took effect though its answer was lost.
             return record.answer(ClaimResult.WON)
         # Only a claim that still stands under exactly the nonce that was refused on its own
         # router may be replaced; any other holder may be running.
-        takes_over = record is not None and record.nonce == ask.replaces and record.state is ClaimState.CLAIMED
+        takes_over = record is not None and record.nonce == request.replaces and record.state is ClaimState.CLAIMED
         if record is not None and not takes_over:
             return record.answer(ClaimResult.HELD)
         mine = ClaimRecord(
-            nonce=ask.nonce,
-            entry=ask.entry,
-            incarnation=ask.incarnation,
-            digest=ask.digest,
+            nonce=request.nonce,
+            entry=request.entry,
+            incarnation=request.incarnation,
+            digest=request.digest,
             claimed_at=round(now, 1),
             state=ClaimState.CLAIMED,
         )
         if not takes_over and not self._make_room(mine.size()):
             return ClaimAnswer(result=str(ClaimResult.UNAVAILABLE), detail="this part of the ledger is full")
-        self._put(ask.key, mine)
+        self._put(request.key, mine)
         return mine.answer(ClaimResult.WON)
 
-    def _settle(self, ask):
-        record = self.records_by_key.get(ask.key)
-        if record is None or record.nonce != ask.nonce:
+    def _settle(self, request):
+        record = self.records_by_key.get(request.key)
+        if record is None or record.nonce != request.nonce:
             return False
-        if ask.state == NonceState.REFUSED:
-            self._remove(ask.key)
+        if request.state == NonceState.REFUSED:
+            self._remove(request.key)
         elif record.state is ClaimState.CLAIMED:
-            self._put(ask.key, record.settled(ask))
+            self._put(request.key, record.settled(request))
             self._drop_bodies(BODIES_LIMIT_BYTES)
         return True
 
--- a/wagtailtrestle/ledger/shard.py
+++ b/wagtailtrestle/ledger/shard.py
@@ -60,10 +60,10 @@
 class PendingAsk:
     """An ask that waits for its shard's next write."""
 
-    __slots__ = ("ask", "answered")
+    __slots__ = ("request", "answered")
 
-    def __init__(self, *, ask, answered):
-        self.ask = ask
+    def __init__(self, *, request, answered):
+        self.request = request
         self.answered = answered
 
     def resolve(self, answer):
@@ -118,17 +118,17 @@
         self._contents = None
         self._version = NEVER_WRITTEN
 
-    async def claim(self, ask, *, timeout_s):
+    async def claim(self, request, *, timeout_s):
         """Put a claim; ``unavailable`` means nothing certain, so nothing may run on it."""
         self.claims += 1
         try:
-            return await asyncio.wait_for(self._submit(ask, hurry=True), timeout=timeout_s)
+            return await asyncio.wait_for(self._submit(request, hurry=True), timeout=timeout_s)
         except TimeoutError:
             return _unavailable("the platform's store did not answer in time")
 
-    async def settle(self, ask, *, hurry=False):
+    async def settle(self, request, *, hurry=False):
         """Record a request's end with the next write; ``True`` once it is in the store."""
-        return await self._submit(ask, hurry=hurry)
+        return await self._submit(request, hurry=hurry)
 
     def forget(self):
         """Read the shard again before the next write."""
@@ -155,9 +155,9 @@
             "reads": self.reads,
         }
 
-    def _submit(self, ask, *, hurry):
+    def _submit(self, request, *, hurry):
         answered = asyncio.get_running_loop().create_future()
-        self._pending.append(PendingAsk(ask=ask, answered=answered))
+        self._pending.append(PendingAsk(request=request, answered=answered))
         if hurry:
             self._hurry.set()
         if self._task is None or self._task.done():
@@ -196,7 +196,7 @@
                 fresh = True
             contents = self._contents.copy()
             contents.prune(now=self._wall_clock(), retention_s=self._retention_s())
-            answers = [contents.apply(pending.ask, now=self._wall_clock()) for pending in batch]
+            answers = [contents.apply(pending.request, now=self._wall_clock()) for pending in batch]
             if False in answers and not fresh:
                 # Another writer may have put the claim whose end this is: the remembered
                 # version can't prove that it is missing.
@@ -254,7 +254,7 @@
 
     def _fail(self, batch, detail):
         for pending in batch:
-            pending.resolve(_unavailable(detail) if isinstance(pending.ask, ClaimAsk) else False)
+            pending.resolve(_unavailable(detail) if isinstance(pending.request, ClaimAsk) else False)
 
 
 def _unavailable(detail):
