--- a/wagtailtrestle/ledger/shard.py
+++ b/wagtailtrestle/ledger/shard.py
@@ -57,7 +57,7 @@
             await asyncio.sleep(self._free_at - now)
 
 
-class PendingAsk:
+class PendingRequest:
     """An ask that waits for its shard's next write."""
 
     __slots__ = ("request", "answered")
@@ -157,7 +157,7 @@
 
     def _submit(self, request, *, hurry):
         answered = asyncio.get_running_loop().create_future()
-        self._pending.append(PendingAsk(request=request, answered=answered))
+        self._pending.append(PendingRequest(request=request, answered=answered))
         if hurry:
             self._hurry.set()
         if self._task is None or self._task.done():
