--- a/wagtailtrestle/ledger/ledger.py
+++ b/wagtailtrestle/ledger/ledger.py
@@ -47,7 +47,7 @@
 RELEASE_TRIES = 2
 CLOSE_S = 5.0
 LEDGER_WRITES_PER_S = 200.0
-SILENT = NonceAnswer(state="")
+UNANSWERED = NonceAnswer(state="")
 
 
 class Ledger:
@@ -261,7 +261,7 @@
                 silences += 1
             elif told.state not in (NonceState.CLAIMING, NonceState.RUNNING) or _now() >= last_end:
                 return told
-        return SILENT
+        return UNANSWERED
 
     async def _read_again(self, held, request, deadline):
         """Look once more in the store: the holder may have recorded its end before it went."""
