--- a/wagtailtrestle/ledger/ledger.py
+++ b/wagtailtrestle/ledger/ledger.py
@@ -35,7 +35,7 @@
 
 LAYOUT_NAME = "layout"
 CLAIM_WAIT_S = 10.0
-WRITE_S = 2.5
+WRITE_TIMEOUT_S = 2.5
 HOLDER_SLICE_S = 5.0
 HOLDER_ROOM_S = 1.0
 READ_ROOM_S = 0.5
@@ -143,7 +143,7 @@
         """Answer another router's ask."""
         match message:
             case ClaimAsk():
-                return await self._writer(message.shard).claim(message, timeout_s=WRITE_S)
+                return await self._writer(message.shard).claim(message, timeout_s=WRITE_TIMEOUT_S)
             case SettleAsk():
                 return SettleAnswer(stored=await self._writer(message.shard).settle(message))
             case NonceAsk(incarnation=self.incarnation):
@@ -208,7 +208,7 @@
     async def _write(self, request, deadline):
         """Have the claim written by the shard's owner, else write it here."""
         owner = self._owner_of(request.shard)
-        timeout_s = min(WRITE_S, deadline - _now())
+        timeout_s = min(WRITE_TIMEOUT_S, deadline - _now())
         writer = self._writer(request.shard)
         if owner == self.name:
             return await writer.claim(request, timeout_s=timeout_s)
@@ -218,7 +218,7 @@
                 return answer
         # The owner may be dead, paused, or cut off, before or after its write. Reading the
         # shard tells: with this nonce in it the claim is won, else it is written here.
-        timeout_s = min(WRITE_S, deadline - _now())
+        timeout_s = min(WRITE_TIMEOUT_S, deadline - _now())
         if timeout_s <= 0:
             return ClaimAnswer(result=str(ClaimResult.UNAVAILABLE), detail="no answer from the ledger in time")
         writer.forget()
