--- a/wagtailtrestle/ledger/ledger.py
+++ b/wagtailtrestle/ledger/ledger.py
@@ -36,7 +36,7 @@
 LAYOUT_NAME = "layout"
 CLAIM_WAIT_S = 10.0
 WRITE_TIMEOUT_S = 2.5
-HOLDER_SLICE_S = 5.0
+HOLDER_LONG_POLL_S = 5.0
 HOLDER_ROOM_S = 1.0
 READ_ROOM_S = 0.5
 HOLDER_SILENCES = 2
@@ -251,7 +251,7 @@
         last_end = answered_by - HOLDER_ROOM_S
         silences = 0
         while silences < HOLDER_SILENCES and _now() < answered_by:
-            wait_s = max(min(last_end - _now(), HOLDER_SLICE_S), 0.0)
+            wait_s = max(min(last_end - _now(), HOLDER_LONG_POLL_S), 0.0)
             request = NonceAsk(nonce=held.nonce, incarnation=held.incarnation, wait_s=wait_s)
             if held.entry == self.name:
                 told = await self.handle(request)
