--- a/wagtailtrestle/ledger/ledger.py
+++ b/wagtailtrestle/ledger/ledger.py
@@ -37,7 +37,7 @@
 CLAIM_WAIT_S = 10.0
 WRITE_TIMEOUT_S = 2.5
 HOLDER_LONG_POLL_S = 5.0
-HOLDER_ROOM_S = 1.0
+HOLDER_MARGIN_S = 1.0
 READ_ROOM_S = 0.5
 HOLDER_SILENCES = 2
 MAX_TAKEOVERS = 4
@@ -248,7 +248,7 @@
         # All of it ends before the deadline, the last look at the store included. Overrun, a
         # key known to be held would be told as "not run" by whoever gave up waiting first.
         answered_by = deadline - READ_ROOM_S
-        last_end = answered_by - HOLDER_ROOM_S
+        last_end = answered_by - HOLDER_MARGIN_S
         silences = 0
         while silences < HOLDER_SILENCES and _now() < answered_by:
             wait_s = max(min(last_end - _now(), HOLDER_LONG_POLL_S), 0.0)
@@ -256,7 +256,7 @@
             if held.entry == self.name:
                 told = await self.handle(request)
             else:
-                told = await self._query_peer(held.entry, request, min(wait_s + HOLDER_ROOM_S, answered_by - _now()))
+                told = await self._query_peer(held.entry, request, min(wait_s + HOLDER_MARGIN_S, answered_by - _now()))
             if not isinstance(told, NonceAnswer):
                 silences += 1
             elif told.state not in (NonceState.CLAIMING, NonceState.RUNNING) or _now() >= last_end:
