--- a/wagtailtrestle/ledger/ledger.py
+++ b/wagtailtrestle/ledger/ledger.py
@@ -38,7 +38,7 @@
 WRITE_TIMEOUT_S = 2.5
 HOLDER_LONG_POLL_S = 5.0
 HOLDER_MARGIN_S = 1.0
-READ_ROOM_S = 0.5
+READ_MARGIN_S = 0.5
 HOLDER_SILENCES = 2
 MAX_TAKEOVERS = 4
 SETTLE_S = 4.0
@@ -247,7 +247,7 @@
         """Ask the router that holds the key; waits there, not by polling."""
         # All of it ends before the deadline, the last look at the store included. Overrun, a
         # key known to be held would be told as "not run" by whoever gave up waiting first.
-        answered_by = deadline - READ_ROOM_S
+        answered_by = deadline - READ_MARGIN_S
         last_end = answered_by - HOLDER_MARGIN_S
         silences = 0
         while silences < HOLDER_SILENCES and _now() < answered_by:
