--- a/wagtailtrestle/ledger/ledger.py
+++ b/wagtailtrestle/ledger/ledger.py
@@ -39,7 +39,7 @@
 HOLDER_LONG_POLL_S = 5.0
 HOLDER_MARGIN_S = 1.0
 READ_MARGIN_S = 0.5
-HOLDER_SILENCES = 2
+MAX_HOLDER_TIMEOUTS = 2
 MAX_TAKEOVERS = 4
 SETTLE_S = 4.0
 SETTLE_PAUSE_S = 1.0
@@ -250,7 +250,7 @@
         answered_by = deadline - READ_MARGIN_S
         last_end = answered_by - HOLDER_MARGIN_S
         silences = 0
-        while silences < HOLDER_SILENCES and _now() < answered_by:
+        while silences < MAX_HOLDER_TIMEOUTS and _now() < answered_by:
             wait_s = max(min(last_end - _now(), HOLDER_LONG_POLL_S), 0.0)
             request = NonceAsk(nonce=held.nonce, incarnation=held.incarnation, wait_s=wait_s)
             if held.entry == self.name:
