--- a/wagtailtrestle/ledger/ledger.py
+++ b/wagtailtrestle/ledger/ledger.py
@@ -41,7 +41,7 @@
 READ_MARGIN_S = 0.5
 MAX_HOLDER_TIMEOUTS = 2
 MAX_TAKEOVERS = 4
-SETTLE_S = 4.0
+SETTLE_TIMEOUT_S = 4.0
 SETTLE_PAUSE_S = 1.0
 SETTLE_PAUSE_LIMIT_S = 30.0
 RELEASE_TRIES = 2
@@ -299,7 +299,7 @@
     async def _store_once(self, request):
         owner = self._owner_of(request.shard)
         if owner and owner != self.name:
-            answer = await self._query_peer(owner, request, SETTLE_S)
+            answer = await self._query_peer(owner, request, SETTLE_TIMEOUT_S)
             if isinstance(answer, SettleAnswer) and answer.stored:
                 return True
         return await self._writer(request.shard).settle(request)
