--- a/wagtailtrestle/ledger/ledger.py
+++ b/wagtailtrestle/ledger/ledger.py
@@ -43,7 +43,7 @@
 MAX_TAKEOVERS = 4
 SETTLE_TIMEOUT_S = 4.0
 SETTLE_PAUSE_S = 1.0
-SETTLE_PAUSE_LIMIT_S = 30.0
+MAX_SETTLE_RETRY_DELAY_S = 30.0
 RELEASE_TRIES = 2
 CLOSE_S = 5.0
 LEDGER_WRITES_PER_S = 200.0
@@ -294,7 +294,7 @@
                 return
             tries = None if tries is None else tries - 1
             await asyncio.sleep(pause_s)
-            pause_s = min(2 * pause_s, SETTLE_PAUSE_LIMIT_S)
+            pause_s = min(2 * pause_s, MAX_SETTLE_RETRY_DELAY_S)
 
     async def _store_once(self, request):
         owner = self._owner_of(request.shard)
