--- a/wagtailtrestle/ledger/ledger.py
+++ b/wagtailtrestle/ledger/ledger.py
@@ -42,7 +42,7 @@
 MAX_HOLDER_TIMEOUTS = 2
 MAX_TAKEOVERS = 4
 SETTLE_TIMEOUT_S = 4.0
-SETTLE_PAUSE_S = 1.0
+SETTLE_RETRY_DELAY_S = 1.0
 MAX_SETTLE_RETRY_DELAY_S = 30.0
 RELEASE_TRIES = 2
 CLOSE_S = 5.0
@@ -285,7 +285,7 @@
         """Record an end, trying again until it is stored or no longer matters."""
         hashed = key_hash(team=team, key=key)
         give_up_at = _now() + self._retention_s()
-        pause_s = SETTLE_PAUSE_S
+        pause_s = SETTLE_RETRY_DELAY_S
         while tries != 0 and _now() < give_up_at:
             shard = await self._shard_of(hashed)
             if shard and await self._store_once(SettleAsk(shard=shard, key=hashed, nonce=nonce, state=state, **answer)):
