--- a/wagtailtrestle/ledger/ledger.py
+++ b/wagtailtrestle/ledger/ledger.py
@@ -44,7 +44,7 @@
 SETTLE_TIMEOUT_S = 4.0
 SETTLE_RETRY_DELAY_S = 1.0
 MAX_SETTLE_RETRY_DELAY_S = 30.0
-RELEASE_TRIES = 2
+MAX_RELEASE_ATTEMPTS = 2
 CLOSE_S = 5.0
 LEDGER_WRITES_PER_S = 200.0
 UNANSWERED = NonceAnswer(state="")
@@ -123,7 +123,7 @@
     def release(self, *, team, key, nonce):
         """Give back a claim whose request was never dispatched."""
         self._nonces.refuse(nonce)
-        self._settle(team, key, nonce, state=NonceState.REFUSED, tries=RELEASE_TRIES)
+        self._settle(team, key, nonce, state=NonceState.REFUSED, tries=MAX_RELEASE_ATTEMPTS)
 
     def finish(self, *, team, key, nonce, status, content_type, body):
         """Record the answer; a body over ``MAX_BODY_BYTES`` is not kept."""
