--- a/wagtailtrestle/ledger/ledger.py
+++ b/wagtailtrestle/ledger/ledger.py
@@ -45,7 +45,7 @@
 SETTLE_RETRY_DELAY_S = 1.0
 MAX_SETTLE_RETRY_DELAY_S = 30.0
 MAX_RELEASE_ATTEMPTS = 2
-CLOSE_S = 5.0
+CLOSE_TIMEOUT_S = 5.0
 LEDGER_WRITES_PER_S = 200.0
 UNANSWERED = NonceAnswer(state="")
 
@@ -159,7 +159,7 @@
         """Let ends of requests reach the store, then stop."""
         settling = list(self._settling_by_nonce.values())
         if settling:
-            await asyncio.wait(settling, timeout=CLOSE_S)
+            await asyncio.wait(settling, timeout=CLOSE_TIMEOUT_S)
         for task in settling:
             task.cancel()
         await asyncio.gather(*settling, return_exceptions=True)
