--- a/wagtailtrestle/ledger/shard.py
+++ b/wagtailtrestle/ledger/shard.py
@@ -12,14 +12,14 @@
 from wagtailtrestle.contracts.outcomes import StoreAbsent, StoreDone, StoreUnavailable, StoreUnknown
 from wagtailtrestle.ledger.record import LEDGER_KIND, ShardContents
 
-STORE_CALL_S = 2.0
+STORE_TIMEOUT_S = 2.0
 LINGER_S = 0.25
 MAX_ATTEMPTS = 8
 CONFLICT_PAUSE_S = 0.01
 NEVER_WRITTEN = 0
 
 
-async def bounded(call, *, timeout_s=STORE_CALL_S):
+async def bounded(call, *, timeout_s=STORE_TIMEOUT_S):
     """Await a store call; one that doesn't end in time may still take effect."""
     try:
         return await asyncio.wait_for(call, timeout=timeout_s)
