--- a/wagtailtrestle/ledger/shard.py
+++ b/wagtailtrestle/ledger/shard.py
@@ -15,7 +15,7 @@
 STORE_TIMEOUT_S = 2.0
 LINGER_S = 0.25
 MAX_ATTEMPTS = 8
-CONFLICT_PAUSE_S = 0.01
+MAX_CONFLICT_BACKOFF_S = 0.01
 NEVER_WRITTEN = 0
 
 
@@ -216,7 +216,7 @@
                     # later. Reading back tells; a write that lands later conflicts with
                     # ours or ours with it, since both name the version they replace.
                     self._contents = None
-                    await asyncio.sleep(CONFLICT_PAUSE_S * random.random())
+                    await asyncio.sleep(MAX_CONFLICT_BACKOFF_S * random.random())
         self._fail(batch, "the platform's store did not settle the write")
 
     async def _read(self):
