--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -18,7 +18,7 @@
 from wagtailtrestle.ledger.ledger import Ledger
 from wagtailtrestle.ledger.record import (
     BODIES_LIMIT_BYTES,
-    CLOCK_ROOM_S,
+    CLOCK_SKEW_MARGIN_S,
     LEDGER_KIND,
     MAX_BODY_BYTES,
     SHARD_LIMIT_BYTES,
@@ -364,9 +364,9 @@
     def test_claims_are_forgotten_only_after_retention_and_clock_room(self):
         contents = ShardContents()
         contents.apply(_ask("n1", "key"), now=0.0)
-        contents.prune(now=RETENTION_S + CLOCK_ROOM_S - 1, retention_s=RETENTION_S)
+        contents.prune(now=RETENTION_S + CLOCK_SKEW_MARGIN_S - 1, retention_s=RETENTION_S)
         self.assertEqual(len(contents.records_by_key), 1)
-        contents.prune(now=RETENTION_S + CLOCK_ROOM_S + 1, retention_s=RETENTION_S)
+        contents.prune(now=RETENTION_S + CLOCK_SKEW_MARGIN_S + 1, retention_s=RETENTION_S)
         self.assertEqual((len(contents.records_by_key), contents.size), (0, 0))
 
     def test_full_shard_refuses_claims_and_keeps_old_ones(self):
--- a/wagtailtrestle/ledger/record.py
+++ b/wagtailtrestle/ledger/record.py
@@ -12,7 +12,7 @@
 MAX_BODY_BYTES = 4096
 BODIES_LIMIT_BYTES = 256 * 1024
 SHARD_LIMIT_BYTES = 768 * 1024
-CLOCK_ROOM_S = 60.0
+CLOCK_SKEW_MARGIN_S = 60.0
 RECORD_OVERHEAD_BYTES = 64
 KEY_HEX_DIGITS = 40
 
@@ -187,7 +187,7 @@
         would be forgotten early and its key could run twice. The platform keeps its VMs'
         clocks within half of ``CLOCK_ROOM_S``, so the room covers both.
         """
-        horizon = now - retention_s - CLOCK_ROOM_S
+        horizon = now - retention_s - CLOCK_SKEW_MARGIN_S
         for key in [key for key, record in self.records_by_key.items() if record.claimed_at < horizon]:
             self._remove(key)
 
