--- a/wagtailtrestle/ledger/ledger.py
+++ b/wagtailtrestle/ledger/ledger.py
@@ -199,7 +199,7 @@
                 return ClaimWon(nonce=nonce)
             if answer.result == ClaimResult.UNAVAILABLE:
                 return ClaimUnavailable(detail=answer.detail)
-            outcome = await self._learn_outcome(answer, request, deadline)
+            outcome = await self._resolve_held_key(answer, request, deadline)
             if outcome is not None:
                 return outcome
             replaces = answer.nonce
@@ -224,7 +224,7 @@
         writer.forget()
         return await writer.claim(request, timeout_s=timeout_s)
 
-    async def _learn_outcome(self, held, request, deadline):
+    async def _resolve_held_key(self, held, request, deadline):
         """Outcome for a re-send whose key another request holds; ``None`` if it may be taken over."""
         if held.digest != request.digest:
             return ClaimMismatch()
