--- a/wagtailtrestle/ledger/ledger.py
+++ b/wagtailtrestle/ledger/ledger.py
@@ -229,7 +229,7 @@
         if held.digest != request.digest:
             return ClaimMismatch()
         if held.state == ClaimState.CLAIMED:
-            told = await self._ask_holder(held, deadline)
+            told = await self._query_holder(held, deadline)
             if told.state == NonceState.REFUSED:
                 return None
             if told.state in (NonceState.FINISHED, NonceState.UNKNOWN) and told.body_kept:
@@ -243,7 +243,7 @@
             return ClaimTaken(detail="the earlier request ran to its end; its answer was not kept")
         return ClaimTaken(detail="the earlier request's outcome is not known")
 
-    async def _ask_holder(self, held, deadline):
+    async def _query_holder(self, held, deadline):
         """Ask the router that holds the key; waits there, not by polling."""
         # All of it ends before the deadline, the last look at the store included. Overrun, a
         # key known to be held would be told as "not run" by whoever gave up waiting first.
