--- a/wagtailtrestle/ledger/ledger.py
+++ b/wagtailtrestle/ledger/ledger.py
@@ -229,12 +229,12 @@
         if held.digest != request.digest:
             return ClaimMismatch()
         if held.state == ClaimState.CLAIMED:
-            told = await self._query_holder(held, deadline)
-            if told.state == NonceState.REFUSED:
+            reported = await self._query_holder(held, deadline)
+            if reported.state == NonceState.REFUSED:
                 return None
-            if told.state in (NonceState.FINISHED, NonceState.UNKNOWN) and told.body_kept:
-                return _recorded(told)
-            if told.state in (NonceState.CLAIMING, NonceState.RUNNING):
+            if reported.state in (NonceState.FINISHED, NonceState.UNKNOWN) and reported.body_kept:
+                return _recorded(reported)
+            if reported.state in (NonceState.CLAIMING, NonceState.RUNNING):
                 return ClaimTaken(detail="the earlier request has not ended yet")
             held = await self._read_again(held, request, deadline)
         if held.state == ClaimState.FINISHED and held.body_kept:
@@ -254,13 +254,15 @@
             wait_s = max(min(last_end - _now(), HOLDER_LONG_POLL_S), 0.0)
             request = NonceAsk(nonce=held.nonce, incarnation=held.incarnation, wait_s=wait_s)
             if held.entry == self.name:
-                told = await self.handle(request)
+                reported = await self.handle(request)
             else:
-                told = await self._query_peer(held.entry, request, min(wait_s + HOLDER_MARGIN_S, answered_by - _now()))
-            if not isinstance(told, NonceAnswer):
+                reported = await self._query_peer(
+                    held.entry, request, min(wait_s + HOLDER_MARGIN_S, answered_by - _now())
+                )
+            if not isinstance(reported, NonceAnswer):
                 silences += 1
-            elif told.state not in (NonceState.CLAIMING, NonceState.RUNNING) or _now() >= last_end:
-                return told
+            elif reported.state not in (NonceState.CLAIMING, NonceState.RUNNING) or _now() >= last_end:
+                return reported
         return UNANSWERED
 
     async def _read_again(self, held, request, deadline):
@@ -346,5 +348,5 @@
     return asyncio.get_running_loop().time()
 
 
-def _recorded(told):
-    return ClaimFinished(status=told.status, content_type=told.content_type, body=told.body)
+def _recorded(reported):
+    return ClaimFinished(status=reported.status, content_type=reported.content_type, body=reported.body)
