--- a/wagtailtrestle/ledger/ledger.py
+++ b/wagtailtrestle/ledger/ledger.py
@@ -249,8 +249,8 @@
         # key known to be held would be told as "not run" by whoever gave up waiting first.
         answered_by = deadline - READ_MARGIN_S
         last_end = answered_by - HOLDER_MARGIN_S
-        silences = 0
-        while silences < MAX_HOLDER_TIMEOUTS and _now() < answered_by:
+        timeouts = 0
+        while timeouts < MAX_HOLDER_TIMEOUTS and _now() < answered_by:
             wait_s = max(min(last_end - _now(), HOLDER_LONG_POLL_S), 0.0)
             request = NonceAsk(nonce=held.nonce, incarnation=held.incarnation, wait_s=wait_s)
             if held.entry == self.name:
@@ -260,7 +260,7 @@
                     held.entry, request, min(wait_s + HOLDER_MARGIN_S, answered_by - _now())
                 )
             if not isinstance(reported, NonceAnswer):
-                silences += 1
+                timeouts += 1
             elif reported.state not in (NonceState.CLAIMING, NonceState.RUNNING) or _now() >= last_end:
                 return reported
         return UNANSWERED
