--- a/wagtailtrestle/ledger/ledger.py
+++ b/wagtailtrestle/ledger/ledger.py
@@ -123,7 +123,7 @@
     def release(self, *, team, key, nonce):
         """Give back a claim whose request was never dispatched."""
         self._nonces.refuse(nonce)
-        self._settle(team, key, nonce, state=NonceState.REFUSED, tries=MAX_RELEASE_ATTEMPTS)
+        self._settle(team, key, nonce, state=NonceState.REFUSED, attempts=MAX_RELEASE_ATTEMPTS)
 
     def finish(self, *, team, key, nonce, status, content_type, body):
         """Record the answer; a body over ``MAX_BODY_BYTES`` is not kept."""
@@ -276,25 +276,25 @@
 
     # Ends of requests.
 
-    def _settle(self, team, key, nonce, *, state, tries=None, **answer):
+    def _settle(self, team, key, nonce, *, state, attempts=None, **answer):
         if nonce in self._settling_by_nonce:
             return
-        task = asyncio.get_running_loop().create_task(self._store_end(team, key, nonce, str(state), tries, answer))
+        task = asyncio.get_running_loop().create_task(self._store_end(team, key, nonce, str(state), attempts, answer))
         self._settling_by_nonce[nonce] = task
         task.add_done_callback(lambda _: self._settling_by_nonce.pop(nonce, None))
 
-    async def _store_end(self, team, key, nonce, state, tries, answer):
+    async def _store_end(self, team, key, nonce, state, attempts, answer):
         """Record an end, trying again until it is stored or no longer matters."""
         hashed = key_hash(team=team, key=key)
         give_up_at = _now() + self._retention_s()
         pause_s = SETTLE_RETRY_DELAY_S
-        while tries != 0 and _now() < give_up_at:
+        while attempts != 0 and _now() < give_up_at:
             shard = await self._shard_of(hashed)
             if shard and await self._store_once(SettleAsk(shard=shard, key=hashed, nonce=nonce, state=state, **answer)):
                 if state != NonceState.REFUSED:
                     self._nonces.drop(nonce)
                 return
-            tries = None if tries is None else tries - 1
+            attempts = None if attempts is None else attempts - 1
             await asyncio.sleep(pause_s)
             pause_s = min(2 * pause_s, MAX_SETTLE_RETRY_DELAY_S)
 
