--- a/wagtailtrestle/ledger/ledger.py
+++ b/wagtailtrestle/ledger/ledger.py
@@ -287,7 +287,7 @@
         """Record an end, trying again until it is stored or no longer matters."""
         hashed = key_hash(team=team, key=key)
         give_up_at = _now() + self._retention_s()
-        pause_s = SETTLE_RETRY_DELAY_S
+        delay_s = SETTLE_RETRY_DELAY_S
         while attempts != 0 and _now() < give_up_at:
             shard = await self._shard_of(hashed)
             if shard and await self._store_once(SettleAsk(shard=shard, key=hashed, nonce=nonce, state=state, **answer)):
@@ -295,8 +295,8 @@
                     self._nonces.drop(nonce)
                 return
             attempts = None if attempts is None else attempts - 1
-            await asyncio.sleep(pause_s)
-            pause_s = min(2 * pause_s, MAX_SETTLE_RETRY_DELAY_S)
+            await asyncio.sleep(delay_s)
+            delay_s = min(2 * delay_s, MAX_SETTLE_RETRY_DELAY_S)
 
     async def _store_once(self, request):
         owner = self._owner_of(request.shard)
