--- a/wagtailtrestle/ledger/ledger.py
+++ b/wagtailtrestle/ledger/ledger.py
@@ -279,11 +279,13 @@
     def _settle(self, team, key, nonce, *, state, attempts=None, **answer):
         if nonce in self._settling_by_nonce:
             return
-        task = asyncio.get_running_loop().create_task(self._store_end(team, key, nonce, str(state), attempts, answer))
+        task = asyncio.get_running_loop().create_task(
+            self._settle_with_retries(team, key, nonce, str(state), attempts, answer)
+        )
         self._settling_by_nonce[nonce] = task
         task.add_done_callback(lambda _: self._settling_by_nonce.pop(nonce, None))
 
-    async def _store_end(self, team, key, nonce, state, attempts, answer):
+    async def _settle_with_retries(self, team, key, nonce, state, attempts, answer):
         """Record an end, trying again until it is stored or no longer matters."""
         hashed = key_hash(team=team, key=key)
         give_up_at = _now() + self._retention_s()
