--- a/wagtailtrestle/ledger/ledger.py
+++ b/wagtailtrestle/ledger/ledger.py
@@ -292,7 +292,7 @@
         delay_s = SETTLE_RETRY_DELAY_S
         while attempts != 0 and _now() < give_up_at:
             shard = await self._shard_of(hashed)
-            if shard and await self._store_once(SettleAsk(shard=shard, key=hashed, nonce=nonce, state=state, **answer)):
+            if shard and await self._try_settle(SettleAsk(shard=shard, key=hashed, nonce=nonce, state=state, **answer)):
                 if state != NonceState.REFUSED:
                     self._nonces.drop(nonce)
                 return
@@ -300,7 +300,7 @@
             await asyncio.sleep(delay_s)
             delay_s = min(2 * delay_s, MAX_SETTLE_RETRY_DELAY_S)
 
-    async def _store_once(self, request):
+    async def _try_settle(self, request):
         owner = self._owner_of(request.shard)
         if owner and owner != self.name:
             answer = await self._query_peer(owner, request, SETTLE_TIMEOUT_S)
