--- a/wagtailtrestle/ledger/ledger.py
+++ b/wagtailtrestle/ledger/ledger.py
@@ -233,12 +233,12 @@
             if reported.state == NonceState.REFUSED:
                 return None
             if reported.state in (NonceState.FINISHED, NonceState.UNKNOWN) and reported.body_kept:
-                return _recorded(reported)
+                return _finished_claim(reported)
             if reported.state in (NonceState.CLAIMING, NonceState.RUNNING):
                 return ClaimTaken(detail="the earlier request has not ended yet")
             held = await self._read_again(held, request, deadline)
         if held.state == ClaimState.FINISHED and held.body_kept:
-            return _recorded(held)
+            return _finished_claim(held)
         if held.state == ClaimState.FINISHED:
             return ClaimTaken(detail="the earlier request ran to its end; its answer was not kept")
         return ClaimTaken(detail="the earlier request's outcome is not known")
@@ -350,5 +350,5 @@
     return asyncio.get_running_loop().time()
 
 
-def _recorded(reported):
+def _finished_claim(reported):
     return ClaimFinished(status=reported.status, content_type=reported.content_type, body=reported.body)
