--- a/wagtailtrestle/ledger/ledger.py
+++ b/wagtailtrestle/ledger/ledger.py
@@ -221,7 +221,7 @@
         timeout_s = min(WRITE_TIMEOUT_S, deadline - _now())
         if timeout_s <= 0:
             return ClaimAnswer(result=str(ClaimResult.UNAVAILABLE), detail="no answer from the ledger in time")
-        writer.forget()
+        writer.invalidate()
         return await writer.claim(request, timeout_s=timeout_s)
 
     async def _resolve_held_key(self, held, request, deadline):
--- a/wagtailtrestle/ledger/shard.py
+++ b/wagtailtrestle/ledger/shard.py
@@ -130,7 +130,7 @@
         """Record a request's end with the next write; ``True`` once it is in the store."""
         return await self._submit(request, hurry=hurry)
 
-    def forget(self):
+    def invalidate(self):
         """Read the shard again before the next write."""
         self._contents = None
 
