--- a/wagtailtrestle/ledger/ledger.py
+++ b/wagtailtrestle/ledger/ledger.py
@@ -31,7 +31,7 @@
 )
 from wagtailtrestle.ledger.nonces import NonceTable
 from wagtailtrestle.ledger.record import LEDGER_KIND, MAX_BODY_BYTES, ShardContents, key_hash, shard_name
-from wagtailtrestle.ledger.shard import ShardWriter, WritePacer, bounded
+from wagtailtrestle.ledger.shard import ShardWriter, WriteRateLimiter, bounded
 
 LAYOUT_NAME = "layout"
 CLAIM_WAIT_S = 10.0
@@ -94,7 +94,7 @@
         self._shards = shards
         self._retention_s = retention_s
         self._wall_clock = wall_clock
-        self._pacer = WritePacer(writes_per_s=lambda: LEDGER_WRITES_PER_S / max(live_routers(), 1))
+        self._pacer = WriteRateLimiter(writes_per_s=lambda: LEDGER_WRITES_PER_S / max(live_routers(), 1))
         self._writers_by_shard = {}
         self._nonces = NonceTable(keep_s=retention_s, now=lambda: asyncio.get_running_loop().time())
         self._settling_by_nonce = {}
--- a/wagtailtrestle/ledger/shard.py
+++ b/wagtailtrestle/ledger/shard.py
@@ -27,7 +27,7 @@
         return StoreUnknown(detail=f"no answer from the store within {timeout_s} s")
 
 
-class WritePacer:
+class WriteRateLimiter:
     """Spreads one router's ledger writes over time.
 
     Writers that wait for their turn gather more asks, so writes per claim fall as load
