--- a/wagtailtrestle/ledger/ledger.py
+++ b/wagtailtrestle/ledger/ledger.py
@@ -94,7 +94,7 @@
         self._shards = shards
         self._retention_s = retention_s
         self._wall_clock = wall_clock
-        self._pacer = WriteRateLimiter(writes_per_s=lambda: LEDGER_WRITES_PER_S / max(live_routers(), 1))
+        self._rate_limiter = WriteRateLimiter(writes_per_s=lambda: LEDGER_WRITES_PER_S / max(live_routers(), 1))
         self._writers_by_shard = {}
         self._nonces = NonceTable(keep_s=retention_s, now=lambda: asyncio.get_running_loop().time())
         self._settling_by_nonce = {}
@@ -316,7 +316,7 @@
             writer = self._writers_by_shard[shard] = ShardWriter(
                 shard=shard,
                 store=self._store,
-                pacer=self._pacer,
+                pacer=self._rate_limiter,
                 wall_clock=self._wall_clock,
                 retention_s=self._retention_s,
             )
--- a/wagtailtrestle/ledger/shard.py
+++ b/wagtailtrestle/ledger/shard.py
@@ -93,7 +93,7 @@
         "claims",
         "_shard",
         "_store",
-        "_pacer",
+        "_rate_limiter",
         "_wall_clock",
         "_retention_s",
         "_pending",
@@ -109,7 +109,7 @@
         self.claims = 0
         self._shard = shard
         self._store = store
-        self._pacer = pacer
+        self._rate_limiter = pacer
         self._wall_clock = wall_clock
         self._retention_s = retention_s
         self._pending = []
@@ -167,7 +167,7 @@
     async def _write_all(self):
         while self._pending:
             await self._linger()
-            await self._pacer.wait_for_turn()
+            await self._rate_limiter.wait_for_turn()
             self._hurry.clear()
             batch = [pending for pending in self._pending if not pending.answered.done()]
             self._pending = []
