--- a/wagtailtrestle/ledger/ledger.py
+++ b/wagtailtrestle/ledger/ledger.py
@@ -316,7 +316,7 @@
             writer = self._writers_by_shard[shard] = ShardWriter(
                 shard=shard,
                 store=self._store,
-                pacer=self._rate_limiter,
+                rate_limiter=self._rate_limiter,
                 wall_clock=self._wall_clock,
                 retention_s=self._retention_s,
             )
--- a/wagtailtrestle/ledger/shard.py
+++ b/wagtailtrestle/ledger/shard.py
@@ -103,13 +103,13 @@
         "_version",
     )
 
-    def __init__(self, *, shard, store, pacer, wall_clock, retention_s):
+    def __init__(self, *, shard, store, rate_limiter, wall_clock, retention_s):
         self.writes = 0
         self.reads = 0
         self.claims = 0
         self._shard = shard
         self._store = store
-        self._rate_limiter = pacer
+        self._rate_limiter = rate_limiter
         self._wall_clock = wall_clock
         self._retention_s = retention_s
         self._pending = []
