--- a/wagtailtrestle/ledger/shard.py
+++ b/wagtailtrestle/ledger/shard.py
@@ -97,7 +97,7 @@
         "_wall_clock",
         "_retention_s",
         "_pending",
-        "_hurry",
+        "_urgent",
         "_task",
         "_contents",
         "_version",
@@ -113,7 +113,7 @@
         self._wall_clock = wall_clock
         self._retention_s = retention_s
         self._pending = []
-        self._hurry = asyncio.Event()
+        self._urgent = asyncio.Event()
         self._task = None
         self._contents = None
         self._version = NEVER_WRITTEN
@@ -159,7 +159,7 @@
         answered = asyncio.get_running_loop().create_future()
         self._pending.append(PendingRequest(request=request, answered=answered))
         if hurry:
-            self._hurry.set()
+            self._urgent.set()
         if self._task is None or self._task.done():
             self._task = asyncio.get_running_loop().create_task(self._write_all())
         return answered
@@ -168,7 +168,7 @@
         while self._pending:
             await self._linger()
             await self._rate_limiter.wait_for_turn()
-            self._hurry.clear()
+            self._urgent.clear()
             batch = [pending for pending in self._pending if not pending.answered.done()]
             self._pending = []
             try:
@@ -178,10 +178,10 @@
 
     async def _linger(self):
         """Let ends of requests wait a little for a claim whose write carries them too."""
-        if self._hurry.is_set():
+        if self._urgent.is_set():
             return
         try:
-            await asyncio.wait_for(self._hurry.wait(), timeout=LINGER_S)
+            await asyncio.wait_for(self._urgent.wait(), timeout=LINGER_S)
         except TimeoutError:
             return
 
