--- a/wagtailtrestle/ledger/shard.py
+++ b/wagtailtrestle/ledger/shard.py
@@ -122,13 +122,13 @@
         """Put a claim; ``unavailable`` means nothing certain, so nothing may run on it."""
         self.claims += 1
         try:
-            return await asyncio.wait_for(self._submit(request, hurry=True), timeout=timeout_s)
+            return await asyncio.wait_for(self._submit(request, urgent=True), timeout=timeout_s)
         except TimeoutError:
             return _unavailable("the platform's store did not answer in time")
 
-    async def settle(self, request, *, hurry=False):
+    async def settle(self, request, *, urgent=False):
         """Record a request's end with the next write; ``True`` once it is in the store."""
-        return await self._submit(request, hurry=hurry)
+        return await self._submit(request, urgent=urgent)
 
     def invalidate(self):
         """Read the shard again before the next write."""
@@ -155,10 +155,10 @@
             "reads": self.reads,
         }
 
-    def _submit(self, request, *, hurry):
+    def _submit(self, request, *, urgent):
         answered = asyncio.get_running_loop().create_future()
         self._pending.append(PendingRequest(request=request, answered=answered))
-        if hurry:
+        if urgent:
             self._urgent.set()
         if self._task is None or self._task.done():
             self._task = asyncio.get_running_loop().create_task(self._write_all())
