--- a/wagtailtrestle/ledger/ledger.py
+++ b/wagtailtrestle/ledger/ledger.py
@@ -31,7 +31,7 @@
 )
 from wagtailtrestle.ledger.nonces import NonceTable
 from wagtailtrestle.ledger.record import LEDGER_KIND, MAX_BODY_BYTES, ShardContents, key_hash, shard_name
-from wagtailtrestle.ledger.shard import ShardWriter, WriteRateLimiter, bounded
+from wagtailtrestle.ledger.shard import ShardWriter, WriteRateLimiter, with_timeout
 
 LAYOUT_NAME = "layout"
 CLAIM_WAIT_S = 10.0
@@ -268,7 +268,7 @@
     async def _read_again(self, held, request, deadline):
         """Look once more in the store: the holder may have recorded its end before it went."""
         timeout_s = max(deadline - _now(), 0.0)
-        outcome = await bounded(self._store.get(kind=LEDGER_KIND, name=request.shard), timeout_s=timeout_s)
+        outcome = await with_timeout(self._store.get(kind=LEDGER_KIND, name=request.shard), timeout_s=timeout_s)
         if not isinstance(outcome, StoreDone):
             return held
         record = ShardContents.from_value(outcome.value).records_by_key.get(request.key)
@@ -334,12 +334,12 @@
         it would run twice. The number is therefore kept beside the shards, not taken from
         whichever declaration a router holds at the moment.
         """
-        outcome = await bounded(self._store.get(kind=LEDGER_KIND, name=LAYOUT_NAME))
+        outcome = await with_timeout(self._store.get(kind=LEDGER_KIND, name=LAYOUT_NAME))
         if isinstance(outcome, StoreAbsent):
             layout = {"shards": self._shards()}
-            await bounded(self._store.create(kind=LEDGER_KIND, name=LAYOUT_NAME, value=layout))
+            await with_timeout(self._store.create(kind=LEDGER_KIND, name=LAYOUT_NAME, value=layout))
             # Made here or by another router, or the answer was lost: what stands there counts.
-            outcome = await bounded(self._store.get(kind=LEDGER_KIND, name=LAYOUT_NAME))
+            outcome = await with_timeout(self._store.get(kind=LEDGER_KIND, name=LAYOUT_NAME))
         if isinstance(outcome, StoreDone):
             return outcome.value["shards"]
         self._layout_detail = getattr(outcome, "detail", "the ledger's layout could not be read")
--- a/wagtailtrestle/ledger/shard.py
+++ b/wagtailtrestle/ledger/shard.py
@@ -19,7 +19,7 @@
 NEVER_WRITTEN = 0
 
 
-async def bounded(call, *, timeout_s=STORE_TIMEOUT_S):
+async def with_timeout(call, *, timeout_s=STORE_TIMEOUT_S):
     """Await a store call; one that doesn't end in time may still take effect."""
     try:
         return await asyncio.wait_for(call, timeout=timeout_s)
@@ -222,7 +222,7 @@
     async def _read(self):
         """Read the shard; returns why not, or ``None``."""
         self.reads += 1
-        outcome = await bounded(self._store.get(kind=LEDGER_KIND, name=self._shard))
+        outcome = await with_timeout(self._store.get(kind=LEDGER_KIND, name=self._shard))
         match outcome:
             case StoreDone(version=version, value=value):
                 self._keep(ShardContents.from_value(value), version)
@@ -238,8 +238,8 @@
         self.writes += 1
         value = contents.to_value()
         if self._version == NEVER_WRITTEN:
-            return await bounded(self._store.create(kind=LEDGER_KIND, name=self._shard, value=value))
-        return await bounded(
+            return await with_timeout(self._store.create(kind=LEDGER_KIND, name=self._shard, value=value))
+        return await with_timeout(
             self._store.update(kind=LEDGER_KIND, name=self._shard, value=value, if_version=self._version)
         )
 
