--- a/wagtailtrestle/ledger/shard.py
+++ b/wagtailtrestle/ledger/shard.py
@@ -186,18 +186,18 @@
             return
 
     async def _write(self, batch):
-        fresh = False
+        just_read = False
         for _ in range(MAX_ATTEMPTS):
             if self._contents is None:
                 detail = await self._read()
                 if detail is not None:
                     self._fail(batch, detail)
                     return
-                fresh = True
+                just_read = True
             contents = self._contents.copy()
             contents.prune(now=self._wall_clock(), retention_s=self._retention_s())
             answers = [contents.apply(pending.request, now=self._wall_clock()) for pending in batch]
-            if False in answers and not fresh:
+            if False in answers and not just_read:
                 # Another writer may have put the claim whose end this is: the remembered
                 # version can't prove that it is missing.
                 self._contents = None
