--- a/wagtailtrestle/ledger/ledger.py
+++ b/wagtailtrestle/ledger/ledger.py
@@ -134,7 +134,7 @@
 
     def finish_unknown(self, *, team, key, nonce):
         """Record that the request was dispatched and its outcome can't be told."""
-        self._nonces.lose(nonce)
+        self._nonces.mark_unknown(nonce)
         self._settle(team, key, nonce, state=NonceState.UNKNOWN)
 
     # The owner's and the holder's side.
--- a/wagtailtrestle/ledger/nonces.py
+++ b/wagtailtrestle/ledger/nonces.py
@@ -76,7 +76,7 @@
         """
         self._end(nonce, NonceState.REFUSED)
 
-    def lose(self, nonce):
+    def mark_unknown(self, nonce):
         """Note that the request was dispatched and its outcome can't be told."""
         self._end(nonce, NonceState.UNKNOWN)
 
