--- a/wagtailtrestle/ledger/nonces.py
+++ b/wagtailtrestle/ledger/nonces.py
@@ -15,11 +15,11 @@
 class NonceEntry:
     """One nonce and what is known of it."""
 
-    __slots__ = ("state", "since", "ended", "status", "content_type", "body", "body_kept")
+    __slots__ = ("state", "created_at", "ended", "status", "content_type", "body", "body_kept")
 
-    def __init__(self, *, state, since):
+    def __init__(self, *, state, created_at):
         self.state = state
-        self.since = since
+        self.created_at = created_at
         self.ended = asyncio.Event()
         self.status = 0
         self.content_type = ""
@@ -58,7 +58,7 @@
     def begin(self, nonce):
         """Note that a claim with this nonce is under way."""
         self._drop_old()
-        self.entries_by_nonce[nonce] = NonceEntry(state=NonceState.CLAIMING, since=self._now())
+        self.entries_by_nonce[nonce] = NonceEntry(state=NonceState.CLAIMING, created_at=self._now())
 
     def win(self, nonce):
         """Let the request be dispatched; ``False`` if the nonce was refused meanwhile."""
@@ -107,7 +107,7 @@
     def _end(self, nonce, state):
         entry = self.entries_by_nonce.get(nonce)
         if entry is None:
-            entry = self.entries_by_nonce[nonce] = NonceEntry(state=state, since=self._now())
+            entry = self.entries_by_nonce[nonce] = NonceEntry(state=state, created_at=self._now())
         if entry.state not in ENDED_STATES:
             entry.state = state
         entry.ended.set()
@@ -117,6 +117,6 @@
         horizon = self._now() - self._keep_s()
         while self.entries_by_nonce:
             nonce, entry = next(iter(self.entries_by_nonce.items()))
-            if entry.since >= horizon and len(self.entries_by_nonce) < MAX_NONCES:
+            if entry.created_at >= horizon and len(self.entries_by_nonce) < MAX_NONCES:
                 return
             del self.entries_by_nonce[nonce]
