--- a/wagtailtrestle/ledger/record.py
+++ b/wagtailtrestle/ledger/record.py
@@ -201,7 +201,7 @@
         takes_over = record is not None and record.nonce == request.replaces and record.state is ClaimState.CLAIMED
         if record is not None and not takes_over:
             return record.answer(ClaimResult.HELD)
-        mine = ClaimRecord(
+        new_record = ClaimRecord(
             nonce=request.nonce,
             entry=request.entry,
             incarnation=request.incarnation,
@@ -209,10 +209,10 @@
             claimed_at=round(now, 1),
             state=ClaimState.CLAIMED,
         )
-        if not takes_over and not self._make_room(mine.size()):
+        if not takes_over and not self._make_room(new_record.size()):
             return ClaimAnswer(result=str(ClaimResult.UNAVAILABLE), detail="this part of the ledger is full")
-        self._put(request.key, mine)
-        return mine.answer(ClaimResult.WON)
+        self._put(request.key, new_record)
+        return new_record.answer(ClaimResult.WON)
 
     def _settle(self, request):
         record = self.records_by_key.get(request.key)
