--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -261,11 +261,11 @@
     async def test_refused_nonce_stays_refused(self, routers):
         # A re-send was told that this nonce is never dispatched. A late answer of the ledger
         # that names it as the winner must not let it run after all.
-        book = routers.ledger_by_name["b"]._nonces
-        book.begin("n1")
-        book.refuse("n1")
-        self.assertFalse(book.win("n1"))
-        self.assertEqual(book.entries_by_nonce["n1"].state, NonceState.REFUSED)
+        nonces = routers.ledger_by_name["b"]._nonces
+        nonces.begin("n1")
+        nonces.refuse("n1")
+        self.assertFalse(nonces.win("n1"))
+        self.assertEqual(nonces.entries_by_nonce["n1"].state, NonceState.REFUSED)
 
     @on_paused_clock
     async def test_cancelled_claim_is_taken_over(self, routers):
