--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -37,7 +37,7 @@
         self.store = MemoryStore()
         self.cut = set()
         self.owner = names[0]
-        self.asked = []
+        self.requests = []
         self.wall_s = 1_000_000.0
         self.ledger_by_name = {}
         self.store_by_name = {}
@@ -58,7 +58,7 @@
         )
 
     async def ask(self, peer, message, timeout_s):
-        self.asked.append(message)
+        self.requests.append(message)
         if peer in self.cut:
             await asyncio.sleep(timeout_s)
             return None
