--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -380,7 +380,7 @@
             if answer.result != "won":
                 break
             won += 1
-            contents.apply(_finish(f"n{index}", key, b"x" * 1000), now=0.0)
+            contents.apply(_settle_ask(f"n{index}", key, b"x" * 1000), now=0.0)
         self.assertIn("full", answer.detail)
         self.assertEqual(len(contents.records_by_key), won)
         self.assertLessEqual(contents.size, SHARD_LIMIT_BYTES)
@@ -397,7 +397,7 @@
     return ClaimAsk(shard=SHARD, key=key, digest="d", nonce=nonce, entry=entry, incarnation="1")
 
 
-def _finish(nonce, key, body):
+def _settle_ask(nonce, key, body):
     return SettleAsk(
         shard=SHARD, key=key, nonce=nonce, state="finished", status=200, content_type="t", body=body, body_kept=True
     )
