--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -253,7 +253,7 @@
         self.assertIsInstance(await routers.claim("b", "n1"), ClaimUnavailable)
         self.assertLess(asyncio.get_running_loop().time() - started, 10.0)
         await ledger.close()
-        routers.store.table.create(kind=LEDGER_KIND, name=SHARD, value=_holding(routers, "n1"))
+        routers.store.table.create(kind=LEDGER_KIND, name=SHARD, value=_claimed_shard(routers, "n1"))
         store.slow_s = 0.0
         self.assertEqual(await routers.claim("c", "n2"), ClaimWon(nonce="n2"))
 
@@ -403,7 +403,7 @@
     )
 
 
-def _holding(routers, nonce):
+def _claimed_shard(routers, nonce):
     contents = ShardContents()
     contents.apply(_claim_ask(nonce, _key(), entry="b"), now=routers.wall_s)
     return contents.to_value()
