--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -217,7 +217,7 @@
         # router claims the key. The owner wakes, its write conflicts, and it answers "held".
         await routers.claim("a", "seed", key="other")
 
-        def meanwhile():
+        def claim_concurrently():
             contents = routers.store.table.get(kind=LEDGER_KIND, name=SHARD)
             theirs = ShardContents.from_value(contents.value)
             theirs.apply(_claim_ask("n-other", _key()), now=routers.wall_s)
@@ -225,7 +225,7 @@
                 kind=LEDGER_KIND, name=SHARD, value=theirs.to_value(), if_version=contents.version
             )
 
-        routers.store_by_name["a"].before_write = meanwhile
+        routers.store_by_name["a"].before_write = claim_concurrently
         routers.cut.add("z")
         self.assertIsInstance(await routers.claim("b", "n1", wait_s=4), ClaimTaken)
         self.assertIn("n-other", routers.holders())
