--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -219,10 +219,10 @@
 
         def claim_concurrently():
             contents = routers.store.table.get(kind=LEDGER_KIND, name=SHARD)
-            theirs = ShardContents.from_value(contents.value)
-            theirs.apply(_claim_ask("n-other", _key()), now=routers.wall_s)
+            other_contents = ShardContents.from_value(contents.value)
+            other_contents.apply(_claim_ask("n-other", _key()), now=routers.wall_s)
             routers.store.table.update(
-                kind=LEDGER_KIND, name=SHARD, value=theirs.to_value(), if_version=contents.version
+                kind=LEDGER_KIND, name=SHARD, value=other_contents.to_value(), if_version=contents.version
             )
 
         routers.store_by_name["a"].before_write = claim_concurrently
