--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -192,11 +192,11 @@
         await routers.ledger_by_name["a"].start()
         inner = routers.ask
 
-        async def answer_lost(peer, message, timeout_s):
+        async def lose_answer(peer, message, timeout_s):
             await inner(peer, message, timeout_s)
             await asyncio.sleep(timeout_s)
 
-        routers.ledger_by_name["b"]._claim_ask = answer_lost
+        routers.ledger_by_name["b"]._claim_ask = lose_answer
         self.assertEqual(await routers.claim("b", "n1"), ClaimWon(nonce="n1"))
         self.assertEqual(routers.store_by_name["b"].calls["writes"], 0)
 
