--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -190,10 +190,10 @@
         # The owner writes the claim and dies before it answers. The entry reads the shard
         # itself and finds its nonce there, so the request runs without a second claim.
         await routers.ledger_by_name["a"].start()
-        inner = routers.ask
+        original = routers.ask
 
         async def lose_answer(peer, message, timeout_s):
-            await inner(peer, message, timeout_s)
+            await original(peer, message, timeout_s)
             await asyncio.sleep(timeout_s)
 
         routers.ledger_by_name["b"]._claim_ask = lose_answer
