--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -143,7 +143,7 @@
         self.assertIsInstance(await routers.claim("c", "n2", digest="other"), ClaimMismatch)
 
     @on_paused_clock
-    async def test_unknown_end_is_told_at_once(self, routers):
+    async def test_unknown_outcome_is_returned_immediately(self, routers):
         await routers.claim("b", "n1")
         routers.ledger_by_name["b"].finish_unknown(team="t", key="k", nonce="n1")
         started = asyncio.get_running_loop().time()
