--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -131,7 +131,7 @@
         self.assertIsInstance(await waited, ClaimFinished)
 
     @on_paused_clock
-    async def test_resend_waits_no_longer_than_it_may(self, routers):
+    async def test_resend_waits_at_most_its_timeout(self, routers):
         await routers.claim("b", "n1")
         started = asyncio.get_running_loop().time()
         self.assertIsInstance(await routers.claim("c", "n2", wait_s=7.0), ClaimTaken)
