--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -138,7 +138,7 @@
         self.assertLessEqual(asyncio.get_running_loop().time() - started, 7.0)
 
     @on_paused_clock
-    async def test_other_body_under_the_same_key(self, routers):
+    async def test_other_body_under_the_same_key_is_rejected(self, routers):
         await routers.claim("b", "n1")
         self.assertIsInstance(await routers.claim("c", "n2", digest="other"), ClaimMismatch)
 
