--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -232,7 +232,7 @@
         self.assertNotIn("n1", routers.holders())
 
     @on_paused_clock
-    async def test_store_out_refuses_at_once(self, routers):
+    async def test_store_outage_refuses_immediately(self, routers):
         for store in routers.store_by_name.values():
             store.down = True
         started = asyncio.get_running_loop().time()
