--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -240,7 +240,7 @@
         self.assertLess(asyncio.get_running_loop().time() - started, 0.5)
 
     @on_paused_clock
-    async def test_silent_store_refuses_in_bounded_time_and_its_late_write_does_no_harm(self, routers):
+    async def test_unresponsive_store_refuses_in_bounded_time_and_its_late_write_is_harmless(self, routers):
         # The store accepts a write and answers nothing for a long time. The caller is told
         # "not run"; the write lands later and leaves the key held by a nonce that will never run.
         # A re-send on another router asks, learns that, and takes the key over.
