--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -291,7 +291,7 @@
         self.assertIsInstance(await routers.claim("b", "n4"), ClaimTaken)
 
     @on_paused_clock
-    async def test_silent_holder_is_told_as_unknown_in_time(self, routers):
+    async def test_unresponsive_holder_is_reported_as_unknown_in_time(self, routers):
         # The holder is paused and answers nothing. Whoever sent again must be told "unknown" within
         # its own deadline; once that is overrun it would be told that nothing was run.
         routers.owner = "c"
