--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -361,7 +361,7 @@
         self.assertTrue(all(isinstance(outcome, ClaimWon) for outcome in outcomes))
         self.assertLessEqual(routers.writes() - before, 2)
 
-    def test_claims_are_forgotten_only_after_retention_and_clock_room(self):
+    def test_claims_are_dropped_only_after_retention_and_clock_skew_margin(self):
         contents = ShardContents()
         contents.apply(_claim_ask("n1", "key"), now=0.0)
         contents.prune(now=RETENTION_S + CLOCK_SKEW_MARGIN_S - 1, retention_s=RETENTION_S)
