--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -114,7 +114,7 @@
         self.assertEqual(outcome, ClaimFinished(status=200, content_type="text/plain", body=b"ok"))
 
     @on_paused_clock
-    async def test_two_sends_at_once_make_one_run(self, routers):
+    async def test_simultaneous_sends_run_once(self, routers):
         # The caller's client sends the same booking to two routers at the same moment.
         # One claim wins; the other send waits on the first's router and gets its answer.
         first, second = (
