--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -279,7 +279,7 @@
         self.assertIsInstance(await routers.claim("c", "n2"), ClaimWon)
 
     @on_paused_clock
-    async def test_holder_that_died_or_restarted_means_unknown(self, routers):
+    async def test_dead_or_restarted_holder_means_unknown(self, routers):
         # Router b wins the claim and dies; nobody can tell whether its request ran. A
         # re-send gets "unknown" while b is gone and also from b's next life.
         await routers.claim("b", "n1")
