--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -178,7 +178,7 @@
         self.assertIn("n1", routers.holders())
 
     @on_paused_clock
-    async def test_forgotten_nonce_is_not_called_refused(self, routers):
+    async def test_dropped_nonce_is_not_reported_as_refused(self, routers):
         # Router b holds a claim that it has forgotten by now. It can't tell whether the request
         # ran; were it to say "refused", a re-send would take the key over and run again.
         await routers.claim("b", "n1")
