--- a/tests/test_at_most_once_processes.py
+++ b/tests/test_at_most_once_processes.py
@@ -9,7 +9,7 @@
 SLOW_SERVICE = 25.0
 """Factor on the booking engine's time of 20 ms: a run lasts half a second."""
 
-MANY = 6
+REPETITIONS = 6
 
 
 class OneKeyTest(PromiseChecks, unittest.TestCase):
@@ -54,7 +54,7 @@
         # A caller's library sends the booking twice at the same moment, through two routers. Both
         # claim the key in the platform's store; one wins and runs it, the other waits for that
         # outcome and gives it. Both callers read the same whole answer.
-        for _ in range(MANY):
+        for _ in range(REPETITIONS):
             planned = self.running.planned(BOOKING)
             seen = []
             senders = [self.start_sending(self.copy(planned), name, seen) for name in self.running.routers[:2]]
