--- a/tests/test_at_most_once_processes.py
+++ b/tests/test_at_most_once_processes.py
@@ -6,7 +6,7 @@
 
 from tests.utils.running import BOOKING, PromiseChecks, Running, wait_until
 
-SLOW_SERVICE = 25.0
+SLOWDOWN_FACTOR = 25.0
 """Factor on the booking engine's time of 20 ms: a run lasts half a second."""
 
 REPETITIONS = 6
@@ -68,7 +68,7 @@
         # caller sends it again through another. The key is claimed and its holder is dead, so
         # nobody can tell how the run ended: the answer is "unknown", and there is no second run.
         running = self.running
-        running.faults("reservas-1", straggle=SLOW_SERVICE)
+        running.faults("reservas-1", straggle=SLOWDOWN_FACTOR)
         first, second = running.routers[:2]
         planned = running.planned(BOOKING)
         seen = []
@@ -128,7 +128,7 @@
         # through another. When the paused one wakes it still believes it may dispatch; if the
         # second had run the booking too, the member would be charged twice.
         running = self.running
-        running.faults("reservas-1", straggle=SLOW_SERVICE / 5)
+        running.faults("reservas-1", straggle=SLOWDOWN_FACTOR / 5)
         first, second = running.routers[:2]
         for delay_s in (0.002, 0.01):
             planned = running.planned(BOOKING)
