--- a/tests/test_at_most_once_processes.py
+++ b/tests/test_at_most_once_processes.py
@@ -36,7 +36,7 @@
         sender.start()
         return sender
 
-    def copy(self, planned):
+    def resend_of(self, planned):
         """The same request as its caller sends it again."""
         return self.running.planned(BOOKING, caller_request_id=planned.caller_request_id)
 
@@ -57,7 +57,7 @@
         for _ in range(REPETITIONS):
             planned = self.running.planned(BOOKING)
             seen = []
-            senders = [self.start_sending(self.copy(planned), name, seen) for name in self.running.routers[:2]]
+            senders = [self.start_sending(self.resend_of(planned), name, seen) for name in self.running.routers[:2]]
             for sender in senders:
                 sender.join()
             self.assertEqual(self.check_one_run(planned, seen), 1)
@@ -76,7 +76,7 @@
         wait_until(lambda: running.starts(planned.caller_request_id), "the run's start")
         running.router(first).kill()
         sender.join()
-        again = running.send(BOOKING, router=second, planned=self.copy(planned))
+        again = running.send(BOOKING, router=second, planned=self.resend_of(planned))
         self.assertEqual((again.result.status, again.result.executed), (409, "unknown"), again)
         self.assertEqual(self.check_one_run(planned, [*seen, again]), 1)
 
@@ -93,7 +93,7 @@
             time.sleep(delay_s)
             running.router(first).kill()
             sender.join()
-            again = running.send(BOOKING, router=second, planned=self.copy(planned))
+            again = running.send(BOOKING, router=second, planned=self.resend_of(planned))
             starts = self.check_one_run(planned, [*seen, again])
             self.assertNotEqual(again.result.executed, "no", again)
             print(f"killed {delay_s * 1000:.0f} ms after the call: {starts} run, then {again.result.reason or 'whole'}")
@@ -105,7 +105,7 @@
         running = self.running
         running.faults("reservas-1", stream_kind="cut", stream_count=1)
         planned = running.planned(BOOKING)
-        seen = [running.send(BOOKING, router=name, planned=self.copy(planned)) for name in running.routers]
+        seen = [running.send(BOOKING, router=name, planned=self.resend_of(planned)) for name in running.routers]
         self.assertEqual([each for each in seen if each.result.whole or each.result.executed == "no"], [])
         self.assertEqual(self.check_one_run(planned, seen), 1)
 
@@ -117,7 +117,7 @@
         running.platform_faults(lose_answers=-1)
         for _ in range(3):
             planned = running.planned(BOOKING)
-            seen = [running.send(BOOKING, router=name, planned=self.copy(planned)) for name in running.routers]
+            seen = [running.send(BOOKING, router=name, planned=self.resend_of(planned)) for name in running.routers]
             starts = self.check_one_run(planned, seen)
             for each in seen:
                 self.assertTrue(each.result.whole or starts == 0 or each.result.executed != "no", each)
@@ -136,7 +136,7 @@
             sender = self.start_sending(planned, first, seen)
             time.sleep(delay_s)
             running.router(first).freeze()
-            again = running.send(BOOKING, router=second, planned=self.copy(planned))
+            again = running.send(BOOKING, router=second, planned=self.resend_of(planned))
             running.router(first).resume()
             sender.join()
             starts = self.check_one_run(planned, [*seen, again])
