--- a/tests/test_at_most_once_processes.py
+++ b/tests/test_at_most_once_processes.py
@@ -40,7 +40,7 @@
         """The same request as its caller sends it again."""
         return self.running.planned(BOOKING, caller_request_id=planned.caller_request_id)
 
-    def check_one_run(self, planned, seen):
+    def check_at_most_one_run(self, planned, seen):
         """At most one start; all that were told an answer were told the same; ``no`` only if nothing ran."""
         starts = self.running.starts(planned.caller_request_id)
         self.assertLessEqual(starts, 1)
@@ -60,7 +60,7 @@
             senders = [self.start_sending(self.resend_of(planned), name, seen) for name in self.running.routers[:2]]
             for sender in senders:
                 sender.join()
-            self.assertEqual(self.check_one_run(planned, seen), 1)
+            self.assertEqual(self.check_at_most_one_run(planned, seen), 1)
             self.assert_all_whole(seen)
 
     def test_sent_again_after_the_first_router_was_killed_while_it_ran(self):
@@ -78,7 +78,7 @@
         sender.join()
         again = running.send(BOOKING, router=second, planned=self.resend_of(planned))
         self.assertEqual((again.result.status, again.result.executed), (409, "unknown"), again)
-        self.assertEqual(self.check_one_run(planned, [*seen, again]), 1)
+        self.assertEqual(self.check_at_most_one_run(planned, [*seen, again]), 1)
 
     def test_sent_again_after_the_first_router_was_killed_before_it_ran(self):
         # As above, but the router dies right after the call came in, wherever it stands then: before
@@ -94,7 +94,7 @@
             running.router(first).kill()
             sender.join()
             again = running.send(BOOKING, router=second, planned=self.resend_of(planned))
-            starts = self.check_one_run(planned, [*seen, again])
+            starts = self.check_at_most_one_run(planned, [*seen, again])
             self.assertNotEqual(again.result.executed, "no", again)
             print(f"killed {delay_s * 1000:.0f} ms after the call: {starts} run, then {again.result.reason or 'whole'}")
             running.restart(first)
@@ -107,7 +107,7 @@
         planned = running.planned(BOOKING)
         seen = [running.send(BOOKING, router=name, planned=self.resend_of(planned)) for name in running.routers]
         self.assertEqual([each for each in seen if each.result.whole or each.result.executed == "no"], [])
-        self.assertEqual(self.check_one_run(planned, seen), 1)
+        self.assertEqual(self.check_at_most_one_run(planned, seen), 1)
 
     def test_platform_loses_the_answers_of_writes(self):
         # The platform writes each claim and then loses its answer. The claim is read back; either it
@@ -118,7 +118,7 @@
         for _ in range(3):
             planned = running.planned(BOOKING)
             seen = [running.send(BOOKING, router=name, planned=self.resend_of(planned)) for name in running.routers]
-            starts = self.check_one_run(planned, seen)
+            starts = self.check_at_most_one_run(planned, seen)
             for each in seen:
                 self.assertTrue(each.result.whole or starts == 0 or each.result.executed != "no", each)
             print(f"write answers lost: {starts} run, {[each.result.reason or 'whole' for each in seen]}")
@@ -139,7 +139,7 @@
             again = running.send(BOOKING, router=second, planned=self.resend_of(planned))
             running.router(first).resume()
             sender.join()
-            starts = self.check_one_run(planned, [*seen, again])
+            starts = self.check_at_most_one_run(planned, [*seen, again])
             print(f"paused {delay_s * 1000:.0f} ms after the call: {starts} run, then {again.result.reason or 'whole'}")
             self.assertTrue(starts == 0 or again.result.executed != "no", again)
 
