--- a/tests/test_at_most_once_processes.py
+++ b/tests/test_at_most_once_processes.py
@@ -50,7 +50,7 @@
         self.assert_whole_answers_are_own(seen)
         return starts
 
-    def test_sent_to_two_routers_at_once(self):
+    def test_simultaneous_sends_to_two_routers(self):
         # A caller's library sends the booking twice at the same moment, through two routers. Both
         # claim the key in the platform's store; one wins and runs it, the other waits for that
         # outcome and gives it. Both callers read the same whole answer.
