--- a/tests/test_at_most_once_processes.py
+++ b/tests/test_at_most_once_processes.py
@@ -63,7 +63,7 @@
             self.assertEqual(self.check_at_most_one_run(planned, seen), 1)
             self.assert_all_whole(seen)
 
-    def test_sent_again_after_the_first_router_was_killed_while_it_ran(self):
+    def test_resend_after_router_is_killed_during_the_run(self):
         # The caller's connection breaks while the booking runs, for its router was killed; the
         # caller sends it again through another. The key is claimed and its holder is dead, so
         # nobody can tell how the run ended: the answer is "unknown", and there is no second run.
