--- a/tests/test_at_most_once_processes.py
+++ b/tests/test_at_most_once_processes.py
@@ -80,7 +80,7 @@
         self.assertEqual((again.result.status, again.result.executed), (409, "unknown"), again)
         self.assertEqual(self.check_at_most_one_run(planned, [*seen, again]), 1)
 
-    def test_sent_again_after_the_first_router_was_killed_before_it_ran(self):
+    def test_resend_after_router_is_killed_before_the_run(self):
         # As above, but the router dies right after the call came in, wherever it stands then: before
         # its claim, after it, before or after the dispatch. Whatever the second router answers must
         # fit the record: "unknown" if the claim stands, the one whole answer if it does not.
