--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -196,7 +196,7 @@
             await original(peer, message, timeout_s)
             await asyncio.sleep(timeout_s)
 
-        routers.ledger_by_name["b"]._claim_ask = lose_answer
+        routers.ledger_by_name["b"]._query_peer = lose_answer
         self.assertEqual(await routers.claim("b", "n1"), ClaimWon(nonce="n1"))
         self.assertEqual(routers.store_by_name["b"].calls["writes"], 0)
 
