--- a/tests/test_at_most_once_processes.py
+++ b/tests/test_at_most_once_processes.py
@@ -109,7 +109,7 @@
         self.assertEqual([each for each in seen if each.result.whole or each.result.executed == "no"], [])
         self.assertEqual(self.check_at_most_one_run(planned, seen), 1)
 
-    def test_platform_loses_write_answers(self):
+    def test_platform_loses_the_answers_of_writes(self):
         # The platform writes each claim and then loses its answer. The claim is read back; either it
         # is proved and the booking runs, or it is refused as not run and did not run. Sent again
         # through every router, it runs once at most.
