--- a/wagtailtrestle/ledger/ledger.py
+++ b/wagtailtrestle/ledger/ledger.py
@@ -288,9 +288,9 @@
     async def _settle_with_retries(self, team, key, nonce, state, attempts, answer):
         """Record an end, trying again until it is stored or no longer matters."""
         hashed = key_hash(team=team, key=key)
-        give_up_at = _now() + self._retention_s()
+        retry_deadline = _now() + self._retention_s()
         delay_s = SETTLE_RETRY_DELAY_S
-        while attempts != 0 and _now() < give_up_at:
+        while attempts != 0 and _now() < retry_deadline:
             shard = await self._shard_of(hashed)
             if shard and await self._try_settle(SettleAsk(shard=shard, key=hashed, nonce=nonce, state=state, **answer)):
                 if state != NonceState.REFUSED:
