--- a/wagtailtrestle/ledger/nonces.py
+++ b/wagtailtrestle/ledger/nonces.py
@@ -50,9 +50,9 @@
 
     __slots__ = ("entries_by_nonce", "_retention_s", "_now")
 
-    def __init__(self, *, keep_s, now):
+    def __init__(self, *, retention_s, now):
         self.entries_by_nonce = {}
-        self._retention_s = keep_s
+        self._retention_s = retention_s
         self._now = now
 
     def begin(self, nonce):
