--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -57,7 +57,7 @@
             wall_clock=lambda: self.wall_s,
         )
 
-    async def ask(self, peer, message, timeout_s):
+    async def query_peer(self, peer, message, timeout_s):
         self.requests.append(message)
         if peer in self.cut:
             await asyncio.sleep(timeout_s)
@@ -190,7 +190,7 @@
         # The owner writes the claim and dies before it answers. The entry reads the shard
         # itself and finds its nonce there, so the request runs without a second claim.
         await routers.ledger_by_name["a"].start()
-        original = routers.ask
+        original = routers.query_peer
 
         async def lose_answer(peer, message, timeout_s):
             await original(peer, message, timeout_s)
