--- a/wagtailtrestle/ledger/__init__.py
+++ b/wagtailtrestle/ledger/__init__.py
@@ -1,1 +1,1 @@
-"""Idempotency keys that are remembered."""
+"""Ledger of idempotency keys, kept in the platform's store."""
--- a/wagtailtrestle/ledger/ledger.py
+++ b/wagtailtrestle/ledger/ledger.py
@@ -2,7 +2,7 @@
 
 Both sides are here: the entry's, which claims a key before its request is dispatched, and
 the shard owner's, which batches the claims of many entries into one conditional update.
-The owner is a convenience: every router may write every shard, and a claim counts only
+The owner only saves writes: every router may write every shard, and a claim counts only
 when its nonce is proved to be in the store.
 """
 
@@ -51,24 +51,24 @@
 
 
 class Ledger:
-    """Implements :class:`wagtailtrestle.contracts.ports.Claims` and answers other routers' asks.
+    """Implements :class:`wagtailtrestle.contracts.ports.Claims` and answers other routers' requests.
 
     Parameters
     ----------
     name, incarnation : str
-        This router and this life of it; an incarnation is never used twice.
+        This router and the id of this process's lifetime; an incarnation is never reused.
     store : ObjectStore
     owner_of : Callable
-        Maps a shard's name to the router that batches its writes; empty if none is known.
-    ask : Callable
-        Coroutine function ``ask(peer, message, timeout_s)``: the peer's answer, or anything
-        else if none came in time.
+        Maps a shard's name to the router that batches its writes; returns an empty string if unknown.
+    query_peer : Callable
+        Coroutine function ``query_peer(peer, message, timeout_s)`` that returns the peer's answer, or
+        any other value if none arrived in time.
     shards : Callable
-        Declared number of shards; counts only until the ledger's layout exists.
+        Declared number of shards; used only to create the ledger's layout.
     retention_s : Callable
-        Declared time to remember a claim.
+        Declared retention time of claims.
     live_routers : Callable
-        Number of live routers, to share the budget of writes.
+        Number of live routers, among which the write budget is divided.
     wall_clock : Callable
         Seconds, comparable between VMs.
     """
@@ -101,7 +101,7 @@
         self._layout = None
         self._layout_detail = ""
 
-    # The entry's side: the port Claims.
+    # The entry's side: implementation of the port Claims.
 
     async def claim(self, *, team, key, body_digest, nonce, wait_s=CLAIM_WAIT_S):
         """Claim a key; see :class:`wagtailtrestle.contracts.ports.Claims`."""
@@ -110,18 +110,18 @@
         try:
             outcome = await self._claim(key_hash(team=team, key=key), body_digest, nonce, wait_s)
         finally:
-            # Also when cancelled: a write still under way may put the nonce into the store
-            # later; whoever finds it there learns here that it was never dispatched.
+            # Also when cancelled: a write in flight may still put the nonce into the store.
+            # A router that finds it there learns from this one that it was never dispatched.
             if isinstance(outcome, ClaimUnavailable):
                 self.release(team=team, key=key, nonce=nonce)
         if not isinstance(outcome, ClaimWon):
             self._nonces.refuse(nonce)
         elif not self._nonces.win(nonce):
-            return ClaimUnavailable(detail="the claim was given up meanwhile")
+            return ClaimUnavailable(detail="the claim was abandoned meanwhile")
         return outcome
 
     def release(self, *, team, key, nonce):
-        """Give back a claim whose request was never dispatched."""
+        """Release a claim whose request was never dispatched."""
         self._nonces.refuse(nonce)
         self._settle(team, key, nonce, state=NonceState.REFUSED, attempts=MAX_RELEASE_ATTEMPTS)
 
@@ -133,14 +133,14 @@
         self._settle(team, key, nonce, state=NonceState.FINISHED, **answer)
 
     def finish_unknown(self, *, team, key, nonce):
-        """Record that the request was dispatched and its outcome can't be told."""
+        """Record that the request was dispatched and its outcome is unknown."""
         self._nonces.mark_unknown(nonce)
         self._settle(team, key, nonce, state=NonceState.UNKNOWN)
 
     # The owner's and the holder's side.
 
     async def handle(self, message):
-        """Answer another router's ask."""
+        """Answer another router's request."""
         match message:
             case ClaimAsk():
                 return await self._writer(message.shard).claim(message, timeout_s=WRITE_TIMEOUT_S)
@@ -152,11 +152,11 @@
                 return NonceAnswer(state=str(NonceState.UNKNOWN))
 
     async def start(self):
-        """Read or make the layout; a platform that is out now is asked again by the first claim."""
+        """Read or create the layout; if the platform is unavailable, the first claim tries again."""
         await self._shard_of("0" * 8)
 
     async def close(self):
-        """Let ends of requests reach the store, then stop."""
+        """Wait for pending settlements to reach the store, then stop."""
         settling = list(self._settling_by_nonce.values())
         if settling:
             await asyncio.wait(settling, timeout=CLOSE_TIMEOUT_S)
@@ -167,7 +167,7 @@
             await writer.close()
 
     def dump(self):
-        """Plain data for the state dump."""
+        """Return the state as a plain dict."""
         return {
             "shards_in_force": self._layout,
             "shards_declared": self._shards(),
@@ -203,10 +203,10 @@
             if outcome is not None:
                 return outcome
             replaces = answer.nonce
-        return ClaimTaken(detail="others claim this key at the same moment")
+        return ClaimTaken(detail="other requests claim this key concurrently")
 
     async def _write(self, request, deadline):
-        """Have the claim written by the shard's owner, else write it here."""
+        """Send the claim to the shard's owner; if that fails, write it here."""
         owner = self._owner_of(request.shard)
         timeout_s = min(WRITE_TIMEOUT_S, deadline - _now())
         writer = self._writer(request.shard)
@@ -216,8 +216,8 @@
             answer = await self._query_peer(owner, request, timeout_s)
             if isinstance(answer, ClaimAnswer) and answer.result != ClaimResult.UNAVAILABLE:
                 return answer
-        # The owner may be dead, paused, or cut off, before or after its write. Reading the
-        # shard tells: with this nonce in it the claim is won, else it is written here.
+        # The owner may be dead, paused or partitioned, before or after its write. Reading the
+        # shard shows which: if it holds this nonce the claim is won, else it is written here.
         timeout_s = min(WRITE_TIMEOUT_S, deadline - _now())
         if timeout_s <= 0:
             return ClaimAnswer(result=str(ClaimResult.UNAVAILABLE), detail="no answer from the ledger in time")
@@ -225,7 +225,7 @@
         return await writer.claim(request, timeout_s=timeout_s)
 
     async def _resolve_held_key(self, held, request, deadline):
-        """Outcome for a re-send whose key another request holds; ``None`` if it may be taken over."""
+        """Return the outcome of a re-send whose key another request holds; ``None`` if it may be taken over."""
         if held.digest != request.digest:
             return ClaimMismatch()
         if held.state == ClaimState.CLAIMED:
@@ -240,13 +240,13 @@
         if held.state == ClaimState.FINISHED and held.body_kept:
             return _finished_claim(held)
         if held.state == ClaimState.FINISHED:
-            return ClaimTaken(detail="the earlier request ran to its end; its answer was not kept")
-        return ClaimTaken(detail="the earlier request's outcome is not known")
+            return ClaimTaken(detail="the earlier request finished, but its answer was not kept")
+        return ClaimTaken(detail="the earlier request's outcome is unknown")
 
     async def _query_holder(self, held, deadline):
-        """Ask the router that holds the key; waits there, not by polling."""
-        # All of it ends before the deadline, the last look at the store included. Overrun, a
-        # key known to be held would be told as "not run" by whoever gave up waiting first.
+        """Query the router that holds the key, with long polls that wait there for the outcome."""
+        # All queries, including the final read of the store, must end before the deadline. Otherwise
+        # the caller of this method times out first and reports "not run" for a key known to be held.
         answered_by = deadline - READ_MARGIN_S
         last_end = answered_by - HOLDER_MARGIN_S
         timeouts = 0
@@ -266,7 +266,7 @@
         return UNANSWERED
 
     async def _read_again(self, held, request, deadline):
-        """Look once more in the store: the holder may have recorded its end before it went."""
+        """Read the store again: the holder may have recorded the outcome before it stopped."""
         timeout_s = max(deadline - _now(), 0.0)
         outcome = await with_timeout(self._store.get(kind=LEDGER_KIND, name=request.shard), timeout_s=timeout_s)
         if not isinstance(outcome, StoreDone):
@@ -274,7 +274,7 @@
         record = ShardContents.from_value(outcome.value).records_by_key.get(request.key)
         return record.answer(ClaimResult.HELD) if record is not None and record.nonce == held.nonce else held
 
-    # Ends of requests.
+    # Settlement of ended requests.
 
     def _settle(self, team, key, nonce, *, state, attempts=None, **answer):
         if nonce in self._settling_by_nonce:
@@ -286,7 +286,7 @@
         task.add_done_callback(lambda _: self._settling_by_nonce.pop(nonce, None))
 
     async def _settle_with_retries(self, team, key, nonce, state, attempts, answer):
-        """Record an end, trying again until it is stored or no longer matters."""
+        """Settle a claim, retrying until it is stored or its retention time is over."""
         hashed = key_hash(team=team, key=key)
         retry_deadline = _now() + self._retention_s()
         delay_s = SETTLE_RETRY_DELAY_S
@@ -328,17 +328,17 @@
         return None if self._layout is None else shard_name(key=key, shards=self._layout)
 
     async def _read_layout(self):
-        """Read the number of shards that is in force, making it the declared one at first.
+        """Read the number of shards in force; if there is none yet, create it as declared.
 
         Two routers with different numbers in force would look for one key in two shards, and
-        it would run twice. The number is therefore kept beside the shards, not taken from
-        whichever declaration a router holds at the moment.
+        it would run twice. The number is therefore stored next to the shards, not taken from
+        the declaration that a router happens to have.
         """
         outcome = await with_timeout(self._store.get(kind=LEDGER_KIND, name=LAYOUT_NAME))
         if isinstance(outcome, StoreAbsent):
             layout = {"shards": self._shards()}
             await with_timeout(self._store.create(kind=LEDGER_KIND, name=LAYOUT_NAME, value=layout))
-            # Made here or by another router, or the answer was lost: what stands there counts.
+            # Created here or by another router, or the answer was lost: the stored layout counts.
             outcome = await with_timeout(self._store.get(kind=LEDGER_KIND, name=LAYOUT_NAME))
         if isinstance(outcome, StoreDone):
             return outcome.value["shards"]
