--- a/wagtailtrestle/ledger/nonces.py
+++ b/wagtailtrestle/ledger/nonces.py
@@ -1,7 +1,7 @@
-"""What became of the claims that this life of this router made.
+"""States of the claims made by this incarnation of this router.
 
-A router that holds a claim is the only one that knows whether its request was
-dispatched. It tells others that ask, and a nonce that was once refused stays refused.
+Only the router that holds a claim knows whether its request was dispatched. It answers
+other routers' queries for that, and a nonce that was once refused stays refused.
 """
 
 import asyncio
@@ -13,7 +13,7 @@
 
 
 class NonceEntry:
-    """One nonce and what is known of it."""
+    """State of one nonce and the recorded answer."""
 
     __slots__ = ("state", "created_at", "ended", "status", "content_type", "body", "body_kept")
 
@@ -27,7 +27,7 @@
         self.body_kept = False
 
     def answer(self):
-        """Tell an asker."""
+        """Return the answer to a query for this nonce."""
         return NonceAnswer(
             state=str(self.state),
             status=self.status,
@@ -38,14 +38,14 @@
 
 
 class NonceTable:
-    """Nonces made here, until their end is in the store or too old to matter.
+    """Nonces of this router, until they are settled in the store or their retention time is over.
 
     Parameters
     ----------
-    keep_s : Callable
-        How long a nonce is remembered, seconds.
+    retention_s : Callable
+        How long a nonce is kept, seconds.
     now : Callable
-        The loop's clock.
+        Event loop time in seconds.
     """
 
     __slots__ = ("entries_by_nonce", "_retention_s", "_now")
@@ -56,12 +56,12 @@
         self._now = now
 
     def begin(self, nonce):
-        """Note that a claim with this nonce is under way."""
+        """Register a nonce whose claim is in progress."""
         self._drop_old()
         self.entries_by_nonce[nonce] = NonceEntry(state=NonceState.CLAIMING, created_at=self._now())
 
     def win(self, nonce):
-        """Let the request be dispatched; ``False`` if the nonce was refused meanwhile."""
+        """Mark the request as running; return ``False`` if the nonce was refused meanwhile."""
         entry = self.entries_by_nonce.get(nonce)
         if entry is None or entry.state is not NonceState.CLAIMING:
             return False
@@ -69,19 +69,19 @@
         return True
 
     def refuse(self, nonce):
-        """Promise that the request was not dispatched and never will be.
+        """Guarantee that the request was not dispatched and never will be.
 
-        Another router takes the key over on this promise, so it is final: were a late
-        answer of the ledger still to win the claim here, two routers would run the request.
+        Another router takes the key over on this guarantee, so it is final: if a late answer
+        of the ledger could still win the claim here, two routers would run the request.
         """
         self._end(nonce, NonceState.REFUSED)
 
     def mark_unknown(self, nonce):
-        """Note that the request was dispatched and its outcome can't be told."""
+        """Mark the request as dispatched with unknown outcome."""
         self._end(nonce, NonceState.UNKNOWN)
 
     def finish(self, nonce, *, status, content_type, body, body_kept):
-        """Note the answer of the request."""
+        """Mark the request as finished and record its answer."""
         entry = self._end(nonce, NonceState.FINISHED)
         entry.status = status
         entry.content_type = content_type
@@ -89,14 +89,14 @@
         entry.body_kept = body_kept
 
     def drop(self, nonce):
-        """Forget a nonce whose end is in the store."""
+        """Delete a nonce that is settled in the store."""
         self.entries_by_nonce.pop(nonce, None)
 
     async def wait(self, nonce, *, wait_s):
-        """Answer what became of the nonce, after at most ``wait_s`` if it hasn't ended."""
+        """Wait up to ``wait_s`` for the nonce to end, and return its state."""
         entry = self.entries_by_nonce.get(nonce)
         if entry is None:
-            # Forgotten is not the same as never dispatched.
+            # A deleted nonce may have been dispatched, so it is not reported as refused.
             return NonceAnswer(state=str(NonceState.UNKNOWN))
         try:
             await asyncio.wait_for(entry.ended.wait(), timeout=wait_s)
