--- a/wagtailtrestle/ledger/record.py
+++ b/wagtailtrestle/ledger/record.py
@@ -1,6 +1,7 @@
-"""What one ledger shard holds, and what a claim or its end does to it.
+"""Contents of one ledger shard, and how claims and settlements change them.
 
-Pure: no store, no clock. The specification's traces are replayed against this module.
+This module uses neither the store nor a clock, so that the specification's traces can be replayed
+against it.
 """
 
 import base64
@@ -18,25 +19,25 @@
 
 
 def key_hash(*, team, key):
-    """Hash of team and idempotency key; the length prefix keeps two pairs from colliding."""
+    """Return the hash of team and idempotency key; the length prefix prevents ambiguous concatenations."""
     text = f"{len(team)}:{team}:{key}"
     return hashlib.sha256(text.encode()).hexdigest()[:KEY_HEX_DIGITS]
 
 
 def shard_name(*, key, shards):
-    """Name of the shard that holds a key hash."""
+    """Return the name of the shard that holds a key hash."""
     return f"shard-{int(key[:8], 16) % shards:03d}"
 
 
 class ClaimRecord:
-    """One claim as it stands in the store; replaced, never changed.
+    """One claim as stored; instances are replaced, never modified.
 
     Parameters
     ----------
     nonce : str
-        Who holds the key: the request's id.
+        Id of the request that holds the key.
     entry, incarnation : str
-        The router that took the request, and which life of it.
+        The router that accepted the request, and its incarnation.
     digest : str
         Digest of the request.
     claimed_at : float
@@ -61,7 +62,7 @@
 
     @classmethod
     def from_value(cls, value):
-        """Read what :meth:`to_value` wrote."""
+        """Parse the list returned by :meth:`to_value`."""
         nonce, entry, incarnation, digest, claimed_at, state, status, content_type, body = value
         return cls(
             nonce=nonce,
@@ -76,7 +77,7 @@
         )
 
     def to_value(self):
-        """Give a list that JSON holds; short, since every write carries the whole shard."""
+        """Return a JSON list; compact, since every write contains all records of the shard."""
         body = None if self.body is None else base64.b64encode(self.body).decode()
         return [
             self.nonce,
@@ -91,7 +92,7 @@
         ]
 
     def settled(self, request):
-        """Give the record after its request's end."""
+        """Return the record with the result of its ended request."""
         return ClaimRecord(
             nonce=self.nonce,
             entry=self.entry,
@@ -105,7 +106,7 @@
         )
 
     def without_body(self):
-        """Give the record with its recorded body dropped; the claim itself stays."""
+        """Return the record without its answer's body; the claim itself stays."""
         return ClaimRecord(
             nonce=self.nonce,
             entry=self.entry,
@@ -118,7 +119,7 @@
         )
 
     def answer(self, result):
-        """Tell an asker of this claim."""
+        """Return the answer that describes this claim."""
         return ClaimAnswer(
             result=str(result),
             nonce=self.nonce,
@@ -133,18 +134,18 @@
         )
 
     def size(self):
-        """Bytes of this record in JSON, to within its constant overhead."""
+        """Return the approximate size of this record in JSON, in bytes."""
         text = len(self.nonce) + len(self.entry) + len(self.incarnation) + len(self.digest) + len(self.content_type)
         return text + KEY_HEX_DIGITS + RECORD_OVERHEAD_BYTES + (len(self.body) * 4 // 3 if self.body else 0)
 
 
 class ShardContents:
-    """All claims of one shard at one version.
+    """All claims of one shard at one store version.
 
     Parameters
     ----------
     records_by_key : dict of str to ClaimRecord
-        In the order of claiming.
+        In order of their claims.
     """
 
     __slots__ = ("records_by_key", "changed", "size")
@@ -156,36 +157,36 @@
 
     @classmethod
     def from_value(cls, value):
-        """Read a shard object's value."""
+        """Parse a shard object's value."""
         records = {key: ClaimRecord.from_value(item) for key, item in value["claims"].items()}
         return cls(records_by_key=records)
 
     def to_value(self):
-        """Give the shard object's value."""
+        """Return the shard object's value."""
         return {"claims": {key: record.to_value() for key, record in self.records_by_key.items()}}
 
     def copy(self):
-        """Give an unchanged copy to apply a batch to."""
+        """Return a copy, marked as unchanged, to apply a batch to."""
         return ShardContents(records_by_key=dict(self.records_by_key), size=self.size)
 
     def apply(self, request, *, now):
-        """Apply one ask.
+        """Apply one claim or settlement.
 
         Returns
         -------
         ClaimAnswer or bool
-            For a claim its answer; for an end of a request whether its claim was found.
+            For a claim its answer; for a settlement whether its claim was found.
         """
         if isinstance(request, ClaimAsk):
             return self._claim(request, now)
         return self._settle(request)
 
     def prune(self, *, now, retention_s):
-        """Drop claims that nobody has to remember any more.
+        """Drop claims whose retention time is over.
 
-        The writer's clock may run ahead of the one that dated the claim: without room a claim
-        would be forgotten early and its key could run twice. The platform keeps its VMs'
-        clocks within half of ``CLOCK_ROOM_S``, so the room covers both.
+        The writer's clock may be ahead of the one that dated the claim: without a margin a claim
+        would be dropped early and its key could run twice. The platform keeps its VMs' clocks
+        within half of ``CLOCK_SKEW_MARGIN_S``, so the margin covers the skew of both.
         """
         horizon = now - retention_s - CLOCK_SKEW_MARGIN_S
         for key in [key for key, record in self.records_by_key.items() if record.claimed_at < horizon]:
@@ -194,10 +195,10 @@
     def _claim(self, request, now):
         record = self.records_by_key.get(request.key)
         if record is not None and record.nonce == request.nonce:
-            # An earlier write of the same ask took effect though its answer was lost.
+            # An earlier write of the same claim took effect although its answer was lost.
             return record.answer(ClaimResult.WON)
-        # Only a claim that still stands under exactly the nonce that was refused on its own
-        # router may be replaced; any other holder may be running.
+        # A claim may be replaced only while it still has exactly the nonce that was refused on its
+        # own router; any other holder may be running.
         takes_over = record is not None and record.nonce == request.replaces and record.state is ClaimState.CLAIMED
         if record is not None and not takes_over:
             return record.answer(ClaimResult.HELD)
@@ -226,8 +227,8 @@
         return True
 
     def _make_room(self, size):
-        # A claim is never given up for room, or its key could run twice; recorded bodies
-        # are, since a re-send without one is told plainly that the outcome is unknown.
+        # Claims are never dropped to free space, since their keys could run twice. Recorded bodies
+        # are: a re-send without one is answered that the outcome is unknown.
         if self.size + size > SHARD_LIMIT_BYTES:
             self._drop_bodies(0)
         return self.size + size <= SHARD_LIMIT_BYTES
