--- a/wagtailtrestle/ledger/shard.py
+++ b/wagtailtrestle/ledger/shard.py
@@ -1,8 +1,8 @@
 """Writes ledger shards: group commit by conditional update, within a budget of writes.
 
-Whoever writes a shard, safety is the conditional update alone: an ask is answered only
-from a version that was read back or that this write certainly made. Two writers of one shard,
-a paused one or a lost answer cost conflicts and reads, never a second run.
+Safety depends on the conditional update alone, whichever router writes: a request is answered
+only from a version that was read back or that this write certainly created. Two writers of one
+shard, a paused writer or a lost answer cause conflicts and reads, never a second run.
 """
 
 import asyncio
@@ -20,7 +20,7 @@
 
 
 async def with_timeout(call, *, timeout_s=STORE_TIMEOUT_S):
-    """Await a store call; one that doesn't end in time may still take effect."""
+    """Await a store call with a timeout; a call that times out may still take effect."""
     try:
         return await asyncio.wait_for(call, timeout=timeout_s)
     except TimeoutError:
@@ -28,17 +28,17 @@
 
 
 class WriteRateLimiter:
-    """Spreads one router's ledger writes over time.
+    """Limits the rate of one router's ledger writes.
 
-    Writers that wait for their turn gather more asks, so writes per claim fall as load
-    grows and the platform's budget holds.
+    Writers collect further requests while they wait, so the number of writes per claim falls as
+    load grows and the platform's write budget is kept.
 
     Parameters
     ----------
     writes_per_s : Callable
-        This router's present share of the budget.
+        Returns this router's current share of the budget.
     burst : int
-        Writes that may start at once after a quiet time.
+        Writes that may start immediately after an idle period.
     """
 
     __slots__ = ("_writes_per_s", "_burst", "_free_at")
@@ -58,7 +58,7 @@
 
 
 class PendingRequest:
-    """An ask that waits for its shard's next write."""
+    """A request that waits for its shard's next write."""
 
     __slots__ = ("request", "answered")
 
@@ -67,24 +67,24 @@
         self.answered = answered
 
     def resolve(self, answer):
-        """Give the answer, unless the asker has gone."""
+        """Set the answer, unless the requester no longer waits."""
         if not self.answered.done():
             self.answered.set_result(answer)
 
 
 class ShardWriter:
-    """Writes one shard; the next write starts when the last has ended.
+    """Writes one shard; a write starts only after the previous one has ended.
 
     Parameters
     ----------
     shard : str
         Object name.
     store : ObjectStore
-    pacer : WritePacer
+    rate_limiter : WriteRateLimiter
     wall_clock : Callable
-        Seconds, comparable between VMs; only to date and prune claims.
+        Seconds, comparable between VMs; used only to date and prune claims.
     retention_s : Callable
-        How long a claim is remembered.
+        How long a claim is kept.
     """
 
     __slots__ = (
@@ -119,7 +119,7 @@
         self._version = NEVER_WRITTEN
 
     async def claim(self, request, *, timeout_s):
-        """Put a claim; ``unavailable`` means nothing certain, so nothing may run on it."""
+        """Write a claim; after ``unavailable`` it may or may not be stored, so its request must not run."""
         self.claims += 1
         try:
             return await asyncio.wait_for(self._submit(request, urgent=True), timeout=timeout_s)
@@ -127,15 +127,15 @@
             return _unavailable("the platform's store did not answer in time")
 
     async def settle(self, request, *, urgent=False):
-        """Record a request's end with the next write; ``True`` once it is in the store."""
+        """Record the end of a request with the next write; return ``True`` once it is stored."""
         return await self._submit(request, urgent=urgent)
 
     def invalidate(self):
-        """Read the shard again before the next write."""
+        """Discard the cached contents, so that the shard is read again before the next write."""
         self._contents = None
 
     async def close(self):
-        """Stop writing; asks that wait are answered ``unavailable``."""
+        """Stop writing; waiting claims are answered ``unavailable``."""
         if self._task is not None:
             self._task.cancel()
             await asyncio.gather(self._task, return_exceptions=True)
@@ -143,7 +143,7 @@
         self._pending = []
 
     def dump(self):
-        """Plain data for the state dump."""
+        """Return the state as a plain dict."""
         contents = self._contents
         return {
             "shard": self._shard,
@@ -177,7 +177,7 @@
                 self._fail(batch, "the shard's writer stopped")
 
     async def _linger(self):
-        """Let ends of requests wait a little for a claim whose write carries them too."""
+        """Delay a write without claims for up to ``LINGER_S``, so that a claim can share it."""
         if self._urgent.is_set():
             return
         try:
@@ -198,8 +198,8 @@
             contents.prune(now=self._wall_clock(), retention_s=self._retention_s())
             answers = [contents.apply(pending.request, now=self._wall_clock()) for pending in batch]
             if False in answers and not just_read:
-                # Another writer may have put the claim whose end this is: the remembered
-                # version can't prove that it is missing.
+                # Another writer may have stored the claim to settle: the cached version does not
+                # prove that it is missing.
                 self._contents = None
                 continue
             outcome = await self._update(contents)
@@ -212,15 +212,15 @@
                     self._fail(batch, detail)
                     return
                 case _:
-                    # A conflict, or no answer: the write may have taken effect, now or
-                    # later. Reading back tells; a write that lands later conflicts with
-                    # ours or ours with it, since both name the version they replace.
+                    # A conflict or no answer: the write may have taken effect or may do so
+                    # later. Reading back shows it; a write that lands later conflicts with the
+                    # next one or the reverse, since both name the version they replace.
                     self._contents = None
                     await asyncio.sleep(MAX_CONFLICT_BACKOFF_S * random.random())
-        self._fail(batch, "the platform's store did not settle the write")
+        self._fail(batch, "the platform's store did not confirm the write")
 
     async def _read(self):
-        """Read the shard; returns why not, or ``None``."""
+        """Read the shard; return an error text, or ``None`` on success."""
         self.reads += 1
         outcome = await with_timeout(self._store.get(kind=LEDGER_KIND, name=self._shard))
         match outcome:
