--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -31,7 +31,7 @@
 
 
 class Routers:
-    """Ledgers of several routers over one store; ``cut`` names routers that never answer."""
+    """Ledgers of several routers over one store; ``cut`` names unreachable routers."""
 
     def __init__(self, *names):
         self.store = MemoryStore()
@@ -116,7 +116,7 @@
     @on_paused_clock
     async def test_simultaneous_sends_run_once(self, routers):
         # The caller's client sends the same booking to two routers at the same moment.
-        # One claim wins; the other send waits on the first's router and gets its answer.
+        # One claim wins; the other send waits for the winner's router and gets its answer.
         first, second = (
             asyncio.ensure_future(routers.claim("b", "n1")),
             asyncio.ensure_future(routers.claim("c", "n2")),
@@ -170,8 +170,8 @@
 
     @on_paused_clock
     async def test_lost_write_request_is_written_again(self, routers):
-        # The owner's write is lost on its way and no answer comes. Taken for done, the key
-        # would stay free and a re-send would run it again; read back, it is seen missing.
+        # The owner's write request is lost and gets no answer. If the write counted as applied,
+        # the key would stay free and a re-send would run again; reading back shows it missing.
         await routers.claim("a", "seed", key="other")
         routers.store_by_name["a"].lose_requests = 1
         self.assertEqual(await routers.claim("b", "n1"), ClaimWon(nonce="n1"))
@@ -179,8 +179,8 @@
 
     @on_paused_clock
     async def test_dropped_nonce_is_not_reported_as_refused(self, routers):
-        # Router b holds a claim that it has forgotten by now. It can't tell whether the request
-        # ran; were it to say "refused", a re-send would take the key over and run again.
+        # Router b holds a claim whose nonce it has dropped, so it does not know whether the request
+        # ran. If it answered "refused", a re-send would take the key over and run again.
         await routers.claim("b", "n1")
         routers.ledger_by_name["b"]._nonces.drop("n1")
         self.assertIsInstance(await routers.claim("c", "n2"), ClaimTaken)
@@ -202,8 +202,8 @@
 
     @on_paused_clock
     async def test_two_owners_never_both_win(self, routers):
-        # Routers b and c each believe that they own the shard and write the same key in
-        # the same instant. The second conditional update conflicts; it reads the first's nonce.
+        # Routers b and c both consider themselves owner of the shard and write the same key at
+        # the same time. The second conditional update conflicts and reads the first one's nonce.
         await routers.claim("a", "seed", key="other")
         for name in "bc":
             routers.ledger_by_name[name]._owner_of = lambda shard, name=name: name
@@ -241,9 +241,9 @@
 
     @on_paused_clock
     async def test_unresponsive_store_refuses_in_bounded_time_and_its_late_write_is_harmless(self, routers):
-        # The store accepts a write and answers nothing for a long time. The caller is told
-        # "not run"; the write lands later and leaves the key held by a nonce that will never run.
-        # A re-send on another router asks, learns that, and takes the key over.
+        # The store accepts a write and does not answer for a long time. The caller gets "not run";
+        # the write lands later, and the key is held by a nonce that will never run. A re-send on
+        # another router queries the holder, which reports that, and takes the key over.
         for ledger in routers.ledger_by_name.values():
             await ledger.start()
         routers.owner = "b"
@@ -259,8 +259,8 @@
 
     @on_paused_clock
     async def test_refused_nonce_stays_refused(self, routers):
-        # A re-send was told that this nonce is never dispatched. A late answer of the ledger
-        # that names it as the winner must not let it run after all.
+        # A re-send was answered that this nonce will never be dispatched. A late answer of the
+        # ledger that names it as the winner must not let it run.
         nonces = routers.ledger_by_name["b"]._nonces
         nonces.begin("n1")
         nonces.refuse("n1")
@@ -269,8 +269,8 @@
 
     @on_paused_clock
     async def test_cancelled_claim_is_taken_over(self, routers):
-        # The caller gives up while its claim is being written. The claim lands; the caller's
-        # re-send through another router must not be told "unknown" for ever.
+        # The caller disconnects while its claim is being written. The claim lands; the caller's
+        # re-send through another router must not get "unknown" until the claim expires.
         routers.store_by_name["a"].slow_s = 0.5
         claiming = asyncio.ensure_future(routers.claim("b", "n1"))
         await asyncio.sleep(0.7)
@@ -280,8 +280,8 @@
 
     @on_paused_clock
     async def test_dead_or_restarted_holder_means_unknown(self, routers):
-        # Router b wins the claim and dies; nobody can tell whether its request ran. A
-        # re-send gets "unknown" while b is gone and also from b's next life.
+        # Router b wins the claim and dies, so it is unknown whether its request ran. A re-send
+        # gets "unknown" while b is down and also from b's next incarnation.
         await routers.claim("b", "n1")
         routers.cut.add("b")
         self.assertIsInstance(await routers.claim("c", "n2", wait_s=30), ClaimTaken)
@@ -292,8 +292,8 @@
 
     @on_paused_clock
     async def test_unresponsive_holder_is_reported_as_unknown_in_time(self, routers):
-        # The holder is paused and answers nothing. Whoever sent again must be told "unknown" within
-        # its own deadline; once that is overrun it would be told that nothing was run.
+        # The holder is paused and does not answer. A re-send must get "unknown" within its own
+        # deadline; after that it would get "not run".
         routers.owner = "c"
         await routers.claim("a", "n1")
         routers.cut.add("a")
@@ -303,8 +303,8 @@
 
     @on_paused_clock
     async def test_holder_still_claiming_is_not_taken_over(self, routers):
-        # Router b's claim is in the store but b has not heard of it yet. A re-send on c must
-        # wait: were it to take the key over now, b would win as well.
+        # Router b's claim is in the store but b has not got the answer yet. A re-send on c must
+        # wait: if it took the key over now, b would win as well.
         await routers.claim("a", "seed", key="other")
         routers.ledger_by_name["b"]._nonces.begin("n1")
         await routers.ledger_by_name["a"].handle(_claim_ask("n1", _key(), entry="b"))
@@ -313,8 +313,8 @@
 
     @on_paused_clock
     async def test_takeover_names_the_nonce_it_replaces(self, routers):
-        # Two re-sends learn at the same time that the first was never dispatched. Both ask to
-        # replace its nonce; only one finds it still there, the other waits for that one.
+        # Two re-sends learn at the same time that the first was never dispatched. Both try to
+        # replace its nonce; only one still finds it there, and the other waits for that one.
         await routers.claim("b", "n1")
         routers.ledger_by_name["b"]._nonces.refuse("n1")
         outcomes = await asyncio.gather(routers.claim("a", "n2", wait_s=3), routers.claim("c", "n3", wait_s=3))
@@ -342,8 +342,8 @@
 
     @on_paused_clock
     async def test_number_of_shards_is_agreed_in_the_store(self, routers):
-        # Two declarations with different numbers of shards are in force on two routers for a
-        # moment. Were each to use its own, one key would live in two shards and run twice.
+        # Two routers briefly have declarations with different numbers of shards in force. If each
+        # used its own, one key would be in two shards and run twice.
         routers.ledger_by_name["b"]._shards = lambda: 16
         await routers.ledger_by_name["a"].start()
         self.assertIsInstance(await routers.claim("b", "n1", key="k7"), ClaimWon)
@@ -370,8 +370,8 @@
         self.assertEqual((len(contents.records_by_key), contents.size), (0, 0))
 
     def test_full_shard_refuses_claims_and_keeps_old_ones(self):
-        # A burst of keys fills the shard. Recorded bodies go first; then new claims are refused,
-        # while no claim is forgotten, since a forgotten key could run twice.
+        # A burst of keys fills the shard. Recorded bodies are dropped first, then new claims are
+        # refused. No claim is dropped, since its key could run twice.
         contents = ShardContents()
         won = 0
         for index in range(20_000):
