--- a/tests/test_at_most_once_processes.py
+++ b/tests/test_at_most_once_processes.py
@@ -1,4 +1,4 @@
-"""One booking with one idempotency key, sent again and again through faults: at most one run."""
+"""A booking with one idempotency key runs at most once, however often it is re-sent during faults."""
 
 import threading
 import time
@@ -7,7 +7,7 @@
 from tests.utils.running import BOOKING, PromiseChecks, Running, wait_until
 
 SLOWDOWN_FACTOR = 25.0
-"""Factor on the booking engine's time of 20 ms: a run lasts half a second."""
+"""Factor on the booking engine's service time of 20 ms, so that a run takes half a second."""
 
 REPETITIONS = 6
 
@@ -29,7 +29,7 @@
                 self.running.restart(name)
 
     def start_sending(self, planned, router, seen):
-        """Send in a thread, as a caller that has not given up yet."""
+        """Send in a thread, as a caller that is still waiting."""
         sender = threading.Thread(
             target=lambda: seen.append(self.running.send(BOOKING, router=router, planned=planned))
         )
@@ -37,11 +37,11 @@
         return sender
 
     def resend_of(self, planned):
-        """The same request as its caller sends it again."""
+        """Return the same request as its caller re-sends it."""
         return self.running.planned(BOOKING, caller_request_id=planned.caller_request_id)
 
     def check_at_most_one_run(self, planned, seen):
-        """At most one start; all that were told an answer were told the same; ``no`` only if nothing ran."""
+        """Check that there was at most one start, all complete answers are equal, and none exists without a run."""
         starts = self.running.starts(planned.caller_request_id)
         self.assertLessEqual(starts, 1)
         self.assertLessEqual(len({each.result.text for each in seen if each.result.whole}), 1)
@@ -52,8 +52,8 @@
 
     def test_simultaneous_sends_to_two_routers(self):
         # A caller's library sends the booking twice at the same moment, through two routers. Both
-        # claim the key in the platform's store; one wins and runs it, the other waits for that
-        # outcome and gives it. Both callers read the same whole answer.
+        # claim the key in the platform's store; one wins and runs it, the other waits for the
+        # outcome and returns it. Both callers read the same complete answer.
         for _ in range(REPETITIONS):
             planned = self.running.planned(BOOKING)
             seen = []
@@ -64,9 +64,9 @@
             self.assert_all_whole(seen)
 
     def test_resend_after_router_is_killed_during_the_run(self):
-        # The caller's connection breaks while the booking runs, for its router was killed; the
-        # caller sends it again through another. The key is claimed and its holder is dead, so
-        # nobody can tell how the run ended: the answer is "unknown", and there is no second run.
+        # The caller's router is killed while the booking runs, and the caller re-sends it through
+        # another. The key is claimed and its holder is dead, so the outcome of the run is not
+        # known: the answer is "unknown", and there is no second run.
         running = self.running
         running.faults("reservas-1", straggle=SLOWDOWN_FACTOR)
         first, second = running.routers[:2]
@@ -81,9 +81,9 @@
         self.assertEqual(self.check_at_most_one_run(planned, [*seen, again]), 1)
 
     def test_resend_after_router_is_killed_before_the_run(self):
-        # As above, but the router dies right after the call came in, wherever it stands then: before
-        # its claim, after it, before or after the dispatch. Whatever the second router answers must
-        # fit the record: "unknown" if the claim stands, the one whole answer if it does not.
+        # As above, but the router is killed right after it received the call: before or after its
+        # claim, before or after the dispatch. The second router's answer must agree with the
+        # record: "unknown" if the claim is stored, the one complete answer if it is not.
         running = self.running
         first, second = running.routers[:2]
         for delay_s in (0.0, 0.004, 0.012):
@@ -101,7 +101,7 @@
 
     def test_answer_lost_after_the_run(self):
         # The service ran the booking and its answer was cut off. The caller is told that it may
-        # have run, and told the same again through any other router; it never runs a second time.
+        # have run, also when it re-sends through any other router; there is no second run.
         running = self.running
         running.faults("reservas-1", stream_kind="cut", stream_count=1)
         planned = running.planned(BOOKING)
@@ -110,9 +110,9 @@
         self.assertEqual(self.check_at_most_one_run(planned, seen), 1)
 
     def test_platform_loses_the_answers_of_writes(self):
-        # The platform writes each claim and then loses its answer. The claim is read back; either it
-        # is proved and the booking runs, or it is refused as not run and did not run. Sent again
-        # through every router, it runs once at most.
+        # The platform writes each claim and then loses its answer. The claim is read back: either it
+        # is proved and the booking runs, or the booking is refused as "not run" and did not run.
+        # Re-sent through every router, it runs at most once.
         running = self.running
         running.platform_faults(lose_answers=-1)
         for _ in range(3):
@@ -124,9 +124,9 @@
             print(f"write answers lost: {starts} run, {[each.result.reason or 'whole' for each in seen]}")
 
     def test_claiming_router_is_paused(self):
-        # The first router is stopped while it works on the booking and the caller sends it again
-        # through another. When the paused one wakes it still believes it may dispatch; if the
-        # second had run the booking too, the member would be charged twice.
+        # The first router is paused while it handles the booking, and the caller re-sends it through
+        # another. When the paused router resumes it may still dispatch; if the second one had run
+        # the booking too, the member would be charged twice.
         running = self.running
         running.faults("reservas-1", straggle=SLOWDOWN_FACTOR / 5)
         first, second = running.routers[:2]
