--- a/tests/test_foreign_entries.py
+++ b/tests/test_foreign_entries.py
@@ -21,7 +21,7 @@
 from wagtailtrestle.platform.engines import PlatformReports
 from wagtailtrestle.platform.rollouts import read_rollout
 from wagtailtrestle.platform.store import _event, _is_event, _is_list, _is_object
-from wagtailtrestle.store.http_lane import _decoded
+from wagtailtrestle.store.threaded_http import _decoded
 
 FOREIGN = {
     "state": ["moon", "", None, 5, ["ready"]],
--- a/wagtailtrestle/platform/store.py
+++ b/wagtailtrestle/platform/store.py
@@ -18,7 +18,7 @@
 from wagtailtrestle.membership.vm_list import vm_from_json
 from wagtailtrestle.platform.headers import STORE_ERA
 from wagtailtrestle.platform.kinds import ROLLOUT_KIND, ROUTER_KIND
-from wagtailtrestle.store.http_lane import Lane, describe
+from wagtailtrestle.store.threaded_http import Lane, describe
 
 WATCH_THREADS = 3
 CALL_THREADS = 4
--- a/wagtailtrestle/store/object_store_http.py
+++ b/wagtailtrestle/store/object_store_http.py
@@ -10,7 +10,7 @@
 
 from wagtailtrestle.contracts.outcomes import StoreAbsent, StoreConflict, StoreDone, StoreUnavailable, StoreUnknown
 from wagtailtrestle.membership.vm_list import vm_from_json
-from wagtailtrestle.store.http_lane import Lane, describe
+from wagtailtrestle.store.threaded_http import Lane, describe
 
 WATCH_THREADS = 4
 # A watch is answered by the platform at its timeout; later than this it is silent.
