--- a/wagtailtrestle/platform/store.py
+++ b/wagtailtrestle/platform/store.py
@@ -18,7 +18,7 @@
 from wagtailtrestle.membership.vm_list import vm_from_json
 from wagtailtrestle.platform.headers import STORE_ERA
 from wagtailtrestle.platform.kinds import ROLLOUT_KIND, ROUTER_KIND
-from wagtailtrestle.store.threaded_http import Lane, describe
+from wagtailtrestle.store.threaded_http import ThreadedHttpClient, describe
 
 WATCH_THREADS = 3
 CALL_THREADS = 4
@@ -144,7 +144,7 @@
         return await self._calls.call(method=method, path=path, wait_s=READ_TIMEOUT_S, headers=headers, body=encoded)
 
     def _make_lane(self, *, threads, name):
-        return Lane(
+        return ThreadedHttpClient(
             host=self._url.hostname,
             port=self._url.port,
             connect_timeout_s=CONNECT_TIMEOUT_S,
--- a/wagtailtrestle/store/object_store_http.py
+++ b/wagtailtrestle/store/object_store_http.py
@@ -10,7 +10,7 @@
 
 from wagtailtrestle.contracts.outcomes import StoreAbsent, StoreConflict, StoreDone, StoreUnavailable, StoreUnknown
 from wagtailtrestle.membership.vm_list import vm_from_json
-from wagtailtrestle.store.threaded_http import Lane, describe
+from wagtailtrestle.store.threaded_http import ThreadedHttpClient, describe
 
 WATCH_THREADS = 4
 # A watch is answered by the platform at its timeout; later than this it is silent.
@@ -104,7 +104,7 @@
         return await self._calls.call(method=method, path=path, wait_s=self._read_timeout_s, headers=headers, body=body)
 
     def _make_lane(self, *, threads, name):
-        return Lane(
+        return ThreadedHttpClient(
             host=self._url.hostname,
             port=self._url.port,
             connect_timeout_s=self._connect_timeout_s,
--- a/wagtailtrestle/store/threaded_http.py
+++ b/wagtailtrestle/store/threaded_http.py
@@ -44,7 +44,7 @@
         self.detail = detail
 
 
-class Lane:
+class ThreadedHttpClient:
     """Threads and connections for one sort of call, so that another sort can't hold them.
 
     Parameters
