--- a/wagtailtrestle/store/object_store_http.py
+++ b/wagtailtrestle/store/object_store_http.py
@@ -43,8 +43,8 @@
 
     def start(self):
         """Make the threads; connections are made by the first calls."""
-        self._calls = self._make_lane(threads=self._threads, name="store")
-        self._watches = self._make_lane(threads=WATCH_THREADS, name="watch")
+        self._calls = self._make_client(threads=self._threads, name="store")
+        self._watches = self._make_client(threads=WATCH_THREADS, name="watch")
 
     def close(self):
         """End every call in flight and the threads."""
@@ -103,7 +103,7 @@
     async def _call(self, method, path, *, headers=None, body=None):
         return await self._calls.call(method=method, path=path, wait_s=self._read_timeout_s, headers=headers, body=body)
 
-    def _make_lane(self, *, threads, name):
+    def _make_client(self, *, threads, name):
         return ThreadedHttpClient(
             host=self._url.hostname,
             port=self._url.port,
