--- a/tests/test_foreign_entries.py
+++ b/tests/test_foreign_entries.py
@@ -21,7 +21,7 @@
 from wagtailtrestle.platform.engines import PlatformReports
 from wagtailtrestle.platform.rollouts import read_rollout
 from wagtailtrestle.platform.store import _event, _is_event, _is_list, _is_object
-from wagtailtrestle.store.threaded_http import _decoded
+from wagtailtrestle.store.threaded_http import _parse_json
 
 FOREIGN = {
     "state": ["moon", "", None, 5, ["ready"]],
@@ -100,7 +100,7 @@
 
     def test_bytes_that_are_no_text_spoil_only_their_own_object(self):
         data = b'{"items":[{"specification":"\xff\xfe\x01"},{"specification":"sound"}],"store_revision":5}'
-        self.assertEqual(_decoded(data)["items"][1], {"specification": "sound"})
+        self.assertEqual(_parse_json(data)["items"][1], {"specification": "sound"})
 
     @on_paused_clock
     async def test_an_entry_that_was_written_over_is_not_used_and_the_others_hold(self):
--- a/wagtailtrestle/store/threaded_http.py
+++ b/wagtailtrestle/store/threaded_http.py
@@ -108,7 +108,7 @@
                 retries=NO_RETRIES,
                 redirect=False,
             )
-            body = _decoded(response.data) if response.data else None
+            body = _parse_json(response.data) if response.data else None
             return Answer(status=response.status, headers=response.headers, body=body)
         except NOT_SENT_ERRORS as error:
             return Answer(was_sent=False, detail=_short(error))
@@ -137,7 +137,7 @@
         pool.close()
 
 
-def _decoded(data):
+def _parse_json(data):
     # What one writer put into one object must not make a list of them all unreadable.
     return json.loads(data.decode(errors="replace"), strict=False)
 
