--- a/wagtailtrestle/store/threaded_http.py
+++ b/wagtailtrestle/store/threaded_http.py
@@ -111,14 +111,14 @@
             body = _parse_json(response.data) if response.data else None
             return Answer(status=response.status, headers=response.headers, body=body)
         except NOT_SENT_ERRORS as error:
-            return Answer(was_sent=False, detail=_short(error))
+            return Answer(was_sent=False, detail=_error_text(error))
         except urllib3.exceptions.ReadTimeoutError as error:
             # Whatever lost track of this connection may have lost the idle ones too, and
             # each would cost one more timeout: the next call starts on a new connection.
             self._replace_pool(pool)
-            return Answer(detail=_short(error))
+            return Answer(detail=_error_text(error))
         except (urllib3.exceptions.HTTPError, OSError, ValueError, RecursionError) as error:
-            return Answer(detail=_short(error))
+            return Answer(detail=_error_text(error))
 
     def _make_pool(self):
         pool = urllib3.HTTPConnectionPool(self._host, self._port, maxsize=self._size)
@@ -150,7 +150,7 @@
     return f"HTTP {answer.status} {problem}".strip()[:MAX_DETAIL_CHARS]
 
 
-def _short(error):
+def _error_text(error):
     return f"{type(error).__name__}: {error}"[:MAX_DETAIL_CHARS]
 
 
