--- a/wagtailtrestle/store/threaded_http.py
+++ b/wagtailtrestle/store/threaded_http.py
@@ -76,7 +76,7 @@
         with self._connections_lock:
             open_connections = list(self._connections)
         for connection in open_connections:
-            _cut(connection)
+            _shut_down(connection)
 
     async def call(self, *, method, path, wait_s, headers=None, body=None):
         """Run one call on a thread; an :class:`Answer`, no later than its timeouts."""
@@ -154,7 +154,7 @@
     return f"{type(error).__name__}: {error}"[:MAX_DETAIL_CHARS]
 
 
-def _cut(connection):
+def _shut_down(connection):
     """Wake whatever thread waits on this connection."""
     sock = connection.sock
     if sock is None:
