--- a/wagtailtrestle/store/object_store_http.py
+++ b/wagtailtrestle/store/object_store_http.py
@@ -57,7 +57,7 @@
 
     async def list(self, *, kind):
         """Read all objects of a kind: ``value`` maps name to ``(version, value)``."""
-        outcome = _read_outcome(await self._call("GET", f"/objects/{_quoted(kind)}"))
+        outcome = _read_outcome(await self._call("GET", f"/objects/{_quote(kind)}"))
         if not isinstance(outcome, StoreDone):
             return outcome
         by_name = {name: (item["version"], item["value"]) for name, item in outcome.value.items()}
@@ -79,7 +79,7 @@
 
     async def watch(self, *, kind, from_version, timeout_s):
         """Wait for changes after ``from_version``; bounded even if the connection is silent."""
-        path = f"/watch/{_quoted(kind)}?from_version={from_version}&timeout_s={timeout_s:.3f}"
+        path = f"/watch/{_quote(kind)}?from_version={from_version}&timeout_s={timeout_s:.3f}"
         outcome = _read_outcome(await self._watches.call(method="GET", path=path, wait_s=timeout_s + WATCH_MARGIN_S))
         if not isinstance(outcome, StoreDone):
             return outcome
@@ -147,10 +147,10 @@
 
 
 def _object_path(kind, name):
-    return f"/objects/{_quoted(kind)}/{_quoted(name)}"
+    return f"/objects/{_quote(kind)}/{_quote(name)}"
 
 
-def _quoted(text):
+def _quote(text):
     return quote(text, safe="")
 
 
