--- a/wagtailtrestle/store/threaded_http.py
+++ b/wagtailtrestle/store/threaded_http.py
@@ -84,15 +84,15 @@
             return Answer(was_sent=False, detail="the store is closed")
         work = self._executor.submit(self._request, method, path, wait_s, headers or {}, body)
         future = asyncio.wrap_future(work)
-        limit_s = self._connect_timeout_s + wait_s + CALL_MARGIN_S
-        done, _ = await asyncio.wait((future,), timeout=limit_s)
+        timeout_s = self._connect_timeout_s + wait_s + CALL_MARGIN_S
+        done, _ = await asyncio.wait((future,), timeout=timeout_s)
         if done:
             return future.result()
         # Every thread may be held by a silent connection. A call that no thread took up
         # was certainly not sent, and its caller may be told so.
         if work.cancel():
             return Answer(was_sent=False, detail="no thread was free")
-        return Answer(detail=f"no answer in {limit_s:.1f} s")
+        return Answer(detail=f"no answer in {timeout_s:.1f} s")
 
     def _request(self, method, path, wait_s, headers, body):
         """Send one request; runs on a thread."""
