--- a/wagtailtrestle/store/object_store_http.py
+++ b/wagtailtrestle/store/object_store_http.py
@@ -16,7 +16,7 @@
 # A watch is answered by the platform at its timeout; later than this it is silent.
 WATCH_MARGIN_S = 1.0
 # Statuses by which the platform says that it did not take the call up.
-REFUSED_STATUSES = (HTTPStatus.TOO_MANY_REQUESTS, HTTPStatus.BAD_REQUEST, HTTPStatus.REQUEST_ENTITY_TOO_LARGE)
+NOT_APPLIED_STATUSES = (HTTPStatus.TOO_MANY_REQUESTS, HTTPStatus.BAD_REQUEST, HTTPStatus.REQUEST_ENTITY_TOO_LARGE)
 
 
 class HttpObjectStore:
@@ -132,7 +132,7 @@
             return StoreConflict(version=(answer.body or {}).get("version"))
         case HTTPStatus.NOT_FOUND:
             return StoreAbsent()
-        case status if status in REFUSED_STATUSES:
+        case status if status in NOT_APPLIED_STATUSES:
             return StoreUnavailable(detail=describe(answer))
         case HTTPStatus.SERVICE_UNAVAILABLE if (answer.body or {}).get("applied") is False:
             return StoreUnavailable(detail=describe(answer))
