--- a/wagtailtrestle/platform/store.py
+++ b/wagtailtrestle/platform/store.py
@@ -18,7 +18,7 @@
 from wagtailtrestle.membership.vm_list import vm_from_json
 from wagtailtrestle.platform.headers import STORE_ERA
 from wagtailtrestle.platform.kinds import ROLLOUT_KIND, ROUTER_KIND
-from wagtailtrestle.store.threaded_http import ThreadedHttpClient, describe
+from wagtailtrestle.store.threaded_http import ThreadedHttpClient, describe_answer
 
 WATCH_THREADS = 3
 CALL_THREADS = 4
@@ -164,7 +164,7 @@
 
 
 def _unread(answer):
-    return _told(answer, StoreUnavailable(detail=describe(answer)))
+    return _told(answer, StoreUnavailable(detail=describe_answer(answer)))
 
 
 def _written(answer):
@@ -183,7 +183,7 @@
             return _told(answer, StoreAbsent())
         case status if status in NOT_TAKEN_UP:
             return _unread(answer)
-    return _told(answer, StoreUnknown(detail=describe(answer))) if answer.was_sent else _unread(answer)
+    return _told(answer, StoreUnknown(detail=describe_answer(answer))) if answer.was_sent else _unread(answer)
 
 
 def _event(kind, event):
--- a/wagtailtrestle/store/object_store_http.py
+++ b/wagtailtrestle/store/object_store_http.py
@@ -10,7 +10,7 @@
 
 from wagtailtrestle.contracts.outcomes import StoreAbsent, StoreConflict, StoreDone, StoreUnavailable, StoreUnknown
 from wagtailtrestle.membership.vm_list import vm_from_json
-from wagtailtrestle.store.threaded_http import ThreadedHttpClient, describe
+from wagtailtrestle.store.threaded_http import ThreadedHttpClient, describe_answer
 
 WATCH_THREADS = 4
 # A watch is answered by the platform at its timeout; later than this it is silent.
@@ -120,7 +120,7 @@
             return StoreDone(version=answer.body["version"], value=answer.body.get("value"))
         case HTTPStatus.NOT_FOUND:
             return StoreAbsent()
-    return StoreUnavailable(detail=describe(answer))
+    return StoreUnavailable(detail=describe_answer(answer))
 
 
 def _write_outcome(answer):
@@ -133,13 +133,13 @@
         case HTTPStatus.NOT_FOUND:
             return StoreAbsent()
         case status if status in NOT_APPLIED_STATUSES:
-            return StoreUnavailable(detail=describe(answer))
+            return StoreUnavailable(detail=describe_answer(answer))
         case HTTPStatus.SERVICE_UNAVAILABLE if (answer.body or {}).get("applied") is False:
-            return StoreUnavailable(detail=describe(answer))
+            return StoreUnavailable(detail=describe_answer(answer))
     # A 500, or a 503 from something before the platform, promises nothing.
     if answer.was_sent:
-        return StoreUnknown(detail=describe(answer))
-    return StoreUnavailable(detail=describe(answer))
+        return StoreUnknown(detail=describe_answer(answer))
+    return StoreUnavailable(detail=describe_answer(answer))
 
 
 def _has_version(body):
--- a/wagtailtrestle/store/threaded_http.py
+++ b/wagtailtrestle/store/threaded_http.py
@@ -142,7 +142,7 @@
     return json.loads(data.decode(errors="replace"), strict=False)
 
 
-def describe(answer):
+def describe_answer(answer):
     """A short text of what an answer says, or of why there is none."""
     if not answer.status:
         return answer.detail
