--- a/wagtailtrestle/store/__init__.py
+++ b/wagtailtrestle/store/__init__.py
@@ -1,1 +1,1 @@
-"""The platform's object API."""
+"""Clients of the platform's object API."""
--- a/wagtailtrestle/store/object_store_http.py
+++ b/wagtailtrestle/store/object_store_http.py
@@ -1,7 +1,7 @@
 """The platform's object API over HTTP, as an ``ObjectStore`` for the event loop.
 
-Each call runs on a thread of this store's own pools and comes back as an outcome; the
-event loop never waits on a socket. Watches have threads and connections of their own.
+Each call runs on a thread of this store's own pools and returns an outcome; the event loop
+never waits for a socket. Watches have threads and connections of their own.
 """
 
 import json
@@ -13,9 +13,9 @@
 from wagtailtrestle.store.threaded_http import ThreadedHttpClient, describe_answer
 
 WATCH_THREADS = 4
-# A watch is answered by the platform at its timeout; later than this it is silent.
+# The platform answers a watch at its timeout; after this margin it counts as unresponsive.
 WATCH_MARGIN_S = 1.0
-# Statuses by which the platform says that it did not take the call up.
+# Statuses with which the platform rejects a call without applying it.
 NOT_APPLIED_STATUSES = (HTTPStatus.TOO_MANY_REQUESTS, HTTPStatus.BAD_REQUEST, HTTPStatus.REQUEST_ENTITY_TOO_LARGE)
 
 
@@ -28,9 +28,9 @@
         ``http://HOST:PORT`` of the platform.
     connect_timeout_s : float
     read_timeout_s : float
-        Longest silence on an open connection before it is given up.
+        Longest wait for data on an open connection before the call times out.
     threads : int
-        Calls at the same time, watches aside.
+        Maximum number of concurrent calls, not counting watches.
     """
 
     def __init__(self, *, url, connect_timeout_s=1.0, read_timeout_s=2.0, threads=4):
@@ -42,12 +42,12 @@
         self._watches = None
 
     def start(self):
-        """Make the threads; connections are made by the first calls."""
+        """Create the threads; connections are opened by the first calls."""
         self._calls = self._make_client(threads=self._threads, name="store")
         self._watches = self._make_client(threads=WATCH_THREADS, name="watch")
 
     def close(self):
-        """End every call in flight and the threads."""
+        """Abort all calls in flight and stop the threads."""
         self._calls.close()
         self._watches.close()
 
@@ -78,7 +78,7 @@
         return _write_outcome(await self._call("DELETE", path))
 
     async def watch(self, *, kind, from_version, timeout_s):
-        """Wait for changes after ``from_version``; bounded even if the connection is silent."""
+        """Wait for changes after ``from_version``; returns in bounded time even if the connection is unresponsive."""
         path = f"/watch/{_quote(kind)}?from_version={from_version}&timeout_s={timeout_s:.3f}"
         outcome = _read_outcome(await self._watches.call(method="GET", path=path, wait_s=timeout_s + WATCH_MARGIN_S))
         if not isinstance(outcome, StoreDone):
@@ -114,7 +114,7 @@
 
 
 def _read_outcome(answer):
-    """Outcome of a call without effect: no answer is as good as a refusal."""
+    """Return the outcome of a read: no answer is equivalent to a refusal, as reads have no effect."""
     match answer.status:
         case HTTPStatus.OK if _has_version(answer.body):
             return StoreDone(version=answer.body["version"], value=answer.body.get("value"))
@@ -124,7 +124,7 @@
 
 
 def _write_outcome(answer):
-    """Outcome of a write: anything but a plain answer leaves it unknown whether it took effect."""
+    """Return the outcome of a write: without an unambiguous answer it is unknown whether it took effect."""
     match answer.status:
         case HTTPStatus.OK if _has_version(answer.body):
             return StoreDone(version=answer.body["version"])
@@ -136,7 +136,7 @@
             return StoreUnavailable(detail=describe_answer(answer))
         case HTTPStatus.SERVICE_UNAVAILABLE if (answer.body or {}).get("applied") is False:
             return StoreUnavailable(detail=describe_answer(answer))
-    # A 500, or a 503 from something before the platform, promises nothing.
+    # A 500, or a 503 from a proxy, does not show whether the write was applied.
     if answer.was_sent:
         return StoreUnknown(detail=describe_answer(answer))
     return StoreUnavailable(detail=describe_answer(answer))
