--- a/wagtailtrestle/store/threaded_http.py
+++ b/wagtailtrestle/store/threaded_http.py
@@ -1,7 +1,7 @@
-"""Threads and connections that carry calls to an HTTP store for the event loop.
+"""HTTP client for stores that runs blocking calls on its own threads and connections.
 
-Each call runs on a thread of its lane and comes back as an :class:`Answer`; the event loop
-never waits on a socket. Every client of a store, whatever it speaks, is built on this.
+Each call runs on a thread of its client and returns an :class:`Answer`; the event loop never
+waits for a socket. All store clients are built on this, whichever protocol they use.
 """
 
 import asyncio
@@ -13,11 +13,11 @@
 
 import urllib3
 
-# Beyond both socket timeouts: an answer that trickles in must not hold a caller for ever.
+# Added to both socket timeouts: an answer that arrives byte by byte must not block a caller forever.
 CALL_MARGIN_S = 1.0
 MAX_DETAIL_CHARS = 200
-# A library that repeats a write by itself would turn "maybe applied" into "conflict"
-# with ourselves; whoever calls the store decides on repeats.
+# If the library retried a write, a write that was applied would return a conflict with
+# itself; the caller of the store decides on retries.
 NO_RETRIES = False
 
 NOT_SENT_ERRORS = (
@@ -28,10 +28,10 @@
 
 
 class Answer:
-    """One HTTP answer as a thread hands it to the event loop.
+    """One HTTP answer, passed from a thread to the event loop.
 
-    ``status`` is 0 when there is none: ``was_sent`` then tells whether the request may
-    have reached the platform. ``headers`` is a mapping that ignores case.
+    ``status`` is 0 if there is no answer: ``was_sent`` then tells whether the request may
+    have reached the platform. ``headers`` is a case-insensitive mapping.
     """
 
     __slots__ = ("status", "headers", "body", "was_sent", "detail")
@@ -45,7 +45,7 @@
 
 
 class ThreadedHttpClient:
-    """Threads and connections for one sort of call, so that another sort can't hold them.
+    """Threads and connections for one kind of call, so that other kinds cannot exhaust them.
 
     Parameters
     ----------
@@ -69,7 +69,7 @@
         self._is_closed = False
 
     def close(self):
-        """Cut open connections, so that no thread waits out a watch, and end the threads."""
+        """Shut down open connections, so that no thread waits for a watch to end, and stop the threads."""
         self._is_closed = True
         self._executor.shutdown(wait=False, cancel_futures=True)
         self._pool.close()
@@ -79,7 +79,7 @@
             _shut_down(connection)
 
     async def call(self, *, method, path, wait_s, headers=None, body=None):
-        """Run one call on a thread; an :class:`Answer`, no later than its timeouts."""
+        """Run one call on a thread and return its :class:`Answer`, at the latest after its timeouts."""
         if self._is_closed:
             return Answer(was_sent=False, detail="the store is closed")
         work = self._executor.submit(self._request, method, path, wait_s, headers or {}, body)
@@ -88,8 +88,8 @@
         done, _ = await asyncio.wait((future,), timeout=timeout_s)
         if done:
             return future.result()
-        # Every thread may be held by a silent connection. A call that no thread took up
-        # was certainly not sent, and its caller may be told so.
+        # All threads may be blocked by unresponsive connections. A call that no thread has
+        # started was certainly not sent.
         if work.cancel():
             return Answer(was_sent=False, detail="no thread was free")
         return Answer(detail=f"no answer in {timeout_s:.1f} s")
@@ -113,8 +113,8 @@
         except NOT_SENT_ERRORS as error:
             return Answer(was_sent=False, detail=_error_text(error))
         except urllib3.exceptions.ReadTimeoutError as error:
-            # Whatever lost track of this connection may have lost the idle ones too, and
-            # each would cost one more timeout: the next call starts on a new connection.
+            # A network element that dropped this connection may have dropped the idle ones too,
+            # and each would cost one more timeout: the next call opens a new connection.
             self._replace_pool(pool)
             return Answer(detail=_error_text(error))
         except (urllib3.exceptions.HTTPError, OSError, ValueError, RecursionError) as error:
@@ -138,12 +138,12 @@
 
 
 def _parse_json(data):
-    # What one writer put into one object must not make a list of them all unreadable.
+    # Invalid text in one object must not make a list of all objects unreadable.
     return json.loads(data.decode(errors="replace"), strict=False)
 
 
 def describe_answer(answer):
-    """A short text of what an answer says, or of why there is none."""
+    """Return a short text that describes an answer, or why there is none."""
     if not answer.status:
         return answer.detail
     problem = answer.body.get("error", "") if isinstance(answer.body, dict) else ""
@@ -155,11 +155,11 @@
 
 
 def _shut_down(connection):
-    """Wake whatever thread waits on this connection."""
+    """Shut down the socket, which wakes the thread that waits for it."""
     sock = connection.sock
     if sock is None:
         return
     try:
         sock.shutdown(socket.SHUT_RDWR)
     except OSError:
-        pass  # It was closed already.
+        pass  # Already closed.
