--- a/wagtailtrestle/ledger/shard.py
+++ b/wagtailtrestle/ledger/shard.py
@@ -48,7 +48,7 @@
         self._burst = burst
         self._free_at = 0.0
 
-    async def wait_for_turn(self):
+    async def turn(self):
         """Wait until a write may start."""
         now = asyncio.get_running_loop().time()
         step = 1.0 / self._writes_per_s()
@@ -167,7 +167,7 @@
     async def _write_all(self):
         while self._pending:
             await self._linger()
-            await self._rate_limiter.wait_for_turn()
+            await self._rate_limiter.turn()
             self._urgent.clear()
             batch = [pending for pending in self._pending if not pending.answered.done()]
             self._pending = []
