--- a/wagtailtrestle/ledger/ledger.py
+++ b/wagtailtrestle/ledger/ledger.py
@@ -96,7 +96,7 @@
         self._wall_clock = wall_clock
         self._rate_limiter = WriteRateLimiter(writes_per_s=lambda: LEDGER_WRITES_PER_S / max(live_routers(), 1))
         self._writers_by_shard = {}
-        self._nonces = NonceTable(retention_s=retention_s, now=lambda: asyncio.get_running_loop().time())
+        self._nonces = NonceTable(ttl_s=retention_s, now=lambda: asyncio.get_running_loop().time())
         self._settling_by_nonce = {}
         self._layout = None
         self._layout_detail = ""
--- a/wagtailtrestle/ledger/nonces.py
+++ b/wagtailtrestle/ledger/nonces.py
@@ -42,7 +42,7 @@
 
     Parameters
     ----------
-    retention_s : Callable
+    ttl_s : Callable
         How long a nonce is kept, seconds.
     now : Callable
         Event loop time in seconds.
