--- a/wagtailtrestle/ledger/nonces.py
+++ b/wagtailtrestle/ledger/nonces.py
@@ -48,11 +48,11 @@
         Event loop time in seconds.
     """
 
-    __slots__ = ("entries_by_nonce", "_retention_s", "_now")
+    __slots__ = ("entries_by_nonce", "_ttl_s", "_now")
 
     def __init__(self, *, retention_s, now):
         self.entries_by_nonce = {}
-        self._retention_s = retention_s
+        self._ttl_s = retention_s
         self._now = now
 
     def begin(self, nonce):
@@ -114,7 +114,7 @@
         return entry
 
     def _drop_old(self):
-        horizon = self._now() - self._retention_s()
+        horizon = self._now() - self._ttl_s()
         while self.entries_by_nonce:
             nonce, entry = next(iter(self.entries_by_nonce.items()))
             if entry.created_at >= horizon and len(self.entries_by_nonce) < MAX_NONCES:
