--- a/wagtailtrestle/ledger/ledger.py
+++ b/wagtailtrestle/ledger/ledger.py
@@ -203,7 +203,7 @@
             if outcome is not None:
                 return outcome
             replaces = answer.nonce
-        return ClaimTaken(detail="other requests claim this key concurrently")
+        return ClaimTaken(detail="other requests claim this key at the same moment")
 
     async def _write(self, request, deadline):
         """Send the claim to the shard's owner; if that fails, write it here."""
@@ -240,7 +240,7 @@
         if held.state == ClaimState.FINISHED and held.body_kept:
             return _finished_claim(held)
         if held.state == ClaimState.FINISHED:
-            return ClaimTaken(detail="the earlier request finished, but its answer was not kept")
+            return ClaimTaken(detail="the earlier request ran to its end; its answer was not kept")
         return ClaimTaken(detail="the earlier request's outcome is unknown")
 
     async def _query_holder(self, held, deadline):
