--- a/wagtailtrestle/ledger/nonces.py
+++ b/wagtailtrestle/ledger/nonces.py
@@ -50,9 +50,9 @@
 
     __slots__ = ("entries_by_nonce", "_ttl_s", "_now")
 
-    def __init__(self, *, retention_s, now):
+    def __init__(self, *, ttl_s, now):
         self.entries_by_nonce = {}
-        self._ttl_s = retention_s
+        self._ttl_s = ttl_s
         self._now = now
 
     def begin(self, nonce):
