--- a/wagtailtrestle/rollouts/coordinator.py
+++ b/wagtailtrestle/rollouts/coordinator.py
@@ -126,7 +126,7 @@
         return tuple(self._progress_by_service.values())
 
     def _on_orders_changed(self):
-        """Apply final states that the store holds for running rollouts; an order that was deleted is dropped."""
+        """Apply the final states in the store to running rollouts; runs after each response of the store."""
         for service, rollout in list(self.rollout_by_service.items()):
             order = self._order_watcher.by_service.get(service)
             if order is not None and order.target == rollout.order.target and order.state is not None:
