--- a/tests/test_at_most_once_processes.py
+++ b/tests/test_at_most_once_processes.py
@@ -96,7 +96,9 @@
             again = running.send(BOOKING, router=second, planned=self.resend_of(planned))
             starts = self.check_at_most_one_run(planned, [*seen, again])
             self.assertNotEqual(again.result.executed, "no", again)
-            print(f"killed {delay_s * 1000:.0f} ms after the call: {starts} run, then {again.result.reason or 'whole'}")
+            print(
+                f"killed {delay_s * 1000:.0f} ms after the call: {starts} run, then {again.result.reason or 'complete'}"
+            )
             running.restart(first)
 
     def test_answer_lost_after_the_run(self):
@@ -121,7 +123,7 @@
             starts = self.check_at_most_one_run(planned, seen)
             for each in seen:
                 self.assertTrue(each.result.whole or starts == 0 or each.result.executed != "no", each)
-            print(f"write answers lost: {starts} run, {[each.result.reason or 'whole' for each in seen]}")
+            print(f"write answers lost: {starts} run, {[each.result.reason or 'complete' for each in seen]}")
 
     def test_claiming_router_is_paused(self):
         # The first router is paused while it handles the booking, and the caller re-sends it through
@@ -140,7 +142,9 @@
             running.router(first).resume()
             sender.join()
             starts = self.check_at_most_one_run(planned, [*seen, again])
-            print(f"paused {delay_s * 1000:.0f} ms after the call: {starts} run, then {again.result.reason or 'whole'}")
+            print(
+                f"paused {delay_s * 1000:.0f} ms after the call: {starts} run, then {again.result.reason or 'complete'}"
+            )
             self.assertTrue(starts == 0 or again.result.executed != "no", again)
 
 
