--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -18,7 +18,7 @@
 from wagtailtrestle.ledger.ledger import Ledger
 from wagtailtrestle.ledger.record import (
     BODIES_LIMIT_BYTES,
-    CLOCK_ROOM_S,
+    CLOCK_SKEW_MARGIN_S,
     LEDGER_KIND,
     MAX_BODY_BYTES,
     SHARD_LIMIT_BYTES,
@@ -31,13 +31,13 @@
 
 
 class Routers:
-    """Ledgers of several routers over one store; ``cut`` names routers that never answer."""
+    """Ledgers of several routers over one store; ``cut`` names unreachable routers."""
 
     def __init__(self, *names):
         self.store = MemoryStore()
         self.cut = set()
         self.owner = names[0]
-        self.asked = []
+        self.requests = []
         self.wall_s = 1_000_000.0
         self.ledger_by_name = {}
         self.store_by_name = {}
@@ -51,14 +51,14 @@
             incarnation=incarnation,
             store=self.store_by_name[name],
             owner_of=lambda shard: self.owner,
-            ask=self.ask,
+            query_peer=self.query_peer,
             shards=lambda: 1,
             retention_s=lambda: RETENTION_S,
             wall_clock=lambda: self.wall_s,
         )
 
-    async def ask(self, peer, message, timeout_s):
-        self.asked.append(message)
+    async def query_peer(self, peer, message, timeout_s):
+        self.requests.append(message)
         if peer in self.cut:
             await asyncio.sleep(timeout_s)
             return None
@@ -114,9 +114,9 @@
         self.assertEqual(outcome, ClaimFinished(status=200, content_type="text/plain", body=b"ok"))
 
     @on_paused_clock
-    async def test_two_sends_at_once_make_one_run(self, routers):
+    async def test_simultaneous_sends_run_once(self, routers):
         # The caller's client sends the same booking to two routers at the same moment.
-        # One claim wins; the other send waits on the first's router and gets its answer.
+        # One claim wins; the other send waits for the winner's router and gets its answer.
         first, second = (
             asyncio.ensure_future(routers.claim("b", "n1")),
             asyncio.ensure_future(routers.claim("c", "n2")),
@@ -131,19 +131,19 @@
         self.assertIsInstance(await waited, ClaimFinished)
 
     @on_paused_clock
-    async def test_resend_waits_no_longer_than_it_may(self, routers):
+    async def test_resend_waits_at_most_its_timeout(self, routers):
         await routers.claim("b", "n1")
         started = asyncio.get_running_loop().time()
         self.assertIsInstance(await routers.claim("c", "n2", wait_s=7.0), ClaimTaken)
         self.assertLessEqual(asyncio.get_running_loop().time() - started, 7.0)
 
     @on_paused_clock
-    async def test_other_body_under_the_same_key(self, routers):
+    async def test_other_body_under_the_same_key_is_rejected(self, routers):
         await routers.claim("b", "n1")
         self.assertIsInstance(await routers.claim("c", "n2", digest="other"), ClaimMismatch)
 
     @on_paused_clock
-    async def test_unknown_end_is_told_at_once(self, routers):
+    async def test_unknown_outcome_is_returned_immediately(self, routers):
         await routers.claim("b", "n1")
         routers.ledger_by_name["b"].finish_unknown(team="t", key="k", nonce="n1")
         started = asyncio.get_running_loop().time()
@@ -170,17 +170,17 @@
 
     @on_paused_clock
     async def test_lost_write_request_is_written_again(self, routers):
-        # The owner's write is lost on its way and no answer comes. Taken for done, the key
-        # would stay free and a re-send would run it again; read back, it is seen missing.
+        # The owner's write request is lost and gets no answer. If the write counted as applied,
+        # the key would stay free and a re-send would run again; reading back shows it missing.
         await routers.claim("a", "seed", key="other")
         routers.store_by_name["a"].lose_requests = 1
         self.assertEqual(await routers.claim("b", "n1"), ClaimWon(nonce="n1"))
         self.assertIn("n1", routers.holders())
 
     @on_paused_clock
-    async def test_forgotten_nonce_is_not_called_refused(self, routers):
-        # Router b holds a claim that it has forgotten by now. It can't tell whether the request
-        # ran; were it to say "refused", a re-send would take the key over and run again.
+    async def test_dropped_nonce_is_not_reported_as_refused(self, routers):
+        # Router b holds a claim whose nonce it has dropped, so it does not know whether the request
+        # ran. If it answered "refused", a re-send would take the key over and run again.
         await routers.claim("b", "n1")
         routers.ledger_by_name["b"]._nonces.drop("n1")
         self.assertIsInstance(await routers.claim("c", "n2"), ClaimTaken)
@@ -190,20 +190,20 @@
         # The owner writes the claim and dies before it answers. The entry reads the shard
         # itself and finds its nonce there, so the request runs without a second claim.
         await routers.ledger_by_name["a"].start()
-        inner = routers.ask
+        original = routers.query_peer
 
-        async def answer_lost(peer, message, timeout_s):
-            await inner(peer, message, timeout_s)
+        async def lose_answer(peer, message, timeout_s):
+            await original(peer, message, timeout_s)
             await asyncio.sleep(timeout_s)
 
-        routers.ledger_by_name["b"]._ask = answer_lost
+        routers.ledger_by_name["b"]._query_peer = lose_answer
         self.assertEqual(await routers.claim("b", "n1"), ClaimWon(nonce="n1"))
         self.assertEqual(routers.store_by_name["b"].calls["writes"], 0)
 
     @on_paused_clock
     async def test_two_owners_never_both_win(self, routers):
-        # Routers b and c each believe that they own the shard and write the same key in
-        # the same instant. The second conditional update conflicts; it reads the first's nonce.
+        # Routers b and c both consider themselves owner of the shard and write the same key at
+        # the same time. The second conditional update conflicts and reads the first one's nonce.
         await routers.claim("a", "seed", key="other")
         for name in "bc":
             routers.ledger_by_name[name]._owner_of = lambda shard, name=name: name
@@ -217,22 +217,22 @@
         # router claims the key. The owner wakes, its write conflicts, and it answers "held".
         await routers.claim("a", "seed", key="other")
 
-        def meanwhile():
+        def claim_concurrently():
             contents = routers.store.table.get(kind=LEDGER_KIND, name=SHARD)
-            theirs = ShardContents.from_value(contents.value)
-            theirs.apply(_ask("n-other", _key()), now=routers.wall_s)
+            other_contents = ShardContents.from_value(contents.value)
+            other_contents.apply(_claim_ask("n-other", _key()), now=routers.wall_s)
             routers.store.table.update(
-                kind=LEDGER_KIND, name=SHARD, value=theirs.to_value(), if_version=contents.version
+                kind=LEDGER_KIND, name=SHARD, value=other_contents.to_value(), if_version=contents.version
             )
 
-        routers.store_by_name["a"].before_write = meanwhile
+        routers.store_by_name["a"].before_write = claim_concurrently
         routers.cut.add("z")
         self.assertIsInstance(await routers.claim("b", "n1", wait_s=4), ClaimTaken)
         self.assertIn("n-other", routers.holders())
         self.assertNotIn("n1", routers.holders())
 
     @on_paused_clock
-    async def test_store_out_refuses_at_once(self, routers):
+    async def test_store_outage_refuses_immediately(self, routers):
         for store in routers.store_by_name.values():
             store.down = True
         started = asyncio.get_running_loop().time()
@@ -240,10 +240,10 @@
         self.assertLess(asyncio.get_running_loop().time() - started, 0.5)
 
     @on_paused_clock
-    async def test_silent_store_refuses_in_bounded_time_and_its_late_write_does_no_harm(self, routers):
-        # The store accepts a write and answers nothing for a long time. The caller is told
-        # "not run"; the write lands later and leaves the key held by a nonce that will never run.
-        # A re-send on another router asks, learns that, and takes the key over.
+    async def test_unresponsive_store_refuses_in_bounded_time_and_its_late_write_is_harmless(self, routers):
+        # The store accepts a write and does not answer for a long time. The caller gets "not run";
+        # the write lands later, and the key is held by a nonce that will never run. A re-send on
+        # another router queries the holder, which reports that, and takes the key over.
         for ledger in routers.ledger_by_name.values():
             await ledger.start()
         routers.owner = "b"
@@ -253,24 +253,24 @@
         self.assertIsInstance(await routers.claim("b", "n1"), ClaimUnavailable)
         self.assertLess(asyncio.get_running_loop().time() - started, 10.0)
         await ledger.close()
-        routers.store.table.create(kind=LEDGER_KIND, name=SHARD, value=_holding(routers, "n1"))
+        routers.store.table.create(kind=LEDGER_KIND, name=SHARD, value=_claimed_shard(routers, "n1"))
         store.slow_s = 0.0
         self.assertEqual(await routers.claim("c", "n2"), ClaimWon(nonce="n2"))
 
     @on_paused_clock
     async def test_refused_nonce_stays_refused(self, routers):
-        # A re-send was told that this nonce is never dispatched. A late answer of the ledger
-        # that names it as the winner must not let it run after all.
-        book = routers.ledger_by_name["b"]._nonces
-        book.begin("n1")
-        book.refuse("n1")
-        self.assertFalse(book.win("n1"))
-        self.assertEqual(book.entries_by_nonce["n1"].state, NonceState.REFUSED)
+        # A re-send was answered that this nonce will never be dispatched. A late answer of the
+        # ledger that names it as the winner must not let it run.
+        nonces = routers.ledger_by_name["b"]._nonces
+        nonces.begin("n1")
+        nonces.refuse("n1")
+        self.assertFalse(nonces.win("n1"))
+        self.assertEqual(nonces.entries_by_nonce["n1"].state, NonceState.REFUSED)
 
     @on_paused_clock
     async def test_cancelled_claim_is_taken_over(self, routers):
-        # The caller gives up while its claim is being written. The claim lands; the caller's
-        # re-send through another router must not be told "unknown" for ever.
+        # The caller disconnects while its claim is being written. The claim lands; the caller's
+        # re-send through another router must not get "unknown" until the claim expires.
         routers.store_by_name["a"].slow_s = 0.5
         claiming = asyncio.ensure_future(routers.claim("b", "n1"))
         await asyncio.sleep(0.7)
@@ -279,9 +279,9 @@
         self.assertIsInstance(await routers.claim("c", "n2"), ClaimWon)
 
     @on_paused_clock
-    async def test_holder_that_died_or_restarted_means_unknown(self, routers):
-        # Router b wins the claim and dies; nobody can tell whether its request ran. A
-        # re-send gets "unknown" while b is gone and also from b's next life.
+    async def test_dead_or_restarted_holder_means_unknown(self, routers):
+        # Router b wins the claim and dies, so it is unknown whether its request ran. A re-send
+        # gets "unknown" while b is down and also from b's next incarnation.
         await routers.claim("b", "n1")
         routers.cut.add("b")
         self.assertIsInstance(await routers.claim("c", "n2", wait_s=30), ClaimTaken)
@@ -291,9 +291,9 @@
         self.assertIsInstance(await routers.claim("b", "n4"), ClaimTaken)
 
     @on_paused_clock
-    async def test_silent_holder_is_told_as_unknown_in_time(self, routers):
-        # The holder is paused and answers nothing. Whoever sent again must be told "unknown" within
-        # its own deadline; once that is overrun it would be told that nothing was run.
+    async def test_unresponsive_holder_is_reported_as_unknown_in_time(self, routers):
+        # The holder is paused and does not answer. A re-send must get "unknown" within its own
+        # deadline; after that it would get "not run".
         routers.owner = "c"
         await routers.claim("a", "n1")
         routers.cut.add("a")
@@ -303,18 +303,18 @@
 
     @on_paused_clock
     async def test_holder_still_claiming_is_not_taken_over(self, routers):
-        # Router b's claim is in the store but b has not heard of it yet. A re-send on c must
-        # wait: were it to take the key over now, b would win as well.
+        # Router b's claim is in the store but b has not got the answer yet. A re-send on c must
+        # wait: if it took the key over now, b would win as well.
         await routers.claim("a", "seed", key="other")
         routers.ledger_by_name["b"]._nonces.begin("n1")
-        await routers.ledger_by_name["a"].handle(_ask("n1", _key(), entry="b"))
+        await routers.ledger_by_name["a"].handle(_claim_ask("n1", _key(), entry="b"))
         self.assertIsInstance(await routers.claim("c", "n2", wait_s=3), ClaimTaken)
         self.assertTrue(routers.ledger_by_name["b"]._nonces.win("n1"))
 
     @on_paused_clock
     async def test_takeover_names_the_nonce_it_replaces(self, routers):
-        # Two re-sends learn at the same time that the first was never dispatched. Both ask to
-        # replace its nonce; only one finds it still there, the other waits for that one.
+        # Two re-sends learn at the same time that the first was never dispatched. Both try to
+        # replace its nonce; only one still finds it there, and the other waits for that one.
         await routers.claim("b", "n1")
         routers.ledger_by_name["b"]._nonces.refuse("n1")
         outcomes = await asyncio.gather(routers.claim("a", "n2", wait_s=3), routers.claim("c", "n3", wait_s=3))
@@ -342,8 +342,8 @@
 
     @on_paused_clock
     async def test_number_of_shards_is_agreed_in_the_store(self, routers):
-        # Two declarations with different numbers of shards are in force on two routers for a
-        # moment. Were each to use its own, one key would live in two shards and run twice.
+        # Two routers briefly have declarations with different numbers of shards in force. If each
+        # used its own, one key would be in two shards and run twice.
         routers.ledger_by_name["b"]._shards = lambda: 16
         await routers.ledger_by_name["a"].start()
         self.assertIsInstance(await routers.claim("b", "n1", key="k7"), ClaimWon)
@@ -361,26 +361,26 @@
         self.assertTrue(all(isinstance(outcome, ClaimWon) for outcome in outcomes))
         self.assertLessEqual(routers.writes() - before, 2)
 
-    def test_claims_are_forgotten_only_after_retention_and_clock_room(self):
+    def test_claims_are_dropped_only_after_retention_and_clock_skew_margin(self):
         contents = ShardContents()
-        contents.apply(_ask("n1", "key"), now=0.0)
-        contents.prune(now=RETENTION_S + CLOCK_ROOM_S - 1, retention_s=RETENTION_S)
+        contents.apply(_claim_ask("n1", "key"), now=0.0)
+        contents.prune(now=RETENTION_S + CLOCK_SKEW_MARGIN_S - 1, retention_s=RETENTION_S)
         self.assertEqual(len(contents.records_by_key), 1)
-        contents.prune(now=RETENTION_S + CLOCK_ROOM_S + 1, retention_s=RETENTION_S)
+        contents.prune(now=RETENTION_S + CLOCK_SKEW_MARGIN_S + 1, retention_s=RETENTION_S)
         self.assertEqual((len(contents.records_by_key), contents.size), (0, 0))
 
     def test_full_shard_refuses_claims_and_keeps_old_ones(self):
-        # A burst of keys fills the shard. Recorded bodies go first; then new claims are refused,
-        # while no claim is forgotten, since a forgotten key could run twice.
+        # A burst of keys fills the shard. Recorded bodies are dropped first, then new claims are
+        # refused. No claim is dropped, since its key could run twice.
         contents = ShardContents()
         won = 0
         for index in range(20_000):
             key = f"{index:040x}"
-            answer = contents.apply(_ask(f"n{index}", key), now=0.0)
+            answer = contents.apply(_claim_ask(f"n{index}", key), now=0.0)
             if answer.result != "won":
                 break
             won += 1
-            contents.apply(_finish(f"n{index}", key, b"x" * 1000), now=0.0)
+            contents.apply(_settle_ask(f"n{index}", key, b"x" * 1000), now=0.0)
         self.assertIn("full", answer.detail)
         self.assertEqual(len(contents.records_by_key), won)
         self.assertLessEqual(contents.size, SHARD_LIMIT_BYTES)
@@ -393,19 +393,19 @@
     return key_hash(team="t", key="k")
 
 
-def _ask(nonce, key, *, entry="z"):
+def _claim_ask(nonce, key, *, entry="z"):
     return ClaimAsk(shard=SHARD, key=key, digest="d", nonce=nonce, entry=entry, incarnation="1")
 
 
-def _finish(nonce, key, body):
+def _settle_ask(nonce, key, body):
     return SettleAsk(
         shard=SHARD, key=key, nonce=nonce, state="finished", status=200, content_type="t", body=body, body_kept=True
     )
 
 
-def _holding(routers, nonce):
+def _claimed_shard(routers, nonce):
     contents = ShardContents()
-    contents.apply(_ask(nonce, _key(), entry="b"), now=routers.wall_s)
+    contents.apply(_claim_ask(nonce, _key(), entry="b"), now=routers.wall_s)
     return contents.to_value()
 
 
--- a/tests/test_rollout_decisions.py
+++ b/tests/test_rollout_decisions.py
@@ -1,4 +1,4 @@
-"""Exposure, judgement and phases of a roll-out, without network: the pattern is a version that is bad in one way."""
+"""Exposure, canary analysis and phases of a rollout without a network, for versions that are bad in one way each."""
 
 import asyncio
 import random
@@ -12,11 +12,11 @@
 from wagtailtrestle.measure.rollout_ways import GOOD, VERSIONS_BY_NAME, play
 from wagtailtrestle.platform.adapter import PlatformAdapter
 from wagtailtrestle.platform.rollouts import read_rollout, rollout_status
+from wagtailtrestle.rollouts.canary_analysis import CRASH_WINDOW_S, DONE, CanaryAnalysis
 from wagtailtrestle.rollouts.coordinator import Coordinator
 from wagtailtrestle.rollouts.exposure import Exposure
-from wagtailtrestle.rollouts.judgement import CUT_PAUSE_S, DONE, Judgement
 from wagtailtrestle.rollouts.rollout import Phase, Rollout
-from wagtailtrestle.rollouts.versions import held_names
+from wagtailtrestle.rollouts.versions import reserved_names
 
 SEEDS = range(20)
 SHARE, SLACK = 0.1, 50
@@ -24,101 +24,101 @@
 
 class ExposureTest(unittest.TestCase):
     def test_never_more_than_the_operator_allows(self):
-        # Whatever routes come and however fast, and also in the ramp.
+        # Holds for any mix of routes and any request rate, and during the ramp.
         for seed in range(200):
-            chance = random.Random(seed)
+            rng = random.Random(seed)
             exposure = Exposure(share=SHARE, slack=SLACK, now=0.0)
             now = 0.0
-            for number in range(chance.randint(10, 2000)):
-                now += chance.expovariate(chance.choice((5.0, 60.0, 600.0)))
+            for number in range(rng.randint(10, 2000)):
+                now += rng.expovariate(rng.choice((5.0, 60.0, 600.0)))
                 if number == 300:
                     exposure.widen()
-                route = chance.choice("aaaab")
-                exposure.note_grant(route, is_target=exposure.may_expose(route, now), now=now)
+                route = rng.choice("aaaab")
+                exposure.record_grant(route, is_target=exposure.may_expose(route, now), now=now)
                 self.assertLessEqual(exposure.exposed, SHARE * exposure.granted + SLACK)
 
-    def test_each_route_gets_its_part(self):
-        chance = random.Random(1)
+    def test_each_route_gets_its_share(self):
+        rng = random.Random(1)
         exposure = Exposure(share=SHARE, slack=SLACK, now=0.0)
         by_route = dict.fromkeys("ab", 0)
         for number in range(600):
-            route = "a" if chance.random() < 0.9 else "b"
+            route = "a" if rng.random() < 0.9 else "b"
             exposed = exposure.may_expose(route, number / 60.0)
             by_route[route] += exposed
-            exposure.note_grant(route, is_target=exposed, now=number / 60.0)
+            exposure.record_grant(route, is_target=exposed, now=number / 60.0)
         self.assertGreater(by_route["b"], 0.1 * sum(by_route.values()))
 
-    def test_next_coordinator_goes_on_from_what_was_told(self):
+    def test_next_coordinator_resumes_from_reported_counts(self):
         exposure = Exposure(share=SHARE, slack=SLACK, now=0.0, granted=10, exposed=50)
         self.assertFalse(exposure.may_expose("a", 1.0))
 
 
-class JudgementTest(unittest.TestCase):
-    def note(self, judgement, count, *, is_target, result=DONE, pace=0.04, at_s=0.0, gap_s=0.1, was_full=False):
+class CanaryAnalysisTest(unittest.TestCase):
+    def record_run(self, analysis, count, *, is_target, result=DONE, latency=0.04, at_s=0.0, gap_s=0.1, was_full=False):
         for number in range(count):
             name = "new" if is_target else "old"
-            judgement.note(
+            analysis.record_run(
                 route="r",
                 engine=name,
                 is_target=is_target,
                 result=result,
-                pace=pace,
+                latency=latency,
                 now=at_s + number * gap_s,
                 was_full=was_full,
             )
 
-    def test_crash_of_one_engine_is_not_a_versions_fault(self):
-        # All runs of an engine that crashed are cut at once.
-        judgement = Judgement()
-        self.note(judgement, 100, is_target=False)
-        self.note(judgement, 30, is_target=True, result="RunCut", gap_s=CUT_PAUSE_S / 100)
-        self.assertFalse(judgement.is_bad)
-
-    def test_version_that_crashes_again_and_again_is_bad(self):
-        judgement = Judgement()
-        self.note(judgement, 100, is_target=False)
-        self.note(judgement, 10, is_target=True, result="RunCut", gap_s=2 * CUT_PAUSE_S)
-        self.assertTrue(judgement.is_bad)
-
-    def test_what_both_versions_fail_is_not_the_targets_fault(self):
-        judgement = Judgement()
+    def test_single_engine_crash_is_not_blamed_on_the_version(self):
+        # A crash cuts all runs of its engine together.
+        analysis = CanaryAnalysis()
+        self.record_run(analysis, 100, is_target=False)
+        self.record_run(analysis, 30, is_target=True, result="RunCut", gap_s=CRASH_WINDOW_S / 100)
+        self.assertFalse(analysis.is_bad)
+
+    def test_version_that_crashes_repeatedly_is_bad(self):
+        analysis = CanaryAnalysis()
+        self.record_run(analysis, 100, is_target=False)
+        self.record_run(analysis, 10, is_target=True, result="RunCut", gap_s=2 * CRASH_WINDOW_S)
+        self.assertTrue(analysis.is_bad)
+
+    def test_failures_of_both_versions_are_not_blamed_on_the_target(self):
+        analysis = CanaryAnalysis()
         for _ in range(20):
-            self.note(judgement, 5, is_target=False)
-            self.note(judgement, 5, is_target=False, result="RunFailed")
-            self.note(judgement, 1, is_target=True)
-            self.note(judgement, 1, is_target=True, result="RunFailed")
-        self.assertFalse(judgement.is_bad)
+            self.record_run(analysis, 5, is_target=False)
+            self.record_run(analysis, 5, is_target=False, result="RunFailed")
+            self.record_run(analysis, 1, is_target=True)
+            self.record_run(analysis, 1, is_target=True, result="RunFailed")
+        self.assertFalse(analysis.is_bad)
 
     def test_slow_engine_of_a_good_version_is_as_slow_as_the_slowest_old_one(self):
-        judgement = Judgement()
-        self.note(judgement, 50, is_target=False, pace=0.16)
-        self.note(judgement, 50, is_target=True, pace=0.16)
-        self.assertFalse(judgement.is_bad)
+        analysis = CanaryAnalysis()
+        self.record_run(analysis, 50, is_target=False, latency=0.16)
+        self.record_run(analysis, 50, is_target=True, latency=0.16)
+        self.assertFalse(analysis.is_bad)
 
-    # Guards against failures of full engines that are lost among the many runs of engines that aren't.
+    # Guards against missing failures on full engines among the many runs on engines that are not full.
     def test_version_that_fails_only_on_full_engines_is_bad(self):
-        judgement = Judgement()
-        self.note(judgement, 300, is_target=False)
+        analysis = CanaryAnalysis()
+        self.record_run(analysis, 300, is_target=False)
         for _ in range(4):
-            self.note(judgement, 22, is_target=True)
-            self.note(judgement, 1, is_target=True, was_full=True)
-            self.note(judgement, 1, is_target=True, was_full=True, result="RunFailed")
-        self.assertTrue(judgement.is_bad)
-
-    # Guards against a good version that is blamed for what the old one does on full engines too.
-    def test_what_both_versions_fail_on_full_engines_is_not_the_targets_fault(self):
-        judgement = Judgement()
-        self.note(judgement, 300, is_target=False)
-        self.note(judgement, 20, is_target=False, was_full=True)
-        self.note(judgement, 20, is_target=False, was_full=True, result="RunFailed")
+            self.record_run(analysis, 22, is_target=True)
+            self.record_run(analysis, 1, is_target=True, was_full=True)
+            self.record_run(analysis, 1, is_target=True, was_full=True, result="RunFailed")
+        self.assertTrue(analysis.is_bad)
+
+    # Guards against blaming a good version for failures that the old one has on full engines too.
+    def test_full_engine_failures_of_both_versions_are_not_blamed_on_the_target(self):
+        analysis = CanaryAnalysis()
+        self.record_run(analysis, 300, is_target=False)
+        self.record_run(analysis, 20, is_target=False, was_full=True)
+        self.record_run(analysis, 20, is_target=False, was_full=True, result="RunFailed")
         for _ in range(4):
-            self.note(judgement, 22, is_target=True)
-            self.note(judgement, 1, is_target=True, was_full=True)
-            self.note(judgement, 1, is_target=True, was_full=True, result="RunFailed")
-        self.assertFalse(judgement.is_bad)
+            self.record_run(analysis, 22, is_target=True)
+            self.record_run(analysis, 1, is_target=True, was_full=True)
+            self.record_run(analysis, 1, is_target=True, was_full=True, result="RunFailed")
+        self.assertFalse(analysis.is_bad)
 
 
-class PlayedTest(unittest.TestCase):
+class SimulatedRolloutTest(unittest.TestCase):
     def test_good_version_is_never_rolled_back(self):
         found = [seed for seed in SEEDS if play(VERSIONS_BY_NAME[GOOD], seed).found_at_s is not None]
         self.assertEqual(found, [])
@@ -138,58 +138,60 @@
         order = RolloutOrder(service="s", target="v2", duration_s=10.0, store_version=1)
         self.rollout = Rollout(order=order, share=SHARE, slack=SLACK, clock=lambda: self.now)
 
-    def step(self, at_s, *, old_runs=0, target_places=12):
+    def step(self, at_s, *, old_runs=0, target_slots=12):
         self.now = at_s
-        self.rollout.step(old_places=12, target_places=target_places, old_runs=old_runs)
+        self.rollout.step(old_slots=12, target_slots=target_slots, old_runs=old_runs)
 
     def shift(self):
         self.step(7.1)
         self.step(8.0)
         self.assertIs(self.rollout.phase, Phase.SHIFT)
 
-    def test_completed_only_when_nothing_runs_on_the_old_engines(self):
-        # They stop without a drain at that moment: whatever ran there would be lost to its caller.
+    def test_completed_only_when_old_engines_are_idle(self):
+        # The old engines stop without a drain on completion, so callers would lose the runs in progress there.
         self.shift()
         self.step(8.1, old_runs=1)
         self.assertIs(self.rollout.state, RolloutState.RUNNING)
         self.step(8.3)
         self.assertIs(self.rollout.state, RolloutState.COMPLETED)
 
-    def test_completed_in_time_though_something_runs_on(self):
+    def test_completed_before_the_deadline_despite_running_requests(self):
         self.shift()
         self.step(9.1, old_runs=1)
         self.assertIs(self.rollout.state, RolloutState.COMPLETED)
 
     def test_too_few_new_engines_never_take_over(self):
-        self.step(9.5, target_places=3)
+        self.step(9.5, target_slots=3)
         self.assertIs(self.rollout.phase, Phase.TRIAL)
 
-    def test_final_state_never_turns(self):
+    def test_final_state_never_changes(self):
         self.rollout.end_as(RolloutState.ROLLED_BACK)
         self.rollout.end_as(RolloutState.COMPLETED)
         self.step(9.5)
         self.assertIs(self.rollout.state, RolloutState.ROLLED_BACK)
 
-    def test_second_try_of_a_failed_answer_is_not_exposed(self):
+    def test_retry_of_a_failed_run_is_not_exposed(self):
         for _ in range(200):
-            self.rollout.exposure.note_grant("", is_target=False, now=0.0)
+            self.rollout.exposure.record_grant("", is_target=False, now=0.0)
         self.now = 2.0
-        self.assertTrue(self.rollout.wants(ask("a")))
-        self.assertFalse(self.rollout.wants(ask("a", excluded_engines=("n-1",))))
-        self.assertFalse(self.rollout.wants(ask("a", alone=True)))
-
-    def test_next_coordinator_completes_nothing_of_which_it_knows_nothing(self):
-        # The scheduler dies in the ramp, shortly before the end. Its successor has seen no run on the target, and the
-        # last word it heard is old: everything would move to a version that nobody judged.
-        word = RolloutWord(service="s", target="v2", state=RolloutState.RUNNING, elapsed_s=7.5, granted=400, exposed=5)
-        rollout = Rollout(order=self.rollout.order, share=SHARE, slack=SLACK, clock=lambda: self.now, word=word)
+        self.assertTrue(self.rollout.should_expose(ask("a")))
+        self.assertFalse(self.rollout.should_expose(ask("a", excluded_engines=("n-1",))))
+        self.assertFalse(self.rollout.should_expose(ask("a", alone=True)))
+
+    def test_next_coordinator_without_runs_on_the_target_does_not_complete(self):
+        # The scheduler dies in the ramp, shortly before the end. Its successor has seen no run on the target and has
+        # an old progress report: all requests would move to a version that was not evaluated.
+        progress = RolloutWord(
+            service="s", target="v2", state=RolloutState.RUNNING, elapsed_s=7.5, granted=400, exposed=5
+        )
+        rollout = Rollout(order=self.rollout.order, share=SHARE, slack=SLACK, clock=lambda: self.now, progress=progress)
         for at_s in (0.1, 0.6, 1.6, 2.4):
             self.now = at_s
-            rollout.step(old_places=12, target_places=12, old_runs=0)
+            rollout.step(old_slots=12, target_slots=12, old_runs=0)
         self.assertIs(rollout.phase, Phase.RAMP)
 
-    def test_next_coordinator_goes_on_from_what_was_judged(self):
-        word = RolloutWord(
+    def test_next_coordinator_resumes_from_reported_analysis(self):
+        progress = RolloutWord(
             service="s",
             target="v2",
             state=RolloutState.RUNNING,
@@ -200,18 +202,18 @@
             target_bad=4,
             suspicion=5.0,
         )
-        rollout = Rollout(order=self.rollout.order, share=SHARE, slack=SLACK, clock=lambda: self.now, word=word)
+        rollout = Rollout(order=self.rollout.order, share=SHARE, slack=SLACK, clock=lambda: self.now, progress=progress)
         failed = finished("a", result="RunFailed")
-        rollout.note_end(request=ask("a"), engine="e2", version="v2", finished=failed)
+        rollout.record_run_end(request=ask("a"), engine="e2", version="v2", finished=failed)
         self.assertIs(rollout.state, RolloutState.ROLLED_BACK)
 
-    def test_next_coordinator_knows_the_time_that_passed(self):
-        word = RolloutWord(service="s", target="v2", state=RolloutState.RUNNING, elapsed_s=6.0, duration_s=10.0)
-        rollout = Rollout(order=self.rollout.order, share=SHARE, slack=SLACK, clock=lambda: 100.0, word=word)
+    def test_next_coordinator_resumes_from_reported_elapsed_time(self):
+        progress = RolloutWord(service="s", target="v2", state=RolloutState.RUNNING, elapsed_s=6.0, duration_s=10.0)
+        rollout = Rollout(order=self.rollout.order, share=SHARE, slack=SLACK, clock=lambda: 100.0, progress=progress)
         self.assertAlmostEqual(rollout.elapsed_s, 6.0)
 
 
-class HeldNamesTest(unittest.TestCase):
+class ReservedNamesTest(unittest.TestCase):
     def held(self, *versions, **more):
         engines = []
         for number, version in enumerate(versions):
@@ -220,7 +222,7 @@
             engines.append(made)
         given = {"target": None, "state": None, "is_shifting": False, "unread_versions": set()}
         given |= {"untested_versions": set(), "stopped_names": ()}
-        return set(held_names(engines, **{**given, **more}))
+        return set(reserved_names(engines, **{**given, **more}))
 
     def test_without_an_order_all_versions_are_used(self):
         self.assertEqual(self.held("v1", "v2"), set())
@@ -231,13 +233,13 @@
     def test_only_version_is_used_though_the_orders_are_not_read(self):
         self.assertEqual(self.held("v2", "v2", unread_versions={"v2"}), set())
 
-    def test_target_is_held_back_while_it_is_tried_and_the_old_ones_in_the_shift(self):
+    def test_target_is_reserved_during_the_trial_and_old_engines_during_the_shift(self):
         order = {"target": "v2", "state": RolloutState.RUNNING}
         self.assertEqual(self.held("v1", "v2", **order), {"e1"})
         self.assertEqual(self.held("v1", "v2", is_shifting=True, **order), {"e0"})
 
-    def test_target_of_a_former_order_gets_nothing_either(self):
-        # A version was rolled back, and its engines still drain when the operator orders the next one.
+    def test_target_of_an_earlier_order_is_reserved(self):
+        # A version was rolled back, and its engines are still draining when the operator orders the next one.
         order = {"target": "v3", "state": RolloutState.RUNNING, "untested_versions": {"v2"}}
         self.assertEqual(self.held("v1", "v2", "v3", **order), {"e1", "e2"})
 
@@ -245,8 +247,8 @@
         self.assertEqual(self.held("v1", "v2", "v3", target="v2", state=RolloutState.ROLLED_BACK), {"e1"})
 
 
-class Wanting:
-    """A roll-out that wants every request on version v2, or none."""
+class ExposingRollout:
+    """A rollout that exposes every request to version v2, or none."""
 
     def __init__(self):
         self.is_open = True
@@ -254,16 +256,16 @@
         self.ended = []
         self.full_by_request_id = {}
 
-    def wants(self, request):
+    def should_expose(self, request):
         return self.is_open
 
     def is_target(self, version):
         return version == "v2"
 
-    def note_grant(self, request, version):
+    def record_grant(self, request, version):
         self.granted.append(version)
 
-    def note_end(self, *, request, engine, version, finished, was_full):
+    def record_run_end(self, *, request, engine, version, finished, was_full):
         self.ended.append((engine, version, finished.result))
         self.full_by_request_id[request.request_id] = was_full
 
@@ -274,32 +276,32 @@
         new = engine("e2")
         new.version = "v2"
         self.cell.scheduler.set_engines({"e1": engine("e1"), "e2": new})
-        self.rollout = Wanting()
+        self.rollout = ExposingRollout()
         self.cell.scheduler.set_rollout(self.rollout, frozenset({"e2"}))
 
     def engines_granted(self):
         return [granted.engine for granted in self.cell.entries.of(Granted)]
 
-    def test_exposed_request_goes_to_the_held_back_engine_and_others_do_not(self):
+    def test_only_exposed_requests_go_to_the_reserved_engine(self):
         self.cell.receive(ask("a"))
         self.rollout.is_open = False
         self.cell.receive(ask("b"), ask("c"), ask("d"))
         self.assertEqual(self.engines_granted(), ["e2", "e1", "e1"])
         self.assertEqual(self.rollout.granted, ["v2", "", ""])
 
-    def test_end_of_a_run_is_told_with_its_version(self):
+    def test_end_of_a_run_is_reported_with_its_version(self):
         self.cell.receive(ask("a"), finished("a", on="e2", result="RunFailed"))
         self.assertEqual(self.rollout.ended, [("e2", "v2", "RunFailed")])
 
-    def test_end_of_a_run_tells_whether_its_engine_was_full(self):
+    def test_end_of_a_run_reports_whether_its_engine_was_full(self):
         self.cell.receive(ask("a"), ask("b"), finished("a", on="e2"), finished("b", on="e2"))
         self.assertEqual(self.rollout.full_by_request_id, {"a": False, "b": True})
 
-    def test_held_back_engine_that_is_full_leaves_the_request_to_others(self):
+    def test_exposed_request_goes_to_another_engine_if_the_reserved_one_is_full(self):
         self.cell.receive(ask("a"), ask("b"), ask("c"))
         self.assertEqual(self.engines_granted(), ["e2", "e2", "e1"])
 
-    def test_request_is_not_refused_nor_another_cancelled_for_engines_held_back(self):
+    def test_reserved_engines_cause_no_refusals_or_preemptions(self):
         self.rollout.is_open = False
         self.cell.receive(ask("a"), ask("b"), ask("c"))
         self.cell.scheduler.on_load_report(report(on="e2"))
@@ -309,11 +311,11 @@
 
 
 class OrderStore:
-    """Holds one order and keeps what it is told of it."""
+    """Holds one order and records the states written for it."""
 
     def __init__(self, *, status=None):
         self.status = status
-        self.told = []
+        self.written = []
 
     async def list(self, *, kind):
         value = {"specification": {"service": "s", "target": "v2", "duration_s": 10.0}, "status": self.status}
@@ -324,29 +326,29 @@
         return StoreDone(version=from_version, value=())
 
     async def update_status(self, *, kind, name, value, if_version):
-        self.told.append(value["state"])
+        self.written.append(value["state"])
         self.status = value
         return StoreDone(version=6)
 
 
 class Schedulers:
-    """Keeps what each service is told of its roll-out."""
+    """Records the engines reserved for each service."""
 
     def __init__(self):
-        self.held_by_service = {}
+        self.reserved_by_service = {}
 
-    def set_rollout(self, service, rollout, held_back):
-        self.held_by_service[service] = held_back
+    def set_rollout(self, service, rollout, reserved):
+        self.reserved_by_service[service] = reserved
 
     def runs_by_version(self, service):
         return {}
 
 
-class Silent:
-    """A broadcast that nobody hears."""
+class SilentBroadcast:
+    """A broadcast that sends to no router; ``deliver`` passes a message to its handler."""
 
     def on(self, message_type, *, key, handler):
-        self.hear = handler
+        self.deliver = handler
 
     def send(self, message):
         pass
@@ -354,7 +356,7 @@
 
 class CoordinatorTest(unittest.TestCase):
     def start(self, store):
-        self.schedulers, self.broadcast = Schedulers(), Silent()
+        self.schedulers, self.broadcast = Schedulers(), SilentBroadcast()
         old, new = engine("e1"), engine("e2")
         old.service = new.service = "s"
         old.version, new.version = "v1", "v2"
@@ -381,27 +383,27 @@
     @on_paused_clock
     async def test_target_gets_nothing_before_its_order_is_read_nor_after(self):
         coordinator = self.start(OrderStore())
-        self.assertEqual(self.schedulers.held_by_service["s"], {"e2"})
+        self.assertEqual(self.schedulers.reserved_by_service["s"], {"e2"})
         await self.pass_time(coordinator, 1.0)
-        self.assertEqual(self.schedulers.held_by_service["s"], {"e2"})
+        self.assertEqual(self.schedulers.reserved_by_service["s"], {"e2"})
         await coordinator.close()
 
     @on_paused_clock
     async def test_verdict_of_a_coordinator_that_died_is_written_by_the_next(self):
-        # The former coordinator told all routers that the version is rolled back and died before the store had it: the
-        # operator's platform went on running the bad version, and its time ran out without a status.
+        # The previous coordinator reported the rollback to all routers and died before writing it to the store: the
+        # operator's platform kept running the bad version, and the rollout's time ran out without a status.
         store = OrderStore(status={"state": "running", "target": "v2"})
         coordinator = self.start(store)
-        self.broadcast.hear(RolloutWord(service="s", target="v2", state=RolloutState.ROLLED_BACK))
+        self.broadcast.deliver(RolloutWord(service="s", target="v2", state=RolloutState.ROLLED_BACK))
         await self.pass_time(coordinator, 1.0)
-        self.assertEqual(store.told, ["rolled_back"])
-        self.assertEqual(self.schedulers.held_by_service["s"], {"e2"})
+        self.assertEqual(store.written, ["rolled_back"])
+        self.assertEqual(self.schedulers.reserved_by_service["s"], {"e2"})
         await coordinator.close()
 
     @on_paused_clock
-    async def test_restart_of_all_routers_does_not_give_an_untested_version_its_slack_again(self):
-        # All routers lose power while a version is tried. Nobody is left who counted what it got; the store says that
-        # the roll-out runs. Counted from nothing, a bad version would get the slack once more with each restart.
+    async def test_restart_of_all_routers_does_not_renew_the_slack_of_an_untested_version(self):
+        # All routers lose power during a trial, and its counts are lost; the store says that the rollout is running.
+        # Counting from zero would give a bad version the slack again with each restart.
         for status, most in ((None, SLACK), ({"state": "running", "target": "v2"}, 0)):
             with self.subTest(status=status):
                 coordinator = self.start(OrderStore(status=status))
@@ -411,7 +413,7 @@
                 for _ in range(SLACK):
                     now = asyncio.get_running_loop().time()
                     is_target = exposure.may_expose("r", now)
-                    exposure.note_grant("r", is_target=is_target, now=now)
+                    exposure.record_grant("r", is_target=is_target, now=now)
                     exposed += is_target
                 self.assertLessEqual(exposed, SHARE * SLACK + most)
                 self.assertEqual(exposed > 0, most > 0)
@@ -419,14 +421,14 @@
 
     @on_paused_clock
     async def test_final_state_in_the_store_is_never_replaced(self):
-        # Another scheduler, of which this one has not heard, has written that the version is completed.
+        # A scheduler unknown to this one has written that the rollout is completed.
         store = OrderStore(status={"state": "completed", "target": "v2"})
         coordinator = self.start(store)
         await self.pass_time(coordinator, 1.0)
-        self.broadcast.hear(RolloutWord(service="s", target="v2", state=RolloutState.ROLLED_BACK))
+        self.broadcast.deliver(RolloutWord(service="s", target="v2", state=RolloutState.ROLLED_BACK))
         await self.pass_time(coordinator, 1.0)
-        self.assertEqual(store.told, [])
-        self.assertEqual(self.schedulers.held_by_service["s"], {"e1"})
+        self.assertEqual(store.written, [])
+        self.assertEqual(self.schedulers.reserved_by_service["s"], {"e1"})
         await coordinator.close()
 
 
@@ -434,7 +436,7 @@
     def read(self, specification, status=None):
         return read_rollout("s", 7, {"specification": specification, "status": status})
 
-    def test_forged_orders_are_not_read(self):
+    def test_invalid_orders_are_rejected(self):
         good = {"service": "s", "target": "v2", "duration_s": 12}
         for change in (
             {"service": "other"},
@@ -452,8 +454,8 @@
     def test_status_of_an_earlier_target_is_none(self):
         order = {"service": "s", "target": "v3", "duration_s": 12}
         self.assertIsNone(self.read(order, {"state": "completed", "target": "v2"}).state)
-        told = rollout_status("v3", RolloutState.ROLLED_BACK)
-        self.assertIs(self.read(order, told).state, RolloutState.ROLLED_BACK)
+        written = rollout_status("v3", RolloutState.ROLLED_BACK)
+        self.assertIs(self.read(order, written).state, RolloutState.ROLLED_BACK)
 
 
 if __name__ == "__main__":
--- a/wagtailtrestle/capacity/scheduler.py
+++ b/wagtailtrestle/capacity/scheduler.py
@@ -316,7 +316,7 @@
         if self._rollout is not None and grant is not None and grant.engine == message.engine and message.duration_s:
             engine = self._runs.engines_by_name.get(grant.engine)
             if engine is not None:
-                self._rollout.note_end(
+                self._rollout.record_run_end(
                     request=grant.request,
                     engine=engine.name,
                     version=engine.version,
@@ -491,7 +491,7 @@
 
         The fullest one is used so that the new version is also observed on a full engine.
         """
-        if self._rollout is None or not self._rollout.wants(request):
+        if self._rollout is None or not self._rollout.should_expose(request):
             return None
         tried = [
             engine
@@ -533,7 +533,7 @@
         if waiting.request.is_retry:
             self._retries.spend(entry=waiting.request.entry, request_id=waiting.request_id)
         if self._rollout is not None:
-            self._rollout.note_grant(waiting.request, engine.version)
+            self._rollout.record_grant(waiting.request, engine.version)
         self._send_granted(grant)
 
     def _send_granted(self, grant):
--- a/wagtailtrestle/contracts/rollout_messages.py
+++ b/wagtailtrestle/contracts/rollout_messages.py
@@ -58,7 +58,7 @@
     target_runs, target_bad : int
         Judged runs on the target, and how many of them were bad.
     suspicion : float
-        Strength of the evidence against the target; see ``Judgement``.
+        Strength of the evidence against the target; see ``CanaryAnalysis``.
     """
 
     service: str
--- a/wagtailtrestle/ledger/ledger.py
+++ b/wagtailtrestle/ledger/ledger.py
@@ -2,7 +2,7 @@
 
 Both sides are here: the entry's, which claims a key before its request is dispatched, and
 the shard owner's, which batches the claims of many entries into one conditional update.
-The owner is a convenience: every router may write every shard, and a claim counts only
+The owner only saves writes: every router may write every shard, and a claim counts only
 when its nonce is proved to be in the store.
 """
 
@@ -31,44 +31,44 @@
 )
 from wagtailtrestle.ledger.nonces import NonceTable
 from wagtailtrestle.ledger.record import LEDGER_KIND, MAX_BODY_BYTES, ShardContents, key_hash, shard_name
-from wagtailtrestle.ledger.shard import ShardWriter, WritePacer, bounded
+from wagtailtrestle.ledger.shard import ShardWriter, WriteRateLimiter, with_timeout
 
 LAYOUT_NAME = "layout"
 CLAIM_WAIT_S = 10.0
-WRITE_S = 2.5
-HOLDER_SLICE_S = 5.0
-HOLDER_ROOM_S = 1.0
-READ_ROOM_S = 0.5
-HOLDER_SILENCES = 2
+WRITE_TIMEOUT_S = 2.5
+HOLDER_LONG_POLL_S = 5.0
+HOLDER_MARGIN_S = 1.0
+READ_MARGIN_S = 0.5
+MAX_HOLDER_TIMEOUTS = 2
 MAX_TAKEOVERS = 4
-SETTLE_S = 4.0
-SETTLE_PAUSE_S = 1.0
-SETTLE_PAUSE_LIMIT_S = 30.0
-RELEASE_TRIES = 2
-CLOSE_S = 5.0
+SETTLE_TIMEOUT_S = 4.0
+SETTLE_RETRY_DELAY_S = 1.0
+MAX_SETTLE_RETRY_DELAY_S = 30.0
+MAX_RELEASE_ATTEMPTS = 2
+CLOSE_TIMEOUT_S = 5.0
 LEDGER_WRITES_PER_S = 200.0
-SILENT = NonceAnswer(state="")
+UNANSWERED = NonceAnswer(state="")
 
 
 class Ledger:
-    """Implements :class:`wagtailtrestle.contracts.ports.Claims` and answers other routers' asks.
+    """Implements :class:`wagtailtrestle.contracts.ports.Claims` and answers other routers' requests.
 
     Parameters
     ----------
     name, incarnation : str
-        This router and this life of it; an incarnation is never used twice.
+        This router and the id of this process's lifetime; an incarnation is never reused.
     store : ObjectStore
     owner_of : Callable
-        Maps a shard's name to the router that batches its writes; empty if none is known.
-    ask : Callable
-        Coroutine function ``ask(peer, message, timeout_s)``: the peer's answer, or anything
-        else if none came in time.
+        Maps a shard's name to the router that batches its writes; returns an empty string if unknown.
+    query_peer : Callable
+        Coroutine function ``query_peer(peer, message, timeout_s)`` that returns the peer's answer, or
+        any other value if none arrived in time.
     shards : Callable
-        Declared number of shards; counts only until the ledger's layout exists.
+        Declared number of shards; used only to create the ledger's layout.
     retention_s : Callable
-        Declared time to remember a claim.
+        Declared retention time of claims.
     live_routers : Callable
-        Number of live routers, to share the budget of writes.
+        Number of live routers, among which the write budget is divided.
     wall_clock : Callable
         Seconds, comparable between VMs.
     """
@@ -80,7 +80,7 @@
         incarnation,
         store,
         owner_of,
-        ask,
+        query_peer,
         shards,
         retention_s,
         live_routers=lambda: 1,
@@ -90,18 +90,18 @@
         self.incarnation = incarnation
         self._store = store
         self._owner_of = owner_of
-        self._ask = ask
+        self._query_peer = query_peer
         self._shards = shards
         self._retention_s = retention_s
         self._wall_clock = wall_clock
-        self._pacer = WritePacer(writes_per_s=lambda: LEDGER_WRITES_PER_S / max(live_routers(), 1))
+        self._rate_limiter = WriteRateLimiter(writes_per_s=lambda: LEDGER_WRITES_PER_S / max(live_routers(), 1))
         self._writers_by_shard = {}
-        self._nonces = NonceTable(keep_s=retention_s, now=lambda: asyncio.get_running_loop().time())
+        self._nonces = NonceTable(ttl_s=retention_s, now=lambda: asyncio.get_running_loop().time())
         self._settling_by_nonce = {}
         self._layout = None
         self._layout_detail = ""
 
-    # The entry's side: the port Claims.
+    # The entry's side: implementation of the port Claims.
 
     async def claim(self, *, team, key, body_digest, nonce, wait_s=CLAIM_WAIT_S):
         """Claim a key; see :class:`wagtailtrestle.contracts.ports.Claims`."""
@@ -110,20 +110,20 @@
         try:
             outcome = await self._claim(key_hash(team=team, key=key), body_digest, nonce, wait_s)
         finally:
-            # Also when cancelled: a write still under way may put the nonce into the store
-            # later; whoever finds it there learns here that it was never dispatched.
+            # Also when cancelled: a write in flight may still put the nonce into the store.
+            # A router that finds it there learns from this one that it was never dispatched.
             if isinstance(outcome, ClaimUnavailable):
                 self.release(team=team, key=key, nonce=nonce)
         if not isinstance(outcome, ClaimWon):
             self._nonces.refuse(nonce)
         elif not self._nonces.win(nonce):
-            return ClaimUnavailable(detail="the claim was given up meanwhile")
+            return ClaimUnavailable(detail="the claim was abandoned meanwhile")
         return outcome
 
     def release(self, *, team, key, nonce):
-        """Give back a claim whose request was never dispatched."""
+        """Release a claim whose request was never dispatched."""
         self._nonces.refuse(nonce)
-        self._settle(team, key, nonce, state=NonceState.REFUSED, tries=RELEASE_TRIES)
+        self._settle(team, key, nonce, state=NonceState.REFUSED, attempts=MAX_RELEASE_ATTEMPTS)
 
     def finish(self, *, team, key, nonce, status, content_type, body):
         """Record the answer; a body over ``MAX_BODY_BYTES`` is not kept."""
@@ -133,17 +133,17 @@
         self._settle(team, key, nonce, state=NonceState.FINISHED, **answer)
 
     def finish_unknown(self, *, team, key, nonce):
-        """Record that the request was dispatched and its outcome can't be told."""
-        self._nonces.lose(nonce)
+        """Record that the request was dispatched and its outcome is unknown."""
+        self._nonces.mark_unknown(nonce)
         self._settle(team, key, nonce, state=NonceState.UNKNOWN)
 
     # The owner's and the holder's side.
 
     async def handle(self, message):
-        """Answer another router's ask."""
+        """Answer another router's request."""
         match message:
             case ClaimAsk():
-                return await self._writer(message.shard).claim(message, timeout_s=WRITE_S)
+                return await self._writer(message.shard).claim(message, timeout_s=WRITE_TIMEOUT_S)
             case SettleAsk():
                 return SettleAnswer(stored=await self._writer(message.shard).settle(message))
             case NonceAsk(incarnation=self.incarnation):
@@ -152,14 +152,14 @@
                 return NonceAnswer(state=str(NonceState.UNKNOWN))
 
     async def start(self):
-        """Read or make the layout; a platform that is out now is asked again by the first claim."""
+        """Read or create the layout; if the platform is unavailable, the first claim tries again."""
         await self._shard_of("0" * 8)
 
     async def close(self):
-        """Let ends of requests reach the store, then stop."""
+        """Wait for pending settlements to reach the store, then stop."""
         settling = list(self._settling_by_nonce.values())
         if settling:
-            await asyncio.wait(settling, timeout=CLOSE_S)
+            await asyncio.wait(settling, timeout=CLOSE_TIMEOUT_S)
         for task in settling:
             task.cancel()
         await asyncio.gather(*settling, return_exceptions=True)
@@ -167,7 +167,7 @@
             await writer.close()
 
     def dump(self):
-        """Plain data for the state dump."""
+        """Return the state as a plain dict."""
         return {
             "shards_in_force": self._layout,
             "shards_declared": self._shards(),
@@ -185,7 +185,7 @@
             return ClaimUnavailable(detail=self._layout_detail)
         replaces = ""
         for _ in range(MAX_TAKEOVERS):
-            ask = ClaimAsk(
+            request = ClaimAsk(
                 shard=shard,
                 key=key,
                 digest=digest,
@@ -194,115 +194,119 @@
                 incarnation=self.incarnation,
                 replaces=replaces,
             )
-            answer = await self._write(ask, deadline)
+            answer = await self._write(request, deadline)
             if answer.result == ClaimResult.WON:
                 return ClaimWon(nonce=nonce)
             if answer.result == ClaimResult.UNAVAILABLE:
                 return ClaimUnavailable(detail=answer.detail)
-            outcome = await self._learn_outcome(answer, ask, deadline)
+            outcome = await self._resolve_held_key(answer, request, deadline)
             if outcome is not None:
                 return outcome
             replaces = answer.nonce
-        return ClaimTaken(detail="others claim this key at the same moment")
+        return ClaimTaken(detail="other requests claim this key at the same moment")
 
-    async def _write(self, ask, deadline):
-        """Have the claim written by the shard's owner, else write it here."""
-        owner = self._owner_of(ask.shard)
-        timeout_s = min(WRITE_S, deadline - _now())
-        writer = self._writer(ask.shard)
+    async def _write(self, request, deadline):
+        """Send the claim to the shard's owner; if that fails, write it here."""
+        owner = self._owner_of(request.shard)
+        timeout_s = min(WRITE_TIMEOUT_S, deadline - _now())
+        writer = self._writer(request.shard)
         if owner == self.name:
-            return await writer.claim(ask, timeout_s=timeout_s)
+            return await writer.claim(request, timeout_s=timeout_s)
         if owner:
-            answer = await self._ask(owner, ask, timeout_s)
+            answer = await self._query_peer(owner, request, timeout_s)
             if isinstance(answer, ClaimAnswer) and answer.result != ClaimResult.UNAVAILABLE:
                 return answer
-        # The owner may be dead, paused, or cut off, before or after its write. Reading the
-        # shard tells: with this nonce in it the claim is won, else it is written here.
-        timeout_s = min(WRITE_S, deadline - _now())
+        # The owner may be dead, paused or partitioned, before or after its write. Reading the
+        # shard shows which: if it holds this nonce the claim is won, else it is written here.
+        timeout_s = min(WRITE_TIMEOUT_S, deadline - _now())
         if timeout_s <= 0:
             return ClaimAnswer(result=str(ClaimResult.UNAVAILABLE), detail="no answer from the ledger in time")
-        writer.forget()
-        return await writer.claim(ask, timeout_s=timeout_s)
+        writer.invalidate()
+        return await writer.claim(request, timeout_s=timeout_s)
 
-    async def _learn_outcome(self, held, ask, deadline):
-        """Outcome for a re-send whose key another request holds; ``None`` if it may be taken over."""
-        if held.digest != ask.digest:
+    async def _resolve_held_key(self, held, request, deadline):
+        """Return the outcome of a re-send whose key another request holds; ``None`` if it may be taken over."""
+        if held.digest != request.digest:
             return ClaimMismatch()
         if held.state == ClaimState.CLAIMED:
-            told = await self._ask_holder(held, deadline)
-            if told.state == NonceState.REFUSED:
+            reported = await self._query_holder(held, deadline)
+            if reported.state == NonceState.REFUSED:
                 return None
-            if told.state in (NonceState.FINISHED, NonceState.UNKNOWN) and told.body_kept:
-                return _recorded(told)
-            if told.state in (NonceState.CLAIMING, NonceState.RUNNING):
+            if reported.state in (NonceState.FINISHED, NonceState.UNKNOWN) and reported.body_kept:
+                return _finished_claim(reported)
+            if reported.state in (NonceState.CLAIMING, NonceState.RUNNING):
                 return ClaimTaken(detail="the earlier request has not ended yet")
-            held = await self._read_again(held, ask, deadline)
+            held = await self._read_again(held, request, deadline)
         if held.state == ClaimState.FINISHED and held.body_kept:
-            return _recorded(held)
+            return _finished_claim(held)
         if held.state == ClaimState.FINISHED:
             return ClaimTaken(detail="the earlier request ran to its end; its answer was not kept")
-        return ClaimTaken(detail="the earlier request's outcome is not known")
-
-    async def _ask_holder(self, held, deadline):
-        """Ask the router that holds the key; waits there, not by polling."""
-        # All of it ends before the deadline, the last look at the store included. Overrun, a
-        # key known to be held would be told as "not run" by whoever gave up waiting first.
-        answered_by = deadline - READ_ROOM_S
-        last_end = answered_by - HOLDER_ROOM_S
-        silences = 0
-        while silences < HOLDER_SILENCES and _now() < answered_by:
-            wait_s = max(min(last_end - _now(), HOLDER_SLICE_S), 0.0)
-            ask = NonceAsk(nonce=held.nonce, incarnation=held.incarnation, wait_s=wait_s)
+        return ClaimTaken(detail="the earlier request's outcome is unknown")
+
+    async def _query_holder(self, held, deadline):
+        """Query the router that holds the key, with long polls that wait there for the outcome."""
+        # All queries, including the final read of the store, must end before the deadline. Otherwise
+        # the caller of this method times out first and reports "not run" for a key known to be held.
+        answered_by = deadline - READ_MARGIN_S
+        last_end = answered_by - HOLDER_MARGIN_S
+        timeouts = 0
+        while timeouts < MAX_HOLDER_TIMEOUTS and _now() < answered_by:
+            wait_s = max(min(last_end - _now(), HOLDER_LONG_POLL_S), 0.0)
+            request = NonceAsk(nonce=held.nonce, incarnation=held.incarnation, wait_s=wait_s)
             if held.entry == self.name:
-                told = await self.handle(ask)
+                reported = await self.handle(request)
             else:
-                told = await self._ask(held.entry, ask, min(wait_s + HOLDER_ROOM_S, answered_by - _now()))
-            if not isinstance(told, NonceAnswer):
-                silences += 1
-            elif told.state not in (NonceState.CLAIMING, NonceState.RUNNING) or _now() >= last_end:
-                return told
-        return SILENT
-
-    async def _read_again(self, held, ask, deadline):
-        """Look once more in the store: the holder may have recorded its end before it went."""
+                reported = await self._query_peer(
+                    held.entry, request, min(wait_s + HOLDER_MARGIN_S, answered_by - _now())
+                )
+            if not isinstance(reported, NonceAnswer):
+                timeouts += 1
+            elif reported.state not in (NonceState.CLAIMING, NonceState.RUNNING) or _now() >= last_end:
+                return reported
+        return UNANSWERED
+
+    async def _read_again(self, held, request, deadline):
+        """Read the store again: the holder may have recorded the outcome before it stopped."""
         timeout_s = max(deadline - _now(), 0.0)
-        outcome = await bounded(self._store.get(kind=LEDGER_KIND, name=ask.shard), timeout_s=timeout_s)
+        outcome = await with_timeout(self._store.get(kind=LEDGER_KIND, name=request.shard), timeout_s=timeout_s)
         if not isinstance(outcome, StoreDone):
             return held
-        record = ShardContents.from_value(outcome.value).records_by_key.get(ask.key)
+        record = ShardContents.from_value(outcome.value).records_by_key.get(request.key)
         return record.answer(ClaimResult.HELD) if record is not None and record.nonce == held.nonce else held
 
-    # Ends of requests.
+    # Settlement of ended requests.
 
-    def _settle(self, team, key, nonce, *, state, tries=None, **answer):
+    def _settle(self, team, key, nonce, *, state, attempts=None, **answer):
         if nonce in self._settling_by_nonce:
             return
-        task = asyncio.get_running_loop().create_task(self._store_end(team, key, nonce, str(state), tries, answer))
+        task = asyncio.get_running_loop().create_task(
+            self._settle_with_retries(team, key, nonce, str(state), attempts, answer)
+        )
         self._settling_by_nonce[nonce] = task
         task.add_done_callback(lambda _: self._settling_by_nonce.pop(nonce, None))
 
-    async def _store_end(self, team, key, nonce, state, tries, answer):
-        """Record an end, trying again until it is stored or no longer matters."""
+    async def _settle_with_retries(self, team, key, nonce, state, attempts, answer):
+        """Settle a claim, retrying until it is stored or its retention time is over."""
         hashed = key_hash(team=team, key=key)
-        give_up_at = _now() + self._retention_s()
-        pause_s = SETTLE_PAUSE_S
-        while tries != 0 and _now() < give_up_at:
+        retry_deadline = _now() + self._retention_s()
+        delay_s = SETTLE_RETRY_DELAY_S
+        while attempts != 0 and _now() < retry_deadline:
             shard = await self._shard_of(hashed)
-            if shard and await self._store_once(SettleAsk(shard=shard, key=hashed, nonce=nonce, state=state, **answer)):
+            if shard and await self._try_settle(SettleAsk(shard=shard, key=hashed, nonce=nonce, state=state, **answer)):
                 if state != NonceState.REFUSED:
                     self._nonces.drop(nonce)
                 return
-            tries = None if tries is None else tries - 1
-            await asyncio.sleep(pause_s)
-            pause_s = min(2 * pause_s, SETTLE_PAUSE_LIMIT_S)
+            attempts = None if attempts is None else attempts - 1
+            await asyncio.sleep(delay_s)
+            delay_s = min(2 * delay_s, MAX_SETTLE_RETRY_DELAY_S)
 
-    async def _store_once(self, ask):
-        owner = self._owner_of(ask.shard)
+    async def _try_settle(self, request):
+        owner = self._owner_of(request.shard)
         if owner and owner != self.name:
-            answer = await self._ask(owner, ask, SETTLE_S)
+            answer = await self._query_peer(owner, request, SETTLE_TIMEOUT_S)
             if isinstance(answer, SettleAnswer) and answer.stored:
                 return True
-        return await self._writer(ask.shard).settle(ask)
+        return await self._writer(request.shard).settle(request)
 
     # Shards.
 
@@ -312,7 +316,7 @@
             writer = self._writers_by_shard[shard] = ShardWriter(
                 shard=shard,
                 store=self._store,
-                pacer=self._pacer,
+                rate_limiter=self._rate_limiter,
                 wall_clock=self._wall_clock,
                 retention_s=self._retention_s,
             )
@@ -324,18 +328,18 @@
         return None if self._layout is None else shard_name(key=key, shards=self._layout)
 
     async def _read_layout(self):
-        """Read the number of shards that is in force, making it the declared one at first.
+        """Read the number of shards in force; if there is none yet, create it as declared.
 
         Two routers with different numbers in force would look for one key in two shards, and
-        it would run twice. The number is therefore kept beside the shards, not taken from
-        whichever declaration a router holds at the moment.
+        it would run twice. The number is therefore stored next to the shards, not taken from
+        the declaration that a router happens to have.
         """
-        outcome = await bounded(self._store.get(kind=LEDGER_KIND, name=LAYOUT_NAME))
+        outcome = await with_timeout(self._store.get(kind=LEDGER_KIND, name=LAYOUT_NAME))
         if isinstance(outcome, StoreAbsent):
             layout = {"shards": self._shards()}
-            await bounded(self._store.create(kind=LEDGER_KIND, name=LAYOUT_NAME, value=layout))
-            # Made here or by another router, or the answer was lost: what stands there counts.
-            outcome = await bounded(self._store.get(kind=LEDGER_KIND, name=LAYOUT_NAME))
+            await with_timeout(self._store.create(kind=LEDGER_KIND, name=LAYOUT_NAME, value=layout))
+            # Created here or by another router, or the answer was lost: the stored layout counts.
+            outcome = await with_timeout(self._store.get(kind=LEDGER_KIND, name=LAYOUT_NAME))
         if isinstance(outcome, StoreDone):
             return outcome.value["shards"]
         self._layout_detail = getattr(outcome, "detail", "the ledger's layout could not be read")
@@ -346,5 +350,5 @@
     return asyncio.get_running_loop().time()
 
 
-def _recorded(told):
-    return ClaimFinished(status=told.status, content_type=told.content_type, body=told.body)
+def _finished_claim(reported):
+    return ClaimFinished(status=reported.status, content_type=reported.content_type, body=reported.body)
--- a/wagtailtrestle/ledger/nonces.py
+++ b/wagtailtrestle/ledger/nonces.py
@@ -1,7 +1,7 @@
-"""What became of the claims that this life of this router made.
+"""States of the claims made by this incarnation of this router.
 
-A router that holds a claim is the only one that knows whether its request was
-dispatched. It tells others that ask, and a nonce that was once refused stays refused.
+Only the router that holds a claim knows whether its request was dispatched. It answers
+other routers' queries for that, and a nonce that was once refused stays refused.
 """
 
 import asyncio
@@ -13,13 +13,13 @@
 
 
 class NonceEntry:
-    """One nonce and what is known of it."""
+    """State of one nonce and the recorded answer."""
 
-    __slots__ = ("state", "since", "ended", "status", "content_type", "body", "body_kept")
+    __slots__ = ("state", "created_at", "ended", "status", "content_type", "body", "body_kept")
 
-    def __init__(self, *, state, since):
+    def __init__(self, *, state, created_at):
         self.state = state
-        self.since = since
+        self.created_at = created_at
         self.ended = asyncio.Event()
         self.status = 0
         self.content_type = ""
@@ -27,7 +27,7 @@
         self.body_kept = False
 
     def answer(self):
-        """Tell an asker."""
+        """Return the answer to a query for this nonce."""
         return NonceAnswer(
             state=str(self.state),
             status=self.status,
@@ -38,30 +38,30 @@
 
 
 class NonceTable:
-    """Nonces made here, until their end is in the store or too old to matter.
+    """Nonces of this router, until they are settled in the store or their retention time is over.
 
     Parameters
     ----------
-    keep_s : Callable
-        How long a nonce is remembered, seconds.
+    ttl_s : Callable
+        How long a nonce is kept, seconds.
     now : Callable
-        The loop's clock.
+        Event loop time in seconds.
     """
 
-    __slots__ = ("entries_by_nonce", "_keep_s", "_now")
+    __slots__ = ("entries_by_nonce", "_ttl_s", "_now")
 
-    def __init__(self, *, keep_s, now):
+    def __init__(self, *, ttl_s, now):
         self.entries_by_nonce = {}
-        self._keep_s = keep_s
+        self._ttl_s = ttl_s
         self._now = now
 
     def begin(self, nonce):
-        """Note that a claim with this nonce is under way."""
+        """Register a nonce whose claim is in progress."""
         self._drop_old()
-        self.entries_by_nonce[nonce] = NonceEntry(state=NonceState.CLAIMING, since=self._now())
+        self.entries_by_nonce[nonce] = NonceEntry(state=NonceState.CLAIMING, created_at=self._now())
 
     def win(self, nonce):
-        """Let the request be dispatched; ``False`` if the nonce was refused meanwhile."""
+        """Mark the request as running; return ``False`` if the nonce was refused meanwhile."""
         entry = self.entries_by_nonce.get(nonce)
         if entry is None or entry.state is not NonceState.CLAIMING:
             return False
@@ -69,19 +69,19 @@
         return True
 
     def refuse(self, nonce):
-        """Promise that the request was not dispatched and never will be.
+        """Guarantee that the request was not dispatched and never will be.
 
-        Another router takes the key over on this promise, so it is final: were a late
-        answer of the ledger still to win the claim here, two routers would run the request.
+        Another router takes the key over on this guarantee, so it is final: if a late answer
+        of the ledger could still win the claim here, two routers would run the request.
         """
         self._end(nonce, NonceState.REFUSED)
 
-    def lose(self, nonce):
-        """Note that the request was dispatched and its outcome can't be told."""
+    def mark_unknown(self, nonce):
+        """Mark the request as dispatched with unknown outcome."""
         self._end(nonce, NonceState.UNKNOWN)
 
     def finish(self, nonce, *, status, content_type, body, body_kept):
-        """Note the answer of the request."""
+        """Mark the request as finished and record its answer."""
         entry = self._end(nonce, NonceState.FINISHED)
         entry.status = status
         entry.content_type = content_type
@@ -89,14 +89,14 @@
         entry.body_kept = body_kept
 
     def drop(self, nonce):
-        """Forget a nonce whose end is in the store."""
+        """Delete a nonce that is settled in the store."""
         self.entries_by_nonce.pop(nonce, None)
 
     async def wait(self, nonce, *, wait_s):
-        """Answer what became of the nonce, after at most ``wait_s`` if it hasn't ended."""
+        """Wait up to ``wait_s`` for the nonce to end, and return its state."""
         entry = self.entries_by_nonce.get(nonce)
         if entry is None:
-            # Forgotten is not the same as never dispatched.
+            # A deleted nonce may have been dispatched, so it is not reported as refused.
             return NonceAnswer(state=str(NonceState.UNKNOWN))
         try:
             await asyncio.wait_for(entry.ended.wait(), timeout=wait_s)
@@ -107,16 +107,16 @@
     def _end(self, nonce, state):
         entry = self.entries_by_nonce.get(nonce)
         if entry is None:
-            entry = self.entries_by_nonce[nonce] = NonceEntry(state=state, since=self._now())
+            entry = self.entries_by_nonce[nonce] = NonceEntry(state=state, created_at=self._now())
         if entry.state not in ENDED_STATES:
             entry.state = state
         entry.ended.set()
         return entry
 
     def _drop_old(self):
-        horizon = self._now() - self._keep_s()
+        horizon = self._now() - self._ttl_s()
         while self.entries_by_nonce:
             nonce, entry = next(iter(self.entries_by_nonce.items()))
-            if entry.since >= horizon and len(self.entries_by_nonce) < MAX_NONCES:
+            if entry.created_at >= horizon and len(self.entries_by_nonce) < MAX_NONCES:
                 return
             del self.entries_by_nonce[nonce]
--- a/wagtailtrestle/ledger/record.py
+++ b/wagtailtrestle/ledger/record.py
@@ -1,6 +1,7 @@
-"""What one ledger shard holds, and what a claim or its end does to it.
+"""Contents of one ledger shard, and how claims and settlements change them.
 
-Pure: no store, no clock. The specification's traces are replayed against this module.
+This module uses neither the store nor a clock, so that the specification's traces can be replayed
+against it.
 """
 
 import base64
@@ -12,31 +13,31 @@
 MAX_BODY_BYTES = 4096
 BODIES_LIMIT_BYTES = 256 * 1024
 SHARD_LIMIT_BYTES = 768 * 1024
-CLOCK_ROOM_S = 60.0
+CLOCK_SKEW_MARGIN_S = 60.0
 RECORD_OVERHEAD_BYTES = 64
 KEY_HEX_DIGITS = 40
 
 
 def key_hash(*, team, key):
-    """Hash of team and idempotency key; the length prefix keeps two pairs from colliding."""
+    """Return the hash of team and idempotency key; the length prefix prevents ambiguous concatenations."""
     text = f"{len(team)}:{team}:{key}"
     return hashlib.sha256(text.encode()).hexdigest()[:KEY_HEX_DIGITS]
 
 
 def shard_name(*, key, shards):
-    """Name of the shard that holds a key hash."""
+    """Return the name of the shard that holds a key hash."""
     return f"shard-{int(key[:8], 16) % shards:03d}"
 
 
 class ClaimRecord:
-    """One claim as it stands in the store; replaced, never changed.
+    """One claim as stored; instances are replaced, never modified.
 
     Parameters
     ----------
     nonce : str
-        Who holds the key: the request's id.
+        Id of the request that holds the key.
     entry, incarnation : str
-        The router that took the request, and which life of it.
+        The router that accepted the request, and its incarnation.
     digest : str
         Digest of the request.
     claimed_at : float
@@ -61,7 +62,7 @@
 
     @classmethod
     def from_value(cls, value):
-        """Read what :meth:`to_value` wrote."""
+        """Parse the list returned by :meth:`to_value`."""
         nonce, entry, incarnation, digest, claimed_at, state, status, content_type, body = value
         return cls(
             nonce=nonce,
@@ -76,7 +77,7 @@
         )
 
     def to_value(self):
-        """Give a list that JSON holds; short, since every write carries the whole shard."""
+        """Return a JSON list; compact, since every write contains all records of the shard."""
         body = None if self.body is None else base64.b64encode(self.body).decode()
         return [
             self.nonce,
@@ -90,22 +91,22 @@
             body,
         ]
 
-    def settled(self, ask):
-        """Give the record after its request's end."""
+    def settled(self, request):
+        """Return the record with the result of its ended request."""
         return ClaimRecord(
             nonce=self.nonce,
             entry=self.entry,
             incarnation=self.incarnation,
             digest=self.digest,
             claimed_at=self.claimed_at,
-            state=ClaimState(ask.state),
-            status=ask.status,
-            content_type=ask.content_type,
-            body=ask.body if ask.body_kept and len(ask.body) <= MAX_BODY_BYTES else None,
+            state=ClaimState(request.state),
+            status=request.status,
+            content_type=request.content_type,
+            body=request.body if request.body_kept and len(request.body) <= MAX_BODY_BYTES else None,
         )
 
     def without_body(self):
-        """Give the record with its recorded body dropped; the claim itself stays."""
+        """Return the record without its answer's body; the claim itself stays."""
         return ClaimRecord(
             nonce=self.nonce,
             entry=self.entry,
@@ -118,7 +119,7 @@
         )
 
     def answer(self, result):
-        """Tell an asker of this claim."""
+        """Return the answer that describes this claim."""
         return ClaimAnswer(
             result=str(result),
             nonce=self.nonce,
@@ -133,18 +134,18 @@
         )
 
     def size(self):
-        """Bytes of this record in JSON, to within its constant overhead."""
+        """Return the approximate size of this record in JSON, in bytes."""
         text = len(self.nonce) + len(self.entry) + len(self.incarnation) + len(self.digest) + len(self.content_type)
         return text + KEY_HEX_DIGITS + RECORD_OVERHEAD_BYTES + (len(self.body) * 4 // 3 if self.body else 0)
 
 
 class ShardContents:
-    """All claims of one shard at one version.
+    """All claims of one shard at one store version.
 
     Parameters
     ----------
     records_by_key : dict of str to ClaimRecord
-        In the order of claiming.
+        In order of their claims.
     """
 
     __slots__ = ("records_by_key", "changed", "size")
@@ -156,78 +157,78 @@
 
     @classmethod
     def from_value(cls, value):
-        """Read a shard object's value."""
+        """Parse a shard object's value."""
         records = {key: ClaimRecord.from_value(item) for key, item in value["claims"].items()}
         return cls(records_by_key=records)
 
     def to_value(self):
-        """Give the shard object's value."""
+        """Return the shard object's value."""
         return {"claims": {key: record.to_value() for key, record in self.records_by_key.items()}}
 
     def copy(self):
-        """Give an unchanged copy to apply a batch to."""
+        """Return a copy, marked as unchanged, to apply a batch to."""
         return ShardContents(records_by_key=dict(self.records_by_key), size=self.size)
 
-    def apply(self, ask, *, now):
-        """Apply one ask.
+    def apply(self, request, *, now):
+        """Apply one claim or settlement.
 
         Returns
         -------
         ClaimAnswer or bool
-            For a claim its answer; for an end of a request whether its claim was found.
+            For a claim its answer; for a settlement whether its claim was found.
         """
-        if isinstance(ask, ClaimAsk):
-            return self._claim(ask, now)
-        return self._settle(ask)
+        if isinstance(request, ClaimAsk):
+            return self._claim(request, now)
+        return self._settle(request)
 
     def prune(self, *, now, retention_s):
-        """Drop claims that nobody has to remember any more.
+        """Drop claims whose retention time is over.
 
-        The writer's clock may run ahead of the one that dated the claim: without room a claim
-        would be forgotten early and its key could run twice. The platform keeps its VMs'
-        clocks within half of ``CLOCK_ROOM_S``, so the room covers both.
+        The writer's clock may be ahead of the one that dated the claim: without a margin a claim
+        would be dropped early and its key could run twice. The platform keeps its VMs' clocks
+        within half of ``CLOCK_SKEW_MARGIN_S``, so the margin covers the skew of both.
         """
-        horizon = now - retention_s - CLOCK_ROOM_S
+        horizon = now - retention_s - CLOCK_SKEW_MARGIN_S
         for key in [key for key, record in self.records_by_key.items() if record.claimed_at < horizon]:
             self._remove(key)
 
-    def _claim(self, ask, now):
-        record = self.records_by_key.get(ask.key)
-        if record is not None and record.nonce == ask.nonce:
-            # An earlier write of the same ask took effect though its answer was lost.
+    def _claim(self, request, now):
+        record = self.records_by_key.get(request.key)
+        if record is not None and record.nonce == request.nonce:
+            # An earlier write of the same claim took effect although its answer was lost.
             return record.answer(ClaimResult.WON)
-        # Only a claim that still stands under exactly the nonce that was refused on its own
-        # router may be replaced; any other holder may be running.
-        takes_over = record is not None and record.nonce == ask.replaces and record.state is ClaimState.CLAIMED
+        # A claim may be replaced only while it still has exactly the nonce that was refused on its
+        # own router; any other holder may be running.
+        takes_over = record is not None and record.nonce == request.replaces and record.state is ClaimState.CLAIMED
         if record is not None and not takes_over:
             return record.answer(ClaimResult.HELD)
-        mine = ClaimRecord(
-            nonce=ask.nonce,
-            entry=ask.entry,
-            incarnation=ask.incarnation,
-            digest=ask.digest,
+        new_record = ClaimRecord(
+            nonce=request.nonce,
+            entry=request.entry,
+            incarnation=request.incarnation,
+            digest=request.digest,
             claimed_at=round(now, 1),
             state=ClaimState.CLAIMED,
         )
-        if not takes_over and not self._make_room(mine.size()):
+        if not takes_over and not self._make_room(new_record.size()):
             return ClaimAnswer(result=str(ClaimResult.UNAVAILABLE), detail="this part of the ledger is full")
-        self._put(ask.key, mine)
-        return mine.answer(ClaimResult.WON)
+        self._put(request.key, new_record)
+        return new_record.answer(ClaimResult.WON)
 
-    def _settle(self, ask):
-        record = self.records_by_key.get(ask.key)
-        if record is None or record.nonce != ask.nonce:
+    def _settle(self, request):
+        record = self.records_by_key.get(request.key)
+        if record is None or record.nonce != request.nonce:
             return False
-        if ask.state == NonceState.REFUSED:
-            self._remove(ask.key)
+        if request.state == NonceState.REFUSED:
+            self._remove(request.key)
         elif record.state is ClaimState.CLAIMED:
-            self._put(ask.key, record.settled(ask))
+            self._put(request.key, record.settled(request))
             self._drop_bodies(BODIES_LIMIT_BYTES)
         return True
 
     def _make_room(self, size):
-        # A claim is never given up for room, or its key could run twice; recorded bodies
-        # are, since a re-send without one is told plainly that the outcome is unknown.
+        # Claims are never dropped to free space, since their keys could run twice. Recorded bodies
+        # are: a re-send without one is answered that the outcome is unknown.
         if self.size + size > SHARD_LIMIT_BYTES:
             self._drop_bodies(0)
         return self.size + size <= SHARD_LIMIT_BYTES
--- a/wagtailtrestle/ledger/shard.py
+++ b/wagtailtrestle/ledger/shard.py
@@ -1,8 +1,8 @@
 """Writes ledger shards: group commit by conditional update, within a budget of writes.
 
-Whoever writes a shard, safety is the conditional update alone: an ask is answered only
-from a version that was read back or that this write certainly made. Two writers of one shard,
-a paused one or a lost answer cost conflicts and reads, never a second run.
+Safety depends on the conditional update alone, whichever router writes: a request is answered
+only from a version that was read back or that this write certainly created. Two writers of one
+shard, a paused writer or a lost answer cause conflicts and reads, never a second run.
 """
 
 import asyncio
@@ -12,33 +12,33 @@
 from wagtailtrestle.contracts.outcomes import StoreAbsent, StoreDone, StoreUnavailable, StoreUnknown
 from wagtailtrestle.ledger.record import LEDGER_KIND, ShardContents
 
-STORE_CALL_S = 2.0
+STORE_TIMEOUT_S = 2.0
 LINGER_S = 0.25
 MAX_ATTEMPTS = 8
-CONFLICT_PAUSE_S = 0.01
+MAX_CONFLICT_BACKOFF_S = 0.01
 NEVER_WRITTEN = 0
 
 
-async def bounded(call, *, timeout_s=STORE_CALL_S):
-    """Await a store call; one that doesn't end in time may still take effect."""
+async def with_timeout(call, *, timeout_s=STORE_TIMEOUT_S):
+    """Await a store call with a timeout; a call that times out may still take effect."""
     try:
         return await asyncio.wait_for(call, timeout=timeout_s)
     except TimeoutError:
         return StoreUnknown(detail=f"no answer from the store within {timeout_s} s")
 
 
-class WritePacer:
-    """Spreads one router's ledger writes over time.
+class WriteRateLimiter:
+    """Limits the rate of one router's ledger writes.
 
-    Writers that wait for their turn gather more asks, so writes per claim fall as load
-    grows and the platform's budget holds.
+    Writers collect further requests while they wait, so the number of writes per claim falls as
+    load grows and the platform's write budget is kept.
 
     Parameters
     ----------
     writes_per_s : Callable
-        This router's present share of the budget.
+        Returns this router's current share of the budget.
     burst : int
-        Writes that may start at once after a quiet time.
+        Writes that may start immediately after an idle period.
     """
 
     __slots__ = ("_writes_per_s", "_burst", "_free_at")
@@ -57,34 +57,34 @@
             await asyncio.sleep(self._free_at - now)
 
 
-class PendingAsk:
-    """An ask that waits for its shard's next write."""
+class PendingRequest:
+    """A request that waits for its shard's next write."""
 
-    __slots__ = ("ask", "answered")
+    __slots__ = ("request", "answered")
 
-    def __init__(self, *, ask, answered):
-        self.ask = ask
+    def __init__(self, *, request, answered):
+        self.request = request
         self.answered = answered
 
     def resolve(self, answer):
-        """Give the answer, unless the asker has gone."""
+        """Set the answer, unless the requester no longer waits."""
         if not self.answered.done():
             self.answered.set_result(answer)
 
 
 class ShardWriter:
-    """Writes one shard; the next write starts when the last has ended.
+    """Writes one shard; a write starts only after the previous one has ended.
 
     Parameters
     ----------
     shard : str
         Object name.
     store : ObjectStore
-    pacer : WritePacer
+    rate_limiter : WriteRateLimiter
     wall_clock : Callable
-        Seconds, comparable between VMs; only to date and prune claims.
+        Seconds, comparable between VMs; used only to date and prune claims.
     retention_s : Callable
-        How long a claim is remembered.
+        How long a claim is kept.
     """
 
     __slots__ = (
@@ -93,49 +93,49 @@
         "claims",
         "_shard",
         "_store",
-        "_pacer",
+        "_rate_limiter",
         "_wall_clock",
         "_retention_s",
         "_pending",
-        "_hurry",
+        "_urgent",
         "_task",
         "_contents",
         "_version",
     )
 
-    def __init__(self, *, shard, store, pacer, wall_clock, retention_s):
+    def __init__(self, *, shard, store, rate_limiter, wall_clock, retention_s):
         self.writes = 0
         self.reads = 0
         self.claims = 0
         self._shard = shard
         self._store = store
-        self._pacer = pacer
+        self._rate_limiter = rate_limiter
         self._wall_clock = wall_clock
         self._retention_s = retention_s
         self._pending = []
-        self._hurry = asyncio.Event()
+        self._urgent = asyncio.Event()
         self._task = None
         self._contents = None
         self._version = NEVER_WRITTEN
 
-    async def claim(self, ask, *, timeout_s):
-        """Put a claim; ``unavailable`` means nothing certain, so nothing may run on it."""
+    async def claim(self, request, *, timeout_s):
+        """Write a claim; after ``unavailable`` it may or may not be stored, so its request must not run."""
         self.claims += 1
         try:
-            return await asyncio.wait_for(self._submit(ask, hurry=True), timeout=timeout_s)
+            return await asyncio.wait_for(self._submit(request, urgent=True), timeout=timeout_s)
         except TimeoutError:
             return _unavailable("the platform's store did not answer in time")
 
-    async def settle(self, ask, *, hurry=False):
-        """Record a request's end with the next write; ``True`` once it is in the store."""
-        return await self._submit(ask, hurry=hurry)
+    async def settle(self, request, *, urgent=False):
+        """Record the end of a request with the next write; return ``True`` once it is stored."""
+        return await self._submit(request, urgent=urgent)
 
-    def forget(self):
-        """Read the shard again before the next write."""
+    def invalidate(self):
+        """Discard the cached contents, so that the shard is read again before the next write."""
         self._contents = None
 
     async def close(self):
-        """Stop writing; asks that wait are answered ``unavailable``."""
+        """Stop writing; waiting claims are answered ``unavailable``."""
         if self._task is not None:
             self._task.cancel()
             await asyncio.gather(self._task, return_exceptions=True)
@@ -143,7 +143,7 @@
         self._pending = []
 
     def dump(self):
-        """Plain data for the state dump."""
+        """Return the state as a plain dict."""
         contents = self._contents
         return {
             "shard": self._shard,
@@ -155,11 +155,11 @@
             "reads": self.reads,
         }
 
-    def _submit(self, ask, *, hurry):
+    def _submit(self, request, *, urgent):
         answered = asyncio.get_running_loop().create_future()
-        self._pending.append(PendingAsk(ask=ask, answered=answered))
-        if hurry:
-            self._hurry.set()
+        self._pending.append(PendingRequest(request=request, answered=answered))
+        if urgent:
+            self._urgent.set()
         if self._task is None or self._task.done():
             self._task = asyncio.get_running_loop().create_task(self._write_all())
         return answered
@@ -167,8 +167,8 @@
     async def _write_all(self):
         while self._pending:
             await self._linger()
-            await self._pacer.turn()
-            self._hurry.clear()
+            await self._rate_limiter.turn()
+            self._urgent.clear()
             batch = [pending for pending in self._pending if not pending.answered.done()]
             self._pending = []
             try:
@@ -177,29 +177,29 @@
                 self._fail(batch, "the shard's writer stopped")
 
     async def _linger(self):
-        """Let ends of requests wait a little for a claim whose write carries them too."""
-        if self._hurry.is_set():
+        """Delay a write without claims for up to ``LINGER_S``, so that a claim can share it."""
+        if self._urgent.is_set():
             return
         try:
-            await asyncio.wait_for(self._hurry.wait(), timeout=LINGER_S)
+            await asyncio.wait_for(self._urgent.wait(), timeout=LINGER_S)
         except TimeoutError:
             return
 
     async def _write(self, batch):
-        fresh = False
+        just_read = False
         for _ in range(MAX_ATTEMPTS):
             if self._contents is None:
                 detail = await self._read()
                 if detail is not None:
                     self._fail(batch, detail)
                     return
-                fresh = True
+                just_read = True
             contents = self._contents.copy()
             contents.prune(now=self._wall_clock(), retention_s=self._retention_s())
-            answers = [contents.apply(pending.ask, now=self._wall_clock()) for pending in batch]
-            if False in answers and not fresh:
-                # Another writer may have put the claim whose end this is: the remembered
-                # version can't prove that it is missing.
+            answers = [contents.apply(pending.request, now=self._wall_clock()) for pending in batch]
+            if False in answers and not just_read:
+                # Another writer may have stored the claim to settle: the cached version does not
+                # prove that it is missing.
                 self._contents = None
                 continue
             outcome = await self._update(contents)
@@ -212,17 +212,17 @@
                     self._fail(batch, detail)
                     return
                 case _:
-                    # A conflict, or no answer: the write may have taken effect, now or
-                    # later. Reading back tells; a write that lands later conflicts with
-                    # ours or ours with it, since both name the version they replace.
+                    # A conflict or no answer: the write may have taken effect or may do so
+                    # later. Reading back shows it; a write that lands later conflicts with the
+                    # next one or the reverse, since both name the version they replace.
                     self._contents = None
-                    await asyncio.sleep(CONFLICT_PAUSE_S * random.random())
-        self._fail(batch, "the platform's store did not settle the write")
+                    await asyncio.sleep(MAX_CONFLICT_BACKOFF_S * random.random())
+        self._fail(batch, "the platform's store did not confirm the write")
 
     async def _read(self):
-        """Read the shard; returns why not, or ``None``."""
+        """Read the shard; return an error text, or ``None`` on success."""
         self.reads += 1
-        outcome = await bounded(self._store.get(kind=LEDGER_KIND, name=self._shard))
+        outcome = await with_timeout(self._store.get(kind=LEDGER_KIND, name=self._shard))
         match outcome:
             case StoreDone(version=version, value=value):
                 self._keep(ShardContents.from_value(value), version)
@@ -238,8 +238,8 @@
         self.writes += 1
         value = contents.to_value()
         if self._version == NEVER_WRITTEN:
-            return await bounded(self._store.create(kind=LEDGER_KIND, name=self._shard, value=value))
-        return await bounded(
+            return await with_timeout(self._store.create(kind=LEDGER_KIND, name=self._shard, value=value))
+        return await with_timeout(
             self._store.update(kind=LEDGER_KIND, name=self._shard, value=value, if_version=self._version)
         )
 
@@ -254,7 +254,7 @@
 
     def _fail(self, batch, detail):
         for pending in batch:
-            pending.resolve(_unavailable(detail) if isinstance(pending.ask, ClaimAsk) else False)
+            pending.resolve(_unavailable(detail) if isinstance(pending.request, ClaimAsk) else False)
 
 
 def _unavailable(detail):
--- a/wagtailtrestle/measure/rollout_ways.py
+++ b/wagtailtrestle/measure/rollout_ways.py
@@ -13,7 +13,7 @@
 
 from wagtailtrestle.contracts.rollout_messages import RolloutOrder, RolloutState
 from wagtailtrestle.output.table import table
-from wagtailtrestle.rollouts.judgement import DONE, FAILED
+from wagtailtrestle.rollouts.canary_analysis import DONE, FAILED
 from wagtailtrestle.rollouts.rollout import Phase, Rollout
 
 SEEDS = 400
@@ -152,11 +152,11 @@
         clock.now += chance.expovariate(RATE_PER_S)
         route = "read" if chance.random() < 2 / 3 else "book"
         request = SimpleNamespace(route=route, excluded_engines=(), alone=False, done_tokens=0)
-        is_target = rollout.phase is Phase.SHIFT or rollout.wants(request)
+        is_target = rollout.phase is Phase.SHIFT or rollout.should_expose(request)
         granted += 1
         exposed += is_target
         version_name = "new" if is_target else "old"
-        rollout.note_grant(request, version_name)
+        rollout.record_grant(request, version_name)
         behaviour = version if is_target else VERSIONS_BY_NAME[GOOD]
         bad = chance.random() < behaviour.fails(route, clock.now)
         pace = MEAN_RUN_S * behaviour.slower * math.exp(chance.gauss(0.0, SPREAD))
@@ -164,11 +164,11 @@
             at_end.note(is_target=is_target, bad=bad, pace=pace)
         finished = SimpleNamespace(result=FAILED if bad else DONE, duration_s=pace, output_tokens=0, first_token_s=0.0)
         engine = f"{version_name}-{chance.randint(1, 2)}"
-        rollout.note_end(request=request, engine=engine, version=version_name, finished=finished)
+        rollout.record_run_end(request=request, engine=engine, version=version_name, finished=finished)
         if found_at_s is None and rollout.state is RolloutState.ROLLED_BACK:
             found_at_s = clock.now
         # The old engines hold something until the end, so that the shift is as long as it may be.
-        rollout.step(old_places=12, target_places=12, old_runs=1)
+        rollout.step(old_slots=12, target_slots=12, old_runs=1)
     return Played(found_at_s=found_at_s, exposed=exposed, granted=granted, found_at_end=at_end.is_bad)
 
 
