--- a/wagtailtrestle/cli/dump.py
+++ b/wagtailtrestle/cli/dump.py
@@ -47,7 +47,7 @@
     state_url = arguments["url"].removesuffix(STATE_PATH) + STATE_PATH
     state = environment.fetch_json(state_url)
     if not isinstance(state, dict):
-        environment.complain(
+        environment.print_error(
             f"No state from {state_url}: {state}. Check that the process runs and that this is its admin address."
         )
         return ExitStatus.NOT_REACHED
--- a/wagtailtrestle/cli/explain.py
+++ b/wagtailtrestle/cli/explain.py
@@ -10,10 +10,10 @@
 def explain(environment, *, files, request_id, by, begin, end):
     """Print one request's way, or a table of lost requests, and return the exit status."""
     if not files:
-        environment.complain("Give at least one log file. Nothing was read.")
+        environment.print_error("Give at least one log file. Nothing was read.")
         return ExitStatus.USAGE
     if by not in KEYS:
-        environment.complain(f"--by is {by!r}; allowed: {', '.join(KEYS)}. Nothing was read.")
+        environment.print_error(f"--by is {by!r}; allowed: {', '.join(KEYS)}. Nothing was read.")
         return ExitStatus.USAGE
     times = [_time(environment, name, text) for name, text in (("--begin", begin), ("--end", end))]
     if ExitStatus.USAGE in times:
@@ -31,7 +31,7 @@
 def _tell_story(environment, logs, request_id):
     lines = story(logs, request_id)
     if not lines:
-        environment.complain(
+        environment.print_error(
             f"No line names {request_id}. Give the files of all routers: a caller's second try reaches another one."
         )
         return ExitStatus.CHECK_FAILED
@@ -46,7 +46,7 @@
             with open(file, encoding="utf-8", errors="replace") as opened:
                 logs.add_file(opened)
         except OSError as error:
-            environment.complain(f"{file} can't be read: {error.strerror}. Nothing was counted.")
+            environment.print_error(f"{file} can't be read: {error.strerror}. Nothing was counted.")
             return None
     return logs
 
@@ -58,7 +58,7 @@
     try:
         told = datetime.fromisoformat(text)
     except ValueError:
-        environment.complain(
+        environment.print_error(
             f"{name} is {text!r}; allowed: a time as in the logs, 2026-05-05T18:37:25. Nothing was read."
         )
         return ExitStatus.USAGE
--- a/wagtailtrestle/cli/operate.py
+++ b/wagtailtrestle/cli/operate.py
@@ -126,7 +126,7 @@
 def diff(environment, *, file, platform, against):
     """Print what applying a file would change and return the exit status."""
     if (platform is None) == (against is None):
-        environment.complain("Give either --platform URL or --against FILE. Nothing was run.")
+        environment.print_error("Give either --platform URL or --against FILE. Nothing was run.")
         return ExitStatus.USAGE
     arguments = read_arguments(environment, platform=(platform, Url()))
     if arguments is None:
@@ -151,15 +151,15 @@
 def _diff_platform(environment, declaration, *, platform):
     accepted = _with_store(environment, platform, lambda store: read_accepted(store=store))
     if isinstance(accepted, StoreUnavailable):
-        environment.complain(_unreachable(platform, accepted.detail))
+        environment.print_error(_unreachable(platform, accepted.detail))
         return ExitStatus.NOT_REACHED
     if accepted is NOTHING_ACCEPTED:
         return _print_difference(environment, None, declaration, base="nothing accepted yet")
     base = f"generation {accepted.generation}"
     other = parse_declaration(accepted.text, file=base)
     if isinstance(other, DeclarationFaults):
-        environment.complain(faults_text(other.faults))
-        environment.complain(f"{base} was accepted, but this version of {PROGRAM} can't read it: use the newer one.")
+        environment.print_error(faults_text(other.faults))
+        environment.print_error(f"{base} was accepted, but this version of {PROGRAM} can't read it: use the newer one.")
         return ExitStatus.CHECK_FAILED
     return _print_difference(environment, other, declaration, base=base)
 
@@ -181,7 +181,7 @@
         return ExitStatus.USAGE
     loaded = _load(environment, file)
     if isinstance(loaded, ExitStatus):
-        environment.complain("Nothing was applied.")
+        environment.print_error("Nothing was applied.")
         return loaded
     text, _ = loaded
     apply_id = environment.new_id()
@@ -213,17 +213,17 @@
             return ExitStatus.DONE
         case ApplyConflict(generation=generation, by=by):
             applied_by = f", applied as {by}," if by else ""
-            environment.complain(
+            environment.print_error(
                 f"Conflict, nothing was applied: generation {generation}{applied_by} came first. See what "
                 f"differs with: {PROGRAM} diff {file} --platform {platform}; bring its changes into "
                 f"your file, then apply again with --base {generation}."
             )
             return ExitStatus.CONFLICT
         case ApplyNotDone(detail=detail):
-            environment.complain(f"Nothing was applied. {_unreachable(platform, detail)}")
+            environment.print_error(f"Nothing was applied. {_unreachable(platform, detail)}")
             return ExitStatus.NOT_REACHED
         case ApplyUnknown(detail=detail):
-            environment.complain(
+            environment.print_error(
                 f"Unknown whether {file} was applied: {detail}. Don't apply again yet. Once the platform answers, run: "
                 f"{PROGRAM} status --platform {platform}; it was applied if the accepted one is "
                 f"apply {apply_id}; if another one is accepted, see: {PROGRAM} diff {file} --platform {platform}"
@@ -242,12 +242,12 @@
         lambda store: collect_status(store=store, fetch=environment.fetch_json),
     )
     if isinstance(report, StoreUnavailable):
-        environment.complain(_unreachable(arguments["platform"], report.detail))
+        environment.print_error(_unreachable(arguments["platform"], report.detail))
         return ExitStatus.NOT_REACHED
     environment.say(status_text(report))
     if report.is_in_force_everywhere:
         return ExitStatus.DONE
-    environment.complain("Not in force on every router yet: run status again in a few seconds.")
+    environment.print_error("Not in force on every router yet: run status again in a few seconds.")
     return ExitStatus.CHECK_FAILED
 
 
@@ -255,11 +255,11 @@
     """Return a file's text and declaration, or the exit status after complaining."""
     content = read_file(file)
     if isinstance(content, str):
-        environment.complain(f"{file} {content}. Give a readable file.")
+        environment.print_error(f"{file} {content}. Give a readable file.")
         return ExitStatus.USAGE
     declaration = parse_declaration(content, file=file)
     if isinstance(declaration, DeclarationFaults):
-        environment.complain(faults_text(declaration.faults))
+        environment.print_error(faults_text(declaration.faults))
         return ExitStatus.CHECK_FAILED
     return content.decode(), declaration
 
--- a/wagtailtrestle/cli/router.py
+++ b/wagtailtrestle/cli/router.py
@@ -41,13 +41,13 @@
         # Imported late: it brings an HTTP client, which only the commands that print need.
         from wagtailtrestle.output.text import faults_text
 
-        environment.complain(faults_text(settings.faults))
-        environment.complain(f"The router was not started: correct {settings_file}.")
+        environment.print_error(faults_text(settings.faults))
+        environment.print_error(f"The router was not started: correct {settings_file}.")
         return ExitStatus.USAGE
     try:
         listener = listen(split_address(settings.callers_address))
     except OSError as error:
-        environment.complain(cannot_listen(error))
+        environment.print_error(cannot_listen(error))
         return ExitStatus.CHECK_FAILED
     # Imported after the listener is there: they take longer than all that goes before.
     from wagtailtrestle.observe.logs import start_logs
--- a/wagtailtrestle/cli/runner.py
+++ b/wagtailtrestle/cli/runner.py
@@ -82,7 +82,7 @@
     if is_help:
         environment.say(text)
         return ExitStatus.DONE
-    environment.complain(f"{text}\n\nNothing was run. See: {environment.program} --help")
+    environment.print_error(f"{text}\n\nNothing was run. See: {environment.program} --help")
     return ExitStatus.USAGE
 
 
@@ -101,9 +101,9 @@
         value = None if text is None else value_type.read(text)
         if isinstance(value, Wrong):
             faulty = True
-            environment.complain(f"{name} {value.problem}; allowed: {value_type.allowed}")
+            environment.print_error(f"{name} {value.problem}; allowed: {value_type.allowed}")
         values[name] = value
     if faulty:
-        environment.complain(f"Nothing was run. See: {environment.program} --help")
+        environment.print_error(f"Nothing was run. See: {environment.program} --help")
         return None
     return values
--- a/wagtailtrestle/core.py
+++ b/wagtailtrestle/core.py
@@ -20,7 +20,7 @@
     try:
         return asyncio.run(_run(settings, settings_file, listener))
     except OSError as error:
-        environment.complain(cannot_listen(error))
+        environment.print_error(cannot_listen(error))
         return ExitStatus.CHECK_FAILED
 
 
--- a/wagtailtrestle/environment.py
+++ b/wagtailtrestle/environment.py
@@ -67,7 +67,7 @@
         """Print a result for the person or script that called."""
         print(text, file=self.stdout)
 
-    def complain(self, text):
+    def print_error(self, text):
         """Print what went wrong."""
         print(text, file=self.stderr)
 
