--- a/wagtailtrestle/cli/dump.py
+++ b/wagtailtrestle/cli/dump.py
@@ -52,9 +52,9 @@
         )
         return ExitStatus.NOT_REACHED
     if arguments["json"]:
-        environment.say(json.dumps(state, indent=2))
+        environment.print_result(json.dumps(state, indent=2))
     else:
-        environment.say(yaml.safe_dump(state, sort_keys=False, allow_unicode=True).rstrip())
+        environment.print_result(yaml.safe_dump(state, sort_keys=False, allow_unicode=True).rstrip())
     return ExitStatus.DONE
 
 
--- a/wagtailtrestle/cli/explain.py
+++ b/wagtailtrestle/cli/explain.py
@@ -24,7 +24,7 @@
     if request_id is not None:
         return _tell_story(environment, logs, request_id)
     lost, answered = losses(logs, begin=times[0], end=times[1])
-    environment.say(losses_text(lost, answered, key=by, logs=logs))
+    environment.print_result(losses_text(lost, answered, key=by, logs=logs))
     return ExitStatus.DONE
 
 
@@ -35,7 +35,7 @@
             f"No line names {request_id}. Give the files of all routers: a caller's second try reaches another one."
         )
         return ExitStatus.CHECK_FAILED
-    environment.say(story_text(lines))
+    environment.print_result(story_text(lines))
     return ExitStatus.DONE
 
 
--- a/wagtailtrestle/cli/operate.py
+++ b/wagtailtrestle/cli/operate.py
@@ -119,7 +119,7 @@
     if isinstance(loaded, ExitStatus):
         return loaded
     _, declaration = loaded
-    environment.say(f"{file} is sound. {summary_text(declaration)}")
+    environment.print_result(f"{file} is sound. {summary_text(declaration)}")
     return ExitStatus.DONE
 
 
@@ -167,8 +167,8 @@
 def _print_difference(environment, before, after, *, base):
     changes = difference(before, after)
     for change in changes:
-        environment.say(change_text(change))
-    environment.say(f"{len(changes)} changes against {base}" if changes else f"No change against {base}")
+        environment.print_result(change_text(change))
+    environment.print_result(f"{len(changes)} changes against {base}" if changes else f"No change against {base}")
     return ExitStatus.DONE
 
 
@@ -206,7 +206,7 @@
 def _tell_apply(environment, outcome, *, file, platform, apply_id):
     match outcome:
         case Applied(generation=generation):
-            environment.say(
+            environment.print_result(
                 f"Applied: {file} is generation {generation}. Routers put it in force within seconds; "
                 f"see: {PROGRAM} status --platform {platform}"
             )
@@ -244,7 +244,7 @@
     if isinstance(report, StoreUnavailable):
         environment.print_error(_unreachable(arguments["platform"], report.detail))
         return ExitStatus.NOT_REACHED
-    environment.say(status_text(report))
+    environment.print_result(status_text(report))
     if report.is_in_force_everywhere:
         return ExitStatus.DONE
     environment.print_error("Not in force on every router yet: run status again in a few seconds.")
--- a/wagtailtrestle/cli/runner.py
+++ b/wagtailtrestle/cli/runner.py
@@ -80,7 +80,7 @@
 def _end_early(told, *, environment, is_help):
     text = FIRE_NOISE.sub("", ANSI.sub("", told)).strip()
     if is_help:
-        environment.say(text)
+        environment.print_result(text)
         return ExitStatus.DONE
     environment.print_error(f"{text}\n\nNothing was run. See: {environment.program} --help")
     return ExitStatus.USAGE
--- a/wagtailtrestle/environment.py
+++ b/wagtailtrestle/environment.py
@@ -63,7 +63,7 @@
             fetch_json=_fetch_json,
         )
 
-    def say(self, text):
+    def print_result(self, text):
         """Print a result for the person or script that called."""
         print(text, file=self.stdout)
 
