--- a/wagtailtrestle/core.py
+++ b/wagtailtrestle/core.py
@@ -26,18 +26,18 @@
 
 async def _run(settings, settings_file, listener):
     loop = asyncio.get_running_loop()
-    asked_to_stop = asyncio.Event()
+    stop_requested = asyncio.Event()
     broken = asyncio.Event()
-    stop_on_broken_invariant(loop, lambda: (broken.set(), asked_to_stop.set()))
+    stop_on_broken_invariant(loop, lambda: (broken.set(), stop_requested.set()))
     for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, asked_to_stop.set)
+        loop.add_signal_handler(number, stop_requested.set)
     router = Router(settings=settings, loop=loop, listener=listener)
     watch = SettingsWatch(path=settings_file, settings=settings)
     # Unhandled, this signal ends a process on the spot, with every request in flight.
     loop.add_signal_handler(signal.SIGHUP, watch.reload)
     await router.start()
     watch.start()
-    await asked_to_stop.wait()
+    await stop_requested.wait()
     logger.info("asked to stop, draining")
     await router.drain()
     await watch.close()
