--- a/wagtailtrestle/adapters.py
+++ b/wagtailtrestle/adapters.py
@@ -55,7 +55,7 @@
         """Return the ``CallerDialect``; ``parts`` are those of ``callers.intake.Intake``."""
 
 
-class OwnAdapter:
+class NativeAdapter:
     """The product's own interface."""
 
     place = OwnDeclarations()
@@ -91,4 +91,4 @@
         from wagtailtrestle.platform.adapter import PlatformAdapter
 
         return PlatformAdapter()
-    return OwnAdapter()
+    return NativeAdapter()
