--- a/tests/test_broken_invariant.py
+++ b/tests/test_broken_invariant.py
@@ -3,7 +3,7 @@
 import asyncio
 import unittest
 
-from wagtailtrestle.broken_invariant import report_broken, stop_on_broken_invariant
+from wagtailtrestle.broken_invariant import report_failed_task, stop_on_broken_invariant
 
 
 class BrokenInvariantTest(unittest.TestCase):
@@ -24,7 +24,7 @@
         # rest: a task that owns state failed, and what it owned can't be trusted any more.
         async def scenario(loop):
             task = loop.create_task(_fail())
-            task.add_done_callback(lambda ended: report_broken(ended, "it failed"))
+            task.add_done_callback(lambda ended: report_failed_task(ended, "it failed"))
             await asyncio.wait((task,))
 
         self.assertTrue(self.stops(scenario))
@@ -32,7 +32,7 @@
     def test_cancelled_task_does_not(self):
         async def scenario(loop):
             task = loop.create_task(asyncio.sleep(10))
-            task.add_done_callback(lambda ended: report_broken(ended, "it failed"))
+            task.add_done_callback(lambda ended: report_failed_task(ended, "it failed"))
             await asyncio.sleep(0)
             task.cancel()
             await asyncio.wait((task,))
--- a/wagtailtrestle/broken_invariant.py
+++ b/wagtailtrestle/broken_invariant.py
@@ -24,7 +24,7 @@
     loop.set_exception_handler(handle)
 
 
-def report_broken(task, message):
+def report_failed_task(task, message):
     """Done-callback body for a task that must only ever end by being cancelled."""
     if task.cancelled() or task.exception() is None:
         return
--- a/wagtailtrestle/configuration/configuration.py
+++ b/wagtailtrestle/configuration/configuration.py
@@ -9,7 +9,7 @@
 
 from loguru import logger
 
-from wagtailtrestle.broken_invariant import report_broken
+from wagtailtrestle.broken_invariant import report_failed_task
 from wagtailtrestle.configuration.applying import NO_GENERATION
 from wagtailtrestle.configuration.boot_clock import boot_time_s
 from wagtailtrestle.configuration.sources import (
@@ -160,7 +160,7 @@
         )
         self._tasks = tuple(asyncio.get_running_loop().create_task(step) for step in steps)
         for task in self._tasks:
-            task.add_done_callback(lambda ended: report_broken(ended, "a task of the configuration ended"))
+            task.add_done_callback(lambda ended: report_failed_task(ended, "a task of the configuration ended"))
 
     async def close(self):
         """End the tasks; what is in force stays readable."""
--- a/wagtailtrestle/entry/entry.py
+++ b/wagtailtrestle/entry/entry.py
@@ -8,7 +8,7 @@
 import dataclasses
 import math
 
-from wagtailtrestle.broken_invariant import report_broken
+from wagtailtrestle.broken_invariant import report_failed_task
 from wagtailtrestle.capacity.retry_budget import RETRY_WINDOW_S
 from wagtailtrestle.contracts.exchange import AnswerRefusal
 from wagtailtrestle.contracts.messages import EngineDown, EngineNotice, Granted, Register, RunFinished, Withdraw
@@ -316,7 +316,7 @@
         self._running_by_id.pop(request_id, None)
         if not self.tasks_by_id:
             self._idle.set()
-        report_broken(done, f"the task of request {request_id} failed")
+        report_failed_task(done, f"the task of request {request_id} failed")
 
 
 def _awaits(task, granted):
--- a/wagtailtrestle/router.py
+++ b/wagtailtrestle/router.py
@@ -8,7 +8,7 @@
 from loguru import logger
 
 from wagtailtrestle.adapters import adapter_of
-from wagtailtrestle.broken_invariant import report_broken
+from wagtailtrestle.broken_invariant import report_failed_task
 from wagtailtrestle.callers.authentication import KeyProof
 from wagtailtrestle.callers.limits import DEFAULT_BODY_BYTES, CallerLimits, held_for
 from wagtailtrestle.callers.server import CallersServer
@@ -344,7 +344,7 @@
         self._reports.start()
         self._started.push_async_callback(self._in_thread, self._reports.close)
         self._ticking = self._loop.create_task(self._tick())
-        self._ticking.add_done_callback(lambda ended: report_broken(ended, "the schedulers' clock ended"))
+        self._ticking.add_done_callback(lambda ended: report_failed_task(ended, "the schedulers' clock ended"))
         self._started.push_async_callback(_stopped, self._ticking)
         self._started.push_async_callback(self._entry.close)
         self._callers.start()
