--- a/wagtailtrestle/router.py
+++ b/wagtailtrestle/router.py
@@ -71,7 +71,7 @@
         self._loop = loop
         self._incarnation = time.time_ns() // 1_000_000
         self._ticking = None
-        self._started = contextlib.AsyncExitStack()
+        self._exit_stack = contextlib.AsyncExitStack()
         self._ledger_starting = None
         self._draining = False
         self._begun = False
@@ -309,46 +309,46 @@
         try:
             await self._start_parts()
         except BaseException:
-            await self._started.aclose()
+            await self._exit_stack.aclose()
             raise
         logger.bind(name=self._settings.name, zone=self._settings.zone).info("router started")
 
     async def _start_parts(self):
-        self._started.callback(self._parsing.shutdown, wait=False)
+        self._exit_stack.callback(self._parsing.shutdown, wait=False)
         self._store.start()
-        self._started.callback(self._store.close)
+        self._exit_stack.callback(self._store.close)
         self._engine_client.start()
-        self._started.callback(self._engine_client.close)
+        self._exit_stack.callback(self._engine_client.close)
         for admin in self._admins:
             admin.start()
-            self._started.push_async_callback(self._in_thread, admin.close)
+            self._exit_stack.push_async_callback(self._in_thread, admin.close)
         await self._peers.start()
-        self._started.push_async_callback(self._peers.close)
+        self._exit_stack.push_async_callback(self._peers.close)
         await self._membership.start()
-        self._started.push_async_callback(self._membership.close)
+        self._exit_stack.push_async_callback(self._membership.close)
         self._announcement = self._announce()
         self._vm_list.start()
-        self._started.push_async_callback(self._vm_list.close)
+        self._exit_stack.push_async_callback(self._vm_list.close)
         self._configuration.start()
-        self._started.push_async_callback(self._configuration.close)
+        self._exit_stack.push_async_callback(self._configuration.close)
         if self._engine_list is not None:
             self._engine_list.start()
-            self._started.push_async_callback(self._engine_list.close)
+            self._exit_stack.push_async_callback(self._engine_list.close)
         if self._epoch_note is not None:
             self._epoch_note.start()
-            self._started.push_async_callback(self._epoch_note.close)
-        self._started.push_async_callback(self._ledger.close)
+            self._exit_stack.push_async_callback(self._epoch_note.close)
+        self._exit_stack.push_async_callback(self._ledger.close)
         if self._rollouts is not None:
             self._rollouts.start()
-            self._started.push_async_callback(self._rollouts.close)
+            self._exit_stack.push_async_callback(self._rollouts.close)
         self._reports.start()
-        self._started.push_async_callback(self._in_thread, self._reports.close)
+        self._exit_stack.push_async_callback(self._in_thread, self._reports.close)
         self._ticking = self._loop.create_task(self._tick())
         self._ticking.add_done_callback(lambda ended: report_failed_task(ended, "the schedulers' clock ended"))
-        self._started.push_async_callback(_stopped, self._ticking)
-        self._started.push_async_callback(self._entry.close)
+        self._exit_stack.push_async_callback(_stopped, self._ticking)
+        self._exit_stack.push_async_callback(self._entry.close)
         self._callers.start()
-        self._started.push_async_callback(self._in_thread, self._callers.close)
+        self._exit_stack.push_async_callback(self._in_thread, self._callers.close)
 
     def _announce(self):
         """Tell the store where this router listens, where routers find each other that way."""
@@ -368,7 +368,7 @@
             epoch=self._store_epoch,
         )
         announcement.start()
-        self._started.push_async_callback(announcement.close)
+        self._exit_stack.push_async_callback(announcement.close)
         return announcement
 
     async def drain(self):
@@ -389,7 +389,7 @@
 
     async def close(self):
         """Stop every part, in the opposite order of the start."""
-        await self._started.aclose()
+        await self._exit_stack.aclose()
 
     async def _in_thread(self, close):
         await self._loop.run_in_executor(None, close)
