--- a/wagtailtrestle/router.py
+++ b/wagtailtrestle/router.py
@@ -75,7 +75,7 @@
         self._ledger_starting = None
         self._draining = False
         self._begun = False
-        self._asked_members = set()
+        self._known_members = set()
         self._rendezvous = Rendezvous()
         # A declaration of full size takes a third of a second to check, too long for the loop.
         self._parsing = ThreadPoolExecutor(max_workers=1, thread_name_prefix="parse")
@@ -555,8 +555,8 @@
     def _end_questions(self, view):
         # A question queued for a router that was killed would wait out its whole time for a
         # connection that never comes, and the caller behind it would wait as long.
-        gone = self._asked_members - set(view.all_members)
-        self._asked_members = set(view.all_members)
+        gone = self._known_members - set(view.all_members)
+        self._known_members = set(view.all_members)
         for name in gone:
             self._peers.fail_queries(name)
 
