--- a/wagtailtrestle/router.py
+++ b/wagtailtrestle/router.py
@@ -163,7 +163,7 @@
         self._store_epoch.on_return(self._vm_list.resume_fast_polling)
         self._store_epoch.on_return(lambda: self._metrics.count("store_returns"))
         self._membership.on_generation(lambda peer, generation: self._configuration.heard(generation, peer))
-        self._membership.on_view_change(self._end_questions)
+        self._membership.on_view_change(self._fail_queries_of_departed)
         self._membership.on_view_change(lambda view: self._watch_engines())
         self._membership.on_trusted(self._has_begun)
 
@@ -552,7 +552,7 @@
         answer = await self._peers.query(peer, message, timeout_s)
         return None if isinstance(answer, PeerUnreachable) else answer
 
-    def _end_questions(self, view):
+    def _fail_queries_of_departed(self, view):
         # A question queued for a router that was killed would wait out its whole time for a
         # connection that never comes, and the caller behind it would wait as long.
         gone = self._known_members - set(view.all_members)
