--- a/wagtailtrestle/router.py
+++ b/wagtailtrestle/router.py
@@ -256,7 +256,7 @@
             incarnation=str(self._incarnation),
             store=self._store,
             owner_of=lambda shard: self._rendezvous.choose(key=shard, members=self._membership.view.members) or "",
-            ask=self._ask,
+            ask=self._query_peer,
             shards=lambda: self._declaration().ledger_shards,
             retention_s=lambda: self._declaration().ledger_retention_s,
             live_routers=lambda: len(self._membership.view.all_members),
@@ -544,7 +544,7 @@
         for word in self._rollouts.words():
             self._peers.send(peer, word)
 
-    async def _ask(self, peer, message, timeout_s):
+    async def _query_peer(self, peer, message, timeout_s):
         if peer == self._settings.name:
             return await self._ledger.handle(message)
         if peer not in self._membership.view.all_members:
