--- a/wagtailtrestle/router.py
+++ b/wagtailtrestle/router.py
@@ -205,7 +205,7 @@
         )
         self._broadcast.on(CrashReport, key=lambda report: report.incident, handler=self._crashes.merge)
         self._broadcast.on(CrashClearance, key=lambda clearance: clearance, handler=self._crashes.merge_clearance)
-        self._peers.on_reconnect(self._tell_crashes)
+        self._peers.on_reconnect(self._send_crash_reports)
         self._make_ledger()
         self._make_rollouts()
         self._entry = Entry(
@@ -533,7 +533,7 @@
     def _other_members(self):
         return [name for name in self._membership.view.all_members if name != self._settings.name]
 
-    def _tell_crashes(self, peer):
+    def _send_crash_reports(self, peer):
         # A router that starts, or was cut off, has heard of no crash. Without this a request
         # that every other router refuses would crash engines again through that one.
         for report in self._crashes.reports():
