--- a/wagtailtrestle/router.py
+++ b/wagtailtrestle/router.py
@@ -247,7 +247,7 @@
             slack=self._settings.rollout_slack,
             clock=self._loop.time,
         )
-        self._peers.on_reconnect(self._tell_rollouts)
+        self._peers.on_reconnect(self._send_rollout_states)
         self._membership.on_view_change(lambda view: self._rollouts.refresh())
 
     def _make_ledger(self):
@@ -539,7 +539,7 @@
         for report in self._crashes.reports():
             self._peers.send(peer, report)
 
-    def _tell_rollouts(self, peer):
+    def _send_rollout_states(self, peer):
         # A router that starts may be scheduler next, and would send an untested version its full part.
         for word in self._rollouts.words():
             self._peers.send(peer, word)
