--- a/wagtailtrestle/router.py
+++ b/wagtailtrestle/router.py
@@ -141,7 +141,7 @@
                 store=self._store,
                 kind=self._adapter.engine_kind,
                 read_entry=self._adapter.read_engine,
-                on_change=self._take_engines,
+                on_change=self._apply_engine_list,
                 clock=self._loop.time,
                 return_grace_s=self._settings.engine_return_grace_s,
                 relay=None if readers is None else self._make_engine_relay(readers),
@@ -456,7 +456,7 @@
             # The ledger's layout needs the declared number of shards.
             self._ledger_starting = self._loop.create_task(self._ledger.start())
 
-    def _take_engines(self, by_name):
+    def _apply_engine_list(self, by_name):
         for name in self._listed_engines - by_name.keys():
             self._crashes.record_engine_down(name)
         self._listed_engines = by_name.keys()
