--- a/wagtailtrestle/router.py
+++ b/wagtailtrestle/router.py
@@ -156,7 +156,7 @@
             )
         self._vm_list = VMList(
             store=self._store,
-            on_change=self._take_vms,
+            on_change=self._apply_vm_list,
             interval_s=self._settings.vm_list_interval_s,
             settled_s=self._settings.vm_list_settled_s,
         )
@@ -487,7 +487,7 @@
         settings = self._settings
         return Tolerance(window_s=settings.quota_window_s, share=settings.quota_overage, units=settings.quota_slack)
 
-    def _take_vms(self, by_id):
+    def _apply_vm_list(self, by_id):
         vms = tuple(by_id.values())
         self._membership.observe_vms(vms)
         self._schedulers.set_leaving(frozenset(vm.id for vm in vms if vm.role == ENGINE_ROLE and vm.leaving))
