--- a/wagtailtrestle/router.py
+++ b/wagtailtrestle/router.py
@@ -221,7 +221,7 @@
         self._reports = EngineReports(
             interval_s=self._settings.report_interval_s,
             loop=self._loop,
-            on_report=self._take_report,
+            on_report=self._handle_report,
             dialect=self._adapter.reports,
         )
         self._quotas = SharedQuotas(
@@ -512,7 +512,7 @@
         """Cells that this router is scheduler of."""
         return {cell for cell in self._cells() if self._directory.scheduler_of(cell) == self._settings.name}
 
-    def _take_report(self, report):
+    def _handle_report(self, report):
         match report:
             case LoadReport():
                 self._schedulers.on_load_report(report)
