--- a/wagtailtrestle/router.py
+++ b/wagtailtrestle/router.py
@@ -165,7 +165,7 @@
         self._membership.on_generation(lambda peer, generation: self._configuration.heard(generation, peer))
         self._membership.on_view_change(self._fail_queries_of_departed)
         self._membership.on_view_change(lambda view: self._watch_engines())
-        self._membership.on_trusted(self._has_begun)
+        self._membership.on_trusted(self._check_initialized)
 
     def _make_readers(self):
         # Where reads may lag, what a reader tells proves nothing about what the store holds now.
@@ -398,11 +398,11 @@
         """Why the balancer may not send work now, or ``None``."""
         if self._draining:
             return Reason.DRAINING
-        if not self._has_begun():
+        if not self._check_initialized():
             return Reason.NOT_READY
         return None
 
-    def _has_begun(self):
+    def _check_initialized(self):
         # A router that starts asks its peers who lives; with the answer, on the same link and before
         # it, come the crashes they know. Ready without them, it would run again a request that every
         # other router refuses. With nobody to ask, the view is trusted after a second.
@@ -475,7 +475,7 @@
         self._schedulers.set_declaration(declaration)
         self._directory.refresh()
         self._watch_engines()
-        self._has_begun()
+        self._check_initialized()
 
     def _key_proof(self):
         # A key that was revoked while this router was cut off from the platform must not run
