--- a/wagtailtrestle/router.py
+++ b/wagtailtrestle/router.py
@@ -74,7 +74,7 @@
         self._exit_stack = contextlib.AsyncExitStack()
         self._ledger_starting = None
         self._draining = False
-        self._begun = False
+        self._is_initialized = False
         self._known_members = set()
         self._rendezvous = Rendezvous()
         # A declaration of full size takes a third of a second to check, too long for the loop.
@@ -406,12 +406,12 @@
         # A router that starts asks its peers who lives; with the answer, on the same link and before
         # it, come the crashes they know. Ready without them, it would run again a request that every
         # other router refuses. With nobody to ask, the view is trusted after a second.
-        if not self._begun:
+        if not self._is_initialized:
             engines_known = self._engine_list is None or self._engine_list.is_known
-            self._begun = self._in_force is not None and engines_known and self._membership.trusted
-            if self._begun:
+            self._is_initialized = self._in_force is not None and engines_known and self._membership.trusted
+            if self._is_initialized:
                 self._callers.let_go()
-        return self._begun
+        return self._is_initialized
 
     def state(self):
         """The whole state, for the dump."""
