--- a/wagtailtrestle/router.py
+++ b/wagtailtrestle/router.py
@@ -126,7 +126,7 @@
         self._configuration = Configuration(
             store=self._store,
             parse=self._adapter.parse,
-            on_change=self._put_in_force,
+            on_change=self._apply_configuration,
             ask_peers=self._peer_configuration.ask,
             executor=self._parsing,
             place=self._adapter.place,
@@ -447,7 +447,7 @@
         declaration = self._declaration()
         return {cell for service in declaration.services_by_name for cell in cells_of(declaration, service)}
 
-    def _put_in_force(self, in_force):
+    def _apply_configuration(self, in_force):
         self._membership.set_generation(in_force.generation)
         declaration = in_force.declaration
         self._quotas.set_declaration(declaration)
