--- a/wagtailtrestle/router.py
+++ b/wagtailtrestle/router.py
@@ -451,7 +451,7 @@
         self._membership.set_generation(in_force.generation)
         declaration = in_force.declaration
         self._quotas.set_declaration(declaration)
-        self._use_declaration(in_force)
+        self._apply_declaration(in_force)
         if self._ledger_starting is None and declaration.ledger_shards:
             # The ledger's layout needs the declared number of shards.
             self._ledger_starting = self._loop.create_task(self._ledger.start())
@@ -461,9 +461,9 @@
             self._crashes.record_engine_down(name)
         self._listed_engines = by_name.keys()
         if self._configuration.in_force is not None:
-            self._use_declaration(self._configuration.in_force)
+            self._apply_declaration(self._configuration.in_force)
 
-    def _use_declaration(self, in_force):
+    def _apply_declaration(self, in_force):
         """Go by a declaration, with the engines that list themselves where there are such."""
         declaration = in_force.declaration
         if self._engine_list is not None:
