--- a/wagtailtrestle/router.py
+++ b/wagtailtrestle/router.py
@@ -345,7 +345,7 @@
         self._exit_stack.push_async_callback(self._in_thread, self._reports.close)
         self._ticking = self._loop.create_task(self._tick())
         self._ticking.add_done_callback(lambda ended: report_failed_task(ended, "the schedulers' clock ended"))
-        self._exit_stack.push_async_callback(_stopped, self._ticking)
+        self._exit_stack.push_async_callback(_cancel_task, self._ticking)
         self._exit_stack.push_async_callback(self._entry.close)
         self._callers.start()
         self._exit_stack.push_async_callback(self._in_thread, self._callers.close)
@@ -572,6 +572,6 @@
                 self._rollouts.tick()
 
 
-async def _stopped(task):
+async def _cancel_task(task):
     task.cancel()
     await asyncio.gather(task, return_exceptions=True)
