--- a/wagtailtrestle/router.py
+++ b/wagtailtrestle/router.py
@@ -70,7 +70,7 @@
         self._settings = settings
         self._loop = loop
         self._incarnation = time.time_ns() // 1_000_000
-        self._ticking = None
+        self._tick_task = None
         self._exit_stack = contextlib.AsyncExitStack()
         self._ledger_starting = None
         self._draining = False
@@ -343,9 +343,9 @@
             self._exit_stack.push_async_callback(self._rollouts.close)
         self._reports.start()
         self._exit_stack.push_async_callback(self._in_thread, self._reports.close)
-        self._ticking = self._loop.create_task(self._tick())
-        self._ticking.add_done_callback(lambda ended: report_failed_task(ended, "the schedulers' clock ended"))
-        self._exit_stack.push_async_callback(_cancel_task, self._ticking)
+        self._tick_task = self._loop.create_task(self._tick())
+        self._tick_task.add_done_callback(lambda ended: report_failed_task(ended, "the schedulers' clock ended"))
+        self._exit_stack.push_async_callback(_cancel_task, self._tick_task)
         self._exit_stack.push_async_callback(self._entry.close)
         self._callers.start()
         self._exit_stack.push_async_callback(self._in_thread, self._callers.close)
