--- a/wagtailtrestle/router.py
+++ b/wagtailtrestle/router.py
@@ -72,7 +72,7 @@
         self._incarnation = time.time_ns() // 1_000_000
         self._tick_task = None
         self._exit_stack = contextlib.AsyncExitStack()
-        self._ledger_starting = None
+        self._ledger_start_task = None
         self._draining = False
         self._is_initialized = False
         self._known_members = set()
@@ -452,9 +452,9 @@
         declaration = in_force.declaration
         self._quotas.set_declaration(declaration)
         self._apply_declaration(in_force)
-        if self._ledger_starting is None and declaration.ledger_shards:
+        if self._ledger_start_task is None and declaration.ledger_shards:
             # The ledger's layout needs the declared number of shards.
-            self._ledger_starting = self._loop.create_task(self._ledger.start())
+            self._ledger_start_task = self._loop.create_task(self._ledger.start())
 
     def _apply_engine_list(self, by_name):
         for name in self._listed_engines - by_name.keys():
