--- a/wagtailtrestle/router.py
+++ b/wagtailtrestle/router.py
@@ -499,12 +499,12 @@
         """
         if self._in_force is None:
             return
-        mine = self._own_cells()
+        own_cells = self._own_cells()
         declaration = self._declaration()
         polled = {
             engine.name: engine.address
             for engine in declaration.engines_by_name.values()
-            if engine.cell in mine and declaration.services_by_name[engine.service].kind == LANGUAGE
+            if engine.cell in own_cells and declaration.services_by_name[engine.service].kind == LANGUAGE
         }
         self._reports.set_engines(polled)
 
