--- a/wagtailtrestle/record.py
+++ b/wagtailtrestle/record.py
@@ -11,11 +11,11 @@
     A frozen dataclass compiles functions of its own for all of this, 1.3 ms a class. A router reads more
     than a hundred of them at each start, before it serves anybody; with shared functions it is 0.3 ms.
     """
-    made = dataclass(slots=True, kw_only=True, repr=False, eq=False)(cls)
-    made.__eq__ = _is_equal
-    made.__hash__ = _hash
-    made.__repr__ = _text
-    return made
+    record_class = dataclass(slots=True, kw_only=True, repr=False, eq=False)(cls)
+    record_class.__eq__ = _is_equal
+    record_class.__hash__ = _hash
+    record_class.__repr__ = _text
+    return record_class
 
 
 def _values(self):
