--- a/tests/test_record.py
+++ b/tests/test_record.py
@@ -5,7 +5,7 @@
 
 
 @record
-class Place:
+class Slot:
     """A record."""
 
     engine: str
@@ -22,23 +22,23 @@
 
 class RecordTest(unittest.TestCase):
     def test_equal_by_type_and_fields(self):
-        self.assertEqual(Place(engine="a"), Place(engine="a", slot=0))
-        self.assertNotEqual(Place(engine="a"), Place(engine="b"))
-        self.assertNotEqual(Place(engine="a"), Turn(engine="a"))
-        self.assertEqual(len({Place(engine="a"), Place(engine="a"), Turn(engine="a")}), 2)
+        self.assertEqual(Slot(engine="a"), Slot(engine="a", slot=0))
+        self.assertNotEqual(Slot(engine="a"), Slot(engine="b"))
+        self.assertNotEqual(Slot(engine="a"), Turn(engine="a"))
+        self.assertEqual(len({Slot(engine="a"), Slot(engine="a"), Turn(engine="a")}), 2)
 
     def test_fields_are_named_and_no_others_exist(self):
         with self.assertRaises(TypeError):
-            Place("a")
+            Slot("a")
         with self.assertRaises(AttributeError):
-            Place(engine="a").other = 1
+            Slot(engine="a").other = 1
 
     def test_shown_by_its_fields(self):
-        self.assertEqual(repr(Place(engine="a", slot=2)), "Place(engine='a', slot=2)")
+        self.assertEqual(repr(Slot(engine="a", slot=2)), "Place(engine='a', slot=2)")
 
     def test_matched_and_copied(self):
-        match pickle.loads(pickle.dumps(Place(engine="a", slot=3))):
-            case Place(slot=slot):
+        match pickle.loads(pickle.dumps(Slot(engine="a", slot=3))):
+            case Slot(slot=slot):
                 self.assertEqual(slot, 3)
 
 
