--- a/tests/test_record.py
+++ b/tests/test_record.py
@@ -13,7 +13,7 @@
 
 
 @record
-class Turn:
+class OtherRecord:
     """One with the same fields."""
 
     engine: str
@@ -24,8 +24,8 @@
     def test_equal_by_type_and_fields(self):
         self.assertEqual(Slot(engine="a"), Slot(engine="a", slot=0))
         self.assertNotEqual(Slot(engine="a"), Slot(engine="b"))
-        self.assertNotEqual(Slot(engine="a"), Turn(engine="a"))
-        self.assertEqual(len({Slot(engine="a"), Slot(engine="a"), Turn(engine="a")}), 2)
+        self.assertNotEqual(Slot(engine="a"), OtherRecord(engine="a"))
+        self.assertEqual(len({Slot(engine="a"), Slot(engine="a"), OtherRecord(engine="a")}), 2)
 
     def test_fields_are_named_and_no_others_exist(self):
         with self.assertRaises(TypeError):
