--- a/wagtailtrestle/adapters.py
+++ b/wagtailtrestle/adapters.py
@@ -84,7 +84,7 @@
         return Intake(**parts)
 
 
-def adapter_of(settings) -> Adapter:
+def make_adapter(settings) -> Adapter:
     """Return the adapter that a router's settings name."""
     if settings.adapter == PLATFORM_ADAPTER:
         # Imported late: a router that speaks the product's own interface needs none of it.
--- a/wagtailtrestle/router.py
+++ b/wagtailtrestle/router.py
@@ -7,7 +7,7 @@
 
 from loguru import logger
 
-from wagtailtrestle.adapters import adapter_of
+from wagtailtrestle.adapters import make_adapter
 from wagtailtrestle.broken_invariant import report_failed_task
 from wagtailtrestle.callers.authentication import KeyProof
 from wagtailtrestle.callers.limits import DEFAULT_BODY_BYTES, CallerLimits, held_for
@@ -80,7 +80,7 @@
         # A declaration of full size takes a third of a second to check, too long for the loop.
         self._parsing = ThreadPoolExecutor(max_workers=1, thread_name_prefix="parse")
         self._metrics = Metrics()
-        self._adapter = adapter_of(settings)
+        self._adapter = make_adapter(settings)
         self._in_force = None
         self._listed_engines = frozenset()
         self._store_epoch = StoreEpoch()
