--- a/wagtailtrestle/__init__.py
+++ b/wagtailtrestle/__init__.py
@@ -1,3 +1,3 @@
-"""Request scheduler for unlike engines, run by declarations."""
+"""Declaratively configured request scheduler for heterogeneous engines."""
 
 __version__ = "0.1.0"
--- a/wagtailtrestle/adapters.py
+++ b/wagtailtrestle/adapters.py
@@ -1,4 +1,4 @@
-"""Whose interface a router speaks: what the wiring needs of an adapter, and the product's own."""
+"""Adapters between the router and the platform it runs on: the protocol and the native adapter."""
 
 from typing import Protocol
 
@@ -12,7 +12,7 @@
 
 
 class Adapter(Protocol):
-    """One outside world: its store, declarations, engines and callers.
+    """Everything specific to one platform: its store, declarations, engines and callers.
 
     Attributes
     ----------
@@ -21,16 +21,16 @@
     ended_call : EngineDialect or None
         See :class:`wagtailtrestle.engines.client.EngineClient`.
     router_kind : str or None
-        Kind of the objects by which routers find each other; ``None`` where the store lists VMs.
+        Kind of the objects by which routers discover each other; ``None`` where the store lists VMs.
     rollout_kind : str or None
-        Kind of the objects by which operators order roll-outs; ``None`` where they can't.
+        Kind of the objects by which operators request rollouts; ``None`` where rollouts are not supported.
     shares_confirmations : bool
-        Whether a peer's word that the platform confirmed the configuration spares a read: only where
-        reads are never stale.
+        Whether a router may rely on a peer's confirmation of the configuration instead of reading the
+        store itself. Safe only if reads are never stale.
     engine_kind : str or None
-        Kind of the objects by which engines list themselves; ``None`` where they are declared.
+        Kind of the objects by which engines register themselves; ``None`` where they are declared.
     epoch_kind : str or None
-        Kind of the fleet's note of the store's epoch; ``None`` where the store tells none.
+        Kind of the object that records the store's epoch; ``None`` where the store reports none.
     """
 
     place: object
@@ -43,20 +43,20 @@
     shares_confirmations: bool
 
     def open_store(self, url: str, epoch):
-        """Return an ``ObjectStore`` that is not started yet; it tells ``epoch`` what its answers bear."""
+        """Return an ``ObjectStore``, not yet started, that reports the epochs in its answers to ``epoch``."""
 
     def parse(self, text: str):
-        """Return a ``Declaration``, or an object whose ``faults`` say why it can't be read."""
+        """Return a ``Declaration``, or an object whose ``faults`` say why the text is invalid."""
 
     def read_engine(self, name: str, value):
-        """Return the ``DeclaredEngine`` of an engine's own entry, or ``None``."""
+        """Return the ``DeclaredEngine`` described by an engine's registration, or ``None``."""
 
     def make_dialect(self, *, key_proof, quotas, **parts):
         """Return the ``CallerDialect``; ``parts`` are those of ``callers.intake.Intake``."""
 
 
 class NativeAdapter:
-    """The product's own interface."""
+    """The native interface."""
 
     place = OwnDeclarations()
     reports = NativeReports()
@@ -68,26 +68,26 @@
     shares_confirmations = False
 
     def open_store(self, url, epoch):
-        """Return the client of the product's own object API, which bears no epoch."""
+        """Return the client of the native object API, whose answers carry no epoch."""
         return HttpObjectStore(url=url)
 
     def parse(self, text):
-        """Check a declaration in YAML."""
+        """Parse and check a declaration in YAML."""
         return parse_declaration(text)
 
     def read_engine(self, name, value):
-        """Engines are declared here, so there is no entry to read."""
+        """Return ``None``: engines are declared, they do not register themselves."""
         return None
 
     def make_dialect(self, *, key_proof, quotas, **parts):
-        """Return the product's own callers' HTTP."""
+        """Return the native HTTP dialect for callers."""
         return Intake(**parts)
 
 
 def make_adapter(settings) -> Adapter:
-    """Return the adapter that a router's settings name."""
+    """Return the adapter named in a router's settings."""
     if settings.adapter == PLATFORM_ADAPTER:
-        # Imported late: a router that speaks the product's own interface needs none of it.
+        # Imported here because a router with the native adapter needs none of it.
         from wagtailtrestle.platform.adapter import PlatformAdapter
 
         return PlatformAdapter()
--- a/wagtailtrestle/core.py
+++ b/wagtailtrestle/core.py
@@ -1,4 +1,4 @@
-"""Runs one router until it is asked to stop."""
+"""Runs one router until it receives a stop signal."""
 
 import asyncio
 import signal
@@ -15,7 +15,7 @@
 def run_router(*, settings, settings_file, environment, listener=None):
     """Run a router until SIGTERM or SIGINT, then drain it; return the exit status.
 
-    ``listener`` listens for callers already, where that was begun ahead of the router.
+    ``listener`` is a socket that already listens for callers, if it was opened before the router started.
     """
     try:
         return asyncio.run(_run(settings, settings_file, listener))
@@ -33,7 +33,7 @@
         loop.add_signal_handler(number, stop_requested.set)
     router = Router(settings=settings, loop=loop, listener=listener)
     watch = SettingsWatch(path=settings_file, settings=settings)
-    # Unhandled, this signal ends a process on the spot, with every request in flight.
+    # The default action of this signal would kill the process with all requests in flight.
     loop.add_signal_handler(signal.SIGHUP, watch.reload)
     await router.start()
     watch.start()
--- a/wagtailtrestle/environment.py
+++ b/wagtailtrestle/environment.py
@@ -1,4 +1,4 @@
-"""The explicit surroundings of a program, so that tests can swap each of them."""
+"""Dependencies of a program on its surroundings, passed explicitly so that tests can replace them."""
 
 import os
 import sys
@@ -7,22 +7,22 @@
 
 
 class Environment:
-    """What a program takes from and gives to the outside.
+    """Streams, environment variables, clients and clock of a program.
 
     Parameters
     ----------
     program : str
-        Name under which it was called.
+        Name under which the program was called.
     stdin, stdout, stderr : file object
     environ : mapping of str to str
     open_store : callable
         ``open_store(url)`` returns an ``ObjectStore`` that is not started yet.
     fetch_json : callable
-        ``fetch_json(url)`` returns what a JSON answer holds, or a text that says what went wrong.
+        ``fetch_json(url)`` returns the decoded JSON body, or a str that describes the error.
     unix_time : callable
-        Returns Unix seconds; only recorded, never compared.
+        Returns Unix seconds; the values are recorded but never compared.
     new_id : callable
-        Returns a text that is unique for ever.
+        Returns a globally unique str.
     """
 
     __slots__ = ("program", "stdin", "stdout", "stderr", "environ", "open_store", "fetch_json", "unix_time", "new_id")
@@ -52,7 +52,7 @@
 
     @classmethod
     def of_process(cls, *, program):
-        """Return the real surroundings of this process."""
+        """Return the environment of the running process."""
         return cls(
             program=program,
             stdin=sys.stdin,
@@ -64,15 +64,15 @@
         )
 
     def print_result(self, text):
-        """Print a result for the person or script that called."""
+        """Print a result to standard output."""
         print(text, file=self.stdout)
 
     def print_error(self, text):
-        """Print what went wrong."""
+        """Print an error message to standard error."""
         print(text, file=self.stderr)
 
 
-# Imported late: `check` needs no HTTP, and is run by every commit hook.
+# Imported inside the functions because `check`, which every commit hook runs, needs no HTTP.
 
 
 def _open_http_store(url):
--- a/wagtailtrestle/record.py
+++ b/wagtailtrestle/record.py
@@ -1,4 +1,4 @@
-"""How messages, outcomes and other records are declared."""
+"""Decorator for messages, outcomes and other record classes."""
 
 from dataclasses import dataclass
 from typing import dataclass_transform
@@ -6,10 +6,11 @@
 
 @dataclass_transform(kw_only_default=True)
 def record(cls):
-    """Make a dataclass with slots, compared, hashed and shown by its fields; by agreement never changed.
+    """Make a dataclass with slots and with equality, hash and repr by its fields; instances must not be modified.
 
-    A frozen dataclass compiles functions of its own for all of this, 1.3 ms a class. A router reads more
-    than a hundred of them at each start, before it serves anybody; with shared functions it is 0.3 ms.
+    A frozen dataclass compiles its own functions for all of this, which takes 1.3 ms a class. A router
+    imports more than a hundred of these classes at each start, before it serves requests; with shared
+    functions each takes 0.3 ms.
     """
     record_class = dataclass(slots=True, kw_only=True, repr=False, eq=False)(cls)
     record_class.__eq__ = _is_equal
--- a/wagtailtrestle/router.py
+++ b/wagtailtrestle/router.py
@@ -1,4 +1,4 @@
-"""One router: its parts, how they are joined, and the order they start and stop in."""
+"""The router: its components, how they are connected, and the order in which they start and stop."""
 
 import asyncio
 import contextlib
@@ -55,14 +55,14 @@
 
 
 class Router:
-    """The daemon on one entry VM.
+    """The router daemon on one VM.
 
     Parameters
     ----------
     settings : RouterSettings
     loop : asyncio.AbstractEventLoop
     listener : socket.socket, optional
-        Listens for callers already.
+        Socket that already listens for callers.
     """
 
     def __init__(self, *, settings, loop, listener=None):
@@ -77,7 +77,7 @@
         self._is_initialized = False
         self._known_members = set()
         self._rendezvous = Rendezvous()
-        # A declaration of full size takes a third of a second to check, too long for the loop.
+        # Checking a declaration of full size takes a third of a second, too long for the event loop.
         self._parsing = ThreadPoolExecutor(max_workers=1, thread_name_prefix="parse")
         self._metrics = Metrics()
         self._adapter = make_adapter(settings)
@@ -91,7 +91,7 @@
         self._make_decisions()
         self._make_servers()
 
-    # Making the parts.
+    # Construction of the components.
 
     def _make_peers(self):
         settings = self._settings
@@ -168,7 +168,7 @@
         self._membership.on_trusted(self._check_initialized)
 
     def _make_readers(self):
-        # Where reads may lag, what a reader tells proves nothing about what the store holds now.
+        # Where reads may be stale, a reader's report does not prove what the store holds now.
         if not self._adapter.shares_confirmations:
             return None
         return StoreReaders(name=self._settings.name, members=lambda: self._membership.view.members)
@@ -299,12 +299,12 @@
             loop=self._loop,
         )
 
-    # Life.
+    # Lifecycle.
 
     async def start(self):
-        """Start every part; the router is ready once a configuration is in force.
+        """Start all components; the router is ready once a configuration is in force.
 
-        If one cannot start (an address in use), those before it are stopped again.
+        If one of them cannot start (its address is in use), those already started are stopped again.
         """
         try:
             await self._start_parts()
@@ -344,14 +344,16 @@
         self._reports.start()
         self._exit_stack.push_async_callback(self._in_thread, self._reports.close)
         self._tick_task = self._loop.create_task(self._tick())
-        self._tick_task.add_done_callback(lambda ended: report_failed_task(ended, "the schedulers' clock ended"))
+        self._tick_task.add_done_callback(
+            lambda ended: report_failed_task(ended, "the task that ticks the schedulers ended")
+        )
         self._exit_stack.push_async_callback(_cancel_task, self._tick_task)
         self._exit_stack.push_async_callback(self._entry.close)
         self._callers.start()
         self._exit_stack.push_async_callback(self._in_thread, self._callers.close)
 
     def _announce(self):
-        """Tell the store where this router listens, where routers find each other that way."""
+        """Publish this router's addresses in the store, if routers discover each other through the store."""
         if self._adapter.router_kind is None:
             return None
         announcement = Announcement(
@@ -372,7 +374,7 @@
         return announcement
 
     async def drain(self):
-        """Leave: take no new work, hand the cells over, finish what is in flight."""
+        """Stop accepting work, hand the cells over and finish the requests in flight."""
         self._draining = True
         self._membership.set_draining()
         self._schedulers.stop_granting()
@@ -388,14 +390,14 @@
             await self._announcement.withdraw()
 
     async def close(self):
-        """Stop every part, in the opposite order of the start."""
+        """Stop all components in reverse order of their start."""
         await self._exit_stack.aclose()
 
     async def _in_thread(self, close):
         await self._loop.run_in_executor(None, close)
 
     def not_ready(self):
-        """Why the balancer may not send work now, or ``None``."""
+        """Return the reason why the balancer must not send requests now, or ``None``."""
         if self._draining:
             return Reason.DRAINING
         if not self._check_initialized():
@@ -403,9 +405,9 @@
         return None
 
     def _check_initialized(self):
-        # A router that starts asks its peers who lives; with the answer, on the same link and before
-        # it, come the crashes they know. Ready without them, it would run again a request that every
-        # other router refuses. With nobody to ask, the view is trusted after a second.
+        # A starting router requests the view from its peers. They send the crashes that they know on the
+        # same link ahead of the answer. If the router became ready without them, it would run again a
+        # poison request that every other router refuses. Without peers, the view is trusted after a second.
         if not self._is_initialized:
             engines_known = self._engine_list is None or self._engine_list.is_known
             self._is_initialized = self._in_force is not None and engines_known and self._membership.trusted
@@ -414,7 +416,7 @@
         return self._is_initialized
 
     def state(self):
-        """The whole state, for the dump."""
+        """Return the complete state for the state dump."""
         return {
             "name": self._settings.name,
             "zone": self._settings.zone,
@@ -436,7 +438,7 @@
             "rollouts": None if self._rollouts is None else self._rollouts.dump(),
         }
 
-    # What the parts tell each other.
+    # Callbacks between the components.
 
     def _declaration(self):
         return self._in_force.declaration
@@ -453,7 +455,7 @@
         self._quotas.set_declaration(declaration)
         self._apply_declaration(in_force)
         if self._ledger_start_task is None and declaration.ledger_shards:
-            # The ledger's layout needs the declared number of shards.
+            # The ledger's layout depends on the declared number of shards.
             self._ledger_start_task = self._loop.create_task(self._ledger.start())
 
     def _apply_engine_list(self, by_name):
@@ -464,13 +466,13 @@
             self._apply_declaration(self._configuration.in_force)
 
     def _apply_declaration(self, in_force):
-        """Go by a declaration, with the engines that list themselves where there are such."""
+        """Apply a declaration, with the engines that register themselves if the platform has such."""
         declaration = in_force.declaration
         if self._engine_list is not None:
             declaration = declaration.with_engines(self._engine_list.by_name)
         self._in_force = InForce(generation=in_force.generation, declaration=declaration, text=in_force.text)
         if self._rollouts is not None:
-            # First, so that no engine is used before it is known whether its version may be.
+            # First, so that no engine is used before it is known whether its version is permitted.
             self._rollouts.refresh()
         self._schedulers.set_declaration(declaration)
         self._directory.refresh()
@@ -478,9 +480,9 @@
         self._check_initialized()
 
     def _key_proof(self):
-        # A key that was revoked while this router was cut off from the platform must not run
-        # requests for longer than the operator allows. Any key may be that one, so past the limit
-        # none is used: a caller is told to come back, and mostly finds another router.
+        # A key that is revoked while this router is cut off from the platform must not run requests
+        # for longer than the operator allows. Any key may be the revoked one, so past the limit no key
+        # is accepted: callers are asked to retry, and mostly reach another router.
         return KeyProof(age_s=self._configuration.confirmed_age_s(), limit_s=self._settings.key_freshness_s)
 
     def _tolerance(self):
@@ -493,9 +495,9 @@
         self._schedulers.set_leaving(frozenset(vm.id for vm in vms if vm.role == ENGINE_ROLE and vm.leaving))
 
     def _watch_engines(self):
-        """Poll the language engines of the cells that this router is scheduler of.
+        """Poll the load of the language engines in the cells that this router schedules.
 
-        A plain service has no load report: a call to it could be taken for work.
+        A plain service has no load report: it could take the poll for a request.
         """
         if self._in_force is None:
             return
@@ -509,7 +511,7 @@
         self._reports.set_engines(polled)
 
     def _own_cells(self):
-        """Cells that this router is scheduler of."""
+        """Return the cells that this router schedules."""
         return {cell for cell in self._cells() if self._directory.scheduler_of(cell) == self._settings.name}
 
     def _handle_report(self, report):
@@ -534,13 +536,13 @@
         return [name for name in self._membership.view.all_members if name != self._settings.name]
 
     def _send_crash_reports(self, peer):
-        # A router that starts, or was cut off, has heard of no crash. Without this a request
-        # that every other router refuses would crash engines again through that one.
+        # A router that has just started, or was cut off, knows of no crashes. Without these reports a
+        # poison request that every other router refuses would crash engines again through that router.
         for report in self._crashes.reports():
             self._peers.send(peer, report)
 
     def _send_rollout_states(self, peer):
-        # A router that starts may be scheduler next, and would send an untested version its full part.
+        # A router that has just started may become the scheduler and would send an untested version its full share.
         for word in self._rollouts.words():
             self._peers.send(peer, word)
 
@@ -553,8 +555,8 @@
         return None if isinstance(answer, PeerUnreachable) else answer
 
     def _fail_queries_of_departed(self, view):
-        # A question queued for a router that was killed would wait out its whole time for a
-        # connection that never comes, and the caller behind it would wait as long.
+        # A query queued for a router that was killed would wait its full timeout for a connection that
+        # is never made, and the caller behind it would wait as long.
         gone = self._known_members - set(view.all_members)
         self._known_members = set(view.all_members)
         for name in gone:
