--- a/wagtailtrestle/platform/store.py
+++ b/wagtailtrestle/platform/store.py
@@ -69,9 +69,9 @@
         answer = await self._call("GET", _path(kind, name))
         match answer.status:
             case HTTPStatus.OK if _is_object(answer.body):
-                return _told(answer, StoreDone(version=_revision(answer.body), value=_value(kind, answer.body)))
+                return _with_epoch(answer, StoreDone(version=_revision(answer.body), value=_value(kind, answer.body)))
             case HTTPStatus.NOT_FOUND:
-                return _told(answer, StoreAbsent())
+                return _with_epoch(answer, StoreAbsent())
         return _unread(answer)
 
     async def list(self, *, kind):
@@ -104,9 +104,9 @@
         match answer.status:
             case HTTPStatus.OK if _is_list(answer.body, "events"):
                 events = tuple(_event(kind, event) for event in answer.body["events"] if _is_event(event))
-                return _told(answer, StoreDone(version=answer.body["store_revision"], value=events))
+                return _with_epoch(answer, StoreDone(version=answer.body["store_revision"], value=events))
             case HTTPStatus.GONE:
-                return _told(answer, StoreHistoryGone())
+                return _with_epoch(answer, StoreHistoryGone())
         return _unread(answer)
 
     async def vms(self):
@@ -128,12 +128,12 @@
                 return _unread(answer)
             if after and _epoch(answer) != epoch:
                 # The store came back from a copy between two pages: together they are a list of nothing.
-                return _told(answer, StoreUnavailable(detail="two pages of a list are of different epochs"))
+                return _with_epoch(answer, StoreUnavailable(detail="two pages of a list are of different epochs"))
             epoch = _epoch(answer)
             items = [item for item in answer.body["items"] if _is_object(item)]
             by_name.update((_name(item), (_revision(item), _value(kind, item))) for item in items)
             if not answer.body.get("has_more") or not items:
-                return _told(answer, StoreDone(version=answer.body["store_revision"], value=by_name))
+                return _with_epoch(answer, StoreDone(version=answer.body["store_revision"], value=by_name))
             # Named a revision on the wire, but it takes the name of the last object read.
             after = _name(items[-1])
         return RevisionAnswer(outcome=StoreUnavailable(detail=f"the list of {kind} has over {MAX_PAGES} pages"))
@@ -159,31 +159,31 @@
     return int(text) if text.isascii() and text.isdigit() else None
 
 
-def _told(answer, outcome):
+def _with_epoch(answer, outcome):
     return RevisionAnswer(outcome=outcome, epoch=_epoch(answer))
 
 
 def _unread(answer):
-    return _told(answer, StoreUnavailable(detail=describe(answer)))
+    return _with_epoch(answer, StoreUnavailable(detail=describe(answer)))
 
 
 def _written(answer):
     """Answer to a write: without one it may have taken effect, or do so seconds later."""
     match answer.status:
         case HTTPStatus.OK | HTTPStatus.CREATED if _is_object(answer.body):
-            return _told(answer, StoreDone(version=_revision(answer.body)))
+            return _with_epoch(answer, StoreDone(version=_revision(answer.body)))
         case HTTPStatus.OK | HTTPStatus.CREATED:
-            return _told(answer, StoreDone(version=0))
+            return _with_epoch(answer, StoreDone(version=0))
         case HTTPStatus.CONFLICT if _is_object(answer.body):
             found = StoreConflict(version=_revision(answer.body), value=answer.body.get("specification"))
-            return _told(answer, found)
+            return _with_epoch(answer, found)
         case HTTPStatus.CONFLICT:
-            return _told(answer, StoreConflict())
+            return _with_epoch(answer, StoreConflict())
         case HTTPStatus.NOT_FOUND:
-            return _told(answer, StoreAbsent())
+            return _with_epoch(answer, StoreAbsent())
         case status if status in NOT_TAKEN_UP:
             return _unread(answer)
-    return _told(answer, StoreUnknown(detail=describe(answer))) if answer.was_sent else _unread(answer)
+    return _with_epoch(answer, StoreUnknown(detail=describe(answer))) if answer.was_sent else _unread(answer)
 
 
 def _event(kind, event):
