--- a/wagtailtrestle/platform/store.py
+++ b/wagtailtrestle/platform/store.py
@@ -72,7 +72,7 @@
                 return _with_epoch(answer, StoreDone(version=_revision(answer.body), value=_value(kind, answer.body)))
             case HTTPStatus.NOT_FOUND:
                 return _with_epoch(answer, StoreAbsent())
-        return _unread(answer)
+        return _unavailable(answer)
 
     async def list(self, *, kind):
         """Read all objects of a kind: ``value`` maps name to ``(revision, value)``."""
@@ -107,7 +107,7 @@
                 return _with_epoch(answer, StoreDone(version=answer.body["store_revision"], value=events))
             case HTTPStatus.GONE:
                 return _with_epoch(answer, StoreHistoryGone())
-        return _unread(answer)
+        return _unavailable(answer)
 
     async def vms(self):
         """Read the routers that announced themselves; seconds old at a tenth of the price."""
@@ -125,7 +125,7 @@
         for _ in range(MAX_PAGES):
             answer = await self._call("GET", _path(kind) + _query(after=after, is_stale_enough=is_stale_enough))
             if answer.status != HTTPStatus.OK or not _is_list(answer.body, "items"):
-                return _unread(answer)
+                return _unavailable(answer)
             if after and _epoch(answer) != epoch:
                 # The store came back from a copy between two pages: together they are a list of nothing.
                 return _with_epoch(answer, StoreUnavailable(detail="two pages of a list are of different epochs"))
@@ -163,7 +163,7 @@
     return RevisionAnswer(outcome=outcome, epoch=_epoch(answer))
 
 
-def _unread(answer):
+def _unavailable(answer):
     return _with_epoch(answer, StoreUnavailable(detail=describe(answer)))
 
 
@@ -182,8 +182,8 @@
         case HTTPStatus.NOT_FOUND:
             return _with_epoch(answer, StoreAbsent())
         case status if status in NOT_TAKEN_UP:
-            return _unread(answer)
-    return _with_epoch(answer, StoreUnknown(detail=describe(answer))) if answer.was_sent else _unread(answer)
+            return _unavailable(answer)
+    return _with_epoch(answer, StoreUnknown(detail=describe(answer))) if answer.was_sent else _unavailable(answer)
 
 
 def _event(kind, event):
