--- a/wagtailtrestle/platform/rollouts.py
+++ b/wagtailtrestle/platform/rollouts.py
@@ -18,12 +18,12 @@
     """Build an order from an object of the store; ``None`` if no operator wrote such a one."""
     order = value.get("specification")
     if not isinstance(order, dict) or order.get("service") != name:
-        return _unread(name, "its service is not its name")
+        return _log_invalid(name, "its service is not its name")
     target, duration_s = order.get("target"), order.get("duration_s")
     if not isinstance(target, str) or not 0 < len(target) <= MAX_TEXT:
-        return _unread(name, "its target is no version")
+        return _log_invalid(name, "its target is no version")
     if not isinstance(duration_s, int | float) or isinstance(duration_s, bool) or not 0 < duration_s <= MAX_DURATION_S:
-        return _unread(name, "its duration is no time")
+        return _log_invalid(name, "its duration is no time")
     return RolloutOrder(
         service=name,
         target=target,
@@ -45,5 +45,5 @@
     return STATE_BY_WORD.get(status.get("state"))
 
 
-def _unread(name, problem):
+def _log_invalid(name, problem):
     logger.error("the order of a roll-out of {} is not followed: {}", repr(name)[:80], problem)
