--- a/wagtailtrestle/platform/store.py
+++ b/wagtailtrestle/platform/store.py
@@ -81,21 +81,21 @@
     async def create(self, *, kind, name, value):
         """Create an object that must not exist yet."""
         body = {"metadata": {"name": name}, "specification": value}
-        return _written(await self._call("POST", _path(kind), body=body))
+        return _write_outcome(await self._call("POST", _path(kind), body=body))
 
     async def update(self, *, kind, name, value, if_revision):
         """Replace an object that must be at ``if_revision``."""
         body = {"metadata": {"name": name, "revision": if_revision}, "specification": value}
-        return _written(await self._call("PUT", _path(kind, name), body=body))
+        return _write_outcome(await self._call("PUT", _path(kind, name), body=body))
 
     async def update_status(self, *, kind, name, value, if_revision):
         """Replace the status of an object that must be at ``if_revision``."""
         body = {"metadata": {"name": name, "revision": if_revision}, "status": value}
-        return _written(await self._call("PUT", f"{_path(kind, name)}/status", body=body))
+        return _write_outcome(await self._call("PUT", f"{_path(kind, name)}/status", body=body))
 
     async def delete(self, *, kind, name, if_revision):
         """Delete an object that must be at ``if_revision``."""
-        return _written(await self._call("DELETE", f"{_path(kind, name)}?revision={if_revision}"))
+        return _write_outcome(await self._call("DELETE", f"{_path(kind, name)}?revision={if_revision}"))
 
     async def watch(self, *, kind, from_revision, timeout_s):
         """Wait for changes after ``from_revision``; a deleted object's value is ``None``."""
@@ -167,7 +167,7 @@
     return _with_epoch(answer, StoreUnavailable(detail=describe(answer)))
 
 
-def _written(answer):
+def _write_outcome(answer):
     """Answer to a write: without one it may have taken effect, or do so seconds later."""
     match answer.status:
         case HTTPStatus.OK | HTTPStatus.CREATED if _is_object(answer.body):
