--- a/wagtailtrestle/platform/store.py
+++ b/wagtailtrestle/platform/store.py
@@ -33,7 +33,7 @@
 """What a router's announcement holds as text."""
 MAX_PAGES = 100
 """Pages read of one list, so that a store that never ends a list can't hold its reader."""
-NOT_TAKEN_UP = (HTTPStatus.TOO_MANY_REQUESTS, HTTPStatus.SERVICE_UNAVAILABLE, HTTPStatus.BAD_REQUEST)
+NOT_APPLIED_STATUSES = (HTTPStatus.TOO_MANY_REQUESTS, HTTPStatus.SERVICE_UNAVAILABLE, HTTPStatus.BAD_REQUEST)
 """Statuses by which the store says that nothing was done."""
 
 
@@ -181,7 +181,7 @@
             return _with_epoch(answer, StoreConflict())
         case HTTPStatus.NOT_FOUND:
             return _with_epoch(answer, StoreAbsent())
-        case status if status in NOT_TAKEN_UP:
+        case status if status in NOT_APPLIED_STATUSES:
             return _unavailable(answer)
     return _with_epoch(answer, StoreUnknown(detail=describe(answer))) if answer.was_sent else _unavailable(answer)
 
