--- a/wagtailtrestle/platform/store.py
+++ b/wagtailtrestle/platform/store.py
@@ -76,7 +76,7 @@
 
     async def list(self, *, kind):
         """Read all objects of a kind: ``value`` maps name to ``(revision, value)``."""
-        return await self._list(kind, is_stale_enough=False)
+        return await self._list(kind, may_be_stale=False)
 
     async def create(self, *, kind, name, value):
         """Create an object that must not exist yet."""
@@ -111,19 +111,19 @@
 
     async def vms(self):
         """Read the routers that announced themselves; seconds old at a tenth of the price."""
-        answer = await self._list(ROUTER_KIND, is_stale_enough=True)
+        answer = await self._list(ROUTER_KIND, may_be_stale=True)
         outcome = answer.outcome
         if not isinstance(outcome, StoreDone):
             return answer
         vms = tuple(_vm(name, value) for name, (_, value) in sorted(outcome.value.items()) if _is_vm(value))
         return RevisionAnswer(outcome=StoreDone(version=outcome.version, value=vms), epoch=answer.epoch)
 
-    async def _list(self, kind, *, is_stale_enough):
+    async def _list(self, kind, *, may_be_stale):
         by_name = {}
         after = ""
         epoch = None
         for _ in range(MAX_PAGES):
-            answer = await self._call("GET", _path(kind) + _query(after=after, is_stale_enough=is_stale_enough))
+            answer = await self._call("GET", _path(kind) + _query(after=after, may_be_stale=may_be_stale))
             if answer.status != HTTPStatus.OK or not _is_list(answer.body, "items"):
                 return _unavailable(answer)
             if after and _epoch(answer) != epoch:
@@ -239,10 +239,10 @@
     return path if name is None else f"{path}/{quote(name, safe='')}"
 
 
-def _query(*, after, is_stale_enough):
+def _query(*, after, may_be_stale):
     fields = []
     if after:
         fields.append(f"after_revision={quote(after, safe='')}")
-    if is_stale_enough:
+    if may_be_stale:
         fields.append("stale_ok=1")
     return "?" + "&".join(fields) if fields else ""
