--- a/wagtailtrestle/platform/callers.py
+++ b/wagtailtrestle/platform/callers.py
@@ -19,7 +19,7 @@
 from wagtailtrestle.quotas.charging import charge_team
 
 MS_PER_S = 1000.0
-PROMISES = frozenset({408, 421, 429, 503})
+NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
 """Statuses by which callers are promised that their request was not and will not be run."""
 UNAVAILABLE = 503
 BAD_GATEWAY = 502
@@ -86,7 +86,7 @@
             ("Content-Length", str(len(body))),
             (names.REQUEST_ID, request_id),
         ]
-        if status in PROMISES:
+        if status in NOT_RUN_STATUSES:
             wait_s = max(MIN_RETRY_AFTER_S, refusal.retry_after_s or 0.0)
             pairs.append((names.RETRY_AFTER, f"{wait_s:.2f}"))
         return status, pairs, body
--- a/wagtailtrestle/platform/engines.py
+++ b/wagtailtrestle/platform/engines.py
@@ -15,7 +15,7 @@
 FIRST_ERROR_STATUS = 400
 FIRST_FAILURE_STATUS = 500
 NO_BODY_STATUSES = frozenset({204, 304})
-PROMISES = frozenset({408, 421, 429, 503})
+NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
 """Statuses that tell a caller that its request was not run. From an engine that does not say so
 itself they can't be passed on."""
 SKIPPED = "@@@SKIP_HEADER@@@"
@@ -134,7 +134,7 @@
             return "the answer is coded, so it is not the engine's"
         if response.status < FIRST_ERROR_STATUS and not response.headers.get(names.SIGNATURE):
             return "the answer is not signed"
-        if response.status in PROMISES:
+        if response.status in NOT_RUN_STATUSES:
             return f"status {response.status} without a word on whether the request ran"
         return None
 
