--- a/wagtailtrestle/platform/callers.py
+++ b/wagtailtrestle/platform/callers.py
@@ -74,8 +74,8 @@
 
     def caller_time_s(self, environ):
         """What the caller has left, seconds."""
-        asked_ms = environ.get("HTTP_DEADLINE_MILLISECONDS", "").strip()
-        return int(asked_ms) / MS_PER_S if asked_ms.isdecimal() else None
+        deadline_ms = environ.get("HTTP_DEADLINE_MILLISECONDS", "").strip()
+        return int(deadline_ms) / MS_PER_S if deadline_ms.isdecimal() else None
 
     def problem(self, refusal, request_id):
         """A refusal in the statuses that callers of the platform go by."""
