--- a/wagtailtrestle/platform/callers.py
+++ b/wagtailtrestle/platform/callers.py
@@ -240,8 +240,8 @@
         return BAD_GATEWAY
     if refusal.executed is Executed.NO:
         # Told that it was not run, a caller may send it again, which a gateway's error forbids it.
-        is_gateways = refusal.status in (BAD_GATEWAY, GATEWAY_TIMEOUT, 499)
-        return UNAVAILABLE if is_gateways else refusal.status
+        is_gateway_status = refusal.status in (BAD_GATEWAY, GATEWAY_TIMEOUT, 499)
+        return UNAVAILABLE if is_gateway_status else refusal.status
     if refusal.status == GATEWAY_TIMEOUT:
         return GATEWAY_TIMEOUT
     return BAD_GATEWAY
