--- a/wagtailtrestle/platform/declarations.py
+++ b/wagtailtrestle/platform/declarations.py
@@ -26,7 +26,7 @@
 """Ranks kept apart within one rank of a team."""
 
 
-class Unreadable:
+class InvalidConfiguration:
     """A configuration that can't be put in force, with the reasons."""
 
     __slots__ = ("faults",)
@@ -64,7 +64,7 @@
             problem = f"{type(error).__name__}: {error}"
             logger.error("a configuration can't be read, the one in force stays: {}", problem)
             fault = Fault(file=f"{self.kind}/{self.name}", line=0, field="", problem=problem, allowed="")
-            return Unreadable(faults=(fault,))
+            return InvalidConfiguration(faults=(fault,))
 
 
 def read_configuration(document):
