--- a/tests/test_foreign_entries.py
+++ b/tests/test_foreign_entries.py
@@ -17,7 +17,7 @@
 from wagtailtrestle.configuration.engine_list import RELIST_S, WATCH_S
 from wagtailtrestle.contracts.declaration import DeclaredEngine
 from wagtailtrestle.platform.declarations import PlatformDeclarations
-from wagtailtrestle.platform.engine_entries import STATES, Unfit, read_engine
+from wagtailtrestle.platform.engine_entries import STATES, InvalidField, read_engine
 from wagtailtrestle.platform.engines import PlatformReports
 from wagtailtrestle.platform.rollouts import read_rollout
 from wagtailtrestle.platform.store import _event, _is_event, _is_list, _is_object
@@ -129,7 +129,7 @@
     def test_a_report_is_sound_or_said_to_be_unfit(self, values):
         try:
             report = PlatformReports().load("i-1", values, took_s=0.01)
-        except Unfit:
+        except InvalidField:
             return
         self.assertTrue(report.running >= 0 and report.waiting >= 0 and report.start_ms >= 0)
 
--- a/wagtailtrestle/platform/engine_entries.py
+++ b/wagtailtrestle/platform/engine_entries.py
@@ -23,7 +23,7 @@
 MAX_SHOWN = 80
 
 
-class Unfit(ValueError):
+class InvalidField(ValueError):
     """A field of what an engine says of itself is not what an engine writes."""
 
 
@@ -44,7 +44,7 @@
     """
     try:
         return _engine(name, value)
-    except Unfit as problem:
+    except InvalidField as problem:
         logger.error("the entry of engine {} is not used: {}", _shown(name), problem)
         return None
 
@@ -63,7 +63,7 @@
 
 def _engine(name, value):
     if not isinstance(value, dict):
-        raise Unfit(f"it holds {_shown(value)}, no fields")
+        raise InvalidField(f"it holds {_shown(value)}, no fields")
     service = _text(value, "service")
     # Asked for though not used: what lacks it was written by something else than an engine.
     _number(value, "cold_remaining_ms")
@@ -87,14 +87,14 @@
 
 def _field(value, name):
     if name not in value:
-        raise Unfit(f"{name} is missing")
+        raise InvalidField(f"{name} is missing")
     return value[name]
 
 
 def _text(value, name):
     text = _field(value, name)
     if not isinstance(text, str) or not 0 < len(text) <= MAX_TEXT:
-        raise Unfit(f"{name} is {_shown(text)}, no name")
+        raise InvalidField(f"{name} is {_shown(text)}, no name")
     return text
 
 
@@ -103,30 +103,30 @@
     number = _field(value, name)
     # To Python, true is a whole number too.
     if not isinstance(number, int) or isinstance(number, bool) or number < least:
-        raise Unfit(f"{name} is {_shown(number)}, no whole number from {least}")
+        raise InvalidField(f"{name} is {_shown(number)}, no whole number from {least}")
     if most is not None and number > most:
-        raise Unfit(f"{name} is {_shown(number)}, above {most}")
+        raise InvalidField(f"{name} is {_shown(number)}, above {most}")
     return number
 
 
 def _number(value, name):
     number = _field(value, name)
     if not isinstance(number, int | float) or isinstance(number, bool):
-        raise Unfit(f"{name} is {_shown(number)}, no number")
+        raise InvalidField(f"{name} is {_shown(number)}, no number")
     return number
 
 
 def _address(value):
     address = HostPort().read(_text(value, "address"))
     if isinstance(address, Wrong):
-        raise Unfit(f"address {address.problem}")
+        raise InvalidField(f"address {address.problem}")
     return address
 
 
 def _state(value):
     state = _field(value, "state")
     if state not in STATES:
-        raise Unfit(f"state is {_shown(state)}, none of {', '.join(STATES)}")
+        raise InvalidField(f"state is {_shown(state)}, none of {', '.join(STATES)}")
     return state
 
 
--- a/wagtailtrestle/platform/engines.py
+++ b/wagtailtrestle/platform/engines.py
@@ -6,7 +6,7 @@
 from wagtailtrestle.engines.notices import read_notice
 from wagtailtrestle.engines.run_exchange import MAX_PLAIN_BYTES
 from wagtailtrestle.platform import headers as names
-from wagtailtrestle.platform.engine_entries import DRAINING, Unfit, start_ms, whole
+from wagtailtrestle.platform.engine_entries import DRAINING, InvalidField, start_ms, whole
 from wagtailtrestle.platform.events import EventFault, EventSplitter
 
 MS_PER_S = 1000.0
@@ -212,7 +212,7 @@
             If it is not what an engine tells.
         """
         if not isinstance(values, dict):
-            raise Unfit("the report holds no fields")
+            raise InvalidField("the report holds no fields")
         return LoadReport(
             engine=engine,
             age_s=self.assumed_age_s + took_s / 2,
