--- a/wagtailtrestle/platform/engine_entries.py
+++ b/wagtailtrestle/platform/engine_entries.py
@@ -58,7 +58,7 @@
     ------
     Unfit
     """
-    return whole(fields, "born") if "born" in fields else 0
+    return read_integer(fields, "born") if "born" in fields else 0
 
 
 def _engine(name, value):
@@ -67,7 +67,7 @@
     service = _text(value, "service")
     # Asked for though not used: what lacks it was written by something else than an engine.
     _number(value, "cold_remaining_ms")
-    whole(value, "sequence")
+    read_integer(value, "sequence")
     return DeclaredEngine(
         name=name,
         service=service,
@@ -76,7 +76,7 @@
         # The version of an engine's software: engines of one version are taken to be alike at first.
         hardware=_text(value, "version"),
         address=_address(value),
-        slots=whole(value, "slots", least=1, most=MAX_SLOTS),
+        slots=read_integer(value, "slots", least=1, most=MAX_SLOTS),
         step_ms=PRIOR_STEP_MS,
         prefill_tokens_per_s=PRIOR_PREFILL_TOKENS_PER_S,
         leaving=_state(value) == DRAINING,
@@ -98,7 +98,7 @@
     return text
 
 
-def whole(value, name, *, least=0, most=None):
+def read_integer(value, name, *, least=0, most=None):
     """Return a field that must hold a whole number; raises ``Unfit`` otherwise."""
     number = _field(value, name)
     # To Python, true is a whole number too.
--- a/wagtailtrestle/platform/engines.py
+++ b/wagtailtrestle/platform/engines.py
@@ -6,7 +6,7 @@
 from wagtailtrestle.engines.notices import read_notice
 from wagtailtrestle.engines.run_exchange import MAX_PLAIN_BYTES
 from wagtailtrestle.platform import headers as names
-from wagtailtrestle.platform.engine_entries import DRAINING, InvalidField, start_ms, whole
+from wagtailtrestle.platform.engine_entries import DRAINING, InvalidField, read_integer, start_ms
 from wagtailtrestle.platform.events import EventFault, EventSplitter
 
 MS_PER_S = 1000.0
@@ -216,8 +216,8 @@
         return LoadReport(
             engine=engine,
             age_s=self.assumed_age_s + took_s / 2,
-            running=whole(values, "running"),
-            waiting=whole(values, "waiting"),
+            running=read_integer(values, "running"),
+            waiting=read_integer(values, "waiting"),
             step_s=0.0,
             leaving=values.get("state") == DRAINING,
             start_ms=start_ms(values),
