--- a/wagtailtrestle/platform/engine_entries.py
+++ b/wagtailtrestle/platform/engine_entries.py
@@ -45,7 +45,7 @@
     try:
         return _engine(name, value)
     except InvalidField as problem:
-        logger.error("the entry of engine {} is not used: {}", _shown(name), problem)
+        logger.error("the entry of engine {} is not used: {}", _shortened(name), problem)
         return None
 
 
@@ -63,7 +63,7 @@
 
 def _engine(name, value):
     if not isinstance(value, dict):
-        raise InvalidField(f"it holds {_shown(value)}, no fields")
+        raise InvalidField(f"it holds {_shortened(value)}, no fields")
     service = _text(value, "service")
     # Asked for though not used: what lacks it was written by something else than an engine.
     _number(value, "cold_remaining_ms")
@@ -94,7 +94,7 @@
 def _text(value, name):
     text = _field(value, name)
     if not isinstance(text, str) or not 0 < len(text) <= MAX_TEXT:
-        raise InvalidField(f"{name} is {_shown(text)}, no name")
+        raise InvalidField(f"{name} is {_shortened(text)}, no name")
     return text
 
 
@@ -103,16 +103,16 @@
     number = _field(value, name)
     # To Python, true is a whole number too.
     if not isinstance(number, int) or isinstance(number, bool) or number < least:
-        raise InvalidField(f"{name} is {_shown(number)}, no whole number from {least}")
+        raise InvalidField(f"{name} is {_shortened(number)}, no whole number from {least}")
     if most is not None and number > most:
-        raise InvalidField(f"{name} is {_shown(number)}, above {most}")
+        raise InvalidField(f"{name} is {_shortened(number)}, above {most}")
     return number
 
 
 def _number(value, name):
     number = _field(value, name)
     if not isinstance(number, int | float) or isinstance(number, bool):
-        raise InvalidField(f"{name} is {_shown(number)}, no number")
+        raise InvalidField(f"{name} is {_shortened(number)}, no number")
     return number
 
 
@@ -126,9 +126,9 @@
 def _state(value):
     state = _field(value, "state")
     if state not in STATES:
-        raise InvalidField(f"state is {_shown(state)}, none of {', '.join(STATES)}")
+        raise InvalidField(f"state is {_shortened(state)}, none of {', '.join(STATES)}")
     return state
 
 
-def _shown(value):
+def _shortened(value):
     return repr(value)[:MAX_SHOWN]
