--- a/wagtailtrestle/platform/engines.py
+++ b/wagtailtrestle/platform/engines.py
@@ -18,7 +18,7 @@
 NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
 """Statuses that tell a caller that its request was not run. From an engine that does not say so
 itself they can't be passed on."""
-SKIPPED = "@@@SKIP_HEADER@@@"
+SKIP_HEADER = "@@@SKIP_HEADER@@@"
 """The HTTP library's mark for a header that it must not add by itself."""
 
 
@@ -84,9 +84,9 @@
     def head(self, command, received):
         """What to send for one run; a stream that broke off goes on after its last event."""
         headers = {name: value for name, value in self.headers.items() if name.lower() not in names.SET_BY_ROUTER}
-        headers["Accept-Encoding"] = SKIPPED
+        headers["Accept-Encoding"] = SKIP_HEADER
         if not any(name.lower() == "user-agent" for name in headers):
-            headers["User-Agent"] = SKIPPED
+            headers["User-Agent"] = SKIP_HEADER
         headers[names.DEADLINE_MS] = str(max(1, int(command.overall_s * MS_PER_S)))
         # An address is used again soon after its engine ended. Named, another engine there refuses the
         # request; unnamed, it would run what belongs to a different service.
