--- a/wagtailtrestle/platform/engines.py
+++ b/wagtailtrestle/platform/engines.py
@@ -125,7 +125,7 @@
             return self._read_failure(exchange)
         if self.is_streamed:
             return self._read_stream(exchange)
-        return self._read_whole(exchange)
+        return self._read_complete(exchange)
 
     def _head_fault(self, response):
         if response.headers.get(names.REQUEST_ID) != self.request_id:
@@ -143,7 +143,7 @@
         status = exchange.response.status
         return RunFailed(status=status) if status >= FIRST_FAILURE_STATUS else RunRejected(status=status)
 
-    def _read_whole(self, exchange):
+    def _read_complete(self, exchange):
         exchange.progress.begin()
         self._keep_whole(exchange)
         return RunDone()
