--- a/wagtailtrestle/platform/engines.py
+++ b/wagtailtrestle/platform/engines.py
@@ -139,16 +139,16 @@
         return None
 
     def _read_failure(self, exchange):
-        self._keep_whole(exchange)
+        self._store_answer(exchange)
         status = exchange.response.status
         return RunFailed(status=status) if status >= FIRST_FAILURE_STATUS else RunRejected(status=status)
 
     def _read_complete(self, exchange):
         exchange.progress.begin()
-        self._keep_whole(exchange)
+        self._store_answer(exchange)
         return RunDone()
 
-    def _keep_whole(self, exchange):
+    def _store_answer(self, exchange):
         body = self._body(exchange)
         exchange.received.status = exchange.response.status
         exchange.received.headers = dict(exchange.response.headers)
