--- a/tests/test_platform_events.py
+++ b/tests/test_platform_events.py
@@ -19,14 +19,14 @@
         data = event(1) + event(2)
         taken = self.splitter.feed(data[:-3])
         self.assertEqual(taken.data, event(1))
-        self.assertTrue(self.splitter.has_rest)
+        self.assertTrue(self.splitter.has_partial_event)
         self.assertEqual(self.splitter.last_id, 1)
 
     def test_a_torn_event_goes_on_with_the_next_bytes(self):
         data = event(1)
         self.splitter.feed(data[:5])
         self.assertEqual(self.splitter.feed(data[5:]).data, data)
-        self.assertFalse(self.splitter.has_rest)
+        self.assertFalse(self.splitter.has_partial_event)
 
     def test_events_that_were_had_are_dropped(self):
         # The run goes on elsewhere and its engine repeats the last event: passed on, the caller
--- a/wagtailtrestle/platform/engines.py
+++ b/wagtailtrestle/platform/engines.py
@@ -190,7 +190,7 @@
                 exchange.on_token(received.events, events.data)
                 exchange.progress.update()
             exchange.set_read_timeout(exchange.progress.time_left_for_token_s())
-        if splitter.has_rest or left:
+        if splitter.has_partial_event or left:
             return exchange.cut("the stream ended inside an event")
         return exchange.done()
 
--- a/wagtailtrestle/platform/events.py
+++ b/wagtailtrestle/platform/events.py
@@ -46,7 +46,7 @@
         self._rest = b""
 
     @property
-    def has_rest(self):
+    def has_partial_event(self):
         """Whether a part of an event is kept back."""
         return bool(self._rest.strip())
 
