--- a/wagtailtrestle/platform/events.py
+++ b/wagtailtrestle/platform/events.py
@@ -39,22 +39,22 @@
     last_id : int or None
     """
 
-    __slots__ = ("last_id", "_rest")
+    __slots__ = ("last_id", "_partial")
 
     def __init__(self, *, after_id):
         self.last_id = after_id
-        self._rest = b""
+        self._partial = b""
 
     @property
     def has_partial_event(self):
         """Whether a part of an event is kept back."""
-        return bool(self._rest.strip())
+        return bool(self._partial.strip())
 
     def feed(self, data):
         """Take bytes; return the whole ``Events`` that are new, or an ``EventFault``."""
-        pieces = (self._rest + data).split(EVENT_END)
-        self._rest = pieces.pop()
-        if len(self._rest) > MAX_REST_BYTES:
+        pieces = (self._partial + data).split(EVENT_END)
+        self._partial = pieces.pop()
+        if len(self._partial) > MAX_REST_BYTES:
             return EventFault(detail="an event does not end")
         kept = []
         for piece in pieces:
