--- a/wagtailtrestle/platform/events.py
+++ b/wagtailtrestle/platform/events.py
@@ -4,7 +4,7 @@
 
 EVENT_END = b"\n\n"
 ID_FIELD = b"id:"
-MAX_REST_BYTES = 1_048_576
+MAX_PARTIAL_BYTES = 1_048_576
 """A stream that never ends an event must not fill the router's memory."""
 
 
@@ -54,7 +54,7 @@
         """Take bytes; return the whole ``Events`` that are new, or an ``EventFault``."""
         pieces = (self._partial + data).split(EVENT_END)
         self._partial = pieces.pop()
-        if len(self._partial) > MAX_REST_BYTES:
+        if len(self._partial) > MAX_PARTIAL_BYTES:
             return EventFault(detail="an event does not end")
         kept = []
         for piece in pieces:
