--- a/wagtailtrestle/platform/engines.py
+++ b/wagtailtrestle/platform/engines.py
@@ -34,7 +34,16 @@
     last_event_id : int or None
     """
 
-    __slots__ = ("status", "headers", "body", "events", "last_event_id", "prompt_tokens", "cached_tokens", "_per_event")
+    __slots__ = (
+        "status",
+        "headers",
+        "body",
+        "events",
+        "last_event_id",
+        "prompt_tokens",
+        "cached_tokens",
+        "_tokens_per_event",
+    )
 
     def __init__(self, *, tokens_per_event, prompt_tokens=0):
         self.status = 0
@@ -44,12 +53,12 @@
         self.last_event_id = None
         self.prompt_tokens = prompt_tokens
         self.cached_tokens = 0
-        self._per_event = tokens_per_event
+        self._tokens_per_event = tokens_per_event
 
     @property
     def output_tokens(self):
         """Tokens received so far."""
-        return self.events * self._per_event
+        return self.events * self._tokens_per_event
 
 
 class PlatformCall:
