--- a/wagtailtrestle/platform/rollouts.py
+++ b/wagtailtrestle/platform/rollouts.py
@@ -6,12 +6,12 @@
 
 MAX_TEXT = 256
 MAX_DURATION_S = 86_400.0
-WORD_BY_STATE = {
+STATUS_BY_STATE = {
     RolloutState.RUNNING: "running",
     RolloutState.COMPLETED: "completed",
     RolloutState.ROLLED_BACK: "rolled_back",
 }
-STATE_BY_WORD = {word: state for state, word in WORD_BY_STATE.items()}
+STATE_BY_WORD = {word: state for state, word in STATUS_BY_STATE.items()}
 
 
 def read_rollout(name, version, value):
@@ -35,7 +35,7 @@
 
 def rollout_status(target, state):
     """What the store holds of an order that stands so."""
-    return {"state": WORD_BY_STATE[state], "target": target}
+    return {"state": STATUS_BY_STATE[state], "target": target}
 
 
 def _state(status, target):
