--- a/wagtailtrestle/platform/rollouts.py
+++ b/wagtailtrestle/platform/rollouts.py
@@ -11,7 +11,7 @@
     RolloutState.COMPLETED: "completed",
     RolloutState.ROLLED_BACK: "rolled_back",
 }
-STATE_BY_WORD = {word: state for state, word in STATUS_BY_STATE.items()}
+STATE_BY_STATUS = {word: state for state, word in STATUS_BY_STATE.items()}
 
 
 def read_rollout(name, version, value):
@@ -42,7 +42,7 @@
     """The state told of this target; one of an earlier order is none."""
     if not isinstance(status, dict) or status.get("target") != target:
         return None
-    return STATE_BY_WORD.get(status.get("state"))
+    return STATE_BY_STATUS.get(status.get("state"))
 
 
 def _log_invalid(name, problem):
