--- a/wagtailtrestle/platform/callers.py
+++ b/wagtailtrestle/platform/callers.py
@@ -165,7 +165,7 @@
             output_tokens=output_tokens,
             prefix_blocks=prefix_blocks,
             block_tokens=block_tokens,
-            deadline=self._now() + self._allowed_s(arrival, route, environ),
+            deadline=self._now() + self._time_limit_s(arrival, route, environ),
             max_runs=route.max_runs,
             first_token_within_s=route.target_ms / MS_PER_S,
             pause_within_s=route.pause_ms / MS_PER_S,
@@ -183,7 +183,7 @@
             charge=charge,
         )
 
-    def _allowed_s(self, arrival, route, environ):
+    def _time_limit_s(self, arrival, route, environ):
         allowed_s = min(route.timeout_ms / MS_PER_S, self._most_deadline_s)
         caller_time_s = self.caller_time_s(environ)
         if caller_time_s is not None:
