--- a/wagtailtrestle/platform/callers.py
+++ b/wagtailtrestle/platform/callers.py
@@ -184,12 +184,12 @@
         )
 
     def _time_limit_s(self, arrival, route, environ):
-        allowed_s = min(route.timeout_ms / MS_PER_S, self._most_deadline_s)
+        time_limit_s = min(route.timeout_ms / MS_PER_S, self._most_deadline_s)
         caller_time_s = self.caller_time_s(environ)
         if caller_time_s is not None:
-            allowed_s = min(allowed_s, caller_time_s)
+            time_limit_s = min(time_limit_s, caller_time_s)
         elapsed_s = time.monotonic() - arrival.at
-        return allowed_s - elapsed_s
+        return time_limit_s - elapsed_s
 
 
 class PlatformAnswer:
