--- a/wagtailtrestle/platform/engine_entries.py
+++ b/wagtailtrestle/platform/engine_entries.py
@@ -76,7 +76,7 @@
         # The version of an engine's software: engines of one version are taken to be alike at first.
         hardware=_text(value, "version"),
         address=_address(value),
-        slots=read_integer(value, "slots", minimum=1, most=MAX_SLOTS),
+        slots=read_integer(value, "slots", minimum=1, maximum=MAX_SLOTS),
         step_ms=PRIOR_STEP_MS,
         prefill_tokens_per_s=PRIOR_PREFILL_TOKENS_PER_S,
         leaving=_state(value) == DRAINING,
@@ -98,14 +98,14 @@
     return text
 
 
-def read_integer(value, name, *, minimum=0, most=None):
+def read_integer(value, name, *, minimum=0, maximum=None):
     """Return a field that must hold a whole number; raises ``Unfit`` otherwise."""
     number = _field(value, name)
     # To Python, true is a whole number too.
     if not isinstance(number, int) or isinstance(number, bool) or number < minimum:
         raise InvalidField(f"{name} is {_shortened(number)}, no whole number from {minimum}")
-    if most is not None and number > most:
-        raise InvalidField(f"{name} is {_shortened(number)}, above {most}")
+    if maximum is not None and number > maximum:
+        raise InvalidField(f"{name} is {_shortened(number)}, above {maximum}")
     return number
 
 
