--- a/wagtailtrestle/platform/callers.py
+++ b/wagtailtrestle/platform/callers.py
@@ -28,7 +28,7 @@
 KEY_HINT = "The key is missing or not known."
 MAX_HINT_DIGITS = 9
 """Longer estimates are no number of tokens, and would not fit where they are passed on."""
-MAX_PARTS = 16
+MAX_PREFIX_PARTS = 16
 """Parts told to a scheduler, as many as blocks of a prompt given as text; see ``callers.prompt_shape``."""
 
 
@@ -281,7 +281,7 @@
     """
     blocks, sizes = [], []
     previous = b""
-    for part in text.split(",")[:MAX_PARTS]:
+    for part in text.split(",")[:MAX_PREFIX_PARTS]:
         part_id, _, tokens = part.strip().rpartition(":")
         if not part_id or not tokens.isdecimal() or len(tokens) > MAX_HINT_DIGITS:
             break
