--- a/wagtailtrestle/platform/engine_entries.py
+++ b/wagtailtrestle/platform/engine_entries.py
@@ -20,7 +20,7 @@
 """Decode step assumed of an engine that nobody measured yet; entries say nothing of speed."""
 PRIOR_PREFILL_TOKENS_PER_S = 30_000.0
 """Prefill rate assumed likewise; both are replaced by what runs show within seconds."""
-MAX_SHOWN = 80
+MAX_SHOWN_CHARS = 80
 
 
 class InvalidField(ValueError):
@@ -131,4 +131,4 @@
 
 
 def _shortened(value):
-    return repr(value)[:MAX_SHOWN]
+    return repr(value)[:MAX_SHOWN_CHARS]
