--- a/wagtailtrestle/platform/engines.py
+++ b/wagtailtrestle/platform/engines.py
@@ -125,7 +125,7 @@
         response = exchange.response
         if response.status == MISDIRECTED or names.NOT_RUN in response.headers:
             return RunNotSent(detail=f"the engine did not run it, status {response.status}", arrived=True)
-        fault = self._head_fault(response)
+        fault = self._head_problem(response)
         if fault is not None:
             exchange.reached = True
             return exchange.cut(fault)
@@ -136,7 +136,7 @@
             return self._read_stream(exchange)
         return self._read_complete(exchange)
 
-    def _head_fault(self, response):
+    def _head_problem(self, response):
         if response.headers.get(names.REQUEST_ID) != self.request_id:
             return "crossed: the answer does not carry this request's id"
         if response.headers.get("Content-Encoding"):
