--- a/wagtailtrestle/platform/engine_entries.py
+++ b/wagtailtrestle/platform/engine_entries.py
@@ -12,7 +12,7 @@
 READY = "ready"
 DRAINING = "draining"
 STATES = (READY, DRAINING)
-MAX_TEXT = 256
+MAX_TEXT_CHARS = 256
 """Longest name or version believed: ours have under 64 characters."""
 MAX_SLOTS = 4096
 """Most requests at once believed: a few hundred times what engines have today."""
@@ -93,7 +93,7 @@
 
 def _text(value, name):
     text = _field(value, name)
-    if not isinstance(text, str) or not 0 < len(text) <= MAX_TEXT:
+    if not isinstance(text, str) or not 0 < len(text) <= MAX_TEXT_CHARS:
         raise InvalidField(f"{name} is {_shortened(text)}, no name")
     return text
 
--- a/wagtailtrestle/platform/rollouts.py
+++ b/wagtailtrestle/platform/rollouts.py
@@ -4,7 +4,7 @@
 
 from wagtailtrestle.contracts.rollout_messages import RolloutOrder, RolloutState
 
-MAX_TEXT = 256
+MAX_TEXT_CHARS = 256
 MAX_DURATION_S = 86_400.0
 STATUS_BY_STATE = {
     RolloutState.RUNNING: "running",
@@ -20,7 +20,7 @@
     if not isinstance(order, dict) or order.get("service") != name:
         return _log_invalid(name, "its service is not its name")
     target, duration_s = order.get("target"), order.get("duration_s")
-    if not isinstance(target, str) or not 0 < len(target) <= MAX_TEXT:
+    if not isinstance(target, str) or not 0 < len(target) <= MAX_TEXT_CHARS:
         return _log_invalid(name, "its target is no version")
     if not isinstance(duration_s, int | float) or isinstance(duration_s, bool) or not 0 < duration_s <= MAX_DURATION_S:
         return _log_invalid(name, "its duration is no time")
