--- a/wagtailtrestle/platform/rollouts.py
+++ b/wagtailtrestle/platform/rollouts.py
@@ -11,7 +11,7 @@
     RolloutState.COMPLETED: "completed",
     RolloutState.ROLLED_BACK: "rolled_back",
 }
-STATE_BY_STATUS = {word: state for state, word in STATUS_BY_STATE.items()}
+STATE_BY_STATUS = {status: state for state, status in STATUS_BY_STATE.items()}
 
 
 def read_rollout(name, version, value):
