--- a/wagtailtrestle/platform/__init__.py
+++ b/wagtailtrestle/platform/__init__.py
@@ -1,5 +1,5 @@
-"""The users' platform: its names and shapes, translated into the product's types and back.
+"""Adapter for the users' platform: translates its names and formats to the package's types and back.
 
-Nothing is decided here. The folder lies inside the package, since a top-level folder of this
-name would hide the standard library's module ``platform``.
+This package only translates; all decisions are made elsewhere. It lies inside ``wagtailtrestle``
+because a top-level package of this name would shadow the standard library's ``platform``.
 """
--- a/wagtailtrestle/platform/adapter.py
+++ b/wagtailtrestle/platform/adapter.py
@@ -11,7 +11,7 @@
 
 
 class PlatformAdapter:
-    """Everything that speaks to the users' platform."""
+    """Adapter for the users' platform."""
 
     place = PlatformDeclarations()
     reports = PlatformReports()
@@ -31,17 +31,17 @@
         return self.place.parse(text)
 
     def read_engine(self, name, value):
-        """Decode an engine's own entry."""
+        """Decode an engine's registration."""
         return read_engine(name, value)
 
     def read_rollout(self, name, version, value):
-        """Decode the operator's order of a roll-out."""
+        """Decode the operator's rollout order."""
         return read_rollout(name, version, value)
 
     def rollout_status(self, target, state):
-        """Return what the store is told of a roll-out."""
+        """Return the rollout status to write to the store."""
         return rollout_status(target, state)
 
     def make_dialect(self, **parts):
-        """Return the callers' HTTP of the platform."""
+        """Return the platform's HTTP dialect for callers."""
         return PlatformCallers(**parts)
--- a/wagtailtrestle/platform/callers.py
+++ b/wagtailtrestle/platform/callers.py
@@ -1,4 +1,4 @@
-"""Callers of the users' platform: their requests decoded, their answers written."""
+"""HTTP dialect of the platform's callers: decodes requests and writes answers."""
 
 import hashlib
 import time
@@ -20,16 +20,16 @@
 
 MS_PER_S = 1000.0
 NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
-"""Statuses by which callers are promised that their request was not and will not be run."""
+"""Statuses that guarantee to the caller that its request was not and will not be run."""
 UNAVAILABLE = 503
 BAD_GATEWAY = 502
 GATEWAY_TIMEOUT = 504
 MIN_RETRY_AFTER_S = 0.05
 KEY_HINT = "The key is missing or not known."
 MAX_HINT_DIGITS = 9
-"""Longer estimates are no number of tokens, and would not fit where they are passed on."""
+"""Longer numbers are not plausible token counts and would overflow the fields they are copied to."""
 MAX_PREFIX_PARTS = 16
-"""Parts told to a scheduler, as many as blocks of a prompt given as text; see ``callers.prompt_shape``."""
+"""Prompt parts reported to a scheduler, the same limit as for blocks of a text prompt; see ``callers.prompt_shape``."""
 
 
 class PlatformCallers:
@@ -40,12 +40,12 @@
     directory : callable
         Returns the configuration in force or ``None``.
     now : callable
-        The loop's clock.
+        Clock of the event loop.
     watch : CallerWatch
     receive_limit : ReceiveLimit
     most_deadline_s : float
     key_proof : callable
-        Whether a key that was revoked would be known here by now.
+        Returns the ``KeyProof``: how recently the accepted keys were confirmed, and the limit.
     quotas : QuotaAccounts
     """
 
@@ -69,16 +69,16 @@
         self._index = (None, None, None)
 
     def request_id(self, environ):
-        """The caller's own id, or one made for a request without."""
+        """Return the caller's request id, or a new one if it sent none."""
         return environ.get("HTTP_REQUEST_ID") or uuid.uuid4().hex
 
     def caller_time_s(self, environ):
-        """What the caller has left, seconds."""
+        """Return the seconds until the caller's deadline, or ``None``."""
         deadline_ms = environ.get("HTTP_DEADLINE_MILLISECONDS", "").strip()
         return int(deadline_ms) / MS_PER_S if deadline_ms.isdecimal() else None
 
     def problem(self, refusal, request_id):
-        """A refusal in the statuses that callers of the platform go by."""
+        """Return status, headers and body of a refusal."""
         status = _status(refusal)
         body = refusal.detail.encode()
         pairs = [
@@ -112,7 +112,7 @@
         return self._prepared(arrival, in_force, route, team, pairs, body)
 
     def _indexes(self, declaration):
-        # One tuple, replaced whole, as two threads may see a new declaration at once.
+        # One tuple, replaced in one assignment: two threads may see a new declaration at the same time.
         indexed, routes, keys = self._index
         if indexed is not declaration:
             routes = HostRouteIndex(routes=declaration.host_routes)
@@ -121,7 +121,7 @@
         return routes, keys
 
     def _team(self, declaration, keys, route, environ):
-        """The request's team, ``None`` for a public route."""
+        """Return the request's team, or ``None`` for a public route."""
         if route.public or not declaration.teams_by_name:
             return None
         scheme, _, key = environ.get("HTTP_AUTHORIZATION", "").strip().partition(" ")
@@ -193,7 +193,7 @@
 
 
 class PlatformAnswer:
-    """An engine's answer passed on unchanged: a stream as it comes, anything else once it is whole."""
+    """Forwards an engine's answer unchanged: a stream as it arrives, any other answer once it is complete."""
 
     __slots__ = ("_response", "_received")
 
@@ -202,13 +202,13 @@
         self._received = received
 
     def token(self, text):
-        """Send whole events as the bytes that they are; the head of the first engine goes before them."""
+        """Send the bytes of complete events, preceded by the response head of the first engine."""
         if not self._response.begun:
             self._response.begin(status=self._received.status, headers=_answer_headers(self._received))
         self._response.write(text)
 
     def whole(self, received):
-        """Close a stream that was sent, or send everything at once."""
+        """End a stream that was sent, or send the complete answer."""
         if self._response.begun:
             return
         headers = _answer_headers(received)
@@ -219,15 +219,15 @@
             self._response.write(received.body)
 
     def recordable(self, received):
-        """Nothing is recorded: these callers send no idempotency keys."""
+        """Not supported: these callers send no idempotency keys."""
         raise NotImplementedError
 
     def recorded(self, command):
-        """Nothing is recorded: these callers send no idempotency keys."""
+        """Not supported: these callers send no idempotency keys."""
         raise NotImplementedError
 
     def refuse(self, refusal):
-        """A refusal if nothing was sent yet; a stream that began is broken off and must look so."""
+        """Send a refusal if nothing was sent yet; otherwise abort the stream so that the caller sees it is incomplete."""
         if self._response.begun:
             self._response.abort()
         else:
@@ -235,11 +235,11 @@
 
 
 def _status(refusal):
-    """The status that tells a caller of the platform the truth of a refusal."""
+    """Return the status that reports accurately whether the refused request was run."""
     if refusal.reason is Reason.POISONED:
         return BAD_GATEWAY
     if refusal.executed is Executed.NO:
-        # Told that it was not run, a caller may send it again, which a gateway's error forbids it.
+        # A caller may retry a request that was not run, but it must not retry after a gateway error.
         is_gateway_status = refusal.status in (BAD_GATEWAY, GATEWAY_TIMEOUT, 499)
         return UNAVAILABLE if is_gateway_status else refusal.status
     if refusal.status == GATEWAY_TIMEOUT:
@@ -248,7 +248,7 @@
 
 
 def _header_pairs(environ):
-    """The caller's headers as they were written; WSGI's own names lose their spelling."""
+    """Return the caller's headers in their original spelling, which WSGI's names do not preserve."""
     headers = environ[REQUEST_ENVIRON].inheaders
     return [(name.decode("latin-1"), value.decode("latin-1")) for name, value in headers.items()]
 
@@ -259,7 +259,7 @@
 
 
 def _token_counts(text):
-    """Prompt and largest output in tokens, or ``None`` where the request tells none."""
+    """Return prompt tokens and maximum output tokens, or ``None`` if the request states none."""
     parts = (text or "").split(",")
     if len(parts) != 2 or not all(part.strip().isdecimal() for part in parts):
         return None
@@ -267,17 +267,18 @@
 
 
 def _length_hint(text):
-    """The caller's estimate of its output in tokens; 0 without a sound one."""
+    """Return the caller's estimate of its output tokens, 0 if missing or invalid."""
     text = text.strip()
     return int(text) if text.isdecimal() and len(text) <= MAX_HINT_DIGITS else 0
 
 
 def _prefix(text):
-    """Chained hashes of the prompt's leading parts, and the tokens of each.
+    """Return chained hashes of the prompt's leading parts, and the tokens of each.
 
-    A part is kept or dropped by an engine as a whole, whatever its size, so that one block stands for it.
-    Cut into blocks of the usual size, of which so many are told, a part of five thousand tokens looked
-    like one of a thousand: conversations went where it had to be read again.
+    One block stands for each part, whatever its size, because an engine caches or evicts a part as a
+    unit. When parts were cut into blocks of the usual size, the limit on reported blocks made a part of
+    five thousand tokens look like one of a thousand, and conversations were sent to engines that had
+    to prefill it again.
     """
     blocks, sizes = [], []
     previous = b""
--- a/wagtailtrestle/platform/declarations.py
+++ b/wagtailtrestle/platform/declarations.py
@@ -1,4 +1,4 @@
-"""The operator's configuration in the users' store, decoded into a ``Declaration``."""
+"""Decodes the operator's configuration in the users' store into a ``Declaration``."""
 
 import hashlib
 import json
@@ -23,11 +23,11 @@
 STREAMING = "streaming"
 TOKENS = "tokens"
 ROUTE_RANKS = 16
-"""Ranks kept apart within one rank of a team."""
+"""Number of route ranks within each team rank."""
 
 
 class InvalidConfiguration:
-    """A configuration that can't be put in force, with the reasons."""
+    """A configuration that can't be decoded, with its faults."""
 
     __slots__ = ("faults",)
 
@@ -36,15 +36,15 @@
 
 
 class PlatformDeclarations:
-    """Where the declaration lies in the users' store and how it is read."""
+    """Location of the declaration in the users' store, and its format."""
 
     kind = DECLARATION_KIND
     name = DECLARATION_NAME
     reads_are_newest = True
-    """A plain read of this store is never stale, so it needs no second proof."""
+    """Plain reads of this store are never stale, so no confirming read is needed."""
 
     def accepted(self, *, version, value):
-        """The configuration that an object holds, or ``None`` if it holds none."""
+        """Return the configuration in a stored object, or ``None`` if it is not one."""
         if not isinstance(value, dict) or not isinstance(value.get("version"), int):
             return None
         return Accepted(
@@ -57,7 +57,7 @@
         )
 
     def parse(self, text):
-        """Decode a configuration's text, or say what can't be read in it."""
+        """Decode a configuration's text into a ``Declaration``, or return an ``InvalidConfiguration``."""
         try:
             return read_configuration(json.loads(text))
         except (AttributeError, KeyError, TypeError, ValueError) as error:
@@ -73,7 +73,7 @@
     Raises
     ------
     KeyError, TypeError, ValueError
-        If a field that is needed is missing or of another shape.
+        If a required field is missing or has the wrong type.
     """
     routes = tuple(_route(item) for item in document["routes"])
     teams = [_team(item) for item in document.get("tenants") or ()]
@@ -90,7 +90,7 @@
 
 
 def tier_of(*, route, team):
-    """The tier of a team's request: the team's rank decides, and among equals that of the route."""
+    """Return the tier of a team's request: by the team's rank first, then by the route's."""
     if team is None or not team.tier:
         return route.tier
     return str(int(team.tier) * ROUTE_RANKS + int(route.tier))
@@ -112,7 +112,7 @@
         host=item["host"].lower(),
         prefix=item["path_prefix"],
         weight_by_service=_weights(item),
-        # A rank on the wire, 0 the highest; here the name of the tier with that rank.
+        # A rank on the wire, 0 being the highest; used here as the name of the tier of that rank.
         tier=str(int(item.get("priority", 0))),
         timeout_ms=timeout_ms,
         target_ms=int(item.get("target_latency_ms") or timeout_ms),
@@ -142,7 +142,7 @@
         attachable=False,
         preemptable=False,
         passes_errors=True,
-        # Called the stride: how many tokens the engine puts into one event of a stream.
+        # `stride` is the number of tokens that the engine puts into one event of a stream.
         tokens_per_event=int((engine or {}).get("stride") or 1),
     )
 
--- a/wagtailtrestle/platform/engine_entries.py
+++ b/wagtailtrestle/platform/engine_entries.py
@@ -1,7 +1,7 @@
-"""Engines' own entries in the users' store, decoded strictly.
+"""Strictly decodes the engines' registrations in the users' store.
 
-Anybody may write there. An entry that is not what an engine writes names no engine to use: a state that
-nobody knows may mean anything, and an address or service of another type would break whoever uses it later.
+Any client can write to this kind. An invalid entry is ignored: an unknown state could mean anything,
+and an address or service of another type would cause errors later where it is used.
 """
 
 from loguru import logger
@@ -13,34 +13,34 @@
 DRAINING = "draining"
 STATES = (READY, DRAINING)
 MAX_TEXT_CHARS = 256
-"""Longest name or version believed: ours have under 64 characters."""
+"""Longest name or version accepted; real ones have under 64 characters."""
 MAX_SLOTS = 4096
-"""Most requests at once believed: a few hundred times what engines have today."""
+"""Largest number of slots accepted, a few hundred times that of current engines."""
 PRIOR_STEP_MS = 6.0
-"""Decode step assumed of an engine that nobody measured yet; entries say nothing of speed."""
+"""Decode step assumed for an engine without measurements; entries do not state its speed."""
 PRIOR_PREFILL_TOKENS_PER_S = 30_000.0
-"""Prefill rate assumed likewise; both are replaced by what runs show within seconds."""
+"""Prefill rate assumed in the same way; measurements of runs replace both within seconds."""
 MAX_SHOWN_CHARS = 80
 
 
 class InvalidField(ValueError):
-    """A field of what an engine says of itself is not what an engine writes."""
+    """A field of an engine's registration or load report is missing or invalid."""
 
 
 def read_engine(name, value):
-    """Build an engine from its own entry in the store.
+    """Build an engine from its registration in the store.
 
     Parameters
     ----------
     name : str
         The entry's name, which is the engine's.
     value : object
-        Whatever the entry holds.
+        Content of the entry, of any type.
 
     Returns
     -------
     DeclaredEngine or None
-        ``None`` for an entry that no engine wrote; a log line says which field and why.
+        ``None`` for an invalid entry; a log line names the field and the problem.
     """
     try:
         return _engine(name, value)
@@ -50,22 +50,22 @@
 
 
 def start_ms(fields):
-    """When the engine started, Unix milliseconds, by what it says of itself; 0 where it doesn't say.
+    """Return the start time that the engine reports, Unix milliseconds, or 0 if it reports none.
 
-    An engine may start again under its name; only this tells that nothing of before holds.
+    An engine may restart under the same name; only this time shows that its earlier state is obsolete.
 
     Raises
     ------
-    Unfit
+    InvalidField
     """
     return read_integer(fields, "born") if "born" in fields else 0
 
 
 def _engine(name, value):
     if not isinstance(value, dict):
-        raise InvalidField(f"it holds {_shortened(value)}, no fields")
+        raise InvalidField(f"it holds {_shortened(value)}, not an object")
     service = _text(value, "service")
-    # Asked for though not used: what lacks it was written by something else than an engine.
+    # Required although unused: an entry without these fields was not written by an engine.
     _number(value, "cold_remaining_ms")
     read_integer(value, "sequence")
     return DeclaredEngine(
@@ -73,7 +73,7 @@
         service=service,
         cell=service,
         zone=_text(value, "zone"),
-        # The version of an engine's software: engines of one version are taken to be alike at first.
+        # The version of the engine's software: engines of one version are initially assumed to be alike.
         hardware=_text(value, "version"),
         address=_address(value),
         slots=read_integer(value, "slots", minimum=1, maximum=MAX_SLOTS),
@@ -94,16 +94,16 @@
 def _text(value, name):
     text = _field(value, name)
     if not isinstance(text, str) or not 0 < len(text) <= MAX_TEXT_CHARS:
-        raise InvalidField(f"{name} is {_shortened(text)}, no name")
+        raise InvalidField(f"{name} is {_shortened(text)}, not a valid name")
     return text
 
 
 def read_integer(value, name, *, minimum=0, maximum=None):
-    """Return a field that must hold a whole number; raises ``Unfit`` otherwise."""
+    """Return an integer field; raises ``InvalidField`` if it is anything else."""
     number = _field(value, name)
-    # To Python, true is a whole number too.
+    # In Python, bool is a subclass of int.
     if not isinstance(number, int) or isinstance(number, bool) or number < minimum:
-        raise InvalidField(f"{name} is {_shortened(number)}, no whole number from {minimum}")
+        raise InvalidField(f"{name} is {_shortened(number)}, not an integer from {minimum}")
     if maximum is not None and number > maximum:
         raise InvalidField(f"{name} is {_shortened(number)}, above {maximum}")
     return number
@@ -112,7 +112,7 @@
 def _number(value, name):
     number = _field(value, name)
     if not isinstance(number, int | float) or isinstance(number, bool):
-        raise InvalidField(f"{name} is {_shortened(number)}, no number")
+        raise InvalidField(f"{name} is {_shortened(number)}, not a number")
     return number
 
 
@@ -126,7 +126,7 @@
 def _state(value):
     state = _field(value, "state")
     if state not in STATES:
-        raise InvalidField(f"state is {_shortened(state)}, none of {', '.join(STATES)}")
+        raise InvalidField(f"state is {_shortened(state)}, not one of {', '.join(STATES)}")
     return state
 
 
--- a/wagtailtrestle/platform/engines.py
+++ b/wagtailtrestle/platform/engines.py
@@ -1,4 +1,4 @@
-"""What engines and plain services of the users' platform are sent, and how their answers read."""
+"""HTTP dialect of the platform's engines and plain services: encodes requests and decodes answers."""
 
 from wagtailtrestle.contracts.outcomes import RunDone, RunFailed, RunNotSent, RunRejected
 from wagtailtrestle.contracts.report_messages import LoadReport
@@ -16,21 +16,21 @@
 FIRST_FAILURE_STATUS = 500
 NO_BODY_STATUSES = frozenset({204, 304})
 NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
-"""Statuses that tell a caller that its request was not run. From an engine that does not say so
-itself they can't be passed on."""
+"""Statuses that tell a caller that its request was not run. They must not be forwarded from an engine
+that does not state this explicitly."""
 SKIP_HEADER = "@@@SKIP_HEADER@@@"
-"""The HTTP library's mark for a header that it must not add by itself."""
+"""Value by which urllib3 is told not to add a header by itself."""
 
 
 class PlatformReceived:
-    """What was received of one request's answer, over all of its runs.
+    """The part of a request's answer received so far, over all of its runs.
 
     Attributes
     ----------
     status, headers, body
-        Of the first run that answered; a stream that goes on elsewhere keeps them.
+        Those of the first run that answered; a stream resumed on another engine keeps them.
     events : int
-        Whole events passed on.
+        Number of complete events forwarded.
     last_event_id : int or None
     """
 
@@ -62,14 +62,14 @@
 
 
 class PlatformCall:
-    """One request as engines of the platform are sent it.
+    """One request in the form in which it is sent to the platform's engines.
 
     Parameters
     ----------
     method, target : str
-        As the caller sent them.
+        As sent by the caller.
     headers : dict of str to str
-        The caller's that pass through.
+        The caller's headers that are forwarded.
     body : bytes
     request_id, team : str
     is_streamed : bool
@@ -87,18 +87,18 @@
         self.is_streamed = is_streamed
 
     def cancel_path(self, run_id):
-        """Nowhere: these engines drop a run whose connection closes."""
+        """Return ``None``: these engines cancel a run when its connection closes."""
         return None
 
     def head(self, command, received):
-        """What to send for one run; a stream that broke off goes on after its last event."""
+        """Return the request head for one run; an interrupted stream resumes after its last event."""
         headers = {name: value for name, value in self.headers.items() if name.lower() not in names.SET_BY_ROUTER}
         headers["Accept-Encoding"] = SKIP_HEADER
         if not any(name.lower() == "user-agent" for name in headers):
             headers["User-Agent"] = SKIP_HEADER
         headers[names.DEADLINE_MS] = str(max(1, int(command.overall_s * MS_PER_S)))
-        # An address is used again soon after its engine ended. Named, another engine there refuses the
-        # request; unnamed, it would run what belongs to a different service.
+        # An address is soon reused after its engine terminates. The header makes another engine at that
+        # address refuse the request, which it would otherwise run although it may serve another service.
         headers[names.EXPECTED_ENGINE] = command.engine
         if self.team:
             headers[names.TEAM] = self.team
@@ -109,7 +109,7 @@
         return CallHead(method=self.method, target=self.target, headers=headers, body=self.body or None)
 
     def notice(self, exchange):
-        """What the answer's head says of its engine; any other engine, or a stray answer, bears another id."""
+        """Return the engine's notice in the response head, or ``None`` if another engine or request is answered."""
         response = exchange.response
         if response.status == MISDIRECTED or response.headers.get(names.REQUEST_ID) != self.request_id:
             return None
@@ -140,11 +140,11 @@
         if response.headers.get(names.REQUEST_ID) != self.request_id:
             return "crossed: the answer does not carry this request's id"
         if response.headers.get("Content-Encoding"):
-            return "the answer is coded, so it is not the engine's"
+            return "the answer is compressed, so it is not the engine's"
         if response.status < FIRST_ERROR_STATUS and not response.headers.get(names.SIGNATURE):
             return "the answer is not signed"
         if response.status in NOT_RUN_STATUSES:
-            return f"status {response.status} without a word on whether the request ran"
+            return f"status {response.status} without a statement whether the request ran"
         return None
 
     def _read_failure(self, exchange):
@@ -205,23 +205,23 @@
 
 
 class PlatformReports:
-    """Where an engine of the platform tells its load, and how that reads."""
+    """Location and format of an engine's load report."""
 
     load_path = "/v1/report"
     cache_path = None
     assumed_age_s = 0.2
-    """Its reports are some hundred milliseconds old and don't say how old."""
+    """Reports are some hundred milliseconds old and do not state their age."""
 
     def load(self, engine, values, *, took_s):
         """Build a report from the engine's JSON.
 
         Raises
         ------
-        Unfit
-            If it is not what an engine tells.
+        InvalidField
+            If a field is missing or invalid.
         """
         if not isinstance(values, dict):
-            raise InvalidField("the report holds no fields")
+            raise InvalidField("the report is not an object")
         return LoadReport(
             engine=engine,
             age_s=self.assumed_age_s + took_s / 2,
--- a/wagtailtrestle/platform/events.py
+++ b/wagtailtrestle/platform/events.py
@@ -1,16 +1,16 @@
-"""Whole events of a stream, cut from its bytes and checked to follow one another."""
+"""Splits a byte stream into complete events and checks that their ids are consecutive."""
 
 from wagtailtrestle.record import record
 
 EVENT_END = b"\n\n"
 ID_FIELD = b"id:"
 MAX_PARTIAL_BYTES = 1_048_576
-"""A stream that never ends an event must not fill the router's memory."""
+"""Limit on an unfinished event, so that a stream without event ends can't exhaust the memory."""
 
 
 @record
 class Events:
-    """Whole events, as the bytes that the engine sent."""
+    """Complete events, as the bytes that the engine sent."""
 
     data: bytes
     count: int
@@ -18,21 +18,21 @@
 
 @record
 class EventFault:
-    """Why a stream can't be what its engine meant to send."""
+    """Reason why a stream is corrupt."""
 
     detail: str
 
 
 class EventSplitter:
-    """Keeps back what is not a whole event yet, and drops events that were had before.
+    """Buffers incomplete events and drops events that were received before.
 
-    An engine may stop in the middle of an event. Passed on as it came, the torn piece would run
-    into the first event of the engine that goes on, and the caller would read neither.
+    An engine may stop in the middle of an event. If the fragment were forwarded, it would merge with
+    the first event of the engine that resumes the stream, and the caller could parse neither.
 
     Parameters
     ----------
     after_id : int or None
-        Id of the last event that was had before this run.
+        Id of the last event received before this run.
 
     Attributes
     ----------
@@ -47,11 +47,11 @@
 
     @property
     def has_partial_event(self):
-        """Whether a part of an event is kept back."""
+        """Whether part of an event is buffered."""
         return bool(self._partial.strip())
 
     def feed(self, data):
-        """Take bytes; return the whole ``Events`` that are new, or an ``EventFault``."""
+        """Process bytes; return the new complete ``Events``, or an ``EventFault``."""
         pieces = (self._partial + data).split(EVENT_END)
         self._partial = pieces.pop()
         if len(self._partial) > MAX_PARTIAL_BYTES:
--- a/wagtailtrestle/platform/headers.py
+++ b/wagtailtrestle/platform/headers.py
@@ -1,4 +1,4 @@
-"""Names of headers on the wire, and which of them pass through."""
+"""Header names on the wire, and which headers are forwarded."""
 
 REQUEST_ID = "Request-Id"
 DEADLINE_MS = "Deadline-Milliseconds"
@@ -7,25 +7,25 @@
 KEY_SCHEME = "token"
 RETRY_AFTER = "Retry-After"
 TOKEN_COUNTS = "Token-Counts"
-"""Prompt tokens and the largest number of output tokens, with a comma between."""
+"""Prompt tokens and maximum output tokens, separated by a comma."""
 LENGTH_HINT = "Length-Hint"
-"""The caller's estimate of its output in tokens; right at the median, often far off."""
+"""The caller's estimate of its output tokens; accurate at the median, but often far off."""
 PROMPT_PREFIX = "Prompt-Prefix"
-"""The prompt's parts in order, each ``ID:TOKENS``; what requests share comes first."""
+"""The prompt's parts in order, each ``ID:TOKENS``; parts shared between requests come first."""
 TEAM = "Tenant"
 EXPECTED_ENGINE = "Expect-Instance"
 ENGINE_ID = "Instance-Id"
 NOT_RUN = "Not-Executed"
-"""On an engine's answer: it certainly did not run the request."""
+"""On an engine's answer: guarantees that it did not run the request."""
 RATE_LIMIT = "Server-Limit"
-"""On an engine's answer: requests a second that it takes from all routers together."""
+"""On an engine's answer: requests per second that it accepts from all routers together."""
 LEAVING = "Server-Leaving"
-"""On an engine's answer, with ``1``: the engine leaves."""
+"""On an engine's answer, with ``1``: the engine is draining."""
 LEAVING_YES = "1"
 STORE_ERA = "Store-Era"
-"""On the store's answers: rises by one each time the store comes back from a copy."""
+"""On the store's answers: incremented each time the store is restored from a backup."""
 SIGNATURE = "Response-Stamp"
-"""The engine's signature of its answer; without it an answer is nobody's."""
+"""The engine's signature of its answer; an answer without it did not come from an engine."""
 
 HOP_BY_HOP = frozenset(
     {
@@ -56,12 +56,12 @@
         "tenant",
     }
 )
-"""What a caller may not tell an engine: its key is a secret with this system, capacity is the
-system's to reserve, and a coded answer would not be the engine's body."""
+"""Headers of a caller that are not forwarded to an engine: the caller's key is shared only with this
+system, only this system reserves capacity, and a compressed answer would differ from the engine's body."""
 
 
 def forwarded(items):
-    """Header pairs that pass through, as a dict; ``items`` are pairs of text."""
+    """Return the end-to-end headers among ``items``, pairs of str, as a dict."""
     items = list(items)
     named = {
         token.strip().lower() for name, value in items if name.lower() == "connection" for token in value.split(",")
--- a/wagtailtrestle/platform/kinds.py
+++ b/wagtailtrestle/platform/kinds.py
@@ -1,10 +1,10 @@
-"""Kinds and names of the objects in the users' store that concern this system."""
+"""Kinds and names of the objects in the users' store that this system uses."""
 
 DECLARATION_KIND = "config"
 DECLARATION_NAME = "main"
 ENGINE_KIND = "servers"
 ROLLOUT_KIND = "rollouts"
 ROUTER_KIND = "wagtailtrestle-routers"
-"""Our own: where each router listens for its peers."""
+"""Written by the routers: the address where each of them listens for its peers."""
 EPOCH_KIND = "wagtailtrestle-epochs"
-"""Our own: the last epoch of the store that the fleet knew for long enough."""
+"""Written by the routers: the last epoch of the store that the fleet had known for long enough."""
--- a/wagtailtrestle/platform/rollouts.py
+++ b/wagtailtrestle/platform/rollouts.py
@@ -1,4 +1,4 @@
-"""The operator's orders to move a service to another version, decoded strictly, and the status told of them."""
+"""Strictly decodes the operator's rollout orders and encodes their status."""
 
 from loguru import logger
 
@@ -15,15 +15,15 @@
 
 
 def read_rollout(name, version, value):
-    """Build an order from an object of the store; ``None`` if no operator wrote such a one."""
+    """Build an order from a stored object; ``None`` if the object is not a valid order."""
     order = value.get("specification")
     if not isinstance(order, dict) or order.get("service") != name:
-        return _log_invalid(name, "its service is not its name")
+        return _log_invalid(name, "its service differs from its name")
     target, duration_s = order.get("target"), order.get("duration_s")
     if not isinstance(target, str) or not 0 < len(target) <= MAX_TEXT_CHARS:
-        return _log_invalid(name, "its target is no version")
+        return _log_invalid(name, "its target is not a version")
     if not isinstance(duration_s, int | float) or isinstance(duration_s, bool) or not 0 < duration_s <= MAX_DURATION_S:
-        return _log_invalid(name, "its duration is no time")
+        return _log_invalid(name, "its duration is not a valid time")
     return RolloutOrder(
         service=name,
         target=target,
@@ -34,12 +34,12 @@
 
 
 def rollout_status(target, state):
-    """What the store holds of an order that stands so."""
+    """Return the status object to store for an order in this state."""
     return {"state": STATUS_BY_STATE[state], "target": target}
 
 
 def _state(status, target):
-    """The state told of this target; one of an earlier order is none."""
+    """Return the stored state, or ``None`` if it belongs to an earlier order with another target."""
     if not isinstance(status, dict) or status.get("target") != target:
         return None
     return STATE_BY_STATUS.get(status.get("state"))
--- a/wagtailtrestle/platform/store.py
+++ b/wagtailtrestle/platform/store.py
@@ -23,25 +23,25 @@
 WATCH_THREADS = 3
 CALL_THREADS = 4
 CONNECT_TIMEOUT_S = 0.5
-"""A sound store takes a connection within a few round trips of some milliseconds."""
+"""A healthy store accepts a connection within a few round trips of some milliseconds."""
 READ_TIMEOUT_S = 1.0
-"""Some 250 times a sound answer; a store as slow as this is as good as out."""
+"""About 250 times the latency of a healthy store; a slower one is treated as unavailable."""
 WATCH_MARGIN_S = 0.7
-"""How much later than its own limit a watch may be answered before it counts as silent."""
+"""How long after its own timeout a watch may be answered before the connection counts as unresponsive."""
 MS_PER_S = 1000.0
 VM_FIELDS = ("role", "address", "zone", "admin")
-"""What a router's announcement holds as text."""
+"""Fields of a router's announcement that must be strings."""
 MAX_PAGES = 100
-"""Pages read of one list, so that a store that never ends a list can't hold its reader."""
+"""Limit on the pages of one list, so that a list without end does not block its reader."""
 NOT_APPLIED_STATUSES = (HTTPStatus.TOO_MANY_REQUESTS, HTTPStatus.SERVICE_UNAVAILABLE, HTTPStatus.BAD_REQUEST)
-"""Statuses by which the store says that nothing was done."""
+"""Statuses by which the store reports that nothing was applied."""
 
 
 class PlatformStore:
     """``RevisionStore`` over the users' store.
 
-    An object's value is what the platform calls its specification; that of an order, whose status the system tells, is
-    both.
+    An object's value is its specification in the platform's terms. The value of a rollout order, whose
+    status this system writes, holds both specification and status.
 
     Parameters
     ----------
@@ -55,12 +55,12 @@
         self._watches = None
 
     def start(self):
-        """Make the threads; connections are made by the first calls."""
+        """Start the threads; connections are opened by the first calls."""
         self._calls = self._make_lane(threads=CALL_THREADS, name="store")
         self._watches = self._make_lane(threads=WATCH_THREADS, name="watch")
 
     def close(self):
-        """End every call in flight and the threads."""
+        """Cancel all calls in flight and stop the threads."""
         self._calls.close()
         self._watches.close()
 
@@ -110,7 +110,7 @@
         return _unavailable(answer)
 
     async def vms(self):
-        """Read the routers that announced themselves; seconds old at a tenth of the price."""
+        """Read the announced routers; the list may be seconds old, at a tenth of the cost."""
         answer = await self._list(ROUTER_KIND, may_be_stale=True)
         outcome = answer.outcome
         if not isinstance(outcome, StoreDone):
@@ -127,14 +127,14 @@
             if answer.status != HTTPStatus.OK or not _is_list(answer.body, "items"):
                 return _unavailable(answer)
             if after and _epoch(answer) != epoch:
-                # The store came back from a copy between two pages: together they are a list of nothing.
+                # The store was restored from a backup between two pages, so they do not form one list.
                 return _with_epoch(answer, StoreUnavailable(detail="two pages of a list are of different epochs"))
             epoch = _epoch(answer)
             items = [item for item in answer.body["items"] if _is_object(item)]
             by_name.update((_name(item), (_revision(item), _value(kind, item))) for item in items)
             if not answer.body.get("has_more") or not items:
                 return _with_epoch(answer, StoreDone(version=answer.body["store_revision"], value=by_name))
-            # Named a revision on the wire, but it takes the name of the last object read.
+            # The parameter is called `after_revision` but takes the name of the last object read.
             after = _name(items[-1])
         return RevisionAnswer(outcome=StoreUnavailable(detail=f"the list of {kind} has over {MAX_PAGES} pages"))
 
@@ -154,7 +154,7 @@
 
 
 def _epoch(answer):
-    """The epoch that an answer bears, or ``None`` where it bears none."""
+    """Return the epoch in an answer's header, or ``None`` without one."""
     text = answer.headers.get(STORE_ERA, "")
     return int(text) if text.isascii() and text.isdigit() else None
 
@@ -168,7 +168,7 @@
 
 
 def _write_outcome(answer):
-    """Answer to a write: without one it may have taken effect, or do so seconds later."""
+    """Return the outcome of a write; one without an answer may have taken effect, or do so seconds later."""
     match answer.status:
         case HTTPStatus.OK | HTTPStatus.CREATED if _is_object(answer.body):
             return _with_epoch(answer, StoreDone(version=_revision(answer.body)))
@@ -187,13 +187,13 @@
 
 
 def _event(kind, event):
-    """Name, revision and value of one change."""
+    """Return name, revision and value of one change."""
     changed = event["object"]
     return _name(changed), _revision(changed), None if event.get("deleted") else _value(kind, changed)
 
 
 def _is_list(body, name):
-    """Whether an answer is a list of the store's: ``name`` is the field that holds it."""
+    """Whether an answer holds a list in its field ``name``."""
     return isinstance(body, dict) and isinstance(body.get(name), list) and isinstance(body.get("store_revision"), int)
 
 
@@ -202,17 +202,17 @@
 
 
 def _is_object(body):
-    """Whether something read is an object; what isn't is passed over, as it can't be told whose it is."""
+    """Whether a value read is an object; others are skipped, as nothing identifies them."""
     metadata = body.get("metadata") if isinstance(body, dict) else None
     if isinstance(metadata, dict) and isinstance(metadata.get("name"), str):
         return isinstance(metadata.get("revision"), int)
-    # Without what it holds: that may be a configuration, with keys.
-    logger.error("an object of the store without a sound name or revision is passed over")
+    # The content is not logged: it may be a configuration, which holds keys.
+    logger.error("skipped an object of the store without a valid name or revision")
     return False
 
 
 def _is_vm(value):
-    """Whether a router's announcement can be read; it may come from another writer."""
+    """Whether a router's announcement is valid; another client may have written it."""
     return isinstance(value, dict) and all(isinstance(value.get(name), str) for name in VM_FIELDS)
 
 
