--- a/wagtailtrestle/platform/callers.py
+++ b/wagtailtrestle/platform/callers.py
@@ -227,7 +227,7 @@
         raise NotImplementedError
 
     def refuse(self, refusal):
-        """Send a refusal if nothing was sent yet; otherwise abort the stream so that the caller sees it is incomplete."""
+        """Send a refusal if nothing was sent yet; otherwise abort the stream so that it is visibly incomplete."""
         if self._response.begun:
             self._response.abort()
         else:
