--- a/tests/test_engine_rest.py
+++ b/tests/test_engine_rest.py
@@ -39,13 +39,13 @@
     def check_rests(self, engine):
         """No router sent more than it may between half a second after an answer and the end of the rest."""
         times_by_router = defaultdict(list)
-        for at, router in engine.turned_away:
+        for at, router in engine.rejections:
             times_by_router[router].append(at)
         for times in times_by_router.values():
             for asked_at in times:
                 within = [at for at in times if asked_at + SLACK_S < at < asked_at + REST_S]
                 self.assertLessEqual(len(within), MAX_IN_A_REST)
-        self.assertGreater(len(engine.turned_away), 0)
+        self.assertGreater(len(engine.rejections), 0)
 
 
 class RestTest(RestCase):
--- a/tests/utils/asking_engines.py
+++ b/tests/utils/asking_engines.py
@@ -132,7 +132,7 @@
 def within_rests(engine, excuses):
     """Rests within which an engine got more than it may, as (router, requests)."""
     found = []
-    for asked_at, router in engine.turned_away:
+    for asked_at, router in engine.rejections:
         until = asked_at + float(engine.rest)
         times = [at for at, by, _ in engine.got if by == router and asked_at + TOLD_S < at < until]
         if len(times) > MAX_IN_A_REST and not excuses.holds(router, asked_at, until):
--- a/tests/utils/world_engine.py
+++ b/tests/utils/world_engine.py
@@ -42,7 +42,7 @@
         self.script = []
         self.seen = []
         self.arrivals = []
-        self.turned_away = []
+        self.rejections = []
         self.limit = None
         self.leaving = False
         self.rest = None
@@ -76,7 +76,7 @@
         if how == "full":
             heads = [("Not-Executed", "1"), ("Request-Id", handler.headers["Request-Id"]), *self._words()]
             self.reply(handler, 503, headers=heads if self.rest is None else [*heads, ("Retry-After", self.rest)])
-            self.turned_away.append((time.monotonic(), handler.headers.get("X-Router")))
+            self.rejections.append((time.monotonic(), handler.headers.get("X-Router")))
             return
         time.sleep(self.delay_s)
         headers = {name.lower(): value for name, value in handler.headers.items()}
