--- a/tests/test_asking_engines.py
+++ b/tests/test_asking_engines.py
@@ -49,7 +49,7 @@
             self.world.engines.pop(name).close()
         self.engines = [AskingEngine(name=f"n-{number}", service="booking", seed=seed) for number in range(ENGINES)]
         for engine in self.engines:
-            engine.rest = str(REST_S)
+            engine.retry_after = str(REST_S)
             self.world.engines[engine.name] = engine
         self._busy_by_router = [threading.Lock() for _ in range(ROUTERS)]
 
--- a/tests/test_engine_rest.py
+++ b/tests/test_engine_rest.py
@@ -33,7 +33,7 @@
     def turn_away(self, engines):
         """Let these engines turn all requests away."""
         for engine in engines:
-            engine.rest = str(REST_S)
+            engine.retry_after = str(REST_S)
             engine.script = ["full"] * 10_000
 
     def check_rests(self, engine):
--- a/tests/utils/asking_engines.py
+++ b/tests/utils/asking_engines.py
@@ -70,7 +70,7 @@
 
     def ask_for_rests(self, rest_s, share, for_s):
         """Turn a share away for a time, and ask their routers for a rest."""
-        self.rest = str(rest_s)
+        self.retry_after = str(rest_s)
         self.rest_share = share
         threading.Timer(for_s, self._end_rests).start()
 
@@ -133,7 +133,7 @@
     """Rests within which an engine got more than it may, as (router, requests)."""
     found = []
     for asked_at, router in engine.rejections:
-        until = asked_at + float(engine.rest)
+        until = asked_at + float(engine.retry_after)
         times = [at for at, by, _ in engine.got if by == router and asked_at + TOLD_S < at < until]
         if len(times) > MAX_IN_A_REST and not excuses.holds(router, asked_at, until):
             found.append((router, len(times)))
--- a/tests/utils/world_engine.py
+++ b/tests/utils/world_engine.py
@@ -45,7 +45,7 @@
         self.rejections = []
         self.limit = None
         self.leaving = False
-        self.rest = None
+        self.retry_after = None
         self.delay_s = 0.0
         self.gone = threading.Event()
         super().__init__()
@@ -75,7 +75,9 @@
         how = self.script.pop(0) if self.script else "well"
         if how == "full":
             heads = [("Not-Executed", "1"), ("Request-Id", handler.headers["Request-Id"]), *self._words()]
-            self.reply(handler, 503, headers=heads if self.rest is None else [*heads, ("Retry-After", self.rest)])
+            self.reply(
+                handler, 503, headers=heads if self.retry_after is None else [*heads, ("Retry-After", self.retry_after)]
+            )
             self.rejections.append((time.monotonic(), handler.headers.get("X-Router")))
             return
         time.sleep(self.delay_s)
