--- a/tests/test_rollouts.py
+++ b/tests/test_rollouts.py
@@ -110,7 +110,7 @@
         copy = world.store.copy()
         wait_until(lambda: world.state() == "rolled_back", "the version is rolled back")
         ended_at = time.monotonic()
-        world.store.drill(copy)
+        world.store.restore_after_outage(copy)
         wait_until(lambda: world.state() == "rolled_back", "the verdict is told again")
         time.sleep(1.0)
         callers.stop()
--- a/tests/test_store_restored.py
+++ b/tests/test_store_restored.py
@@ -56,7 +56,7 @@
         self.drain(world, "b-1")
         world.store.delete("servers", "b-1")
         time.sleep(SEEN_S)
-        world.store.drill(copy)
+        world.store.restore_after_outage(copy)
         time.sleep(SEEN_S)
         self.assertEqual(set(self.ask_all(world, name="after")), {200})
         self.assertEqual(len(self.ran(world, "b-1", "after")), 0)
@@ -68,7 +68,7 @@
         copy = world.store.copy()
         self.age(world)
         time.sleep(SEEN_S)
-        world.store.drill(copy)
+        world.store.restore_after_outage(copy)
         self.drain(world, "b-1")
         self.assertEqual(set(self.ask_all(world, name="drained")), {200})
         self.assertEqual(len(self.ran(world, "b-1", "drained")), 0)
@@ -83,7 +83,7 @@
         copy = world.store.copy()
         self.age(world)
         time.sleep(SEEN_S)
-        world.store.drill(copy)
+        world.store.restore_after_outage(copy)
         new = world.engines["b-3"] = Engine(name="b-3", service="booking")
         world.store.put("servers", "b-3", new.entry())
         world.store.delete("servers", "b-1")
@@ -98,7 +98,7 @@
         copy = world.store.copy()
         self.age(world)
         self.drain(world, "b-1")
-        world.store.drill(copy)
+        world.store.restore_after_outage(copy)
         time.sleep(SEEN_S)
         self.ask_all(world, name="after")
         self.assertEqual(len(self.ran(world, "b-1", "after")), 0)
@@ -115,7 +115,7 @@
         world.store.delete("servers", "b-1")
         world.store.delete("servers", "b-2")
         time.sleep(SEEN_S)
-        world.store.drill(copy)
+        world.store.restore_after_outage(copy)
         self.assertEqual(set(self.ask_all(world, name="gap")), {200})
         time.sleep(0.5)
         world.store.put("servers", "b-3", new.entry())
@@ -130,7 +130,7 @@
         copy = world.store.copy()
         world.store.put("config", "main", configuration(2))
         time.sleep(SEEN_S)
-        world.store.drill(copy)
+        world.store.restore_after_outage(copy)
         world.store.put("config", "main", configuration(3, keys=(KEY, OTHER_KEY)))
         time.sleep(SEEN_S)
         self.assertEqual(set(self.ask_all(world, count=9, key=OTHER_KEY)), {200})
@@ -147,7 +147,7 @@
         time.sleep(REVOKED_S + 1.0)
         self.assertEqual(set(self.ask_all(world, count=9, key=OTHER_KEY)), {401})
         world.routers[2].kill()
-        world.store.drill(copy)
+        world.store.restore_after_outage(copy)
         world.routers[2].start()
         until = time.monotonic() + 3.0
         statuses = set()
@@ -176,7 +176,7 @@
         time.sleep(SEEN_S)
         for router in world.routers:
             router.kill()
-        world.store.drill(copy)
+        world.store.restore_after_outage(copy)
         for router in world.routers:
             router.start()
         for router in world.routers:
@@ -190,7 +190,7 @@
         # All routers are killed and start again, long after the store came back: its note tells them so, and no
         # caller is refused for it.
         world = self.start()
-        world.store.drill(world.store.copy())
+        world.store.restore_after_outage(world.store.copy())
         wait_until(lambda: world.store.objects(NOTE_KIND)[NOTE_NAME] == {"epoch": 2}, "the epoch is noted")
         for router in world.routers:
             router.kill()
@@ -209,7 +209,7 @@
         kind = "wagtailtrestle-routers"
         copy.objects = {key: item for key, item in copy.objects.items() if key[0] != kind}
         self.age(world)
-        world.store.drill(copy)
+        world.store.restore_after_outage(copy)
         time.sleep(1.0)
         self.assertEqual(len(world.store.objects(kind)), 3)
 
@@ -219,9 +219,9 @@
         copy = world.store.copy()
         self.age(world)
         self.drain(world, "b-1")
-        world.store.drill(copy)
+        world.store.restore_after_outage(copy)
         time.sleep(0.3)
-        world.store.drill(copy, away_s=0.2)
+        world.store.restore_after_outage(copy, away_s=0.2)
         time.sleep(SEEN_S)
         self.ask_all(world, name="after")
         self.assertEqual(len(self.ran(world, "b-1", "after")), 0)
--- a/tests/utils/world_store.py
+++ b/tests/utils/world_store.py
@@ -69,7 +69,7 @@
             self.down = False
             self._changed.notify_all()
 
-    def drill(self, copy, *, away_s=0.5):
+    def restore_after_outage(self, copy, *, away_s=0.5):
         """Be away for a moment and come back from a copy."""
         self.down = True
         with self._changed:
