--- a/tests/utils/world_store.py
+++ b/tests/utils/world_store.py
@@ -61,7 +61,7 @@
         with self._changed:
             return Copy(revision=self._revision, objects=dict(self._objects), log=list(self._log))
 
-    def return_from(self, copy):
+    def restore(self, copy):
         """Go on from a copy: what was written since is gone, and its revisions are given out again."""
         with self._changed:
             self._objects, self._log, self._revision = dict(copy.objects), list(copy.log), copy.revision
@@ -75,7 +75,7 @@
         with self._changed:
             self._changed.notify_all()
         time.sleep(away_s)
-        self.return_from(copy)
+        self.restore(copy)
 
     def _write(self, kind, name, value, status=None):
         self._revision += 1
