--- a/tests/utils/crashing_engine.py
+++ b/tests/utils/crashing_engine.py
@@ -75,5 +75,5 @@
         self._store.delete("servers", self.name)
         time.sleep(DOWN_S - EXPIRY_S)
         self.name = f"{self._first_name}-{len(self.crashes)}"
-        self.listen_again()
+        self.resume_listening()
         self._store.put("servers", self.name, self.entry())
--- a/tests/utils/world_server.py
+++ b/tests/utils/world_server.py
@@ -36,7 +36,7 @@
         self.server.shutdown()
         self.server.server_close()
 
-    def listen_again(self):
+    def resume_listening(self):
         """Take connections again, at the same address unless somebody else has its port now."""
         try:
             self._listen(port=self.server.server_port)
