--- a/tests/utils/world_store.py
+++ b/tests/utils/world_store.py
@@ -8,7 +8,7 @@
 from tests.utils.world_server import Server
 
 
-class Copy:
+class Backup:
     """What the store held at one revision."""
 
     def __init__(self, *, revision, objects, log):
@@ -59,7 +59,7 @@
     def copy(self):
         """Keep what the store holds now."""
         with self._changed:
-            return Copy(revision=self._revision, objects=dict(self._objects), log=list(self._log))
+            return Backup(revision=self._revision, objects=dict(self._objects), log=list(self._log))
 
     def restore(self, copy):
         """Go on from a copy: what was written since is gone, and its revisions are given out again."""
