--- a/tests/test_store_restored.py
+++ b/tests/test_store_restored.py
@@ -51,12 +51,12 @@
         # copy in which it is still ready. Its entry there is older than what every router knows; believed, half of
         # all requests would go to an engine that is gone.
         world = self.start()
-        copy = world.store.copy()
+        backup = world.store.backup()
         self.age(world)
         self.drain(world, "b-1")
         world.store.delete("servers", "b-1")
         time.sleep(SEEN_S)
-        world.store.restore_after_outage(copy)
+        world.store.restore_after_outage(backup)
         time.sleep(SEEN_S)
         self.assertEqual(set(self.ask_all(world, name="after")), {200})
         self.assertEqual(len(self.ran(world, "b-1", "after")), 0)
@@ -65,10 +65,10 @@
         # The caller is served by the engine that lives. All that is told after the return bears lower revisions than
         # what routers know. Dropped as older, an engine that drained and left then got half of all requests.
         world = self.start()
-        copy = world.store.copy()
+        backup = world.store.backup()
         self.age(world)
         time.sleep(SEEN_S)
-        world.store.restore_after_outage(copy)
+        world.store.restore_after_outage(backup)
         self.drain(world, "b-1")
         self.assertEqual(set(self.ask_all(world, name="drained")), {200})
         self.assertEqual(len(self.ran(world, "b-1", "drained")), 0)
@@ -80,10 +80,10 @@
     def test_engine_that_starts_after_the_return_is_used(self):
         # The caller is served. After the return both engines of a service leave and a new one comes.
         world = self.start()
-        copy = world.store.copy()
+        backup = world.store.backup()
         self.age(world)
         time.sleep(SEEN_S)
-        world.store.restore_after_outage(copy)
+        world.store.restore_after_outage(backup)
         new = world.engines["b-3"] = Engine(name="b-3", service="booking")
         world.store.put("servers", "b-3", new.entry())
         world.store.delete("servers", "b-1")
@@ -95,10 +95,10 @@
     def test_engine_that_drains_gets_nothing(self):
         # The same while the engine still drains: the copy holds it as ready, and its own word has not come again yet.
         world = self.start()
-        copy = world.store.copy()
+        backup = world.store.backup()
         self.age(world)
         self.drain(world, "b-1")
-        world.store.restore_after_outage(copy)
+        world.store.restore_after_outage(backup)
         time.sleep(SEEN_S)
         self.ask_all(world, name="after")
         self.assertEqual(len(self.ran(world, "b-1", "after")), 0)
@@ -107,7 +107,7 @@
         # The caller is served. Both engines of a service are replaced by a new one, which the copy doesn't list. It
         # writes its entry again half a second after the store's return; until then it is used by what was known.
         world = self.start()
-        copy = world.store.copy()
+        backup = world.store.backup()
         self.age(world)
         new = world.engines["b-3"] = Engine(name="b-3", service="booking")
         world.store.put("servers", "b-3", new.entry())
@@ -115,7 +115,7 @@
         world.store.delete("servers", "b-1")
         world.store.delete("servers", "b-2")
         time.sleep(SEEN_S)
-        world.store.restore_after_outage(copy)
+        world.store.restore_after_outage(backup)
         self.assertEqual(set(self.ask_all(world, name="gap")), {200})
         time.sleep(0.5)
         world.store.put("servers", "b-3", new.entry())
@@ -127,10 +127,10 @@
         # The operator's next configuration gets the revision of the one that the routers know. Taken for the same
         # content by its revision, it was never read.
         world = self.start()
-        copy = world.store.copy()
+        backup = world.store.backup()
         world.store.put("config", "main", configuration(2))
         time.sleep(SEEN_S)
-        world.store.restore_after_outage(copy)
+        world.store.restore_after_outage(backup)
         world.store.put("config", "main", configuration(3, keys=(KEY, OTHER_KEY)))
         time.sleep(SEEN_S)
         self.assertEqual(set(self.ask_all(world, count=9, key=OTHER_KEY)), {200})
@@ -141,13 +141,13 @@
         world = self.start()
         world.store.put("config", "main", configuration(2, keys=(KEY, OTHER_KEY)))
         time.sleep(SEEN_S)
-        copy = world.store.copy()
+        backup = world.store.backup()
         self.age(world)
         world.store.put("config", "main", configuration(3))
         time.sleep(REVOKED_S + 1.0)
         self.assertEqual(set(self.ask_all(world, count=9, key=OTHER_KEY)), {401})
         world.routers[2].kill()
-        world.store.restore_after_outage(copy)
+        world.store.restore_after_outage(backup)
         world.routers[2].start()
         until = time.monotonic() + 3.0
         statuses = set()
@@ -170,13 +170,13 @@
         world = self.start()
         world.store.put("config", "main", configuration(2, keys=(KEY, OTHER_KEY)))
         time.sleep(SEEN_S)
-        copy = world.store.copy()
+        backup = world.store.backup()
         self.age(world)
         world.store.put("config", "main", configuration(3))
         time.sleep(SEEN_S)
         for router in world.routers:
             router.kill()
-        world.store.restore_after_outage(copy)
+        world.store.restore_after_outage(backup)
         for router in world.routers:
             router.start()
         for router in world.routers:
@@ -190,7 +190,7 @@
         # All routers are killed and start again, long after the store came back: its note tells them so, and no
         # caller is refused for it.
         world = self.start()
-        world.store.restore_after_outage(world.store.copy())
+        world.store.restore_after_outage(world.store.backup())
         wait_until(lambda: world.store.objects(NOTE_KIND)[NOTE_NAME] == {"epoch": 2}, "the epoch is noted")
         for router in world.routers:
             router.kill()
@@ -205,23 +205,23 @@
         # A router that starts finds the others by their entries. Those of routers that started since the copy are
         # gone with it; nobody writes them again but the routers themselves.
         world = self.start()
-        copy = world.store.copy()
+        backup = world.store.backup()
         kind = "wagtailtrestle-routers"
-        copy.objects = {key: item for key, item in copy.objects.items() if key[0] != kind}
+        backup.objects = {key: item for key, item in backup.objects.items() if key[0] != kind}
         self.age(world)
-        world.store.restore_after_outage(copy)
+        world.store.restore_after_outage(backup)
         time.sleep(1.0)
         self.assertEqual(len(world.store.objects(kind)), 3)
 
     def test_second_drill(self):
         # Two drills in a row, the second from a copy that the first one left: nothing of the first counts as news.
         world = self.start()
-        copy = world.store.copy()
+        backup = world.store.backup()
         self.age(world)
         self.drain(world, "b-1")
-        world.store.restore_after_outage(copy)
+        world.store.restore_after_outage(backup)
         time.sleep(0.3)
-        world.store.restore_after_outage(copy, away_s=0.2)
+        world.store.restore_after_outage(backup, away_s=0.2)
         time.sleep(SEEN_S)
         self.ask_all(world, name="after")
         self.assertEqual(len(self.ran(world, "b-1", "after")), 0)
--- a/tests/utils/world_store.py
+++ b/tests/utils/world_store.py
@@ -56,26 +56,26 @@
             item = self._objects.get((kind, name))
             return item["status"] if item else None
 
-    def copy(self):
+    def backup(self):
         """Keep what the store holds now."""
         with self._changed:
             return Backup(revision=self._revision, objects=dict(self._objects), log=list(self._log))
 
-    def restore(self, copy):
+    def restore(self, backup):
         """Go on from a copy: what was written since is gone, and its revisions are given out again."""
         with self._changed:
-            self._objects, self._log, self._revision = dict(copy.objects), list(copy.log), copy.revision
+            self._objects, self._log, self._revision = dict(backup.objects), list(backup.log), backup.revision
             self.era += 1
             self.down = False
             self._changed.notify_all()
 
-    def restore_after_outage(self, copy, *, away_s=0.5):
+    def restore_after_outage(self, backup, *, away_s=0.5):
         """Be away for a moment and come back from a copy."""
         self.down = True
         with self._changed:
             self._changed.notify_all()
         time.sleep(away_s)
-        self.restore(copy)
+        self.restore(backup)
 
     def _write(self, kind, name, value, status=None):
         self._revision += 1
