--- a/tests/test_rollouts.py
+++ b/tests/test_rollouts.py
@@ -101,7 +101,7 @@
         # meanwhile.
         world = RolloutWorld(is_bad=fails(0.5))
         self.addCleanup(world.close)
-        world.store.era = 1
+        world.store.epoch = 1
         world.store.put("wagtailtrestle-epochs", "main", {"epoch": 1})
         world.start()
         callers = Callers(world=world, rate_per_s=RATE_PER_S).start()
--- a/tests/test_store_restored.py
+++ b/tests/test_store_restored.py
@@ -18,7 +18,7 @@
 class StoreRestoredTest(unittest.TestCase):
     def start(self, *, routers=3):
         world = World(routers=routers, key_revocation_ms=int(REVOKED_S * 1000))
-        world.store.era = 1
+        world.store.epoch = 1
         # The fleet has known this epoch for long.
         world.store.put(NOTE_KIND, NOTE_NAME, {"epoch": 1})
         self.addCleanup(world.close)
--- a/tests/utils/world_store.py
+++ b/tests/utils/world_store.py
@@ -29,7 +29,7 @@
 
     def __init__(self):
         self.down = False
-        self.era = 0
+        self.epoch = 0
         self.calls = 0
         self._objects = {}
         self._log = []
@@ -65,7 +65,7 @@
         """Go on from a copy: what was written since is gone, and its revisions are given out again."""
         with self._changed:
             self._objects, self._log, self._revision = dict(backup.objects), list(backup.log), backup.revision
-            self.era += 1
+            self.epoch += 1
             self.down = False
             self._changed.notify_all()
 
@@ -97,7 +97,7 @@
         if self.down:
             handler.close_connection = True
             return
-        era = self.era
+        epoch = self.epoch
         parts = urlsplit(handler.path)
         _, _, _, kind, *rest = parts.path.split("/")
         query = {name: values[0] for name, values in parse_qs(parts.query).items()}
@@ -108,8 +108,8 @@
             else:
                 status, body = getattr(self, f"_{handler.command.lower()}")(kind, name, query, handler.body)
         heads = [("Content-Type", "application/json")]
-        if self.era:
-            heads.append(("Store-Era", str(era)))
+        if self.epoch:
+            heads.append(("Store-Era", str(epoch)))
         self.reply(handler, status, json.dumps(body).encode(), heads)
 
     def _get(self, kind, name, query, body):
@@ -123,9 +123,9 @@
 
     def _watch(self, kind, revision, wait_s):
         until = time.monotonic() + wait_s
-        era = self.era
+        epoch = self.epoch
         while True:
-            if self.era != era or revision > self._revision:
+            if self.epoch != epoch or revision > self._revision:
                 return 410, {"error": "gone"}
             events = [event for at, of, event in self._log if of == kind and at > revision]
             left_s = until - time.monotonic()
