--- a/tests/utils/world_engine.py
+++ b/tests/utils/world_engine.py
@@ -74,7 +74,7 @@
             return
         how = self.script.pop(0) if self.script else "well"
         if how == "full":
-            heads = [("Not-Executed", "1"), ("Request-Id", handler.headers["Request-Id"]), *self._words()]
+            heads = [("Not-Executed", "1"), ("Request-Id", handler.headers["Request-Id"]), *self._status_headers()]
             self.reply(
                 handler, 503, headers=heads if self.retry_after is None else [*heads, ("Retry-After", self.retry_after)]
             )
@@ -92,14 +92,14 @@
 
     def _heads(self, handler, how="well"):
         request_id = "another" if how == "crossed" else handler.headers["Request-Id"]
-        heads = [("Request-Id", request_id), *self._words()]
+        heads = [("Request-Id", request_id), *self._status_headers()]
         if how != "unsigned":
             heads.append(("Response-Stamp", f"{SIGNATURE}-{self.name}"))
         if how == "coded":
             heads.append(("Content-Encoding", "gzip"))
         return heads
 
-    def _words(self):
+    def _status_headers(self):
         """What it says of itself in each answer."""
         words = [] if self.limit is None else [("Server-Limit", self.limit)]
         return [*words, ("Server-Leaving", "1")] if self.leaving else words
