--- a/tests/utils/world_engine.py
+++ b/tests/utils/world_engine.py
@@ -88,7 +88,7 @@
         elif "stream" in handler.path:
             self._stream(handler, how)
         else:
-            self._whole(handler, how)
+            self._send_complete(handler, how)
 
     def _heads(self, handler, how="well"):
         request_id = "another" if how == "crossed" else handler.headers["Request-Id"]
@@ -104,7 +104,7 @@
         words = [] if self.limit is None else [("Server-Limit", self.limit)]
         return [*words, ("Server-Leaving", "1")] if self.leaving else words
 
-    def _whole(self, handler, how):
+    def _send_complete(self, handler, how):
         body = f"whole from {self.name}".encode()
         handler.send_response(200)
         for name, value in self._heads(handler, how):
