--- a/tests/utils/world_engine.py
+++ b/tests/utils/world_engine.py
@@ -86,7 +86,7 @@
         if how == "fail":
             self.reply(handler, 500, b"broken", self._heads(handler))
         elif "stream" in handler.path:
-            self._stream(handler, how)
+            self._send_stream(handler, how)
         else:
             self._send_complete(handler, how)
 
@@ -117,7 +117,7 @@
         else:
             handler.wfile.write(body)
 
-    def _stream(self, handler, how):
+    def _send_stream(self, handler, how):
         handler.send_response(200)
         for name, value in [*self._heads(handler, how), ("Content-Type", "text/event-stream")]:
             handler.send_header(name, value)
