--- a/tests/utils/world_engine.py
+++ b/tests/utils/world_engine.py
@@ -128,10 +128,10 @@
             for number in range(first, self.events + 1):
                 event = f"id: {number}\ndata: {self.name}\n\n".encode()
                 if how in ("cut", "torn") and number == first + 2:
-                    self._chunk(handler, event[:7] if how == "torn" else b"")
+                    self._send_chunk(handler, event[:7] if how == "torn" else b"")
                     handler.close_connection = True
                     return
-                self._chunk(handler, event)
+                self._send_chunk(handler, event)
                 time.sleep(self.pause_s)
             handler.wfile.write(b"0\r\n\r\n")
         except OSError:
@@ -139,7 +139,7 @@
             self.gone.set()
 
     @staticmethod
-    def _chunk(handler, data):
+    def _send_chunk(handler, data):
         if data:
             handler.wfile.write(b"%x\r\n%b\r\n" % (len(data), data))
             handler.wfile.flush()
