--- a/tests/utils/world_engine.py
+++ b/tests/utils/world_engine.py
@@ -84,13 +84,13 @@
         headers = {name.lower(): value for name, value in handler.headers.items()}
         self.seen.append(headers | {"path": handler.path, "body": handler.body})
         if how == "fail":
-            self.reply(handler, 500, b"broken", self._heads(handler))
+            self.reply(handler, 500, b"broken", self._answer_headers(handler))
         elif "stream" in handler.path:
             self._send_stream(handler, how)
         else:
             self._send_complete(handler, how)
 
-    def _heads(self, handler, how="well"):
+    def _answer_headers(self, handler, how="well"):
         request_id = "another" if how == "crossed" else handler.headers["Request-Id"]
         heads = [("Request-Id", request_id), *self._status_headers()]
         if how != "unsigned":
@@ -107,7 +107,7 @@
     def _send_complete(self, handler, how):
         body = f"whole from {self.name}".encode()
         handler.send_response(200)
-        for name, value in self._heads(handler, how):
+        for name, value in self._answer_headers(handler, how):
             handler.send_header(name, value)
         handler.send_header("Content-Length", str(len(body)))
         handler.end_headers()
@@ -119,7 +119,7 @@
 
     def _send_stream(self, handler, how):
         handler.send_response(200)
-        for name, value in [*self._heads(handler, how), ("Content-Type", "text/event-stream")]:
+        for name, value in [*self._answer_headers(handler, how), ("Content-Type", "text/event-stream")]:
             handler.send_header(name, value)
         handler.send_header("Transfer-Encoding", "chunked")
         handler.end_headers()
