--- a/tests/test_platform_router.py
+++ b/tests/test_platform_router.py
@@ -35,7 +35,7 @@
 class PassingOnTest(WorldCase):
     def test_what_engines_and_callers_read(self):
         answer = self.world.ask("POST", "/stream/x?q=1", Token_Counts="100,20", Model="m", X_Other="kept", **FORGED)
-        self.assertEqual((answer.status, answer.whole), (200, True))
+        self.assertEqual((answer.status, answer.is_complete), (200, True))
         self.assertEqual(answer.event_ids, [1, 2, 3, 4, 5, 6])
         self.assertTrue(answer.headers["Response-Stamp"].startswith(SIGNATURE))
         self.assertEqual(answer.headers["Request-Id"], "r1")
@@ -86,7 +86,7 @@
                 self.script("assistant", how)
                 answer = self.world.ask("POST", "/stream/x", request_id=f"r-{how}")
                 self.assertEqual(answer.event_ids, [1, 2, 3, 4, 5, 6])
-                self.assertTrue(answer.whole)
+                self.assertTrue(answer.is_complete)
                 runs = self.world.runs(service="assistant")
                 self.assertEqual(sorted(seen.get("last-event-id", "") for seen in runs), ["", "2"])
 
@@ -94,7 +94,7 @@
         # It may run once: what was read is a part, and must not look whole.
         self.script("assistant", "cut")
         answer = self.world.ask("POST", "/stream-once/x")
-        self.assertEqual((answer.event_ids, answer.whole), ([1, 2], False))
+        self.assertEqual((answer.event_ids, answer.is_complete), ([1, 2], False))
         self.assertEqual(len(self.world.runs(service="assistant")), 1)
 
     def test_what_may_run_once_is_never_sent_twice(self):
@@ -219,7 +219,7 @@
         router.terminate()
         wait_until(lambda: not router.is_ready(), "not ready")
         thread.join()
-        self.assertEqual((answers[0].event_ids, answers[0].whole), (list(range(1, 101)), True))
+        self.assertEqual((answers[0].event_ids, answers[0].is_complete), (list(range(1, 101)), True))
         self.assertEqual(router.wait_stopped(), 0)
         self.assertEqual(self.world.store.objects("wagtailtrestle-routers"), {})
 
--- a/tests/utils/platform_world.py
+++ b/tests/utils/platform_world.py
@@ -57,11 +57,11 @@
 class Answer:
     """What a caller read."""
 
-    def __init__(self, *, status, headers, body, whole):
+    def __init__(self, *, status, headers, body, is_complete):
         self.status = status
         self.headers = headers
         self.body = body
-        self.whole = whole
+        self.is_complete = is_complete
 
     @property
     def event_ids(self):
@@ -202,10 +202,10 @@
             connection.request(method, path, body=b"body" if method == "POST" else None, headers=given)
             response = connection.getresponse()
             try:
-                body, whole = response.read(), True
+                body, is_complete = response.read(), True
             except http.client.IncompleteRead as error:
-                body, whole = error.partial, False
-            return Answer(status=response.status, headers=response.headers, body=body, whole=whole)
+                body, is_complete = error.partial, False
+            return Answer(status=response.status, headers=response.headers, body=body, is_complete=is_complete)
         finally:
             if own:
                 connection.close()
--- a/tests/utils/rollout_world.py
+++ b/tests/utils/rollout_world.py
@@ -194,7 +194,7 @@
         method, path = ("GET", READ_PATH) if number % 3 else ("POST", BOOK_PATH)
         try:
             answer = self._world.ask(method, path, router=router, request_id=f"c-{number}")
-            status = answer.status if answer.whole else 0
+            status = answer.status if answer.is_complete else 0
         except OSError:
             status = 0
         self.seen.append((time.monotonic(), status))
