--- a/tests/utils/platform_world.py
+++ b/tests/utils/platform_world.py
@@ -183,8 +183,8 @@
 
     def scheduler_of(self, cell):
         """Number of the router that is scheduler of a cell, by the first router that runs."""
-        asked = next(number for number, router in enumerate(self.routers) if router.is_running())
-        name = self.state(asked)["stewards_by_cell"][cell]
+        responding = next(number for number, router in enumerate(self.routers) if router.is_running())
+        name = self.state(responding)["stewards_by_cell"][cell]
         return next(number for number, router in enumerate(self.routers) if router.values["name"] == name)
 
     def connect(self, router=0):
