--- a/tests/utils/platform_world.py
+++ b/tests/utils/platform_world.py
@@ -192,14 +192,14 @@
 
     def ask(self, method, path, *, router=0, request_id="r1", key=KEY, connection=None, **headers):
         """One request; keyword headers are written with dashes."""
-        given = {"Host": "service.example", "Request-Id": request_id, "Deadline-Milliseconds": "4000"}
+        sent_headers = {"Host": "service.example", "Request-Id": request_id, "Deadline-Milliseconds": "4000"}
         if key is not None:
-            given["Authorization"] = f"Token {key}"
-        given |= {name.replace("_", "-"): value for name, value in headers.items()}
+            sent_headers["Authorization"] = f"Token {key}"
+        sent_headers |= {name.replace("_", "-"): value for name, value in headers.items()}
         own = connection is None
         connection = connection or self.connect(router)
         try:
-            connection.request(method, path, body=b"body" if method == "POST" else None, headers=given)
+            connection.request(method, path, body=b"body" if method == "POST" else None, headers=sent_headers)
             response = connection.getresponse()
             try:
                 body, is_complete = response.read(), True
