--- a/tests/test_engine_leaving.py
+++ b/tests/test_engine_leaving.py
@@ -70,10 +70,10 @@
             engine.leaving = True
             engine.script = ["crossed"] * 2
         for number in range(2):
-            self.world.ask("GET", "/status/1", request_id=f"r-{number}")
+            self.world.request("GET", "/status/1", request_id=f"r-{number}")
         for engine in engines:
             engine.leaving, engine.script = False, []
-        self.assertEqual(self.world.ask("GET", "/status/1", request_id="r-9").status, 200)
+        self.assertEqual(self.world.request("GET", "/status/1", request_id="r-9").status, 200)
 
 
 class LeavingStreamsTest(LeavingAnswersTest):
--- a/tests/test_platform_router.py
+++ b/tests/test_platform_router.py
@@ -34,7 +34,7 @@
 
 class PassingOnTest(WorldCase):
     def test_what_engines_and_callers_read(self):
-        answer = self.world.ask("POST", "/stream/x?q=1", Token_Counts="100,20", Model="m", X_Other="kept", **FORGED)
+        answer = self.world.request("POST", "/stream/x?q=1", Token_Counts="100,20", Model="m", X_Other="kept", **FORGED)
         self.assertEqual((answer.status, answer.is_complete), (200, True))
         self.assertEqual(answer.event_ids, [1, 2, 3, 4, 5, 6])
         self.assertTrue(answer.headers["Response-Stamp"].startswith(SIGNATURE))
@@ -49,17 +49,17 @@
             self.assertNotIn(name, seen)
 
     def test_a_whole_answer_and_its_failure_pass_unchanged(self):
-        answer = self.world.ask("POST", "/book/1")
+        answer = self.world.request("POST", "/book/1")
         self.assertEqual((answer.status, answer.body[:10]), (200, b"whole from"))
         self.script("booking", "fail")
-        answer = self.world.ask("POST", "/book/2", request_id="r2")
+        answer = self.world.request("POST", "/book/2", request_id="r2")
         self.assertEqual((answer.status, answer.body), (500, b"broken"))
         self.assertTrue(answer.headers["Response-Stamp"].startswith(SIGNATURE))
 
     def test_routes_and_keys(self):
-        self.assertEqual(self.world.ask("GET", "/nowhere/").status, 404)
-        self.assertEqual(self.world.ask("GET", "/status/1", key="wrong").status, 401)
-        self.assertEqual(self.world.ask("GET", "/status/1", key=None).status, 401)
+        self.assertEqual(self.world.request("GET", "/nowhere/").status, 404)
+        self.assertEqual(self.world.request("GET", "/status/1", key="wrong").status, 401)
+        self.assertEqual(self.world.request("GET", "/status/1", key=None).status, 401)
         self.assertEqual(self.world.runs(service="booking"), [])
 
     def test_a_request_with_two_lengths_is_not_passed_on(self):
@@ -84,7 +84,7 @@
                 for engine in self.assistants:
                     engine.seen.clear()
                 self.script("assistant", how)
-                answer = self.world.ask("POST", "/stream/x", request_id=f"r-{how}")
+                answer = self.world.request("POST", "/stream/x", request_id=f"r-{how}")
                 self.assertEqual(answer.event_ids, [1, 2, 3, 4, 5, 6])
                 self.assertTrue(answer.is_complete)
                 runs = self.world.runs(service="assistant")
@@ -93,7 +93,7 @@
     def test_a_stream_that_may_not_go_on_ends_broken(self):
         # It may run once: what was read is a part, and must not look whole.
         self.script("assistant", "cut")
-        answer = self.world.ask("POST", "/stream-once/x")
+        answer = self.world.request("POST", "/stream-once/x")
         self.assertEqual((answer.event_ids, answer.is_complete), ([1, 2], False))
         self.assertEqual(len(self.world.runs(service="assistant")), 1)
 
@@ -103,25 +103,25 @@
         for number, how in enumerate(("cut", "coded", "unsigned", "crossed")):
             with self.subTest(how=how):
                 self.script("booking", how)
-                answer = self.world.ask("POST", f"/book/{number}", request_id=f"r{number}")
+                answer = self.world.request("POST", f"/book/{number}", request_id=f"r{number}")
                 self.assertEqual(answer.status, 502)
                 self.assertNotIn("Response-Stamp", answer.headers)
                 self.assertEqual(len(self.world.runs(service="booking")), number + 1)
 
     def test_what_may_be_repeated_is_tried_once_more(self):
         self.script("booking", "cut")
-        answer = self.world.ask("GET", "/status/1")
+        answer = self.world.request("GET", "/status/1")
         self.assertEqual(answer.status, 200)
         self.assertEqual(len(self.world.runs(service="booking")), 2)
 
     def test_an_engine_that_is_full_leaves_the_request_to_another(self):
         self.script("booking", "full")
-        self.assertEqual(self.world.ask("POST", "/book/1").status, 200)
+        self.assertEqual(self.world.request("POST", "/book/1").status, 200)
         self.assertEqual(len(self.world.runs(service="booking")), 1)
 
     def test_engines_that_are_all_full_mean_that_it_did_not_run(self):
         self.script("booking", *["full"] * 10)
-        answer = self.world.ask("POST", "/book/1")
+        answer = self.world.request("POST", "/book/1")
         self.assertEqual(answer.status, 503)
         self.assertGreater(float(answer.headers["Retry-After"]), 0.0)
         self.assertEqual(self.world.runs(service="booking"), [])
@@ -132,13 +132,13 @@
 
     def test_a_new_configuration_is_in_force_soon(self):
         self.world.store.put("config", "main", configuration(9, keys=("new-key",)))
-        wait_until(lambda: self.world.ask("GET", "/status/1", key="new-key").status == 200, "the new key")
-        self.assertEqual(self.world.ask("GET", "/status/1").status, 401)
+        wait_until(lambda: self.world.request("GET", "/status/1", key="new-key").status == 200, "the new key")
+        self.assertEqual(self.world.request("GET", "/status/1").status, 401)
 
     def test_one_that_cannot_be_read_changes_nothing(self):
         self.world.store.put("config", "main", {"version": 9, "routes": "nonsense"})
         time.sleep(0.8)
-        self.assertEqual(self.world.ask("GET", "/status/1").status, 200)
+        self.assertEqual(self.world.request("GET", "/status/1").status, 200)
         self.assertIn("can't be read", self.world.routers[0].log_path.read_text())
 
     def test_keys_are_not_used_beyond_their_freshness(self):
@@ -146,15 +146,15 @@
         # away meanwhile must not run anything; nobody can tell which, so no request is run, and
         # each is told so, with when to come back. With the store back all goes on.
         self.world.store.down = True
-        wait_until(lambda: self.world.ask("GET", "/status/1").status == 503, "refusals")
+        wait_until(lambda: self.world.request("GET", "/status/1").status == 503, "refusals")
         ran = len(self.world.runs(service="booking"))
-        answer = self.world.ask("POST", "/book/1", request_id="r9")
+        answer = self.world.request("POST", "/book/1", request_id="r9")
         self.assertEqual(answer.status, 503)
         self.assertIn("Retry-After", answer.headers)
         self.assertEqual(len(self.world.runs(service="booking")), ran)
         self.assertRegex(self.world.routers[0].log_path.read_text(), r"keys proved \d+\.\d s ago, limit 1\.5")
         self.world.store.down = False
-        wait_until(lambda: self.world.ask("GET", "/status/1").status == 200, "service again")
+        wait_until(lambda: self.world.request("GET", "/status/1").status == 200, "service again")
 
     def test_engines_that_leave_get_nothing_more(self):
         left = self.world.engines["b-1"]
@@ -162,7 +162,7 @@
         time.sleep(0.5)
         left.seen.clear()
         for number in range(6):
-            self.assertEqual(self.world.ask("POST", "/book/1", request_id=f"r{number}").status, 200)
+            self.assertEqual(self.world.request("POST", "/book/1", request_id=f"r{number}").status, 200)
         self.assertEqual(left.seen, [])
 
     def test_an_address_used_again_by_another_engine_runs_nothing(self):
@@ -170,7 +170,7 @@
         # request, so that the newcomer refuses, and the other engine serves.
         self.world.engines["b-1"].name = "c-1"
         for number in range(4):
-            self.assertEqual(self.world.ask("POST", "/book/1", request_id=f"r{number}").status, 200)
+            self.assertEqual(self.world.request("POST", "/book/1", request_id=f"r{number}").status, 200)
         self.assertEqual(self.world.engines["b-1"].seen, [])
 
     def test_settings_are_read_again(self):
@@ -184,7 +184,7 @@
         self.assertEqual((told["changed"], told["from_next_start"]), ("zone,retry_extra", "zone"))
         router.settings_file.write_text("nonsense: [")
         wait_until(lambda: "not put in force" in router.log_path.read_text(), "the complaint")
-        self.assertEqual(self.world.ask("GET", "/status/1").status, 200)
+        self.assertEqual(self.world.request("GET", "/status/1").status, 200)
 
 
 class CallersWhoLeaveTest(WorldCase):
@@ -212,7 +212,7 @@
         for engine in self.assistants:
             engine.events, engine.pause_s = 100, 0.015
         answers = []
-        thread = threading.Thread(target=lambda: answers.append(self.world.ask("POST", "/stream/x")))
+        thread = threading.Thread(target=lambda: answers.append(self.world.request("POST", "/stream/x")))
         thread.start()
         wait_until(lambda: self.world.runs(service="assistant"), "the run")
         router = self.world.routers[0]
@@ -233,7 +233,7 @@
         wait_until(lambda: len(self.world.store.objects("wagtailtrestle-routers")) == 2, "both entries")
         time.sleep(1.5)
         began_at = time.monotonic()
-        statuses = [self.world.ask("GET", "/status/1", router=number % 2).status for number in range(60)]
+        statuses = [self.world.request("GET", "/status/1", router=number % 2).status for number in range(60)]
         elapsed_s = time.monotonic() - began_at
         served = statuses.count(200) * 10
         self.assertLessEqual(served, 100 + 50 * elapsed_s + 20)
--- a/tests/test_quiet_crashes.py
+++ b/tests/test_quiet_crashes.py
@@ -34,7 +34,7 @@
         return world.start()
 
     def send(self, world, method, path, number):
-        self.answers.append(world.ask(method, path, router=number % ROUTERS, request_id=f"r{number}"))
+        self.answers.append(world.request(method, path, router=number % ROUTERS, request_id=f"r{number}"))
 
     def check(self, method, path):
         """Send one request through each router in turn and limit its runs after it has crashed three engines."""
--- a/tests/test_rollouts.py
+++ b/tests/test_rollouts.py
@@ -155,7 +155,7 @@
         world.ordered_at = time.monotonic()
         world.store.put("rollouts", "booking", {"service": "booking", "target": "v2", "duration_s": DURATION_S})
         time.sleep(0.5)
-        statuses = {world.ask("GET", "/status/1", request_id=f"q-{number}").status for number in range(10)}
+        statuses = {world.request("GET", "/status/1", request_id=f"q-{number}").status for number in range(10)}
         self.assertEqual(statuses, {200})
         self.assertLessEqual(len(world.arrivals(world.new)), 1)
 
@@ -165,7 +165,7 @@
             world.store.put("rollouts", "booking", order)
             time.sleep(0.2)
         self.assertIsNone(world.state())
-        self.assertEqual(world.ask("GET", "/status/1", request_id="q").status, 200)
+        self.assertEqual(world.request("GET", "/status/1", request_id="q").status, 200)
 
 
 if __name__ == "__main__":
--- a/tests/test_store_restored.py
+++ b/tests/test_store_restored.py
@@ -27,7 +27,7 @@
     def ask_all(self, world, *, count=ASKS, name="r", key=KEY):
         """Ask in turn through all routers; the answers' statuses."""
         return [
-            world.ask(
+            world.request(
                 "GET", "/status/1", router=number % len(world.routers), request_id=f"{name}-{number}", key=key
             ).status
             for number in range(count)
@@ -153,7 +153,7 @@
         statuses = set()
         while time.monotonic() < until:
             try:
-                answer = world.ask("GET", "/status/1", router=2, request_id=f"k{time.monotonic()}", key=OTHER_KEY)
+                answer = world.request("GET", "/status/1", router=2, request_id=f"k{time.monotonic()}", key=OTHER_KEY)
                 statuses.add(answer.status)
             except OSError:
                 pass  # It does not listen yet.
--- a/tests/utils/platform_world.py
+++ b/tests/utils/platform_world.py
@@ -190,7 +190,7 @@
     def connect(self, router=0):
         return http.client.HTTPConnection(self.routers[router].values["callers_address"], timeout=WAIT_S)
 
-    def ask(self, method, path, *, router=0, request_id="r1", key=KEY, connection=None, **headers):
+    def request(self, method, path, *, router=0, request_id="r1", key=KEY, connection=None, **headers):
         """One request; keyword headers are written with dashes."""
         sent_headers = {"Host": "service.example", "Request-Id": request_id, "Deadline-Milliseconds": "4000"}
         if key is not None:
--- a/tests/utils/rollout_world.py
+++ b/tests/utils/rollout_world.py
@@ -193,7 +193,7 @@
         router = self._routers[number % len(self._routers)]
         method, path = ("GET", READ_PATH) if number % 3 else ("POST", BOOK_PATH)
         try:
-            answer = self._world.ask(method, path, router=router, request_id=f"c-{number}")
+            answer = self._world.request(method, path, router=router, request_id=f"c-{number}")
             status = answer.status if answer.is_complete else 0
         except OSError:
             status = 0
--- a/tests/utils/steady_callers.py
+++ b/tests/utils/steady_callers.py
@@ -81,7 +81,7 @@
         router = self._routers[number % len(self._routers)]
         headers = {"X_Router": str(router), "X_Sent_At": repr(time.monotonic())}
         try:
-            answer = self._world.ask(method, path, router=router, request_id=f"steady-{number}", **headers)
+            answer = self._world.request(method, path, router=router, request_id=f"steady-{number}", **headers)
         except OSError as error:
             answer = NoAnswer(error)
         self.answers.append(answer)
