--- a/tests/utils/world_engine.py
+++ b/tests/utils/world_engine.py
@@ -74,9 +74,17 @@
             return
         how = self.script.pop(0) if self.script else "well"
         if how == "full":
-            heads = [("Not-Executed", "1"), ("Request-Id", handler.headers["Request-Id"]), *self._status_headers()]
+            answer_headers = [
+                ("Not-Executed", "1"),
+                ("Request-Id", handler.headers["Request-Id"]),
+                *self._status_headers(),
+            ]
             self.reply(
-                handler, 503, headers=heads if self.retry_after is None else [*heads, ("Retry-After", self.retry_after)]
+                handler,
+                503,
+                headers=answer_headers
+                if self.retry_after is None
+                else [*answer_headers, ("Retry-After", self.retry_after)],
             )
             self.rejections.append((time.monotonic(), handler.headers.get("X-Router")))
             return
@@ -92,12 +100,12 @@
 
     def _answer_headers(self, handler, how="well"):
         request_id = "another" if how == "crossed" else handler.headers["Request-Id"]
-        heads = [("Request-Id", request_id), *self._status_headers()]
+        answer_headers = [("Request-Id", request_id), *self._status_headers()]
         if how != "unsigned":
-            heads.append(("Response-Stamp", f"{SIGNATURE}-{self.name}"))
+            answer_headers.append(("Response-Stamp", f"{SIGNATURE}-{self.name}"))
         if how == "coded":
-            heads.append(("Content-Encoding", "gzip"))
-        return heads
+            answer_headers.append(("Content-Encoding", "gzip"))
+        return answer_headers
 
     def _status_headers(self):
         """What it says of itself in each answer."""
--- a/tests/utils/world_store.py
+++ b/tests/utils/world_store.py
@@ -107,10 +107,10 @@
                 status, body = self._put_status(kind, name, handler.body)
             else:
                 status, body = getattr(self, f"_{handler.command.lower()}")(kind, name, query, handler.body)
-        heads = [("Content-Type", "application/json")]
+        answer_headers = [("Content-Type", "application/json")]
         if self.epoch:
-            heads.append(("Store-Era", str(epoch)))
-        self.reply(handler, status, json.dumps(body).encode(), heads)
+            answer_headers.append(("Store-Era", str(epoch)))
+        self.reply(handler, status, json.dumps(body).encode(), answer_headers)
 
     def _get(self, kind, name, query, body):
         if name is not None:
