--- a/tests/test_platform_outage.py
+++ b/tests/test_platform_outage.py
@@ -68,8 +68,8 @@
         self.assert_promises(running, seen)
         self.assert_all_whole(others)
         self.assertTrue(bookings)
-        told = {(each.result.status, each.result.reason, each.result.executed) for each in bookings}
-        self.assertEqual(told, {(503, "ledger_unavailable", "no")})
+        refusals = {(each.result.status, each.result.reason, each.result.executed) for each in bookings}
+        self.assertEqual(refusals, {(503, "ledger_unavailable", "no")})
         slowest_s = max(each.result.total_s for each in bookings)
         print(f"platform out: slowest refusal of a booking {slowest_s:.2f} s")
         self.assertLess(slowest_s, MAX_REFUSAL_S)
