--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -152,13 +152,13 @@
         # As many watches as there are threads for calls wait on connections that have
         # gone silent. Calls go on beside them, and closing the store waits for none.
         watches = [self.store.watch(kind="k", from_version=0, timeout_s=30) for _ in range(2)]
-        told = asyncio.gather(*watches)
+        pending_watches = asyncio.gather(*watches)
         await asyncio.sleep(0.1)
         self.set_faults(silent="open")
         self.assertEqual(await self.create(), StoreDone(version=1))
         self.store.close()
         async with asyncio.timeout(2):
-            self.assertEqual([type(outcome) for outcome in await told], [StoreUnavailable] * 2)
+            self.assertEqual([type(outcome) for outcome in await pending_watches], [StoreUnavailable] * 2)
 
     async def test_calls_with_no_thread_left_are_certainly_not_sent(self):
         # The only thread waits on a silent platform, call after call; the last write
