--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -1,4 +1,4 @@
-"""The platform stand-in and the object store over HTTP, on loopback; VM list and status."""
+"""The platform stand-in and the HTTP object store on loopback; VM list and status report."""
 
 import asyncio
 import json
@@ -104,9 +104,8 @@
         self.assertEqual(await self.get(), StoreDone(version=2, value=2))
 
     async def test_answer_lost_after_the_write_is_unknown(self):
-        # The write takes effect, then the connection ends without an answer. Whoever
-        # wrote must learn "unknown": "not applied" would be a lie that invites a second
-        # write.
+        # The write takes effect, then the connection ends without an answer. The writer must
+        # get "unknown": "not applied" would be wrong and invite a second write.
         await self.create()
         self.set_faults(lose_answers=1)
         self.assertIsInstance(await self.update(1), StoreUnknown)
@@ -130,17 +129,17 @@
             self.assertIsInstance(await store.create(kind="k", name="o", value=1), StoreUnavailable)
 
     async def test_error_that_promises_nothing_is_unknown(self):
-        # Something before the platform answers 503 in its own words. It can't know
-        # whether the platform took the write up, so neither can we.
+        # A proxy in front of the platform answers 503 with its own body. It can't know
+        # whether the platform applied the write, so neither can we.
         await self.create()
         self.platform.faults.down = "unavailable"
         self.platform._refused = lambda status, problem: _plain_answer(status)
         self.assertIsInstance(await self.update(1), StoreUnknown)
 
     async def test_connections_gone_silent(self):
-        # Every connection open now never answers again, new ones work: one call may be
-        # lost to its timeout, the next ones must all go over new connections, also when
-        # several idle connections had gone silent at once.
+        # All open connections stop answering, new ones work: one call may be lost to its
+        # timeout, but the next ones must all use new connections, also when several idle
+        # connections stopped answering at the same time.
         self.set_faults(slow_s=0.1)
         await asyncio.gather(self.create(), self.get(), self.get())
         self.set_faults(silent="open", slow_s=0.1)
@@ -149,8 +148,8 @@
         self.assertEqual(after, [StoreDone(version=2), StoreAbsent()])
 
     async def test_silent_watches_hold_up_no_other_call(self):
-        # As many watches as there are threads for calls wait on connections that have
-        # gone silent. Calls go on beside them, and closing the store waits for none.
+        # As many watches as there are threads for calls wait on connections that no longer
+        # answer. Calls are not blocked by them, and closing the store does not wait for them.
         watches = [self.store.watch(kind="k", from_version=0, timeout_s=30) for _ in range(2)]
         pending_watches = asyncio.gather(*watches)
         await asyncio.sleep(0.1)
@@ -161,9 +160,9 @@
             self.assertEqual([type(outcome) for outcome in await pending_watches], [StoreUnavailable] * 2)
 
     async def test_calls_with_no_thread_left_are_certainly_not_sent(self):
-        # The only thread waits on a silent platform, call after call; the last write
-        # never gets its turn. It was not sent and its caller may be told so; the first
-        # was, and its caller may not.
+        # The only thread waits on an unresponsive platform, call after call, so the last
+        # write is never sent, and its outcome may say so. The first was sent, so its
+        # outcome is unknown.
         self.set_faults(silent="all")
         store = HttpObjectStore(url=self.url, connect_timeout_s=0.1, read_timeout_s=READ_TIMEOUT_S, threads=1)
         store.start()
@@ -223,8 +222,8 @@
 class VMListTests(unittest.TestCase):
     @on_paused_clock
     async def test_list_is_kept_through_an_outage(self):
-        # The platform goes out. The routers and engines are as alive as before, so the
-        # last list stays; when it is back, changes are taken up again.
+        # The platform becomes unavailable. Routers and engines are still running, so the
+        # last list is kept; when the platform is back, changes are applied again.
         store = MemoryStore()
         store.set_vms(VM_ITEMS)
         changes = []
@@ -242,8 +241,8 @@
 
     @on_paused_clock
     async def test_a_list_that_stays_the_same_is_read_seldom(self):
-        # Routers of a fleet know each other within seconds and tell who comes and goes; a read of each router
-        # every second or two costs the store more than all its writes.
+        # The routers of a fleet know each other within seconds and notify each other of joins and leaves.
+        # A read by each router every second or two would cost the store more than all its writes.
         store = MemoryStore()
         store.set_vms(VM_ITEMS)
         changes = []
--- a/tests/test_platform_declarations.py
+++ b/tests/test_platform_declarations.py
@@ -1,4 +1,4 @@
-"""The users' configuration and engines' entries, decoded."""
+"""Decoding of the users' configuration and of engine registrations."""
 
 import copy
 import json
@@ -111,7 +111,7 @@
             self.assertIn(str(rank), self.declaration.tiers_by_name)
 
     def test_a_configuration_that_cannot_be_read_says_why(self):
-        # The operator's document lacks a field. The one in force must stay, with the reason told.
+        # The operator's document lacks a field. The one in force must stay, and the fault is reported.
         for path in ("routes", "services"):
             document = copy.deepcopy(CONFIGURATION)
             del document[path]
--- a/tests/test_platform_events.py
+++ b/tests/test_platform_events.py
@@ -1,4 +1,4 @@
-"""Whole events cut from a stream."""
+"""Splitting a stream into complete events."""
 
 import unittest
 
@@ -14,8 +14,8 @@
         self.splitter = EventSplitter(after_id=None)
 
     def test_a_torn_event_is_kept_back(self):
-        # The engine stops in the middle of an event. Its piece must not reach the caller: the
-        # engine that goes on sends the event whole, and the caller would read one and a half.
+        # The engine stops in the middle of an event. The fragment must not reach the caller: the engine
+        # that resumes the stream sends the complete event, so the caller would read one and a half.
         data = event(1) + event(2)
         taken = self.splitter.feed(data[:-3])
         self.assertEqual(taken.data, event(1))
@@ -29,15 +29,15 @@
         self.assertFalse(self.splitter.has_partial_event)
 
     def test_events_that_were_had_are_dropped(self):
-        # The run goes on elsewhere and its engine repeats the last event: passed on, the caller
-        # would read it twice.
+        # The run is resumed on another engine, which repeats the last event. If it were forwarded,
+        # the caller would read it twice.
         splitter = EventSplitter(after_id=2)
         taken = splitter.feed(event(2) + event(3))
         self.assertEqual((taken.data, taken.count), (event(3), 1))
 
     def test_a_missing_event_is_a_fault(self):
-        # A piece was lost between engine and router. Passed on, the caller would take a stream
-        # with a hole for whole.
+        # Data was lost between engine and router. If the rest were forwarded, the caller would take
+        # a stream with a gap for complete.
         self.splitter.feed(event(1))
         self.assertIsInstance(self.splitter.feed(event(3)), EventFault)
 
--- a/tests/test_platform_outage.py
+++ b/tests/test_platform_outage.py
@@ -1,4 +1,4 @@
-"""The platform out for the whole run, and configuration through its faults."""
+"""A platform outage during traffic, and configuration changes during platform faults."""
 
 import threading
 import time
@@ -19,7 +19,7 @@
 
 
 def apply_process(running, name, share, *, base=None):
-    """Command line of an operator who applies the document with another share of team socios."""
+    """Return the process of an operator who applies the document with another share of team socios."""
     document = dict(running.deployment.document)
     document["teams"] = [dict(team) for team in document["teams"]]
     next(team for team in document["teams"] if team["name"] == "socios")["share"] = share
@@ -38,7 +38,7 @@
 
 
 def generations(running):
-    """Generation in force at each router."""
+    """Return the generation in force at each router."""
     return [running.state(name)["configuration"]["generation"] for name in running.routers]
 
 
@@ -55,9 +55,9 @@
         self.running.platform_faults()
 
     def test_traffic_flows_and_bookings_are_refused_as_not_run(self):
-        # Questions, plans and tagging go on as if nothing were, for no step of theirs needs the
-        # platform. A booking with an idempotency key can't be claimed, so its caller is told at
-        # once, rather than at its deadline, that it was not run; and the service never saw it.
+        # Questions, plans and tagging are served as usual, since none of their steps needs the platform.
+        # A booking with an idempotency key can't be claimed, so its caller is told immediately, rather
+        # than at its deadline, that it was not run; and the service never receives it.
         running = self.running
         running.platform_faults(down="cut")
         load = running.load(kinds=(QUESTION, PLAN, TAGGING, BOOKING), rate=RATE).start()
@@ -75,8 +75,8 @@
         self.assertLess(slowest_s, MAX_REFUSAL_S)
 
     def test_router_that_restarts_takes_its_configuration_from_peers(self):
-        # Two routers serve on; the third comes back with nothing but its settings and finds no
-        # platform. It asks its peers for the declaration in force and serves by it.
+        # Two routers keep serving; the third restarts with only its settings and can't reach the
+        # platform. It requests the declaration in force from its peers and serves by it.
         running = self.running
         running.platform_faults(down="cut")
         name = running.routers[-1]
@@ -87,8 +87,8 @@
         self.assert_all_whole([running.send(kind, router=name) for kind in (QUESTION, TAGGING)])
 
     def test_killed_scheduler_during_the_outage(self):
-        # As without the outage: who lives is told by heartbeats, so a new scheduler is found
-        # although nobody can ask the platform.
+        # As without the outage: live routers are known by their heartbeats, so a new scheduler is
+        # chosen although the platform can't be queried.
         running = self.running
         running.platform_faults(down="cut")
         scheduler = running.scheduler_of()
@@ -110,7 +110,7 @@
         return time.monotonic() - applied_at
 
     def test_applied_under_load(self):
-        # Callers notice nothing while a new declaration is put in force everywhere.
+        # No request fails while a new declaration is put in force everywhere.
         load = self.running.load(kinds=(QUESTION, TAGGING, BOOKING), rate=RATE).start()
         took_s = self.apply("under-load", 4)
         seen = load.stop()
@@ -120,24 +120,24 @@
         self.assert_all_whole(seen)
 
     def test_watch_is_silent(self):
-        # The platform tells no watch of the new declaration, so every watch waits on in vain.
-        # The bounded polling finds it, and the first router that has it tells its peers.
+        # The platform notifies no watch of the new declaration, so every watch keeps waiting. Polling at
+        # a bounded interval finds it, and the first router that has it notifies its peers.
         self.running.platform_faults(drop_watch_events=True)
         took_s = self.apply("silent-watch", 5)
         print(f"configuration: in force {took_s:.2f} s after it was accepted, watches silent")
         self.assertLess(took_s, IN_FORCE_S + LOADED_VM_S)
 
     def test_open_connections_to_the_platform_went_silent(self):
-        # Something between the routers and the platform lost track of every open connection:
-        # the watches wait for ever, while new connections work.
+        # A component between the routers and the platform lost the state of all open connections: the
+        # watches never receive an answer, while new connections work.
         self.running.platform_faults(silent="open")
         took_s = self.apply("silent-connections", 6)
         print(f"configuration: in force {took_s:.2f} s after it was accepted, open connections silent")
         self.assertLess(took_s, IN_FORCE_S + LOADED_VM_S)
 
     def test_two_operators_at_once(self):
-        # Both applied a file based on the same generation at nearly the same moment. One is
-        # accepted, the other is told of the conflict, and every router has the accepted one.
+        # Both apply a file based on the same generation at nearly the same time. One is accepted,
+        # the other gets a conflict, and every router has the accepted one.
         running = self.running
         base = max(generations(running))
         processes = [apply_process(running, f"operator-{share}", share, base=base) for share in (7, 8)]
--- a/tests/test_platform_router.py
+++ b/tests/test_platform_router.py
@@ -1,4 +1,4 @@
-"""A router process on the users' platform: what callers and engines see."""
+"""A router process on the users' platform, as seen by callers and engines."""
 
 import json
 import signal
@@ -25,7 +25,7 @@
         self.assistants = [self.world.engines["a-1"], self.world.engines["a-2"]]
 
     def script(self, service, *how):
-        """Let whichever engine of the service comes first answer so, once for each word."""
+        """Script the next answers of the service, one for each fault, whichever engine gives them."""
         engines = [engine for engine in self.world.engines.values() if engine.service == service]
         shared = list(how)
         for engine in engines:
@@ -63,8 +63,8 @@
         self.assertEqual(self.world.runs(service="booking"), [])
 
     def test_a_request_with_two_lengths_is_not_passed_on(self):
-        # A length and a chunked coding together: an engine that believes the one where the router
-        # believes the other would run a second request, smuggled inside the first.
+        # Request smuggling: with both Content-Length and chunked coding, an engine that goes by one of
+        # them while the router goes by the other would run a second request hidden inside the first.
         host, _, port = self.world.routers[0].values["callers_address"].partition(":")
         with socket.create_connection((host, int(port)), timeout=5) as sock:
             head = f"POST /book/1 HTTP/1.1\r\nHost: service.example\r\nAuthorization: Token {KEY}\r\n"
@@ -77,8 +77,8 @@
 
 class BrokenAnswersTest(WorldCase):
     def test_a_stream_that_broke_off_goes_on_elsewhere(self):
-        # The engine stops in the middle of an event. The caller reads one stream without a gap,
-        # with the head and signature of the first engine.
+        # The engine stops in the middle of an event. The caller receives one stream without a gap,
+        # with the response head and signature of the first engine.
         for how in ("cut", "torn"):
             with self.subTest(how=how):
                 for engine in self.assistants:
@@ -91,15 +91,15 @@
                 self.assertEqual(sorted(seen.get("last-event-id", "") for seen in runs), ["", "2"])
 
     def test_a_stream_that_may_not_go_on_ends_broken(self):
-        # It may run once: what was read is a part, and must not look whole.
+        # The request may run only once: the caller got part of the stream, which must not look complete.
         self.script("assistant", "cut")
         answer = self.world.request("POST", "/stream-once/x")
         self.assertEqual((answer.event_ids, answer.is_complete), ([1, 2], False))
         self.assertEqual(len(self.world.runs(service="assistant")), 1)
 
     def test_what_may_run_once_is_never_sent_twice(self):
-        # The answer breaks off, is coded, unsigned or another request's: the booking may have run.
-        # The caller is told neither that it succeeded nor that it did not run.
+        # The answer is cut off, compressed, unsigned or belongs to another request: the booking may have
+        # run. The caller must be told neither that it succeeded nor that it did not run.
         for number, how in enumerate(("cut", "coded", "unsigned", "crossed")):
             with self.subTest(how=how):
                 self.script("booking", how)
@@ -142,9 +142,9 @@
         self.assertIn("can't be read", self.world.routers[0].log_path.read_text())
 
     def test_keys_are_not_used_beyond_their_freshness(self):
-        # The store is out for longer than a key may be used without proof. A key that was taken
-        # away meanwhile must not run anything; nobody can tell which, so no request is run, and
-        # each is told so, with when to come back. With the store back all goes on.
+        # The store is unavailable for longer than keys may be used without confirmation. A key revoked
+        # in the meantime must not run anything, and it is unknown which keys were revoked, so every
+        # request is refused as not run, with Retry-After. Service resumes when the store is back.
         self.world.store.down = True
         wait_until(lambda: self.world.request("GET", "/status/1").status == 503, "refusals")
         ran = len(self.world.runs(service="booking"))
@@ -166,15 +166,15 @@
         self.assertEqual(left.seen, [])
 
     def test_an_address_used_again_by_another_engine_runs_nothing(self):
-        # The engine is gone but still listed, and another has its address. It is named in each
-        # request, so that the newcomer refuses, and the other engine serves.
+        # The engine is gone but still listed, and another engine has its address. Each request names the
+        # expected engine, so the new one refuses it and the service's other engine serves it.
         self.world.engines["b-1"].name = "c-1"
         for number in range(4):
             self.assertEqual(self.world.request("POST", "/book/1", request_id=f"r{number}").status, 200)
         self.assertEqual(self.world.engines["b-1"].seen, [])
 
     def test_settings_are_read_again(self):
-        # Unhandled, the signal would end the process with every request in flight.
+        # The default action of this signal would kill the process with all requests in flight.
         router = self.world.routers[0]
         router.settings_file.write_text(yaml.safe_dump(router.values | {"retry_extra": 7.0, "zone": "b"}))
         router.signal(signal.SIGHUP)
@@ -183,7 +183,7 @@
         logged = json.loads(line)
         self.assertEqual((logged["changed"], logged["from_next_start"]), ("zone,retry_extra", "zone"))
         router.settings_file.write_text("nonsense: [")
-        wait_until(lambda: "not put in force" in router.log_path.read_text(), "the complaint")
+        wait_until(lambda: "not put in force" in router.log_path.read_text(), "the error in the log")
         self.assertEqual(self.world.request("GET", "/status/1").status, 200)
 
 
@@ -208,7 +208,7 @@
 
 class StopTest(WorldCase):
     def test_streams_in_flight_are_finished(self):
-        # SIGTERM while a stream is being read: not ready at once, the stream whole, then the end.
+        # SIGTERM during a stream: not ready immediately, the stream is completed, then the process exits.
         for engine in self.assistants:
             engine.events, engine.pause_s = 100, 0.015
         answers = []
@@ -228,7 +228,7 @@
     ROUTERS = 2
 
     def test_they_find_each_other_and_share_a_quota(self):
-        # One team's calls reach both routers. Each by itself would let the whole quota through.
+        # One team's requests reach both routers. Each by itself would admit the full quota.
         self.world.store.put("config", "main", configuration(2, rate_per_s=50, burst=100))
         wait_until(lambda: len(self.world.store.objects("wagtailtrestle-routers")) == 2, "both entries")
         time.sleep(1.5)
--- a/tests/utils/platform_world.py
+++ b/tests/utils/platform_world.py
@@ -1,4 +1,4 @@
-"""The users' platform in small: a store, engines, and routers as processes of their own."""
+"""A simulated users' platform: a store and engines in this process, and routers as separate processes."""
 
 import http.client
 import json
@@ -21,7 +21,7 @@
 
 
 def configuration(version=1, *, keys=(KEY,), rate_per_s=0, burst=0, timeout_ms=5000):
-    """The operator's document: a streaming route, a call that may be repeated, and one that may not."""
+    """Return an operator's configuration with streaming, idempotent and non-idempotent routes."""
 
     def route(name, kind, service, **fields):
         common = {"host": "service.example", "timeout_ms": timeout_ms, "target_latency_ms": 1000, "max_attempts": 2}
@@ -55,7 +55,7 @@
 
 
 class Answer:
-    """What a caller read."""
+    """A caller's view of an answer."""
 
     def __init__(self, *, status, headers, body, is_complete):
         self.status = status
@@ -69,7 +69,7 @@
 
 
 class RouterProcess(LocalProcess):
-    """A router with its settings at hand."""
+    """A router process, with its settings."""
 
     __slots__ = ("values", "settings_file")
 
@@ -89,9 +89,9 @@
     ----------
     routers : int
     make_engines : callable, optional
-        ``make_engines(store)`` gives the engines by name, in place of two of each service.
+        ``make_engines(store)`` returns the engines by name; by default two of each service.
     settings : dict
-        Further settings of every router.
+        Additional settings of every router.
     """
 
     def __init__(self, *, routers=1, make_engines=None, **settings):
@@ -169,11 +169,11 @@
         self._directory.cleanup()
 
     def runs(self, *, service):
-        """Requests that engines of a service ran, oldest first for each engine."""
+        """Return the requests that a service's engines ran, oldest first for each engine."""
         return [seen for engine in self.engines.values() if engine.service == service for seen in engine.seen]
 
     def state(self, router=0):
-        """A router's state dump."""
+        """Return a router's state dump."""
         connection = http.client.HTTPConnection(self.routers[router].values["admin_address"], timeout=WAIT_S)
         try:
             connection.request("GET", "/state")
@@ -182,7 +182,7 @@
             connection.close()
 
     def scheduler_of(self, cell):
-        """Number of the router that is scheduler of a cell, by the first router that runs."""
+        """Return the number of the router that schedules a cell, according to the first running router."""
         responding = next(number for number, router in enumerate(self.routers) if router.is_running())
         name = self.state(responding)["stewards_by_cell"][cell]
         return next(number for number, router in enumerate(self.routers) if router.values["name"] == name)
@@ -191,7 +191,7 @@
         return http.client.HTTPConnection(self.routers[router].values["callers_address"], timeout=WAIT_S)
 
     def request(self, method, path, *, router=0, request_id="r1", key=KEY, connection=None, **headers):
-        """One request; keyword headers are written with dashes."""
+        """Send one request; underscores in keyword headers become dashes."""
         sent_headers = {"Host": "service.example", "Request-Id": request_id, "Deadline-Milliseconds": "4000"}
         if key is not None:
             sent_headers["Authorization"] = f"Token {key}"
--- a/tests/utils/world_engine.py
+++ b/tests/utils/world_engine.py
@@ -1,4 +1,4 @@
-"""An engine of the users' platform in small, with answers as a test scripts them."""
+"""Stand-in for an engine of the users' platform, with scripted answers."""
 
 import json
 import threading
@@ -10,28 +10,28 @@
 
 
 class Engine(Server):
-    """Streams events or answers whole; ``script`` names how the next requests are answered.
+    """Answers with a stream of events or a single body; ``script`` sets the behavior for the next requests.
 
     Attributes
     ----------
     seen : list of dict
-        Headers of the requests that it ran, by lower-case name, with ``path`` and ``body``.
+        Headers, by lower-case name, of the requests that it ran, with ``path`` and ``body``.
     arrivals : list of float
-        Times, by the steady clock, at which requests arrived, also those that it did not run.
-    turned_away : list of (float, str)
-        When it answered 503, and through which router, as callers say in ``X-Router``.
+        Monotonic times at which requests arrived, including those that it did not run.
+    rejections : list of (float, str)
+        When it answered 503, and through which router, as stated by callers in ``X-Router``.
     limit : str or None
-        The rate limit that it names in its answers.
-    rest : str or None
-        ``Retry-After`` of the answers by which it turns requests away.
+        Rate limit stated in its answers.
+    retry_after : str or None
+        ``Retry-After`` of the answers by which it rejects requests.
     leaving : bool
-        Whether it says in its answers that it leaves.
+        Whether its answers state that it is draining.
     delay_s : float
-        Time before it answers.
+        Delay before it answers.
     events : int
     script : list of str
-        ``full``, ``cut``, ``torn``, ``fail``, ``coded``, ``crossed`` or ``unsigned``; one is used up
-        by each request, then all are answered well.
+        ``full``, ``cut``, ``torn``, ``fail``, ``coded``, ``crossed`` or ``unsigned``; each request
+        consumes one, and when none is left requests are answered without a fault.
     """
 
     def __init__(self, *, name, service, events=6, pause_s=0.005):
@@ -108,7 +108,7 @@
         return answer_headers
 
     def _status_headers(self):
-        """What it says of itself in each answer."""
+        """Return the headers about the engine itself, sent in each answer."""
         words = [] if self.limit is None else [("Server-Limit", self.limit)]
         return [*words, ("Server-Leaving", "1")] if self.leaving else words
 
--- a/tests/utils/world_server.py
+++ b/tests/utils/world_server.py
@@ -1,4 +1,4 @@
-"""An HTTP server of a test's world."""
+"""Base class of the HTTP servers in a simulated platform."""
 
 import threading
 from http.server import BaseHTTPRequestHandler, ThreadingHTTPServer
@@ -7,7 +7,7 @@
 
 
 class Server:
-    """An HTTP server in threads; ``serve(handler)`` answers one request."""
+    """A threaded HTTP server; ``serve(handler)`` answers one request."""
 
     def __init__(self):
         outer = self
@@ -37,7 +37,7 @@
         self.server.server_close()
 
     def resume_listening(self):
-        """Take connections again, at the same address unless somebody else has its port now."""
+        """Accept connections again, at the same address unless its port has been taken."""
         try:
             self._listen(port=self.server.server_port)
         except OSError:
@@ -45,7 +45,7 @@
 
     def _listen(self, *, port):
         self.server = ThreadingHTTPServer((HOST, port), self._handler_class)
-        # A router that ends cuts its watches: what their answers run into says nothing.
+        # A stopping router closes its watches; errors while answering them are irrelevant.
         self.server.handle_error = lambda request, client_address: None
         self.server.daemon_threads = True
         self.address = f"{HOST}:{self.server.server_port}"
--- a/tests/utils/world_store.py
+++ b/tests/utils/world_store.py
@@ -1,4 +1,4 @@
-"""The users' store in small, which can go away and come back from a copy."""
+"""Stand-in for the users' store, with simulated outages and restores from a backup."""
 
 import json
 import threading
@@ -9,7 +9,7 @@
 
 
 class Backup:
-    """What the store held at one revision."""
+    """The store's contents at one revision."""
 
     def __init__(self, *, revision, objects, log):
         self.revision = revision
@@ -18,13 +18,13 @@
 
 
 class Store(Server):
-    """Objects by kind and name with revisions, watches, an outage and a return from a copy on request.
+    """Objects by kind and name, with revisions, watches, and outages and restores on request.
 
     Attributes
     ----------
     down : bool
-    era : int
-        Told in each answer; 0 for a store that tells none.
+    epoch : int
+        Sent in each answer; 0 for a store that sends none.
     """
 
     def __init__(self):
@@ -38,7 +38,7 @@
         super().__init__()
 
     def put(self, kind, name, value):
-        """Write as the operator or an engine does."""
+        """Write an object as an operator or an engine would."""
         with self._changed:
             self._write(kind, name, value)
 
@@ -51,18 +51,18 @@
             return {name: item["specification"] for (of, name), item in self._objects.items() if of == kind}
 
     def status(self, kind, name):
-        """What the system told of an object."""
+        """Return the status that the system wrote to an object."""
         with self._changed:
             item = self._objects.get((kind, name))
             return item["status"] if item else None
 
     def backup(self):
-        """Keep what the store holds now."""
+        """Return a backup of the current contents."""
         with self._changed:
             return Backup(revision=self._revision, objects=dict(self._objects), log=list(self._log))
 
     def restore(self, backup):
-        """Go on from a copy: what was written since is gone, and its revisions are given out again."""
+        """Restore a backup: later writes are lost, and their revisions are assigned again."""
         with self._changed:
             self._objects, self._log, self._revision = dict(backup.objects), list(backup.log), backup.revision
             self.epoch += 1
@@ -70,7 +70,7 @@
             self._changed.notify_all()
 
     def restore_after_outage(self, backup, *, away_s=0.5):
-        """Be away for a moment and come back from a copy."""
+        """Be unavailable for ``away_s``, then restore a backup."""
         self.down = True
         with self._changed:
             self._changed.notify_all()
