--- a/wagtailtrestle/observe/log_reading.py
+++ b/wagtailtrestle/observe/log_reading.py
@@ -71,12 +71,12 @@
             known = line.router or known
             line.router = known
             added.append(line)
-            self._note(line)
+            self._update_totals(line)
         self._name_first(added)
         self.lines.extend(added)
         self.lines.sort(key=lambda line: line.at)
 
-    def _note(self, line):
+    def _update_totals(self, line):
         left_out = line.fields.get(LEFT_OUT, 0)
         self.left_out += left_out if isinstance(left_out, int) else 0
         if line.message == ROUTER_STARTED and line.router:
