--- a/wagtailtrestle/observe/log_reading.py
+++ b/wagtailtrestle/observe/log_reading.py
@@ -72,7 +72,7 @@
             line.router = known
             added.append(line)
             self._update_totals(line)
-        self._name_first(added)
+        self._fill_in_router(added)
         self.lines.extend(added)
         self.lines.sort(key=lambda line: line.at)
 
@@ -82,7 +82,7 @@
         if line.message == ROUTER_STARTED and line.router:
             self.zone_by_router[line.router] = str(line.fields.get("zone", ""))
 
-    def _name_first(self, added):
+    def _fill_in_router(self, added):
         # A file may begin before its router is named; all of a file is mostly one router's.
         first = next((line.router for line in added if line.router), "")
         for line in added:
