--- a/wagtailtrestle/observe/log_reading.py
+++ b/wagtailtrestle/observe/log_reading.py
@@ -51,11 +51,11 @@
     zone_by_router : dict of str to str
     """
 
-    __slots__ = ("lines", "unread", "left_out", "zone_by_router")
+    __slots__ = ("lines", "unparsed", "left_out", "zone_by_router")
 
     def __init__(self):
         self.lines = []
-        self.unread = 0
+        self.unparsed = 0
         self.left_out = 0
         self.zone_by_router = {}
 
@@ -66,7 +66,7 @@
         for text in texts:
             line = read_line(text)
             if line is None:
-                self.unread += bool(text.strip())
+                self.unparsed += bool(text.strip())
                 continue
             known = line.router or known
             line.router = known
--- a/wagtailtrestle/observe/losses.py
+++ b/wagtailtrestle/observe/losses.py
@@ -92,8 +92,8 @@
         lines.append(table(header=(*(HEADING_BY_KEY[each] for each in keys), "requests"), rows=rows))
     if logs.left_out:
         lines.append(f"Routers left out {logs.left_out} lines under load: the counts are the least that were.")
-    if logs.unread:
-        lines.append(f"{logs.unread} lines were torn or no router's, and are not counted.")
+    if logs.unparsed:
+        lines.append(f"{logs.unparsed} lines were torn or no router's, and are not counted.")
     return "\n".join(lines)
 
 
