--- a/wagtailtrestle/observe/log_reading.py
+++ b/wagtailtrestle/observe/log_reading.py
@@ -61,15 +61,15 @@
 
     def add_file(self, texts):
         """Take in the lines of one file; ``texts`` is an iterable of str."""
-        known = ""
+        router = ""
         added = []
         for text in texts:
             line = read_line(text)
             if line is None:
                 self.unparsed += bool(text.strip())
                 continue
-            known = line.router or known
-            line.router = known
+            router = line.router or router
+            line.router = router
             added.append(line)
             self._update_totals(line)
         self._fill_in_router(added)
