--- a/wagtailtrestle/observe/losses.py
+++ b/wagtailtrestle/observe/losses.py
@@ -29,12 +29,12 @@
         return _clock_text(self.at, digits=0) if key == "second" else getattr(self, key)
 
 
-def story(logs, wanted):
+def story(logs, request_id):
     """Lines about one request, by the caller's id or ours, in order of time.
 
     The line of its end has both ids; those of its runs have ours alone.
     """
-    ids = {wanted}
+    ids = {request_id}
     for line in logs.lines:
         named = {line.fields.get("request_id"), line.fields.get("caller_request_id")} - {None}
         if named & ids:
