--- a/wagtailtrestle/observe/log_reading.py
+++ b/wagtailtrestle/observe/log_reading.py
@@ -10,7 +10,7 @@
 """The message of the line that ends each request."""
 REFUSED_EARLY = "refused on arrival"
 ROUTER_STARTED = "router started"
-LEFT_OUT = "lines_left_out_before"
+LEFT_OUT_FIELD = "lines_left_out_before"
 REQUEST_NUMBER = re.compile(r"-\d+-[0-9a-f]+$")
 """What follows the router's name in a request's id: the process's start and a random part."""
 
@@ -77,7 +77,7 @@
         self.lines.sort(key=lambda line: line.at)
 
     def _update_totals(self, line):
-        left_out = line.fields.get(LEFT_OUT, 0)
+        left_out = line.fields.get(LEFT_OUT_FIELD, 0)
         self.left_out += left_out if isinstance(left_out, int) else 0
         if line.message == ROUTER_STARTED and line.router:
             self.zone_by_router[line.router] = str(line.fields.get("zone", ""))
