--- a/wagtailtrestle/observe/log_reading.py
+++ b/wagtailtrestle/observe/log_reading.py
@@ -11,7 +11,7 @@
 REFUSED_EARLY = "refused on arrival"
 ROUTER_STARTED = "router started"
 LEFT_OUT_FIELD = "lines_left_out_before"
-REQUEST_NUMBER = re.compile(r"-\d+-[0-9a-f]+$")
+REQUEST_ID_SUFFIX = re.compile(r"-\d+-[0-9a-f]+$")
 """What follows the router's name in a request's id: the process's start and a random part."""
 
 
@@ -117,6 +117,6 @@
     if message == ROUTER_STARTED and isinstance(fields.get("name"), str):
         return fields["name"]
     request_id = fields.get("request_id")
-    if isinstance(request_id, str) and REQUEST_NUMBER.search(request_id):
-        return REQUEST_NUMBER.sub("", request_id)
+    if isinstance(request_id, str) and REQUEST_ID_SUFFIX.search(request_id):
+        return REQUEST_ID_SUFFIX.sub("", request_id)
     return ""
