--- a/wagtailtrestle/observe/log_reading.py
+++ b/wagtailtrestle/observe/log_reading.py
@@ -8,7 +8,7 @@
     r"(?P<service>[^/ ]+)/(?P<route>\S+) (?P<outcome>\w+) after (?P<took_s>[\d.]+) s, (?P<runs>\d+) runs"
 )
 """The message of the line that ends each request."""
-REFUSED_EARLY = "refused on arrival"
+REFUSED_ON_ARRIVAL = "refused on arrival"
 ROUTER_STARTED = "router started"
 LEFT_OUT_FIELD = "lines_left_out_before"
 REQUEST_ID_SUFFIX = re.compile(r"-\d+-[0-9a-f]+$")
--- a/wagtailtrestle/observe/losses.py
+++ b/wagtailtrestle/observe/losses.py
@@ -3,7 +3,7 @@
 from collections import Counter
 from datetime import UTC, datetime
 
-from wagtailtrestle.observe.log_reading import ENDED, REFUSED_EARLY
+from wagtailtrestle.observe.log_reading import ENDED, REFUSED_ON_ARRIVAL
 from wagtailtrestle.output.table import table
 
 SERVED = frozenset({"answered", "recorded"})
@@ -76,7 +76,7 @@
             answered += 1
         elif ended is not None:
             lost.append(_loss(logs, line, ended["outcome"]))
-        elif line.message == REFUSED_EARLY:
+        elif line.message == REFUSED_ON_ARRIVAL:
             lost.append(_loss(logs, line, str(line.fields.get("reason", UNKNOWN))))
     return lost, answered
 
