--- a/tests/test_log_writer.py
+++ b/tests/test_log_writer.py
@@ -21,16 +21,16 @@
     def test_a_flood_of_one_kind_is_thinned_and_counted(self):
         # Every request of a flood logs the same line. Beyond the bucket they are left out, and
         # the next line written says how many.
-        written = [self.budget.take("kind") for _ in range(20)]
+        written = [self.budget.acquire("kind") for _ in range(20)]
         self.assertEqual(written[:5], [0] * 5)
         self.assertEqual(written[5:], [None] * 15)
         self.now += 0.1
-        self.assertEqual(self.budget.take("kind"), 15)
+        self.assertEqual(self.budget.acquire("kind"), 15)
 
     def test_another_kind_is_not_thinned_with_it(self):
         for _ in range(20):
-            self.budget.take("kind")
-        self.assertEqual(self.budget.take("other"), 0)
+            self.budget.acquire("kind")
+        self.assertEqual(self.budget.acquire("other"), 0)
 
 
 class UnreadOutputTest(unittest.TestCase):
--- a/wagtailtrestle/observe/log_writer.py
+++ b/wagtailtrestle/observe/log_writer.py
@@ -37,7 +37,7 @@
         self._bucket_by_kind = {}
         self._left_out_by_kind = {}
 
-    def take(self, kind):
+    def acquire(self, kind):
         """Lines of this kind left out since the last one written, or ``None`` to leave out this one too."""
         now = self._now()
         with self._lock:
--- a/wagtailtrestle/observe/logs.py
+++ b/wagtailtrestle/observe/logs.py
@@ -59,7 +59,7 @@
     writer.start()
 
     def is_within_budget(record):
-        left_out = budget.take((record["name"], record["line"]))
+        left_out = budget.acquire((record["name"], record["line"]))
         if left_out:
             record["extra"]["lines_left_out_before"] = left_out
         return left_out is not None
