--- a/tests/test_log_writer.py
+++ b/tests/test_log_writer.py
@@ -16,7 +16,7 @@
 class LineBudgetTest(unittest.TestCase):
     def setUp(self):
         self.now = 0.0
-        self.budget = LineBudget(now=lambda: self.now, per_s=10.0, at_once=5.0)
+        self.budget = LineBudget(now=lambda: self.now, per_s=10.0, burst=5.0)
 
     def test_a_flood_of_one_kind_is_thinned_and_counted(self):
         # Every request of a flood logs the same line. Beyond the bucket they are left out, and
--- a/wagtailtrestle/observe/log_writer.py
+++ b/wagtailtrestle/observe/log_writer.py
@@ -29,10 +29,10 @@
 
     __slots__ = ("_now", "_per_s", "_at_once", "_lock", "_bucket_by_kind", "_left_out_by_kind")
 
-    def __init__(self, *, now=time.monotonic, per_s=LINES_PER_S, at_once=LINES_AT_ONCE):
+    def __init__(self, *, now=time.monotonic, per_s=LINES_PER_S, burst=LINES_AT_ONCE):
         self._now = now
         self._per_s = per_s
-        self._at_once = at_once
+        self._at_once = burst
         self._lock = threading.Lock()
         self._bucket_by_kind = {}
         self._left_out_by_kind = {}
