--- a/wagtailtrestle/observe/log_writer.py
+++ b/wagtailtrestle/observe/log_writer.py
@@ -27,12 +27,12 @@
     per_s, at_once : float
     """
 
-    __slots__ = ("_now", "_per_s", "_at_once", "_lock", "_bucket_by_kind", "_left_out_by_kind")
+    __slots__ = ("_now", "_per_s", "_burst", "_lock", "_bucket_by_kind", "_left_out_by_kind")
 
     def __init__(self, *, now=time.monotonic, per_s=LINES_PER_S, burst=LINES_AT_ONCE):
         self._now = now
         self._per_s = per_s
-        self._at_once = burst
+        self._burst = burst
         self._lock = threading.Lock()
         self._bucket_by_kind = {}
         self._left_out_by_kind = {}
@@ -41,8 +41,8 @@
         """Lines of this kind left out since the last one written, or ``None`` to leave out this one too."""
         now = self._now()
         with self._lock:
-            level, at = self._bucket_by_kind.get(kind, (self._at_once, now))
-            level = min(self._at_once, level + (now - at) * self._per_s)
+            level, at = self._bucket_by_kind.get(kind, (self._burst, now))
+            level = min(self._burst, level + (now - at) * self._per_s)
             if level < 1.0:
                 self._bucket_by_kind[kind] = (level, now)
                 self._left_out_by_kind[kind] = self._left_out_by_kind.get(kind, 0) + 1
