--- a/wagtailtrestle/observe/log_writer.py
+++ b/wagtailtrestle/observe/log_writer.py
@@ -9,7 +9,7 @@
 LINES_PER_S = 50.0
 """Lines of one kind written per second in the long run. A router at full size takes some 16 requests a
 second, so that each of them has its line on any ordinary day; a flood is thinned."""
-LINES_AT_ONCE = 200.0
+BURST_LINES = 200.0
 BATCH_LINES = 256
 """Lines written by one call: saves calls, and bounds what is held beside the queue."""
 CLOSE_S = 0.5
@@ -29,7 +29,7 @@
 
     __slots__ = ("_now", "_per_s", "_burst", "_lock", "_bucket_by_kind", "_left_out_by_kind")
 
-    def __init__(self, *, now=time.monotonic, per_s=LINES_PER_S, burst=LINES_AT_ONCE):
+    def __init__(self, *, now=time.monotonic, per_s=LINES_PER_S, burst=BURST_LINES):
         self._now = now
         self._per_s = per_s
         self._burst = burst
