--- a/wagtailtrestle/cli/explain.py
+++ b/wagtailtrestle/cli/explain.py
@@ -4,7 +4,7 @@
 
 from wagtailtrestle.exit_status import ExitStatus
 from wagtailtrestle.observe.log_reading import RouterLogs
-from wagtailtrestle.observe.losses import KEYS, losses, losses_text, story, story_text
+from wagtailtrestle.observe.losses import KEYS, losses, losses_text, request_history, story_text
 
 
 def explain(environment, *, files, request_id, by, begin, end):
@@ -29,7 +29,7 @@
 
 
 def _tell_story(environment, logs, request_id):
-    lines = story(logs, request_id)
+    lines = request_history(logs, request_id)
     if not lines:
         environment.print_error(
             f"No line names {request_id}. Give the files of all routers: a caller's second try reaches another one."
--- a/wagtailtrestle/observe/losses.py
+++ b/wagtailtrestle/observe/losses.py
@@ -29,7 +29,7 @@
         return _clock_text(self.at, digits=0) if key == "second" else getattr(self, key)
 
 
-def story(logs, request_id):
+def request_history(logs, request_id):
     """Lines about one request, by the caller's id or ours, in order of time.
 
     The line of its end has both ids; those of its runs have ours alone.
