--- a/wagtailtrestle/cli/explain.py
+++ b/wagtailtrestle/cli/explain.py
@@ -4,7 +4,7 @@
 
 from wagtailtrestle.exit_status import ExitStatus
 from wagtailtrestle.observe.log_reading import RouterLogs
-from wagtailtrestle.observe.losses import KEYS, losses, losses_text, request_history, story_text
+from wagtailtrestle.observe.losses import KEYS, losses, losses_text, request_history, request_history_text
 
 
 def explain(environment, *, files, request_id, by, begin, end):
@@ -35,7 +35,7 @@
             f"No line names {request_id}. Give the files of all routers: a caller's second try reaches another one."
         )
         return ExitStatus.CHECK_FAILED
-    environment.print_result(story_text(lines))
+    environment.print_result(request_history_text(lines))
     return ExitStatus.DONE
 
 
--- a/wagtailtrestle/observe/losses.py
+++ b/wagtailtrestle/observe/losses.py
@@ -46,7 +46,7 @@
     ]
 
 
-def story_text(lines):
+def request_history_text(lines):
     """The lines of a story for a person: seconds since the first, router, message, inputs."""
     began_at = lines[0].at
     shown = []
