--- a/wagtailtrestle/cli/explain.py
+++ b/wagtailtrestle/cli/explain.py
@@ -23,7 +23,7 @@
         return ExitStatus.USAGE
     if request_id is not None:
         return _tell_story(environment, logs, request_id)
-    lost, answered = losses(logs, begin=times[0], end=times[1])
+    lost, answered = find_losses(logs, begin=times[0], end=times[1])
     environment.print_result(losses_text(lost, answered, key=by, logs=logs))
     return ExitStatus.DONE
 
--- a/wagtailtrestle/observe/losses.py
+++ b/wagtailtrestle/observe/losses.py
@@ -57,7 +57,7 @@
     return "\n".join(shown)
 
 
-def losses(logs, *, begin=None, end=None):
+def find_losses(logs, *, begin=None, end=None):
     """Requests without an answer between two times, Unix seconds.
 
     Returns
