--- a/wagtailtrestle/observe/metrics.py
+++ b/wagtailtrestle/observe/metrics.py
@@ -33,7 +33,7 @@
 
     def record(self, *, seconds, now):
         """Add one latency."""
-        self._turn(now)
+        self._rotate_windows(now)
         self.count += 1
         self.sum_s += seconds
         units = min(MAX_UNITS, max(0, round(seconds * UNITS_PER_S)))
@@ -41,14 +41,14 @@
 
     def percentiles(self, *, now) -> dict:
         """Seconds by percentile."""
-        self._turn(now)
+        self._rotate_windows(now)
         recent = HdrHistogram(1, MAX_UNITS, SIGNIFICANT_DIGITS)
         recent.add(self._previous)
         recent.add(self._current)
         units_by_percentile = recent.get_percentile_to_value_dict(list(PERCENTILES))
         return {percentile: units / UNITS_PER_S for percentile, units in units_by_percentile.items()}
 
-    def _turn(self, now):
+    def _rotate_windows(self, now):
         window = _window(now)
         if window == self._window:
             return
