--- a/wagtailtrestle/observe/logs.py
+++ b/wagtailtrestle/observe/logs.py
@@ -14,7 +14,7 @@
 from wagtailtrestle.observe.log_writer import LineBudget, LogWriter
 
 HIDDEN = "(hidden)"
-LARGEST_TEXT = 2000
+MAX_TEXT_CHARS = 2000
 LEVELS = ("DEBUG", "INFO", "WARNING", "ERROR", "CRITICAL")
 BEARER = re.compile(r"(bearer|basic)\s+[^\s'\",;]+", re.IGNORECASE)
 # Names, not values, decide: a key or a prompt can't be told from an ordinary word.
@@ -105,7 +105,7 @@
 def redacted(text):
     """Return a text without bearer keys, cut to a bounded length."""
     text = BEARER.sub(rf"\1 {HIDDEN}", text)
-    return text if len(text) <= LARGEST_TEXT else text[:LARGEST_TEXT] + "…"
+    return text if len(text) <= MAX_TEXT_CHARS else text[:MAX_TEXT_CHARS] + "…"
 
 
 def _field(name, value):
