--- a/wagtailtrestle/observe/metrics.py
+++ b/wagtailtrestle/observe/metrics.py
@@ -122,15 +122,15 @@
                 lines.append(f"{self._prefix}_{name}{_labels(series)} {value}")
 
     def _write_summary(self, lines, *, name, latencies):
-        full = f"{self._prefix}_{name}_seconds"
+        metric = f"{self._prefix}_{name}_seconds"
         now = self._now()
-        lines.append(f"# TYPE {full} summary")
+        lines.append(f"# TYPE {metric} summary")
         for series, latency in sorted(latencies.items()):
             for percentile, seconds in latency.percentiles(now=now).items():
                 quantile = (("quantile", f"{percentile / 100:g}"),)
-                lines.append(f"{full}{_labels(series + quantile)} {seconds:g}")
-            lines.append(f"{full}_sum{_labels(series)} {latency.sum_s:g}")
-            lines.append(f"{full}_count{_labels(series)} {latency.count}")
+                lines.append(f"{metric}{_labels(series + quantile)} {seconds:g}")
+            lines.append(f"{metric}_sum{_labels(series)} {latency.sum_s:g}")
+            lines.append(f"{metric}_count{_labels(series)} {latency.count}")
 
 
 def _window(now):
