--- a/wagtailtrestle/observe/losses.py
+++ b/wagtailtrestle/observe/losses.py
@@ -52,8 +52,8 @@
     shown = []
     for line in lines:
         inputs = " ".join(f"{name}={value}" for name, value in line.fields.items() if name not in ("level", "module"))
-        when = f"{line.at - began_at:+.3f} s"
-        shown.append(f"{_clock_text(line.at, digits=3)} {when} {line.router or UNKNOWN}: {line.message}  {inputs}")
+        elapsed = f"{line.at - began_at:+.3f} s"
+        shown.append(f"{_clock_text(line.at, digits=3)} {elapsed} {line.router or UNKNOWN}: {line.message}  {inputs}")
     return "\n".join(shown)
 
 
