--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -104,14 +104,14 @@
             ((), ["/nowhere/a.log"], "can't be read"),
             ((), [], "at least one log file"),
         ):
-            status, told, complaint = self.explain(*arguments, files=files)
+            status, told, error = self.explain(*arguments, files=files)
             self.assertEqual((status, told), (ExitStatus.USAGE, ""))
-            self.assertIn(problem, complaint)
+            self.assertIn(problem, error)
 
     def test_an_id_that_no_line_names(self):
-        status, _, complaint = self.explain("--id", "absent")
+        status, _, error = self.explain("--id", "absent")
         self.assertEqual(status, ExitStatus.CHECK_FAILED)
-        self.assertIn("all routers", complaint)
+        self.assertIn("all routers", error)
 
     def test_the_order_of_files_does_not_matter(self):
         first, second = RouterLogs(), RouterLogs()
