--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -66,25 +66,25 @@
         return status, stdout.getvalue(), stderr.getvalue()
 
     def test_a_request_is_followed_from_its_callers_id_to_its_runs(self):
-        status, told, _ = self.explain("--id", CALLERS)
+        status, output, _ = self.explain("--id", CALLERS)
         self.assertEqual(status, ExitStatus.DONE)
-        lines = told.splitlines()
+        lines = output.splitlines()
         self.assertEqual(len(lines), 2)
         self.assertIn("+0.000 s front-a-1: a run ended early", lines[0])
         self.assertIn("engine=i-1", lines[0])
         self.assertIn("engine_lost", lines[1])
 
     def test_lost_requests_are_counted_by_cause(self):
-        status, told, _ = self.explain()
+        status, output, _ = self.explain()
         self.assertEqual(status, ExitStatus.DONE)
-        self.assertIn("4 lost, 1 answered", told)
+        self.assertIn("4 lost, 1 answered", output)
         for cause in ("engine_lost", "quota_exhausted", "overloaded", "not_ready"):
-            self.assertRegex(told, rf"{cause} +1")
+            self.assertRegex(output, rf"{cause} +1")
 
     def test_what_can_not_be_counted_is_said(self):
-        _, told, _ = self.explain()
-        self.assertIn("left out 12 lines", told)
-        self.assertIn("2 lines were torn", told)
+        _, output, _ = self.explain()
+        self.assertIn("left out 12 lines", output)
+        self.assertIn("2 lines were torn", output)
 
     def test_by_zone_team_tier_and_second(self):
         self.assertRegex(self.explain("--by", "zone")[1], r"b +not_ready +1")
@@ -94,8 +94,8 @@
         self.assertRegex(self.explain("--by", "second")[1], r"18:37:02 +engine_lost +1")
 
     def test_a_span_of_time(self):
-        _, told, _ = self.explain("--begin", "2026-05-05T18:37:03", "--end", "2026-05-05T18:37:04.1")
-        self.assertIn("2 lost, 0 answered", told)
+        _, output, _ = self.explain("--begin", "2026-05-05T18:37:03", "--end", "2026-05-05T18:37:04.1")
+        self.assertIn("2 lost, 0 answered", output)
 
     def test_faulty_use_is_told_and_nothing_counted(self):
         for arguments, files, problem in (
@@ -104,8 +104,8 @@
             ((), ["/nowhere/a.log"], "can't be read"),
             ((), [], "at least one log file"),
         ):
-            status, told, error = self.explain(*arguments, files=files)
-            self.assertEqual((status, told), (ExitStatus.USAGE, ""))
+            status, output, error = self.explain(*arguments, files=files)
+            self.assertEqual((status, output), (ExitStatus.USAGE, ""))
             self.assertIn(problem, error)
 
     def test_an_id_that_no_line_names(self):
