--- a/wagtailtrestle/cli/explain.py
+++ b/wagtailtrestle/cli/explain.py
@@ -4,7 +4,7 @@
 
 from wagtailtrestle.exit_status import ExitStatus
 from wagtailtrestle.observe.log_reading import RouterLogs
-from wagtailtrestle.observe.losses import KEYS, losses, losses_text, request_history, request_history_text
+from wagtailtrestle.observe.losses import KEYS, find_losses, losses_text, request_history, request_history_text
 
 
 def explain(environment, *, files, request_id, by, begin, end):
