--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -72,8 +72,8 @@
         self.assertIn('total_seconds_count{tier="x"} 200', text)
 
     def test_series_are_bounded(self):
-        # A declaration that changes its routes all day must not fill the memory of a process
-        # that runs for months: past the bound all new labels share one series.
+        # Frequent changes of the declared routes must not exhaust the memory of a process that runs
+        # for months: beyond the limit all new labels share one series.
         for number in range(MAX_SERIES + 50):
             self.metrics.count("requests", route=str(number))
         self.assertEqual(self.metrics.exposition().count("requests{"), MAX_SERIES + 1)
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -1,4 +1,4 @@
-"""Routers' logs read back when a user complains: what the lines say, torn ones and gaps included."""
+"""``wagtailtrestle explain``: reading routers' logs, including truncated lines and gaps."""
 
 import io
 import json
@@ -84,7 +84,7 @@
     def test_what_can_not_be_counted_is_said(self):
         _, output, _ = self.explain()
         self.assertIn("left out 12 lines", output)
-        self.assertIn("2 lines were torn", output)
+        self.assertIn("2 lines were truncated", output)
 
     def test_by_zone_team_tier_and_second(self):
         self.assertRegex(self.explain("--by", "zone")[1], r"b +not_ready +1")
--- a/tests/test_log_writer.py
+++ b/tests/test_log_writer.py
@@ -1,4 +1,4 @@
-"""Log lines that never hold up who logs, in bounded number."""
+"""Logging never blocks the logging thread, and the number of lines is limited."""
 
 import io
 import os
@@ -19,8 +19,8 @@
         self.budget = LineBudget(now=lambda: self.now, per_s=10.0, burst=5.0)
 
     def test_a_flood_of_one_kind_is_thinned_and_counted(self):
-        # Every request of a flood logs the same line. Beyond the bucket they are left out, and
-        # the next line written says how many.
+        # Every request of a flood logs the same line. Lines beyond the burst are left out, and the
+        # next line written states how many.
         written = [self.budget.acquire("kind") for _ in range(20)]
         self.assertEqual(written[:5], [0] * 5)
         self.assertEqual(written[5:], [None] * 15)
@@ -35,8 +35,8 @@
 
 class UnreadOutputTest(unittest.TestCase):
     def test_a_standard_output_that_nobody_reads_blocks_nobody(self):
-        # The process's output goes to a pipe that is full and unread. Whoever logs must go on at
-        # once: a request's thread that blocked here would never answer its caller.
+        # The process's output is a full pipe that is not read. Logging must not block: a request's
+        # thread that waited here would never answer its caller.
         read_end, write_end = os.pipe()
         self.addCleanup(os.close, read_end)
         stream = os.fdopen(write_end, "w", closefd=False)
--- a/wagtailtrestle/observe/__init__.py
+++ b/wagtailtrestle/observe/__init__.py
@@ -1,1 +1,1 @@
-"""What operators see of a process: logs, metrics, state."""
+"""Observability of a process: logs, metrics and state dump."""
--- a/wagtailtrestle/observe/admin_http.py
+++ b/wagtailtrestle/observe/admin_http.py
@@ -1,4 +1,4 @@
-"""Admin HTTP of any process: ``/healthz``, ``/readyz``, ``/state`` and ``/metrics``."""
+"""Admin HTTP server: ``/healthz``, ``/readyz``, ``/state`` and ``/metrics``."""
 
 import asyncio
 import json
@@ -26,12 +26,12 @@
     Parameters
     ----------
     address : tuple of (str, int)
-        Where to listen; port 0 picks a free one, see ``port``.
+        Listen address; port 0 picks a free port, see ``port``.
     ready : callable
-        Returns ``None`` if the balancer may send work, else the ``Reason`` why not.
+        Returns ``None`` if the balancer may send requests, else the ``Reason`` why not.
     state : callable
-        Returns the state to dump; called on ``loop`` if that is given, since the
-        state belongs to the tasks there.
+        Returns the state to dump; called on ``loop`` if one is given, because the
+        state may only be read from the tasks there.
     metrics : Metrics
     loop : asyncio.AbstractEventLoop, optional
     """
@@ -58,17 +58,17 @@
 
     @property
     def port(self):
-        """Port listened on."""
+        """Port on which the server listens."""
         return self._server.bind_addr[1]
 
     def start(self):
-        """Bind and serve in threads of its own."""
+        """Bind the address and serve in separate threads."""
         self._server.prepare()
         self._thread = threading.Thread(target=self._server.serve, name="admin", daemon=True)
         self._thread.start()
 
     def close(self):
-        """Stop listening and end the threads."""
+        """Stop listening and stop the threads."""
         self._server.stop()
         if self._thread is not None:
             self._thread.join()
--- a/wagtailtrestle/observe/log_reading.py
+++ b/wagtailtrestle/observe/log_reading.py
@@ -1,4 +1,4 @@
-"""Routers' log files read back: many, in any order, with lines torn or of other programs."""
+"""Reads routers' log files, in any order, which may contain truncated or foreign lines."""
 
 import json
 import re
@@ -7,12 +7,12 @@
 ENDED = re.compile(
     r"(?P<service>[^/ ]+)/(?P<route>\S+) (?P<outcome>\w+) after (?P<took_s>[\d.]+) s, (?P<runs>\d+) runs"
 )
-"""The message of the line that ends each request."""
+"""Message of the line logged when a request ends."""
 REFUSED_ON_ARRIVAL = "refused on arrival"
 ROUTER_STARTED = "router started"
 LEFT_OUT_FIELD = "lines_left_out_before"
 REQUEST_ID_SUFFIX = re.compile(r"-\d+-[0-9a-f]+$")
-"""What follows the router's name in a request's id: the process's start and a random part."""
+"""Suffix of a request id after the router's name: the process's start time and a random part."""
 
 
 class LogLine:
@@ -23,10 +23,10 @@
     at : float
         Unix seconds.
     router : str
-        Name of the router that wrote it, empty where nothing tells.
+        Name of the router that wrote the line, empty if unknown.
     message : str
     fields : dict of str to object
-        Everything else on the line.
+        All other fields of the line.
     """
 
     __slots__ = ("at", "router", "message", "fields")
@@ -39,15 +39,15 @@
 
 
 class RouterLogs:
-    """The lines of all files, in order of time.
+    """The lines of all files, ordered by time.
 
     Attributes
     ----------
     lines : list of LogLine
-    unread : int
-        Lines that are none of a router's, or torn.
+    unparsed : int
+        Number of lines that are truncated or not a router's.
     left_out : int
-        Lines that routers say they left out under load.
+        Number of lines that routers report as left out under load.
     zone_by_router : dict of str to str
     """
 
@@ -60,7 +60,7 @@
         self.zone_by_router = {}
 
     def add_file(self, texts):
-        """Take in the lines of one file; ``texts`` is an iterable of str."""
+        """Add the lines of one file; ``texts`` is an iterable of str."""
         router = ""
         added = []
         for text in texts:
@@ -83,7 +83,7 @@
             self.zone_by_router[line.router] = str(line.fields.get("zone", ""))
 
     def _fill_in_router(self, added):
-        # A file may begin before its router is named; all of a file is mostly one router's.
+        # The first lines of a file may not name their router; most files are of a single router.
         first = next((line.router for line in added if line.router), "")
         for line in added:
             if line.router:
@@ -92,9 +92,9 @@
 
 
 def read_line(text):
-    """Read one line; ``None`` for a torn one, or one that no router wrote.
+    """Parse one line; returns ``None`` if it is truncated or not a router's.
 
-    What a collector put before the JSON is passed over, but for its last word: the router's name.
+    A prefix written by a log collector is skipped, except for its last word, which is the router's name.
     """
     before, brace, rest = text.partition("{")
     if not brace:
--- a/wagtailtrestle/observe/log_writer.py
+++ b/wagtailtrestle/observe/log_writer.py
@@ -1,30 +1,30 @@
-"""Writes log lines without ever blocking who logs, and keeps their volume bounded."""
+"""Writes log lines without blocking the logging thread, and limits their volume."""
 
 import queue
 import threading
 import time
 
 QUEUED_LINES = 4096
-"""Lines held for a reader that is slow: some seconds of a busy router, about 2 MB."""
+"""Lines buffered for a slow reader: some seconds of a busy router's logs, about 2 MB."""
 LINES_PER_S = 50.0
-"""Lines of one kind written per second in the long run. A router at full size takes some 16 requests a
-second, so that each of them has its line on any ordinary day; a flood is thinned."""
+"""Sustained rate of lines of one kind. A router at full size handles about 16 requests a second, so in
+normal operation each of them is logged; only floods are limited."""
 BURST_LINES = 200.0
 BATCH_LINES = 256
-"""Lines written by one call: saves calls, and bounds what is held beside the queue."""
+"""Lines written by one call: reduces calls, and bounds the lines held outside the queue."""
 CLOSE_S = 0.5
-"""Longest wait at the end for what is queued: a reader that reads nothing must not hold the process."""
+"""Longest wait on close for queued lines: a reader that reads nothing must not block the exit."""
 END = None
 
 
 class LineBudget:
-    """A token bucket for each kind of line, a kind being the place in the code that logs it.
+    """Token buckets by kind of line, a kind being the source location that logs it.
 
     Parameters
     ----------
     now : callable
         Seconds.
-    per_s, at_once : float
+    per_s, burst : float
     """
 
     __slots__ = ("_now", "_per_s", "_burst", "_lock", "_bucket_by_kind", "_left_out_by_kind")
@@ -38,7 +38,7 @@
         self._left_out_by_kind = {}
 
     def acquire(self, kind):
-        """Lines of this kind left out since the last one written, or ``None`` to leave out this one too."""
+        """Return the lines of this kind left out since the last one written, or ``None`` to leave out this one."""
         now = self._now()
         with self._lock:
             level, at = self._bucket_by_kind.get(kind, (self._burst, now))
@@ -54,9 +54,9 @@
 class LogWriter:
     """A thread that writes lines to a stream.
 
-    A standard output that nobody reads blocks whoever writes to it. Were that a request's thread
-    or the event loop, the router would stop serving because of its logs; here it is a thread that
-    does nothing else, and lines beyond a bounded queue are dropped and counted.
+    Writing to a standard output that is not read blocks. In a request's thread or the event loop this
+    would stop the router from serving, so a dedicated thread writes, and lines beyond a bounded queue
+    are dropped and counted.
 
     Parameters
     ----------
@@ -72,11 +72,11 @@
         self._thread = threading.Thread(target=self._write, name="logs", daemon=True)
 
     def start(self):
-        """Begin to write."""
+        """Start the writer thread."""
         self._thread.start()
 
     def close(self):
-        """Write what is queued, for a bounded time."""
+        """Write the queued lines, for a limited time."""
         try:
             self._lines.put(END, timeout=CLOSE_S)
         except queue.Full:
@@ -84,7 +84,7 @@
         self._thread.join(CLOSE_S)
 
     def put(self, line):
-        """Queue one line; never waits."""
+        """Queue one line without blocking."""
         try:
             self._lines.put_nowait(line)
         except queue.Full:
@@ -101,7 +101,7 @@
                 self._stream.write(text)
                 self._stream.flush()
             except (OSError, ValueError):
-                # The reader is gone: there is nobody left to tell.
+                # The reader has closed the stream, so the error can't be reported.
                 self.dropped += len(batch)
             if is_end:
                 return
--- a/wagtailtrestle/observe/logs.py
+++ b/wagtailtrestle/observe/logs.py
@@ -1,7 +1,6 @@
-"""Set-up of loguru: lines for a person or JSON, without keys and prompts.
+"""Configures loguru: plain text or JSON lines, without keys and prompts.
 
-Everything logged passes the one sink made here, so that what must not be seen is
-hidden in one place, whoever logged it.
+All log records pass through a single sink, so that secrets are redacted in one place.
 """
 
 import json
@@ -17,7 +16,7 @@
 MAX_TEXT_CHARS = 2000
 LEVELS = ("DEBUG", "INFO", "WARNING", "ERROR", "CRITICAL")
 BEARER = re.compile(r"(bearer|basic)\s+[^\s'\",;]+", re.IGNORECASE)
-# Names, not values, decide: a key or a prompt can't be told from an ordinary word.
+# Redacted by field name: the value of a key or prompt can't be distinguished from ordinary text.
 SECRET_NAMES = frozenset(
     {
         "api_key",
@@ -38,20 +37,20 @@
 
 
 def start_logs(*, stream, level="INFO", as_json=False):
-    """Send this process's logs, and those of its libraries, to ``stream``; never blocks who logs.
+    """Send the logs of this process and its libraries to ``stream`` without blocking the logging threads.
 
     Parameters
     ----------
     stream : file object
     level : str
-        Lowest level shown.
+        Minimum level.
     as_json : bool
-        One JSON object a line, else a line for a person.
+        Write one JSON object per line instead of plain text.
 
     Returns
     -------
     LogWriter
-        To be closed at the end, so that the last lines are written.
+        Must be closed before exit so that the last lines are written.
     """
     line = json_line if as_json else plain_line
     budget = LineBudget()
@@ -68,7 +67,7 @@
         writer.put(line(message.record))
 
     logger.remove()
-    # loguru's own diagnosis prints the values of variables beside a traceback: prompts and keys.
+    # With diagnose=True loguru adds the values of variables to tracebacks, which may be prompts and keys.
     logger.add(
         sink, level=level, filter=is_within_budget, format="{message}", diagnose=False, backtrace=False, catch=True
     )
@@ -92,7 +91,7 @@
 
 
 def plain_line(record):
-    """Return a log record as a line for a person; a traceback follows on lines of its own."""
+    """Return a log record as a line of plain text; a traceback follows on separate lines."""
     time = record["time"].strftime("%H:%M:%S.%f")[:-3]
     line = f"{time} {record['level'].name:<7} {record['name']}: {redacted(record['message'])}"
     for name, value in record["extra"].items():
@@ -103,7 +102,7 @@
 
 
 def redacted(text):
-    """Return a text without bearer keys, cut to a bounded length."""
+    """Return a text without bearer keys, truncated to ``MAX_TEXT_CHARS``."""
     text = BEARER.sub(rf"\1 {HIDDEN}", text)
     return text if len(text) <= MAX_TEXT_CHARS else text[:MAX_TEXT_CHARS] + "…"
 
@@ -117,19 +116,19 @@
 
 
 def _exception_text(exception):
-    """Return a traceback whose last line is the exception's type alone.
+    """Return a traceback whose last line is only the exception's type.
 
-    The message of an exception may quote what it failed on, for instance a caller's body.
+    The message of an exception may quote the data that caused it, such as a caller's body.
     """
     frames = "".join(traceback.format_tb(exception.traceback))
     return f"{frames}{exception.type.__name__}" if exception.type else frames
 
 
 class _LibraryHandler(logging.Handler):
-    """Passes what libraries log through the standard module on to loguru."""
+    """Forwards records of the standard ``logging`` module, used by libraries, to loguru."""
 
     def emit(self, record):
-        """Pass one record on."""
+        """Forward one record."""
         bound = logger.bind(library=record.name)
         level = record.levelname if record.levelname in LEVELS else record.levelno
         bound.opt(exception=record.exc_info).log(level, "{}", record.getMessage())
--- a/wagtailtrestle/observe/losses.py
+++ b/wagtailtrestle/observe/losses.py
@@ -1,4 +1,4 @@
-"""What became of requests, by routers' logs: one request's whole way, and the lost ones counted."""
+"""Evaluates routers' logs: the history of one request, and counts of lost requests."""
 
 from collections import Counter
 from datetime import UTC, datetime
@@ -13,7 +13,7 @@
 
 
 class Loss:
-    """One request that got no answer."""
+    """A request that was not answered."""
 
     __slots__ = ("at", "cause", "tier", "team", "zone")
 
@@ -25,14 +25,15 @@
         self.zone = zone
 
     def value(self, key):
-        """What the loss counts under in a table by ``key``."""
+        """Return the group to which the loss belongs in a table by ``key``."""
         return _clock_text(self.at, digits=0) if key == "second" else getattr(self, key)
 
 
 def request_history(logs, request_id):
-    """Lines about one request, by the caller's id or ours, in order of time.
+    """Return the lines about one request, ordered by time.
 
-    The line of its end has both ids; those of its runs have ours alone.
+    ``request_id`` is the caller's or the router's id. The line for the request's end has both; those of
+    its runs have only the router's.
     """
     ids = {request_id}
     for line in logs.lines:
@@ -47,7 +48,7 @@
 
 
 def request_history_text(lines):
-    """The lines of a story for a person: seconds since the first, router, message, inputs."""
+    """Format the lines of a request: time, seconds since the first line, router, message and fields."""
     began_at = lines[0].at
     shown = []
     for line in lines:
@@ -58,13 +59,13 @@
 
 
 def find_losses(logs, *, begin=None, end=None):
-    """Requests without an answer between two times, Unix seconds.
+    """Return the unanswered requests between two times, Unix seconds.
 
     Returns
     -------
     list of Loss
     int
-        Requests that were answered in the same time.
+        Number of requests answered in the same period.
     """
     lost = []
     answered = 0
@@ -82,7 +83,7 @@
 
 
 def losses_text(lost, answered, *, key, logs):
-    """A table of the lost requests by ``key`` and cause, and how far it can be trusted."""
+    """Format a table of lost requests by ``key`` and cause, with notes on its completeness."""
     keys = ("cause",) if key == "cause" else (key, "cause")
     counts = Counter(tuple(loss.value(each) for each in keys) for loss in lost)
     ranked = sorted(counts.items()) if key == "second" else counts.most_common()
@@ -91,9 +92,9 @@
     if rows:
         lines.append(table(header=(*(HEADING_BY_KEY[each] for each in keys), "requests"), rows=rows))
     if logs.left_out:
-        lines.append(f"Routers left out {logs.left_out} lines under load: the counts are the least that were.")
+        lines.append(f"Routers left out {logs.left_out} lines under load: the counts are lower bounds.")
     if logs.unparsed:
-        lines.append(f"{logs.unparsed} lines were torn or no router's, and are not counted.")
+        lines.append(f"{logs.unparsed} lines were truncated or not a router's, and are not counted.")
     return "\n".join(lines)
 
 
--- a/wagtailtrestle/observe/metrics.py
+++ b/wagtailtrestle/observe/metrics.py
@@ -1,6 +1,6 @@
-"""Counters and latencies of one process, and their text exposition.
+"""Counters, gauges and latencies of one process, and their text exposition.
 
-Recorded once or a few times a request, never per token; safe to call from any thread.
+Recorded once or a few times per request, never per token. Thread-safe.
 """
 
 import threading
@@ -13,14 +13,14 @@
 SIGNIFICANT_DIGITS = 2
 PERCENTILES = (50.0, 95.0, 99.0)
 WINDOW_S = 60.0
-# A label value comes from a declaration that may change 2,500 times a day, so the
-# series of one metric are bounded: each latency takes some 40 KB.
+# Label values come from a declaration that may change 2,500 times a day, so the number
+# of series per metric is limited: each latency series takes about 40 KB.
 MAX_SERIES = 200
 OTHER = "other"
 
 
 class Latency:
-    """Latencies of one series: count and sum since the beginning, percentiles of the last one to two windows."""
+    """Latencies of one series: total count and sum, and percentiles over the last one to two windows."""
 
     __slots__ = ("count", "sum_s", "_current", "_previous", "_window")
 
@@ -40,7 +40,7 @@
         self._current.record_value(units)
 
     def percentiles(self, *, now) -> dict:
-        """Seconds by percentile."""
+        """Return seconds by percentile."""
         self._rotate_windows(now)
         recent = HdrHistogram(1, MAX_UNITS, SIGNIFICANT_DIGITS)
         recent.add(self._previous)
@@ -52,7 +52,7 @@
         window = _window(now)
         if window == self._window:
             return
-        # A slow hour long ago must not hide in, nor spoil, what an operator reads now.
+        # Percentiles must reflect recent latencies only, not an earlier slow period.
         self._previous, self._current = self._current, self._previous
         self._current.reset()
         if window > self._window + 1:
@@ -66,7 +66,7 @@
     Parameters
     ----------
     prefix : str
-        Put before each metric's name.
+        Prefix of each metric's name.
     now : callable
         Clock in seconds.
     """
@@ -89,7 +89,7 @@
             counts[series] = counts.get(series, 0) + by
 
     def gauge(self, name, *, value, **labels):
-        """Set a value that goes up and down."""
+        """Set a gauge."""
         with self._lock:
             series = _bounded(self._gauges_by_series.setdefault(name, {}), labels)
             self._gauges_by_series[name][series] = value
@@ -106,7 +106,7 @@
             latency.record(seconds=seconds, now=now)
 
     def exposition(self) -> str:
-        """Text exposition of every series."""
+        """Return the text exposition of all series."""
         lines = []
         with self._lock:
             self._write_simple(lines, kind="counter", by_name=self._counts_by_series)
--- a/wagtailtrestle/observe/state_dump.py
+++ b/wagtailtrestle/observe/state_dump.py
@@ -1,4 +1,4 @@
-"""Typed state as plain data for ``/state``, without keys or prompts."""
+"""Converts state objects to plain data for ``/state``, without keys or prompts."""
 
 import dataclasses
 import enum
@@ -8,7 +8,7 @@
 MAX_ITEMS = 2000
 MAX_TEXT = 512
 HIDDEN = "(hidden)"
-# Names, not values, decide: a value can't be told from an ordinary word.
+# Hidden by field name: secret values can't be distinguished from ordinary text.
 SECRET_NAMES = frozenset(
     {
         "authorization",
@@ -31,10 +31,10 @@
 
 
 def plain(value, *, depth=0):
-    """``value`` as dicts, lists, strings and numbers.
+    """Return ``value`` as dicts, lists, strings and numbers.
 
-    Slots and dataclass fields are followed, private ones left out; bytes are given by
-    their length only; what is hidden, too deep or too long says so.
+    Slots and dataclass fields are included, except private ones; bytes are replaced by their
+    length; hidden, too deep or truncated values are marked as such.
     """
     if depth > MAX_DEPTH:
         return "(too deep)"
