--- a/wagtailtrestle/observe/log_reading.py
+++ b/wagtailtrestle/observe/log_reading.py
@@ -61,15 +61,15 @@
 
     def add_file(self, texts):
         """Add the lines of one file; ``texts`` is an iterable of str."""
-        router = ""
+        last_router = ""
         added = []
         for text in texts:
             line = read_line(text)
             if line is None:
                 self.unparsed += bool(text.strip())
                 continue
-            router = line.router or router
-            line.router = router
+            last_router = line.router or last_router
+            line.router = last_router
             added.append(line)
             self._update_totals(line)
         self._fill_in_router(added)
