--- a/wagtailtrestle/observe/losses.py
+++ b/wagtailtrestle/observe/losses.py
@@ -94,7 +94,7 @@
     if logs.left_out:
         lines.append(f"Routers left out {logs.left_out} lines under load: the counts are lower bounds.")
     if logs.unparsed:
-        lines.append(f"{logs.unparsed} lines were truncated or not a router's, and are not counted.")
+        lines.append(f"{logs.unparsed} lines were truncated or of no router, and are not counted.")
     return "\n".join(lines)
 
 
--- a/wagtailtrestle/platform/engine_entries.py
+++ b/wagtailtrestle/platform/engine_entries.py
@@ -63,7 +63,7 @@
 
 def _engine(name, value):
     if not isinstance(value, dict):
-        raise InvalidField(f"it holds {_shortened(value)}, not an object")
+        raise InvalidField(f"it holds {_shortened(value)}, which has no fields")
     service = _text(value, "service")
     # Required although unused: an entry without these fields was not written by an engine.
     _number(value, "cold_remaining_ms")
@@ -94,7 +94,7 @@
 def _text(value, name):
     text = _field(value, name)
     if not isinstance(text, str) or not 0 < len(text) <= MAX_TEXT_CHARS:
-        raise InvalidField(f"{name} is {_shortened(text)}, not a valid name")
+        raise InvalidField(f"{name} is {_shortened(text)}, no valid name")
     return text
 
 
@@ -103,7 +103,7 @@
     number = _field(value, name)
     # In Python, bool is a subclass of int.
     if not isinstance(number, int) or isinstance(number, bool) or number < minimum:
-        raise InvalidField(f"{name} is {_shortened(number)}, not an integer from {minimum}")
+        raise InvalidField(f"{name} is {_shortened(number)}, no whole number from {minimum}")
     if maximum is not None and number > maximum:
         raise InvalidField(f"{name} is {_shortened(number)}, above {maximum}")
     return number
@@ -112,7 +112,7 @@
 def _number(value, name):
     number = _field(value, name)
     if not isinstance(number, int | float) or isinstance(number, bool):
-        raise InvalidField(f"{name} is {_shortened(number)}, not a number")
+        raise InvalidField(f"{name} is {_shortened(number)}, no number")
     return number
 
 
--- a/wagtailtrestle/platform/engines.py
+++ b/wagtailtrestle/platform/engines.py
@@ -144,7 +144,7 @@
         if response.status < FIRST_ERROR_STATUS and not response.headers.get(names.SIGNATURE):
             return "the answer is not signed"
         if response.status in NOT_RUN_STATUSES:
-            return f"status {response.status} without a statement whether the request ran"
+            return f"status {response.status} without a statement on whether the request ran"
         return None
 
     def _read_failure(self, exchange):
@@ -221,7 +221,7 @@
             If a field is missing or invalid.
         """
         if not isinstance(values, dict):
-            raise InvalidField("the report is not an object")
+            raise InvalidField("the report has no fields")
         return LoadReport(
             engine=engine,
             age_s=self.assumed_age_s + took_s / 2,
--- a/wagtailtrestle/platform/rollouts.py
+++ b/wagtailtrestle/platform/rollouts.py
@@ -21,9 +21,9 @@
         return _log_invalid(name, "its service differs from its name")
     target, duration_s = order.get("target"), order.get("duration_s")
     if not isinstance(target, str) or not 0 < len(target) <= MAX_TEXT_CHARS:
-        return _log_invalid(name, "its target is not a version")
+        return _log_invalid(name, "its target is no valid version")
     if not isinstance(duration_s, int | float) or isinstance(duration_s, bool) or not 0 < duration_s <= MAX_DURATION_S:
-        return _log_invalid(name, "its duration is not a valid time")
+        return _log_invalid(name, "its duration is no valid time")
     return RolloutOrder(
         service=name,
         target=target,
