--- a/tests/test_platform_events.py
+++ b/tests/test_platform_events.py
@@ -13,7 +13,7 @@
     def setUp(self):
         self.splitter = EventSplitter(after_id=None)
 
-    def test_a_torn_event_is_kept_back(self):
+    def test_incomplete_event_is_buffered(self):
         # The engine stops in the middle of an event. The fragment must not reach the caller: the engine
         # that resumes the stream sends the complete event, so the caller would read one and a half.
         data = event(1) + event(2)
