--- a/tests/test_platform_events.py
+++ b/tests/test_platform_events.py
@@ -22,7 +22,7 @@
         self.assertTrue(self.splitter.has_partial_event)
         self.assertEqual(self.splitter.last_id, 1)
 
-    def test_a_torn_event_goes_on_with_the_next_bytes(self):
+    def test_incomplete_event_is_completed_by_the_next_bytes(self):
         data = event(1)
         self.splitter.feed(data[:5])
         self.assertEqual(self.splitter.feed(data[5:]).data, data)
