--- a/tests/test_platform_events.py
+++ b/tests/test_platform_events.py
@@ -28,7 +28,7 @@
         self.assertEqual(self.splitter.feed(data[5:]).data, data)
         self.assertFalse(self.splitter.has_partial_event)
 
-    def test_events_that_were_had_are_dropped(self):
+    def test_duplicate_events_are_dropped(self):
         # The run is resumed on another engine, which repeats the last event. If it were forwarded,
         # the caller would read it twice.
         splitter = EventSplitter(after_id=2)
