--- a/tests/test_platform_router.py
+++ b/tests/test_platform_router.py
@@ -188,7 +188,7 @@
 
 
 class CallersWhoLeaveTest(WorldCase):
-    def test_the_engine_is_let_go_at_once(self):
+    def test_the_run_is_cancelled_immediately(self):
         for engine in self.assistants:
             engine.events, engine.pause_s = 400, 0.02
         connection = self.world.connect()
