--- a/tests/test_platform_router.py
+++ b/tests/test_platform_router.py
@@ -48,7 +48,7 @@
         for name in ("authorization", "hold", "pin-milliseconds", "kv-from"):
             self.assertNotIn(name, seen)
 
-    def test_a_whole_answer_and_its_failure_pass_unchanged(self):
+    def test_complete_answers_and_failures_are_forwarded_unchanged(self):
         answer = self.world.request("POST", "/book/1")
         self.assertEqual((answer.status, answer.body[:10]), (200, b"whole from"))
         self.script("booking", "fail")
