--- a/tests/test_log_writer.py
+++ b/tests/test_log_writer.py
@@ -34,7 +34,7 @@
 
 
 class UnreadOutputTest(unittest.TestCase):
-    def test_a_standard_output_that_nobody_reads_blocks_nobody(self):
+    def test_unread_standard_output_does_not_block(self):
         # The process's output is a full pipe that is not read. Logging must not block: a request's
         # thread that waited here would never answer its caller.
         read_end, write_end = os.pipe()
