--- a/tests/test_log_writer.py
+++ b/tests/test_log_writer.py
@@ -18,7 +18,7 @@
         self.now = 0.0
         self.budget = LineBudget(now=lambda: self.now, per_s=10.0, burst=5.0)
 
-    def test_a_flood_of_one_kind_is_thinned_and_counted(self):
+    def test_a_flood_of_one_kind_is_limited_and_counted(self):
         # Every request of a flood logs the same line. Lines beyond the burst are left out, and the
         # next line written states how many.
         written = [self.budget.acquire("kind") for _ in range(20)]
