--- a/tests/test_log_writer.py
+++ b/tests/test_log_writer.py
@@ -27,7 +27,7 @@
         self.now += 0.1
         self.assertEqual(self.budget.acquire("kind"), 15)
 
-    def test_another_kind_is_not_thinned_with_it(self):
+    def test_kinds_are_limited_separately(self):
         for _ in range(20):
             self.budget.acquire("kind")
         self.assertEqual(self.budget.acquire("other"), 0)
