--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -121,7 +121,7 @@
         second.add_file(FIRST)
         self.assertEqual([each.message for each in first.lines], [each.message for each in second.lines])
 
-    def test_lines_of_other_shapes_are_passed_over(self):
+    def test_invalid_lines_are_skipped(self):
         for text in ("", "{", "[]", "{}", '{"time": 5, "message": "m"}', '{"time": "now", "message": "m"}'):
             self.assertIsNone(read_line(text))
 
