--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -97,7 +97,7 @@
         _, output, _ = self.explain("--begin", "2026-05-05T18:37:03", "--end", "2026-05-05T18:37:04.1")
         self.assertIn("2 lost, 0 answered", output)
 
-    def test_faulty_use_is_told_and_nothing_counted(self):
+    def test_invalid_arguments_are_reported_and_nothing_counted(self):
         for arguments, files, problem in (
             (("--by", "colour"), None, "allowed: cause"),
             (("--begin", "noon"), None, "a time as in the logs"),
