--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -81,7 +81,7 @@
         for cause in ("engine_lost", "quota_exhausted", "overloaded", "not_ready"):
             self.assertRegex(output, rf"{cause} +1")
 
-    def test_what_can_not_be_counted_is_said(self):
+    def test_uncounted_lines_are_reported(self):
         _, output, _ = self.explain()
         self.assertIn("left out 12 lines", output)
         self.assertIn("2 lines were truncated", output)
