--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -78,7 +78,7 @@
         self.assertIsInstance(await self.create(value="x" * 1_100_000), StoreUnavailable)
         self.assertEqual(await self.get(), StoreAbsent())
 
-    async def test_watch_tells_at_once_and_times_out_empty(self):
+    async def test_watch_returns_changes_immediately_and_times_out_empty(self):
         watch = asyncio.create_task(self.store.watch(kind="k", from_version=0, timeout_s=5))
         await asyncio.sleep(0.1)
         await self.create()
