--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -120,7 +120,7 @@
         self.assertTrue(any(isinstance(outcome, StoreUnavailable) for outcome in outcomes))
         self.assertEqual(self.platform.table.revision, 1)
 
-    async def test_nobody_listening_is_certainly_not_applied(self):
+    async def test_refused_connection_is_certainly_not_applied(self):
         with socket.socket() as unused:
             unused.bind(("127.0.0.1", 0))
             store = HttpObjectStore(url=f"http://127.0.0.1:{unused.getsockname()[1]}")
