--- a/tests/test_platform_declarations.py
+++ b/tests/test_platform_declarations.py
@@ -162,7 +162,7 @@
         self.assertEqual((engine.name, engine.cell, engine.address), ("i-1", "assistant", "10.0.0.1:80"))
         self.assertFalse(engine.leaving)
 
-    def test_an_engine_that_drains_leaves(self):
+    def test_a_draining_engine_is_leaving(self):
         self.assertTrue(read_engine("i-1", {**ENTRY, "state": "draining"}).leaving)
 
     def test_an_entry_that_cannot_be_read_is_left_out(self):
