--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -206,7 +206,7 @@
         self.assertEqual(table.vms(now=12.0, lag_s=1.0).value, ["b"])
         self.assertEqual(table.vms(now=10.5, lag_s=1.0).value, [])
 
-    def test_deleted_object_is_told_to_watches_and_may_be_created_again(self):
+    def test_deletion_is_sent_to_watches_and_the_name_can_be_reused(self):
         table = ObjectTable()
         table.create(kind="k", name="o", value=1)
         table.delete(kind="k", name="o", if_version=1)
