--- a/tests/test_platform_router.py
+++ b/tests/test_platform_router.py
@@ -114,7 +114,7 @@
         self.assertEqual(answer.status, 200)
         self.assertEqual(len(self.world.runs(service="booking")), 2)
 
-    def test_an_engine_that_is_full_leaves_the_request_to_another(self):
+    def test_a_request_rejected_by_a_full_engine_runs_on_another(self):
         self.script("booking", "full")
         self.assertEqual(self.world.request("POST", "/book/1").status, 200)
         self.assertEqual(len(self.world.runs(service="booking")), 1)
