--- a/tests/test_platform_router.py
+++ b/tests/test_platform_router.py
@@ -90,7 +90,7 @@
                 runs = self.world.runs(service="assistant")
                 self.assertEqual(sorted(seen.get("last-event-id", "") for seen in runs), ["", "2"])
 
-    def test_a_stream_that_may_not_go_on_ends_broken(self):
+    def test_a_stream_that_may_not_be_resumed_is_aborted(self):
         # The request may run only once: the caller got part of the stream, which must not look complete.
         self.script("assistant", "cut")
         answer = self.world.request("POST", "/stream-once/x")
