--- a/tests/test_platform_router.py
+++ b/tests/test_platform_router.py
@@ -32,7 +32,7 @@
             engine.script = shared
 
 
-class ForwardingTest(WorldCase):
+class PassingOnTest(WorldCase):
     def test_what_engines_and_callers_read(self):
         answer = self.world.request("POST", "/stream/x?q=1", Token_Counts="100,20", Model="m", X_Other="kept", **FORGED)
         self.assertEqual((answer.status, answer.is_complete), (200, True))
