--- a/tests/test_platform_router.py
+++ b/tests/test_platform_router.py
@@ -187,7 +187,7 @@
         self.assertEqual(self.world.request("GET", "/status/1").status, 200)
 
 
-class CallerDisconnectTest(WorldCase):
+class CallersWhoLeaveTest(WorldCase):
     def test_the_run_is_cancelled_immediately(self):
         for engine in self.assistants:
             engine.events, engine.pause_s = 400, 0.02
