--- a/tests/test_platform_router.py
+++ b/tests/test_platform_router.py
@@ -76,7 +76,7 @@
 
 
 class BrokenAnswersTest(WorldCase):
-    def test_an_interrupted_stream_resumes_on_another_engine(self):
+    def test_a_stream_that_broke_off_goes_on_elsewhere(self):
         # The engine stops in the middle of an event. The caller receives one stream without a gap,
         # with the response head and signature of the first engine.
         for how in ("cut", "torn"):
