--- a/tests/test_broken_invariant.py
+++ b/tests/test_broken_invariant.py
@@ -1,9 +1,9 @@
-"""A task that must not end stops the process; an ordinary error in the loop does not."""
+"""A failed task that must not end stops the process; other errors in the event loop do not."""
 
 import asyncio
 import unittest
 
-from wagtailtrestle.broken_invariant import report_broken, stop_on_broken_invariant
+from wagtailtrestle.broken_invariant import report_failed_task, stop_on_broken_invariant
 
 
 class BrokenInvariantTest(unittest.TestCase):
@@ -20,11 +20,11 @@
         return bool(stopped)
 
     def test_failed_task_stops_the_process(self):
-        # Callers of other requests see this router leave the balancer and are served by the
-        # rest: a task that owns state failed, and what it owned can't be trusted any more.
+        # A task that owns state failed, so its state is no longer reliable. The router leaves the
+        # balancer and the other routers serve the callers.
         async def scenario(loop):
             task = loop.create_task(_fail())
-            task.add_done_callback(lambda ended: report_broken(ended, "it failed"))
+            task.add_done_callback(lambda ended: report_failed_task(ended, "it failed"))
             await asyncio.wait((task,))
 
         self.assertTrue(self.stops(scenario))
@@ -32,7 +32,7 @@
     def test_cancelled_task_does_not(self):
         async def scenario(loop):
             task = loop.create_task(asyncio.sleep(10))
-            task.add_done_callback(lambda ended: report_broken(ended, "it failed"))
+            task.add_done_callback(lambda ended: report_failed_task(ended, "it failed"))
             await asyncio.sleep(0)
             task.cancel()
             await asyncio.wait((task,))
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -1,4 +1,4 @@
-"""Routers' logs read back when a user complains: what the lines say, torn ones and gaps included."""
+"""``wagtailtrestle explain``: reading routers' logs, including truncated lines and gaps."""
 
 import io
 import json
@@ -66,25 +66,25 @@
         return status, stdout.getvalue(), stderr.getvalue()
 
     def test_a_request_is_followed_from_its_callers_id_to_its_runs(self):
-        status, told, _ = self.explain("--id", CALLERS)
+        status, output, _ = self.explain("--id", CALLERS)
         self.assertEqual(status, ExitStatus.DONE)
-        lines = told.splitlines()
+        lines = output.splitlines()
         self.assertEqual(len(lines), 2)
         self.assertIn("+0.000 s front-a-1: a run ended early", lines[0])
         self.assertIn("engine=i-1", lines[0])
         self.assertIn("engine_lost", lines[1])
 
     def test_lost_requests_are_counted_by_cause(self):
-        status, told, _ = self.explain()
+        status, output, _ = self.explain()
         self.assertEqual(status, ExitStatus.DONE)
-        self.assertIn("4 lost, 1 answered", told)
+        self.assertIn("4 lost, 1 answered", output)
         for cause in ("engine_lost", "quota_exhausted", "overloaded", "not_ready"):
-            self.assertRegex(told, rf"{cause} +1")
+            self.assertRegex(output, rf"{cause} +1")
 
-    def test_what_can_not_be_counted_is_said(self):
-        _, told, _ = self.explain()
-        self.assertIn("left out 12 lines", told)
-        self.assertIn("2 lines were torn", told)
+    def test_uncounted_lines_are_reported(self):
+        _, output, _ = self.explain()
+        self.assertIn("left out 12 lines", output)
+        self.assertIn("2 lines were truncated", output)
 
     def test_by_zone_team_tier_and_second(self):
         self.assertRegex(self.explain("--by", "zone")[1], r"b +not_ready +1")
@@ -94,24 +94,24 @@
         self.assertRegex(self.explain("--by", "second")[1], r"18:37:02 +engine_lost +1")
 
     def test_a_span_of_time(self):
-        _, told, _ = self.explain("--begin", "2026-05-05T18:37:03", "--end", "2026-05-05T18:37:04.1")
-        self.assertIn("2 lost, 0 answered", told)
+        _, output, _ = self.explain("--begin", "2026-05-05T18:37:03", "--end", "2026-05-05T18:37:04.1")
+        self.assertIn("2 lost, 0 answered", output)
 
-    def test_faulty_use_is_told_and_nothing_counted(self):
+    def test_invalid_arguments_are_reported_and_nothing_counted(self):
         for arguments, files, problem in (
             (("--by", "colour"), None, "allowed: cause"),
             (("--begin", "noon"), None, "a time as in the logs"),
             ((), ["/nowhere/a.log"], "can't be read"),
             ((), [], "at least one log file"),
         ):
-            status, told, complaint = self.explain(*arguments, files=files)
-            self.assertEqual((status, told), (ExitStatus.USAGE, ""))
-            self.assertIn(problem, complaint)
+            status, output, error = self.explain(*arguments, files=files)
+            self.assertEqual((status, output), (ExitStatus.USAGE, ""))
+            self.assertIn(problem, error)
 
     def test_an_id_that_no_line_names(self):
-        status, _, complaint = self.explain("--id", "absent")
+        status, _, error = self.explain("--id", "absent")
         self.assertEqual(status, ExitStatus.CHECK_FAILED)
-        self.assertIn("all routers", complaint)
+        self.assertIn("all routers", error)
 
     def test_the_order_of_files_does_not_matter(self):
         first, second = RouterLogs(), RouterLogs()
@@ -121,7 +121,7 @@
         second.add_file(FIRST)
         self.assertEqual([each.message for each in first.lines], [each.message for each in second.lines])
 
-    def test_lines_of_other_shapes_are_passed_over(self):
+    def test_invalid_lines_are_skipped(self):
         for text in ("", "{", "[]", "{}", '{"time": 5, "message": "m"}', '{"time": "now", "message": "m"}'):
             self.assertIsNone(read_line(text))
 
--- a/tests/test_log_writer.py
+++ b/tests/test_log_writer.py
@@ -1,4 +1,4 @@
-"""Log lines that never hold up who logs, in bounded number."""
+"""Logging never blocks the logging thread, and the number of lines is limited."""
 
 import io
 import os
@@ -16,27 +16,27 @@
 class LineBudgetTest(unittest.TestCase):
     def setUp(self):
         self.now = 0.0
-        self.budget = LineBudget(now=lambda: self.now, per_s=10.0, at_once=5.0)
+        self.budget = LineBudget(now=lambda: self.now, per_s=10.0, burst=5.0)
 
-    def test_a_flood_of_one_kind_is_thinned_and_counted(self):
-        # Every request of a flood logs the same line. Beyond the bucket they are left out, and
-        # the next line written says how many.
-        written = [self.budget.take("kind") for _ in range(20)]
+    def test_a_flood_of_one_kind_is_limited_and_counted(self):
+        # Every request of a flood logs the same line. Lines beyond the burst are left out, and the
+        # next line written states how many.
+        written = [self.budget.acquire("kind") for _ in range(20)]
         self.assertEqual(written[:5], [0] * 5)
         self.assertEqual(written[5:], [None] * 15)
         self.now += 0.1
-        self.assertEqual(self.budget.take("kind"), 15)
+        self.assertEqual(self.budget.acquire("kind"), 15)
 
-    def test_another_kind_is_not_thinned_with_it(self):
+    def test_kinds_are_limited_separately(self):
         for _ in range(20):
-            self.budget.take("kind")
-        self.assertEqual(self.budget.take("other"), 0)
+            self.budget.acquire("kind")
+        self.assertEqual(self.budget.acquire("other"), 0)
 
 
 class UnreadOutputTest(unittest.TestCase):
-    def test_a_standard_output_that_nobody_reads_blocks_nobody(self):
-        # The process's output goes to a pipe that is full and unread. Whoever logs must go on at
-        # once: a request's thread that blocked here would never answer its caller.
+    def test_unread_standard_output_does_not_block(self):
+        # The process's output is a full pipe that is not read. Logging must not block: a request's
+        # thread that waited here would never answer its caller.
         read_end, write_end = os.pipe()
         self.addCleanup(os.close, read_end)
         stream = os.fdopen(write_end, "w", closefd=False)
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -1,4 +1,4 @@
-"""The platform stand-in and the object store over HTTP, on loopback; VM list and status."""
+"""The platform stand-in and the HTTP object store on loopback; VM list and status report."""
 
 import asyncio
 import json
@@ -78,7 +78,7 @@
         self.assertIsInstance(await self.create(value="x" * 1_100_000), StoreUnavailable)
         self.assertEqual(await self.get(), StoreAbsent())
 
-    async def test_watch_tells_at_once_and_times_out_empty(self):
+    async def test_watch_returns_changes_immediately_and_times_out_empty(self):
         watch = asyncio.create_task(self.store.watch(kind="k", from_version=0, timeout_s=5))
         await asyncio.sleep(0.1)
         await self.create()
@@ -97,16 +97,15 @@
         await self.create()
         self.set_faults(drop_watch_events=True, stale_versions=1)
         await self.update(1)
-        told = await self.store.watch(kind="k", from_version=1, timeout_s=0.05)
-        self.assertEqual(told.value, ())
+        watched = await self.store.watch(kind="k", from_version=1, timeout_s=0.05)
+        self.assertEqual(watched.value, ())
         self.assertEqual(await self.get(), StoreDone(version=1, value=1))
         self.set_faults()
         self.assertEqual(await self.get(), StoreDone(version=2, value=2))
 
     async def test_answer_lost_after_the_write_is_unknown(self):
-        # The write takes effect, then the connection ends without an answer. Whoever
-        # wrote must learn "unknown": "not applied" would be a lie that invites a second
-        # write.
+        # The write takes effect, then the connection ends without an answer. The writer must
+        # get "unknown": "not applied" would be wrong and invite a second write.
         await self.create()
         self.set_faults(lose_answers=1)
         self.assertIsInstance(await self.update(1), StoreUnknown)
@@ -121,7 +120,7 @@
         self.assertTrue(any(isinstance(outcome, StoreUnavailable) for outcome in outcomes))
         self.assertEqual(self.platform.table.revision, 1)
 
-    async def test_nobody_listening_is_certainly_not_applied(self):
+    async def test_refused_connection_is_certainly_not_applied(self):
         with socket.socket() as unused:
             unused.bind(("127.0.0.1", 0))
             store = HttpObjectStore(url=f"http://127.0.0.1:{unused.getsockname()[1]}")
@@ -130,17 +129,17 @@
             self.assertIsInstance(await store.create(kind="k", name="o", value=1), StoreUnavailable)
 
     async def test_error_that_promises_nothing_is_unknown(self):
-        # Something before the platform answers 503 in its own words. It can't know
-        # whether the platform took the write up, so neither can we.
+        # A proxy in front of the platform answers 503 with its own body. It can't know
+        # whether the platform applied the write, so neither can we.
         await self.create()
         self.platform.faults.down = "unavailable"
         self.platform._refused = lambda status, problem: _plain_answer(status)
         self.assertIsInstance(await self.update(1), StoreUnknown)
 
     async def test_connections_gone_silent(self):
-        # Every connection open now never answers again, new ones work: one call may be
-        # lost to its timeout, the next ones must all go over new connections, also when
-        # several idle connections had gone silent at once.
+        # All open connections stop answering, new ones work: one call may be lost to its
+        # timeout, but the next ones must all use new connections, also when several idle
+        # connections stopped answering at the same time.
         self.set_faults(slow_s=0.1)
         await asyncio.gather(self.create(), self.get(), self.get())
         self.set_faults(silent="open", slow_s=0.1)
@@ -149,21 +148,21 @@
         self.assertEqual(after, [StoreDone(version=2), StoreAbsent()])
 
     async def test_silent_watches_hold_up_no_other_call(self):
-        # As many watches as there are threads for calls wait on connections that have
-        # gone silent. Calls go on beside them, and closing the store waits for none.
+        # As many watches as there are threads for calls wait on connections that no longer
+        # answer. Calls are not blocked by them, and closing the store does not wait for them.
         watches = [self.store.watch(kind="k", from_version=0, timeout_s=30) for _ in range(2)]
-        told = asyncio.gather(*watches)
+        pending_watches = asyncio.gather(*watches)
         await asyncio.sleep(0.1)
         self.set_faults(silent="open")
         self.assertEqual(await self.create(), StoreDone(version=1))
         self.store.close()
         async with asyncio.timeout(2):
-            self.assertEqual([type(outcome) for outcome in await told], [StoreUnavailable] * 2)
+            self.assertEqual([type(outcome) for outcome in await pending_watches], [StoreUnavailable] * 2)
 
     async def test_calls_with_no_thread_left_are_certainly_not_sent(self):
-        # The only thread waits on a silent platform, call after call; the last write
-        # never gets its turn. It was not sent and its caller may be told so; the first
-        # was, and its caller may not.
+        # The only thread waits on an unresponsive platform, call after call, so the last
+        # write is never sent, and its outcome may say so. The first was sent, so its
+        # outcome is unknown.
         self.set_faults(silent="all")
         store = HttpObjectStore(url=self.url, connect_timeout_s=0.1, read_timeout_s=READ_TIMEOUT_S, threads=1)
         store.start()
@@ -207,7 +206,7 @@
         self.assertEqual(table.vms(now=12.0, lag_s=1.0).value, ["b"])
         self.assertEqual(table.vms(now=10.5, lag_s=1.0).value, [])
 
-    def test_deleted_object_is_told_to_watches_and_may_be_created_again(self):
+    def test_deletion_is_sent_to_watches_and_the_name_can_be_reused(self):
         table = ObjectTable()
         table.create(kind="k", name="o", value=1)
         table.delete(kind="k", name="o", if_version=1)
@@ -223,8 +222,8 @@
 class VMListTests(unittest.TestCase):
     @on_paused_clock
     async def test_list_is_kept_through_an_outage(self):
-        # The platform goes out. The routers and engines are as alive as before, so the
-        # last list stays; when it is back, changes are taken up again.
+        # The platform becomes unavailable. Routers and engines are still running, so the
+        # last list is kept; when the platform is back, changes are applied again.
         store = MemoryStore()
         store.set_vms(VM_ITEMS)
         changes = []
@@ -242,8 +241,8 @@
 
     @on_paused_clock
     async def test_a_list_that_stays_the_same_is_read_seldom(self):
-        # Routers of a fleet know each other within seconds and tell who comes and goes; a read of each router
-        # every second or two costs the store more than all its writes.
+        # The routers of a fleet know each other within seconds and notify each other of joins and leaves.
+        # A read by each router every second or two would cost the store more than all its writes.
         store = MemoryStore()
         store.set_vms(VM_ITEMS)
         changes = []
--- a/tests/test_platform_declarations.py
+++ b/tests/test_platform_declarations.py
@@ -1,4 +1,4 @@
-"""The users' configuration and engines' entries, decoded."""
+"""Decoding of the users' configuration and of engine registrations."""
 
 import copy
 import json
@@ -111,7 +111,7 @@
             self.assertIn(str(rank), self.declaration.tiers_by_name)
 
     def test_a_configuration_that_cannot_be_read_says_why(self):
-        # The operator's document lacks a field. The one in force must stay, with the reason told.
+        # The operator's document lacks a field. The one in force must stay, and the fault is reported.
         for path in ("routes", "services"):
             document = copy.deepcopy(CONFIGURATION)
             del document[path]
@@ -162,7 +162,7 @@
         self.assertEqual((engine.name, engine.cell, engine.address), ("i-1", "assistant", "10.0.0.1:80"))
         self.assertFalse(engine.leaving)
 
-    def test_an_engine_that_drains_leaves(self):
+    def test_a_draining_engine_is_leaving(self):
         self.assertTrue(read_engine("i-1", {**ENTRY, "state": "draining"}).leaving)
 
     def test_an_entry_that_cannot_be_read_is_left_out(self):
--- a/tests/test_platform_router.py
+++ b/tests/test_platform_router.py
@@ -1,4 +1,4 @@
-"""A router process on the users' platform: what callers and engines see."""
+"""A router process on the users' platform, as seen by callers and engines."""
 
 import json
 import signal
@@ -25,7 +25,7 @@
         self.assistants = [self.world.engines["a-1"], self.world.engines["a-2"]]
 
     def script(self, service, *how):
-        """Let whichever engine of the service comes first answer so, once for each word."""
+        """Script the next answers of the service, one for each fault, whichever engine gives them."""
         engines = [engine for engine in self.world.engines.values() if engine.service == service]
         shared = list(how)
         for engine in engines:
@@ -34,8 +34,8 @@
 
 class PassingOnTest(WorldCase):
     def test_what_engines_and_callers_read(self):
-        answer = self.world.ask("POST", "/stream/x?q=1", Token_Counts="100,20", Model="m", X_Other="kept", **FORGED)
-        self.assertEqual((answer.status, answer.whole), (200, True))
+        answer = self.world.request("POST", "/stream/x?q=1", Token_Counts="100,20", Model="m", X_Other="kept", **FORGED)
+        self.assertEqual((answer.status, answer.is_complete), (200, True))
         self.assertEqual(answer.event_ids, [1, 2, 3, 4, 5, 6])
         self.assertTrue(answer.headers["Response-Stamp"].startswith(SIGNATURE))
         self.assertEqual(answer.headers["Request-Id"], "r1")
@@ -48,23 +48,23 @@
         for name in ("authorization", "hold", "pin-milliseconds", "kv-from"):
             self.assertNotIn(name, seen)
 
-    def test_a_whole_answer_and_its_failure_pass_unchanged(self):
-        answer = self.world.ask("POST", "/book/1")
+    def test_complete_answers_and_failures_are_forwarded_unchanged(self):
+        answer = self.world.request("POST", "/book/1")
         self.assertEqual((answer.status, answer.body[:10]), (200, b"whole from"))
         self.script("booking", "fail")
-        answer = self.world.ask("POST", "/book/2", request_id="r2")
+        answer = self.world.request("POST", "/book/2", request_id="r2")
         self.assertEqual((answer.status, answer.body), (500, b"broken"))
         self.assertTrue(answer.headers["Response-Stamp"].startswith(SIGNATURE))
 
     def test_routes_and_keys(self):
-        self.assertEqual(self.world.ask("GET", "/nowhere/").status, 404)
-        self.assertEqual(self.world.ask("GET", "/status/1", key="wrong").status, 401)
-        self.assertEqual(self.world.ask("GET", "/status/1", key=None).status, 401)
+        self.assertEqual(self.world.request("GET", "/nowhere/").status, 404)
+        self.assertEqual(self.world.request("GET", "/status/1", key="wrong").status, 401)
+        self.assertEqual(self.world.request("GET", "/status/1", key=None).status, 401)
         self.assertEqual(self.world.runs(service="booking"), [])
 
     def test_a_request_with_two_lengths_is_not_passed_on(self):
-        # A length and a chunked coding together: an engine that believes the one where the router
-        # believes the other would run a second request, smuggled inside the first.
+        # Request smuggling: with both Content-Length and chunked coding, an engine that goes by one of
+        # them while the router goes by the other would run a second request hidden inside the first.
         host, _, port = self.world.routers[0].values["callers_address"].partition(":")
         with socket.create_connection((host, int(port)), timeout=5) as sock:
             head = f"POST /book/1 HTTP/1.1\r\nHost: service.example\r\nAuthorization: Token {KEY}\r\n"
@@ -77,51 +77,51 @@
 
 class BrokenAnswersTest(WorldCase):
     def test_a_stream_that_broke_off_goes_on_elsewhere(self):
-        # The engine stops in the middle of an event. The caller reads one stream without a gap,
-        # with the head and signature of the first engine.
+        # The engine stops in the middle of an event. The caller receives one stream without a gap,
+        # with the response head and signature of the first engine.
         for how in ("cut", "torn"):
             with self.subTest(how=how):
                 for engine in self.assistants:
                     engine.seen.clear()
                 self.script("assistant", how)
-                answer = self.world.ask("POST", "/stream/x", request_id=f"r-{how}")
+                answer = self.world.request("POST", "/stream/x", request_id=f"r-{how}")
                 self.assertEqual(answer.event_ids, [1, 2, 3, 4, 5, 6])
-                self.assertTrue(answer.whole)
+                self.assertTrue(answer.is_complete)
                 runs = self.world.runs(service="assistant")
                 self.assertEqual(sorted(seen.get("last-event-id", "") for seen in runs), ["", "2"])
 
-    def test_a_stream_that_may_not_go_on_ends_broken(self):
-        # It may run once: what was read is a part, and must not look whole.
+    def test_a_stream_that_may_not_be_resumed_is_aborted(self):
+        # The request may run only once: the caller got part of the stream, which must not look complete.
         self.script("assistant", "cut")
-        answer = self.world.ask("POST", "/stream-once/x")
-        self.assertEqual((answer.event_ids, answer.whole), ([1, 2], False))
+        answer = self.world.request("POST", "/stream-once/x")
+        self.assertEqual((answer.event_ids, answer.is_complete), ([1, 2], False))
         self.assertEqual(len(self.world.runs(service="assistant")), 1)
 
     def test_what_may_run_once_is_never_sent_twice(self):
-        # The answer breaks off, is coded, unsigned or another request's: the booking may have run.
-        # The caller is told neither that it succeeded nor that it did not run.
+        # The answer is cut off, compressed, unsigned or belongs to another request: the booking may have
+        # run. The caller must be told neither that it succeeded nor that it did not run.
         for number, how in enumerate(("cut", "coded", "unsigned", "crossed")):
             with self.subTest(how=how):
                 self.script("booking", how)
-                answer = self.world.ask("POST", f"/book/{number}", request_id=f"r{number}")
+                answer = self.world.request("POST", f"/book/{number}", request_id=f"r{number}")
                 self.assertEqual(answer.status, 502)
                 self.assertNotIn("Response-Stamp", answer.headers)
                 self.assertEqual(len(self.world.runs(service="booking")), number + 1)
 
     def test_what_may_be_repeated_is_tried_once_more(self):
         self.script("booking", "cut")
-        answer = self.world.ask("GET", "/status/1")
+        answer = self.world.request("GET", "/status/1")
         self.assertEqual(answer.status, 200)
         self.assertEqual(len(self.world.runs(service="booking")), 2)
 
-    def test_an_engine_that_is_full_leaves_the_request_to_another(self):
+    def test_a_request_rejected_by_a_full_engine_runs_on_another(self):
         self.script("booking", "full")
-        self.assertEqual(self.world.ask("POST", "/book/1").status, 200)
+        self.assertEqual(self.world.request("POST", "/book/1").status, 200)
         self.assertEqual(len(self.world.runs(service="booking")), 1)
 
     def test_engines_that_are_all_full_mean_that_it_did_not_run(self):
         self.script("booking", *["full"] * 10)
-        answer = self.world.ask("POST", "/book/1")
+        answer = self.world.request("POST", "/book/1")
         self.assertEqual(answer.status, 503)
         self.assertGreater(float(answer.headers["Retry-After"]), 0.0)
         self.assertEqual(self.world.runs(service="booking"), [])
@@ -132,29 +132,29 @@
 
     def test_a_new_configuration_is_in_force_soon(self):
         self.world.store.put("config", "main", configuration(9, keys=("new-key",)))
-        wait_until(lambda: self.world.ask("GET", "/status/1", key="new-key").status == 200, "the new key")
-        self.assertEqual(self.world.ask("GET", "/status/1").status, 401)
+        wait_until(lambda: self.world.request("GET", "/status/1", key="new-key").status == 200, "the new key")
+        self.assertEqual(self.world.request("GET", "/status/1").status, 401)
 
     def test_one_that_cannot_be_read_changes_nothing(self):
         self.world.store.put("config", "main", {"version": 9, "routes": "nonsense"})
         time.sleep(0.8)
-        self.assertEqual(self.world.ask("GET", "/status/1").status, 200)
+        self.assertEqual(self.world.request("GET", "/status/1").status, 200)
         self.assertIn("can't be read", self.world.routers[0].log_path.read_text())
 
     def test_keys_are_not_used_beyond_their_freshness(self):
-        # The store is out for longer than a key may be used without proof. A key that was taken
-        # away meanwhile must not run anything; nobody can tell which, so no request is run, and
-        # each is told so, with when to come back. With the store back all goes on.
+        # The store is unavailable for longer than keys may be used without confirmation. A key revoked
+        # in the meantime must not run anything, and it is unknown which keys were revoked, so every
+        # request is refused as not run, with Retry-After. Service resumes when the store is back.
         self.world.store.down = True
-        wait_until(lambda: self.world.ask("GET", "/status/1").status == 503, "refusals")
+        wait_until(lambda: self.world.request("GET", "/status/1").status == 503, "refusals")
         ran = len(self.world.runs(service="booking"))
-        answer = self.world.ask("POST", "/book/1", request_id="r9")
+        answer = self.world.request("POST", "/book/1", request_id="r9")
         self.assertEqual(answer.status, 503)
         self.assertIn("Retry-After", answer.headers)
         self.assertEqual(len(self.world.runs(service="booking")), ran)
         self.assertRegex(self.world.routers[0].log_path.read_text(), r"keys proved \d+\.\d s ago, limit 1\.5")
         self.world.store.down = False
-        wait_until(lambda: self.world.ask("GET", "/status/1").status == 200, "service again")
+        wait_until(lambda: self.world.request("GET", "/status/1").status == 200, "service again")
 
     def test_engines_that_leave_get_nothing_more(self):
         left = self.world.engines["b-1"]
@@ -162,33 +162,33 @@
         time.sleep(0.5)
         left.seen.clear()
         for number in range(6):
-            self.assertEqual(self.world.ask("POST", "/book/1", request_id=f"r{number}").status, 200)
+            self.assertEqual(self.world.request("POST", "/book/1", request_id=f"r{number}").status, 200)
         self.assertEqual(left.seen, [])
 
     def test_an_address_used_again_by_another_engine_runs_nothing(self):
-        # The engine is gone but still listed, and another has its address. It is named in each
-        # request, so that the newcomer refuses, and the other engine serves.
+        # The engine is gone but still listed, and another engine has its address. Each request names the
+        # expected engine, so the new one refuses it and the service's other engine serves it.
         self.world.engines["b-1"].name = "c-1"
         for number in range(4):
-            self.assertEqual(self.world.ask("POST", "/book/1", request_id=f"r{number}").status, 200)
+            self.assertEqual(self.world.request("POST", "/book/1", request_id=f"r{number}").status, 200)
         self.assertEqual(self.world.engines["b-1"].seen, [])
 
     def test_settings_are_read_again(self):
-        # Unhandled, the signal would end the process with every request in flight.
+        # The default action of this signal would kill the process with all requests in flight.
         router = self.world.routers[0]
         router.settings_file.write_text(yaml.safe_dump(router.values | {"retry_extra": 7.0, "zone": "b"}))
         router.signal(signal.SIGHUP)
         wait_until(lambda: "settings read again" in router.log_path.read_text(), "the log line")
         line = next(line for line in router.log_path.read_text().splitlines() if "settings read again" in line)
-        told = json.loads(line)
-        self.assertEqual((told["changed"], told["from_next_start"]), ("zone,retry_extra", "zone"))
+        logged = json.loads(line)
+        self.assertEqual((logged["changed"], logged["from_next_start"]), ("zone,retry_extra", "zone"))
         router.settings_file.write_text("nonsense: [")
-        wait_until(lambda: "not put in force" in router.log_path.read_text(), "the complaint")
-        self.assertEqual(self.world.ask("GET", "/status/1").status, 200)
+        wait_until(lambda: "not put in force" in router.log_path.read_text(), "the error in the log")
+        self.assertEqual(self.world.request("GET", "/status/1").status, 200)
 
 
 class CallersWhoLeaveTest(WorldCase):
-    def test_the_engine_is_let_go_at_once(self):
+    def test_the_run_is_cancelled_immediately(self):
         for engine in self.assistants:
             engine.events, engine.pause_s = 400, 0.02
         connection = self.world.connect()
@@ -208,18 +208,18 @@
 
 class StopTest(WorldCase):
     def test_streams_in_flight_are_finished(self):
-        # SIGTERM while a stream is being read: not ready at once, the stream whole, then the end.
+        # SIGTERM during a stream: not ready immediately, the stream is completed, then the process exits.
         for engine in self.assistants:
             engine.events, engine.pause_s = 100, 0.015
         answers = []
-        thread = threading.Thread(target=lambda: answers.append(self.world.ask("POST", "/stream/x")))
+        thread = threading.Thread(target=lambda: answers.append(self.world.request("POST", "/stream/x")))
         thread.start()
         wait_until(lambda: self.world.runs(service="assistant"), "the run")
         router = self.world.routers[0]
         router.terminate()
         wait_until(lambda: not router.is_ready(), "not ready")
         thread.join()
-        self.assertEqual((answers[0].event_ids, answers[0].whole), (list(range(1, 101)), True))
+        self.assertEqual((answers[0].event_ids, answers[0].is_complete), (list(range(1, 101)), True))
         self.assertEqual(router.wait_stopped(), 0)
         self.assertEqual(self.world.store.objects("wagtailtrestle-routers"), {})
 
@@ -228,12 +228,12 @@
     ROUTERS = 2
 
     def test_they_find_each_other_and_share_a_quota(self):
-        # One team's calls reach both routers. Each by itself would let the whole quota through.
+        # One team's requests reach both routers. Each by itself would admit the full quota.
         self.world.store.put("config", "main", configuration(2, rate_per_s=50, burst=100))
         wait_until(lambda: len(self.world.store.objects("wagtailtrestle-routers")) == 2, "both entries")
         time.sleep(1.5)
         began_at = time.monotonic()
-        statuses = [self.world.ask("GET", "/status/1", router=number % 2).status for number in range(60)]
+        statuses = [self.world.request("GET", "/status/1", router=number % 2).status for number in range(60)]
         elapsed_s = time.monotonic() - began_at
         served = statuses.count(200) * 10
         self.assertLessEqual(served, 100 + 50 * elapsed_s + 20)
--- a/tests/test_rollouts.py
+++ b/tests/test_rollouts.py
@@ -101,16 +101,16 @@
         # the version's engines must get nothing meanwhile.
         world = RolloutWorld(is_bad=fails(0.5))
         self.addCleanup(world.close)
-        world.store.era = 1
+        world.store.epoch = 1
         world.store.put("wagtailtrestle-epochs", "main", {"epoch": 1})
         world.start()
         callers = Callers(world=world, rate_per_s=RATE_PER_S).start()
         world.order(duration_s=DURATION_S)
         wait_until(lambda: world.state() == "running", "the rollout is reported as running")
-        copy = world.store.copy()
+        backup = world.store.backup()
         wait_until(lambda: world.state() == "rolled_back", "the version is rolled back")
         ended_at = time.monotonic()
-        world.store.drill(copy)
+        world.store.restore_after_outage(backup)
         wait_until(lambda: world.state() == "rolled_back", "the rollback is reported again")
         time.sleep(1.0)
         callers.stop()
@@ -155,7 +155,7 @@
         world.ordered_at = time.monotonic()
         world.store.put("rollouts", "booking", {"service": "booking", "target": "v2", "duration_s": DURATION_S})
         time.sleep(0.5)
-        statuses = {world.ask("GET", "/status/1", request_id=f"q-{number}").status for number in range(10)}
+        statuses = {world.request("GET", "/status/1", request_id=f"q-{number}").status for number in range(10)}
         self.assertEqual(statuses, {200})
         self.assertLessEqual(len(world.arrivals(world.new)), 1)
 
@@ -165,7 +165,7 @@
             world.store.put("rollouts", "booking", order)
             time.sleep(0.2)
         self.assertIsNone(world.state())
-        self.assertEqual(world.ask("GET", "/status/1", request_id="q").status, 200)
+        self.assertEqual(world.request("GET", "/status/1", request_id="q").status, 200)
 
 
 if __name__ == "__main__":
--- a/tests/test_store_restored.py
+++ b/tests/test_store_restored.py
@@ -18,7 +18,7 @@
 class StoreRestoredTest(unittest.TestCase):
     def start(self, *, routers=3):
         world = World(routers=routers, key_revocation_ms=int(REVOKED_S * 1000))
-        world.store.era = 1
+        world.store.epoch = 1
         # The fleet has considered this epoch settled.
         world.store.put(NOTE_KIND, NOTE_NAME, {"epoch": 1})
         self.addCleanup(world.close)
@@ -27,7 +27,7 @@
     def request_all(self, world, *, count=REQUESTS, name="r", key=KEY):
         """Send requests through all routers in turn; return the statuses of the answers."""
         return [
-            world.ask(
+            world.request(
                 "GET", "/status/1", router=number % len(world.routers), request_id=f"{name}-{number}", key=key
             ).status
             for number in range(count)
@@ -51,12 +51,12 @@
         # backup in which it is still ready. Its entry there is older than what every router knows; if it were
         # applied, half of all requests would go to an engine that is gone.
         world = self.start()
-        copy = world.store.copy()
+        backup = world.store.backup()
         self.age(world)
         self.drain(world, "b-1")
         world.store.delete("servers", "b-1")
         time.sleep(PROPAGATION_S)
-        world.store.drill(copy)
+        world.store.restore_after_outage(backup)
         time.sleep(PROPAGATION_S)
         self.assertEqual(set(self.request_all(world, name="after")), {200})
         self.assertEqual(len(self.runs(world, "b-1", "after")), 0)
@@ -66,10 +66,10 @@
         # routers know. When they were dropped as older, an engine that drained and left afterwards got half of all
         # requests.
         world = self.start()
-        copy = world.store.copy()
+        backup = world.store.backup()
         self.age(world)
         time.sleep(PROPAGATION_S)
-        world.store.drill(copy)
+        world.store.restore_after_outage(backup)
         self.drain(world, "b-1")
         self.assertEqual(set(self.request_all(world, name="drained")), {200})
         self.assertEqual(len(self.runs(world, "b-1", "drained")), 0)
@@ -81,10 +81,10 @@
     def test_engine_that_starts_after_the_restore_is_used(self):
         # The caller is served. After the restore both engines of a service leave and a new one starts.
         world = self.start()
-        copy = world.store.copy()
+        backup = world.store.backup()
         self.age(world)
         time.sleep(PROPAGATION_S)
-        world.store.drill(copy)
+        world.store.restore_after_outage(backup)
         new = world.engines["b-3"] = Engine(name="b-3", service="booking")
         world.store.put("servers", "b-3", new.entry())
         world.store.delete("servers", "b-1")
@@ -96,10 +96,10 @@
     def test_draining_engine_gets_no_requests(self):
         # The same while the engine still drains: the backup holds it as ready, and it has not written its entry again.
         world = self.start()
-        copy = world.store.copy()
+        backup = world.store.backup()
         self.age(world)
         self.drain(world, "b-1")
-        world.store.drill(copy)
+        world.store.restore_after_outage(backup)
         time.sleep(PROPAGATION_S)
         self.request_all(world, name="after")
         self.assertEqual(len(self.runs(world, "b-1", "after")), 0)
@@ -108,7 +108,7 @@
         # The caller is served. Both engines of a service are replaced by a new one that is not in the backup. It
         # writes its entry again half a second after the restore; until then it is used as it was known before.
         world = self.start()
-        copy = world.store.copy()
+        backup = world.store.backup()
         self.age(world)
         new = world.engines["b-3"] = Engine(name="b-3", service="booking")
         world.store.put("servers", "b-3", new.entry())
@@ -116,7 +116,7 @@
         world.store.delete("servers", "b-1")
         world.store.delete("servers", "b-2")
         time.sleep(PROPAGATION_S)
-        world.store.drill(copy)
+        world.store.restore_after_outage(backup)
         self.assertEqual(set(self.request_all(world, name="gap")), {200})
         time.sleep(0.5)
         world.store.put("servers", "b-3", new.entry())
@@ -128,10 +128,10 @@
         # The operator's next configuration gets the revision of the one that the routers know. Treated as the same
         # content because of its revision, it was never read.
         world = self.start()
-        copy = world.store.copy()
+        backup = world.store.backup()
         world.store.put("config", "main", configuration(2))
         time.sleep(PROPAGATION_S)
-        world.store.drill(copy)
+        world.store.restore_after_outage(backup)
         world.store.put("config", "main", configuration(3, keys=(KEY, OTHER_KEY)))
         time.sleep(PROPAGATION_S)
         self.assertEqual(set(self.request_all(world, count=9, key=OTHER_KEY)), {200})
@@ -142,19 +142,19 @@
         world = self.start()
         world.store.put("config", "main", configuration(2, keys=(KEY, OTHER_KEY)))
         time.sleep(PROPAGATION_S)
-        copy = world.store.copy()
+        backup = world.store.backup()
         self.age(world)
         world.store.put("config", "main", configuration(3))
         time.sleep(REVOKED_S + 1.0)
         self.assertEqual(set(self.request_all(world, count=9, key=OTHER_KEY)), {401})
         world.routers[2].kill()
-        world.store.drill(copy)
+        world.store.restore_after_outage(backup)
         world.routers[2].start()
         until = time.monotonic() + 3.0
         statuses = set()
         while time.monotonic() < until:
             try:
-                answer = world.ask("GET", "/status/1", router=2, request_id=f"k{time.monotonic()}", key=OTHER_KEY)
+                answer = world.request("GET", "/status/1", router=2, request_id=f"k{time.monotonic()}", key=OTHER_KEY)
                 statuses.add(answer.status)
             except OSError:
                 pass  # The router does not listen yet.
@@ -171,13 +171,13 @@
         world = self.start()
         world.store.put("config", "main", configuration(2, keys=(KEY, OTHER_KEY)))
         time.sleep(PROPAGATION_S)
-        copy = world.store.copy()
+        backup = world.store.backup()
         self.age(world)
         world.store.put("config", "main", configuration(3))
         time.sleep(PROPAGATION_S)
         for router in world.routers:
             router.kill()
-        world.store.drill(copy)
+        world.store.restore_after_outage(backup)
         for router in world.routers:
             router.start()
         for router in world.routers:
@@ -191,7 +191,7 @@
         # All routers are killed and start again, long after the restore: the store's epoch note shows this, so no
         # caller is refused.
         world = self.start()
-        world.store.drill(world.store.copy())
+        world.store.restore_after_outage(world.store.backup())
         wait_until(lambda: world.store.objects(NOTE_KIND)[NOTE_NAME] == {"epoch": 2}, "the epoch note")
         for router in world.routers:
             router.kill()
@@ -206,11 +206,11 @@
         # A starting router finds the others by their entries. The restore removes the entries of routers that started
         # since the backup; only those routers themselves write them again.
         world = self.start()
-        copy = world.store.copy()
+        backup = world.store.backup()
         kind = "wagtailtrestle-routers"
-        copy.objects = {key: item for key, item in copy.objects.items() if key[0] != kind}
+        backup.objects = {key: item for key, item in backup.objects.items() if key[0] != kind}
         self.age(world)
-        world.store.drill(copy)
+        world.store.restore_after_outage(backup)
         time.sleep(1.0)
         self.assertEqual(len(world.store.objects(kind)), 3)
 
@@ -218,12 +218,12 @@
         # Two restores in succession from the same backup: an engine known as draining before the first one must still
         # count as draining after the second.
         world = self.start()
-        copy = world.store.copy()
+        backup = world.store.backup()
         self.age(world)
         self.drain(world, "b-1")
-        world.store.drill(copy)
+        world.store.restore_after_outage(backup)
         time.sleep(0.3)
-        world.store.drill(copy, away_s=0.2)
+        world.store.restore_after_outage(backup, away_s=0.2)
         time.sleep(PROPAGATION_S)
         self.request_all(world, name="after")
         self.assertEqual(len(self.runs(world, "b-1", "after")), 0)
--- a/tests/utils/world_engine.py
+++ b/tests/utils/world_engine.py
@@ -1,4 +1,4 @@
-"""An engine of the users' platform in small, with answers as a test scripts them."""
+"""Stand-in for an engine of the users' platform, with scripted answers."""
 
 import json
 import threading
@@ -10,28 +10,28 @@
 
 
 class Engine(Server):
-    """Streams events or answers whole; ``script`` names how the next requests are answered.
+    """Answers with a stream of events or a single body; ``script`` sets the behavior for the next requests.
 
     Attributes
     ----------
     seen : list of dict
-        Headers of the requests that it ran, by lower-case name, with ``path`` and ``body``.
+        Headers, by lower-case name, of the requests that it ran, with ``path`` and ``body``.
     arrivals : list of float
-        Times, by the steady clock, at which requests arrived, also those that it did not run.
-    turned_away : list of (float, str)
-        When it answered 503, and through which router, as callers say in ``X-Router``.
+        Monotonic times at which requests arrived, including those that it did not run.
+    rejections : list of (float, str)
+        When it answered 503, and through which router, as stated by callers in ``X-Router``.
     limit : str or None
-        The rate limit that it names in its answers.
-    rest : str or None
-        ``Retry-After`` of the answers by which it turns requests away.
+        Rate limit stated in its answers.
+    retry_after : str or None
+        ``Retry-After`` of the answers by which it rejects requests.
     leaving : bool
-        Whether it says in its answers that it leaves.
+        Whether its answers state that it is draining.
     delay_s : float
-        Time before it answers.
+        Delay before it answers.
     events : int
     script : list of str
-        ``full``, ``cut``, ``torn``, ``fail``, ``coded``, ``crossed`` or ``unsigned``; one is used up
-        by each request, then all are answered well.
+        ``full``, ``cut``, ``torn``, ``fail``, ``coded``, ``crossed`` or ``unsigned``; each request
+        consumes one, and when none is left requests are answered without a fault.
     """
 
     def __init__(self, *, name, service, events=6, pause_s=0.005):
@@ -42,10 +42,10 @@
         self.script = []
         self.seen = []
         self.arrivals = []
-        self.turned_away = []
+        self.rejections = []
         self.limit = None
         self.leaving = False
-        self.rest = None
+        self.retry_after = None
         self.delay_s = 0.0
         self.gone = threading.Event()
         super().__init__()
@@ -74,38 +74,48 @@
             return
         how = self.script.pop(0) if self.script else "well"
         if how == "full":
-            heads = [("Not-Executed", "1"), ("Request-Id", handler.headers["Request-Id"]), *self._words()]
-            self.reply(handler, 503, headers=heads if self.rest is None else [*heads, ("Retry-After", self.rest)])
-            self.turned_away.append((time.monotonic(), handler.headers.get("X-Router")))
+            answer_headers = [
+                ("Not-Executed", "1"),
+                ("Request-Id", handler.headers["Request-Id"]),
+                *self._status_headers(),
+            ]
+            self.reply(
+                handler,
+                503,
+                headers=answer_headers
+                if self.retry_after is None
+                else [*answer_headers, ("Retry-After", self.retry_after)],
+            )
+            self.rejections.append((time.monotonic(), handler.headers.get("X-Router")))
             return
         time.sleep(self.delay_s)
         headers = {name.lower(): value for name, value in handler.headers.items()}
         self.seen.append(headers | {"path": handler.path, "body": handler.body})
         if how == "fail":
-            self.reply(handler, 500, b"broken", self._heads(handler))
+            self.reply(handler, 500, b"broken", self._answer_headers(handler))
         elif "stream" in handler.path:
-            self._stream(handler, how)
+            self._send_stream(handler, how)
         else:
-            self._whole(handler, how)
+            self._send_complete(handler, how)
 
-    def _heads(self, handler, how="well"):
+    def _answer_headers(self, handler, how="well"):
         request_id = "another" if how == "crossed" else handler.headers["Request-Id"]
-        heads = [("Request-Id", request_id), *self._words()]
+        answer_headers = [("Request-Id", request_id), *self._status_headers()]
         if how != "unsigned":
-            heads.append(("Response-Stamp", f"{SIGNATURE}-{self.name}"))
+            answer_headers.append(("Response-Stamp", f"{SIGNATURE}-{self.name}"))
         if how == "coded":
-            heads.append(("Content-Encoding", "gzip"))
-        return heads
+            answer_headers.append(("Content-Encoding", "gzip"))
+        return answer_headers
 
-    def _words(self):
-        """What it says of itself in each answer."""
+    def _status_headers(self):
+        """Return the headers about the engine itself, sent in each answer."""
         words = [] if self.limit is None else [("Server-Limit", self.limit)]
         return [*words, ("Server-Leaving", "1")] if self.leaving else words
 
-    def _whole(self, handler, how):
+    def _send_complete(self, handler, how):
         body = f"whole from {self.name}".encode()
         handler.send_response(200)
-        for name, value in self._heads(handler, how):
+        for name, value in self._answer_headers(handler, how):
             handler.send_header(name, value)
         handler.send_header("Content-Length", str(len(body)))
         handler.end_headers()
@@ -115,9 +125,9 @@
         else:
             handler.wfile.write(body)
 
-    def _stream(self, handler, how):
+    def _send_stream(self, handler, how):
         handler.send_response(200)
-        for name, value in [*self._heads(handler, how), ("Content-Type", "text/event-stream")]:
+        for name, value in [*self._answer_headers(handler, how), ("Content-Type", "text/event-stream")]:
             handler.send_header(name, value)
         handler.send_header("Transfer-Encoding", "chunked")
         handler.end_headers()
@@ -126,10 +136,10 @@
             for number in range(first, self.events + 1):
                 event = f"id: {number}\ndata: {self.name}\n\n".encode()
                 if how in ("cut", "torn") and number == first + 2:
-                    self._chunk(handler, event[:7] if how == "torn" else b"")
+                    self._send_chunk(handler, event[:7] if how == "torn" else b"")
                     handler.close_connection = True
                     return
-                self._chunk(handler, event)
+                self._send_chunk(handler, event)
                 time.sleep(self.pause_s)
             handler.wfile.write(b"0\r\n\r\n")
         except OSError:
@@ -137,7 +147,7 @@
             self.gone.set()
 
     @staticmethod
-    def _chunk(handler, data):
+    def _send_chunk(handler, data):
         if data:
             handler.wfile.write(b"%x\r\n%b\r\n" % (len(data), data))
             handler.wfile.flush()
--- a/tests/utils/world_store.py
+++ b/tests/utils/world_store.py
@@ -1,4 +1,4 @@
-"""The users' store in small, which can go away and come back from a copy."""
+"""Stand-in for the users' store, with simulated outages and restores from a backup."""
 
 import json
 import threading
@@ -8,8 +8,8 @@
 from tests.utils.world_server import Server
 
 
-class Copy:
-    """What the store held at one revision."""
+class Backup:
+    """The store's contents at one revision."""
 
     def __init__(self, *, revision, objects, log):
         self.revision = revision
@@ -18,18 +18,18 @@
 
 
 class Store(Server):
-    """Objects by kind and name with revisions, watches, an outage and a return from a copy on request.
+    """Objects by kind and name, with revisions, watches, and outages and restores on request.
 
     Attributes
     ----------
     down : bool
-    era : int
-        Told in each answer; 0 for a store that tells none.
+    epoch : int
+        Sent in each answer; 0 for a store that sends none.
     """
 
     def __init__(self):
         self.down = False
-        self.era = 0
+        self.epoch = 0
         self.calls = 0
         self._objects = {}
         self._log = []
@@ -38,7 +38,7 @@
         super().__init__()
 
     def put(self, kind, name, value):
-        """Write as the operator or an engine does."""
+        """Write an object as an operator or an engine would."""
         with self._changed:
             self._write(kind, name, value)
 
@@ -51,31 +51,31 @@
             return {name: item["specification"] for (of, name), item in self._objects.items() if of == kind}
 
     def status(self, kind, name):
-        """What the system told of an object."""
+        """Return the status that the system wrote to an object."""
         with self._changed:
             item = self._objects.get((kind, name))
             return item["status"] if item else None
 
-    def copy(self):
-        """Keep what the store holds now."""
+    def backup(self):
+        """Return a backup of the current contents."""
         with self._changed:
-            return Copy(revision=self._revision, objects=dict(self._objects), log=list(self._log))
+            return Backup(revision=self._revision, objects=dict(self._objects), log=list(self._log))
 
-    def return_from(self, copy):
-        """Go on from a copy: what was written since is gone, and its revisions are given out again."""
+    def restore(self, backup):
+        """Restore a backup: later writes are lost, and their revisions are assigned again."""
         with self._changed:
-            self._objects, self._log, self._revision = dict(copy.objects), list(copy.log), copy.revision
-            self.era += 1
+            self._objects, self._log, self._revision = dict(backup.objects), list(backup.log), backup.revision
+            self.epoch += 1
             self.down = False
             self._changed.notify_all()
 
-    def drill(self, copy, *, away_s=0.5):
-        """Be away for a moment and come back from a copy."""
+    def restore_after_outage(self, backup, *, away_s=0.5):
+        """Be unavailable for ``away_s``, then restore a backup."""
         self.down = True
         with self._changed:
             self._changed.notify_all()
         time.sleep(away_s)
-        self.return_from(copy)
+        self.restore(backup)
 
     def _write(self, kind, name, value, status=None):
         self._revision += 1
@@ -97,7 +97,7 @@
         if self.down:
             handler.close_connection = True
             return
-        era = self.era
+        epoch = self.epoch
         parts = urlsplit(handler.path)
         _, _, _, kind, *rest = parts.path.split("/")
         query = {name: values[0] for name, values in parse_qs(parts.query).items()}
@@ -107,10 +107,10 @@
                 status, body = self._put_status(kind, name, handler.body)
             else:
                 status, body = getattr(self, f"_{handler.command.lower()}")(kind, name, query, handler.body)
-        heads = [("Content-Type", "application/json")]
-        if self.era:
-            heads.append(("Store-Era", str(era)))
-        self.reply(handler, status, json.dumps(body).encode(), heads)
+        answer_headers = [("Content-Type", "application/json")]
+        if self.epoch:
+            answer_headers.append(("Store-Era", str(epoch)))
+        self.reply(handler, status, json.dumps(body).encode(), answer_headers)
 
     def _get(self, kind, name, query, body):
         if name is not None:
@@ -123,9 +123,9 @@
 
     def _watch(self, kind, revision, wait_s):
         until = time.monotonic() + wait_s
-        era = self.era
+        epoch = self.epoch
         while True:
-            if self.era != era or revision > self._revision:
+            if self.epoch != epoch or revision > self._revision:
                 return 410, {"error": "gone"}
             events = [event for at, of, event in self._log if of == kind and at > revision]
             left_s = until - time.monotonic()
--- a/wagtailtrestle/cli/dump.py
+++ b/wagtailtrestle/cli/dump.py
@@ -47,14 +47,14 @@
     state_url = arguments["url"].removesuffix(STATE_PATH) + STATE_PATH
     state = environment.fetch_json(state_url)
     if not isinstance(state, dict):
-        environment.complain(
+        environment.print_error(
             f"No state from {state_url}: {state}. Check that the process runs and that this is its admin address."
         )
         return ExitStatus.NOT_REACHED
     if arguments["json"]:
-        environment.say(json.dumps(state, indent=2))
+        environment.print_result(json.dumps(state, indent=2))
     else:
-        environment.say(yaml.safe_dump(state, sort_keys=False, allow_unicode=True).rstrip())
+        environment.print_result(yaml.safe_dump(state, sort_keys=False, allow_unicode=True).rstrip())
     return ExitStatus.DONE
 
 
--- a/wagtailtrestle/cli/runner.py
+++ b/wagtailtrestle/cli/runner.py
@@ -80,9 +80,9 @@
 def _end_early(told, *, environment, is_help):
     text = FIRE_NOISE.sub("", ANSI.sub("", told)).strip()
     if is_help:
-        environment.say(text)
+        environment.print_result(text)
         return ExitStatus.DONE
-    environment.complain(f"{text}\n\nNothing was run. See: {environment.program} --help")
+    environment.print_error(f"{text}\n\nNothing was run. See: {environment.program} --help")
     return ExitStatus.USAGE
 
 
@@ -101,9 +101,9 @@
         value = None if text is None else value_type.read(text)
         if isinstance(value, InvalidValue):
             faulty = True
-            environment.complain(f"{name} {value.problem}; allowed: {value_type.allowed}")
+            environment.print_error(f"{name} {value.problem}; allowed: {value_type.allowed}")
         values[name] = value
     if faulty:
-        environment.complain(f"Nothing was run. See: {environment.program} --help")
+        environment.print_error(f"Nothing was run. See: {environment.program} --help")
         return None
     return values
--- a/wagtailtrestle/platform/engine_entries.py
+++ b/wagtailtrestle/platform/engine_entries.py
@@ -1,7 +1,7 @@
-"""Engines' own entries in the users' store, decoded strictly.
+"""Strictly decodes the engines' registrations in the users' store.
 
-Anybody may write there. An entry that is not what an engine writes names no engine to use: a state that
-nobody knows may mean anything, and an address or service of another type would break whoever uses it later.
+Any client can write to this kind. An invalid entry is ignored: an unknown state could mean anything,
+and an address or service of another type would cause errors later where it is used.
 """
 
 from loguru import logger
@@ -12,71 +12,71 @@
 READY = "ready"
 DRAINING = "draining"
 STATES = (READY, DRAINING)
-MAX_TEXT = 256
-"""Longest name or version believed: ours have under 64 characters."""
+MAX_TEXT_CHARS = 256
+"""Longest name or version accepted; real ones have under 64 characters."""
 MAX_SLOTS = 4096
-"""Most requests at once believed: a few hundred times what engines have today."""
+"""Largest number of slots accepted, a few hundred times that of current engines."""
 PRIOR_STEP_MS = 6.0
-"""Decode step assumed of an engine that nobody measured yet; entries say nothing of speed."""
+"""Decode step assumed for an engine without measurements; entries do not state its speed."""
 PRIOR_PREFILL_TOKENS_PER_S = 30_000.0
-"""Prefill rate assumed likewise; both are replaced by what runs show within seconds."""
-MAX_SHOWN = 80
+"""Prefill rate assumed in the same way; measurements of runs replace both within seconds."""
+MAX_SHOWN_CHARS = 80
 
 
-class Unfit(ValueError):
-    """A field of what an engine says of itself is not what an engine writes."""
+class InvalidField(ValueError):
+    """A field of an engine's registration or load report is missing or invalid."""
 
 
 def read_engine(name, value):
-    """Build an engine from its own entry in the store.
+    """Build an engine from its registration in the store.
 
     Parameters
     ----------
     name : str
         The entry's name, which is the engine's.
     value : object
-        Whatever the entry holds.
+        Content of the entry, of any type.
 
     Returns
     -------
     DeclaredEngine or None
-        ``None`` for an entry that no engine wrote; a log line says which field and why.
+        ``None`` for an invalid entry; a log line names the field and the problem.
     """
     try:
         return _engine(name, value)
-    except Unfit as problem:
-        logger.error("the entry of engine {} is not used: {}", _shown(name), problem)
+    except InvalidField as problem:
+        logger.error("the entry of engine {} is not used: {}", _shortened(name), problem)
         return None
 
 
 def start_ms(fields):
-    """When the engine started, Unix milliseconds, by what it says of itself; 0 where it doesn't say.
+    """Return the start time that the engine reports, Unix milliseconds, or 0 if it reports none.
 
-    An engine may start again under its name; only this tells that nothing of before holds.
+    An engine may restart under the same name; only this time shows that its earlier state is obsolete.
 
     Raises
     ------
-    Unfit
+    InvalidField
     """
-    return whole(fields, "born") if "born" in fields else 0
+    return read_integer(fields, "born") if "born" in fields else 0
 
 
 def _engine(name, value):
     if not isinstance(value, dict):
-        raise Unfit(f"it holds {_shown(value)}, no fields")
+        raise InvalidField(f"it holds {_shortened(value)}, which has no fields")
     service = _text(value, "service")
-    # Asked for though not used: what lacks it was written by something else than an engine.
+    # Required although unused: an entry without these fields was not written by an engine.
     _number(value, "cold_remaining_ms")
-    whole(value, "sequence")
+    read_integer(value, "sequence")
     return DeclaredEngine(
         name=name,
         service=service,
         cell=service,
         zone=_text(value, "zone"),
-        # The version of an engine's software: engines of one version are taken to be alike at first.
+        # The version of the engine's software: engines of one version are initially assumed to be alike.
         hardware=_text(value, "version"),
         address=_address(value),
-        slots=whole(value, "slots", least=1, most=MAX_SLOTS),
+        slots=read_integer(value, "slots", minimum=1, maximum=MAX_SLOTS),
         step_ms=PRIOR_STEP_MS,
         prefill_tokens_per_s=PRIOR_PREFILL_TOKENS_PER_S,
         leaving=_state(value) == DRAINING,
@@ -87,48 +87,48 @@
 
 def _field(value, name):
     if name not in value:
-        raise Unfit(f"{name} is missing")
+        raise InvalidField(f"{name} is missing")
     return value[name]
 
 
 def _text(value, name):
     text = _field(value, name)
-    if not isinstance(text, str) or not 0 < len(text) <= MAX_TEXT:
-        raise Unfit(f"{name} is {_shown(text)}, no name")
+    if not isinstance(text, str) or not 0 < len(text) <= MAX_TEXT_CHARS:
+        raise InvalidField(f"{name} is {_shortened(text)}, no valid name")
     return text
 
 
-def whole(value, name, *, least=0, most=None):
-    """Return a field that must hold a whole number; raises ``Unfit`` otherwise."""
+def read_integer(value, name, *, minimum=0, maximum=None):
+    """Return an integer field; raises ``InvalidField`` if it is anything else."""
     number = _field(value, name)
-    # To Python, true is a whole number too.
-    if not isinstance(number, int) or isinstance(number, bool) or number < least:
-        raise Unfit(f"{name} is {_shown(number)}, no whole number from {least}")
-    if most is not None and number > most:
-        raise Unfit(f"{name} is {_shown(number)}, above {most}")
+    # In Python, bool is a subclass of int.
+    if not isinstance(number, int) or isinstance(number, bool) or number < minimum:
+        raise InvalidField(f"{name} is {_shortened(number)}, no whole number from {minimum}")
+    if maximum is not None and number > maximum:
+        raise InvalidField(f"{name} is {_shortened(number)}, above {maximum}")
     return number
 
 
 def _number(value, name):
     number = _field(value, name)
     if not isinstance(number, int | float) or isinstance(number, bool):
-        raise Unfit(f"{name} is {_shown(number)}, no number")
+        raise InvalidField(f"{name} is {_shortened(number)}, no number")
     return number
 
 
 def _address(value):
     address = HostPort().read(_text(value, "address"))
     if isinstance(address, InvalidValue):
-        raise Unfit(f"address {address.problem}")
+        raise InvalidField(f"address {address.problem}")
     return address
 
 
 def _state(value):
     state = _field(value, "state")
     if state not in STATES:
-        raise Unfit(f"state is {_shown(state)}, none of {', '.join(STATES)}")
+        raise InvalidField(f"state is {_shortened(state)}, not one of {', '.join(STATES)}")
     return state
 
 
-def _shown(value):
-    return repr(value)[:MAX_SHOWN]
+def _shortened(value):
+    return repr(value)[:MAX_SHOWN_CHARS]
--- a/wagtailtrestle/platform/engines.py
+++ b/wagtailtrestle/platform/engines.py
@@ -1,4 +1,4 @@
-"""What engines and plain services of the users' platform are sent, and how their answers read."""
+"""HTTP dialect of the platform's engines and plain services: encodes requests and decodes answers."""
 
 from wagtailtrestle.contracts.outcomes import RunDone, RunFailed, RunNotSent, RunRejected
 from wagtailtrestle.contracts.report_messages import LoadReport
@@ -6,7 +6,7 @@
 from wagtailtrestle.engines.notices import read_notice
 from wagtailtrestle.engines.run_exchange import MAX_PLAIN_BYTES
 from wagtailtrestle.platform import headers as names
-from wagtailtrestle.platform.engine_entries import DRAINING, Unfit, start_ms, whole
+from wagtailtrestle.platform.engine_entries import DRAINING, InvalidField, read_integer, start_ms
 from wagtailtrestle.platform.events import EventFault, EventSplitter
 
 MS_PER_S = 1000.0
@@ -15,26 +15,35 @@
 FIRST_ERROR_STATUS = 400
 FIRST_FAILURE_STATUS = 500
 NO_BODY_STATUSES = frozenset({204, 304})
-PROMISES = frozenset({408, 421, 429, 503})
-"""Statuses that tell a caller that its request was not run. From an engine that does not say so
-itself they can't be passed on."""
-SKIPPED = "@@@SKIP_HEADER@@@"
-"""The HTTP library's mark for a header that it must not add by itself."""
+NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
+"""Statuses that tell a caller that its request was not run. They must not be forwarded from an engine
+that does not state this explicitly."""
+SKIP_HEADER = "@@@SKIP_HEADER@@@"
+"""Value by which urllib3 is told not to add a header by itself."""
 
 
 class PlatformReceived:
-    """What was received of one request's answer, over all of its runs.
+    """The part of a request's answer received so far, over all of its runs.
 
     Attributes
     ----------
     status, headers, body
-        Of the first run that answered; a stream that goes on elsewhere keeps them.
+        Those of the first run that answered; a stream resumed on another engine keeps them.
     events : int
-        Whole events passed on.
+        Number of complete events forwarded.
     last_event_id : int or None
     """
 
-    __slots__ = ("status", "headers", "body", "events", "last_event_id", "prompt_tokens", "cached_tokens", "_per_event")
+    __slots__ = (
+        "status",
+        "headers",
+        "body",
+        "events",
+        "last_event_id",
+        "prompt_tokens",
+        "cached_tokens",
+        "_tokens_per_event",
+    )
 
     def __init__(self, *, tokens_per_event, prompt_tokens=0):
         self.status = 0
@@ -44,23 +53,23 @@
         self.last_event_id = None
         self.prompt_tokens = prompt_tokens
         self.cached_tokens = 0
-        self._per_event = tokens_per_event
+        self._tokens_per_event = tokens_per_event
 
     @property
     def output_tokens(self):
         """Tokens received so far."""
-        return self.events * self._per_event
+        return self.events * self._tokens_per_event
 
 
 class PlatformCall:
-    """One request as engines of the platform are sent it.
+    """One request in the form in which it is sent to the platform's engines.
 
     Parameters
     ----------
     method, target : str
-        As the caller sent them.
+        As sent by the caller.
     headers : dict of str to str
-        The caller's that pass through.
+        The caller's headers that are forwarded.
     body : bytes
     request_id, team : str
     is_streamed : bool
@@ -78,18 +87,18 @@
         self.is_streamed = is_streamed
 
     def cancel_path(self, run_id):
-        """Nowhere: these engines drop a run whose connection closes."""
+        """Return ``None``: these engines cancel a run when its connection closes."""
         return None
 
     def head(self, command, received):
-        """What to send for one run; a stream that broke off goes on after its last event."""
+        """Return the request head for one run; an interrupted stream resumes after its last event."""
         headers = {name: value for name, value in self.headers.items() if name.lower() not in names.SET_BY_ROUTER}
-        headers["Accept-Encoding"] = SKIPPED
+        headers["Accept-Encoding"] = SKIP_HEADER
         if not any(name.lower() == "user-agent" for name in headers):
-            headers["User-Agent"] = SKIPPED
+            headers["User-Agent"] = SKIP_HEADER
         headers[names.DEADLINE_MS] = str(max(1, int(command.overall_s * MS_PER_S)))
-        # An address is used again soon after its engine ended. Named, another engine there refuses the
-        # request; unnamed, it would run what belongs to a different service.
+        # An address is soon reused after its engine terminates. The header makes another engine at that
+        # address refuse the request, which it would otherwise run although it may serve another service.
         headers[names.EXPECTED_ENGINE] = command.engine
         if self.team:
             headers[names.TEAM] = self.team
@@ -100,7 +109,7 @@
         return CallHead(method=self.method, target=self.target, headers=headers, body=self.body or None)
 
     def notice(self, exchange):
-        """What the answer's head says of its engine; any other engine, or a stray answer, bears another id."""
+        """Return the engine's notice in the response head, or ``None`` if another engine or request is answered."""
         response = exchange.response
         if response.status == MISDIRECTED or response.headers.get(names.REQUEST_ID) != self.request_id:
             return None
@@ -116,7 +125,7 @@
         response = exchange.response
         if response.status == MISDIRECTED or names.NOT_RUN in response.headers:
             return RunNotSent(detail=f"the engine did not run it, status {response.status}", arrived=True)
-        fault = self._head_fault(response)
+        fault = self._head_problem(response)
         if fault is not None:
             exchange.reached = True
             return exchange.cut(fault)
@@ -125,30 +134,30 @@
             return self._read_failure(exchange)
         if self.is_streamed:
             return self._read_stream(exchange)
-        return self._read_whole(exchange)
+        return self._read_complete(exchange)
 
-    def _head_fault(self, response):
+    def _head_problem(self, response):
         if response.headers.get(names.REQUEST_ID) != self.request_id:
             return "crossed: the answer does not carry this request's id"
         if response.headers.get("Content-Encoding"):
-            return "the answer is coded, so it is not the engine's"
+            return "the answer is compressed, so it is not the engine's"
         if response.status < FIRST_ERROR_STATUS and not response.headers.get(names.SIGNATURE):
             return "the answer is not signed"
-        if response.status in PROMISES:
-            return f"status {response.status} without a word on whether the request ran"
+        if response.status in NOT_RUN_STATUSES:
+            return f"status {response.status} without a statement on whether the request ran"
         return None
 
     def _read_failure(self, exchange):
-        self._keep_whole(exchange)
+        self._store_answer(exchange)
         status = exchange.response.status
         return RunFailed(status=status) if status >= FIRST_FAILURE_STATUS else RunRejected(status=status)
 
-    def _read_whole(self, exchange):
+    def _read_complete(self, exchange):
         exchange.progress.begin()
-        self._keep_whole(exchange)
+        self._store_answer(exchange)
         return RunDone()
 
-    def _keep_whole(self, exchange):
+    def _store_answer(self, exchange):
         body = self._body(exchange)
         exchange.received.status = exchange.response.status
         exchange.received.headers = dict(exchange.response.headers)
@@ -190,34 +199,34 @@
                 exchange.on_token(received.events, events.data)
                 exchange.progress.update()
             exchange.set_read_timeout(exchange.progress.time_left_for_token_s())
-        if splitter.has_rest or left:
+        if splitter.has_partial_event or left:
             return exchange.cut("the stream ended inside an event")
         return exchange.done()
 
 
 class PlatformReports:
-    """Where an engine of the platform tells its load, and how that reads."""
+    """Location and format of an engine's load report."""
 
     load_path = "/v1/report"
     cache_path = None
     assumed_age_s = 0.2
-    """Its reports are some hundred milliseconds old and don't say how old."""
+    """Reports are some hundred milliseconds old and do not state their age."""
 
     def load(self, engine, values, *, took_s):
         """Build a report from the engine's JSON.
 
         Raises
         ------
-        Unfit
-            If it is not what an engine tells.
+        InvalidField
+            If a field is missing or invalid.
         """
         if not isinstance(values, dict):
-            raise Unfit("the report holds no fields")
+            raise InvalidField("the report has no fields")
         return LoadReport(
             engine=engine,
             age_s=self.assumed_age_s + took_s / 2,
-            running=whole(values, "running"),
-            waiting=whole(values, "waiting"),
+            running=read_integer(values, "running"),
+            waiting=read_integer(values, "waiting"),
             step_s=0.0,
             leaving=values.get("state") == DRAINING,
             start_ms=start_ms(values),
--- a/wagtailtrestle/router.py
+++ b/wagtailtrestle/router.py
@@ -1,4 +1,4 @@
-"""One router: its parts, how they are joined, and the order they start and stop in."""
+"""The router: its components, how they are connected, and the order in which they start and stop."""
 
 import asyncio
 import contextlib
@@ -7,8 +7,8 @@
 
 from loguru import logger
 
-from wagtailtrestle.adapters import adapter_of
-from wagtailtrestle.broken_invariant import report_broken
+from wagtailtrestle.adapters import make_adapter
+from wagtailtrestle.broken_invariant import report_failed_task
 from wagtailtrestle.callers.authentication import KeyProof
 from wagtailtrestle.callers.limits import DEFAULT_BODY_BYTES, CallerLimits, max_held_requests
 from wagtailtrestle.callers.server import CallersServer
@@ -55,14 +55,14 @@
 
 
 class Router:
-    """The daemon on one entry VM.
+    """The router daemon on one VM.
 
     Parameters
     ----------
     settings : RouterSettings
     loop : asyncio.AbstractEventLoop
     listener : socket.socket, optional
-        Listens for callers already.
+        Socket that already listens for callers.
     """
 
     def __init__(self, *, settings, loop, listener=None):
@@ -70,17 +70,17 @@
         self._settings = settings
         self._loop = loop
         self._incarnation = time.time_ns() // 1_000_000
-        self._ticking = None
-        self._started = contextlib.AsyncExitStack()
-        self._ledger_starting = None
+        self._tick_task = None
+        self._exit_stack = contextlib.AsyncExitStack()
+        self._ledger_start_task = None
         self._draining = False
-        self._begun = False
-        self._asked_members = set()
+        self._is_initialized = False
+        self._known_members = set()
         self._rendezvous = Rendezvous()
-        # A declaration of full size takes a third of a second to check, too long for the loop.
+        # Checking a declaration of full size takes a third of a second, too long for the event loop.
         self._parsing = ThreadPoolExecutor(max_workers=1, thread_name_prefix="parse")
         self._metrics = Metrics()
-        self._adapter = adapter_of(settings)
+        self._adapter = make_adapter(settings)
         self._in_force = None
         self._listed_engines = frozenset()
         self._store_epoch = StoreEpoch()
@@ -91,7 +91,7 @@
         self._make_decisions()
         self._make_servers()
 
-    # Making the parts.
+    # Construction of the components.
 
     def _make_peers(self):
         settings = self._settings
@@ -126,7 +126,7 @@
         self._configuration = Configuration(
             store=self._store,
             parse=self._adapter.parse,
-            on_change=self._put_in_force,
+            on_change=self._apply_configuration,
             query_peers=self._peer_configuration.fetch,
             executor=self._parsing,
             place=self._adapter.place,
@@ -141,7 +141,7 @@
                 store=self._store,
                 kind=self._adapter.engine_kind,
                 read_entry=self._adapter.read_engine,
-                on_change=self._take_engines,
+                on_change=self._apply_engine_list,
                 clock=self._loop.time,
                 return_grace_s=self._settings.engine_return_grace_s,
                 relay=None if readers is None else self._make_engine_relay(readers),
@@ -156,7 +156,7 @@
             )
         self._vm_list = VMList(
             store=self._store,
-            on_change=self._take_vms,
+            on_change=self._apply_vm_list,
             interval_s=self._settings.vm_list_interval_s,
             settled_s=self._settings.vm_list_settled_s,
         )
@@ -165,12 +165,12 @@
         self._membership.on_generation(
             lambda peer, generation: self._configuration.observe_generation(generation, peer)
         )
-        self._membership.on_view_change(self._end_questions)
+        self._membership.on_view_change(self._fail_queries_of_departed)
         self._membership.on_view_change(lambda view: self._watch_engines())
-        self._membership.on_trusted(self._has_begun)
+        self._membership.on_trusted(self._check_initialized)
 
     def _make_readers(self):
-        # Where reads may lag, what a reader tells proves nothing about what the store holds now.
+        # Where reads may be stale, a reader's report does not prove what the store holds now.
         if not self._adapter.shares_confirmations:
             return None
         return StoreReaders(name=self._settings.name, members=lambda: self._membership.view.members)
@@ -207,7 +207,7 @@
         )
         self._broadcast.on(CrashReport, key=lambda report: report.incident, handler=self._crashes.merge)
         self._broadcast.on(CrashClearance, key=lambda clearance: clearance, handler=self._crashes.merge_clearance)
-        self._peers.on_reconnect(self._tell_crashes)
+        self._peers.on_reconnect(self._send_crash_reports)
         self._make_ledger()
         self._make_rollouts()
         self._entry = Entry(
@@ -223,7 +223,7 @@
         self._reports = EngineReports(
             interval_s=self._settings.report_interval_s,
             loop=self._loop,
-            on_report=self._take_report,
+            on_report=self._handle_report,
             dialect=self._adapter.reports,
         )
         self._quotas = SharedQuotas(
@@ -249,7 +249,7 @@
             slack=self._settings.rollout_slack,
             clock=self._loop.time,
         )
-        self._peers.on_reconnect(self._tell_rollouts)
+        self._peers.on_reconnect(self._send_rollout_states)
         self._membership.on_view_change(lambda view: self._rollouts.refresh())
 
     def _make_ledger(self):
@@ -258,7 +258,7 @@
             incarnation=str(self._incarnation),
             store=self._store,
             owner_of=lambda shard: self._rendezvous.choose(key=shard, members=self._membership.view.members) or "",
-            query_peer=self._ask,
+            query_peer=self._query_peer,
             shards=lambda: self._declaration().ledger_shards,
             retention_s=lambda: self._declaration().ledger_retention_s,
             live_routers=lambda: len(self._membership.view.all_members),
@@ -301,59 +301,61 @@
             loop=self._loop,
         )
 
-    # Life.
+    # Lifecycle.
 
     async def start(self):
-        """Start every part; the router is ready once a configuration is in force.
+        """Start all components; the router is ready once a configuration is in force.
 
-        If one cannot start (an address in use), those before it are stopped again.
+        If one of them cannot start (its address is in use), those already started are stopped again.
         """
         try:
             await self._start_parts()
         except BaseException:
-            await self._started.aclose()
+            await self._exit_stack.aclose()
             raise
         logger.bind(name=self._settings.name, zone=self._settings.zone).info("router started")
 
     async def _start_parts(self):
-        self._started.callback(self._parsing.shutdown, wait=False)
+        self._exit_stack.callback(self._parsing.shutdown, wait=False)
         self._store.start()
-        self._started.callback(self._store.close)
+        self._exit_stack.callback(self._store.close)
         self._engine_client.start()
-        self._started.callback(self._engine_client.close)
+        self._exit_stack.callback(self._engine_client.close)
         for admin in self._admins:
             admin.start()
-            self._started.push_async_callback(self._in_thread, admin.close)
+            self._exit_stack.push_async_callback(self._in_thread, admin.close)
         await self._peers.start()
-        self._started.push_async_callback(self._peers.close)
+        self._exit_stack.push_async_callback(self._peers.close)
         await self._membership.start()
-        self._started.push_async_callback(self._membership.close)
+        self._exit_stack.push_async_callback(self._membership.close)
         self._announcement = self._announce()
         self._vm_list.start()
-        self._started.push_async_callback(self._vm_list.close)
+        self._exit_stack.push_async_callback(self._vm_list.close)
         self._configuration.start()
-        self._started.push_async_callback(self._configuration.close)
+        self._exit_stack.push_async_callback(self._configuration.close)
         if self._engine_list is not None:
             self._engine_list.start()
-            self._started.push_async_callback(self._engine_list.close)
+            self._exit_stack.push_async_callback(self._engine_list.close)
         if self._epoch_note is not None:
             self._epoch_note.start()
-            self._started.push_async_callback(self._epoch_note.close)
-        self._started.push_async_callback(self._ledger.close)
+            self._exit_stack.push_async_callback(self._epoch_note.close)
+        self._exit_stack.push_async_callback(self._ledger.close)
         if self._rollouts is not None:
             self._rollouts.start()
-            self._started.push_async_callback(self._rollouts.close)
+            self._exit_stack.push_async_callback(self._rollouts.close)
         self._reports.start()
-        self._started.push_async_callback(self._in_thread, self._reports.close)
-        self._ticking = self._loop.create_task(self._tick())
-        self._ticking.add_done_callback(lambda ended: report_broken(ended, "the schedulers' clock ended"))
-        self._started.push_async_callback(_stopped, self._ticking)
-        self._started.push_async_callback(self._entry.close)
+        self._exit_stack.push_async_callback(self._in_thread, self._reports.close)
+        self._tick_task = self._loop.create_task(self._tick())
+        self._tick_task.add_done_callback(
+            lambda ended: report_failed_task(ended, "the task that ticks the schedulers ended")
+        )
+        self._exit_stack.push_async_callback(_cancel_task, self._tick_task)
+        self._exit_stack.push_async_callback(self._entry.close)
         self._callers.start()
-        self._started.push_async_callback(self._in_thread, self._callers.close)
+        self._exit_stack.push_async_callback(self._in_thread, self._callers.close)
 
     def _announce(self):
-        """Tell the store where this router listens, where routers find each other that way."""
+        """Publish this router's addresses in the store, if routers discover each other through the store."""
         if self._adapter.router_kind is None:
             return None
         announcement = Announcement(
@@ -370,11 +372,11 @@
             epoch=self._store_epoch,
         )
         announcement.start()
-        self._started.push_async_callback(announcement.close)
+        self._exit_stack.push_async_callback(announcement.close)
         return announcement
 
     async def drain(self):
-        """Leave: take no new work, hand the cells over, finish what is in flight."""
+        """Stop accepting work, hand the cells over and finish the requests in flight."""
         self._draining = True
         self._membership.set_draining()
         self._schedulers.stop_granting()
@@ -390,33 +392,33 @@
             await self._announcement.withdraw()
 
     async def close(self):
-        """Stop every part, in the opposite order of the start."""
-        await self._started.aclose()
+        """Stop all components in reverse order of their start."""
+        await self._exit_stack.aclose()
 
     async def _in_thread(self, close):
         await self._loop.run_in_executor(None, close)
 
     def not_ready(self):
-        """Why the balancer may not send work now, or ``None``."""
+        """Return the reason why the balancer must not send requests now, or ``None``."""
         if self._draining:
             return Reason.DRAINING
-        if not self._has_begun():
+        if not self._check_initialized():
             return Reason.NOT_READY
         return None
 
-    def _has_begun(self):
-        # A router that starts asks its peers who lives; with the answer, on the same link and before
-        # it, come the crashes they know. Ready without them, it would run again a request that every
-        # other router refuses. With nobody to ask, the view is trusted after a second.
-        if not self._begun:
+    def _check_initialized(self):
+        # A starting router requests the view from its peers. They send the crashes that they know on the
+        # same link ahead of the answer. If the router became ready without them, it would run again a
+        # poison request that every other router refuses. Without peers, the view is trusted after a second.
+        if not self._is_initialized:
             engines_known = self._engine_list is None or self._engine_list.is_known
-            self._begun = self._in_force is not None and engines_known and self._membership.trusted
-            if self._begun:
+            self._is_initialized = self._in_force is not None and engines_known and self._membership.trusted
+            if self._is_initialized:
                 self._callers.release_held()
-        return self._begun
+        return self._is_initialized
 
     def state(self):
-        """The whole state, for the dump."""
+        """Return the complete state for the state dump."""
         return {
             "name": self._settings.name,
             "zone": self._settings.zone,
@@ -438,7 +440,7 @@
             "rollouts": None if self._rollouts is None else self._rollouts.dump(),
         }
 
-    # What the parts tell each other.
+    # Callbacks between the components.
 
     def _declaration(self):
         return self._in_force.declaration
@@ -449,72 +451,72 @@
         declaration = self._declaration()
         return {cell for service in declaration.services_by_name for cell in cells_of(declaration, service)}
 
-    def _put_in_force(self, in_force):
+    def _apply_configuration(self, in_force):
         self._membership.set_generation(in_force.generation)
         declaration = in_force.declaration
         self._quotas.set_declaration(declaration)
-        self._use_declaration(in_force)
-        if self._ledger_starting is None and declaration.ledger_shards:
-            # The ledger's layout needs the declared number of shards.
-            self._ledger_starting = self._loop.create_task(self._ledger.start())
+        self._apply_declaration(in_force)
+        if self._ledger_start_task is None and declaration.ledger_shards:
+            # The ledger's layout depends on the declared number of shards.
+            self._ledger_start_task = self._loop.create_task(self._ledger.start())
 
-    def _take_engines(self, by_name):
+    def _apply_engine_list(self, by_name):
         for name in self._listed_engines - by_name.keys():
             self._crashes.record_engine_down(name)
         self._listed_engines = by_name.keys()
         if self._configuration.in_force is not None:
-            self._use_declaration(self._configuration.in_force)
+            self._apply_declaration(self._configuration.in_force)
 
-    def _use_declaration(self, in_force):
-        """Go by a declaration, with the engines that list themselves where there are such."""
+    def _apply_declaration(self, in_force):
+        """Apply a declaration, with the engines that register themselves if the platform has such."""
         declaration = in_force.declaration
         if self._engine_list is not None:
             declaration = declaration.with_engines(self._engine_list.by_name)
         self._in_force = InForce(generation=in_force.generation, declaration=declaration, text=in_force.text)
         if self._rollouts is not None:
-            # First, so that no engine is used before it is known whether its version may be.
+            # First, so that no engine is used before it is known whether its version is permitted.
             self._rollouts.refresh()
         self._schedulers.set_declaration(declaration)
         self._directory.refresh()
         self._watch_engines()
-        self._has_begun()
+        self._check_initialized()
 
     def _key_proof(self):
-        # A key that was revoked while this router was cut off from the platform must not run
-        # requests for longer than the operator allows. Any key may be that one, so past the limit
-        # none is used: a caller is told to come back, and mostly finds another router.
+        # A key that is revoked while this router is cut off from the platform must not run requests
+        # for longer than the operator allows. Any key may be the revoked one, so past the limit no key
+        # is accepted: callers are asked to retry, and mostly reach another router.
         return KeyProof(age_s=self._configuration.confirmed_age_s(), limit_s=self._settings.key_freshness_s)
 
     def _tolerance(self):
         settings = self._settings
         return Tolerance(window_s=settings.quota_window_s, share=settings.quota_overage, units=settings.quota_slack)
 
-    def _take_vms(self, by_id):
+    def _apply_vm_list(self, by_id):
         vms = tuple(by_id.values())
         self._membership.observe_vms(vms)
         self._schedulers.set_leaving(frozenset(vm.id for vm in vms if vm.role == ENGINE_ROLE and vm.leaving))
 
     def _watch_engines(self):
-        """Poll the language engines of the cells that this router is scheduler of.
+        """Poll the load of the language engines in the cells that this router schedules.
 
-        A plain service has no load report: a call to it could be taken for work.
+        A plain service has no load report: it could take the poll for a request.
         """
         if self._in_force is None:
             return
-        mine = self._own_cells()
+        own_cells = self._own_cells()
         declaration = self._declaration()
         polled = {
             engine.name: engine.address
             for engine in declaration.engines_by_name.values()
-            if engine.cell in mine and declaration.services_by_name[engine.service].kind == LANGUAGE
+            if engine.cell in own_cells and declaration.services_by_name[engine.service].kind == LANGUAGE
         }
         self._reports.set_engines(polled)
 
     def _own_cells(self):
-        """Cells that this router is scheduler of."""
+        """Return the cells that this router schedules."""
         return {cell for cell in self._cells() if self._directory.scheduler_of(cell) == self._settings.name}
 
-    def _take_report(self, report):
+    def _handle_report(self, report):
         match report:
             case LoadReport():
                 self._schedulers.on_load_report(report)
@@ -535,18 +537,18 @@
     def _other_members(self):
         return [name for name in self._membership.view.all_members if name != self._settings.name]
 
-    def _tell_crashes(self, peer):
-        # A router that starts, or was cut off, has heard of no crash. Without this a request
-        # that every other router refuses would crash engines again through that one.
+    def _send_crash_reports(self, peer):
+        # A router that has just started, or was cut off, knows of no crashes. Without these reports a
+        # poison request that every other router refuses would crash engines again through that router.
         for report in self._crashes.reports():
             self._peers.send(peer, report)
 
-    def _tell_rollouts(self, peer):
-        # A router that starts may be scheduler next, and would send an untested version its full part.
+    def _send_rollout_states(self, peer):
+        # A router that has just started may become the scheduler and would send an untested version its full share.
         for word in self._rollouts.words():
             self._peers.send(peer, word)
 
-    async def _ask(self, peer, message, timeout_s):
+    async def _query_peer(self, peer, message, timeout_s):
         if peer == self._settings.name:
             return await self._ledger.handle(message)
         if peer not in self._membership.view.all_members:
@@ -554,11 +556,11 @@
         answer = await self._peers.query(peer, message, timeout_s)
         return None if isinstance(answer, PeerUnreachable) else answer
 
-    def _end_questions(self, view):
-        # A question queued for a router that was killed would wait out its whole time for a
-        # connection that never comes, and the caller behind it would wait as long.
-        gone = self._asked_members - set(view.all_members)
-        self._asked_members = set(view.all_members)
+    def _fail_queries_of_departed(self, view):
+        # A query queued for a router that was killed would wait its full timeout for a connection that
+        # is never made, and the caller behind it would wait as long.
+        gone = self._known_members - set(view.all_members)
+        self._known_members = set(view.all_members)
         for name in gone:
             self._peers.fail_queries(name)
 
@@ -574,6 +576,6 @@
                 self._rollouts.tick()
 
 
-async def _stopped(task):
+async def _cancel_task(task):
     task.cancel()
     await asyncio.gather(task, return_exceptions=True)
