--- a/wagtailtrestle/cli/dump.py
+++ b/wagtailtrestle/cli/dump.py
@@ -30,7 +30,7 @@
                 url: Admin address of the process, for instance http://10.0.0.7:9090
                 json: Print JSON instead.
             """
-            plan.note(lambda: print_state(environment, url=url, as_json=json))
+            plan.defer(lambda: print_state(environment, url=url, as_json=json))
 
         return dump
 
--- a/wagtailtrestle/cli/operate.py
+++ b/wagtailtrestle/cli/operate.py
@@ -53,7 +53,7 @@
         Args:
             file: The declaration, YAML.
         """
-        self._plan.note(lambda: check(self._environment, file=file))
+        self._plan.defer(lambda: check(self._environment, file=file))
 
     @SetParseFn(str)
     def diff(self, file, *, platform=None, against=None):
@@ -67,7 +67,7 @@
             platform: URL of the platform; compares with the accepted declaration.
             against: Another declaration's file to compare with instead.
         """
-        self._plan.note(lambda: diff(self._environment, file=file, platform=platform, against=against))
+        self._plan.defer(lambda: diff(self._environment, file=file, platform=platform, against=against))
 
     @SetParseFn(str)
     def apply(self, file, *, platform, base=None):
@@ -83,7 +83,7 @@
                 another one is accepted by now, nothing is applied (exit status 3). Without
                 it, whatever is accepted is replaced.
         """
-        self._plan.note(lambda: apply_file(self._environment, file=file, platform=platform, base=base))
+        self._plan.defer(lambda: apply_file(self._environment, file=file, platform=platform, base=base))
 
     @SetParseFn(str)
     def status(self, *, platform):
@@ -94,7 +94,7 @@
         Args:
             platform: URL of the platform.
         """
-        self._plan.note(lambda: status(self._environment, platform=platform))
+        self._plan.defer(lambda: status(self._environment, platform=platform))
 
     @SetParseFn(str)
     def explain(self, *files, id=None, by="cause", begin=None, end=None):  # noqa: A002
@@ -110,7 +110,7 @@
             begin: Count from this time on, as in the logs, UTC.
             end: Count up to this time.
         """
-        self._plan.note(lambda: explain(self._environment, files=files, request_id=id, by=by, begin=begin, end=end))
+        self._plan.defer(lambda: explain(self._environment, files=files, request_id=id, by=by, begin=begin, end=end))
 
 
 def check(environment, *, file):
--- a/wagtailtrestle/cli/router.py
+++ b/wagtailtrestle/cli/router.py
@@ -27,7 +27,7 @@
             Args:
                 settings: The router's own settings file, YAML; see examples/settings/router.yaml.
             """
-            plan.note(lambda: start_router(environment, settings_file=settings))
+            plan.defer(lambda: start_router(environment, settings_file=settings))
 
         return router
 
--- a/wagtailtrestle/cli/runner.py
+++ b/wagtailtrestle/cli/runner.py
@@ -37,7 +37,7 @@
     def __init__(self):
         self._command = None
 
-    def note(self, command):
+    def defer(self, command):
         """Remember what to run."""
         self._command = command
 
