--- a/wagtailtrestle/cli/explain.py
+++ b/wagtailtrestle/cli/explain.py
@@ -56,10 +56,10 @@
     if text is None:
         return None
     try:
-        told = datetime.fromisoformat(text)
+        parsed = datetime.fromisoformat(text)
     except ValueError:
         environment.complain(
             f"{name} is {text!r}; allowed: a time as in the logs, 2026-05-05T18:37:25. Nothing was read."
         )
         return ExitStatus.USAGE
-    return (told if told.tzinfo else told.replace(tzinfo=UTC)).timestamp()
+    return (parsed if parsed.tzinfo else parsed.replace(tzinfo=UTC)).timestamp()
