--- a/wagtailtrestle/cli/explain.py
+++ b/wagtailtrestle/cli/explain.py
@@ -22,13 +22,13 @@
     if logs is None:
         return ExitStatus.USAGE
     if request_id is not None:
-        return _tell_story(environment, logs, request_id)
+        return _print_request_lines(environment, logs, request_id)
     lost, answered = losses(logs, begin=times[0], end=times[1])
     environment.say(losses_text(lost, answered, key=by, logs=logs))
     return ExitStatus.DONE
 
 
-def _tell_story(environment, logs, request_id):
+def _print_request_lines(environment, logs, request_id):
     lines = story(logs, request_id)
     if not lines:
         environment.complain(
