--- a/wagtailtrestle/cli/operate.py
+++ b/wagtailtrestle/cli/operate.py
@@ -200,10 +200,10 @@
     except KeyboardInterrupt:
         # The update may be on its way already, so "not applied" would be a guess.
         outcome = ApplyUnknown(detail="interrupted")
-    return _tell_apply(environment, outcome, file=file, platform=arguments["platform"], apply_id=apply_id)
+    return _report_apply(environment, outcome, file=file, platform=arguments["platform"], apply_id=apply_id)
 
 
-def _tell_apply(environment, outcome, *, file, platform, apply_id):
+def _report_apply(environment, outcome, *, file, platform, apply_id):
     match outcome:
         case Applied(generation=generation):
             environment.say(
