--- a/wagtailtrestle/cli/operate.py
+++ b/wagtailtrestle/cli/operate.py
@@ -27,7 +27,7 @@
 from wagtailtrestle.output.text import change_text, faults_text, status_text, summary_text
 
 PROGRAM = "wagtailtrestle"
-LARGEST_GENERATION = 10**15
+MAX_GENERATION = 10**15
 
 
 class OperatorCommands:
@@ -175,7 +175,7 @@
 def apply_file(environment, *, file, platform, base):
     """Check and apply a file, say what came of it and return the exit status."""
     arguments = read_arguments(
-        environment, platform=(platform, Url()), base=(base, Integer(least=0, most=LARGEST_GENERATION))
+        environment, platform=(platform, Url()), base=(base, Integer(least=0, most=MAX_GENERATION))
     )
     if arguments is None:
         return ExitStatus.USAGE
