--- a/wagtailtrestle/cli/runner.py
+++ b/wagtailtrestle/cli/runner.py
@@ -63,7 +63,9 @@
     ExitStatus
     """
     if FIRE_FLAGS_MARK in arguments and arguments[-1] not in HELP_FLAGS:
-        return _end_early(f"Nothing may stand after a bare {FIRE_FLAGS_MARK}.", environment=environment, is_help=False)
+        return _exit_without_running(
+            f"Nothing may stand after a bare {FIRE_FLAGS_MARK}.", environment=environment, is_help=False
+        )
     plan = Plan()
     fire_output = io.StringIO()
     try:
@@ -71,13 +73,13 @@
         with redirect_stdout(fire_output), redirect_stderr(fire_output):
             fire.Fire(make_commands(plan), command=list(arguments), name=environment.program)
     except fire.core.FireExit as fire_exit:
-        return _end_early(fire_output.getvalue(), environment=environment, is_help=fire_exit.code == 0)
+        return _exit_without_running(fire_output.getvalue(), environment=environment, is_help=fire_exit.code == 0)
     if plan.command is None:
-        return _end_early(fire_output.getvalue(), environment=environment, is_help=False)
+        return _exit_without_running(fire_output.getvalue(), environment=environment, is_help=False)
     return plan.command()
 
 
-def _end_early(fire_output, *, environment, is_help):
+def _exit_without_running(fire_output, *, environment, is_help):
     text = FIRE_NOISE.sub("", ANSI.sub("", fire_output)).strip()
     if is_help:
         environment.say(text)
