--- a/wagtailtrestle/cli/runner.py
+++ b/wagtailtrestle/cli/runner.py
@@ -47,7 +47,7 @@
         return self._command
 
 
-def run_program(make_commands, *, environment, arguments):
+def run_program(make_fire_component, *, environment, arguments):
     """Read a command line, run what it names, and return the exit status.
 
     Parameters
@@ -71,7 +71,7 @@
     try:
         # fire starts a pager for help on a terminal; here it writes to memory and starts nothing.
         with redirect_stdout(fire_output), redirect_stderr(fire_output):
-            fire.Fire(make_commands(plan), command=list(arguments), name=environment.program)
+            fire.Fire(make_fire_component(plan), command=list(arguments), name=environment.program)
     except fire.core.FireExit as fire_exit:
         return _exit_without_running(fire_output.getvalue(), environment=environment, is_help=fire_exit.code == 0)
     if plan.command is None:
