--- a/wagtailtrestle/cli/runner.py
+++ b/wagtailtrestle/cli/runner.py
@@ -98,14 +98,14 @@
         optional argument, whose text is ``None``, stays ``None``.
     """
     values = {}
-    faulty = False
+    has_errors = False
     for name, (text, value_type) in typed.items():
         value = None if text is None else value_type.read(text)
         if isinstance(value, Wrong):
-            faulty = True
+            has_errors = True
             environment.complain(f"{name} {value.problem}; allowed: {value_type.allowed}")
         values[name] = value
-    if faulty:
+    if has_errors:
         environment.complain(f"Nothing was run. See: {environment.program} --help")
         return None
     return values
