--- a/wagtailtrestle/demo/deployment.py
+++ b/wagtailtrestle/demo/deployment.py
@@ -15,7 +15,7 @@
 OPERATE_MODULE = "wagtailtrestle.cli.operate"
 CALL_TIMEOUT_S = 5.0
 OK = 200
-MAX_TOLD_BYTES = 200
+MAX_ERROR_BODY_BYTES = 200
 
 
 class Deployment:
@@ -136,7 +136,7 @@
         """
         response = urllib3.request("GET", url, timeout=CALL_TIMEOUT_S, retries=False)
         if response.status != OK:
-            raise RuntimeError(f"{url} answered {response.status}: {response.data[:MAX_TOLD_BYTES]!r}")
+            raise RuntimeError(f"{url} answered {response.status}: {response.data[:MAX_ERROR_BODY_BYTES]!r}")
         return json.loads(response.data)
 
     def publish_vms(self, leaving=()):
