--- a/wagtailtrestle/demo/deployment.py
+++ b/wagtailtrestle/demo/deployment.py
@@ -57,7 +57,7 @@
     def start(self):
         """Start everything and wait until every process answers; nothing is applied yet."""
         self.directory.mkdir(parents=True, exist_ok=True)
-        self._place_engines()
+        self._configure_engines()
         self._place_routers()
         self._start_platform()
         for process in self.engines_by_name.values():
@@ -161,7 +161,7 @@
             reservation.close()
         self._reservations.clear()
 
-    def _place_engines(self):
+    def _configure_engines(self):
         kinds = {service["name"]: service["kind"] for service in self.document["services"]}
         engines = self.document["engines"]
         for engine, port in zip(engines, self._reserve_ports(len(engines)), strict=True):
