--- a/wagtailtrestle/demo/deployment.py
+++ b/wagtailtrestle/demo/deployment.py
@@ -58,7 +58,7 @@
         """Start everything and wait until every process answers; nothing is applied yet."""
         self.directory.mkdir(parents=True, exist_ok=True)
         self._configure_engines()
-        self._place_routers()
+        self._configure_routers()
         self._start_platform()
         for process in self.engines_by_name.values():
             process.start()
@@ -206,7 +206,7 @@
             log_path=self.directory / f"{name}.log",
         )
 
-    def _place_routers(self):
+    def _configure_routers(self):
         zones = [zone for zones in self.document["regions"].values() for zone in zones]
         names = [f"router-{number + 1}" for number in range(self._router_count)]
         platform_port, *ports = self._reserve_ports(1 + 3 * len(names))
