--- a/wagtailtrestle/demo/deployment.py
+++ b/wagtailtrestle/demo/deployment.py
@@ -218,7 +218,7 @@
             self.admin_url_by_router[name] = f"http://{HOST}:{admin}"
             self.routers_by_name[name] = self._router(name, zones[number % len(zones)], callers, admin)
 
-    def _peers_but(self, name):
+    def _peers_of(self, name):
         return [(peer, address) for peer, address in self.peers_address_by_router.items() if peer != name]
 
     def _router(self, name, zone, callers, admin):
@@ -230,7 +230,7 @@
             "peers_address": self.peers_address_by_router[name],
             "admin_address": f"{HOST}:{admin}",
             "platform_url": self.platform_url,
-            "peers": [f"{peer}={address}" for peer, address in self._peers_but(name)],
+            "peers": [f"{peer}={address}" for peer, address in self._peers_of(name)],
             **self._router_settings,
         }
         path.write_text(yaml.safe_dump(settings))
