--- a/wagtailtrestle/demo/deployment.py
+++ b/wagtailtrestle/demo/deployment.py
@@ -74,7 +74,7 @@
 
     def close(self):
         """Stop every process that was started; return exit statuses by name."""
-        running = self._running()
+        running = self._running_processes()
         for process in running:
             process.resume()
             process.terminate()
@@ -84,7 +84,7 @@
 
     def kill(self):
         """End every process that was started at once."""
-        for process in self._running():
+        for process in self._running_processes():
             process.kill()
         self._release_ports()
 
@@ -145,7 +145,7 @@
 
     # Internals.
 
-    def _running(self):
+    def _running_processes(self):
         processes = [*self.routers_by_name.values(), *self.engines_by_name.values()]
         if self.platform is not None:
             processes.append(self.platform)
