--- a/wagtailtrestle/demo/deployment.py
+++ b/wagtailtrestle/demo/deployment.py
@@ -167,12 +167,12 @@
         for engine, port in zip(engines, self._reserve_ports(len(engines)), strict=True):
             engine["address"] = f"{HOST}:{port}"
             language = kinds[engine["service"]] == LANGUAGE
-            settings = self._engine_file(engine, port) if language else self._service_file(engine, port)
+            settings = self._engine_standin_settings(engine, port) if language else self._service_file(engine, port)
             self.engines_by_name[engine["name"]] = self._standin(
                 "engine" if language else "service", engine["name"], settings, f"http://{engine['address']}/healthz"
             )
 
-    def _engine_file(self, engine, port):
+    def _engine_standin_settings(self, engine, port):
         step_ms = engine["step_ms"] * self.time_scale
         return {
             "name": engine["name"],
