--- a/wagtailtrestle/demo/deployment.py
+++ b/wagtailtrestle/demo/deployment.py
@@ -167,7 +167,11 @@
         for engine, port in zip(engines, self._reserve_ports(len(engines)), strict=True):
             engine["address"] = f"{HOST}:{port}"
             language = kinds[engine["service"]] == LANGUAGE
-            settings = self._engine_standin_settings(engine, port) if language else self._service_file(engine, port)
+            settings = (
+                self._engine_standin_settings(engine, port)
+                if language
+                else self._service_standin_settings(engine, port)
+            )
             self.engines_by_name[engine["name"]] = self._standin(
                 "engine" if language else "service", engine["name"], settings, f"http://{engine['address']}/healthz"
             )
@@ -186,7 +190,7 @@
             **self._engine_settings,
         }
 
-    def _service_file(self, engine, port):
+    def _service_standin_settings(self, engine, port):
         return {
             "name": engine["name"],
             "host": HOST,
