--- a/wagtailtrestle/demo/deployment.py
+++ b/wagtailtrestle/demo/deployment.py
@@ -172,7 +172,7 @@
                 if language
                 else self._service_standin_settings(engine, port)
             )
-            self.engines_by_name[engine["name"]] = self._standin(
+            self.engines_by_name[engine["name"]] = self._standin_process(
                 "engine" if language else "service", engine["name"], settings, f"http://{engine['address']}/healthz"
             )
 
@@ -199,7 +199,7 @@
             "concurrency": engine["slots"],
         }
 
-    def _standin(self, kind, name, settings, ready_url):
+    def _standin_process(self, kind, name, settings, ready_url):
         path = self.directory / f"{name}.yaml"
         path.write_text(yaml.safe_dump(settings))
         return LocalProcess(
@@ -249,7 +249,7 @@
     def _start_platform(self):
         address = self.platform_url.removeprefix("http://")
         settings = {"listen": address, "vm_list_lag_s": 0.5, "vms": self._vms()}
-        self.platform = self._standin("platform", "platform", settings, f"{self.platform_url}/healthz")
+        self.platform = self._standin_process("platform", "platform", settings, f"{self.platform_url}/healthz")
         self.platform.start()
         self.platform.wait_ready()
 
