--- a/wagtailtrestle/demo/deployment.py
+++ b/wagtailtrestle/demo/deployment.py
@@ -220,12 +220,12 @@
             callers, admin = ports[3 * number + 1 : 3 * number + 3]
             self.callers_url_by_router[name] = f"http://{HOST}:{callers}"
             self.admin_url_by_router[name] = f"http://{HOST}:{admin}"
-            self.routers_by_name[name] = self._router(name, zones[number % len(zones)], callers, admin)
+            self.routers_by_name[name] = self._router_process(name, zones[number % len(zones)], callers, admin)
 
     def _peers_of(self, name):
         return [(peer, address) for peer, address in self.peers_address_by_router.items() if peer != name]
 
-    def _router(self, name, zone, callers, admin):
+    def _router_process(self, name, zone, callers, admin):
         path = self.directory / f"{name}.yaml"
         settings = {
             "name": name,
