--- a/wagtailtrestle/demo/__main__.py
+++ b/wagtailtrestle/demo/__main__.py
@@ -29,11 +29,11 @@
     with tempfile.TemporaryDirectory(prefix="wagtailtrestle-demo-") as directory:
         deployment = Deployment(directory=Path(directory), document=document, routers=ROUTERS, time_scale=TIME_SCALE)
         try:
-            good = _run(deployment, kinds)
+            succeeded = _run(deployment, kinds)
         finally:
             statuses = deployment.close()
     print(f"stopped {len(statuses)} processes, exit statuses {sorted(set(statuses.values()))}")
-    sys.exit(0 if good and not any(statuses.values()) else 1)
+    sys.exit(0 if succeeded and not any(statuses.values()) else 1)
 
 
 def _run(deployment, kinds):
