--- a/tests/test_at_most_once_processes.py
+++ b/tests/test_at_most_once_processes.py
@@ -44,9 +44,9 @@
         """At most one start; all that were told an answer were told the same; ``no`` only if nothing ran."""
         starts = self.running.starts(planned.caller_request_id)
         self.assertLessEqual(starts, 1)
-        self.assertLessEqual(len({each.result.text for each in seen if each.result.whole}), 1)
+        self.assertLessEqual(len({each.result.text for each in seen if each.result.complete}), 1)
         if starts == 0:
-            self.assertEqual([each for each in seen if each.result.whole], [])
+            self.assertEqual([each for each in seen if each.result.complete], [])
         self.assert_whole_answers_are_own(seen)
         return starts
 
@@ -106,7 +106,7 @@
         running.faults("reservas-1", stream_kind="cut", stream_count=1)
         planned = running.planned(BOOKING)
         seen = [running.send(BOOKING, router=name, planned=self.copy(planned)) for name in running.routers]
-        self.assertEqual([each for each in seen if each.result.whole or each.result.executed == "no"], [])
+        self.assertEqual([each for each in seen if each.result.complete or each.result.executed == "no"], [])
         self.assertEqual(self.check_one_run(planned, seen), 1)
 
     def test_platform_loses_the_answers_of_writes(self):
@@ -120,7 +120,7 @@
             seen = [running.send(BOOKING, router=name, planned=self.copy(planned)) for name in running.routers]
             starts = self.check_one_run(planned, seen)
             for each in seen:
-                self.assertTrue(each.result.whole or starts == 0 or each.result.executed != "no", each)
+                self.assertTrue(each.result.complete or starts == 0 or each.result.executed != "no", each)
             print(f"write answers lost: {starts} run, {[each.result.reason or 'whole' for each in seen]}")
 
     def test_claiming_router_is_paused(self):
--- a/tests/test_drain.py
+++ b/tests/test_drain.py
@@ -42,10 +42,10 @@
             wait_until(running.agree, "routers to agree after a restart")
         time.sleep(AFTER_S)
         seen = load.stop()
-        print(f"rolling restart: {len(seen)} requests, {sum(not each.result.whole for each in seen)} refused")
+        print(f"rolling restart: {len(seen)} requests, {sum(not each.result.complete for each in seen)} refused")
         self.assert_promises(running, seen)
         self.assert_none_cut(seen)
-        self.assertEqual([each for each in seen if not each.result.whole and each.result.reason != "draining"], [])
+        self.assertEqual([each for each in seen if not each.result.complete and each.result.reason != "draining"], [])
 
     def stop_engine(self, name, kinds):
         """Stop one engine gracefully under load and return what the callers saw."""
@@ -54,7 +54,7 @@
         self.assertEqual(self.running.engine(name).stop(), 0)
         time.sleep(AFTER_S)
         seen = load.stop()
-        print(f"{name} stopped: {len(seen)} requests, {sum(not each.result.whole for each in seen)} refused")
+        print(f"{name} stopped: {len(seen)} requests, {sum(not each.result.complete for each in seen)} refused")
         self.assert_promises(self.running, seen)
         self.assert_none_cut(seen)
         self.running.engine(name).start()
--- a/tests/test_engine_faults.py
+++ b/tests/test_engine_faults.py
@@ -60,10 +60,10 @@
         self.assert_promises(self.running, seen)
         self.assert_all_whole([each for each in seen if each.result.planned.kind.repeatable])
         for each in seen:
-            if not each.result.whole:
+            if not each.result.complete:
                 self.assertIn(each.result.executed, ("yes", "unknown"), each)
-        whole = sum(each.result.whole for each in seen)
-        print(f"answers {stream_kind}: {whole} of {len(seen)} callers got their whole answer")
+        complete = sum(each.result.complete for each in seen)
+        print(f"answers {stream_kind}: {complete} of {len(seen)} callers got their whole answer")
 
     def test_cut(self):
         # The connection ends in the middle of an answer. A completion goes on over a new connection
@@ -123,7 +123,7 @@
         self.assert_promises(running, seen)
         self.assert_all_whole([each for each in seen if each.result.planned.kind.repeatable])
         self.assert_all_whole([each for each in seen if each.sent_at > refused_at + 0.5])
-        print(f"connections refused: {sum(not each.result.whole for each in seen)} of {len(seen)} not answered")
+        print(f"connections refused: {sum(not each.result.complete for each in seen)} of {len(seen)} not answered")
 
 
 if __name__ == "__main__":
--- a/tests/test_foreign_runs.py
+++ b/tests/test_foreign_runs.py
@@ -68,7 +68,7 @@
         # up a run that may not be repeated: with nothing to gain, while the engine went on to its answer.
         seen = self.ask_around_a_burst(count=count, output_tokens=output_tokens)
         self.assert_promises(self.running, seen)
-        reasons = collections.Counter(each.result.reason for each in seen if not each.result.whole)
+        reasons = collections.Counter(each.result.reason for each in seen if not each.result.complete)
         print(f"{count} foreign runs of {output_tokens} tokens: not whole {dict(reasons)}")
         self.assertEqual([each for each in seen if each.result.reason == "engine_lost"], [])
         self.assert_made_answers_are_delivered(seen)
@@ -77,7 +77,7 @@
         """Nobody whose answer an engine finished was told that there is none."""
         runs = self.running.runs()
         finished = {name for name, records in runs.items() if any(run.finished for run in records)}
-        missed = [each for each in seen if not each.result.whole and each.caller_request_id in finished]
+        missed = [each for each in seen if not each.result.complete and each.caller_request_id in finished]
         self.assertEqual(missed, [])
 
     def test_behind_a_short_burst_of_long_runs(self):
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -43,7 +43,7 @@
         seen = load.stop()
         self.assert_promises(self.running, seen)
         self.assert_none_cut(seen)
-        refused = sum(not each.result.whole for each in seen)
+        refused = sum(not each.result.complete for each in seen)
         print(f"leaving by {what}: {refused} of {len(seen)} refused, {time.monotonic() - marked_at:.1f} s watched")
 
     def declare(self, leaving):
--- a/tests/test_routers_in_series.py
+++ b/tests/test_routers_in_series.py
@@ -36,7 +36,7 @@
             flood.stop()
         slowest_s = max(each.result.total_s for each in asked if each.result.planned.kind.name == "question")
         print(f"{routers} routers, {disturbance.notes}: slowest question {slowest_s:.2f} s")
-        lost = [each for each in asked if not each.result.whole]
+        lost = [each for each in asked if not each.result.complete]
         self.assertEqual(lost, [], f"{len(lost)} of {len(asked)}: {disturbance.notes}")
 
     def test_scheduler_started_again_and_another_router_killed(self):
--- a/tests/test_tier_order.py
+++ b/tests/test_tier_order.py
@@ -41,7 +41,7 @@
         while not self._stopping.is_set():
             router = routers[number % len(routers)]
             self.seen.append(self._running.send(TAGGING, router=router, output_tokens=LONG_ANSWER))
-            if not self.seen[-1].result.whole:
+            if not self.seen[-1].result.complete:
                 self._stopping.wait(RETRY_S)
 
 
--- a/tests/utils/running.py
+++ b/tests/utils/running.py
@@ -113,7 +113,7 @@
     def __repr__(self):
         result = self.result
         return (
-            f"{self.caller_request_id}@{self.router}: {result.status} whole={result.whole} "
+            f"{self.caller_request_id}@{self.router}: {result.status} whole={result.complete} "
             f"executed={result.executed} {result.reason} after {result.total_s:.2f} s"
         )
 
@@ -349,16 +349,16 @@
     def assert_whole_answers_are_own(self, seen):
         """Every answer given as whole is the whole answer to that very request."""
         for each in seen:
-            if each.result.whole:
+            if each.result.complete:
                 self.assertTrue(is_own_whole_answer(each.result), each)
 
     def assert_all_whole(self, seen):
         """Every caller got its whole answer."""
-        self.assertEqual([each for each in seen if not each.result.whole], [])
+        self.assertEqual([each for each in seen if not each.result.complete], [])
 
     def assert_none_cut(self, seen):
         """Every caller got its whole answer, or was truthfully told that it was not run."""
-        self.assertEqual([each for each in seen if not each.result.whole and each.result.executed != "no"], [])
+        self.assertEqual([each for each in seen if not each.result.complete and each.result.executed != "no"], [])
 
 
 def is_own_whole_answer(result):
--- a/wagtailtrestle/load/client.py
+++ b/wagtailtrestle/load/client.py
@@ -36,7 +36,7 @@
     __slots__ = (
         "planned",
         "status",
-        "whole",
+        "complete",
         "executed",
         "reason",
         "late_s",
@@ -50,7 +50,7 @@
         self.planned = planned
         self.late_s = late_s
         self.status = 0
-        self.whole = False
+        self.complete = False
         self.executed = "unknown"
         self.reason = "no_answer"
         self.first_s = 0.0
@@ -60,7 +60,7 @@
 
     def in_deadline(self):
         """Whether the whole answer came within the request's deadline."""
-        return self.whole and self.total_s * 1000 <= self.planned.kind.deadline_ms
+        return self.complete and self.total_s * 1000 <= self.planned.kind.deadline_ms
 
 
 def make_pool(connections):
@@ -76,7 +76,7 @@
         _exchange(pool, url, planned, result, due)
     except urllib3.exceptions.HTTPError as error:
         result.reason = type(error).__name__
-        result.whole = False
+        result.complete = False
     result.total_s = time.monotonic() - due
     return result
 
@@ -138,8 +138,8 @@
         pending += block
         *events, pending = pending.split(b"\n\n")
         done = any([_read_event(event.decode(), result) for event in events]) or done
-    result.whole = done and result.reason == "no_answer"
-    if result.whole:
+    result.complete = done and result.reason == "no_answer"
+    if result.complete:
         result.executed, result.reason = "yes", ""
 
 
@@ -170,9 +170,9 @@
         result.reason = document.get("reason", "")
         result.retry_after_s = float(response.headers.get("Retry-After", 0))
         return
-    result.whole = response.status < 400
-    result.text = _whole_text(body) if result.whole and result.planned.kind.prompt_tokens else body.decode()
-    result.reason = "" if result.whole else f"status_{response.status}"
+    result.complete = response.status < 400
+    result.text = _whole_text(body) if result.complete and result.planned.kind.prompt_tokens else body.decode()
+    result.reason = "" if result.complete else f"status_{response.status}"
 
 
 def _whole_text(body):
--- a/wagtailtrestle/load/records.py
+++ b/wagtailtrestle/load/records.py
@@ -74,7 +74,7 @@
         runs = runs_by_caller_id.get(planned.caller_request_id, [])
         spent = sum(run.prefill_tokens for run in runs)
         prefill += spent
-        wasted += spent - (_useful_prefill(runs) if result.whole else 0)
+        wasted += spent - (_useful_prefill(runs) if result.complete else 0)
         starts = sum(run.starts for run in runs)
         if result.executed == "no" and starts:
             false_refusals.append(planned.caller_request_id)
--- a/wagtailtrestle/load/report.py
+++ b/wagtailtrestle/load/report.py
@@ -38,7 +38,7 @@
     def add(self, result):
         """Count one result."""
         self.sent += 1
-        if result.whole:
+        if result.complete:
             self.in_deadline += result.in_deadline()
             self.late += not result.in_deadline()
             self.total.record_value(max(int(result.total_s * 1e6), 1))
@@ -84,7 +84,7 @@
 def reason_lines(results):
     """How often each reason was given, by tier, for requests without a whole answer."""
     counts = Counter(
-        (result.planned.kind.tier, result.reason, result.executed) for result in results if not result.whole
+        (result.planned.kind.tier, result.reason, result.executed) for result in results if not result.complete
     )
     return "\n".join(
         f"{tier}: {reason} (executed {executed}): {count}" for (tier, reason, executed), count in counts.most_common()
--- a/wagtailtrestle/measure/plain_services.py
+++ b/wagtailtrestle/measure/plain_services.py
@@ -86,7 +86,7 @@
     for (service, route), those in sorted(by_route.items()):
         load = case.load_by_route.get(route, LOAD) if service == case.service else LOAD
         in_time = sum(result.in_deadline() for result in those) / len(those)
-        refused = sum(not result.whole and result.executed == "no" for result in those) / len(those)
+        refused = sum(not result.complete and result.executed == "no" for result in those) / len(those)
         print(
             f"| {service} | {route} | {those[0].planned.kind.tier} | {load:.1f} | {len(those)} | {in_time:.1%} "
             f"| {refused:.1%} | {len(truth.doubled)}, {len(truth.false_refusals)} |",
--- a/wagtailtrestle/slopes/data_path.py
+++ b/wagtailtrestle/slopes/data_path.py
@@ -101,7 +101,7 @@
     for planned in plan:
         planned.output_tokens = tokens
     results = run_load(urls=deployment.callers_urls(), plan=plan)
-    if not all(result.whole for result in results):
+    if not all(result.complete for result in results):
         raise RuntimeError("the router did not serve everything; the slope would mean nothing")
 
 
--- a/wagtailtrestle/slopes/streams.py
+++ b/wagtailtrestle/slopes/streams.py
@@ -66,7 +66,7 @@
     tokens = max(2, int(TOKENS_PER_S * seconds / streams))
     began, before = time.monotonic(), usage_of(pid)
     results = run_load(urls=deployment.callers_urls(), plan=_plan(streams, tokens))
-    if not all(result.whole for result in results):
+    if not all(result.complete for result in results):
         raise RuntimeError("the router did not serve everything; the slope would mean nothing")
     return Spent(
         processor_s=usage_of(pid).processor_s - before.processor_s,
