--- a/wagtailtrestle/load/client.py
+++ b/wagtailtrestle/load/client.py
@@ -97,7 +97,7 @@
     if response.status == 200 and streamed:
         _read_stream(response, result, due)
     else:
-        _read_whole(response, result, due)
+        _read_unary(response, result, due)
     response.release_conn()
 
 
@@ -161,7 +161,7 @@
     return False
 
 
-def _read_whole(response, result, due):
+def _read_unary(response, result, due):
     body = response.read()
     result.first_s = time.monotonic() - due
     result.executed = response.headers.get("Wagtailtrestle-Executed", "yes")
