--- a/wagtailtrestle/load/client.py
+++ b/wagtailtrestle/load/client.py
@@ -171,10 +171,10 @@
         result.retry_after_s = float(response.headers.get("Retry-After", 0))
         return
     result.complete = response.status < 400
-    result.text = _whole_text(body) if result.complete and result.planned.kind.prompt_tokens else body.decode()
+    result.text = _completion_text(body) if result.complete and result.planned.kind.prompt_tokens else body.decode()
     result.reason = "" if result.complete else f"status_{response.status}"
 
 
-def _whole_text(body):
+def _completion_text(body):
     choice = json.loads(body)["choices"][0]
     return choice["message"]["content"] if "message" in choice else choice["text"]
