--- a/wagtailtrestle/load/records.py
+++ b/wagtailtrestle/load/records.py
@@ -20,7 +20,7 @@
         self.prefill_tokens = prefill_tokens
 
 
-class Truth:
+class RecordCheck:
     """Promises checked against the record; each broken one is named.
 
     Parameters
@@ -80,7 +80,7 @@
             false_refusals.append(planned.caller_request_id)
         if not planned.kind.repeatable and starts > 1:
             doubled.append(planned.caller_request_id)
-    return Truth(
+    return RecordCheck(
         prefill_tokens=prefill,
         wasted_prefill_tokens=wasted,
         false_refusals=tuple(false_refusals),
