--- a/wagtailtrestle/cli/load.py
+++ b/wagtailtrestle/cli/load.py
@@ -9,7 +9,7 @@
 from wagtailtrestle.exit_status import ExitStatus
 from wagtailtrestle.load.mix import MixFault, read_mix
 from wagtailtrestle.load.plan import make_plan
-from wagtailtrestle.load.records import check_truth, read_records
+from wagtailtrestle.load.records import check_against_records, read_records
 from wagtailtrestle.load.report import reason_lines, rows_by_tier, table, truth_lines
 from wagtailtrestle.load.run import run_load
 
@@ -48,7 +48,7 @@
         return ExitStatus.USAGE
     results = run_load(urls=_addresses(url), plan=make_plan(kinds=kinds, rate=rate, duration_s=duration_s, seed=seed))
     rows = rows_by_tier(results, dict.fromkeys(kind.tier for kind in kinds))
-    truth = check_truth(results, *read_records(_addresses(engines)))
+    truth = check_against_records(results, *read_records(_addresses(engines)))
     _print(results, rows, truth, json_output)
     return ExitStatus.CHECK_FAILED if truth.false_refusals or truth.doubled else ExitStatus.DONE
 
--- a/wagtailtrestle/demo/__main__.py
+++ b/wagtailtrestle/demo/__main__.py
@@ -10,7 +10,7 @@
 from wagtailtrestle.demo.deployment import Deployment
 from wagtailtrestle.load.mix import read_mix
 from wagtailtrestle.load.plan import make_plan
-from wagtailtrestle.load.records import check_truth, read_records
+from wagtailtrestle.load.records import check_against_records, read_records
 from wagtailtrestle.load.report import reason_lines, rows_by_tier, table, truth_lines
 from wagtailtrestle.load.run import run_load
 
@@ -48,7 +48,7 @@
     plan = make_plan(kinds=kinds, rate=rate, duration_s=DURATION_S, seed=SEED)
     results = run_load(urls=deployment.callers_urls(), plan=plan)
     rows = rows_by_tier(results, deployment.document["tiers"])
-    truth = check_truth(results, *read_records(deployment.engine_urls()))
+    truth = check_against_records(results, *read_records(deployment.engine_urls()))
     print(table(rows))
     if reasons := reason_lines(results):
         print(reasons)
--- a/wagtailtrestle/load/records.py
+++ b/wagtailtrestle/load/records.py
@@ -65,7 +65,7 @@
     return runs_by_caller_id, tuple(unreadable)
 
 
-def check_truth(results, runs_by_caller_id, unreadable):
+def check_against_records(results, runs_by_caller_id, unreadable):
     """Compare what callers were told with what engines recorded."""
     prefill = wasted = 0
     false_refusals, doubled = [], []
--- a/wagtailtrestle/measure/plain_services.py
+++ b/wagtailtrestle/measure/plain_services.py
@@ -13,7 +13,7 @@
 
 from wagtailtrestle.load.mix import RequestKind
 from wagtailtrestle.load.plan import PlannedRequest
-from wagtailtrestle.load.records import check_truth, read_records
+from wagtailtrestle.load.records import check_against_records, read_records
 from wagtailtrestle.load.run import run_load
 from wagtailtrestle.measure.one_run import EXAMPLE_BY_SERVICE, EXAMPLES
 from wagtailtrestle.measure.real_processes import (
@@ -79,7 +79,7 @@
         planned.number = number
     with running_deployment(document, {"caller_threads": CALLER_THREADS}) as deployment:
         results = run_load(urls=deployment.callers_urls(), plan=plan)
-        truth = check_truth(results, *read_records(deployment.engine_urls()))
+        truth = check_against_records(results, *read_records(deployment.engine_urls()))
     by_route = {}
     for result in results:
         by_route.setdefault((result.planned.kind.service, result.planned.kind.name), []).append(result)
--- a/wagtailtrestle/measure/real_processes.py
+++ b/wagtailtrestle/measure/real_processes.py
@@ -18,7 +18,7 @@
 from wagtailtrestle.engines.prefix_cache import BLOCK_TOKENS
 from wagtailtrestle.load.mix import RequestKind
 from wagtailtrestle.load.plan import BYTES_PER_TOKEN, PlannedRequest
-from wagtailtrestle.load.records import check_truth, read_records
+from wagtailtrestle.load.records import check_against_records, read_records
 from wagtailtrestle.load.run import run_load
 from wagtailtrestle.measure import virtual_time
 from wagtailtrestle.measure.fleet import TrueSpeed, fleet_cost_s
@@ -112,7 +112,7 @@
     plan = [planned_request(arrival, run.setting.service.name, routes[arrival.kind.route]) for arrival in arrivals]
     with running_deployment(document) as deployment:
         results = run_load(urls=deployment.callers_urls(), plan=plan)
-        truth = check_truth(results, *read_records(deployment.engine_urls()))
+        truth = check_against_records(results, *read_records(deployment.engine_urls()))
     asked, in_time, done_s = {}, {}, 0.0
     for arrival, result in zip(arrivals, results, strict=True):
         tier = routes[arrival.kind.route].tier
