--- a/wagtailtrestle/cli/load.py
+++ b/wagtailtrestle/cli/load.py
@@ -10,7 +10,7 @@
 from wagtailtrestle.load.mix import MixFault, read_mix
 from wagtailtrestle.load.plan import make_plan
 from wagtailtrestle.load.records import check_against_records, read_records
-from wagtailtrestle.load.report import reason_lines, rows_by_tier, table, truth_lines
+from wagtailtrestle.load.report import reason_lines, record_check_lines, rows_by_tier, table
 from wagtailtrestle.load.run import run_load
 
 MAX_DURATION_S = 600
@@ -62,7 +62,7 @@
         return
     print(table(rows))
     print(reason_lines(results))
-    print(truth_lines(truth))
+    print(record_check_lines(truth))
 
 
 def _addresses(text):
--- a/wagtailtrestle/demo/__main__.py
+++ b/wagtailtrestle/demo/__main__.py
@@ -11,7 +11,7 @@
 from wagtailtrestle.load.mix import read_mix
 from wagtailtrestle.load.plan import make_plan
 from wagtailtrestle.load.records import check_against_records, read_records
-from wagtailtrestle.load.report import reason_lines, rows_by_tier, table, truth_lines
+from wagtailtrestle.load.report import reason_lines, record_check_lines, rows_by_tier, table
 from wagtailtrestle.load.run import run_load
 
 EXAMPLES = Path(__file__).resolve().parents[2] / "examples"
@@ -52,7 +52,7 @@
     print(table(rows))
     if reasons := reason_lines(results):
         print(reasons)
-    print(truth_lines(truth))
+    print(record_check_lines(truth))
     served = any(row.in_deadline for row in rows.values())
     return served and not truth.false_refusals and not truth.doubled and not truth.unreadable
 
--- a/wagtailtrestle/load/report.py
+++ b/wagtailtrestle/load/report.py
@@ -91,7 +91,7 @@
     )
 
 
-def truth_lines(truth):
+def record_check_lines(truth):
     """What the engines' own record says of the promises."""
     return "\n".join(
         (
