--- a/wagtailtrestle/cli/load.py
+++ b/wagtailtrestle/cli/load.py
@@ -48,21 +48,21 @@
         return ExitStatus.USAGE
     results = run_load(urls=_addresses(url), plan=make_plan(kinds=kinds, rate=rate, duration_s=duration_s, seed=seed))
     rows = rows_by_tier(results, dict.fromkeys(kind.tier for kind in kinds))
-    truth = check_against_records(results, *read_records(_addresses(engines)))
-    _print(results, rows, truth, json_output)
-    return ExitStatus.CHECK_FAILED if truth.false_refusals or truth.doubled else ExitStatus.DONE
+    record_check = check_against_records(results, *read_records(_addresses(engines)))
+    _print(results, rows, record_check, json_output)
+    return ExitStatus.CHECK_FAILED if record_check.false_refusals or record_check.doubled else ExitStatus.DONE
 
 
-def _print(results, rows, truth, json_output):
+def _print(results, rows, record_check, json_output):
     if json_output:
-        document = {"tiers": [row.as_dict() for row in rows.values()], "wasted_share": truth.wasted_share()}
-        document["false_refusals"] = truth.false_refusals
-        document["doubled"] = truth.doubled
+        document = {"tiers": [row.as_dict() for row in rows.values()], "wasted_share": record_check.wasted_share()}
+        document["false_refusals"] = record_check.false_refusals
+        document["doubled"] = record_check.doubled
         print(json.dumps(document))
         return
     print(table(rows))
     print(reason_lines(results))
-    print(record_check_lines(truth))
+    print(record_check_lines(record_check))
 
 
 def _addresses(text):
--- a/wagtailtrestle/demo/__main__.py
+++ b/wagtailtrestle/demo/__main__.py
@@ -48,13 +48,13 @@
     plan = make_plan(kinds=kinds, rate=rate, duration_s=DURATION_S, seed=SEED)
     results = run_load(urls=deployment.callers_urls(), plan=plan)
     rows = rows_by_tier(results, deployment.document["tiers"])
-    truth = check_against_records(results, *read_records(deployment.engine_urls()))
+    record_check = check_against_records(results, *read_records(deployment.engine_urls()))
     print(table(rows))
     if reasons := reason_lines(results):
         print(reasons)
-    print(record_check_lines(truth))
+    print(record_check_lines(record_check))
     served = any(row.in_deadline for row in rows.values())
-    return served and not truth.false_refusals and not truth.doubled and not truth.unreadable
+    return served and not record_check.false_refusals and not record_check.doubled and not record_check.unreadable
 
 
 def capacity(document, kinds, time_scale):
--- a/wagtailtrestle/load/report.py
+++ b/wagtailtrestle/load/report.py
@@ -91,15 +91,15 @@
     )
 
 
-def record_check_lines(truth):
+def record_check_lines(record_check):
     """What the engines' own record says of the promises."""
     return "\n".join(
         (
-            f"wasted prefill (engines' record): {truth.wasted_prefill_tokens} of {truth.prefill_tokens} tokens "
-            f"({truth.wasted_share():.2%})",
-            f"told 'not run' but ran: {len(truth.false_refusals)}",
-            f"not to be repeated but started twice: {len(truth.doubled)}",
-            *(f"record not readable: {url}" for url in truth.unreadable),
+            f"wasted prefill (engines' record): {record_check.wasted_prefill_tokens} of {record_check.prefill_tokens} tokens "
+            f"({record_check.wasted_share():.2%})",
+            f"told 'not run' but ran: {len(record_check.false_refusals)}",
+            f"not to be repeated but started twice: {len(record_check.doubled)}",
+            *(f"record not readable: {url}" for url in record_check.unreadable),
         )
     )
 
--- a/wagtailtrestle/measure/plain_services.py
+++ b/wagtailtrestle/measure/plain_services.py
@@ -79,7 +79,7 @@
         planned.number = number
     with running_deployment(document, {"caller_threads": CALLER_THREADS}) as deployment:
         results = run_load(urls=deployment.callers_urls(), plan=plan)
-        truth = check_against_records(results, *read_records(deployment.engine_urls()))
+        record_check = check_against_records(results, *read_records(deployment.engine_urls()))
     by_route = {}
     for result in results:
         by_route.setdefault((result.planned.kind.service, result.planned.kind.name), []).append(result)
@@ -89,7 +89,7 @@
         refused = sum(not result.complete and result.executed == "no" for result in those) / len(those)
         print(
             f"| {service} | {route} | {those[0].planned.kind.tier} | {load:.1f} | {len(those)} | {in_time:.1%} "
-            f"| {refused:.1%} | {len(truth.doubled)}, {len(truth.false_refusals)} |",
+            f"| {refused:.1%} | {len(record_check.doubled)}, {len(record_check.false_refusals)} |",
             flush=True,
         )
 
--- a/wagtailtrestle/measure/real_processes.py
+++ b/wagtailtrestle/measure/real_processes.py
@@ -112,7 +112,7 @@
     plan = [planned_request(arrival, run.setting.service.name, routes[arrival.kind.route]) for arrival in arrivals]
     with running_deployment(document) as deployment:
         results = run_load(urls=deployment.callers_urls(), plan=plan)
-        truth = check_against_records(results, *read_records(deployment.engine_urls()))
+        record_check = check_against_records(results, *read_records(deployment.engine_urls()))
     asked, in_time, done_s = {}, {}, 0.0
     for arrival, result in zip(arrivals, results, strict=True):
         tier = routes[arrival.kind.route].tier
@@ -124,10 +124,10 @@
     return {
         "goodput_of_fleet": done_s / (DURATION_S - WARM_S),
         "bound": bound,
-        "wasted_prefill": truth.wasted_share(),
+        "wasted_prefill": record_check.wasted_share(),
         "by_tier": {tier: {"asked": asked[tier], "in_time": in_time[tier]} for tier in asked},
-        "duplicates": len(truth.doubled),
-        "lies": len(truth.false_refusals),
+        "duplicates": len(record_check.doubled),
+        "lies": len(record_check.false_refusals),
     }
 
 
