--- a/wagtailtrestle/load/client.py
+++ b/wagtailtrestle/load/client.py
@@ -121,8 +121,8 @@
     if not kind.prompt_tokens:
         return json.dumps({"caller": planned.caller_request_id}).encode()
     body = {"model": kind.service, "max_tokens": planned.output_tokens, "stream": kind.stream}
-    if planned.true_output_tokens:
-        body["wagtailtrestle_output_tokens"] = planned.true_output_tokens
+    if planned.actual_output_tokens:
+        body["wagtailtrestle_output_tokens"] = planned.actual_output_tokens
     if kind.path.endswith("/chat/completions"):
         body["messages"] = [{"role": "user", "content": planned.prompt}]
     else:
--- a/wagtailtrestle/load/plan.py
+++ b/wagtailtrestle/load/plan.py
@@ -27,10 +27,10 @@
         Told to the stand-in alone: length of the answer if it is shorter than asked for.
     """
 
-    __slots__ = ("number", "at_s", "kind", "caller_request_id", "prompt", "output_tokens", "true_output_tokens")
+    __slots__ = ("number", "at_s", "kind", "caller_request_id", "prompt", "output_tokens", "actual_output_tokens")
 
-    def __init__(self, *, number, at_s, kind, caller_request_id, prompt, output_tokens, true_output_tokens=0):
-        self.true_output_tokens = true_output_tokens
+    def __init__(self, *, number, at_s, kind, caller_request_id, prompt, output_tokens, actual_output_tokens=0):
+        self.actual_output_tokens = actual_output_tokens
         self.number = number
         self.at_s = at_s
         self.kind = kind
--- a/wagtailtrestle/measure/real_processes.py
+++ b/wagtailtrestle/measure/real_processes.py
@@ -172,7 +172,7 @@
         caller_request_id=f"measure-{arrival.number}",
         prompt=_prompt(arrival),
         output_tokens=arrival.output_cap,
-        true_output_tokens=arrival.output_tokens,
+        actual_output_tokens=arrival.output_tokens,
     )
 
 
