--- a/wagtailtrestle/load/plan.py
+++ b/wagtailtrestle/load/plan.py
@@ -41,38 +41,38 @@
 
 def make_plan(*, kinds, rate, duration_s, seed):
     """Draw Poisson arrivals of ``rate`` a second over ``duration_s``."""
-    draw = random.Random(seed)
+    rng = random.Random(seed)
     weights = [kind.share for kind in kinds]
     planned = []
-    at_s = draw.expovariate(rate)
+    at_s = rng.expovariate(rate)
     while at_s < duration_s:
-        kind = draw.choices(kinds, weights)[0]
-        planned.append(_request(draw, len(planned), at_s, kind, seed))
-        at_s += draw.expovariate(rate)
+        kind = rng.choices(kinds, weights)[0]
+        planned.append(_request(rng, len(planned), at_s, kind, seed))
+        at_s += rng.expovariate(rate)
     return planned
 
 
-def _request(draw, number, at_s, kind, seed):
-    prompt_tokens = _length(draw, kind.prompt_tokens, kind.spread, MAX_PROMPT_TOKENS)
+def _request(rng, number, at_s, kind, seed):
+    prompt_tokens = _length(rng, kind.prompt_tokens, kind.spread, MAX_PROMPT_TOKENS)
     return PlannedRequest(
         number=number,
         at_s=at_s,
         kind=kind,
         caller_request_id=f"load-{seed}-{number}",
-        prompt=_prompt(draw, kind, prompt_tokens),
-        output_tokens=_length(draw, kind.output_tokens, kind.spread / 2, MAX_OUTPUT_TOKENS),
+        prompt=_prompt(rng, kind, prompt_tokens),
+        output_tokens=_length(rng, kind.output_tokens, kind.spread / 2, MAX_OUTPUT_TOKENS),
     )
 
 
-def _length(draw, median, spread, limit):
+def _length(rng, median, spread, limit):
     if not median:
         return 0
-    length = median * math.exp(draw.gauss(0, spread))
+    length = median * math.exp(rng.gauss(0, spread))
     return int(min(max(length, MIN_TOKENS), limit))
 
 
-def _prompt(draw, kind, tokens):
+def _prompt(rng, kind, tokens):
     """Text of about ``tokens`` tokens whose head is shared by all of its kind."""
     head = (f"{kind.name} instructions " * SHARED_PREFIX_TOKENS)[: SHARED_PREFIX_TOKENS * BYTES_PER_TOKEN]
     body_bytes = tokens * BYTES_PER_TOKEN
-    return head[: body_bytes // 2] + draw.randbytes(body_bytes // 2 // 2 + 1).hex()[: body_bytes - body_bytes // 2]
+    return head[: body_bytes // 2] + rng.randbytes(body_bytes // 2 // 2 + 1).hex()[: body_bytes - body_bytes // 2]
