--- a/wagtailtrestle/load/report.py
+++ b/wagtailtrestle/load/report.py
@@ -4,7 +4,7 @@
 
 from hdrh.histogram import HdrHistogram
 
-MIN_LATENCY_US, MAX_LATENCY_US, DIGITS = 1, 600_000_000, 3
+MIN_LATENCY_US, MAX_LATENCY_US, SIGNIFICANT_DIGITS = 1, 600_000_000, 3
 COLUMNS = (
     "tier",
     "sent",
@@ -32,8 +32,8 @@
         self.refused = 0
         self.unknown = 0
         self.unfinished = 0
-        self.total = HdrHistogram(MIN_LATENCY_US, MAX_LATENCY_US, DIGITS)
-        self.first = HdrHistogram(MIN_LATENCY_US, MAX_LATENCY_US, DIGITS)
+        self.total = HdrHistogram(MIN_LATENCY_US, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
+        self.first = HdrHistogram(MIN_LATENCY_US, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
 
     def add(self, result):
         """Count one result."""
