--- a/wagtailtrestle/load/latency.py
+++ b/wagtailtrestle/load/latency.py
@@ -51,15 +51,15 @@
     return {"rate": RATE, "sent": {way: each.total_count for way, each in histograms.items()}, **ways, "added": added}
 
 
-def _send_all(url_by_way, duration_s):
-    histograms = {way: HdrHistogram(1, 60_000_000, 3) for way in url_by_way}
+def _send_all(url_by_path, duration_s):
+    histograms = {way: HdrHistogram(1, 60_000_000, 3) for way in url_by_path}
     pool = urllib3.PoolManager(maxsize=64, retries=False)
     threads = []
     began = time.monotonic()
     for number in range(int(RATE * duration_s)):
         due = began + number / RATE
         time.sleep(max(due - time.monotonic(), 0))
-        for way, url in url_by_way.items():
+        for way, url in url_by_path.items():
             thread = threading.Thread(target=_send, args=(pool, url, histograms[way]))
             thread.start()
             threads.append(thread)
