--- a/wagtailtrestle/load/latency.py
+++ b/wagtailtrestle/load/latency.py
@@ -46,21 +46,21 @@
 def _compare(router, engine):
     _send_all({"router": router, "straight": engine}, WARM_UP_S)
     histograms = _send_all({"router": router, "straight": engine}, DURATION_S)
-    ways = {way: _percentiles(histogram) for way, histogram in histograms.items()}
+    ways = {path: _percentiles(histogram) for path, histogram in histograms.items()}
     added = {key: round(ways["router"][key] - ways["straight"][key], 2) for key in ways["router"]}
-    return {"rate": RATE, "sent": {way: each.total_count for way, each in histograms.items()}, **ways, "added": added}
+    return {"rate": RATE, "sent": {path: each.total_count for path, each in histograms.items()}, **ways, "added": added}
 
 
 def _send_all(url_by_path, duration_s):
-    histograms = {way: HdrHistogram(1, 60_000_000, 3) for way in url_by_path}
+    histograms = {path: HdrHistogram(1, 60_000_000, 3) for path in url_by_path}
     pool = urllib3.PoolManager(maxsize=64, retries=False)
     threads = []
     began = time.monotonic()
     for number in range(int(RATE * duration_s)):
         due = began + number / RATE
         time.sleep(max(due - time.monotonic(), 0))
-        for way, url in url_by_path.items():
-            thread = threading.Thread(target=_send, args=(pool, url, histograms[way]))
+        for path, url in url_by_path.items():
+            thread = threading.Thread(target=_send, args=(pool, url, histograms[path]))
             thread.start()
             threads.append(thread)
     for thread in threads:
