--- a/wagtailtrestle/load/latency.py
+++ b/wagtailtrestle/load/latency.py
@@ -46,9 +46,17 @@
 def _compare(router, engine):
     _send_all({"router": router, "straight": engine}, WARM_UP_S)
     histograms = _send_all({"router": router, "straight": engine}, DURATION_S)
-    ways = {path: _percentiles(histogram) for path, histogram in histograms.items()}
-    added = {key: round(ways["router"][key] - ways["straight"][key], 2) for key in ways["router"]}
-    return {"rate": RATE, "sent": {path: each.total_count for path, each in histograms.items()}, **ways, "added": added}
+    percentiles_by_path = {path: _percentiles(histogram) for path, histogram in histograms.items()}
+    added = {
+        key: round(percentiles_by_path["router"][key] - percentiles_by_path["straight"][key], 2)
+        for key in percentiles_by_path["router"]
+    }
+    return {
+        "rate": RATE,
+        "sent": {path: each.total_count for path, each in histograms.items()},
+        **percentiles_by_path,
+        "added": added,
+    }
 
 
 def _send_all(url_by_path, duration_s):
