--- a/wagtailtrestle/load/mix.py
+++ b/wagtailtrestle/load/mix.py
@@ -102,9 +102,9 @@
         return [f"kinds[{number}]: a mapping is needed"]
     faults = [f"kinds[{number}].{field}: missing" for field in REQUIRED if field not in kind]
     for field, value in kind.items():
-        wanted = FIELDS.get(field)
-        if wanted is None:
+        expected_type = FIELDS.get(field)
+        if expected_type is None:
             faults.append(f"kinds[{number}].{field}: unknown; allowed are {', '.join(FIELDS)}")
-        elif not isinstance(value, wanted):
+        elif not isinstance(value, expected_type):
             faults.append(f"kinds[{number}].{field}: wrong type {type(value).__name__}")
     return faults
