--- a/wagtailtrestle/load/client.py
+++ b/wagtailtrestle/load/client.py
@@ -70,18 +70,18 @@
 
 def send(pool, url, planned, started):
     """Send one request and return its :class:`Result`."""
-    due = started + planned.at_s
-    result = Result(planned=planned, late_s=time.monotonic() - due)
+    due_at = started + planned.at_s
+    result = Result(planned=planned, late_s=time.monotonic() - due_at)
     try:
-        _exchange(pool, url, planned, result, due)
+        _exchange(pool, url, planned, result, due_at)
     except urllib3.exceptions.HTTPError as error:
         result.reason = type(error).__name__
         result.complete = False
-    result.total_s = time.monotonic() - due
+    result.total_s = time.monotonic() - due_at
     return result
 
 
-def _exchange(pool, url, planned, result, due):
+def _exchange(pool, url, planned, result, due_at):
     kind = planned.kind
     response = pool.request(
         kind.method,
@@ -95,9 +95,9 @@
     result.status = response.status
     streamed = response.headers.get("Content-Type", "").startswith("text/event-stream")
     if response.status == 200 and streamed:
-        _read_stream(response, result, due)
+        _read_stream(response, result, due_at)
     else:
-        _read_unary(response, result, due)
+        _read_unary(response, result, due_at)
     response.release_conn()
 
 
@@ -130,11 +130,11 @@
     return json.dumps(body).encode()
 
 
-def _read_stream(response, result, due):
+def _read_stream(response, result, due_at):
     pending = b""
     done = False
     for block in response.stream(amt=None):
-        result.first_s = result.first_s or time.monotonic() - due
+        result.first_s = result.first_s or time.monotonic() - due_at
         pending += block
         *events, pending = pending.split(b"\n\n")
         done = any([_read_event(event.decode(), result) for event in events]) or done
@@ -161,9 +161,9 @@
     return False
 
 
-def _read_unary(response, result, due):
+def _read_unary(response, result, due_at):
     body = response.read()
-    result.first_s = time.monotonic() - due
+    result.first_s = time.monotonic() - due_at
     result.executed = response.headers.get("Wagtailtrestle-Executed", "yes")
     if response.headers.get("Content-Type", "").startswith("application/problem+json"):
         document = json.loads(body)
