--- a/wagtailtrestle/load/latency.py
+++ b/wagtailtrestle/load/latency.py
@@ -65,8 +65,8 @@
     threads = []
     began = time.monotonic()
     for number in range(int(RATE * duration_s)):
-        due = began + number / RATE
-        time.sleep(max(due - time.monotonic(), 0))
+        due_at = began + number / RATE
+        time.sleep(max(due_at - time.monotonic(), 0))
         for path, url in url_by_path.items():
             thread = threading.Thread(target=_send, args=(pool, url, histograms[path]))
             thread.start()
