--- a/wagtailtrestle/load/records.py
+++ b/wagtailtrestle/load/records.py
@@ -72,9 +72,9 @@
     for result in results:
         planned = result.planned
         runs = runs_by_caller_id.get(planned.caller_request_id, [])
-        spent = sum(run.prefill_tokens for run in runs)
-        prefill += spent
-        wasted += spent - (_useful_prefill(runs) if result.complete else 0)
+        run_prefill = sum(run.prefill_tokens for run in runs)
+        prefill += run_prefill
+        wasted += run_prefill - (_useful_prefill(runs) if result.complete else 0)
         starts = sum(run.starts for run in runs)
         if result.executed == "no" and starts:
             false_refusals.append(planned.caller_request_id)
