--- a/tests/utils/running.py
+++ b/tests/utils/running.py
@@ -93,7 +93,7 @@
     return document
 
 
-class Seen:
+class Observation:
     """What one caller saw, of which router, and when (``time.monotonic``)."""
 
     __slots__ = ("result", "router", "sent_at", "first_at", "ended_at")
@@ -218,7 +218,7 @@
         sent_at = time.monotonic()
         planned.at_s = sent_at
         result = send(self._pool, self.deployment.callers_url_by_router[router], planned, 0.0)
-        return Seen(result=result, router=router, sent_at=sent_at)
+        return Observation(result=result, router=router, sent_at=sent_at)
 
     def runs(self):
         """Every run on every engine that still answers, by the caller's request id."""
