--- a/tests/test_drain.py
+++ b/tests/test_drain.py
@@ -39,7 +39,7 @@
         for name in running.routers:
             self.assertEqual(running.router(name).stop(), 0, running.router(name).log_tail())
             running.restart(name)
-            wait_until(running.agree, "routers to agree after a restart")
+            wait_until(running.routers_agree, "routers to agree after a restart")
         time.sleep(AFTER_S)
         seen = load.stop()
         print(f"rolling restart: {len(seen)} requests, {sum(not each.result.complete for each in seen)} refused")
--- a/tests/test_kill_and_freeze.py
+++ b/tests/test_kill_and_freeze.py
@@ -68,7 +68,7 @@
         self.assert_promises(self.running, seen)
         self.assert_all_whole(of_others)
         self.assert_all_whole([each for each in seen if each.sent_at > woken_at])
-        wait_until(self.running.agree, "all routers to agree on one scheduler again")
+        wait_until(self.running.routers_agree, "all routers to agree on one scheduler again")
 
 
 if __name__ == "__main__":
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -80,7 +80,7 @@
         self.assert_all_whole(seen)
         running.restart(scheduler)
         self.publish(())
-        wait_until(running.agree, "all routers to agree on one scheduler")
+        wait_until(running.routers_agree, "all routers to agree on one scheduler")
 
 
 if __name__ == "__main__":
--- a/tests/utils/running.py
+++ b/tests/utils/running.py
@@ -144,7 +144,7 @@
             self.deployment.start()
             self.deployment.apply()
             self.deployment.wait_routers_ready()
-            wait_until(self.agree, "one scheduler on which all routers agree")
+            wait_until(self.routers_agree, "one scheduler on which all routers agree")
         except BaseException:
             self.close()
             raise
@@ -180,7 +180,7 @@
         """Name of the router that is scheduler, as ``asked`` (any live one) sees it."""
         return self.state(asked or self._live()[0])["stewards_by_cell"][cell]
 
-    def agree(self):
+    def routers_agree(self):
         """Whether all live routers name the same scheduler."""
         return len({self.scheduler_of(asked=name) for name in self._live()}) == 1
 
