--- a/tests/test_kill_and_freeze.py
+++ b/tests/test_kill_and_freeze.py
@@ -58,7 +58,7 @@
         frozen_at = time.monotonic()
         self.running.router(scheduler).freeze()
         time.sleep(FROZEN_S)
-        self.assertNotEqual(self.running.scheduler_of(asked=others[0]), scheduler)
+        self.assertNotEqual(self.running.scheduler_of(observer=others[0]), scheduler)
         self.running.router(scheduler).resume()
         woken_at = time.monotonic()
         time.sleep(SETTLED_S)
--- a/tests/utils/disturbances.py
+++ b/tests/utils/disturbances.py
@@ -117,7 +117,7 @@
         self._hit.discard(name)
 
     def _target(self, event):
-        scheduler = self._running.scheduler_of(asked=self._spared)
+        scheduler = self._running.scheduler_of(observer=self._spared)
         live = [name for name in self._running.routers if self._running.router(name).is_running()]
         left = [name for name in live if name not in self._hit and name != self._spared]
         if event.on == SCHEDULER and scheduler in left:
--- a/tests/utils/running.py
+++ b/tests/utils/running.py
@@ -176,13 +176,13 @@
         """A router's own state dump."""
         return self.deployment.get(f"{self.deployment.admin_url_by_router[router]}/state")
 
-    def scheduler_of(self, cell="asistente", *, asked=None):
+    def scheduler_of(self, cell="asistente", *, observer=None):
         """Name of the router that is scheduler, as ``asked`` (any live one) sees it."""
-        return self.state(asked or self._live()[0])["stewards_by_cell"][cell]
+        return self.state(observer or self._live()[0])["stewards_by_cell"][cell]
 
     def routers_agree(self):
         """Whether all live routers name the same scheduler."""
-        return len({self.scheduler_of(asked=name) for name in self._live()}) == 1
+        return len({self.scheduler_of(observer=name) for name in self._live()}) == 1
 
     def faults(self, engine, **values):
         """Set faults of an engine or a service."""
