--- a/tests/test_routers_in_series.py
+++ b/tests/test_routers_in_series.py
@@ -28,16 +28,16 @@
             time.sleep(FLOOD_S)
             disturbance = Disturbance(running=running, events=events)
             disturbance.play(time.monotonic())
-            asked = ask_steadily(running, router=disturbance.spared)
+            results = ask_steadily(running, router=disturbance.spared)
             disturbance.wait()
-            self.assert_promises(running, [*asked, *list(flood.seen)])
+            self.assert_promises(running, [*results, *list(flood.seen)])
         finally:
             running.close()
             flood.stop()
-        slowest_s = max(each.result.total_s for each in asked if each.result.planned.kind.name == "question")
+        slowest_s = max(each.result.total_s for each in results if each.result.planned.kind.name == "question")
         print(f"{routers} routers, {disturbance.notes}: slowest question {slowest_s:.2f} s")
-        lost = [each for each in asked if not each.result.complete]
-        self.assertEqual(lost, [], f"{len(lost)} of {len(asked)}: {disturbance.notes}")
+        lost = [each for each in results if not each.result.complete]
+        self.assertEqual(lost, [], f"{len(lost)} of {len(results)}: {disturbance.notes}")
 
     def test_scheduler_started_again_and_another_router_killed(self):
         events = [
