--- a/tests/test_at_most_once_processes.py
+++ b/tests/test_at_most_once_processes.py
@@ -61,7 +61,7 @@
             for sender in senders:
                 sender.join()
             self.assertEqual(self.check_one_run(planned, seen), 1)
-            self.assert_all_whole(seen)
+            self.assert_all_complete(seen)
 
     def test_sent_again_after_the_first_router_was_killed_while_it_ran(self):
         # The caller's connection breaks while the booking runs, for its router was killed; the
--- a/tests/test_crashing_request.py
+++ b/tests/test_crashing_request.py
@@ -52,7 +52,7 @@
         self.assertLessEqual(runs, MAX_RUNS)
         self.assert_promises(running, [*seen, *after, *sent])
         self.assertEqual([each for each in seen if each.result.reason == "poisoned"], [])
-        self.assert_all_whole(after)
+        self.assert_all_complete(after)
         self.check_restarted_router()
 
     def check_restarted_router(self):
--- a/tests/test_engine_faults.py
+++ b/tests/test_engine_faults.py
@@ -58,7 +58,7 @@
             self.running.faults(name, stream_kind=stream_kind, stream_count=FAULTY_ANSWERS, stream_after_tokens=4)
         seen = self.send_together((QUESTION, PLAN, TAGGING, BOOKING) * 2)
         self.assert_promises(self.running, seen)
-        self.assert_all_whole([each for each in seen if each.result.planned.kind.repeatable])
+        self.assert_all_complete([each for each in seen if each.result.planned.kind.repeatable])
         for each in seen:
             if not each.result.complete:
                 self.assertIn(each.result.executed, ("yes", "unknown"), each)
@@ -105,7 +105,7 @@
             self.running.faults(name, silent_open=True)
         sender.join()
         self.assert_promises(self.running, seen)
-        self.assert_all_whole(seen)
+        self.assert_all_complete(seen)
         slowest_s = max(each.result.total_s for each in seen)
         print(f"open connections silent: slowest whole answer {slowest_s:.2f} s")
 
@@ -121,8 +121,8 @@
         time.sleep(2.0)
         seen = load.stop()
         self.assert_promises(running, seen)
-        self.assert_all_whole([each for each in seen if each.result.planned.kind.repeatable])
-        self.assert_all_whole([each for each in seen if each.sent_at > refused_at + 0.5])
+        self.assert_all_complete([each for each in seen if each.result.planned.kind.repeatable])
+        self.assert_all_complete([each for each in seen if each.sent_at > refused_at + 0.5])
         print(f"connections refused: {sum(not each.result.complete for each in seen)} of {len(seen)} not answered")
 
 
--- a/tests/test_kill_and_freeze.py
+++ b/tests/test_kill_and_freeze.py
@@ -43,8 +43,8 @@
         self.check_gap(others, killed_at, "scheduler killed")
         self.assertNotEqual(self.running.scheduler_of(), scheduler)
         self.assert_promises(self.running, seen)
-        self.assert_all_whole(others)
-        self.assert_all_whole([each for each in seen if each.ended_at < killed_at])
+        self.assert_all_complete(others)
+        self.assert_all_complete([each for each in seen if each.ended_at < killed_at])
         self.running.restart(scheduler)
 
     def test_paused_scheduler(self):
@@ -66,8 +66,8 @@
         of_others = [each for each in seen if each.router != scheduler]
         self.check_gap(of_others, frozen_at, "scheduler paused")
         self.assert_promises(self.running, seen)
-        self.assert_all_whole(of_others)
-        self.assert_all_whole([each for each in seen if each.sent_at > woken_at])
+        self.assert_all_complete(of_others)
+        self.assert_all_complete([each for each in seen if each.sent_at > woken_at])
         wait_until(self.running.routers_agree, "all routers to agree on one scheduler again")
 
 
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -77,7 +77,7 @@
         seen = [running.send(QUESTION, router=others[number % 2]) for number in range(10)]
         self.assertEqual(self.starts_on(LEAVING), starts)
         self.assert_promises(running, seen)
-        self.assert_all_whole(seen)
+        self.assert_all_complete(seen)
         running.restart(scheduler)
         self.publish(())
         wait_until(running.routers_agree, "all routers to agree on one scheduler")
--- a/tests/test_paused_engine.py
+++ b/tests/test_paused_engine.py
@@ -30,7 +30,7 @@
         for sender in [*senders, pause]:
             sender.join()
         self.assert_promises(running, seen)
-        self.assert_all_whole(seen)
+        self.assert_all_complete(seen)
 
     def pause(self, running, pause_s):
         time.sleep(BEFORE_S)
--- a/tests/test_platform_outage.py
+++ b/tests/test_platform_outage.py
@@ -66,7 +66,7 @@
         bookings = [each for each in seen if each.result.planned.kind is BOOKING]
         others = [each for each in seen if each.result.planned.kind is not BOOKING]
         self.assert_promises(running, seen)
-        self.assert_all_whole(others)
+        self.assert_all_complete(others)
         self.assertTrue(bookings)
         told = {(each.result.status, each.result.reason, each.result.executed) for each in bookings}
         self.assertEqual(told, {(503, "ledger_unavailable", "no")})
@@ -84,7 +84,7 @@
         running.router(name).stop()
         running.restart(name)
         self.assertEqual(running.state(name)["configuration"]["generation"], before)
-        self.assert_all_whole([running.send(kind, router=name) for kind in (QUESTION, TAGGING)])
+        self.assert_all_complete([running.send(kind, router=name) for kind in (QUESTION, TAGGING)])
 
     def test_killed_scheduler_during_the_outage(self):
         # As without the outage: who lives is told by heartbeats, so a new scheduler is found
@@ -96,7 +96,7 @@
         running.router(scheduler).kill()
         seen = [running.send(QUESTION, router=others[number % 2]) for number in range(6)]
         self.assert_promises(running, seen)
-        self.assert_all_whole(seen)
+        self.assert_all_complete(seen)
         running.restart(scheduler)
 
     def apply(self, name, share):
@@ -117,7 +117,7 @@
         print(f"configuration: in force on every router {took_s:.2f} s after it was accepted")
         self.assertLess(took_s, IN_FORCE_S + NOISY_MACHINE_S)
         self.assert_promises(self.running, seen)
-        self.assert_all_whole(seen)
+        self.assert_all_complete(seen)
 
     def test_watch_is_silent(self):
         # The platform tells no watch of the new declaration, so every watch waits on in vain.
--- a/tests/test_slow_service.py
+++ b/tests/test_slow_service.py
@@ -65,7 +65,7 @@
         for sender in senders:
             sender.join()
         self.assert_promises(running, seen)
-        self.assert_all_whole(seen)
+        self.assert_all_complete(seen)
 
 
 if __name__ == "__main__":
--- a/tests/test_tier_order.py
+++ b/tests/test_tier_order.py
@@ -77,7 +77,7 @@
     def check(self, questions, what):
         flood = list(self.flood.seen)
         self.assert_promises(self.running, [*flood, *questions])
-        self.assert_all_whole(questions)
+        self.assert_all_complete(questions)
         slowest_s = max(each.result.total_s for each in questions)
         print(f"{what}: slowest question {slowest_s:.2f} s")
 
--- a/tests/utils/running.py
+++ b/tests/utils/running.py
@@ -352,7 +352,7 @@
             if each.result.complete:
                 self.assertTrue(is_own_whole_answer(each.result), each)
 
-    def assert_all_whole(self, seen):
+    def assert_all_complete(self, seen):
         """Every caller got its whole answer."""
         self.assertEqual([each for each in seen if not each.result.complete], [])
 
