--- a/tests/test_at_most_once_processes.py
+++ b/tests/test_at_most_once_processes.py
@@ -47,7 +47,7 @@
         self.assertLessEqual(len({each.result.text for each in seen if each.result.complete}), 1)
         if starts == 0:
             self.assertEqual([each for each in seen if each.result.complete], [])
-        self.assert_whole_answers_are_own(seen)
+        self.assert_complete_answers_match(seen)
         return starts
 
     def test_sent_to_two_routers_at_once(self):
--- a/tests/utils/running.py
+++ b/tests/utils/running.py
@@ -333,7 +333,7 @@
         runs = running.runs()
         self.assert_no_request_ran_twice(runs, seen)
         self.assert_told_not_run_means_not_run(runs, seen)
-        self.assert_whole_answers_are_own(seen)
+        self.assert_complete_answers_match(seen)
 
     def assert_no_request_ran_twice(self, runs, seen):
         """No request that may not be repeated was begun more than once."""
@@ -346,7 +346,7 @@
         told = [each for each in seen if each.result.executed == "no"]
         self.assertEqual([each for each in told if runs.get(each.caller_request_id)], [])
 
-    def assert_whole_answers_are_own(self, seen):
+    def assert_complete_answers_match(self, seen):
         """Every answer given as whole is the whole answer to that very request."""
         for each in seen:
             if each.result.complete:
