--- a/tests/utils/running.py
+++ b/tests/utils/running.py
@@ -332,7 +332,7 @@
         """Every promise that holds whatever fails."""
         runs = running.runs()
         self.assert_no_request_ran_twice(runs, seen)
-        self.assert_told_not_run_means_not_run(runs, seen)
+        self.assert_refused_requests_never_started(runs, seen)
         self.assert_complete_answers_match(seen)
 
     def assert_no_request_ran_twice(self, runs, seen):
@@ -341,7 +341,7 @@
         starts = {name: sum(run.starts for run in runs.get(name, ())) for name in once}
         self.assertEqual({name: count for name, count in starts.items() if count > 1}, {})
 
-    def assert_told_not_run_means_not_run(self, runs, seen):
+    def assert_refused_requests_never_started(self, runs, seen):
         """Nothing of which a caller was told ``executed: no`` was ever begun."""
         told = [each for each in seen if each.result.executed == "no"]
         self.assertEqual([each for each in told if runs.get(each.caller_request_id)], [])
