--- a/tests/test_drain.py
+++ b/tests/test_drain.py
@@ -44,7 +44,7 @@
         seen = load.stop()
         print(f"rolling restart: {len(seen)} requests, {sum(not each.result.complete for each in seen)} refused")
         self.assert_promises(running, seen)
-        self.assert_none_cut(seen)
+        self.assert_all_complete_or_refused(seen)
         self.assertEqual([each for each in seen if not each.result.complete and each.result.reason != "draining"], [])
 
     def stop_engine(self, name, kinds):
@@ -56,7 +56,7 @@
         seen = load.stop()
         print(f"{name} stopped: {len(seen)} requests, {sum(not each.result.complete for each in seen)} refused")
         self.assert_promises(self.running, seen)
-        self.assert_none_cut(seen)
+        self.assert_all_complete_or_refused(seen)
         self.running.engine(name).start()
         self.running.engine(name).wait_ready()
 
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -42,7 +42,7 @@
         wait_until(lambda: self.starts_on(LEAVING) > starts, "new work once the mark was taken back")
         seen = load.stop()
         self.assert_promises(self.running, seen)
-        self.assert_none_cut(seen)
+        self.assert_all_complete_or_refused(seen)
         refused = sum(not each.result.complete for each in seen)
         print(f"leaving by {what}: {refused} of {len(seen)} refused, {time.monotonic() - marked_at:.1f} s watched")
 
--- a/tests/utils/running.py
+++ b/tests/utils/running.py
@@ -356,7 +356,7 @@
         """Every caller got its whole answer."""
         self.assertEqual([each for each in seen if not each.result.complete], [])
 
-    def assert_none_cut(self, seen):
+    def assert_all_complete_or_refused(self, seen):
         """Every caller got its whole answer, or was truthfully told that it was not run."""
         self.assertEqual([each for each in seen if not each.result.complete and each.result.executed != "no"], [])
 
