--- a/tests/utils/running.py
+++ b/tests/utils/running.py
@@ -350,7 +350,7 @@
         """Every answer given as whole is the whole answer to that very request."""
         for each in seen:
             if each.result.complete:
-                self.assertTrue(is_own_whole_answer(each.result), each)
+                self.assertTrue(is_expected_answer(each.result), each)
 
     def assert_all_complete(self, seen):
         """Every caller got its whole answer."""
@@ -361,7 +361,7 @@
         self.assertEqual([each for each in seen if not each.result.complete and each.result.executed != "no"], [])
 
 
-def is_own_whole_answer(result):
+def is_expected_answer(result):
     """Whether the text is the whole answer to what this caller asked."""
     planned = result.planned
     if planned.kind.prompt_tokens:
