--- a/tests/utils/running.py
+++ b/tests/utils/running.py
@@ -30,7 +30,7 @@
 BALANCER_POLL_S = 0.1
 PROBE_TIMEOUT_S = 0.5
 WAIT_S = 15.0
-TRIES_TO_CONNECT = 5
+MAX_CONNECT_ATTEMPTS = 5
 NOT_CONNECTED = "NewConnectionError"
 """Reason of a result whose request never left the caller: no connection was made."""
 
@@ -302,7 +302,7 @@
             time.sleep(max(due - time.monotonic(), 0.0))
 
     def _send(self, planned):
-        for _ in range(TRIES_TO_CONNECT):
+        for _ in range(MAX_CONNECT_ATTEMPTS):
             seen = self.running.send(planned.kind, router=self._pick(), planned=planned)
             if seen.result.reason != NOT_CONNECTED:
                 break
