--- a/tests/utils/running.py
+++ b/tests/utils/running.py
@@ -31,7 +31,7 @@
 PROBE_TIMEOUT_S = 0.5
 WAIT_S = 15.0
 MAX_CONNECT_ATTEMPTS = 5
-NOT_CONNECTED = "NewConnectionError"
+CONNECT_FAILED_REASON = "NewConnectionError"
 """Reason of a result whose request never left the caller: no connection was made."""
 
 QUESTION = RequestKind(
@@ -304,7 +304,7 @@
     def _send(self, planned):
         for _ in range(MAX_CONNECT_ATTEMPTS):
             seen = self.running.send(planned.kind, router=self._pick(), planned=planned)
-            if seen.result.reason != NOT_CONNECTED:
+            if seen.result.reason != CONNECT_FAILED_REASON:
                 break
             time.sleep(BALANCER_POLL_S)
         self.seen.append(seen)
