--- a/tests/utils/running.py
+++ b/tests/utils/running.py
@@ -264,7 +264,7 @@
         self.running = running
         self.seen = []
         self._kinds = itertools.cycle(kinds)
-        self._pause_s = 1.0 / rate
+        self._interval_s = 1.0 / rate
         self._routers = list(routers or running.routers)
         self._ready = list(self._routers)
         self._turn = itertools.count()
@@ -298,7 +298,7 @@
             sender = threading.Thread(target=self._send, args=(planned,))
             self._senders.append(sender)
             sender.start()
-            due += self._pause_s
+            due += self._interval_s
             time.sleep(max(due - time.monotonic(), 0.0))
 
     def _send(self, planned):
