--- a/tests/utils/running.py
+++ b/tests/utils/running.py
@@ -267,7 +267,7 @@
         self._interval_s = 1.0 / rate
         self._routers = list(routers or running.routers)
         self._ready = list(self._routers)
-        self._turn = itertools.count()
+        self._request_count = itertools.count()
         self._stopping = threading.Event()
         self._senders = []
         self._threads = [threading.Thread(target=self._send_steadily), threading.Thread(target=self._probe_steadily)]
@@ -311,7 +311,7 @@
 
     def _pick(self):
         ready = self._ready or self._routers
-        return ready[next(self._turn) % len(ready)]
+        return ready[next(self._request_count) % len(ready)]
 
     def _probe_steadily(self):
         pool = urllib3.PoolManager(retries=False, timeout=PROBE_TIMEOUT_S)
