--- a/tests/utils/running.py
+++ b/tests/utils/running.py
@@ -303,13 +303,13 @@
 
     def _send(self, planned):
         for _ in range(MAX_CONNECT_ATTEMPTS):
-            seen = self.running.send(planned.kind, router=self._pick(), planned=planned)
+            seen = self.running.send(planned.kind, router=self._next_router(), planned=planned)
             if seen.result.reason != CONNECT_FAILED_REASON:
                 break
             time.sleep(BALANCER_POLL_S)
         self.seen.append(seen)
 
-    def _pick(self):
+    def _next_router(self):
         ready = self._ready or self._routers
         return ready[next(self._request_count) % len(ready)]
 
