--- a/tests/utils/running.py
+++ b/tests/utils/running.py
@@ -343,8 +343,8 @@
 
     def assert_refused_requests_never_started(self, runs, seen):
         """Nothing of which a caller was told ``executed: no`` was ever begun."""
-        told = [each for each in seen if each.result.executed == "no"]
-        self.assertEqual([each for each in told if runs.get(each.caller_request_id)], [])
+        refused = [each for each in seen if each.result.executed == "no"]
+        self.assertEqual([each for each in refused if runs.get(each.caller_request_id)], [])
 
     def assert_complete_answers_match(self, seen):
         """Every answer given as whole is the whole answer to that very request."""
