--- a/tests/test_whole_path.py
+++ b/tests/test_whole_path.py
@@ -42,7 +42,7 @@
         cls.deployment.close()
         cls.directory.cleanup()
 
-    def ask(self, router, path, document, **headers):
+    def send_request(self, router, path, document, **headers):
         url = self.deployment.callers_urls()[router] + path
         return urllib3.request("POST", url, json=document, headers={**KEY, **headers}, retries=False, timeout=15)
 
@@ -50,14 +50,16 @@
         return {"model": "asistente", "max_tokens": 6, "messages": [{"role": "user", "content": PROMPT}], **fields}
 
     def test_whole_chat_answer(self):
-        answer = self.ask(0, "/v1/chat/completions", self.chat())
+        answer = self.send_request(0, "/v1/chat/completions", self.chat())
         self.assertEqual(answer.status, 200, answer.data)
         document = answer.json()
         self.assertEqual(document["choices"][0]["message"]["content"], whole_answer(PROMPT, 6))
         self.assertEqual(document["usage"]["completion_tokens"], 6)
 
     def test_streamed_chat_answer(self):
-        answer = self.ask(1, "/v1/chat/completions", self.chat(stream=True, temperature=0.2, user="a", stop=None))
+        answer = self.send_request(
+            1, "/v1/chat/completions", self.chat(stream=True, temperature=0.2, user="a", stop=None)
+        )
         self.assertEqual(answer.status, 200, answer.data)
         events = [line[6:] for line in answer.data.decode().splitlines() if line.startswith("data: ")]
         self.assertEqual(events[-1], "[DONE]")
@@ -68,7 +70,8 @@
         # in the platform's store before it dispatched; the second finds the claim and gives
         # the recorded answer, so the booking engine ran it once.
         answers = [
-            self.ask(router, "/reservas/bookings", {"slot": 4}, **{"Idempotency-Key": "family-4"}) for router in (0, 1)
+            self.send_request(router, "/reservas/bookings", {"slot": 4}, **{"Idempotency-Key": "family-4"})
+            for router in (0, 1)
         ]
         self.assertEqual([answer.status for answer in answers], [200, 200], answers[1].data)
         self.assertEqual(answers[0].data, answers[1].data)
@@ -87,7 +90,7 @@
         self.assertIn(b"wagtailtrestle_standin_starts", metrics)
 
     def test_unknown_key_is_refused_and_nothing_runs(self):
-        answer = self.ask(0, "/v1/chat/completions", self.chat(), Authorization="Bearer nobody")
+        answer = self.send_request(0, "/v1/chat/completions", self.chat(), Authorization="Bearer nobody")
         self.assertEqual(answer.status, 401)
         self.assertEqual(answer.json()["executed"], "no")
         self.assertEqual(answer.headers["Wagtailtrestle-Executed"], "no")
