--- a/wagtailtrestle/cli/__init__.py
+++ b/wagtailtrestle/cli/__init__.py
@@ -1,1 +1,1 @@
-"""Command-line programs: thin mains over fire."""
+"""Command-line programs, built with fire."""
--- a/wagtailtrestle/cli/dump.py
+++ b/wagtailtrestle/cli/dump.py
@@ -1,4 +1,4 @@
-"""``wagtailtrestle-dump``: prints one running process's whole state."""
+"""``wagtailtrestle-dump``: prints the state of one running process."""
 
 import json
 import sys
@@ -16,18 +16,18 @@
 
 
 def run(environment, arguments):
-    """Run one dump's command line in ``environment``."""
+    """Parse and run a ``wagtailtrestle-dump`` command line in ``environment``."""
 
     def make_command(plan):
         @SetParseFn(str)
         def dump(url, *, json=False):
-            """Print the whole state of one running process, as YAML.
+            """Print the complete state of one running process as YAML.
 
-            Works on routers and stand-ins alike. Keys and prompts are never in it.
+            Works with routers and stand-ins. The state never contains keys or prompts.
             Exit statuses: 0 done; 4 the process could not be reached.
 
             Args:
-                url: Admin address of the process, for instance http://10.0.0.7:9090
+                url: Admin address of the process, for example http://10.0.0.7:9090
                 json: Print JSON instead.
             """
             plan.defer(lambda: print_state(environment, url=url, as_json=json))
@@ -48,7 +48,7 @@
     state = environment.fetch_json(state_url)
     if not isinstance(state, dict):
         environment.complain(
-            f"No state from {state_url}: {state}. Check that the process runs and that this is its admin address."
+            f"No state from {state_url}: {state}. Check that the process is running and that this is its admin address."
         )
         return ExitStatus.NOT_REACHED
     if arguments["json"]:
@@ -59,7 +59,7 @@
 
 
 def main():
-    """Run this process's command line."""
+    """Run the command line of this process and exit with its status."""
     sys.exit(run(Environment.of_process(program=PROGRAM), sys.argv[1:]))
 
 
--- a/wagtailtrestle/cli/explain.py
+++ b/wagtailtrestle/cli/explain.py
@@ -1,4 +1,4 @@
-"""``wagtailtrestle explain``: from routers' log files to what became of requests."""
+"""``wagtailtrestle explain``: request outcomes, reconstructed from router log files."""
 
 from datetime import UTC, datetime
 
@@ -8,7 +8,7 @@
 
 
 def explain(environment, *, files, request_id, by, begin, end):
-    """Print one request's way, or a table of lost requests, and return the exit status."""
+    """Print the log lines of one request or a table of lost requests, and return the exit status."""
     if not files:
         environment.complain("Give at least one log file. Nothing was read.")
         return ExitStatus.USAGE
@@ -32,7 +32,7 @@
     lines = story(logs, request_id)
     if not lines:
         environment.complain(
-            f"No line names {request_id}. Give the files of all routers: a caller's second try reaches another one."
+            f"No log line mentions {request_id}. Give the files of all routers: a retry may go to another router."
         )
         return ExitStatus.CHECK_FAILED
     environment.say(story_text(lines))
@@ -52,7 +52,7 @@
 
 
 def _time(environment, name, text):
-    """Unix seconds of a time as the logs write it, ``None`` without one."""
+    """Parse a timestamp in the logs' format (UTC if it has no offset) into Unix seconds; ``None`` stays ``None``."""
     if text is None:
         return None
     try:
--- a/wagtailtrestle/cli/load.py
+++ b/wagtailtrestle/cli/load.py
@@ -1,4 +1,4 @@
-"""``wagtailtrestle-load``: open-loop load against running routers."""
+"""``wagtailtrestle-load``: generates open-loop load against running routers."""
 
 import json
 import sys
@@ -18,23 +18,23 @@
 
 
 def load(*, url, mix, rate=20.0, duration_s=10.0, seed=1, engines="", json_output=False):
-    """Send a mix of requests open-loop and print goodput by tier.
+    """Send a mix of requests open-loop and print the goodput of each tier.
 
     Parameters
     ----------
     url : str
-        Callers' address of a router, or several separated by commas.
+        Address at which a router accepts callers, or several separated by commas.
     mix : str
         YAML file with the request kinds.
     rate : float
-        Requests a second, over all kinds.
+        Requests per second, over all kinds.
     duration_s : float
         How long new requests are sent.
     seed : int
-        The same seed sends the same requests at the same times.
+        The same seed gives the same requests at the same times.
     engines : str
-        Engines' addresses separated by commas; their own records are checked
-        against what callers were told.
+        Engine addresses separated by commas. The callers' responses are checked
+        against the runs that these engines recorded.
     json_output : bool
         Print one JSON document instead of the table.
     """
@@ -71,7 +71,7 @@
 
 
 def main():
-    """Console script."""
+    """Run the command line of this process and exit with its status."""
     outcome = fire.Fire(load, serialize=lambda _: None)
     sys.exit(outcome if isinstance(outcome, int) else 0)
 
--- a/wagtailtrestle/cli/operate.py
+++ b/wagtailtrestle/cli/operate.py
@@ -1,4 +1,4 @@
-"""``wagtailtrestle``: the operators' command line on declarations."""
+"""``wagtailtrestle``: the operators' command line for declarations and router logs."""
 
 import asyncio
 import sys
@@ -31,12 +31,12 @@
 
 
 class OperatorCommands:
-    """Checks and applies declarations, and shows where they are in force.
+    """Check and apply declarations, show where they are in force, and explain request outcomes.
 
-    A declaration is one YAML file that holds everything: tiers, teams, services, routes and
-    engines. Applying it replaces the one before, as a whole, on every router.
+    A declaration is one YAML file with all tiers, teams, services, routes and engines.
+    Applying it replaces the previous declaration completely, on every router.
 
-    Exit statuses: 0 done; 1 a check failed; 2 wrong usage; 3 conflict, somebody else applied first;
+    Exit statuses: 0 done; 1 a check failed; 2 wrong usage; 3 conflict, another declaration was applied first;
     4 platform unreachable, nothing was applied; 5 unknown whether it was applied.
     """
 
@@ -46,9 +46,9 @@
 
     @SetParseFn(str)
     def check(self, file):
-        """Check a declaration and print every fault at once, with its line.
+        """Check a declaration and print all its faults with their line numbers.
 
-        Nothing but the file is read. Exit status 0 if it is sound, 1 if not.
+        Reads only the file. Exit status 0 if it is valid, 1 if not.
 
         Args:
             file: The declaration, YAML.
@@ -57,15 +57,15 @@
 
     @SetParseFn(str)
     def diff(self, file, *, platform=None, against=None):
-        """Show what applying a declaration would change; changes nothing.
+        """Show what applying a declaration would change, without applying it.
 
-        Lines begin with '+' (added), '-' (removed) or '~' (changed). With --platform it
-        prints the accepted generation, to be given to `apply --base`.
+        Lines begin with '+' (added), '-' (removed) or '~' (changed). With --platform it also
+        prints the accepted generation, which `apply --base` takes.
 
         Args:
             file: The new declaration.
             platform: URL of the platform; compares with the accepted declaration.
-            against: Another declaration's file to compare with instead.
+            against: Another declaration file to compare with instead.
         """
         self._plan.defer(lambda: diff(self._environment, file=file, platform=platform, against=against))
 
@@ -73,15 +73,15 @@
     def apply(self, file, *, platform, base=None):
         """Check a declaration and make it the accepted one, in a single update.
 
-        Routers put it in force within seconds: see `status`. If a check fails, nothing
-        is applied. An answer lost on the way is settled by reading back.
+        Routers put it in force within seconds: see `status`. If a check fails, nothing is applied.
+        If the platform's response is lost, the declaration is read back to find out whether it was applied.
 
         Args:
             file: The declaration.
             platform: URL of the platform.
-            base: The generation that the file was made from, as printed by `diff` or `status`. If
-                another one is accepted by now, nothing is applied (exit status 3). Without
-                it, whatever is accepted is replaced.
+            base: The generation that the file is based on, as printed by `diff` or `status`. If another
+                generation has been accepted since, nothing is applied (exit status 3). Without --base,
+                the accepted declaration is replaced whatever its generation.
         """
         self._plan.defer(lambda: apply_file(self._environment, file=file, platform=platform, base=base))
 
@@ -89,7 +89,7 @@
     def status(self, *, platform):
         """Show the accepted generation and the one in force on each router.
 
-        Exit status 0 if every router that is to stay has it in force, else 1.
+        Exit status 0 if every router that is not leaving has it in force, otherwise 1.
 
         Args:
             platform: URL of the platform.
@@ -98,33 +98,34 @@
 
     @SetParseFn(str)
     def explain(self, *files, id=None, by="cause", begin=None, end=None):  # noqa: A002
-        """Tell from routers' log files what became of requests.
+        """Show the outcomes of requests from router log files.
 
-        With --id: every line about one request, in order of time. Without: a table of the requests
-        that got no answer. Files of all routers, in any order; torn lines are passed over and counted.
+        With --id: every log line about one request, in chronological order. Without: a table of the
+        requests that got no answer. Give the files of all routers, in any order; incomplete lines
+        are skipped and counted.
 
         Args:
-            files: Log files in JSON, as routers write them; what stands before the JSON is passed over.
-            id: The caller's id of a request, or the router's.
-            by: What to count by beside the cause: cause, tier, team, zone or second.
-            begin: Count from this time on, as in the logs, UTC.
-            end: Count up to this time.
+            files: Log files in JSON, as routers write them; any prefix before the JSON is skipped.
+            id: The request id given by the caller or by the router.
+            by: What to count by, in addition to the cause: cause, tier, team, zone or second.
+            begin: Count requests from this time on, in the logs' format, UTC.
+            end: Count requests up to this time.
         """
         self._plan.defer(lambda: explain(self._environment, files=files, request_id=id, by=by, begin=begin, end=end))
 
 
 def check(environment, *, file):
-    """Check a file, print what was found and return the exit status."""
+    """Check a file, print its faults or a summary, and return the exit status."""
     loaded = _load(environment, file)
     if isinstance(loaded, ExitStatus):
         return loaded
     _, declaration = loaded
-    environment.say(f"{file} is sound. {summary_text(declaration)}")
+    environment.say(f"{file} is valid. {summary_text(declaration)}")
     return ExitStatus.DONE
 
 
 def diff(environment, *, file, platform, against):
-    """Print what applying a file would change and return the exit status."""
+    """Print what applying a file would change, and return the exit status."""
     if (platform is None) == (against is None):
         environment.complain("Give either --platform URL or --against FILE. Nothing was run.")
         return ExitStatus.USAGE
@@ -159,7 +160,7 @@
     other = parse_declaration(accepted.text, file=base)
     if isinstance(other, DeclarationFaults):
         environment.complain(faults_text(other.faults))
-        environment.complain(f"{base} was accepted, but this version of {PROGRAM} can't read it: use the newer one.")
+        environment.complain(f"{base} was accepted, but this version of {PROGRAM} can't read it: use a newer version.")
         return ExitStatus.CHECK_FAILED
     return _print_difference(environment, other, declaration, base=base)
 
@@ -173,7 +174,7 @@
 
 
 def apply_file(environment, *, file, platform, base):
-    """Check and apply a file, say what came of it and return the exit status."""
+    """Check and apply a file, print the outcome, and return the exit status."""
     arguments = read_arguments(
         environment, platform=(platform, Url()), base=(base, Integer(least=0, most=MAX_GENERATION))
     )
@@ -198,7 +199,7 @@
             ),
         )
     except KeyboardInterrupt:
-        # The update may be on its way already, so "not applied" would be a guess.
+        # The update may have been sent already, so it is not known to be unapplied.
         outcome = ApplyUnknown(detail="interrupted")
     return _report_apply(environment, outcome, file=file, platform=arguments["platform"], apply_id=apply_id)
 
@@ -232,7 +233,7 @@
 
 
 def status(environment, *, platform):
-    """Print what is accepted and in force and return the exit status."""
+    """Print the accepted generation and those in force, and return the exit status."""
     arguments = read_arguments(environment, platform=(platform, Url()))
     if arguments is None:
         return ExitStatus.USAGE
@@ -252,7 +253,7 @@
 
 
 def _load(environment, file):
-    """Return a file's text and declaration, or the exit status after complaining."""
+    """Return a file's text and declaration, or the exit status after printing what is wrong."""
     content = read_file(file)
     if isinstance(content, str):
         environment.complain(f"{file} {content}. Give a readable file.")
@@ -282,7 +283,7 @@
 
 
 def run(environment, arguments):
-    """Run one command line in ``environment``."""
+    """Parse and run an operator's command line in ``environment``."""
     return run_program(
         lambda plan: OperatorCommands(plan=plan, environment=environment),
         environment=environment,
@@ -291,7 +292,7 @@
 
 
 def main():
-    """Run this process's command line."""
+    """Run the command line of this process and exit with its status."""
     sys.exit(run(Environment.of_process(program=PROGRAM), sys.argv[1:]))
 
 
--- a/wagtailtrestle/cli/router.py
+++ b/wagtailtrestle/cli/router.py
@@ -15,17 +15,17 @@
 
 
 def run(environment, arguments):
-    """Run one router's command line in ``environment``."""
+    """Parse and run a ``wagtailtrestle-router`` command line in ``environment``."""
 
     def make_command(plan):
         @SetParseFn(str)
         def router(*, settings):
-            """Run one router until SIGTERM, which lets requests in flight finish first.
+            """Run one router until SIGTERM; requests in flight are finished before it exits.
 
-            Exit statuses: 0 stopped as asked; 1 an address could not be listened on; 2 the settings are faulty.
+            Exit statuses: 0 stopped on request; 1 could not listen on an address; 2 the settings are invalid.
 
             Args:
-                settings: The router's own settings file, YAML; see examples/settings/router.yaml.
+                settings: The settings file of this router, YAML; see examples/settings/router.yaml.
             """
             plan.defer(lambda: start_router(environment, settings_file=settings))
 
@@ -35,10 +35,10 @@
 
 
 def start_router(environment, *, settings_file):
-    """Run the router that a settings file describes and return its exit status."""
+    """Run the router described by a settings file, and return its exit status."""
     settings = load_router_settings(settings_file)
     if isinstance(settings, SettingsFaults):
-        # Imported late: it brings an HTTP client, which only the commands that print need.
+        # Imported only here: it loads an HTTP client, which a router that starts does not need.
         from wagtailtrestle.output.text import faults_text
 
         environment.complain(faults_text(settings.faults))
@@ -49,7 +49,7 @@
     except OSError as error:
         environment.complain(cannot_listen(error))
         return ExitStatus.CHECK_FAILED
-    # Imported after the listener is there: they take longer than all that goes before.
+    # Imported once the listener exists: these imports take longer than everything before them.
     from wagtailtrestle.observe.logs import start_logs
 
     logs = start_logs(stream=environment.stdout, level=settings.log_level, as_json=settings.log_json)
@@ -62,7 +62,7 @@
 
 
 def main():
-    """Run this process's command line."""
+    """Run the command line of this process and exit with its status."""
     sys.exit(run(Environment.of_process(program=PROGRAM), sys.argv[1:]))
 
 
--- a/wagtailtrestle/cli/runner.py
+++ b/wagtailtrestle/cli/runner.py
@@ -1,4 +1,4 @@
-"""Runs a program's command line with fire, and turns its errors into plain messages."""
+"""Parses a program's command line with fire, runs the command, and cleans up fire's messages."""
 
 import io
 import re
@@ -10,7 +10,7 @@
 from wagtailtrestle.exit_status import ExitStatus
 
 ANSI = re.compile(r"\x1b\[[0-9;]*m")
-# fire shows its own notes on how arguments are read as if they were commands of ours.
+# fire lists its own metadata on how arguments are parsed as if it were one of the program's commands.
 FIRE_NOISE = re.compile(
     r"^INFO: .*\n+"
     r"|^GROUPS\n(.*\n)*?.*FIRE_METADATA\n+"
@@ -25,11 +25,11 @@
 
 
 class Plan:
-    """The command that the command line chose, noted while fire reads it and run afterwards.
+    """The command chosen by the command line, recorded while fire parses and run afterwards.
 
-    fire calls a command before it has read the arguments that follow. Run at once, ``apply FILE
-    --platform URL --bsae 7`` would replace the declaration without the check that
-    was asked for, and only then complain of the misspelt flag.
+    fire calls a command before it has parsed the remaining arguments. If the command ran immediately,
+    ``apply FILE --platform URL --bsae 7`` would replace the declaration without the requested
+    check and report the misspelt flag only afterwards.
     """
 
     __slots__ = ("_command",)
@@ -38,22 +38,23 @@
         self._command = None
 
     def defer(self, command):
-        """Remember what to run."""
+        """Set the command to run once the command line has been parsed."""
         self._command = command
 
     @property
     def command(self):
-        """What to run, or ``None`` if no command was named."""
+        """The command to run, or ``None`` if the command line named none."""
         return self._command
 
 
 def run_program(make_fire_component, *, environment, arguments):
-    """Read a command line, run what it names, and return the exit status.
+    """Parse a command line, run its command, and return the exit status.
 
     Parameters
     ----------
-    make_commands : callable
-        Takes a ``Plan`` and returns what fire reads: its functions only note commands there.
+    make_fire_component : callable
+        Takes a ``Plan`` and returns the function or object given to fire; its commands only defer
+        their work to the ``Plan``.
     environment : Environment
     arguments : sequence of str
         Without the program's name.
@@ -69,7 +70,7 @@
     plan = Plan()
     fire_output = io.StringIO()
     try:
-        # fire starts a pager for help on a terminal; here it writes to memory and starts nothing.
+        # On a terminal fire shows help in a pager; with its output redirected to memory it starts none.
         with redirect_stdout(fire_output), redirect_stderr(fire_output):
             fire.Fire(make_fire_component(plan), command=list(arguments), name=environment.program)
     except fire.core.FireExit as fire_exit:
@@ -89,13 +90,13 @@
 
 
 def read_arguments(environment, **typed):
-    """Check arguments, each given as ``name=(text, ValueType)``.
+    """Parse and check arguments, each given as ``name=(text, ValueType)``.
 
     Returns
     -------
     dict or None
-        Values by name; ``None`` after complaining of each faulty one. An absent
-        optional argument, whose text is ``None``, stays ``None``.
+        Values by name, or ``None`` if any argument is invalid; each invalid one is reported. An
+        absent optional argument, whose text is ``None``, stays ``None``.
     """
     values = {}
     has_errors = False
--- a/wagtailtrestle/cli/standin.py
+++ b/wagtailtrestle/cli/standin.py
@@ -1,4 +1,4 @@
-"""``wagtailtrestle-standin``: the stand-ins, each its own process."""
+"""``wagtailtrestle-standin``: runs one stand-in (platform, engine or service) as a process."""
 
 import importlib
 
@@ -9,7 +9,7 @@
     """Run one stand-in process until SIGTERM."""
 
     def platform(self, *, settings):
-        """Run the stand-in platform: object API and list of VMs."""
+        """Run the stand-in platform with its object API and its list of VMs."""
         _run("platform", settings)
 
     def engine(self, *, settings):
@@ -22,12 +22,12 @@
 
 
 def _run(kind, settings_path):
-    # Imported late: an engine's process loads nothing of the platform's.
+    # Imported only here, so that an engine's process does not load the platform's modules.
     importlib.import_module(f"wagtailtrestle.standins.{kind}").main(str(settings_path))
 
 
 def main():
-    """Run the command line."""
+    """Run the command line of this process."""
     fire.Fire(StandinCommands, name="wagtailtrestle-standin")
 
 
