--- a/wagtailtrestle/output/__init__.py
+++ b/wagtailtrestle/output/__init__.py
@@ -1,1 +1,1 @@
-"""Text that the command line prints."""
+"""Formats the text that the command line prints."""
--- a/wagtailtrestle/output/table.py
+++ b/wagtailtrestle/output/table.py
@@ -1,16 +1,16 @@
-"""Plain tables with aligned columns."""
+"""Plain-text tables with aligned columns."""
 
 GAP = "  "
 
 
 def table(*, header, rows):
-    """Return a table as text; numbers are aligned to the right.
+    """Return a table as text; numeric columns are aligned to the right.
 
     Parameters
     ----------
     header : sequence of str
     rows : sequence of sequence
-        Cells are shown by ``str``.
+        Cells are converted with ``str``.
     """
     rows = list(rows)
     columns = list(zip(header, *rows, strict=True))
--- a/wagtailtrestle/output/text.py
+++ b/wagtailtrestle/output/text.py
@@ -1,4 +1,4 @@
-"""Faults, differences and status as text for a person."""
+"""Formats faults, differences and status reports as text."""
 
 from datetime import UTC, datetime
 
@@ -10,7 +10,7 @@
 
 
 def faults_text(faults):
-    """Return faults one a line, with their count at the end."""
+    """Return the faults, one per line, followed by their count."""
     lines = [str(fault) for fault in faults]
     lines.append(f"{len(faults)} fault" + ("s" if len(faults) != 1 else ""))
     return "\n".join(lines)
@@ -29,7 +29,7 @@
 
 
 def summary_text(declaration):
-    """Return the size of a declaration in one line."""
+    """Return the numbers of tiers, teams, services and engines in a declaration, as one line."""
     return (
         f"{declaration.organisation}: {len(declaration.tiers_by_name)} tiers, {len(declaration.teams_by_name)} teams, "
         f"{len(declaration.services_by_name)} services, {len(declaration.engines_by_name)} engines"
@@ -37,7 +37,7 @@
 
 
 def status_text(report):
-    """Return a status report: what is accepted, then a table of the routers."""
+    """Return a status report: the accepted generation, then a table of the routers."""
     if not report.generation:
         accepted = f"accepted generation: {NOT_YET}"
     else:
