--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -1,4 +1,4 @@
-"""The command lines: exit statuses, messages, and that nothing runs on a misread line."""
+"""The command lines: exit statuses, messages, and that an invalid command line runs nothing."""
 
 import io
 import json
@@ -22,7 +22,7 @@
 
 
 class StartedStore(MemoryStore):
-    """Counts starts and closes, as the command line must do both."""
+    """Counts how often it is open, since the command line must close every store it starts."""
 
     routers = ()
     open_count = 0
@@ -115,8 +115,8 @@
         self.assertIsNone(self.applied_text())
 
     def test_conflict_names_the_generation_to_start_from(self):
-        # Two operators start from generation 1. The first applies; the second, whose file lacks
-        # the first one's change, is told so and how to go on. The first one's change stays.
+        # Guards against a lost update: two operators edit generation 1, and the second one to apply would
+        # overwrite the first one's change. The second apply must fail and name the generation to rebase on.
         self.operate("apply", COMETAS, "--platform", URL)
         self.operate("apply", self.changed_cometas(), "--platform", URL, "--base", "1")
         self.assertEqual(self.operate("apply", COMETAS, "--platform", URL, "--base", "1"), ExitStatus.CONFLICT)
@@ -133,9 +133,9 @@
         self.assertEqual(self.operate("apply", COMETAS, "--platform", URL), ExitStatus.DONE)
 
     def test_lost_answer_and_then_an_outage_is_unknown(self):
-        # The update takes effect, its answer is lost and the platform goes down. "Applied" and "not
-        # applied" would both be guesses: the operator is told unknown, and by what id
-        # to recognise the apply once the platform is back.
+        # The update takes effect, its answer is lost and the platform goes down, so neither "applied" nor
+        # "not applied" is known. The message must say unknown and give the apply's id, by which the
+        # operator recognises it once the platform is back.
         self.store.lose_answers = 1
         self.store.after_write = lambda: setattr(self.store, "down", True)
         self.assertEqual(self.operate("apply", COMETAS, "--platform", URL), ExitStatus.UNKNOWN)
@@ -146,9 +146,8 @@
         self.assertEqual(self.operate("apply", COMETAS, "--platform", URL), ExitStatus.UNKNOWN)
 
     def test_misspelt_flag_applies_nothing(self):
-        # fire calls a command before it reads what follows. An operator misspells --base; were the
-        # command run at once, it would replace a colleague's declaration unchecked and
-        # complain of the flag afterwards.
+        # fire calls a command before it parses the remaining arguments. With a misspelt --base, a command that
+        # ran immediately would replace a colleague's declaration unchecked and report the flag only afterwards.
         for extra in (("--bsae", "1"), ("again",), ("--base",), ("--base", "one"), ("--", "--trace")):
             status = self.operate("apply", COMETAS, "--platform", URL, *extra)
             self.assertEqual((status, self.applied_text()), (ExitStatus.USAGE, None), extra)
