--- a/wagtailtrestle/demo/__init__.py
+++ b/wagtailtrestle/demo/__init__.py
@@ -1,4 +1,4 @@
-"""A small deployment on one machine, for the demo, the measurements and the failure tests.
+"""A small local deployment for the demo, the measurements and the failure tests.
 
-This is the only place that starts processes; nothing of the system itself does.
+Only this package starts processes; the system itself never does.
 """
--- a/wagtailtrestle/demo/__main__.py
+++ b/wagtailtrestle/demo/__main__.py
@@ -1,4 +1,4 @@
-"""``make demo``: a small Cometas deployment, a declaration applied, a mixed load, a table."""
+"""``make demo``: starts a small Cometas deployment, applies a declaration, sends a mixed load and prints a table."""
 
 import sys
 import tempfile
@@ -23,7 +23,7 @@
 
 
 def main():
-    """Run the demo; exit status 0 if everything was served and no promise was broken."""
+    """Run the demo; exit status 0 if every tier was served, every guarantee held and all processes stopped cleanly."""
     document = yaml.safe_load((EXAMPLES / "cometas.yaml").read_text())
     kinds = read_mix((EXAMPLES / "load" / "cometas.yaml").read_text())
     with tempfile.TemporaryDirectory(prefix="wagtailtrestle-demo-") as directory:
@@ -58,10 +58,10 @@
 
 
 def capacity(document, kinds, time_scale):
-    """Requests a second of this mix that the language engines can finish.
+    """Return how many requests per second of this mix the language engines can finish.
 
-    An engine's second goes to decode steps at a full batch and to prefill; the mix sets how
-    much of each one request needs.
+    An engine divides its time between prefill and decode steps at a full batch; the mix
+    determines how much of each a request needs.
     """
     language = [kind for kind in kinds if kind.prompt_tokens]
     share = sum(kind.share for kind in language) / sum(kind.share for kind in kinds)
@@ -79,7 +79,7 @@
 
 
 def _mean(median, spread):
-    """Mean of a log-normal draw."""
+    """Mean of a log-normal distribution."""
     return median * 2.718281828 ** (spread * spread / 2)
 
 
--- a/wagtailtrestle/demo/deployment.py
+++ b/wagtailtrestle/demo/deployment.py
@@ -1,4 +1,4 @@
-"""A whole local deployment: stand-in platform, engines and services, and routers."""
+"""A complete local deployment: stand-in platform, engines and services, and routers."""
 
 import json
 from pathlib import Path
@@ -19,21 +19,22 @@
 
 
 class Deployment:
-    """Processes of one deployment in one directory.
+    """The processes of one deployment, with their settings files and logs.
 
     Parameters
     ----------
     directory : pathlib.Path
-        For settings files and logs.
+        Directory for settings files and logs.
     document : dict
-        The declaration as read from YAML; engines get free local addresses.
+        The declaration as read from YAML. Its engines are assigned free local addresses.
     routers : int
+        Number of routers.
     time_scale : float
-        Engines are so many times slower than declared.
+        Factor by which engines are slower than declared.
     engine_settings : dict
-        Further settings of every language engine.
+        Additional settings for every language engine.
     router_settings : dict
-        Further settings of every router.
+        Additional settings for every router.
     """
 
     def __init__(self, *, directory, document, routers=3, time_scale=1.0, engine_settings=None, router_settings=None):
@@ -52,10 +53,10 @@
         self.platform_url = ""
         self._reservations = []
 
-    # Building.
+    # Starting and stopping.
 
     def start(self):
-        """Start everything and wait until every process answers; nothing is applied yet."""
+        """Start all processes and wait for the platform and the engines; no declaration is applied yet."""
         self.directory.mkdir(parents=True, exist_ok=True)
         self._configure_engines()
         self._configure_routers()
@@ -68,12 +69,12 @@
             process.start()
 
     def wait_routers_ready(self):
-        """Wait until every router has a configuration in force."""
+        """Wait until every router is ready, which requires a configuration in force."""
         for process in self.routers_by_name.values():
             process.wait_ready()
 
     def close(self):
-        """Stop every process that was started; return exit statuses by name."""
+        """Stop all running processes gracefully and return their exit statuses by name."""
         running = self._running_processes()
         for process in running:
             process.resume()
@@ -83,7 +84,7 @@
         return statuses
 
     def kill(self):
-        """End every process that was started at once."""
+        """Kill all running processes."""
         for process in self._running_processes():
             process.kill()
         self._release_ports()
@@ -91,13 +92,13 @@
     # Operating.
 
     def declaration_path(self):
-        """Write the present document and return its path."""
+        """Write the current document to a file and return its path."""
         path = self.directory / "declaration.yaml"
         path.write_text(yaml.safe_dump(self.document, sort_keys=False))
         return path
 
     def apply(self):
-        """Apply the present document by the operators' command line."""
+        """Apply the current document with the operators' command line."""
         process = LocalProcess(
             name="apply",
             module=OPERATE_MODULE,
@@ -111,15 +112,15 @@
             raise RuntimeError(f"apply failed with {status}:\n{process.log_tail()}")
 
     def engine_urls(self):
-        """Addresses of all engines, for reading their records."""
+        """URLs of all engines, used to read their records."""
         return [f"http://{engine['address']}" for engine in self.document["engines"]]
 
     def engine_url(self, name):
-        """Address of one engine."""
+        """URL of one engine."""
         return next(f"http://{each['address']}" for each in self.document["engines"] if each["name"] == name)
 
     def callers_urls(self):
-        """Addresses of all routers, as the balancer would know them."""
+        """URLs at which the routers accept callers, as the balancer would know them."""
         return list(self.callers_url_by_router.values())
 
     def post(self, url, document):
@@ -132,7 +133,7 @@
         Raises
         ------
         RuntimeError
-            If the answer is no success, which is no document of the kind asked for.
+            If the status is not 200: the body is then not the requested document.
         """
         response = urllib3.request("GET", url, timeout=CALL_TIMEOUT_S, retries=False)
         if response.status != OK:
@@ -140,7 +141,7 @@
         return json.loads(response.data)
 
     def publish_vms(self, leaving=()):
-        """Tell the platform's list of VMs; names in ``leaving`` are marked so."""
+        """Publish the list of VMs on the platform, with the names in ``leaving`` marked as leaving."""
         return self.post(f"{self.platform_url}/vms", self._vms(leaving))
 
     # Internals.
--- a/wagtailtrestle/demo/processes.py
+++ b/wagtailtrestle/demo/processes.py
@@ -1,4 +1,4 @@
-"""One process of a local deployment: started, watched, frozen, killed and stopped by its id."""
+"""Starts, probes, pauses, kills and stops one process of a local deployment."""
 
 import os
 import signal
@@ -15,11 +15,11 @@
 
 
 class NotReady(Exception):
-    """A process ended or did not answer in time; the text has the end of its log."""
+    """A process exited or was not ready in time; the message includes the end of its log."""
 
 
 class LocalProcess:
-    """A process of ours.
+    """A Python module run as a child process, with its output appended to a log file.
 
     Parameters
     ----------
@@ -28,7 +28,7 @@
         Run with ``python -m``.
     arguments : sequence of str
     ready_url : str
-        Answers 200 once the process is ready.
+        URL that answers 200 once the process is ready.
     log_path : pathlib.Path
     """
 
@@ -44,11 +44,11 @@
 
     @property
     def pid(self):
-        """Process id of the present or last run."""
+        """Process id of the current or most recent run."""
         return self._process.pid
 
     def start(self):
-        """Start it without waiting."""
+        """Start the process without waiting until it is ready."""
         with open(self.log_path, "ab") as log:
             self._process = subprocess.Popen(
                 [sys.executable, "-m", self.module, *self.arguments],
@@ -58,18 +58,24 @@
             )
 
     def wait_ready(self, timeout_s=READY_TIMEOUT_S):
-        """Wait until it answers that it is ready."""
+        """Wait until the process is ready.
+
+        Raises
+        ------
+        NotReady
+            If the process exits or is not ready within ``timeout_s``.
+        """
         deadline = time.monotonic() + timeout_s
         while time.monotonic() < deadline:
             if self._process.poll() is not None:
-                raise NotReady(f"{self.name} ended with {self._process.returncode}:\n{self.log_tail()}")
+                raise NotReady(f"{self.name} exited with status {self._process.returncode}:\n{self.log_tail()}")
             if self.is_ready():
                 return
             time.sleep(POLL_S)
-        raise NotReady(f"{self.name} was not ready in {timeout_s} s:\n{self.log_tail()}")
+        raise NotReady(f"{self.name} was not ready after {timeout_s} s:\n{self.log_tail()}")
 
     def is_ready(self):
-        """Whether it answers its ready URL with 200 now."""
+        """Whether the ready URL answers 200 now."""
         try:
             return urllib3.request("GET", self.ready_url, timeout=PROBE_TIMEOUT_S, retries=False).status == 200
         except urllib3.exceptions.HTTPError:
@@ -80,7 +86,7 @@
         return self._process is not None and self._process.poll() is None
 
     def stop(self, timeout_s=STOP_TIMEOUT_S):
-        """Ask it to stop gracefully, then kill it; return its exit status."""
+        """Send SIGTERM, kill the process if it is still running after ``timeout_s``, and return its exit status."""
         if self._process is None:
             return None
         if self.is_running():
@@ -89,11 +95,11 @@
         return self.wait_stopped(timeout_s)
 
     def terminate(self):
-        """Ask it to stop gracefully without waiting."""
+        """Send SIGTERM without waiting."""
         self._process.terminate()
 
     def wait_stopped(self, timeout_s=STOP_TIMEOUT_S):
-        """Wait for it to end by itself, then kill it; return its exit status."""
+        """Wait for the process to exit, kill it if it has not after ``timeout_s``, and return its exit status."""
         try:
             self._process.wait(timeout_s)
         except subprocess.TimeoutExpired:
@@ -101,19 +107,19 @@
         return self._process.returncode
 
     def kill(self):
-        """End it at once."""
+        """Send SIGKILL and wait until the process has exited."""
         self._process.kill()
         self._process.wait()
 
     def freeze(self):
-        """Pause it as a stopped VM is paused."""
+        """Pause the process with SIGSTOP, as a paused VM would be."""
         os.kill(self.pid, signal.SIGSTOP)
 
     def resume(self):
-        """Let it go on after :meth:`freeze`."""
+        """Continue the process after :meth:`freeze`."""
         os.kill(self.pid, signal.SIGCONT)
 
     def log_tail(self, lines=30):
-        """End of what it wrote."""
+        """Last lines of the process's log."""
         text = self.log_path.read_text(errors="replace")
         return "\n".join(text.splitlines()[-lines:])
