--- a/wagtailtrestle/load/__init__.py
+++ b/wagtailtrestle/load/__init__.py
@@ -1,1 +1,1 @@
-"""Open-loop load: who asks what, when, and whether the answers were true."""
+"""Open-loop load generation, and checks of the responses against the engines' records."""
--- a/wagtailtrestle/load/client.py
+++ b/wagtailtrestle/load/client.py
@@ -1,4 +1,4 @@
-"""One caller: sends a planned request and reads its answer whole."""
+"""One caller: sends a planned request and reads the complete answer."""
 
 import json
 import time
@@ -11,25 +11,25 @@
 
 
 class Result:
-    """What one caller saw.
+    """The outcome of one request as its caller observed it.
 
     Parameters
     ----------
     planned : PlannedRequest
     status : int
-        HTTP status; 0 when no answer came.
-    whole : bool
-        Whether a whole answer was received.
+        HTTP status; 0 if no answer arrived.
+    complete : bool
+        Whether a complete answer was received.
     executed : str
-        ``no``, ``unknown``, ``yes``; ``unknown`` when no answer came.
+        ``no``, ``unknown`` or ``yes``; ``unknown`` if no answer arrived.
     reason : str
-        The refusal's reason, or what broke.
+        The reason given in a refusal, or the error that occurred.
     late_s : float
-        How much later than planned it was sent (the load's own lag).
+        How much later than planned the request was sent (the lag of the load generator).
     first_s, total_s : float
-        From the planned time to the first token and to the end.
+        Time from the planned send time to the first token and to the end of the answer.
     text : str
-        Text of a completion; the body of a plain service's answer.
+        Text of a completion, or the body of a plain service's answer.
     retry_after_s : float
     """
 
@@ -59,12 +59,12 @@
         self.retry_after_s = 0.0
 
     def in_deadline(self):
-        """Whether the whole answer came within the request's deadline."""
+        """Whether the complete answer arrived within the request's deadline."""
         return self.complete and self.total_s * 1000 <= self.planned.kind.deadline_ms
 
 
 def make_pool(connections):
-    """A pool that never repeats a request by itself, for that would hide doubled runs."""
+    """Make a connection pool that never retries, since retries of its own would hide duplicate runs."""
     return urllib3.PoolManager(maxsize=connections, retries=False, block=False)
 
 
@@ -144,7 +144,7 @@
 
 
 def _read_event(event, result):
-    """Take one event in; ``True`` for the closing ``[DONE]``."""
+    """Process one event; return whether it is the final ``[DONE]``."""
     data = "".join(line[5:].strip() for line in event.split("\n") if line.startswith("data:"))
     if data == DONE:
         return True
--- a/wagtailtrestle/load/latency.py
+++ b/wagtailtrestle/load/latency.py
@@ -1,7 +1,7 @@
-"""Latency that a router adds: the same requests through it and straight to its engine.
+"""Measures the latency that a router adds: the same requests through it and directly to its engine.
 
-Run as ``python -m wagtailtrestle.load.latency``; it starts its own small deployment. Both
-ways are sent alternately in one run, so that the machine's noise meets both.
+Run as ``python -m wagtailtrestle.load.latency``; it starts its own small deployment. Requests on
+both paths alternate in one run, so that noise on the machine affects both equally.
 """
 
 import json
@@ -27,7 +27,7 @@
 
 
 def measure():
-    """Run it and return percentiles in ms by way, and what the router adds."""
+    """Run the measurement; return latency percentiles in ms for each path, and what the router adds."""
     document = yaml.safe_load((EXAMPLES / "cometas.yaml").read_text())
     document["engines"] = [engine for engine in document["engines"] if engine["name"] == "asistente-1"]
     document["engines"][0].update(slots=32, step_ms=STEP_MS)
--- a/wagtailtrestle/load/mix.py
+++ b/wagtailtrestle/load/mix.py
@@ -1,4 +1,4 @@
-"""The mix of request kinds that a load is made of, read from a YAML file."""
+"""Reads the mix of request kinds in a load from a YAML file."""
 
 import yaml
 
@@ -28,14 +28,14 @@
     Parameters
     ----------
     name, service, method, path, route, tier, key : str
-        ``route`` names the declared route; empty takes the default. ``tier`` is
-        only what the report groups by: the router takes it from the declaration.
+        ``route`` names the declared route; empty selects the default. ``tier`` only
+        groups the report: the router takes the tier from the declaration.
     share : float
-        Weight among the kinds of the mix.
+        Weight relative to the other kinds of the mix.
     prompt_tokens, output_tokens : float
-        Medians; zero for a plain service.
+        Median lengths; zero for a plain service.
     spread : float
-        Sigma of the log-normal lengths; 1.2 spans a hundredfold.
+        Sigma of the log-normal distribution of lengths; with 1.2 they span a factor of a hundred.
     deadline_ms : int
     stream, idempotent_key, repeatable : bool
     """
@@ -79,11 +79,17 @@
 
 
 class MixFault(Exception):
-    """The mix file can't be used; the text says which kind and field."""
+    """The mix file is invalid; the message names the kinds and fields at fault."""
 
 
 def read_mix(text):
-    """Parse a mix; raises :class:`MixFault` with every fault found."""
+    """Parse a mix.
+
+    Raises
+    ------
+    MixFault
+        If the mix is invalid, with every fault found.
+    """
     try:
         document = yaml.safe_load(text)
     except yaml.YAMLError as error:
--- a/wagtailtrestle/load/plan.py
+++ b/wagtailtrestle/load/plan.py
@@ -1,4 +1,4 @@
-"""The arrivals of a load, drawn ahead from a fixed seed."""
+"""Plans the arrivals of a load in advance, from a fixed seed."""
 
 import math
 import random
@@ -11,20 +11,21 @@
 
 
 class PlannedRequest:
-    """One request of the plan: when it is sent, and what it asks.
+    """One request of a plan: when it is sent, and its content.
 
     Parameters
     ----------
     number : int
     at_s : float
-        Seconds after the load's start.
+        Send time in seconds after the start of the load.
     kind : RequestKind
     caller_request_id : str
-        Unique over the load; engines record it.
+        Unique within the load; engines record it.
     prompt : str
     output_tokens : int
-    true_output_tokens : int
-        Told to the stand-in alone: length of the answer if it is shorter than asked for.
+        Length limit sent in the request.
+    actual_output_tokens : int
+        Length of the answer if it is shorter than ``output_tokens``; only the stand-in reads it.
     """
 
     __slots__ = ("number", "at_s", "kind", "caller_request_id", "prompt", "output_tokens", "actual_output_tokens")
@@ -40,7 +41,7 @@
 
 
 def make_plan(*, kinds, rate, duration_s, seed):
-    """Draw Poisson arrivals of ``rate`` a second over ``duration_s``."""
+    """Plan Poisson arrivals of ``rate`` requests per second over ``duration_s``."""
     rng = random.Random(seed)
     weights = [kind.share for kind in kinds]
     planned = []
@@ -72,7 +73,7 @@
 
 
 def _prompt(rng, kind, tokens):
-    """Text of about ``tokens`` tokens whose head is shared by all of its kind."""
+    """Return a prompt of about ``tokens`` tokens that starts with a prefix shared by all requests of its kind."""
     head = (f"{kind.name} instructions " * SHARED_PREFIX_TOKENS)[: SHARED_PREFIX_TOKENS * BYTES_PER_TOKEN]
     body_bytes = tokens * BYTES_PER_TOKEN
     return head[: body_bytes // 2] + rng.randbytes(body_bytes // 2 // 2 + 1).hex()[: body_bytes - body_bytes // 2]
--- a/wagtailtrestle/load/records.py
+++ b/wagtailtrestle/load/records.py
@@ -1,4 +1,4 @@
-"""The engines' own record of what ran, and the promises checked against it."""
+"""Reads the engines' records of what ran, and checks the routers' guarantees against them."""
 
 import json
 
@@ -8,7 +8,7 @@
 
 
 class RunRecord:
-    """One run as its engine recorded it."""
+    """One run as recorded by its engine."""
 
     __slots__ = ("engine", "caller_request_id", "starts", "finished", "prefill_tokens")
 
@@ -21,17 +21,17 @@
 
 
 class RecordCheck:
-    """Promises checked against the record; each broken one is named.
+    """Result of checking responses against the engines' records; lists each violation.
 
     Parameters
     ----------
     prefill_tokens, wasted_prefill_tokens : int
     false_refusals : tuple of str
-        Requests told ``executed: no`` that an engine ran.
+        Requests that an engine ran although the caller received ``executed: no``.
     doubled : tuple of str
-        Requests not to be repeated that started more than once.
+        Non-repeatable requests that started more than once.
     unreadable : tuple of str
-        Engines whose record could not be read; nothing is known of their runs.
+        Engines whose record could not be read; their runs are unknown.
     """
 
     __slots__ = ("prefill_tokens", "wasted_prefill_tokens", "false_refusals", "doubled", "unreadable")
@@ -44,12 +44,12 @@
         self.unreadable = unreadable
 
     def wasted_share(self):
-        """Wasted prefill as a share of all prefill."""
+        """Return wasted prefill as a share of all prefill."""
         return self.wasted_prefill_tokens / self.prefill_tokens if self.prefill_tokens else 0.0
 
 
 def read_records(urls):
-    """Read each engine's record; returns the runs by caller's id and the unreadable engines."""
+    """Read each engine's record; return the runs by caller request id, and the engines that could not be read."""
     pool = urllib3.PoolManager(retries=False, timeout=READ_TIMEOUT_S)
     runs_by_caller_id = {}
     unreadable = []
@@ -66,7 +66,7 @@
 
 
 def check_against_records(results, runs_by_caller_id, unreadable):
-    """Compare what callers were told with what engines recorded."""
+    """Compare the responses that callers received with the runs that engines recorded."""
     prefill = wasted = 0
     false_refusals, doubled = [], []
     for result in results:
@@ -90,7 +90,7 @@
 
 
 def _useful_prefill(runs):
-    """Prefill of the run that gave the answer; all other runs of the request are waste."""
+    """Prefill of the run that produced the answer; the prefill of the request's other runs is wasted."""
     finished = [run.prefill_tokens for run in runs if run.finished]
     return max(finished, default=0)
 
--- a/wagtailtrestle/load/report.py
+++ b/wagtailtrestle/load/report.py
@@ -1,4 +1,4 @@
-"""The table a load ends in, per tier, and its machine-readable form."""
+"""Per-tier report of a load, as a text table and as plain data."""
 
 from collections import Counter
 
@@ -20,7 +20,7 @@
 
 
 class TierRow:
-    """Counts and latencies of one tier; latencies are of whole answers, in ms."""
+    """Counts and latencies of one tier; only complete answers count towards the latencies."""
 
     __slots__ = ("tier", "sent", "in_deadline", "late", "refused", "unknown", "unfinished", "total", "first")
 
@@ -51,7 +51,7 @@
             self.unfinished += 1
 
     def as_dict(self):
-        """Plain data for JSON and for the table."""
+        """Return the row as plain data, with latencies in ms, for JSON and for the table."""
         return {
             "tier": self.tier,
             "sent": self.sent,
@@ -67,7 +67,7 @@
 
 
 def rows_by_tier(results, tiers):
-    """One row for each tier, in the order given."""
+    """Return one row per tier, in the order given; tiers that only occur in results follow."""
     rows = {tier: TierRow(tier=tier) for tier in tiers}
     for result in results:
         rows.setdefault(result.planned.kind.tier, TierRow(tier=result.planned.kind.tier)).add(result)
@@ -75,14 +75,14 @@
 
 
 def table(rows):
-    """Text table of the rows."""
+    """Return the rows as a text table."""
     lines = [COLUMNS, *[tuple(str(cell) for cell in row.as_dict().values()) for row in rows.values()]]
     widths = [max(len(line[column]) for line in lines) for column in range(len(COLUMNS))]
     return "\n".join("  ".join(cell.rjust(width) for cell, width in zip(line, widths, strict=True)) for line in lines)
 
 
 def reason_lines(results):
-    """How often each reason was given, by tier, for requests without a whole answer."""
+    """Count the requests without a complete answer by tier, reason and ``executed``, most frequent first."""
     counts = Counter(
         (result.planned.kind.tier, result.reason, result.executed) for result in results if not result.complete
     )
@@ -92,14 +92,15 @@
 
 
 def record_check_lines(record_check):
-    """What the engines' own record says of the promises."""
+    """Format the result of the check against the engines' records."""
     return "\n".join(
         (
-            f"wasted prefill (engines' record): {record_check.wasted_prefill_tokens} of {record_check.prefill_tokens} tokens "
+            f"wasted prefill (engines' records): {record_check.wasted_prefill_tokens} "
+            f"of {record_check.prefill_tokens} tokens "
             f"({record_check.wasted_share():.2%})",
-            f"told 'not run' but ran: {len(record_check.false_refusals)}",
-            f"not to be repeated but started twice: {len(record_check.doubled)}",
-            *(f"record not readable: {url}" for url in record_check.unreadable),
+            f"refused as not executed, but ran: {len(record_check.false_refusals)}",
+            f"not repeatable, but started more than once: {len(record_check.doubled)}",
+            *(f"record could not be read: {url}" for url in record_check.unreadable),
         )
     )
 
--- a/wagtailtrestle/load/run.py
+++ b/wagtailtrestle/load/run.py
@@ -1,4 +1,4 @@
-"""Sends a plan open-loop: arrivals do not wait for answers."""
+"""Sends a plan open-loop: requests are sent on time whether or not earlier ones are answered."""
 
 import time
 from concurrent.futures import ThreadPoolExecutor
@@ -9,7 +9,7 @@
 
 
 def run_load(*, urls, plan, callers=MAX_CALLERS):
-    """Send every planned request at its time, spread over ``urls``; return the results."""
+    """Send every planned request at its planned time, spread over ``urls``, and return the results."""
     pool = make_pool(callers)
     started = time.monotonic()
     pending = []
