--- a/tests/utils/running.py
+++ b/tests/utils/running.py
@@ -1,4 +1,4 @@
-"""A small running deployment under a steady load, and the promises checked against the engines' record."""
+"""A small running deployment under a steady load, and checks of its guarantees against the engines' records."""
 
 import hashlib
 import itertools
@@ -24,15 +24,15 @@
 SMALL_FLEET = ("asistente-1", "asistente-3", "reservas-1")
 CHAT = "/v1/chat/completions"
 KEEP_LOGS_IN = os.environ.get("KEEP_LOGS_IN")
-"""Folder in which the logs of every process are kept; without it they go with the deployment. A failure that comes
-once is traced by them."""
+"""Directory in which the logs of every process are kept, to trace a failure that occurs only once; if unset, they are
+deleted with the deployment."""
 POLL_S = 0.05
 BALANCER_POLL_S = 0.1
 PROBE_TIMEOUT_S = 0.5
 WAIT_S = 15.0
 MAX_CONNECT_ATTEMPTS = 5
 CONNECT_FAILED_REASON = "NewConnectionError"
-"""Reason of a result whose request never left the caller: no connection was made."""
+"""Reason of a result whose request was never sent because no connection could be made."""
 
 QUESTION = RequestKind(
     name="question",
@@ -94,7 +94,7 @@
 
 
 class Observation:
-    """What one caller saw, of which router, and when (``time.monotonic``)."""
+    """The result that one caller received, the router it came from, and when (``time.monotonic``)."""
 
     __slots__ = ("result", "router", "sent_at", "first_at", "ended_at")
 
@@ -107,27 +107,27 @@
 
     @property
     def caller_request_id(self):
-        """Identity of the request in the engines' record."""
+        """Id of the request in the engines' records."""
         return self.result.planned.caller_request_id
 
     def __repr__(self):
         result = self.result
         return (
-            f"{self.caller_request_id}@{self.router}: {result.status} whole={result.complete} "
+            f"{self.caller_request_id}@{self.router}: {result.status} complete={result.complete} "
             f"executed={result.executed} {result.reason} after {result.total_s:.2f} s"
         )
 
 
 class Running:
-    """One deployment, declared and in force, for the tests of one class.
+    """One deployment with its declaration in force, for the tests of one class.
 
     Parameters
     ----------
     routers : int
     document : dict, optional
-        The small fleet if left out.
+        Defaults to the small fleet.
     settings : dict
-        Further arguments of :class:`Deployment`.
+        Additional arguments for :class:`Deployment`.
     """
 
     def __init__(self, *, routers=3, document=None, **settings):
@@ -139,7 +139,7 @@
         self._pool = make_pool(64)
 
     def start(self):
-        """Start everything and put the declaration in force."""
+        """Start all processes and put the declaration in force."""
         try:
             self.deployment.start()
             self.deployment.apply()
@@ -151,7 +151,7 @@
         return self
 
     def close(self):
-        """End every process at once; how they stop gracefully is for tests of just that."""
+        """Kill every process; graceful stops have tests of their own."""
         self._pool.clear()
         self.deployment.kill()
         if KEEP_LOGS_IN is None:
@@ -177,7 +177,7 @@
         return self.deployment.get(f"{self.deployment.admin_url_by_router[router]}/state")
 
     def scheduler_of(self, cell="asistente", *, observer=None):
-        """Name of the router that is scheduler, as ``asked`` (any live one) sees it."""
+        """Name of the cell's scheduler according to the router ``observer`` (by default, the first live one)."""
         return self.state(observer or self._live()[0])["stewards_by_cell"][cell]
 
     def routers_agree(self):
@@ -185,22 +185,22 @@
         return len({self.scheduler_of(observer=name) for name in self._live()}) == 1
 
     def faults(self, engine, **values):
-        """Set faults of an engine or a service."""
+        """Inject faults into an engine or a service."""
         self._post(f"{self.deployment.engine_url(engine)}/faults", values)
 
     def platform_faults(self, **values):
-        """Set faults of the platform; those left out are off."""
+        """Inject faults into the platform; faults not given are turned off."""
         self._post(f"{self.deployment.platform_url}/faults", values)
 
     def restart(self, router):
-        """Start a router that has ended under the same name and addresses, and wait until it is ready."""
+        """Restart a stopped router with the same name and addresses, and wait until it is ready."""
         self.router(router).start()
         self.router(router).wait_ready()
 
     # Calls.
 
     def planned(self, kind, *, prompt="", output_tokens=0, caller_request_id=""):
-        """One request of a kind, unlike all others unless told otherwise."""
+        """Plan one request of a kind, with a unique id and prompt unless they are given."""
         number = next(self._numbers)
         caller_request_id = caller_request_id or f"{kind.name}-{number}"
         return PlannedRequest(
@@ -213,7 +213,7 @@
         )
 
     def send(self, kind, *, router, planned=None, **fields):
-        """Send one request through one router and wait for what its caller sees."""
+        """Send one request through one router and wait for its result."""
         planned = planned or self.planned(kind, **fields)
         sent_at = time.monotonic()
         planned.at_s = sent_at
@@ -221,15 +221,15 @@
         return Observation(result=result, router=router, sent_at=sent_at)
 
     def runs(self):
-        """Every run on every engine that still answers, by the caller's request id."""
+        """All runs on all reachable engines, by the caller's request id."""
         return read_records(self.deployment.engine_urls())[0]
 
     def starts(self, caller_request_id):
-        """How often the engines began to run a request."""
+        """How many times engines started a run of the request."""
         return sum(run.starts for run in self.runs().get(caller_request_id, ()))
 
     def load(self, **settings):
-        """Build a steady load on this deployment; see :class:`Load`."""
+        """Make a steady load on this deployment; see :class:`Load`."""
         return Load(running=self, **settings)
 
     # Internals.
@@ -246,18 +246,18 @@
 class Load:
     """Steady open-loop load in the background, spread as the platform's balancer would.
 
-    The balancer sends work only to routers that say they are ready, and elsewhere if no
-    connection could be made; it sends nothing again that may have arrived.
+    The balancer sends requests only to routers that report themselves ready. It retries on another
+    router only if no connection could be made, never if the request may have arrived.
 
     Parameters
     ----------
     running : Running
     kinds : sequence of RequestKind
-        Sent in turn.
+        Kinds to send, in rotation.
     rate : float
-        Requests a second.
+        Requests per second.
     routers : sequence of str, optional
-        Only through these.
+        Routers to use; all by default.
     """
 
     def __init__(self, *, running, kinds, rate, routers=None):
@@ -273,13 +273,13 @@
         self._threads = [threading.Thread(target=self._send_steadily), threading.Thread(target=self._probe_steadily)]
 
     def start(self):
-        """Begin to send."""
+        """Start sending requests."""
         for thread in self._threads:
             thread.start()
         return self
 
     def stop(self):
-        """Send nothing more and return what every caller saw."""
+        """Stop sending, wait for outstanding requests, and return all observations."""
         self._stopping.set()
         for thread in self._threads + self._senders:
             thread.join()
@@ -326,43 +326,43 @@
 
 
 class PromiseChecks:
-    """Assertions for a ``unittest.TestCase`` on what callers saw against the engines' record."""
+    """Assertions for a ``unittest.TestCase`` that compare observations with the engines' records."""
 
     def assert_promises(self, running, seen):
-        """Every promise that holds whatever fails."""
+        """Check every guarantee that must hold under any failure."""
         runs = running.runs()
         self.assert_no_request_ran_twice(runs, seen)
         self.assert_refused_requests_never_started(runs, seen)
         self.assert_complete_answers_match(seen)
 
     def assert_no_request_ran_twice(self, runs, seen):
-        """No request that may not be repeated was begun more than once."""
+        """Check that no non-repeatable request was started more than once."""
         once = {each.caller_request_id for each in seen if not each.result.planned.kind.repeatable}
         starts = {name: sum(run.starts for run in runs.get(name, ())) for name in once}
         self.assertEqual({name: count for name, count in starts.items() if count > 1}, {})
 
     def assert_refused_requests_never_started(self, runs, seen):
-        """Nothing of which a caller was told ``executed: no`` was ever begun."""
+        """Check that no request refused with ``executed: no`` was ever started."""
         refused = [each for each in seen if each.result.executed == "no"]
         self.assertEqual([each for each in refused if runs.get(each.caller_request_id)], [])
 
     def assert_complete_answers_match(self, seen):
-        """Every answer given as whole is the whole answer to that very request."""
+        """Check that every complete answer belongs to the request it was returned for."""
         for each in seen:
             if each.result.complete:
                 self.assertTrue(is_expected_answer(each.result), each)
 
     def assert_all_complete(self, seen):
-        """Every caller got its whole answer."""
+        """Check that every caller received a complete answer."""
         self.assertEqual([each for each in seen if not each.result.complete], [])
 
     def assert_all_complete_or_refused(self, seen):
-        """Every caller got its whole answer, or was truthfully told that it was not run."""
+        """Check that every caller received a complete answer or a refusal with ``executed: no``."""
         self.assertEqual([each for each in seen if not each.result.complete and each.result.executed != "no"], [])
 
 
 def is_expected_answer(result):
-    """Whether the text is the whole answer to what this caller asked."""
+    """Whether the text is the complete expected answer to this request."""
     planned = result.planned
     if planned.kind.prompt_tokens:
         return result.text == whole_answer(planned.prompt, planned.output_tokens)
@@ -371,15 +371,15 @@
 
 
 def longest_gap_s(seen, *, since, until):
-    """Longest time between two first tokens that callers saw, within a span of ``time.monotonic``."""
+    """Longest time between two consecutive first tokens, over all callers, within a span of ``time.monotonic``."""
     times = sorted(each.first_at for each in seen if each.result.first_s and since <= each.first_at <= until)
     return max(later - earlier for earlier, later in itertools.pairwise([since, *times, until]))
 
 
 def wait_until(condition, what, timeout_s=WAIT_S):
-    """Wait until ``condition()`` holds; a deployment's change is seen within milliseconds."""
+    """Wait until ``condition()`` holds, polling every ``POLL_S``; ``what`` describes it in the error."""
     deadline = time.monotonic() + timeout_s
     while not condition():
         if time.monotonic() > deadline:
-            raise AssertionError(f"waited {timeout_s} s in vain for {what}")
+            raise AssertionError(f"timed out after {timeout_s} s waiting for {what}")
         time.sleep(POLL_S)
