--- a/tests/test_whole_path.py
+++ b/tests/test_whole_path.py
@@ -1,4 +1,4 @@
-"""The whole path as separate processes: declared, applied, asked, answered, recorded."""
+"""End-to-end path over separate processes: apply a declaration, send requests, check answers and records."""
 
 import tempfile
 import unittest
@@ -66,9 +66,9 @@
         self.assertEqual(sum("content" in event for event in events), 6)
 
     def test_booking_sent_again_through_another_router_runs_once(self):
-        # The caller sees the same answer from both routers. The first router claimed the key
-        # in the platform's store before it dispatched; the second finds the claim and gives
-        # the recorded answer, so the booking engine ran it once.
+        # Guards against a booking that runs twice when its caller retries through another router. The first
+        # router claims the key in the platform's store before it dispatches; the second finds the claim
+        # and returns the recorded answer.
         answers = [
             self.send_request(router, "/reservas/bookings", {"slot": 4}, **{"Idempotency-Key": "family-4"})
             for router in (0, 1)
