--- a/wagtailtrestle/cli/dump.py
+++ b/wagtailtrestle/cli/dump.py
@@ -48,7 +48,7 @@
     state = environment.fetch_json(state_url)
     if not isinstance(state, dict):
         environment.complain(
-            f"No state from {state_url}: {state}. Check that the process is running and that this is its admin address."
+            f"No state from {state_url}: {state}. Check that the process runs and that this is its admin address."
         )
         return ExitStatus.NOT_REACHED
     if arguments["json"]:
--- a/wagtailtrestle/cli/explain.py
+++ b/wagtailtrestle/cli/explain.py
@@ -32,7 +32,7 @@
     lines = story(logs, request_id)
     if not lines:
         environment.complain(
-            f"No log line mentions {request_id}. Give the files of all routers: a retry may go to another router."
+            f"No log line mentions {request_id}. Give the files of all routers: a second try may reach another one."
         )
         return ExitStatus.CHECK_FAILED
     environment.say(story_text(lines))
--- a/wagtailtrestle/demo/processes.py
+++ b/wagtailtrestle/demo/processes.py
@@ -68,7 +68,7 @@
         deadline = time.monotonic() + timeout_s
         while time.monotonic() < deadline:
             if self._process.poll() is not None:
-                raise NotReady(f"{self.name} exited with status {self._process.returncode}:\n{self.log_tail()}")
+                raise NotReady(f"{self.name} ended with status {self._process.returncode}:\n{self.log_tail()}")
             if self.is_ready():
                 return
             time.sleep(POLL_S)
--- a/wagtailtrestle/load/report.py
+++ b/wagtailtrestle/load/report.py
@@ -98,7 +98,7 @@
             f"wasted prefill (engines' records): {record_check.wasted_prefill_tokens} "
             f"of {record_check.prefill_tokens} tokens "
             f"({record_check.wasted_share():.2%})",
-            f"refused as not executed, but ran: {len(record_check.false_refusals)}",
+            f"refused as not run, but ran: {len(record_check.false_refusals)}",
             f"not repeatable, but started more than once: {len(record_check.doubled)}",
             *(f"record could not be read: {url}" for url in record_check.unreadable),
         )
