--- a/tests/test_tier_order.py
+++ b/tests/test_tier_order.py
@@ -22,7 +22,7 @@
         self.seen = []
         self._running = running
         self._stopping = threading.Event()
-        self._threads = [threading.Thread(target=self._ask, args=(number,)) for number in range(callers)]
+        self._threads = [threading.Thread(target=self._send_repeatedly, args=(number,)) for number in range(callers)]
 
     def start(self):
         """Begin to ask."""
@@ -36,7 +36,7 @@
         for thread in self._threads:
             thread.join()
 
-    def _ask(self, number):
+    def _send_repeatedly(self, number):
         routers = self._running.routers
         while not self._stopping.is_set():
             router = routers[number % len(routers)]
