--- a/tests/test_tier_order.py
+++ b/tests/test_tier_order.py
@@ -60,7 +60,7 @@
         self.running.close()
         self.flood.stop()
 
-    def ask_questions(self, routers):
+    def send_questions(self, routers):
         """Send questions one after the other begins, through the routers in turn; return what was seen."""
         seen = []
         senders = [
@@ -106,12 +106,12 @@
         running = self.running
         wait_until(self.is_full, "engines full of tagging")
         self.assertEqual(self.cancelled(), 0)
-        questions = self.ask_questions(running.routers)
+        questions = self.send_questions(running.routers)
         self.assertGreater(self.cancelled(), 0)
         self.check(questions, f"flooded engines ({self.cancelled()} runs of tagging cancelled)")
         scheduler = running.scheduler_of()
         running.router(scheduler).kill()
-        questions = self.ask_questions([name for name in running.routers if name != scheduler])
+        questions = self.send_questions([name for name in running.routers if name != scheduler])
         self.check(questions, "flooded engines, scheduler killed")
 
 
@@ -127,7 +127,7 @@
         # Tagging holds every thread of every router, while the engines have room. A question takes
         # the place of a tagging request; nobody of a higher tier is refused.
         wait_until(self.is_full, "routers full of tagging")
-        questions = self.ask_questions(self.running.routers)
+        questions = self.send_questions(self.running.routers)
         displaced = sum(
             self.running.state(name)["callers"]["limits"]["displaced_total"] for name in self.running.routers
         )
