--- a/tests/test_kill_and_freeze.py
+++ b/tests/test_kill_and_freeze.py
@@ -10,7 +10,7 @@
 FROZEN_S = 6.0
 AFTER_S = 4.0
 SETTLED_S = 1.5
-PROMISED_GAP_S = 2.0
+GUARANTEED_GAP_S = 2.0
 NOISY_MACHINE_S = 2.0
 
 
@@ -25,8 +25,8 @@
 
     def check_gap(self, seen, lost_at, what):
         gap_s = longest_gap_s(seen, since=lost_at, until=lost_at + AFTER_S)
-        print(f"{what}: longest time without a first token {gap_s:.2f} s (promised {PROMISED_GAP_S:.0f} s)")
-        self.assertLess(gap_s, PROMISED_GAP_S + NOISY_MACHINE_S)
+        print(f"{what}: longest time without a first token {gap_s:.2f} s (promised {GUARANTEED_GAP_S:.0f} s)")
+        self.assertLess(gap_s, GUARANTEED_GAP_S + NOISY_MACHINE_S)
 
     def test_killed_scheduler(self):
         # Callers of the other routers see a short wait and then their answers. The scheduler dies
