--- a/tests/test_kill_and_freeze.py
+++ b/tests/test_kill_and_freeze.py
@@ -7,7 +7,7 @@
 
 RATE = 20.0
 BEFORE_S = 1.0
-FROZEN_S = 6.0
+PAUSE_S = 6.0
 AFTER_S = 4.0
 SETTLED_S = 1.5
 GUARANTEED_GAP_S = 2.0
@@ -57,7 +57,7 @@
         time.sleep(BEFORE_S)
         frozen_at = time.monotonic()
         self.running.router(scheduler).freeze()
-        time.sleep(FROZEN_S)
+        time.sleep(PAUSE_S)
         self.assertNotEqual(self.running.scheduler_of(observer=others[0]), scheduler)
         self.running.router(scheduler).resume()
         woken_at = time.monotonic()
