--- a/tests/test_kill_and_freeze.py
+++ b/tests/test_kill_and_freeze.py
@@ -55,7 +55,7 @@
         others = [name for name in self.running.routers if name != scheduler]
         load = self.running.load(kinds=(QUESTION, PLAN, TAGGING), rate=RATE).start()
         time.sleep(BEFORE_S)
-        frozen_at = time.monotonic()
+        paused_at = time.monotonic()
         self.running.router(scheduler).freeze()
         time.sleep(PAUSE_S)
         self.assertNotEqual(self.running.scheduler_of(observer=others[0]), scheduler)
@@ -64,7 +64,7 @@
         time.sleep(SETTLED_S)
         seen = load.stop()
         of_others = [each for each in seen if each.router != scheduler]
-        self.check_gap(of_others, frozen_at, "scheduler paused")
+        self.check_gap(of_others, paused_at, "scheduler paused")
         self.assert_promises(self.running, seen)
         self.assert_all_complete(of_others)
         self.assert_all_complete([each for each in seen if each.sent_at > woken_at])
