--- a/tests/test_kill_and_freeze.py
+++ b/tests/test_kill_and_freeze.py
@@ -60,14 +60,14 @@
         time.sleep(PAUSE_S)
         self.assertNotEqual(self.running.scheduler_of(observer=others[0]), scheduler)
         self.running.router(scheduler).resume()
-        woken_at = time.monotonic()
+        resumed_at = time.monotonic()
         time.sleep(SETTLED_S)
         seen = load.stop()
         of_others = [each for each in seen if each.router != scheduler]
         self.check_gap(of_others, paused_at, "scheduler paused")
         self.assert_promises(self.running, seen)
         self.assert_all_complete(of_others)
-        self.assert_all_complete([each for each in seen if each.sent_at > woken_at])
+        self.assert_all_complete([each for each in seen if each.sent_at > resumed_at])
         wait_until(self.running.routers_agree, "all routers to agree on one scheduler again")
 
 
