--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -8,7 +8,7 @@
 RATE = 15.0
 BEFORE_S = 1.0
 GUARANTEED_S = 2.0
-WATCHED_S = 1.5
+OBSERVED_S = 1.5
 LIST_LAG_S = 0.5
 LEAVING = "asistente-1"
 STAYING = "asistente-3"
@@ -35,7 +35,7 @@
         marked_at = time.monotonic()
         time.sleep(GUARANTEED_S)
         starts, elsewhere = self.starts_on(LEAVING), self.starts_on(STAYING)
-        time.sleep(WATCHED_S)
+        time.sleep(OBSERVED_S)
         self.assertEqual(self.starts_on(LEAVING), starts, f"started later than {GUARANTEED_S} s after the mark")
         self.assertGreater(self.starts_on(STAYING), elsewhere)
         unmark()
