--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -10,7 +10,7 @@
 GUARANTEED_S = 2.0
 OBSERVED_S = 1.5
 LIST_LAG_S = 0.5
-LEAVING = "asistente-1"
+MARKED_ENGINE = "asistente-1"
 STAYING = "asistente-3"
 
 
@@ -30,16 +30,16 @@
     def check_no_new_work(self, mark, unmark, what):
         load = self.running.load(kinds=(QUESTION, PLAN, TAGGING), rate=RATE).start()
         time.sleep(BEFORE_S)
-        self.assertGreater(self.starts_on(LEAVING), 0)
+        self.assertGreater(self.starts_on(MARKED_ENGINE), 0)
         mark()
         marked_at = time.monotonic()
         time.sleep(GUARANTEED_S)
-        starts, elsewhere = self.starts_on(LEAVING), self.starts_on(STAYING)
+        starts, elsewhere = self.starts_on(MARKED_ENGINE), self.starts_on(STAYING)
         time.sleep(OBSERVED_S)
-        self.assertEqual(self.starts_on(LEAVING), starts, f"started later than {GUARANTEED_S} s after the mark")
+        self.assertEqual(self.starts_on(MARKED_ENGINE), starts, f"started later than {GUARANTEED_S} s after the mark")
         self.assertGreater(self.starts_on(STAYING), elsewhere)
         unmark()
-        wait_until(lambda: self.starts_on(LEAVING) > starts, "new work once the mark was taken back")
+        wait_until(lambda: self.starts_on(MARKED_ENGINE) > starts, "new work once the mark was taken back")
         seen = load.stop()
         self.assert_promises(self.running, seen)
         self.assert_all_complete_or_refused(seen)
@@ -47,7 +47,7 @@
         print(f"leaving by {what}: {refused} of {len(seen)} refused, {time.monotonic() - marked_at:.1f} s watched")
 
     def declare(self, leaving):
-        engine = next(each for each in self.running.deployment.document["engines"] if each["name"] == LEAVING)
+        engine = next(each for each in self.running.deployment.document["engines"] if each["name"] == MARKED_ENGINE)
         engine["leaving"] = leaving
         self.running.deployment.apply()
 
@@ -62,20 +62,20 @@
 
     def test_marked_by_the_platforms_list(self):
         # As above, but only the platform's list says so. The list's own lag is not counted.
-        self.check_no_new_work(lambda: self.publish((LEAVING,)), lambda: self.publish(()), "list")
+        self.check_no_new_work(lambda: self.publish((MARKED_ENGINE,)), lambda: self.publish(()), "list")
 
     def test_marked_by_the_list_right_after_the_scheduler_changed(self):
         # The mark is in force, then the scheduler is killed. A new scheduler that knew the mark only
         # from its predecessor would send the engine new work.
         running = self.running
-        self.publish((LEAVING,))
+        self.publish((MARKED_ENGINE,))
         time.sleep(GUARANTEED_S)
-        starts = self.starts_on(LEAVING)
+        starts = self.starts_on(MARKED_ENGINE)
         scheduler = running.scheduler_of()
         running.router(scheduler).kill()
         others = [name for name in running.routers if name != scheduler]
         seen = [running.send(QUESTION, router=others[number % 2]) for number in range(10)]
-        self.assertEqual(self.starts_on(LEAVING), starts)
+        self.assertEqual(self.starts_on(MARKED_ENGINE), starts)
         self.assert_promises(running, seen)
         self.assert_all_complete(seen)
         running.restart(scheduler)
