--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -11,7 +11,7 @@
 OBSERVED_S = 1.5
 LIST_LAG_S = 0.5
 MARKED_ENGINE = "asistente-1"
-STAYING = "asistente-3"
+OTHER_ENGINE = "asistente-3"
 
 
 class LeavingTest(PromiseChecks, unittest.TestCase):
@@ -34,10 +34,10 @@
         mark()
         marked_at = time.monotonic()
         time.sleep(GUARANTEED_S)
-        starts, elsewhere = self.starts_on(MARKED_ENGINE), self.starts_on(STAYING)
+        starts, elsewhere = self.starts_on(MARKED_ENGINE), self.starts_on(OTHER_ENGINE)
         time.sleep(OBSERVED_S)
         self.assertEqual(self.starts_on(MARKED_ENGINE), starts, f"started later than {GUARANTEED_S} s after the mark")
-        self.assertGreater(self.starts_on(STAYING), elsewhere)
+        self.assertGreater(self.starts_on(OTHER_ENGINE), elsewhere)
         unmark()
         wait_until(lambda: self.starts_on(MARKED_ENGINE) > starts, "new work once the mark was taken back")
         seen = load.stop()
