--- a/tests/test_foreign_runs.py
+++ b/tests/test_foreign_runs.py
@@ -15,7 +15,7 @@
 PAUSE_S = 0.1
 BEFORE_THE_BURST = 21
 FOREIGN_PROMPT = "foreign ".ljust(240, "x")
-PATIENCE_S = 60.0
+CONNECTION_TIMEOUT_S = 60.0
 
 
 class ForeignRun:
@@ -23,7 +23,7 @@
 
     def __init__(self, *, address, name, output_tokens):
         host, port = address.removeprefix("http://").split(":")
-        self._connection = http.client.HTTPConnection(host, int(port), timeout=PATIENCE_S)
+        self._connection = http.client.HTTPConnection(host, int(port), timeout=CONNECTION_TIMEOUT_S)
         body = {"model": "asistente", "prompt": f"{name} {FOREIGN_PROMPT}", "max_tokens": output_tokens, "stream": True}
         headers = {"Content-Type": "application/json", "X-Request-Id": name}
         self._connection.request("POST", "/v1/completions", body=json.dumps(body).encode(), headers=headers)
