--- a/tests/test_foreign_runs.py
+++ b/tests/test_foreign_runs.py
@@ -13,7 +13,7 @@
 SLOW = 2.0
 QUESTIONS = 60
 PAUSE_S = 0.1
-BEFORE_THE_BURST = 21
+QUESTIONS_BEFORE_BURST = 21
 FOREIGN_PROMPT = "foreign ".ljust(240, "x")
 CONNECTION_TIMEOUT_S = 60.0
 
@@ -50,7 +50,7 @@
         senders = []
         routers = itertools.cycle(self.running.routers)
         for number, router in zip(range(QUESTIONS), routers, strict=False):
-            if number == BEFORE_THE_BURST:
+            if number == QUESTIONS_BEFORE_BURST:
                 self.post_foreign(count=count, output_tokens=output_tokens)
             ask = threading.Thread(target=lambda router=router: seen.append(self.running.send(QUESTION, router=router)))
             senders.append(ask)
