--- a/tests/test_foreign_runs.py
+++ b/tests/test_foreign_runs.py
@@ -44,7 +44,7 @@
             run = ForeignRun(address=url, name=f"foreign-{number}", output_tokens=output_tokens)
             self.addCleanup(run.close)
 
-    def ask_around_a_burst(self, *, count, output_tokens):
+    def send_questions_around_burst(self, *, count, output_tokens):
         """Send a question each 0.1 s through the routers in turn, and post the runs after the 21st."""
         seen = []
         senders = []
@@ -66,7 +66,7 @@
         # and wait in its queue. That they wait shows as silence; after three times 2 s of it (two of
         # them after attaching again to the very run, which the engine confirmed each time) the entry gave
         # up a run that may not be repeated: with nothing to gain, while the engine went on to its answer.
-        seen = self.ask_around_a_burst(count=count, output_tokens=output_tokens)
+        seen = self.send_questions_around_burst(count=count, output_tokens=output_tokens)
         self.assert_promises(self.running, seen)
         reasons = collections.Counter(each.result.reason for each in seen if not each.result.complete)
         print(f"{count} foreign runs of {output_tokens} tokens: not whole {dict(reasons)}")
