--- a/tests/test_paused_engine.py
+++ b/tests/test_paused_engine.py
@@ -14,7 +14,7 @@
 
 
 class PausedEngineTest(PromiseChecks, unittest.TestCase):
-    def ask_around_a_pause(self, pause_s):
+    def send_questions_around_pause(self, pause_s):
         running = Running(routers=2, time_scale=SLOW).start()
         self.addCleanup(running.close)
         seen = []
@@ -41,12 +41,12 @@
     def test_three_seconds(self):
         # The questions that the engine holds get their answers late. It confirms nothing meanwhile, over no
         # connection; it answers the second attach and goes on.
-        self.ask_around_a_pause(3.0)
+        self.send_questions_around_pause(3.0)
 
     def test_longer_than_three_limits_on_silence(self):
         # The caller sees 502, engine_lost, 6 s after its question, though the engine wakes half a second later and
         # finishes the run within the caller's 8 s. Three limits of 2 s without a word look like a dead process.
-        self.ask_around_a_pause(6.5)
+        self.send_questions_around_pause(6.5)
 
 
 if __name__ == "__main__":
