--- a/tests/test_paused_engine.py
+++ b/tests/test_paused_engine.py
@@ -8,7 +8,7 @@
 
 PAUSED = "asistente-3"
 SLOW = 2.0
-EVERY_S = 0.1
+INTERVAL_S = 0.1
 BEFORE_S = 1.0
 QUESTIONS = 20
 
@@ -26,7 +26,7 @@
             sender = threading.Thread(target=lambda router=router: seen.append(running.send(QUESTION, router=router)))
             senders.append(sender)
             sender.start()
-            time.sleep(EVERY_S)
+            time.sleep(INTERVAL_S)
         for sender in [*senders, pause]:
             sender.join()
         self.assert_promises(running, seen)
