--- a/tests/utils/disturbances.py
+++ b/tests/utils/disturbances.py
@@ -9,7 +9,7 @@
 
 KILL, RESTART, PAUSE = "kill", "restart", "pause"
 SCHEDULER = "scheduler"
-ASK_EVERY_S = 0.15
+SEND_INTERVAL_S = 0.15
 ASK_FOR_S = 8.0
 FIRST_EVENT_S, LAST_EVENT_S = 0.5, 6.0
 LONGEST_DOWN_S = 1.5
@@ -134,7 +134,7 @@
     senders = []
     began_at = time.monotonic()
     for number, kind in enumerate(itertools.cycle((QUESTION, PLAN))):
-        due_at = began_at + number * ASK_EVERY_S
+        due_at = began_at + number * SEND_INTERVAL_S
         if due_at > began_at + for_s:
             break
         time.sleep(max(0.0, due_at - time.monotonic()))
