--- a/tests/utils/disturbances.py
+++ b/tests/utils/disturbances.py
@@ -10,7 +10,7 @@
 KILL, RESTART, PAUSE = "kill", "restart", "pause"
 SCHEDULER = "scheduler"
 SEND_INTERVAL_S = 0.15
-ASK_FOR_S = 8.0
+SEND_DURATION_S = 8.0
 FIRST_EVENT_S, LAST_EVENT_S = 0.5, 6.0
 LONGEST_DOWN_S = 1.5
 SHORTEST_PAUSE_S, LONGEST_PAUSE_S = 0.3, 6.0
@@ -128,7 +128,7 @@
         return left[0]
 
 
-def ask_steadily(running, *, router, for_s=ASK_FOR_S):
+def ask_steadily(running, *, router, for_s=SEND_DURATION_S):
     """Send a question or a plan every 0.15 s through one router; return what was seen."""
     seen = []
     senders = []
