--- a/tests/test_routers_in_series.py
+++ b/tests/test_routers_in_series.py
@@ -5,7 +5,7 @@
 import unittest
 
 from tests.test_tier_order import SLOW, Flood
-from tests.utils.disturbances import KILL, PAUSE, RESTART, SCHEDULER, Disturbance, Event, ask_steadily, random_plan
+from tests.utils.disturbances import KILL, PAUSE, RESTART, SCHEDULER, Disturbance, Event, random_plan, send_steadily
 from tests.utils.running import PromiseChecks, Running
 
 CALLERS = 60
@@ -28,7 +28,7 @@
             time.sleep(FLOOD_S)
             disturbance = Disturbance(running=running, events=events)
             disturbance.play(time.monotonic())
-            results = ask_steadily(running, router=disturbance.spared)
+            results = send_steadily(running, router=disturbance.spared)
             disturbance.wait()
             self.assert_promises(running, [*results, *list(flood.seen)])
         finally:
--- a/tests/utils/disturbances.py
+++ b/tests/utils/disturbances.py
@@ -128,7 +128,7 @@
         return left[0]
 
 
-def ask_steadily(running, *, router, for_s=SEND_DURATION_S):
+def send_steadily(running, *, router, for_s=SEND_DURATION_S):
     """Send a question or a plan every 0.15 s through one router; return what was seen."""
     seen = []
     senders = []
