--- a/tests/test_routers_in_series.py
+++ b/tests/test_routers_in_series.py
@@ -35,9 +35,9 @@
             running.close()
             flood.stop()
         slowest_s = max(each.result.total_s for each in results if each.result.planned.kind.name == "question")
-        print(f"{routers} routers, {disturbance.notes}: slowest question {slowest_s:.2f} s")
+        print(f"{routers} routers, {disturbance.history}: slowest question {slowest_s:.2f} s")
         lost = [each for each in results if not each.result.complete]
-        self.assertEqual(lost, [], f"{len(lost)} of {len(results)}: {disturbance.notes}")
+        self.assertEqual(lost, [], f"{len(lost)} of {len(results)}: {disturbance.history}")
 
     def test_scheduler_started_again_and_another_router_killed(self):
         events = [
--- a/tests/utils/disturbances.py
+++ b/tests/utils/disturbances.py
@@ -73,7 +73,7 @@
     """
 
     def __init__(self, *, running, events):
-        self.notes = []
+        self.history = []
         self._running = running
         self._events = events
         self._spared = running.routers[-1]
@@ -101,9 +101,9 @@
         time.sleep(max(0.0, began_at + event.at_s - time.monotonic()))
         name = self._target(event)
         if name is None:
-            self.notes.append(f"{event}: nobody left")
+            self.history.append(f"{event}: nobody left")
             return
-        self.notes.append(f"{event}: {name}")
+        self.history.append(f"{event}: {name}")
         router = self._running.router(name)
         if event.kind == PAUSE:
             router.freeze()
