--- a/tests/utils/disturbances.py
+++ b/tests/utils/disturbances.py
@@ -13,7 +13,7 @@
 SEND_DURATION_S = 8.0
 FIRST_EVENT_S, LAST_EVENT_S = 0.5, 6.0
 MAX_DOWN_S = 1.5
-SHORTEST_PAUSE_S, MAX_PAUSE_S = 0.3, 6.0
+MIN_PAUSE_S, MAX_PAUSE_S = 0.3, 6.0
 SCHEDULER_SHARE = 0.6
 """Of the events, those that hit whoever is scheduler at that moment: its loss disturbs all others most."""
 
@@ -54,7 +54,7 @@
 
 def _random_event(chance):
     kind = chance.choice((KILL, RESTART, PAUSE))
-    lengths = {KILL: (0.0, 0.0), RESTART: (0.0, MAX_DOWN_S), PAUSE: (SHORTEST_PAUSE_S, MAX_PAUSE_S)}
+    lengths = {KILL: (0.0, 0.0), RESTART: (0.0, MAX_DOWN_S), PAUSE: (MIN_PAUSE_S, MAX_PAUSE_S)}
     return Event(
         at_s=chance.uniform(FIRST_EVENT_S, LAST_EVENT_S),
         kind=kind,
