--- a/tests/utils/disturbances.py
+++ b/tests/utils/disturbances.py
@@ -46,20 +46,20 @@
 
 def random_plan(seed):
     """Number of routers and events of one seed; at least one router is never hit, nor all of them at once."""
-    chance = random.Random(seed)
-    routers = chance.randint(3, 5)
-    events = [_random_event(chance) for _ in range(chance.randint(2, min(4, routers - 1)))]
+    rng = random.Random(seed)
+    routers = rng.randint(3, 5)
+    events = [_random_event(rng) for _ in range(rng.randint(2, min(4, routers - 1)))]
     return routers, sorted(events, key=lambda event: event.at_s)
 
 
-def _random_event(chance):
-    kind = chance.choice((KILL, RESTART, PAUSE))
+def _random_event(rng):
+    kind = rng.choice((KILL, RESTART, PAUSE))
     lengths = {KILL: (0.0, 0.0), RESTART: (0.0, MAX_DOWN_S), PAUSE: (MIN_PAUSE_S, MAX_PAUSE_S)}
     return Event(
-        at_s=chance.uniform(FIRST_EVENT_S, LAST_EVENT_S),
+        at_s=rng.uniform(FIRST_EVENT_S, LAST_EVENT_S),
         kind=kind,
-        on=SCHEDULER if chance.random() < SCHEDULER_SHARE else "other",
-        for_s=chance.uniform(*lengths[kind]),
+        on=SCHEDULER if rng.random() < SCHEDULER_SHARE else "other",
+        for_s=rng.uniform(*lengths[kind]),
     )
 
 
