--- a/tests/test_routers_in_series.py
+++ b/tests/test_routers_in_series.py
@@ -28,7 +28,7 @@
             time.sleep(FLOOD_S)
             disturbance = Disturbance(running=running, events=events)
             disturbance.play(time.monotonic())
-            results = send_steadily(running, router=disturbance.spared)
+            results = send_steadily(running, router=disturbance.undisturbed_router)
             disturbance.wait()
             self.assert_promises(running, [*results, *list(flood.seen)])
         finally:
--- a/tests/utils/disturbances.py
+++ b/tests/utils/disturbances.py
@@ -81,7 +81,7 @@
         self._threads = []
 
     @property
-    def spared(self):
+    def undisturbed_router(self):
         """Name of the router that nothing happens to."""
         return self._spared
 
