--- a/tests/utils/disturbances.py
+++ b/tests/utils/disturbances.py
@@ -76,14 +76,14 @@
         self.history = []
         self._running = running
         self._events = events
-        self._spared = running.routers[-1]
+        self._undisturbed_router = running.routers[-1]
         self._hit = set()
         self._threads = []
 
     @property
     def undisturbed_router(self):
         """Name of the router that nothing happens to."""
-        return self._spared
+        return self._undisturbed_router
 
     def play(self, began_at):
         """Play the events in a thread each, by their times from ``began_at``."""
@@ -117,9 +117,9 @@
         self._hit.discard(name)
 
     def _target(self, event):
-        scheduler = self._running.scheduler_of(observer=self._spared)
+        scheduler = self._running.scheduler_of(observer=self._undisturbed_router)
         live = [name for name in self._running.routers if self._running.router(name).is_running()]
-        left = [name for name in live if name not in self._hit and name != self._spared]
+        left = [name for name in live if name not in self._hit and name != self._undisturbed_router]
         if event.on == SCHEDULER and scheduler in left:
             left = [scheduler]
         if not left:
