--- a/tests/utils/disturbances.py
+++ b/tests/utils/disturbances.py
@@ -85,10 +85,10 @@
         """Name of the router that nothing happens to."""
         return self._undisturbed_router
 
-    def play(self, began_at):
+    def play(self, started_at):
         """Play the events in a thread each, by their times from ``began_at``."""
         for event in self._events:
-            thread = threading.Thread(target=self._play, args=(event, began_at))
+            thread = threading.Thread(target=self._play, args=(event, started_at))
             self._threads.append(thread)
             thread.start()
 
@@ -97,8 +97,8 @@
         for thread in self._threads:
             thread.join()
 
-    def _play(self, event, began_at):
-        time.sleep(max(0.0, began_at + event.at_s - time.monotonic()))
+    def _play(self, event, started_at):
+        time.sleep(max(0.0, started_at + event.at_s - time.monotonic()))
         name = self._target(event)
         if name is None:
             self.history.append(f"{event}: nobody left")
@@ -132,10 +132,10 @@
     """Send a question or a plan every 0.15 s through one router; return what was seen."""
     seen = []
     senders = []
-    began_at = time.monotonic()
+    started_at = time.monotonic()
     for number, kind in enumerate(itertools.cycle((QUESTION, PLAN))):
-        due_at = began_at + number * SEND_INTERVAL_S
-        if due_at > began_at + for_s:
+        due_at = started_at + number * SEND_INTERVAL_S
+        if due_at > started_at + for_s:
             break
         time.sleep(max(0.0, due_at - time.monotonic()))
         sender = threading.Thread(target=lambda kind=kind: seen.append(running.send(kind, router=router)))
