--- a/tests/utils/disturbances.py
+++ b/tests/utils/disturbances.py
@@ -130,7 +130,7 @@
 
 def send_steadily(running, *, router, for_s=SEND_DURATION_S):
     """Send a question or a plan every 0.15 s through one router; return what was seen."""
-    seen = []
+    observations = []
     senders = []
     started_at = time.monotonic()
     for number, kind in enumerate(itertools.cycle((QUESTION, PLAN))):
@@ -138,9 +138,9 @@
         if due_at > started_at + for_s:
             break
         time.sleep(max(0.0, due_at - time.monotonic()))
-        sender = threading.Thread(target=lambda kind=kind: seen.append(running.send(kind, router=router)))
+        sender = threading.Thread(target=lambda kind=kind: observations.append(running.send(kind, router=router)))
         senders.append(sender)
         sender.start()
     for sender in senders:
         sender.join()
-    return seen
+    return observations
