--- a/tests/test_engine_limits.py
+++ b/tests/test_engine_limits.py
@@ -4,7 +4,7 @@
 import unittest
 
 from tests.test_platform_router import WorldCase
-from tests.utils.steady_callers import SteadyCallers, most_within
+from tests.utils.steady_callers import SteadyCallers, max_within
 
 WINDOW_S = 4.0
 EXCESS_RATIO = 1.5
@@ -41,7 +41,7 @@
 
     def check_limit(self, engine, since, limit_per_s):
         arrivals = [at for at in engine.arrivals if at > since]
-        self.assertLessEqual(most_within(arrivals, WINDOW_S), most_allowed(limit_per_s))
+        self.assertLessEqual(max_within(arrivals, WINDOW_S), most_allowed(limit_per_s))
         return arrivals
 
 
--- a/tests/utils/steady_callers.py
+++ b/tests/utils/steady_callers.py
@@ -88,7 +88,7 @@
         self.answers_by_router[router].append(answer)
 
 
-def most_within(times, window_s):
+def max_within(times, window_s):
     """The most of these times that fall within one span of ``window_s``."""
     times = sorted(times)
     return max((sum(first <= at <= first + window_s for at in times[n:]) for n, first in enumerate(times)), default=0)
