--- a/tests/test_engine_limits.py
+++ b/tests/test_engine_limits.py
@@ -19,7 +19,7 @@
 BOOKINGS = [("GET", "/status/1")]
 
 
-def most_allowed(limit_per_s):
+def max_allowed(limit_per_s):
     """Requests that the users allow within ``WINDOW_S``."""
     return EXCESS_RATIO * limit_per_s * WINDOW_S + EXCESS
 
@@ -41,7 +41,7 @@
 
     def check_limit(self, engine, since, limit_per_s):
         arrivals = [at for at in engine.arrivals if at > since]
-        self.assertLessEqual(max_within(arrivals, WINDOW_S), most_allowed(limit_per_s))
+        self.assertLessEqual(max_within(arrivals, WINDOW_S), max_allowed(limit_per_s))
         return arrivals
 
 
