--- a/tests/test_rate_limit.py
+++ b/tests/test_rate_limit.py
@@ -9,7 +9,7 @@
 from tests.test_counted_runs import OneRequest
 from tests.utils.paused_clock import on_paused_clock
 from tests.utils.scheduler_fakes import Cell, Clock, ask, finished, register
-from tests.utils.steady_callers import most_within
+from tests.utils.steady_callers import max_within
 from wagtailtrestle.contracts.messages import EngineNotice, Granted, GrantRequest, Refused
 from wagtailtrestle.engines.rate_limit import LIMIT_NOTICE_TTL_S, RateLimit
 
@@ -81,7 +81,7 @@
                 cell.receive(notice(limit_per_s))
                 cell.run(20.0, notice_for=lambda engine, per_s=limit_per_s: notice(per_s))
                 times = cell.times("e1", since=named_at + STEP_S)
-                self.assertLessEqual(most_within(times, WINDOW_S), limit_per_s * WINDOW_S + 1)
+                self.assertLessEqual(max_within(times, WINDOW_S), limit_per_s * WINDOW_S + 1)
                 self.assertGreaterEqual(len(times), 0.5 * limit_per_s * 20.0)
 
     # Guards against an engine that states a limit of 0 and gets no further request: only an answer can lift the limit.
@@ -110,7 +110,7 @@
         cell.receive(notice(2.0))
         cell.run(12.0, notice_for=lambda engine: notice(2.0))
         times = cell.times("e1", since=lowered_at + STEP_S)
-        self.assertLessEqual(most_within(times, WINDOW_S), 2.0 * WINDOW_S + 1)
+        self.assertLessEqual(max_within(times, WINDOW_S), 2.0 * WINDOW_S + 1)
         self.assertGreaterEqual(len(times), 0.5 * 2.0 * 12.0)
 
     # Guards against a limit that is considered lifted since one answer of several doesn't state it.
@@ -119,7 +119,7 @@
         answers = iter(range(10_000))
         cell.receive(notice(3.0))
         cell.run(30.0, notice_for=lambda engine: notice(3.0 if next(answers) % 3 == 0 else math.inf))
-        self.assertLessEqual(most_within(cell.times("e1"), WINDOW_S), 1.5 * 3.0 * WINDOW_S + 5)
+        self.assertLessEqual(max_within(cell.times("e1"), WINDOW_S), 1.5 * 3.0 * WINDOW_S + 5)
 
     # Guards against a limit that is raised again and again when the engine states it at random in some answers.
     def test_limit_in_random_answers_stays(self):
@@ -134,7 +134,7 @@
                         per_s if chance.random() < share else math.inf
                     ),
                 )
-                most = most_within(cell.times("e1"), WINDOW_S)
+                most = max_within(cell.times("e1"), WINDOW_S)
                 self.assertLessEqual(most, 1.5 * limit_per_s * WINDOW_S + 5)
 
     # Guards against a burst, and against seconds of idle slots, once an engine no longer states a limit.
@@ -171,7 +171,7 @@
         cell = LoadedCell()
         cell.receive(register("r1", notices=(notice(2.0, age_s=1.0),)))
         cell.run(8.0, notice_for=lambda engine: notice(2.0))
-        self.assertLessEqual(most_within(cell.times("e1"), WINDOW_S), 2.0 * WINDOW_S + 1)
+        self.assertLessEqual(max_within(cell.times("e1"), WINDOW_S), 2.0 * WINDOW_S + 1)
 
 
 class UninformedSchedulerTest(unittest.TestCase):
