--- a/tests/test_foreign_runs.py
+++ b/tests/test_foreign_runs.py
@@ -10,7 +10,7 @@
 
 from tests.utils.running import QUESTION, PromiseChecks, Running
 
-SLOW = 2.0
+TIME_SCALE = 2.0
 QUESTIONS = 60
 PAUSE_S = 0.1
 QUESTIONS_BEFORE_BURST = 21
@@ -35,7 +35,7 @@
 
 class ForeignRunsTest(PromiseChecks, unittest.TestCase):
     def setUp(self):
-        self.running = Running(time_scale=SLOW).start()
+        self.running = Running(time_scale=TIME_SCALE).start()
         self.addCleanup(self.running.close)
 
     def post_foreign(self, *, count, output_tokens):
--- a/tests/test_paused_engine.py
+++ b/tests/test_paused_engine.py
@@ -7,7 +7,7 @@
 from tests.utils.running import QUESTION, PromiseChecks, Running
 
 PAUSED = "asistente-3"
-SLOW = 2.0
+TIME_SCALE = 2.0
 INTERVAL_S = 0.1
 BEFORE_S = 1.0
 QUESTIONS = 20
@@ -15,7 +15,7 @@
 
 class PausedEngineTest(PromiseChecks, unittest.TestCase):
     def send_questions_around_pause(self, pause_s):
-        running = Running(routers=2, time_scale=SLOW).start()
+        running = Running(routers=2, time_scale=TIME_SCALE).start()
         self.addCleanup(running.close)
         seen = []
         pause = threading.Thread(target=self.pause, args=(running, pause_s))
--- a/tests/test_routers_in_series.py
+++ b/tests/test_routers_in_series.py
@@ -4,7 +4,7 @@
 import time
 import unittest
 
-from tests.test_tier_order import SLOW, Flood
+from tests.test_tier_order import TIME_SCALE, Flood
 from tests.utils.disturbances import KILL, PAUSE, RESTART, SCHEDULER, Disturbance, Event, random_plan, send_steadily
 from tests.utils.running import PromiseChecks, Running
 
@@ -22,7 +22,7 @@
     # order of arrival. All questions and plans are to be answered whole.
 
     def play(self, routers, events):
-        running = Running(routers=routers, time_scale=SLOW).start()
+        running = Running(routers=routers, time_scale=TIME_SCALE).start()
         flood = Flood(running=running, callers=CALLERS).start()
         try:
             time.sleep(FLOOD_S)
--- a/tests/test_tier_order.py
+++ b/tests/test_tier_order.py
@@ -11,7 +11,7 @@
 QUESTIONS = 10
 PAUSE_S = 0.15
 RETRY_S = 0.2
-SLOW = 2.0
+TIME_SCALE = 2.0
 FEW_THREADS = 12
 
 
@@ -52,7 +52,7 @@
     SETTINGS = {}
 
     def setUp(self):
-        self.running = Running(time_scale=SLOW, **self.SETTINGS).start()
+        self.running = Running(time_scale=TIME_SCALE, **self.SETTINGS).start()
         self.flood = Flood(running=self.running, callers=self.CALLERS).start()
 
     def tearDown(self):
