--- a/tests/utils/steady_callers.py
+++ b/tests/utils/steady_callers.py
@@ -45,7 +45,7 @@
         self._routers = tuple(range(len(world.routers))) if routers is None else tuple(routers)
         self._ending = threading.Event()
         self._pool = ThreadPoolExecutor(max_workers=THREADS)
-        self._thread = threading.Thread(target=self._send_on, daemon=True)
+        self._thread = threading.Thread(target=self._send_steadily, daemon=True)
 
     def start(self):
         self._thread.start()
@@ -68,7 +68,7 @@
             if answer.status != 200
         ]
 
-    def _send_on(self):
+    def _send_steadily(self):
         due_at = time.monotonic()
         for number in itertools.count():
             if self._ending.wait(max(0.0, due_at - time.monotonic())):
