--- a/tests/test_engine_limits.py
+++ b/tests/test_engine_limits.py
@@ -9,7 +9,7 @@
 WINDOW_S = 4.0
 EXCESS_RATIO = 1.5
 EXCESS = 5
-HEARD_S = 1.0
+NOTICE_S = 1.0
 """Time in which every router has answered callers from the engine, and has been told."""
 HELD_S = 8.0
 BACK_S = 7.0
@@ -52,8 +52,8 @@
         time.sleep(1.0)
         self.limited.limit = "2.3"
         named_at = time.monotonic()
-        time.sleep(HEARD_S + HELD_S)
-        arrivals = self.check_limit(self.limited, named_at + HEARD_S, 2.3)
+        time.sleep(NOTICE_S + HELD_S)
+        arrivals = self.check_limit(self.limited, named_at + NOTICE_S, 2.3)
         self.assertGreaterEqual(len(arrivals), 0.5 * 2.3 * HELD_S)
         callers.close()
         self.assertEqual((callers.not_served(), set(callers.statuses())), ([], {200}))
@@ -66,9 +66,9 @@
         for engine in engines:
             engine.limit = "2.3"
         named_at = time.monotonic()
-        time.sleep(HEARD_S + HELD_S)
+        time.sleep(NOTICE_S + HELD_S)
         for engine in engines:
-            arrivals = self.check_limit(engine, named_at + HEARD_S, 2.3)
+            arrivals = self.check_limit(engine, named_at + NOTICE_S, 2.3)
             self.assertGreaterEqual(len(arrivals), 0.5 * 2.3 * HELD_S)
         callers.close()
         refused = [answer for answer in callers.answers if answer.status != 200]
@@ -101,8 +101,8 @@
         time.sleep(1.0)
         self.limited.limit = "1.6"
         named_at = time.monotonic()
-        time.sleep(HEARD_S + HELD_S)
-        arrivals = self.check_limit(self.limited, named_at + HEARD_S, 1.6)
+        time.sleep(NOTICE_S + HELD_S)
+        arrivals = self.check_limit(self.limited, named_at + NOTICE_S, 1.6)
         self.assertGreaterEqual(len(arrivals), 0.5 * 1.6 * HELD_S)
         callers.close()
 
@@ -117,9 +117,9 @@
             engine.limit = "1.6"
         named_at = time.monotonic()
         resumed_before = self.resumed()
-        time.sleep(HEARD_S + HELD_S)
+        time.sleep(NOTICE_S + HELD_S)
         for engine in (self.limited, self.other):
-            arrivals = self.check_limit(engine, named_at + HEARD_S, 1.6)
+            arrivals = self.check_limit(engine, named_at + NOTICE_S, 1.6)
             self.assertGreaterEqual(len(arrivals), 0.5 * 1.6 * HELD_S)
         callers.close()
         self.assertGreater(self.resumed(), resumed_before)
@@ -140,7 +140,7 @@
         time.sleep(3.0)
         self.world.routers[scheduler].kill()
         time.sleep(HELD_S)
-        self.check_limit(self.limited, named_at + HEARD_S, 2.3)
+        self.check_limit(self.limited, named_at + NOTICE_S, 2.3)
         callers.close()
 
 
