--- a/tests/test_engine_limits.py
+++ b/tests/test_engine_limits.py
@@ -11,7 +11,7 @@
 EXCESS = 5
 NOTICE_S = 1.0
 """Time in which every router has answered callers from the engine, and has been told."""
-HELD_S = 8.0
+OBSERVED_S = 8.0
 BACK_S = 7.0
 """Time after which an engine that names no limit any more has its share again."""
 WORK_S = 0.03
@@ -52,9 +52,9 @@
         time.sleep(1.0)
         self.limited.limit = "2.3"
         named_at = time.monotonic()
-        time.sleep(NOTICE_S + HELD_S)
+        time.sleep(NOTICE_S + OBSERVED_S)
         arrivals = self.check_limit(self.limited, named_at + NOTICE_S, 2.3)
-        self.assertGreaterEqual(len(arrivals), 0.5 * 2.3 * HELD_S)
+        self.assertGreaterEqual(len(arrivals), 0.5 * 2.3 * OBSERVED_S)
         callers.close()
         self.assertEqual((callers.not_served(), set(callers.statuses())), ([], {200}))
 
@@ -66,10 +66,10 @@
         for engine in engines:
             engine.limit = "2.3"
         named_at = time.monotonic()
-        time.sleep(NOTICE_S + HELD_S)
+        time.sleep(NOTICE_S + OBSERVED_S)
         for engine in engines:
             arrivals = self.check_limit(engine, named_at + NOTICE_S, 2.3)
-            self.assertGreaterEqual(len(arrivals), 0.5 * 2.3 * HELD_S)
+            self.assertGreaterEqual(len(arrivals), 0.5 * 2.3 * OBSERVED_S)
         callers.close()
         refused = [answer for answer in callers.answers if answer.status != 200]
         self.assertEqual({answer.status for answer in refused} - {429, 503}, set())
@@ -101,9 +101,9 @@
         time.sleep(1.0)
         self.limited.limit = "1.6"
         named_at = time.monotonic()
-        time.sleep(NOTICE_S + HELD_S)
+        time.sleep(NOTICE_S + OBSERVED_S)
         arrivals = self.check_limit(self.limited, named_at + NOTICE_S, 1.6)
-        self.assertGreaterEqual(len(arrivals), 0.5 * 1.6 * HELD_S)
+        self.assertGreaterEqual(len(arrivals), 0.5 * 1.6 * OBSERVED_S)
         callers.close()
 
     # Guards against a stream that breaks and goes on at an engine past what its limit leaves.
@@ -117,10 +117,10 @@
             engine.limit = "1.6"
         named_at = time.monotonic()
         resumed_before = self.resumed()
-        time.sleep(NOTICE_S + HELD_S)
+        time.sleep(NOTICE_S + OBSERVED_S)
         for engine in (self.limited, self.other):
             arrivals = self.check_limit(engine, named_at + NOTICE_S, 1.6)
-            self.assertGreaterEqual(len(arrivals), 0.5 * 1.6 * HELD_S)
+            self.assertGreaterEqual(len(arrivals), 0.5 * 1.6 * OBSERVED_S)
         callers.close()
         self.assertGreater(self.resumed(), resumed_before)
 
@@ -139,7 +139,7 @@
         named_at = time.monotonic()
         time.sleep(3.0)
         self.world.routers[scheduler].kill()
-        time.sleep(HELD_S)
+        time.sleep(OBSERVED_S)
         self.check_limit(self.limited, named_at + NOTICE_S, 2.3)
         callers.close()
 
