--- a/tests/test_engine_limits.py
+++ b/tests/test_engine_limits.py
@@ -12,7 +12,7 @@
 NOTICE_S = 1.0
 """Time in which every router has answered callers from the engine, and has been told."""
 OBSERVED_S = 8.0
-BACK_S = 7.0
+RECOVERY_S = 7.0
 """Time after which an engine that names no limit any more has its share again."""
 WORK_S = 0.03
 PER_S = 40.0
@@ -81,7 +81,7 @@
         self.limited.limit = "2.3"
         time.sleep(4.0)
         self.limited.limit = None
-        time.sleep(BACK_S)
+        time.sleep(RECOVERY_S)
         since = time.monotonic()
         time.sleep(2.0)
         callers.close()
