--- a/tests/test_engine_limits.py
+++ b/tests/test_engine_limits.py
@@ -8,7 +8,7 @@
 
 WINDOW_S = 4.0
 EXCESS_RATIO = 1.5
-EXCESS = 5
+EXCESS_REQUESTS = 5
 NOTICE_S = 1.0
 """Time in which every router has answered callers from the engine, and has been told."""
 OBSERVED_S = 8.0
@@ -21,7 +21,7 @@
 
 def max_allowed(limit_per_s):
     """Requests that the users allow within ``WINDOW_S``."""
-    return EXCESS_RATIO * limit_per_s * WINDOW_S + EXCESS
+    return EXCESS_RATIO * limit_per_s * WINDOW_S + EXCESS_REQUESTS
 
 
 class LimitCase(WorldCase):
