--- a/tests/test_engine_leaving.py
+++ b/tests/test_engine_leaving.py
@@ -7,7 +7,7 @@
 from tests.utils.steady_callers import SteadyCallers
 
 PER_S = 40.0
-TOLD_S = 1.0
+NOTICE_S = 1.0
 """Time in which every router has answered callers from the engine, and has been told."""
 DRAIN_S = 2.0
 """Time after which a router that was told sends nothing more."""
@@ -31,8 +31,8 @@
 
     def check_nothing_arrives(self):
         told_at = time.monotonic()
-        time.sleep(TOLD_S + DRAIN_S + WATCHED_S)
-        late = [at for at in self.leaving.arrivals if at > told_at + TOLD_S + DRAIN_S]
+        time.sleep(NOTICE_S + DRAIN_S + WATCHED_S)
+        late = [at for at in self.leaving.arrivals if at > told_at + NOTICE_S + DRAIN_S]
         self.assertEqual(len(late), 0)
         self.callers.close()
         self.assertEqual((self.callers.not_served(), set(self.callers.statuses())), ([], {200}))
@@ -52,7 +52,7 @@
     def test_the_next_scheduler_knows_it(self):
         self.world.store.down = True
         self.leaving.leaving = True
-        time.sleep(TOLD_S)
+        time.sleep(NOTICE_S)
         scheduler = self.world.scheduler_of(self.SERVICE)
         self.world.routers[scheduler].kill()
         killed_at = time.monotonic()
