--- a/tests/test_engine_leaving.py
+++ b/tests/test_engine_leaving.py
@@ -11,7 +11,7 @@
 """Time in which every router has answered callers from the engine, and has been told."""
 DRAIN_S = 2.0
 """Time after which a router that was told sends nothing more."""
-WATCHED_S = 3.0
+OBSERVED_S = 3.0
 WORK_S = 0.03
 
 
@@ -31,7 +31,7 @@
 
     def check_nothing_arrives(self):
         told_at = time.monotonic()
-        time.sleep(NOTICE_S + DRAIN_S + WATCHED_S)
+        time.sleep(NOTICE_S + DRAIN_S + OBSERVED_S)
         late = [at for at in self.leaving.arrivals if at > told_at + NOTICE_S + DRAIN_S]
         self.assertEqual(len(late), 0)
         self.callers.close()
@@ -56,10 +56,10 @@
         scheduler = self.world.scheduler_of(self.SERVICE)
         self.world.routers[scheduler].kill()
         killed_at = time.monotonic()
-        time.sleep(DRAIN_S + WATCHED_S)
+        time.sleep(DRAIN_S + OBSERVED_S)
         self.assertEqual([at for at in self.leaving.arrivals if at > killed_at + DRAIN_S], [])
         since = [at for at in self.other.arrivals if at > killed_at + DRAIN_S]
-        self.assertGreater(len(since), 0.5 * WATCHED_S * PER_S)
+        self.assertGreater(len(since), 0.5 * OBSERVED_S * PER_S)
 
 
 class StrayWordTest(WorldCase):
