--- a/tests/test_engine_leaving.py
+++ b/tests/test_engine_leaving.py
@@ -30,9 +30,9 @@
         time.sleep(1.0)
 
     def check_nothing_arrives(self):
-        told_at = time.monotonic()
+        marked_at = time.monotonic()
         time.sleep(NOTICE_S + DRAIN_S + OBSERVED_S)
-        late = [at for at in self.leaving.arrivals if at > told_at + NOTICE_S + DRAIN_S]
+        late = [at for at in self.leaving.arrivals if at > marked_at + NOTICE_S + DRAIN_S]
         self.assertEqual(len(late), 0)
         self.callers.close()
         self.assertEqual((self.callers.not_served(), set(self.callers.statuses())), ([], {200}))
