--- a/tests/test_engine_rest.py
+++ b/tests/test_engine_rest.py
@@ -12,7 +12,7 @@
 SLACK_S = 0.5
 """Time after the answer in which what was on its way may still arrive."""
 MAX_IN_A_REST = 2
-WATCHED_S = 8.0
+OBSERVED_S = 8.0
 WORK_S = 0.03
 
 
@@ -52,7 +52,7 @@
     # Guards against a router that sends on to an engine that asked it for a rest.
     def test_one_engine_gets_its_rest_and_nobody_is_refused(self):
         self.turn_away(self.engines[:1])
-        time.sleep(WATCHED_S)
+        time.sleep(OBSERVED_S)
         self.check_rests(self.engines[0])
         self.callers.close()
         self.assertEqual((self.callers.not_served(), set(self.callers.statuses())), ([], {200}))
@@ -60,7 +60,7 @@
     # Guards against the same where all engines ask for it, so that there is nowhere else to send.
     def test_all_engines_get_their_rest_and_callers_are_told_when_to_return(self):
         self.turn_away(self.engines)
-        time.sleep(WATCHED_S)
+        time.sleep(OBSERVED_S)
         for engine in self.engines:
             self.check_rests(engine)
             engine.script = []
