--- a/tests/test_engine_rest.py
+++ b/tests/test_engine_rest.py
@@ -11,7 +11,7 @@
 REST_S = 3.0
 SLACK_S = 0.5
 """Time after the answer in which what was on its way may still arrive."""
-MAX_IN_A_REST = 2
+MAX_PER_BACK_OFF = 2
 OBSERVED_S = 8.0
 WORK_S = 0.03
 
@@ -44,7 +44,7 @@
         for times in times_by_router.values():
             for asked_at in times:
                 within = [at for at in times if asked_at + SLACK_S < at < asked_at + REST_S]
-                self.assertLessEqual(len(within), MAX_IN_A_REST)
+                self.assertLessEqual(len(within), MAX_PER_BACK_OFF)
         self.assertGreater(len(engine.turned_away), 0)
 
 
--- a/tests/utils/asking_engines.py
+++ b/tests/utils/asking_engines.py
@@ -15,7 +15,7 @@
 TOLD_S = 0.5
 """Time after which a router that was told is bound."""
 DRAIN_S = 2.0
-MAX_IN_A_REST = 2
+MAX_PER_BACK_OFF = 2
 WORK_S = 0.03
 
 
@@ -135,6 +135,6 @@
     for asked_at, router in engine.turned_away:
         until = asked_at + float(engine.rest)
         times = [at for at, by, _ in engine.got if by == router and asked_at + TOLD_S < at < until]
-        if len(times) > MAX_IN_A_REST and not excuses.holds(router, asked_at, until):
+        if len(times) > MAX_PER_BACK_OFF and not excuses.holds(router, asked_at, until):
             found.append((router, len(times)))
     return found
