--- a/tests/test_engine_rest.py
+++ b/tests/test_engine_rest.py
@@ -30,7 +30,7 @@
         self.addCleanup(self.callers.close)
         time.sleep(1.0)
 
-    def turn_away(self, engines):
+    def reject_all(self, engines):
         """Let these engines turn all requests away."""
         for engine in engines:
             engine.rest = str(REST_S)
@@ -51,7 +51,7 @@
 class RestTest(RestCase):
     # Guards against a router that sends on to an engine that asked it for a rest.
     def test_one_engine_gets_its_rest_and_nobody_is_refused(self):
-        self.turn_away(self.engines[:1])
+        self.reject_all(self.engines[:1])
         time.sleep(OBSERVED_S)
         self.check_rests(self.engines[0])
         self.callers.close()
@@ -59,7 +59,7 @@
 
     # Guards against the same where all engines ask for it, so that there is nowhere else to send.
     def test_all_engines_get_their_rest_and_callers_are_told_when_to_return(self):
-        self.turn_away(self.engines)
+        self.reject_all(self.engines)
         time.sleep(OBSERVED_S)
         for engine in self.engines:
             self.check_rests(engine)
