--- a/tests/test_engine_rest.py
+++ b/tests/test_engine_rest.py
@@ -36,7 +36,7 @@
             engine.rest = str(REST_S)
             engine.script = ["full"] * 10_000
 
-    def check_rests(self, engine):
+    def check_back_off(self, engine):
         """No router sent more than it may between half a second after an answer and the end of the rest."""
         times_by_router = defaultdict(list)
         for at, router in engine.turned_away:
@@ -53,7 +53,7 @@
     def test_one_engine_gets_its_rest_and_nobody_is_refused(self):
         self.reject_all(self.engines[:1])
         time.sleep(OBSERVED_S)
-        self.check_rests(self.engines[0])
+        self.check_back_off(self.engines[0])
         self.callers.close()
         self.assertEqual((self.callers.not_served(), set(self.callers.statuses())), ([], {200}))
 
@@ -62,7 +62,7 @@
         self.reject_all(self.engines)
         time.sleep(OBSERVED_S)
         for engine in self.engines:
-            self.check_rests(engine)
+            self.check_back_off(engine)
             engine.script = []
         time.sleep(REST_S + 1.0)
         answered = len(self.callers.answers)
