--- a/tests/test_engine_rest.py
+++ b/tests/test_engine_rest.py
@@ -42,8 +42,8 @@
         for at, router in engine.turned_away:
             times_by_router[router].append(at)
         for times in times_by_router.values():
-            for asked_at in times:
-                within = [at for at in times if asked_at + SLACK_S < at < asked_at + REST_S]
+            for back_off_at in times:
+                within = [at for at in times if back_off_at + SLACK_S < at < back_off_at + REST_S]
                 self.assertLessEqual(len(within), MAX_PER_BACK_OFF)
         self.assertGreater(len(engine.turned_away), 0)
 
