--- a/tests/test_engine_rest.py
+++ b/tests/test_engine_rest.py
@@ -8,7 +8,7 @@
 from tests.utils.steady_callers import SteadyCallers
 
 PER_S = 40.0
-REST_S = 3.0
+BACK_OFF_S = 3.0
 SLACK_S = 0.5
 """Time after the answer in which what was on its way may still arrive."""
 MAX_PER_BACK_OFF = 2
@@ -33,7 +33,7 @@
     def reject_all(self, engines):
         """Let these engines turn all requests away."""
         for engine in engines:
-            engine.rest = str(REST_S)
+            engine.rest = str(BACK_OFF_S)
             engine.script = ["full"] * 10_000
 
     def check_back_off(self, engine):
@@ -43,7 +43,7 @@
             times_by_router[router].append(at)
         for times in times_by_router.values():
             for back_off_at in times:
-                within = [at for at in times if back_off_at + SLACK_S < at < back_off_at + REST_S]
+                within = [at for at in times if back_off_at + SLACK_S < at < back_off_at + BACK_OFF_S]
                 self.assertLessEqual(len(within), MAX_PER_BACK_OFF)
         self.assertGreater(len(engine.turned_away), 0)
 
@@ -64,7 +64,7 @@
         for engine in self.engines:
             self.check_back_off(engine)
             engine.script = []
-        time.sleep(REST_S + 1.0)
+        time.sleep(BACK_OFF_S + 1.0)
         answered = len(self.callers.answers)
         time.sleep(1.0)
         self.callers.close()
