--- a/tests/utils/asking_engines.py
+++ b/tests/utils/asking_engines.py
@@ -37,7 +37,7 @@
     def __init__(self, *, name, service, seed):
         self.rest_share = 0.0
         self.got = []
-        self.told_limit = []
+        self.limit_notices = []
         self.told_leaving = []
         self.limits = []
         self._chance = random.Random(f"{seed} {name}")
@@ -57,7 +57,7 @@
         limit, leaving = self.limit, self.leaving
         super().serve(handler)
         if limit is not None and self.limit == limit:
-            self.told_limit.append((time.monotonic(), router))
+            self.limit_notices.append((time.monotonic(), router))
         if leaving:
             self.told_leaving.append((time.monotonic(), router))
 
@@ -100,7 +100,7 @@
     found = []
     for began_at, ended_at, limit_per_s in engine.limits:
         told_at = {}
-        for at, router in engine.told_limit:
+        for at, router in engine.limit_notices:
             if began_at <= at <= ended_at:
                 told_at.setdefault(router, at)
         bound = [
