--- a/tests/utils/asking_engines.py
+++ b/tests/utils/asking_engines.py
@@ -38,7 +38,7 @@
         self.rest_share = 0.0
         self.got = []
         self.limit_notices = []
-        self.told_leaving = []
+        self.leaving_notices = []
         self.limits = []
         self._chance = random.Random(f"{seed} {name}")
         self._lock = threading.Lock()
@@ -59,7 +59,7 @@
         if limit is not None and self.limit == limit:
             self.limit_notices.append((time.monotonic(), router))
         if leaving:
-            self.told_leaving.append((time.monotonic(), router))
+            self.leaving_notices.append((time.monotonic(), router))
 
     def name_limit(self, limit_per_s, for_s):
         """Name a limit for a time."""
@@ -120,7 +120,7 @@
 def after_leaving(engine, excuses):
     """Requests that reached an engine too late after it had told their router that it leaves."""
     told_at = {}
-    for at, router in engine.told_leaving:
+    for at, router in engine.leaving_notices:
         told_at.setdefault(router, at)
     return [
         (router, round(sent_at - told_at[router], 3))
