--- a/tests/test_asking_engines.py
+++ b/tests/test_asking_engines.py
@@ -126,7 +126,7 @@
             for answer in answers
         }
         self.assertLessEqual(statuses, ANSWERS, told)
-        print(f"{told}: {[len(engine.got) for engine in play.engines]} requests")
+        print(f"{told}: {[len(engine.received) for engine in play.engines]} requests")
 
 
 if __name__ == "__main__":
--- a/tests/utils/asking_engines.py
+++ b/tests/utils/asking_engines.py
@@ -36,7 +36,7 @@
 
     def __init__(self, *, name, service, seed):
         self.rest_share = 0.0
-        self.got = []
+        self.received = []
         self.limit_notices = []
         self.leaving_notices = []
         self.limits = []
@@ -51,7 +51,7 @@
             super().serve(handler)
             return
         with self._lock:
-            self.got.append((time.monotonic(), router, float(handler.headers["X-Sent-At"])))
+            self.received.append((time.monotonic(), router, float(handler.headers["X-Sent-At"])))
             if self._chance.random() < self.rest_share:
                 self.script.append("full")
         limit, leaving = self.limit, self.leaving
@@ -105,7 +105,7 @@
                 told_at.setdefault(router, at)
         bound = [
             at
-            for at, router, _ in engine.got
+            for at, router, _ in engine.received
             if router in told_at
             and told_at[router] + TOLD_S <= at <= ended_at
             and not excuses.holds(router, told_at[router], at)
@@ -124,7 +124,7 @@
         told_at.setdefault(router, at)
     return [
         (router, round(sent_at - told_at[router], 3))
-        for at, router, sent_at in engine.got
+        for at, router, sent_at in engine.received
         if router in told_at and sent_at > told_at[router] + DRAIN_S and not excuses.holds(router, told_at[router], at)
     ]
 
@@ -134,7 +134,7 @@
     found = []
     for asked_at, router in engine.turned_away:
         until = asked_at + float(engine.rest)
-        times = [at for at, by, _ in engine.got if by == router and asked_at + TOLD_S < at < until]
+        times = [at for at, by, _ in engine.received if by == router and asked_at + TOLD_S < at < until]
         if len(times) > MAX_PER_BACK_OFF and not excuses.holds(router, asked_at, until):
             found.append((router, len(times)))
     return found
