--- a/tests/test_asking_engines.py
+++ b/tests/test_asking_engines.py
@@ -89,7 +89,7 @@
     def _disturb(self, what, on, for_s):
         router = self.world.routers[on]
         with self._busy_by_router[on]:
-            self.excuses.note(str(on))
+            self.excuses.record(str(on))
             if what == "pause":
                 router.freeze()
                 time.sleep(for_s)
@@ -99,7 +99,7 @@
                 time.sleep(0.3 * for_s)
                 router.start()
                 router.wait_ready()
-            self.excuses.note(str(on))
+            self.excuses.record(str(on))
 
 
 class AskingEnginesTest(unittest.TestCase):
--- a/tests/utils/asking_engines.py
+++ b/tests/utils/asking_engines.py
@@ -87,7 +87,7 @@
     def __init__(self):
         self.times_by_router = defaultdict(list)
 
-    def note(self, router):
+    def record(self, router):
         self.times_by_router[router].append(time.monotonic())
 
     def holds(self, router, since, until):
