--- a/tests/test_asking_engines.py
+++ b/tests/test_asking_engines.py
@@ -6,7 +6,7 @@
 import time
 import unittest
 
-from tests.utils.asking_engines import AskingEngine, Excuses, after_leaving, over_limit, within_rests
+from tests.utils.asking_engines import AskingEngine, RouterDisturbances, after_leaving, over_limit, within_rests
 from tests.utils.platform_world import World
 from tests.utils.steady_callers import SteadyCallers
 
@@ -43,7 +43,7 @@
 
     def __init__(self, *, seed):
         self.events = plan(seed)
-        self.excuses = Excuses()
+        self.excuses = RouterDisturbances()
         self.world = World(routers=ROUTERS)
         for name in ("b-1", "b-2"):
             self.world.engines.pop(name).close()
--- a/tests/utils/asking_engines.py
+++ b/tests/utils/asking_engines.py
@@ -81,7 +81,7 @@
         self.rest_share = 0.0
 
 
-class Excuses:
+class RouterDisturbances:
     """Times at which routers were killed, paused or started."""
 
     def __init__(self):
