--- a/tests/test_asking_engines.py
+++ b/tests/test_asking_engines.py
@@ -43,7 +43,7 @@
 
     def __init__(self, *, seed):
         self.events = plan(seed)
-        self.excuses = RouterDisturbances()
+        self.disturbances = RouterDisturbances()
         self.world = World(routers=ROUTERS)
         for name in ("b-1", "b-2"):
             self.world.engines.pop(name).close()
@@ -89,7 +89,7 @@
     def _disturb(self, what, on, for_s):
         router = self.world.routers[on]
         with self._busy_by_router[on]:
-            self.excuses.record(str(on))
+            self.disturbances.record(str(on))
             if what == "pause":
                 router.freeze()
                 time.sleep(for_s)
@@ -99,7 +99,7 @@
                 time.sleep(0.3 * for_s)
                 router.start()
                 router.wait_ready()
-            self.excuses.record(str(on))
+            self.disturbances.record(str(on))
 
 
 class AskingEnginesTest(unittest.TestCase):
@@ -118,11 +118,11 @@
         told = f"seed {seed}: {[(round(at, 1), what, on, value) for at, what, on, value, _ in play.events]}"
         for engine in play.engines:
             for check in (over_limit, after_leaving, within_rests):
-                self.assertEqual(check(engine, play.excuses), [], f"{check.__name__} {engine.name}, {told}")
+                self.assertEqual(check(engine, play.disturbances), [], f"{check.__name__} {engine.name}, {told}")
         statuses = {
             answer.status
             for router, answers in answers_by_router.items()
-            if not play.excuses.times_by_router[str(router)]
+            if not play.disturbances.times_by_router[str(router)]
             for answer in answers
         }
         self.assertLessEqual(statuses, ANSWERS, told)
--- a/tests/utils/asking_engines.py
+++ b/tests/utils/asking_engines.py
@@ -95,7 +95,7 @@
         return any(since <= at <= until for at in self.times_by_router[router])
 
 
-def over_limit(engine, excuses):
+def over_limit(engine, disturbances):
     """Spans in which an engine got more than its limit allows, as (limit, requests)."""
     found = []
     for began_at, ended_at, limit_per_s in engine.limits:
@@ -108,7 +108,7 @@
             for at, router, _ in engine.received
             if router in told_at
             and told_at[router] + TOLD_S <= at <= ended_at
-            and not excuses.holds(router, told_at[router], at)
+            and not disturbances.holds(router, told_at[router], at)
         ]
         for last in bound:
             count = sum(last - WINDOW_S <= at <= last for at in bound)
@@ -117,7 +117,7 @@
     return found
 
 
-def after_leaving(engine, excuses):
+def after_leaving(engine, disturbances):
     """Requests that reached an engine too late after it had told their router that it leaves."""
     told_at = {}
     for at, router in engine.leaving_notices:
@@ -125,16 +125,18 @@
     return [
         (router, round(sent_at - told_at[router], 3))
         for at, router, sent_at in engine.received
-        if router in told_at and sent_at > told_at[router] + DRAIN_S and not excuses.holds(router, told_at[router], at)
+        if router in told_at
+        and sent_at > told_at[router] + DRAIN_S
+        and not disturbances.holds(router, told_at[router], at)
     ]
 
 
-def within_rests(engine, excuses):
+def within_rests(engine, disturbances):
     """Rests within which an engine got more than it may, as (router, requests)."""
     found = []
     for asked_at, router in engine.turned_away:
         until = asked_at + float(engine.rest)
         times = [at for at, by, _ in engine.received if by == router and asked_at + TOLD_S < at < until]
-        if len(times) > MAX_PER_BACK_OFF and not excuses.holds(router, asked_at, until):
+        if len(times) > MAX_PER_BACK_OFF and not disturbances.holds(router, asked_at, until):
             found.append((router, len(times)))
     return found
