--- a/tests/utils/asking_engines.py
+++ b/tests/utils/asking_engines.py
@@ -90,7 +90,7 @@
     def record(self, router):
         self.times_by_router[router].append(time.monotonic())
 
-    def holds(self, router, since, until):
+    def disturbed_within(self, router, since, until):
         """Whether something happened to the router in that time."""
         return any(since <= at <= until for at in self.times_by_router[router])
 
@@ -108,7 +108,7 @@
             for at, router, _ in engine.received
             if router in told_at
             and told_at[router] + TOLD_S <= at <= ended_at
-            and not disturbances.holds(router, told_at[router], at)
+            and not disturbances.disturbed_within(router, told_at[router], at)
         ]
         for last in bound:
             count = sum(last - WINDOW_S <= at <= last for at in bound)
@@ -127,7 +127,7 @@
         for at, router, sent_at in engine.received
         if router in told_at
         and sent_at > told_at[router] + DRAIN_S
-        and not disturbances.holds(router, told_at[router], at)
+        and not disturbances.disturbed_within(router, told_at[router], at)
     ]
 
 
@@ -137,6 +137,6 @@
     for asked_at, router in engine.turned_away:
         until = asked_at + float(engine.rest)
         times = [at for at, by, _ in engine.received if by == router and asked_at + TOLD_S < at < until]
-        if len(times) > MAX_PER_BACK_OFF and not disturbances.holds(router, asked_at, until):
+        if len(times) > MAX_PER_BACK_OFF and not disturbances.disturbed_within(router, asked_at, until):
             found.append((router, len(times)))
     return found
