--- a/tests/utils/asking_engines.py
+++ b/tests/utils/asking_engines.py
@@ -12,7 +12,7 @@
 EXCESS = 5
 CONTACT_S = 3.0
 """Time from the first naming of a limit from which it counts."""
-TOLD_S = 0.5
+NOTICE_S = 0.5
 """Time after which a router that was told is bound."""
 DRAIN_S = 2.0
 MAX_PER_BACK_OFF = 2
@@ -107,7 +107,7 @@
             at
             for at, router, _ in engine.received
             if router in told_at
-            and told_at[router] + TOLD_S <= at <= ended_at
+            and told_at[router] + NOTICE_S <= at <= ended_at
             and not disturbances.disturbed_within(router, told_at[router], at)
         ]
         for last in bound:
@@ -136,7 +136,7 @@
     found = []
     for asked_at, router in engine.turned_away:
         until = asked_at + float(engine.rest)
-        times = [at for at, by, _ in engine.received if by == router and asked_at + TOLD_S < at < until]
+        times = [at for at, by, _ in engine.received if by == router and asked_at + NOTICE_S < at < until]
         if len(times) > MAX_PER_BACK_OFF and not disturbances.disturbed_within(router, asked_at, until):
             found.append((router, len(times)))
     return found
