--- a/tests/utils/asking_engines.py
+++ b/tests/utils/asking_engines.py
@@ -99,16 +99,16 @@
     """Spans in which an engine got more than its limit allows, as (limit, requests)."""
     found = []
     for began_at, ended_at, limit_per_s in engine.limits:
-        told_at = {}
+        notified_at = {}
         for at, router in engine.limit_notices:
             if began_at <= at <= ended_at:
-                told_at.setdefault(router, at)
+                notified_at.setdefault(router, at)
         bound = [
             at
             for at, router, _ in engine.received
-            if router in told_at
-            and told_at[router] + NOTICE_S <= at <= ended_at
-            and not disturbances.disturbed_within(router, told_at[router], at)
+            if router in notified_at
+            and notified_at[router] + NOTICE_S <= at <= ended_at
+            and not disturbances.disturbed_within(router, notified_at[router], at)
         ]
         for last in bound:
             count = sum(last - WINDOW_S <= at <= last for at in bound)
@@ -119,15 +119,15 @@
 
 def after_leaving(engine, disturbances):
     """Requests that reached an engine too late after it had told their router that it leaves."""
-    told_at = {}
+    notified_at = {}
     for at, router in engine.leaving_notices:
-        told_at.setdefault(router, at)
+        notified_at.setdefault(router, at)
     return [
-        (router, round(sent_at - told_at[router], 3))
+        (router, round(sent_at - notified_at[router], 3))
         for at, router, sent_at in engine.received
-        if router in told_at
-        and sent_at > told_at[router] + DRAIN_S
-        and not disturbances.disturbed_within(router, told_at[router], at)
+        if router in notified_at
+        and sent_at > notified_at[router] + DRAIN_S
+        and not disturbances.disturbed_within(router, notified_at[router], at)
     ]
 
 
