--- a/tests/utils/asking_engines.py
+++ b/tests/utils/asking_engines.py
@@ -134,9 +134,9 @@
 def within_rests(engine, disturbances):
     """Rests within which an engine got more than it may, as (router, requests)."""
     found = []
-    for asked_at, router in engine.turned_away:
-        until = asked_at + float(engine.rest)
-        times = [at for at, by, _ in engine.received if by == router and asked_at + NOTICE_S < at < until]
-        if len(times) > MAX_PER_BACK_OFF and not disturbances.disturbed_within(router, asked_at, until):
+    for back_off_at, router in engine.turned_away:
+        until = back_off_at + float(engine.rest)
+        times = [at for at, by, _ in engine.received if by == router and back_off_at + NOTICE_S < at < until]
+        if len(times) > MAX_PER_BACK_OFF and not disturbances.disturbed_within(router, back_off_at, until):
             found.append((router, len(times)))
     return found
