--- a/tests/test_asking_engines.py
+++ b/tests/test_asking_engines.py
@@ -24,17 +24,17 @@
 
 def plan(seed):
     """Events in order of their times: (time, what, on, value, duration)."""
-    chance = random.Random(seed)
+    rng = random.Random(seed)
     events = []
     leaves = False
     for _ in range(EVENTS):
-        what = chance.choice(("limit", "limit", "rest", "leave", "kill", "pause", "store"))
+        what = rng.choice(("limit", "limit", "rest", "leave", "kill", "pause", "store"))
         if what == "leave" and leaves:
             what = "rest"
         leaves = leaves or what == "leave"
-        on = chance.randrange(ROUTERS if what in ("kill", "pause") else ENGINES)
-        value = round(chance.uniform(0.5, 6.0), 1) if what == "limit" else chance.choice((0.3, 0.6, 1.0))
-        events.append((chance.uniform(0.0, LAST_EVENT_S), what, on, value, chance.uniform(1.0, 4.0)))
+        on = rng.randrange(ROUTERS if what in ("kill", "pause") else ENGINES)
+        value = round(rng.uniform(0.5, 6.0), 1) if what == "limit" else rng.choice((0.3, 0.6, 1.0))
+        events.append((rng.uniform(0.0, LAST_EVENT_S), what, on, value, rng.uniform(1.0, 4.0)))
     return sorted(events)
 
 
