--- a/tests/utils/asking_engines.py
+++ b/tests/utils/asking_engines.py
@@ -40,7 +40,7 @@
         self.limit_notices = []
         self.leaving_notices = []
         self.limits = []
-        self._chance = random.Random(f"{seed} {name}")
+        self._rng = random.Random(f"{seed} {name}")
         self._lock = threading.Lock()
         super().__init__(name=name, service=service)
         self.delay_s = WORK_S
@@ -52,7 +52,7 @@
             return
         with self._lock:
             self.received.append((time.monotonic(), router, float(handler.headers["X-Sent-At"])))
-            if self._chance.random() < self.rest_share:
+            if self._rng.random() < self.rest_share:
                 self.script.append("full")
         limit, leaving = self.limit, self.leaving
         super().serve(handler)
