--- a/tests/test_asking_engines.py
+++ b/tests/test_asking_engines.py
@@ -74,7 +74,7 @@
     def _happen(self, what, on, value, for_s):
         match what:
             case "limit" if self.engines[on].limit is None:
-                self.engines[on].name_limit(value, for_s + 3.0)
+                self.engines[on].set_limit(value, for_s + 3.0)
             case "rest":
                 self.engines[on].ask_for_rests(REST_S, value, for_s)
             case "leave":
--- a/tests/utils/asking_engines.py
+++ b/tests/utils/asking_engines.py
@@ -61,7 +61,7 @@
         if leaving:
             self.leaving_notices.append((time.monotonic(), router))
 
-    def name_limit(self, limit_per_s, for_s):
+    def set_limit(self, limit_per_s, for_s):
         """Name a limit for a time."""
         self.limit = str(limit_per_s)
         began_at = time.monotonic()
