--- a/tests/test_asking_engines.py
+++ b/tests/test_asking_engines.py
@@ -76,7 +76,7 @@
             case "limit" if self.engines[on].limit is None:
                 self.engines[on].set_limit(value, for_s + 3.0)
             case "rest":
-                self.engines[on].ask_for_rests(REST_S, value, for_s)
+                self.engines[on].request_back_off(REST_S, value, for_s)
             case "leave":
                 self.engines[on].leaving = True
             case "store":
--- a/tests/utils/asking_engines.py
+++ b/tests/utils/asking_engines.py
@@ -68,7 +68,7 @@
         self.limits.append((began_at, began_at + for_s, limit_per_s))
         threading.Timer(for_s, self._end_limit).start()
 
-    def ask_for_rests(self, rest_s, share, for_s):
+    def request_back_off(self, rest_s, share, for_s):
         """Turn a share away for a time, and ask their routers for a rest."""
         self.rest = str(rest_s)
         self.rest_share = share
