--- a/tests/utils/asking_engines.py
+++ b/tests/utils/asking_engines.py
@@ -131,7 +131,7 @@
     ]
 
 
-def within_rests(engine, disturbances):
+def exceeded_back_off(engine, disturbances):
     """Rests within which an engine got more than it may, as (router, requests)."""
     found = []
     for back_off_at, router in engine.turned_away:
