--- a/tests/utils/asking_engines.py
+++ b/tests/utils/asking_engines.py
@@ -95,7 +95,7 @@
         return any(since <= at <= until for at in self.times_by_router[router])
 
 
-def over_limit(engine, disturbances):
+def exceeded_limit(engine, disturbances):
     """Spans in which an engine got more than its limit allows, as (limit, requests)."""
     found = []
     for began_at, ended_at, limit_per_s in engine.limits:
