--- a/tests/test_asking_engines.py
+++ b/tests/test_asking_engines.py
@@ -9,9 +9,9 @@
 from tests.utils.asking_engines import (
     AskingEngine,
     RouterDisturbances,
-    after_leaving,
     exceeded_back_off,
     exceeded_limit,
+    received_after_leaving,
 )
 from tests.utils.platform_world import World
 from tests.utils.steady_callers import SteadyCallers
@@ -123,7 +123,7 @@
             play.world.close()
         told = f"seed {seed}: {[(round(at, 1), what, on, value) for at, what, on, value, _ in play.events]}"
         for engine in play.engines:
-            for check in (exceeded_limit, after_leaving, exceeded_back_off):
+            for check in (exceeded_limit, received_after_leaving, exceeded_back_off):
                 self.assertEqual(check(engine, play.disturbances), [], f"{check.__name__} {engine.name}, {told}")
         statuses = {
             answer.status
--- a/tests/utils/asking_engines.py
+++ b/tests/utils/asking_engines.py
@@ -117,7 +117,7 @@
     return found
 
 
-def after_leaving(engine, disturbances):
+def received_after_leaving(engine, disturbances):
     """Requests that reached an engine too late after it had told their router that it leaves."""
     notified_at = {}
     for at, router in engine.leaving_notices:
