--- a/tests/utils/asking_engines.py
+++ b/tests/utils/asking_engines.py
@@ -72,12 +72,12 @@
         """Turn a share away for a time, and ask their routers for a rest."""
         self.rest = str(rest_s)
         self.rest_share = share
-        threading.Timer(for_s, self._end_rests).start()
+        threading.Timer(for_s, self._end_back_off).start()
 
     def _end_limit(self):
         self.limit = None
 
-    def _end_rests(self):
+    def _end_back_off(self):
         self.rest_share = 0.0
 
 
