--- a/tests/test_asking_engines.py
+++ b/tests/test_asking_engines.py
@@ -121,18 +121,18 @@
             answers_by_router = play.run()
         finally:
             play.world.close()
-        told = f"seed {seed}: {[(round(at, 1), what, on, value) for at, what, on, value, _ in play.events]}"
+        description = f"seed {seed}: {[(round(at, 1), what, on, value) for at, what, on, value, _ in play.events]}"
         for engine in play.engines:
             for check in (exceeded_limit, received_after_leaving, exceeded_back_off):
-                self.assertEqual(check(engine, play.disturbances), [], f"{check.__name__} {engine.name}, {told}")
+                self.assertEqual(check(engine, play.disturbances), [], f"{check.__name__} {engine.name}, {description}")
         statuses = {
             answer.status
             for router, answers in answers_by_router.items()
             if not play.disturbances.times_by_router[str(router)]
             for answer in answers
         }
-        self.assertLessEqual(statuses, ANSWERS, told)
-        print(f"{told}: {[len(engine.received) for engine in play.engines]} requests")
+        self.assertLessEqual(statuses, ANSWERS, description)
+        print(f"{description}: {[len(engine.received) for engine in play.engines]} requests")
 
 
 if __name__ == "__main__":
