--- a/tests/test_asking_engines.py
+++ b/tests/test_asking_engines.py
@@ -34,13 +34,13 @@
     events = []
     leaves = False
     for _ in range(EVENTS):
-        what = rng.choice(("limit", "limit", "rest", "leave", "kill", "pause", "store"))
-        if what == "leave" and leaves:
-            what = "rest"
-        leaves = leaves or what == "leave"
-        on = rng.randrange(ROUTERS if what in ("kill", "pause") else ENGINES)
-        value = round(rng.uniform(0.5, 6.0), 1) if what == "limit" else rng.choice((0.3, 0.6, 1.0))
-        events.append((rng.uniform(0.0, LAST_EVENT_S), what, on, value, rng.uniform(1.0, 4.0)))
+        kind = rng.choice(("limit", "limit", "rest", "leave", "kill", "pause", "store"))
+        if kind == "leave" and leaves:
+            kind = "rest"
+        leaves = leaves or kind == "leave"
+        on = rng.randrange(ROUTERS if kind in ("kill", "pause") else ENGINES)
+        value = round(rng.uniform(0.5, 6.0), 1) if kind == "limit" else rng.choice((0.3, 0.6, 1.0))
+        events.append((rng.uniform(0.0, LAST_EVENT_S), kind, on, value, rng.uniform(1.0, 4.0)))
     return sorted(events)
 
 
@@ -67,9 +67,9 @@
         time.sleep(1.0)
         began_at = time.monotonic()
         timers = []
-        for at, what, on, value, for_s in self.events:
+        for at, kind, on, value, for_s in self.events:
             time.sleep(max(0.0, began_at + at - time.monotonic()))
-            timers.append(threading.Thread(target=self._happen, args=(what, on, value, for_s), daemon=True))
+            timers.append(threading.Thread(target=self._happen, args=(kind, on, value, for_s), daemon=True))
             timers[-1].start()
         time.sleep(max(0.0, began_at + PLAY_S - time.monotonic()))
         for timer in timers:
@@ -77,8 +77,8 @@
         callers.close()
         return callers.answers_by_router
 
-    def _happen(self, what, on, value, for_s):
-        match what:
+    def _happen(self, kind, on, value, for_s):
+        match kind:
             case "limit" if self.engines[on].limit is None:
                 self.engines[on].set_limit(value, for_s + 3.0)
             case "rest":
@@ -90,13 +90,13 @@
                 time.sleep(for_s)
                 self.world.store.down = False
             case "kill" | "pause":
-                self._disturb(what, on, for_s)
+                self._disturb(kind, on, for_s)
 
-    def _disturb(self, what, on, for_s):
+    def _disturb(self, kind, on, for_s):
         router = self.world.routers[on]
         with self._busy_by_router[on]:
             self.disturbances.record(str(on))
-            if what == "pause":
+            if kind == "pause":
                 router.freeze()
                 time.sleep(for_s)
                 router.resume()
@@ -121,7 +121,7 @@
             answers_by_router = play.run()
         finally:
             play.world.close()
-        description = f"seed {seed}: {[(round(at, 1), what, on, value) for at, what, on, value, _ in play.events]}"
+        description = f"seed {seed}: {[(round(at, 1), kind, on, value) for at, kind, on, value, _ in play.events]}"
         for engine in play.engines:
             for check in (exceeded_limit, received_after_leaving, exceeded_back_off):
                 self.assertEqual(check(engine, play.disturbances), [], f"{check.__name__} {engine.name}, {description}")
