--- a/tests/test_asking_engines.py
+++ b/tests/test_asking_engines.py
@@ -65,13 +65,13 @@
         paths = [("GET", "/status/1"), ("POST", "/book/1")]
         callers = SteadyCallers(world=self.world, paths=paths, per_s=PER_S).start()
         time.sleep(1.0)
-        began_at = time.monotonic()
+        started_at = time.monotonic()
         timers = []
         for at, kind, on, value, for_s in self.events:
-            time.sleep(max(0.0, began_at + at - time.monotonic()))
+            time.sleep(max(0.0, started_at + at - time.monotonic()))
             timers.append(threading.Thread(target=self._happen, args=(kind, on, value, for_s), daemon=True))
             timers[-1].start()
-        time.sleep(max(0.0, began_at + PLAY_S - time.monotonic()))
+        time.sleep(max(0.0, started_at + PLAY_S - time.monotonic()))
         for timer in timers:
             timer.join()
         callers.close()
--- a/tests/utils/asking_engines.py
+++ b/tests/utils/asking_engines.py
@@ -64,8 +64,8 @@
     def set_limit(self, limit_per_s, for_s):
         """Name a limit for a time."""
         self.limit = str(limit_per_s)
-        began_at = time.monotonic()
-        self.limits.append((began_at, began_at + for_s, limit_per_s))
+        started_at = time.monotonic()
+        self.limits.append((started_at, started_at + for_s, limit_per_s))
         threading.Timer(for_s, self._end_limit).start()
 
     def request_back_off(self, rest_s, share, for_s):
@@ -98,10 +98,10 @@
 def exceeded_limit(engine, disturbances):
     """Spans in which an engine got more than its limit allows, as (limit, requests)."""
     found = []
-    for began_at, ended_at, limit_per_s in engine.limits:
+    for started_at, ended_at, limit_per_s in engine.limits:
         notified_at = {}
         for at, router in engine.limit_notices:
-            if began_at <= at <= ended_at:
+            if started_at <= at <= ended_at:
                 notified_at.setdefault(router, at)
         bound = [
             at
@@ -112,7 +112,7 @@
         ]
         for last in bound:
             count = sum(last - WINDOW_S <= at <= last for at in bound)
-            if last >= began_at + CONTACT_S and count > EXCESS_RATIO * limit_per_s * WINDOW_S + EXCESS:
+            if last >= started_at + CONTACT_S and count > EXCESS_RATIO * limit_per_s * WINDOW_S + EXCESS:
                 found.append((limit_per_s, count))
     return found
 
