--- a/tests/test_retry_fleet.py
+++ b/tests/test_retry_fleet.py
@@ -77,12 +77,12 @@
         disturbances = Disturbances(fleet=fleet, seed=seed)
         await disturbances.run(for_s=2 * FAILING_S)
         await fleet.close()
-        return fleet.over_budget(), disturbances.told
+        return fleet.over_budget(), disturbances.history
 
     def check(self, seed):
         with asyncio.Runner(loop_factory=lambda: looptime.new_event_loop(start=0)) as runner:
-            over, told = runner.run(self.play(seed))
-        self.assertLessEqual(over, 0.0, told)
+            over, history = runner.run(self.play(seed))
+        self.assertLessEqual(over, 0.0, history)
 
     # Guards against what none of the single disturbances shows.
     def test_seeds(self):
--- a/tests/utils/retry_fleet.py
+++ b/tests/utils/retry_fleet.py
@@ -240,7 +240,7 @@
     LONGEST_S = 8.0
 
     def __init__(self, *, fleet, seed):
-        self.told = []
+        self.history = []
         self._fleet = fleet
         self._chance = random.Random(f"{seed} disturbances")
         self._tasks = []
@@ -288,7 +288,7 @@
         self._fleet.net.cut = lambda one, other: False
 
     def _tell(self, text):
-        self.told.append(f"{now():.1f} {text}")
+        self.history.append(f"{now():.1f} {text}")
 
 
 def _vm(name):
