--- a/tests/utils/retry_fleet.py
+++ b/tests/utils/retry_fleet.py
@@ -257,26 +257,26 @@
     async def _fail(self):
         self._fleet.fail_share = self._chance.choice((0.1, 0.3, 0.5, 0.7, 1.0))
         self._fleet.failure = self._chance.choice((LOST, REFUSED, NOT_CONNECTED))
-        self._tell(f"{self._fleet.fail_share} end as {type(self._fleet.failure).__name__}")
+        self._log_event(f"{self._fleet.fail_share} end as {type(self._fleet.failure).__name__}")
 
     async def _kill(self):
         names = sorted(self._fleet.routers_by_name)
         if len(names) <= MIN_RUNNING:
             return
         some = self._chance.sample(names, self._chance.randint(1, len(names) - MIN_RUNNING))
-        self._tell(f"killed: {some}")
+        self._log_event(f"killed: {some}")
         await self._fleet.kill(*some)
         self._tasks.append(asyncio.create_task(self._restart(some, self._chance.uniform(0.0, self.LONGEST_S))))
 
     async def _restart(self, names, after_s):
         await asyncio.sleep(after_s)
-        self._tell(f"started again: {names}")
+        self._log_event(f"started again: {names}")
         await self._fleet.restart(*names)
 
     async def _cut(self):
         some = frozenset(self._chance.sample(sorted(self._fleet.net.by_name), self._chance.randint(1, 8)))
         inside = self._chance.random() < 0.5
-        self._tell(f"cut off, {'together' if inside else 'each'}: {sorted(some)}")
+        self._log_event(f"cut off, {'together' if inside else 'each'}: {sorted(some)}")
         self._fleet.net.cut = lambda one, other: (
             one != other and ((one in some) != (other in some) if inside else one in some or other in some)
         )
@@ -284,10 +284,10 @@
 
     async def _heal(self, after_s):
         await asyncio.sleep(after_s)
-        self._tell("healed")
+        self._log_event("healed")
         self._fleet.net.cut = lambda one, other: False
 
-    def _tell(self, text):
+    def _log_event(self, text):
         self.history.append(f"{now():.1f} {text}")
 
 
