--- a/tests/utils/retry_fleet.py
+++ b/tests/utils/retry_fleet.py
@@ -150,7 +150,7 @@
         self.arrivals_by_id = {}
         self.callers = []
         self._count = routers
-        self._chance = random.Random(seed)
+        self._rng = random.Random(seed)
         self._incarnation = itertools.count(2)
         self._sending = None
 
@@ -168,7 +168,7 @@
 
     def outcome(self, request_id):
         """What one run comes to, which reaches its engine now unless no connection is made."""
-        fails = self._chance.random() < self.fail_share
+        fails = self._rng.random() < self.fail_share
         if fails and self.failure is NOT_CONNECTED:
             return self.failure
         self.arrivals_by_id.setdefault(request_id, []).append(now())
@@ -213,7 +213,7 @@
     async def _send_on(self):
         for number in itertools.count():
             await asyncio.sleep(1.0 / PER_S)
-            name = self._chance.choice(sorted(self.routers_by_name))
+            name = self._rng.choice(sorted(self.routers_by_name))
             router = self.routers_by_name[name]
             request_id = f"{name}-{number}"
             caller = FleetCaller(fleet=self, router=router, request_id=request_id)
@@ -242,31 +242,31 @@
     def __init__(self, *, fleet, seed):
         self.history = []
         self._fleet = fleet
-        self._chance = random.Random(f"{seed} disturbances")
+        self._rng = random.Random(f"{seed} disturbances")
         self._tasks = []
 
     async def run(self, *, for_s):
         """Disturb the fleet for a time, and wait until what was begun has ended."""
         until = now() + for_s
         while now() < until:
-            await self._chance.choice((self._fail, self._kill, self._kill, self._cut))()
-            await asyncio.sleep(self._chance.uniform(0.0, self.LONGEST_PAUSE_S))
+            await self._rng.choice((self._fail, self._kill, self._kill, self._cut))()
+            await asyncio.sleep(self._rng.uniform(0.0, self.LONGEST_PAUSE_S))
         await asyncio.gather(*self._tasks)
         self._fleet.fail_share = 0.0
 
     async def _fail(self):
-        self._fleet.fail_share = self._chance.choice((0.1, 0.3, 0.5, 0.7, 1.0))
-        self._fleet.failure = self._chance.choice((LOST, REFUSED, NOT_CONNECTED))
+        self._fleet.fail_share = self._rng.choice((0.1, 0.3, 0.5, 0.7, 1.0))
+        self._fleet.failure = self._rng.choice((LOST, REFUSED, NOT_CONNECTED))
         self._log_event(f"{self._fleet.fail_share} end as {type(self._fleet.failure).__name__}")
 
     async def _kill(self):
         names = sorted(self._fleet.routers_by_name)
         if len(names) <= MIN_RUNNING:
             return
-        some = self._chance.sample(names, self._chance.randint(1, len(names) - MIN_RUNNING))
+        some = self._rng.sample(names, self._rng.randint(1, len(names) - MIN_RUNNING))
         self._log_event(f"killed: {some}")
         await self._fleet.kill(*some)
-        self._tasks.append(asyncio.create_task(self._restart(some, self._chance.uniform(0.0, self.LONGEST_S))))
+        self._tasks.append(asyncio.create_task(self._restart(some, self._rng.uniform(0.0, self.LONGEST_S))))
 
     async def _restart(self, names, after_s):
         await asyncio.sleep(after_s)
@@ -274,13 +274,13 @@
         await self._fleet.restart(*names)
 
     async def _cut(self):
-        some = frozenset(self._chance.sample(sorted(self._fleet.net.by_name), self._chance.randint(1, 8)))
-        inside = self._chance.random() < 0.5
+        some = frozenset(self._rng.sample(sorted(self._fleet.net.by_name), self._rng.randint(1, 8)))
+        inside = self._rng.random() < 0.5
         self._log_event(f"cut off, {'together' if inside else 'each'}: {sorted(some)}")
         self._fleet.net.cut = lambda one, other: (
             one != other and ((one in some) != (other in some) if inside else one in some or other in some)
         )
-        self._tasks.append(asyncio.create_task(self._heal(self._chance.uniform(1.0, self.LONGEST_S))))
+        self._tasks.append(asyncio.create_task(self._heal(self._rng.uniform(1.0, self.LONGEST_S))))
 
     async def _heal(self, after_s):
         await asyncio.sleep(after_s)
