--- a/tests/utils/retry_fleet.py
+++ b/tests/utils/retry_fleet.py
@@ -236,7 +236,7 @@
         What was done, and when.
     """
 
-    LONGEST_PAUSE_S = 2.5
+    MAX_PAUSE_S = 2.5
     LONGEST_S = 8.0
 
     def __init__(self, *, fleet, seed):
@@ -250,7 +250,7 @@
         until = now() + for_s
         while now() < until:
             await self._rng.choice((self._fail, self._kill, self._kill, self._cut))()
-            await asyncio.sleep(self._rng.uniform(0.0, self.LONGEST_PAUSE_S))
+            await asyncio.sleep(self._rng.uniform(0.0, self.MAX_PAUSE_S))
         await asyncio.gather(*self._tasks)
         self._fleet.fail_share = 0.0
 
