--- a/tests/utils/retry_fleet.py
+++ b/tests/utils/retry_fleet.py
@@ -237,7 +237,7 @@
     """
 
     MAX_PAUSE_S = 2.5
-    LONGEST_S = 8.0
+    MAX_DURATION_S = 8.0
 
     def __init__(self, *, fleet, seed):
         self.history = []
@@ -266,7 +266,7 @@
         some = self._rng.sample(names, self._rng.randint(1, len(names) - MIN_RUNNING))
         self._log_event(f"killed: {some}")
         await self._fleet.kill(*some)
-        self._tasks.append(asyncio.create_task(self._restart(some, self._rng.uniform(0.0, self.LONGEST_S))))
+        self._tasks.append(asyncio.create_task(self._restart(some, self._rng.uniform(0.0, self.MAX_DURATION_S))))
 
     async def _restart(self, names, after_s):
         await asyncio.sleep(after_s)
@@ -280,7 +280,7 @@
         self._fleet.net.cut = lambda one, other: (
             one != other and ((one in some) != (other in some) if inside else one in some or other in some)
         )
-        self._tasks.append(asyncio.create_task(self._heal(self._rng.uniform(1.0, self.LONGEST_S))))
+        self._tasks.append(asyncio.create_task(self._heal(self._rng.uniform(1.0, self.MAX_DURATION_S))))
 
     async def _heal(self, after_s):
         await asyncio.sleep(after_s)
