--- a/tests/utils/retry_fleet.py
+++ b/tests/utils/retry_fleet.py
@@ -29,7 +29,7 @@
 TICK_S = 0.1
 LOST = RunCut(detail="cut", reached=True)
 REFUSED = RunNotSent(detail="full", arrived=True)
-MIN_RUNNING = 2
+MIN_LIVE_ROUTERS = 2
 """Routers that are never killed together, so that callers have somebody to ask."""
 NOT_CONNECTED = RunNotSent(detail="no connection")
 
@@ -261,9 +261,9 @@
 
     async def _kill(self):
         names = sorted(self._fleet.routers_by_name)
-        if len(names) <= MIN_RUNNING:
+        if len(names) <= MIN_LIVE_ROUTERS:
             return
-        some = self._rng.sample(names, self._rng.randint(1, len(names) - MIN_RUNNING))
+        some = self._rng.sample(names, self._rng.randint(1, len(names) - MIN_LIVE_ROUTERS))
         self._log_event(f"killed: {some}")
         await self._fleet.kill(*some)
         self._tasks.append(asyncio.create_task(self._restart(some, self._rng.uniform(0.0, self.MAX_DURATION_S))))
