--- a/tests/utils/retry_fleet.py
+++ b/tests/utils/retry_fleet.py
@@ -31,7 +31,7 @@
 REFUSED = RunNotSent(detail="full", arrived=True)
 MIN_LIVE_ROUTERS = 2
 """Routers that are never killed together, so that callers have somebody to ask."""
-NOT_CONNECTED = RunNotSent(detail="no connection")
+CONNECT_FAILED = RunNotSent(detail="no connection")
 
 
 def declaration(*, engines):
@@ -169,7 +169,7 @@
     def outcome(self, request_id):
         """What one run comes to, which reaches its engine now unless no connection is made."""
         fails = self._rng.random() < self.fail_share
-        if fails and self.failure is NOT_CONNECTED:
+        if fails and self.failure is CONNECT_FAILED:
             return self.failure
         self.arrivals_by_id.setdefault(request_id, []).append(now())
         return self.failure if fails else RunDone()
@@ -256,7 +256,7 @@
 
     async def _fail(self):
         self._fleet.fail_share = self._rng.choice((0.1, 0.3, 0.5, 0.7, 1.0))
-        self._fleet.failure = self._rng.choice((LOST, REFUSED, NOT_CONNECTED))
+        self._fleet.failure = self._rng.choice((LOST, REFUSED, CONNECT_FAILED))
         self._log_event(f"{self._fleet.fail_share} end as {type(self._fleet.failure).__name__}")
 
     async def _kill(self):
