--- a/tests/utils/retry_fleet.py
+++ b/tests/utils/retry_fleet.py
@@ -20,7 +20,7 @@
 
 SERVICE = "asistente"
 RETRY_SHARE = 0.2
-EXTRA = 24.0
+RETRY_EXTRA = 24.0
 WINDOW_S = 10.0
 PER_S = 60.0
 WORK_S = 0.05
@@ -85,7 +85,7 @@
 
     def _retry_limits(self):
         routers = self.fleet.net.by_name[self.name].fleet_size()
-        return RetryLimits(share=RETRY_SHARE, extra=EXTRA, window_s=WINDOW_S, routers=routers)
+        return RetryLimits(share=RETRY_SHARE, extra=RETRY_EXTRA, window_s=WINDOW_S, routers=routers)
 
     async def _tick(self):
         while True:
@@ -205,7 +205,7 @@
         spent = _between(repeats, until - WINDOW_S, until)
         offsets_s = (0.0, WINDOW_S / 2, WINDOW_S)
         requests = max(_between(self.sent_at, until - WINDOW_S - each, until - each) for each in offsets_s)
-        return spent - RETRY_SHARE * requests - EXTRA
+        return spent - RETRY_SHARE * requests - RETRY_EXTRA
 
     def _run(self, name):
         self.routers_by_name[name] = FleetRouter(fleet=self, name=name)
