--- a/tests/utils/retry_fleet.py
+++ b/tests/utils/retry_fleet.py
@@ -158,7 +158,7 @@
         self.net = FakeNet(asyncio.get_running_loop())
         for name in await self.net.add_all(self._count):
             self._run(name)
-        self._sending = asyncio.create_task(self._send_on())
+        self._sending = asyncio.create_task(self._send_steadily())
 
     async def close(self):
         self._sending.cancel()
@@ -210,7 +210,7 @@
     def _run(self, name):
         self.routers_by_name[name] = FleetRouter(fleet=self, name=name)
 
-    async def _send_on(self):
+    async def _send_steadily(self):
         for number in itertools.count():
             await asyncio.sleep(1.0 / PER_S)
             name = self._rng.choice(sorted(self.routers_by_name))
