--- a/tests/test_retry_fleet.py
+++ b/tests/test_retry_fleet.py
@@ -27,7 +27,7 @@
 
     async def check(self, fleet):
         await fleet.close()
-        self.assertLessEqual(fleet.over_budget(), 0.0)
+        self.assertLessEqual(fleet.max_budget_excess(), 0.0)
 
     # Guards against the share of a calm time that is spent twice within one window.
     @on_paused_clock
@@ -77,7 +77,7 @@
         disturbances = Disturbances(fleet=fleet, seed=seed)
         await disturbances.run(for_s=2 * FAILING_S)
         await fleet.close()
-        return fleet.over_budget(), disturbances.history
+        return fleet.max_budget_excess(), disturbances.history
 
     def check(self, seed):
         with asyncio.Runner(loop_factory=lambda: looptime.new_event_loop(start=0)) as runner:
--- a/tests/utils/retry_fleet.py
+++ b/tests/utils/retry_fleet.py
@@ -191,7 +191,7 @@
         """Cut every router off from every other."""
         self.net.cut = lambda one, other: one != other
 
-    def over_budget(self):
+    def max_budget_excess(self):
         """The most by which the arrivals beyond the first go beyond what is allowed, in any window."""
         repeats = sorted(at for times in self.arrivals_by_id.values() for at in times[1:])
         return max((self._over(repeats, at) for at in repeats), default=0.0)
