--- a/tests/utils/retry_fleet.py
+++ b/tests/utils/retry_fleet.py
@@ -194,14 +194,14 @@
     def max_budget_excess(self):
         """The most by which the arrivals beyond the first go beyond what is allowed, in any window."""
         repeats = sorted(at for times in self.arrivals_by_id.values() for at in times[1:])
-        return max((self._over(repeats, at) for at in repeats), default=0.0)
+        return max((self._budget_excess(repeats, at) for at in repeats), default=0.0)
 
     def served(self, since, until):
         """Part of the requests sent in a span that got their whole answer."""
         sent = [caller for at, caller in zip(self.sent_at, self.callers, strict=True) if since <= at < until]
         return sum(isinstance(caller.answer, AnswerWhole) for caller in sent) / len(sent)
 
-    def _over(self, repeats, until):
+    def _budget_excess(self, repeats, until):
         spent = _between(repeats, until - WINDOW_S, until)
         offsets_s = (0.0, WINDOW_S / 2, WINDOW_S)
         requests = max(_between(self.sent_at, until - WINDOW_S - each, until - each) for each in offsets_s)
