--- a/tests/test_retry_fleet.py
+++ b/tests/test_retry_fleet.py
@@ -40,7 +40,7 @@
     @on_paused_clock
     async def test_routers_cut_off_from_each_other(self):
         fleet = await self.fleet(fail_share=1.0, failure=REFUSED)
-        fleet.cut_all()
+        fleet.disconnect_all()
         await asyncio.sleep(FAILING_S)
         await self.check(fleet)
 
--- a/tests/utils/retry_fleet.py
+++ b/tests/utils/retry_fleet.py
@@ -187,7 +187,7 @@
             self.net.by_name[name].observe_vms([_vm(each) for each in self.net.by_name])
             self._run(name)
 
-    def cut_all(self):
+    def disconnect_all(self):
         """Cut every router off from every other."""
         self.net.cut = lambda one, other: one != other
 
