--- a/tests/test_drain.py
+++ b/tests/test_drain.py
@@ -1,4 +1,4 @@
-"""Routers and engines stopped gracefully under load: no request is cut."""
+"""Routers and engines stopped gracefully under load: no request is cut off."""
 
 import time
 import unittest
@@ -30,9 +30,9 @@
         cls.running.close()
 
     def test_every_router_restarted_in_turn(self):
-        # Callers notice nothing. Each router in turn gets SIGTERM: it says it is not ready, hands
-        # its cells over, serves for a second what the balancer still sends, ends its requests in
-        # flight, and ends; then it starts again under its name, and the next one follows.
+        # Guards against requests lost in a rolling restart. On SIGTERM a router reports itself not ready, hands
+        # over its cells, serves for one second what the balancer still sends, finishes its requests in flight
+        # and exits; it is restarted under its name before the next router is stopped.
         running = self.running
         load = running.load(kinds=(QUESTION, PLAN, TAGGING, BOOKING), rate=RATE).start()
         time.sleep(BEFORE_S)
@@ -48,7 +48,7 @@
         self.assertEqual([each for each in seen if not each.result.complete and each.result.reason != "draining"], [])
 
     def stop_engine(self, name, kinds):
-        """Stop one engine gracefully under load and return what the callers saw."""
+        """Stop one engine gracefully under load, check the callers' results, and restart the engine."""
         load = self.running.load(kinds=kinds, rate=RATE).start()
         time.sleep(BEFORE_S)
         self.assertEqual(self.running.engine(name).stop(), 0)
@@ -61,14 +61,14 @@
         self.running.engine(name).wait_ready()
 
     def test_language_engine_stopped_gracefully(self):
-        # Callers notice nothing. The engine gets SIGTERM: it finishes the runs it has and refuses
-        # new ones. Until the scheduler has read that it leaves, a grant may still send a request
-        # there; the engine refuses it without running it, and it runs elsewhere.
+        # Guards against requests lost when an engine stops. On SIGTERM it finishes its runs and refuses new
+        # ones. Until the scheduler has read that it is leaving, a grant may still send it a request, which it
+        # refuses without running it; the request must then run on another engine.
         self.stop_engine("asistente-1", (QUESTION, PLAN, TAGGING))
 
     def test_service_stopped_gracefully(self):
-        # As above for bookings, which may run only once. A plain service tells no load, so nobody
-        # hears that it leaves: the first refused or unconnected booking shows it.
+        # As above for bookings, which may run only once. A plain service sends no load reports, so it is
+        # known to be leaving only from the first booking that is refused or can't connect.
         self.stop_engine("reservas-1", (BOOKING,))
 
 
