--- a/tests/test_engine_faults.py
+++ b/tests/test_engine_faults.py
@@ -1,4 +1,4 @@
-"""Engines that cut, cross, repeat, delay or withhold answers, or refuse connections."""
+"""Engines that cut, swap, repeat, delay or withhold answers, or refuse connections."""
 
 import threading
 import time
@@ -35,7 +35,7 @@
         return all(engine["limit"] and not engine["phantom"] for engine in engines.values())
 
     def send_together(self, kinds, **fields):
-        """Send one request of each kind at the same moment, over the routers in turn."""
+        """Send one request of each kind at the same time, over the routers in turn."""
         seen = []
         routers = self.running.routers
         senders = [
@@ -53,7 +53,7 @@
         return seen
 
     def check_faulty_answers(self, stream_kind):
-        """The next answers of every engine are spoilt; no caller may take one for its own."""
+        """Make the next answers of every engine faulty; no caller may receive one as a complete answer."""
         for name in ENGINES:
             self.running.faults(name, stream_kind=stream_kind, stream_count=FAULTY_ANSWERS, stream_after_tokens=4)
         seen = self.send_together((QUESTION, PLAN, TAGGING, BOOKING) * 2)
@@ -63,38 +63,38 @@
             if not each.result.complete:
                 self.assertIn(each.result.executed, ("yes", "unknown"), each)
         complete = sum(each.result.complete for each in seen)
-        print(f"answers {stream_kind}: {complete} of {len(seen)} callers got their whole answer")
+        print(f"answers {stream_kind}: {complete} of {len(seen)} callers got a complete answer")
 
     def test_cut(self):
-        # The connection ends in the middle of an answer. A completion goes on over a new connection
-        # to the same run; a booking can't, so its caller is told that it ran, not a part of it.
+        # The connection ends in the middle of an answer. A completion is resumed over a new connection to the
+        # same run. A booking can't be resumed: its caller must get an error saying that it ran, not a fragment.
         self.check_faulty_answers("cut")
 
     def test_crossed(self):
-        # The engine sends another run's answer on this run's connection. Each caller either gets
-        # its own or is told that there is none.
+        # The engine sends another run's answer on this run's connection. Each caller must get
+        # its own answer or an error.
         self.check_faulty_answers("cross")
 
     def test_duplicated(self):
-        # A token comes twice. A caller that got it twice would read a word that was never written.
+        # A token is sent twice. A caller that received it twice would get text that the model did not generate.
         self.check_faulty_answers("duplicate")
 
     def test_with_a_gap(self):
-        # A token is left out. The caller would read a fragment that looks whole.
+        # A token is left out. Undetected, the caller would get an incomplete answer that looks complete.
         self.check_faulty_answers("gap")
 
     def test_late(self):
-        # The answer is held back for a second, after others that were asked later.
+        # The answer is delayed by a second, so that answers to later requests arrive first.
         self.check_faulty_answers("late")
 
     def test_silent(self):
-        # The connection stays open and nothing more comes. The progress deadline finds it long
-        # before the caller's own patience ends, and the run goes on over a new connection.
+        # The connection stays open but nothing more arrives. The progress deadline detects this long
+        # before the caller's deadline, and the run is resumed over a new connection.
         self.check_faulty_answers("silent")
 
     def test_open_connections_go_silent(self):
-        # Something between router and engine forgets every open connection; new ones work. Nobody is
-        # told anything: each run is attached to again over a new connection, and none is doubled.
+        # Something between router and engine loses track of every open connection, without closing it, while
+        # new ones work. Each run must be attached to again over a new connection, and none may run twice.
         seen = []
         sender = threading.Thread(
             target=lambda: seen.extend(self.send_together((QUESTION, PLAN) * 3, output_tokens=LONG_ANSWER))
@@ -107,12 +107,12 @@
         self.assert_promises(self.running, seen)
         self.assert_all_complete(seen)
         slowest_s = max(each.result.total_s for each in seen)
-        print(f"open connections silent: slowest whole answer {slowest_s:.2f} s")
+        print(f"open connections silent: slowest complete answer {slowest_s:.2f} s")
 
     def test_connections_refused(self):
-        # One engine drops its connections and listens no more for a while; its runs go on. What may
-        # be repeated is answered by the other engine; a question that was running there is either
-        # attached to again or told as unknown; those that come later never notice.
+        # One engine drops its connections and stops listening for a while; its runs continue. Repeatable
+        # requests must be answered by the other engine. A question that was running there is attached to
+        # again or ends with ``executed: unknown``; later requests must not be affected.
         running = self.running
         load = running.load(kinds=(QUESTION, PLAN, TAGGING), rate=RATE).start()
         time.sleep(0.7)
