--- a/tests/test_foreign_runs.py
+++ b/tests/test_foreign_runs.py
@@ -1,4 +1,4 @@
-"""Runs that no scheduler granted fill the engines' queues, and questions are sent behind them."""
+"""Runs that no scheduler granted fill the engines' queues, and questions queue behind them."""
 
 import collections
 import http.client
@@ -19,7 +19,7 @@
 
 
 class ForeignRun:
-    """One run posted straight to an engine, past the routers, and left open until the deployment ends."""
+    """One run posted directly to an engine, bypassing the routers, and kept open until the deployment ends."""
 
     def __init__(self, *, address, name, output_tokens):
         host, port = address.removeprefix("http://").split(":")
@@ -29,7 +29,7 @@
         self._connection.request("POST", "/v1/completions", body=json.dumps(body).encode(), headers=headers)
 
     def close(self):
-        """Leave; the engine drops the run."""
+        """Close the connection; the engine drops the run."""
         self._connection.close()
 
 
@@ -61,20 +61,20 @@
         return seen
 
     def check(self, *, count, output_tokens):
-        # The caller of a question sees 502, engine_lost, executed yes, after 6.12 s. Runs that its scheduler
-        # did not grant fill an engine; until the engine's report tells of them, questions are sent there
-        # and wait in its queue. That they wait shows as silence; after three times 2 s of it (two of
-        # them after attaching again to the very run, which the engine confirmed each time) the entry gave
-        # up a run that may not be repeated: with nothing to gain, while the engine went on to its answer.
+        # Guards against a question that ends with 502, engine_lost, executed yes, after 6.12 s although its engine
+        # goes on to answer it. Runs that the scheduler did not grant fill an engine; until the engine's report
+        # includes them, questions are sent there and wait silently in its queue. The entry abandoned the
+        # non-repeatable run after three silences of 2 s, two of them after it had attached again to that run and
+        # the engine had confirmed it, although abandoning it gained nothing.
         seen = self.send_questions_around_burst(count=count, output_tokens=output_tokens)
         self.assert_promises(self.running, seen)
         reasons = collections.Counter(each.result.reason for each in seen if not each.result.complete)
-        print(f"{count} foreign runs of {output_tokens} tokens: not whole {dict(reasons)}")
+        print(f"{count} foreign runs of {output_tokens} tokens: not complete {dict(reasons)}")
         self.assertEqual([each for each in seen if each.result.reason == "engine_lost"], [])
         self.assert_made_answers_are_delivered(seen)
 
     def assert_made_answers_are_delivered(self, seen):
-        """Nobody whose answer an engine finished was told that there is none."""
+        """Check that every answer that an engine finished was delivered."""
         runs = self.running.runs()
         finished = {name for name, records in runs.items() if any(run.finished for run in records)}
         missed = [each for each in seen if not each.result.complete and each.caller_request_id in finished]
