--- a/tests/test_kill_and_freeze.py
+++ b/tests/test_kill_and_freeze.py
@@ -1,4 +1,4 @@
-"""The scheduler is killed or paused under load: the others go on, and nothing runs twice."""
+"""The scheduler is killed or paused under load: the other routers keep serving, and nothing runs twice."""
 
 import time
 import unittest
@@ -25,13 +25,13 @@
 
     def check_gap(self, seen, lost_at, what):
         gap_s = longest_gap_s(seen, since=lost_at, until=lost_at + AFTER_S)
-        print(f"{what}: longest time without a first token {gap_s:.2f} s (promised {GUARANTEED_GAP_S:.0f} s)")
+        print(f"{what}: longest time without a first token {gap_s:.2f} s (guaranteed {GUARANTEED_GAP_S:.0f} s)")
         self.assertLess(gap_s, GUARANTEED_GAP_S + MACHINE_NOISE_S)
 
     def test_killed_scheduler(self):
-        # Callers of the other routers see a short wait and then their answers. The scheduler dies
-        # with its queue; the others miss its heartbeats, choose a new scheduler, and register with
-        # it what they hold. Only what the dead process had taken itself is lost.
+        # Guards against requests of other routers lost with the scheduler's queue. The other routers miss its
+        # heartbeats, choose a new scheduler and register the requests they hold with it, so their callers only
+        # wait a little longer. Only requests that the dead process had accepted itself are lost.
         scheduler = self.running.scheduler_of()
         load = self.running.load(kinds=(QUESTION, PLAN, TAGGING), rate=RATE).start()
         time.sleep(BEFORE_S)
@@ -48,9 +48,9 @@
         self.running.restart(scheduler)
 
     def test_paused_scheduler(self):
-        # As above, but the scheduler is stopped like a paused VM and wakes after the others have
-        # replaced it. It then still holds its old queue and view: it must find out that it was
-        # away before it grants or dispatches anything by them.
+        # As above, but the scheduler is stopped like a paused VM and resumes after it has been replaced.
+        # It still has its old queue and view, and must detect the pause before it grants or
+        # dispatches anything based on them.
         scheduler = self.running.scheduler_of()
         others = [name for name in self.running.routers if name != scheduler]
         load = self.running.load(kinds=(QUESTION, PLAN, TAGGING), rate=RATE).start()
