--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -1,4 +1,4 @@
-"""An engine marked as leaving gets no new work on any router."""
+"""An engine marked as leaving gets no new work from any router."""
 
 import time
 import unittest
@@ -39,12 +39,12 @@
         self.assertEqual(self.starts_on(MARKED_ENGINE), starts, f"started later than {GUARANTEED_S} s after the mark")
         self.assertGreater(self.starts_on(OTHER_ENGINE), elsewhere)
         unmark()
-        wait_until(lambda: self.starts_on(MARKED_ENGINE) > starts, "new work once the mark was taken back")
+        wait_until(lambda: self.starts_on(MARKED_ENGINE) > starts, "new work after the mark was removed")
         seen = load.stop()
         self.assert_promises(self.running, seen)
         self.assert_all_complete_or_refused(seen)
         refused = sum(not each.result.complete for each in seen)
-        print(f"leaving by {what}: {refused} of {len(seen)} refused, {time.monotonic() - marked_at:.1f} s watched")
+        print(f"leaving by {what}: {refused} of {len(seen)} refused, observed for {time.monotonic() - marked_at:.1f} s")
 
     def declare(self, leaving):
         engine = next(each for each in self.running.deployment.document["engines"] if each["name"] == MARKED_ENGINE)
@@ -56,17 +56,17 @@
         time.sleep(LIST_LAG_S)
 
     def test_marked_by_the_declaration(self):
-        # The operators apply a declaration with the engine marked as leaving. Its runs go on to
-        # their end; two seconds later no router sends it anything new; the other engine does the work.
+        # Operators apply a declaration that marks the engine as leaving. Its runs continue to their end;
+        # after two seconds no router sends it anything new, and the other engine serves the load.
         self.check_no_new_work(lambda: self.declare(True), lambda: self.declare(False), "declaration")
 
     def test_marked_by_the_platforms_list(self):
-        # As above, but only the platform's list says so. The list's own lag is not counted.
+        # As above, but the engine is marked only in the platform's list of VMs, whose own lag is not counted.
         self.check_no_new_work(lambda: self.publish((MARKED_ENGINE,)), lambda: self.publish(()), "list")
 
     def test_marked_by_the_list_right_after_the_scheduler_changed(self):
-        # The mark is in force, then the scheduler is killed. A new scheduler that knew the mark only
-        # from its predecessor would send the engine new work.
+        # Guards against a new scheduler that would know the mark only from its predecessor, and would send the
+        # engine new work after the old scheduler is killed.
         running = self.running
         self.publish((MARKED_ENGINE,))
         time.sleep(GUARANTEED_S)
