--- a/tests/test_pause_of_all.py
+++ b/tests/test_pause_of_all.py
@@ -1,4 +1,4 @@
-"""A pause of every router, as on a starved machine, with the requests that arrive meanwhile."""
+"""All routers pause at once, as on a starved machine, while requests keep arriving."""
 
 import signal
 import time
@@ -17,7 +17,7 @@
 class PauseOfAllTest(WorldCase):
     ROUTERS = 4
 
-    # Guards against requests that are refused as too many though the engines serve them within a moment.
+    # Guards against requests refused as too many after a pause, although the engines could serve them immediately.
     def test_what_arrived_meanwhile_is_served(self):
         for engine in self.world.engines.values():
             engine.delay_s = WORK_S
