--- a/tests/test_paused_engine.py
+++ b/tests/test_paused_engine.py
@@ -1,4 +1,4 @@
-"""An engine stands still for some seconds, as a paused VM does, and then goes on with what it holds."""
+"""An engine is paused for some seconds, like a paused VM, and then resumes its runs."""
 
 import threading
 import time
@@ -39,13 +39,13 @@
         running.engine(PAUSED).resume()
 
     def test_three_seconds(self):
-        # The questions that the engine holds get their answers late. It confirms nothing meanwhile, over no
-        # connection; it answers the second attach and goes on.
+        # The questions that run on the engine are answered late. While paused it confirms nothing on any
+        # connection; it answers the second attach and continues.
         self.send_questions_around_pause(3.0)
 
     def test_longer_than_three_limits_on_silence(self):
-        # The caller sees 502, engine_lost, 6 s after its question, though the engine wakes half a second later and
-        # finishes the run within the caller's 8 s. Three limits of 2 s without a word look like a dead process.
+        # Guards against 502, engine_lost, 6 s after a question, although the engine resumes half a second later and
+        # finishes the run within the caller's 8 s: three silence limits of 2 s made it look like a dead process.
         self.send_questions_around_pause(6.5)
 
 
