--- a/tests/test_tier_order.py
+++ b/tests/test_tier_order.py
@@ -1,4 +1,4 @@
-"""A flood of low-tier work that may be repeated never keeps a higher tier from being served."""
+"""A flood of repeatable low-tier requests never prevents a higher tier from being served."""
 
 import itertools
 import threading
@@ -16,7 +16,7 @@
 
 
 class Flood:
-    """Callers of the lowest tier, each of which asks again as soon as it is answered."""
+    """Callers of the lowest tier, each of which sends its next request as soon as it is answered."""
 
     def __init__(self, *, running, callers):
         self.seen = []
@@ -25,13 +25,13 @@
         self._threads = [threading.Thread(target=self._send_repeatedly, args=(number,)) for number in range(callers)]
 
     def start(self):
-        """Begin to ask."""
+        """Start sending requests."""
         for thread in self._threads:
             thread.start()
         return self
 
     def stop(self):
-        """Ask nothing more and wait for the last answers."""
+        """Stop sending and wait for the outstanding answers."""
         self._stopping.set()
         for thread in self._threads:
             thread.join()
@@ -46,7 +46,7 @@
 
 
 class FloodCase(PromiseChecks, unittest.TestCase):
-    """A deployment under a flood that begins before the test and is cut off after it."""
+    """A deployment under a flood that starts before the test and is cut off after it."""
 
     CALLERS = 60
     SETTINGS = {}
@@ -56,12 +56,12 @@
         self.flood = Flood(running=self.running, callers=self.CALLERS).start()
 
     def tearDown(self):
-        # The flood's last runs would take many seconds to end; nothing is learned from them.
+        # Close the deployment first: the flood's last runs would take many seconds and show nothing more.
         self.running.close()
         self.flood.stop()
 
     def send_questions(self, routers):
-        """Send questions one after the other begins, through the routers in turn; return what was seen."""
+        """Send overlapping questions, ``PAUSE_S`` apart, through the routers in turn; return the observations."""
         seen = []
         senders = [
             threading.Thread(target=lambda router=router: seen.append(self.running.send(QUESTION, router=router)))
@@ -99,10 +99,10 @@
         return sum(deployment.get(f"{url}/record")["totals"]["cancelled"] for url in deployment.engine_urls())
 
     def test_questions_while_tagging_fills_every_engine(self):
-        # Tagging fills every engine with runs longer than a question can wait, and more of it waits.
-        # Questions that come then at any router are all answered, for runs of tagging are cancelled.
-        # Then the scheduler dies, so that for a moment the routers disagree on who decides: none of
-        # the others may refuse a question on a guess.
+        # Guards against questions refused or late while tagging fills every engine with runs longer than a
+        # question can wait, and more tagging is queued: runs of tagging must be cancelled. It repeats the
+        # questions after the scheduler is killed, when routers briefly disagree on which router is scheduler;
+        # none of them may refuse a question on an assumption.
         running = self.running
         wait_until(self.is_full, "engines full of tagging")
         self.assertEqual(self.cancelled(), 0)
@@ -124,8 +124,8 @@
         return all(limit["held"] >= limit["held_limit"] for limit in limits)
 
     def test_questions_while_tagging_holds_every_thread(self):
-        # Tagging holds every thread of every router, while the engines have room. A question takes
-        # the place of a tagging request; nobody of a higher tier is refused.
+        # Guards against questions refused because tagging holds every thread of every router while the
+        # engines have free slots. A question must displace a tagging request instead.
         wait_until(self.is_full, "routers full of tagging")
         questions = self.send_questions(self.running.routers)
         displaced = sum(
