--- a/tests/test_asking_engines.py
+++ b/tests/test_asking_engines.py
@@ -1,4 +1,4 @@
-"""Engines name limits, ask for rests and leave in series, while routers die and pause and the store goes away."""
+"""Engines announce limits, back-offs and leaving in series, while routers die or pause and the store is down."""
 
 import os
 import random
@@ -17,7 +17,7 @@
 from tests.utils.steady_callers import SteadyCallers
 
 SEEDS = [int(seed) for seed in os.environ.get("ASKING_SEEDS", "1 4").split()]
-"""By hand, ``ASKING_SEEDS="1 2 3" python -m unittest tests.test_asking_engines``."""
+"""For other seeds, ``ASKING_SEEDS="1 2 3" python -m unittest tests.test_asking_engines``."""
 ROUTERS = 4
 ENGINES = 4
 PER_S = 60.0
@@ -29,7 +29,7 @@
 
 
 def plan(seed):
-    """Events in order of their times: (time, what, on, value, duration)."""
+    """Return the events of a seed in chronological order: (time, kind, on, value, duration)."""
     rng = random.Random(seed)
     events = []
     leaves = False
@@ -45,7 +45,7 @@
 
 
 class Play:
-    """A world with its callers, disturbed by a plan."""
+    """A world with callers, disturbed by the events of a seed."""
 
     def __init__(self, *, seed):
         self.events = plan(seed)
@@ -60,7 +60,7 @@
         self._busy_by_router = [threading.Lock() for _ in range(ROUTERS)]
 
     def run(self):
-        """Play all events, and return the answers."""
+        """Apply all events, and return the answers by router."""
         self.world.start()
         paths = [("GET", "/status/1"), ("POST", "/book/1")]
         callers = SteadyCallers(world=self.world, paths=paths, per_s=PER_S).start()
@@ -109,7 +109,8 @@
 
 
 class AskingEnginesTest(unittest.TestCase):
-    # Guards against a limit, rest or leaving that is kept alone, and lost beside another or with a router that dies.
+    # Guards against a limit, back-off or leaving notice that is obeyed on its own but lost when it coincides with
+    # another or when a router dies.
     def test_what_engines_ask_for_is_kept_whatever_else_happens(self):
         for seed in SEEDS:
             with self.subTest(seed=seed):
