--- a/tests/test_engine_leaving.py
+++ b/tests/test_engine_leaving.py
@@ -1,4 +1,4 @@
-"""Engines that say in their answers that they leave, before anybody else tells it."""
+"""Engines that announce in their answers that they are leaving, before any other source reports it."""
 
 import time
 import unittest
@@ -8,9 +8,9 @@
 
 PER_S = 40.0
 NOTICE_S = 1.0
-"""Time in which every router has answered callers from the engine, and has been told."""
+"""Time within which every router has received an answer from the engine, and so its notice."""
 DRAIN_S = 2.0
-"""Time after which a router that was told sends nothing more."""
+"""Time after which a router that received the notice sends nothing more."""
 OBSERVED_S = 3.0
 WORK_S = 0.03
 
@@ -37,18 +37,18 @@
         self.callers.close()
         self.assertEqual((self.callers.not_served(), set(self.callers.statuses())), ([], {200}))
 
-    # Guards against work for an engine whose word reached its routers while the store, which they asked, was away.
+    # Guards against work sent to an engine whose notice reached the routers while the store that they query was down.
     def test_an_engine_that_leaves_while_the_store_is_away_gets_nothing_more(self):
         self.world.store.down = True
         self.leaving.leaving = True
         self.check_nothing_arrives()
 
-    # Guards against an entry that still says ready and is believed before the engine itself.
+    # Guards against trusting the engine's entry in the store, which still says ready, over the engine itself.
     def test_an_engine_whose_entry_says_ready_all_the_while_gets_nothing_more(self):
         self.leaving.leaving = True
         self.check_nothing_arrives()
 
-    # Guards against a word that dies with the scheduler, while the store can't be asked.
+    # Guards against a notice that is lost with the scheduler while the store can't be queried.
     def test_the_next_scheduler_knows_it(self):
         self.world.store.down = True
         self.leaving.leaving = True
@@ -63,7 +63,7 @@
 
 
 class StrayWordTest(WorldCase):
-    # Guards against an answer that isn't this engine's, and takes it out of use.
+    # Guards against an engine taken out of use because of an answer that another engine sent.
     def test_an_answer_with_another_id_takes_no_engine_out(self):
         engines = [engine for engine in self.world.engines.values() if engine.service == "booking"]
         for engine in engines:
@@ -77,7 +77,7 @@
 
 
 class LeavingStreamsTest(LeavingAnswersTest):
-    # The same for an engine that reports its load, and whose reports don't tell that it leaves.
+    # The same for an engine that reports its load, but whose reports don't say that it is leaving.
     SERVICE = "assistant"
     PATHS = (("POST", "/stream/x"), ("POST", "/stream-once/x"))
 
