--- a/tests/test_engine_limits.py
+++ b/tests/test_engine_limits.py
@@ -1,4 +1,4 @@
-"""Engines that name a rate limit in their answers, for all routers together."""
+"""Engines that announce in their answers a rate limit for all routers together."""
 
 import time
 import unittest
@@ -10,17 +10,17 @@
 EXCESS_RATIO = 1.5
 EXCESS_REQUESTS = 5
 NOTICE_S = 1.0
-"""Time in which every router has answered callers from the engine, and has been told."""
+"""Time within which every router has received an answer from the engine, and so its limit."""
 OBSERVED_S = 8.0
 RECOVERY_S = 7.0
-"""Time after which an engine that names no limit any more has its share again."""
+"""Time after which an engine that no longer announces a limit receives its share of the load again."""
 WORK_S = 0.03
 PER_S = 40.0
 BOOKINGS = [("GET", "/status/1")]
 
 
 def max_allowed(limit_per_s):
-    """Requests that the users allow within ``WINDOW_S``."""
+    """Return how many requests the users allow within ``WINDOW_S``."""
     return EXCESS_RATIO * limit_per_s * WINDOW_S + EXCESS_REQUESTS
 
 
@@ -46,7 +46,7 @@
 
 
 class NamedLimitTest(LimitCase):
-    # Guards against a limit that an engine names in its answers and that no router reads or passes on.
+    # Guards against a limit in an engine's answers that no router reads or passes on.
     def test_an_engine_that_names_a_limit_gets_no_more_than_it_takes(self):
         callers = self.call()
         time.sleep(1.0)
@@ -58,7 +58,7 @@
         callers.close()
         self.assertEqual((callers.not_served(), set(callers.statuses())), ([], {200}))
 
-    # Guards against a limit that every engine names and that is kept engine by engine only at each router.
+    # Guards against limits of all engines that each router enforces by itself instead of all routers together.
     def test_all_engines_limited_keep_their_share_and_refusals_are_told_when_to_return(self):
         callers = self.call()
         time.sleep(1.0)
@@ -75,7 +75,7 @@
         self.assertEqual({answer.status for answer in refused} - {429, 503}, set())
         self.assertTrue(all(float(answer.headers["Retry-After"]) > 0.0 for answer in refused))
 
-    # Guards against a load that stays away, or comes back at once, when an engine names its limit no more.
+    # Guards against load that does not return, or returns abruptly, when an engine no longer announces a limit.
     def test_an_engine_that_names_no_limit_any_more_gets_its_share_again(self):
         callers = self.call()
         self.limited.limit = "2.3"
@@ -93,7 +93,7 @@
 class LimitedStreamsTest(LimitCase):
     SERVICE = "assistant"
 
-    # Guards against streams that are counted when they end instead of when their engine gets them.
+    # Guards against streams that are counted when they end instead of when they reach their engine.
     def test_streams_that_outlast_the_window_keep_to_the_limit(self):
         for engine in (self.limited, self.other):
             engine.pause_s = 0.1
@@ -106,7 +106,7 @@
         self.assertGreaterEqual(len(arrivals), 0.5 * 1.6 * OBSERVED_S)
         callers.close()
 
-    # Guards against a stream that breaks and goes on at an engine past what its limit leaves.
+    # Guards against a broken stream that is resumed on an engine beyond that engine's limit.
     def test_streams_that_break_and_go_on_elsewhere_keep_to_the_limit(self):
         for engine in (self.limited, self.other):
             engine.pause_s = 0.02
@@ -125,12 +125,12 @@
         self.assertGreater(self.resumed(), resumed_before)
 
     def resumed(self):
-        """Streams that went on at an engine after another one broke them off."""
+        """Number of streams resumed on an engine after they were broken off."""
         return sum("last-event-id" in seen for engine in (self.limited, self.other) for seen in engine.seen)
 
 
 class SchedulerLostTest(LimitCase):
-    # Guards against a limit that is known to the scheduler alone and dies with it.
+    # Guards against a limit that only the scheduler knows and that is lost with it.
     def test_the_next_scheduler_keeps_the_limit(self):
         scheduler = self.world.scheduler_of(self.SERVICE)
         callers = self.call(routers=[number for number in range(self.ROUTERS) if number != scheduler])
