--- a/tests/test_engine_rest.py
+++ b/tests/test_engine_rest.py
@@ -1,4 +1,4 @@
-"""Engines that turn a request away and ask the router that sent it for a rest."""
+"""Engines that reject a request and ask the router that sent it to back off."""
 
 import time
 import unittest
@@ -10,7 +10,7 @@
 PER_S = 40.0
 BACK_OFF_S = 3.0
 SLACK_S = 0.5
-"""Time after the answer in which what was on its way may still arrive."""
+"""Time after the answer during which requests already in flight may still arrive."""
 MAX_PER_BACK_OFF = 2
 OBSERVED_S = 8.0
 WORK_S = 0.03
@@ -31,13 +31,13 @@
         time.sleep(1.0)
 
     def reject_all(self, engines):
-        """Let these engines turn all requests away."""
+        """Make these engines reject all requests."""
         for engine in engines:
             engine.rest = str(BACK_OFF_S)
             engine.script = ["full"] * 10_000
 
     def check_back_off(self, engine):
-        """No router sent more than it may between half a second after an answer and the end of the rest."""
+        """Check that no router sent more than allowed between half a second after a rejection and the back-off's end."""
         times_by_router = defaultdict(list)
         for at, router in engine.turned_away:
             times_by_router[router].append(at)
@@ -49,7 +49,7 @@
 
 
 class RestTest(RestCase):
-    # Guards against a router that sends on to an engine that asked it for a rest.
+    # Guards against a router that keeps sending to an engine that asked it to back off.
     def test_one_engine_gets_its_rest_and_nobody_is_refused(self):
         self.reject_all(self.engines[:1])
         time.sleep(OBSERVED_S)
@@ -57,7 +57,7 @@
         self.callers.close()
         self.assertEqual((self.callers.not_served(), set(self.callers.statuses())), ([], {200}))
 
-    # Guards against the same where all engines ask for it, so that there is nowhere else to send.
+    # Guards against the same when all engines ask for it, so that no other engine is left to send to.
     def test_all_engines_get_their_rest_and_callers_are_told_when_to_return(self):
         self.reject_all(self.engines)
         time.sleep(OBSERVED_S)
