--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The verdict on a run whose known failures are listed."""
+"""The verdict on a test run when known failures are listed."""
 
 import tempfile
 import types
@@ -11,7 +11,7 @@
 
 
 def suite_of(**outcomes):
-    """A suite of one class whose tests pass, fail, or fail in a subtest."""
+    """Return a suite of one class whose tests pass, fail, skip, or fail in a subtest."""
 
     def method(outcome):
         def run(self):
@@ -71,7 +71,7 @@
         self.assertEqual(list(verdict.lines())[-1], "1 passed, 1 failed, 0 skipped")
 
     def test_an_entry_that_covers_no_test_fails_the_run(self):
-        # A name misspelt, or a test renamed: the fault behind the line would go unseen.
+        # After a misspelt name or a renamed test, the fault behind the entry would go unnoticed.
         self.assertFalse(verdict_of(suite_of(test_a="pass"), "tests.made_up.Case.test_z").is_good)
 
     def test_a_run_of_no_test_is_not_good(self):
