--- a/tests/test_retry_fleet.py
+++ b/tests/test_retry_fleet.py
@@ -1,4 +1,4 @@
-"""Retries of all routers together, whatever happens to the routers: what engines get beyond the first runs."""
+"""The retry budget of all routers together holds at the engines while routers are killed, restarted and cut off."""
 
 import asyncio
 import os
@@ -10,7 +10,7 @@
 from tests.utils.retry_fleet import LOST, REFUSED, Disturbances, RetryFleet
 
 SEEDS = tuple(int(seed) for seed in os.environ.get("RETRY_SEEDS", "1 2").split())
-"""By hand, ``RETRY_SEEDS="1 2 3" python -m unittest tests.test_retry_fleet``."""
+"""For other seeds, ``RETRY_SEEDS="1 2 3" python -m unittest tests.test_retry_fleet``."""
 CALM_S = 25.0
 FAILING_S = 14.0
 RESTART_S = 0.3
@@ -18,7 +18,7 @@
 
 class RetryFleetTest(unittest.TestCase):
     async def fleet(self, *, fail_share, failure=LOST):
-        """A fleet whose runs begin to fail after a calm time."""
+        """Return a fleet whose runs start to fail after a calm period."""
         fleet = RetryFleet()
         await fleet.start()
         await asyncio.sleep(CALM_S)
@@ -29,14 +29,14 @@
         await fleet.close()
         self.assertLessEqual(fleet.max_budget_excess(), 0.0)
 
-    # Guards against the share of a calm time that is spent twice within one window.
+    # Guards against the retry share earned in a calm period being spent twice within one window.
     @on_paused_clock
     async def test_half_of_the_runs_fail_after_a_calm_time(self):
         fleet = await self.fleet(fail_share=0.5)
         await asyncio.sleep(FAILING_S)
         await self.check(fleet)
 
-    # Guards against routers that see nobody and take the extra part of the whole fleet for themselves.
+    # Guards against routers that see no other router and each use the extra retries of the whole fleet.
     @on_paused_clock
     async def test_routers_cut_off_from_each_other(self):
         fleet = await self.fleet(fail_share=1.0, failure=REFUSED)
@@ -44,7 +44,7 @@
         await asyncio.sleep(FAILING_S)
         await self.check(fleet)
 
-    # Guards against routers that forget what they spent when they start again.
+    # Guards against routers that forget on restart which retries they have spent.
     @on_paused_clock
     async def test_most_routers_start_again_twice(self):
         fleet = await self.fleet(fail_share=0.6)
@@ -57,7 +57,7 @@
         await asyncio.sleep(FAILING_S / 2)
         await self.check(fleet)
 
-    # Guards against a share that grows as routers die, though they spent theirs in the same window.
+    # Guards against a router's share that grows when others die, although those spent theirs in the same window.
     @on_paused_clock
     async def test_most_routers_die_while_runs_fail(self):
         fleet = await self.fleet(fail_share=0.6, failure=REFUSED)
@@ -68,7 +68,7 @@
 
 
 class SeededSeriesTest(unittest.TestCase):
-    """Deaths, restarts and cuts in series that overlap, while runs fail in changing ways."""
+    """Overlapping series of kills, restarts and network cuts, while runs fail in changing ways."""
 
     async def play(self, seed):
         fleet = RetryFleet(seed=seed)
@@ -84,13 +84,13 @@
             over, history = runner.run(self.play(seed))
         self.assertLessEqual(over, 0.0, history)
 
-    # Guards against what none of the single disturbances shows.
+    # Guards against faults that only a combination of disturbances shows.
     def test_seeds(self):
         for seed in SEEDS:
             with self.subTest(seed=seed):
                 self.check(seed)
 
-    # Guards against what a scheduler and most other routers take with them when they die at once.
+    # Guards against retries that are no longer accounted for when the scheduler and most other routers die together.
     def test_most_routers_die_with_the_scheduler(self):
         self.check(14)
 
