--- a/tests/test_routers_in_series.py
+++ b/tests/test_routers_in_series.py
@@ -1,4 +1,4 @@
-"""Routers are killed, started again and paused in series under a flood; callers of another one notice nothing."""
+"""Routers are killed, restarted and paused in series under a flood; callers of another router are not affected."""
 
 import os
 import time
@@ -10,16 +10,16 @@
 
 CALLERS = 60
 FLOOD_S = 2.0
-"""Until tagging fills every engine and more of it waits."""
+"""Time for tagging to fill every engine and its queue."""
 SEEDS = [int(seed) for seed in os.environ.get("SERIES_SEEDS", "3 17").split()]
-"""By hand, ``SERIES_SEEDS="1 2 3" python -m unittest tests.test_routers_in_series``."""
+"""For other seeds, ``SERIES_SEEDS="1 2 3" python -m unittest tests.test_routers_in_series``."""
 
 
 class RoutersInSeriesTest(PromiseChecks, unittest.TestCase):
-    # A flood of tagging fills every engine. Questions and plans come through one router that nothing happens to,
-    # while others are killed, started again or paused, the scheduler more often than others. Each new scheduler knows
-    # only what the entries and the engines tell it; whatever it grants too much waits in an engine's queue, in
-    # order of arrival. All questions and plans are to be answered whole.
+    # Guards against questions and plans lost when schedulers change under a flood of tagging that fills every engine.
+    # They are sent through one undisturbed router while others, most often the scheduler, are killed, restarted or
+    # paused. Each new scheduler knows only what entries and engines report to it; anything it grants in excess waits
+    # in an engine's queue, in order of arrival. Every question and plan must get a complete answer.
 
     def play(self, routers, events):
         running = Running(routers=routers, time_scale=TIME_SCALE).start()
