--- a/tests/utils/asking_engines.py
+++ b/tests/utils/asking_engines.py
@@ -1,4 +1,4 @@
-"""Engines that name limits, ask for rests and leave by a seeded plan, and what the users allow them to get."""
+"""Engines that announce rate limits, back-offs and leaving, and checks of the requests they receive."""
 
 import random
 import threading
@@ -11,27 +11,27 @@
 EXCESS_RATIO = 1.5
 EXCESS = 5
 CONTACT_S = 3.0
-"""Time from the first naming of a limit from which it counts."""
+"""Time after a limit is first announced from which it is enforced."""
 NOTICE_S = 0.5
-"""Time after which a router that was told is bound."""
+"""Time after which a router that received a notice must comply."""
 DRAIN_S = 2.0
 MAX_PER_BACK_OFF = 2
 WORK_S = 0.03
 
 
 class AskingEngine(Engine):
-    """An engine that keeps what reached it and what it told whom.
+    """An engine that records the requests it receives and the notices it sends to routers.
 
     Attributes
     ----------
     rest_share : float
-        Part of the requests that it turns away while it asks for rests.
-    got : list of (float, str, float)
-        Arrival, router, and when the caller sent it, by the steady clock.
-    told_limit, told_leaving : list of (float, str)
-        When a router was told, and which.
+        Share of requests that it rejects while it requests back-offs.
+    received : list of (float, str, float)
+        For each request: arrival time, router, and time sent by the caller, by the monotonic clock.
+    limit_notices, leaving_notices : list of (float, str)
+        For each notice: time sent and router.
     limits : list of (float, float, float)
-        Beginning, end and requests a second of each limit.
+        For each limit: start, end, and requests per second.
     """
 
     def __init__(self, *, name, service, seed):
@@ -62,14 +62,14 @@
             self.leaving_notices.append((time.monotonic(), router))
 
     def set_limit(self, limit_per_s, for_s):
-        """Name a limit for a time."""
+        """Announce a rate limit for ``for_s``."""
         self.limit = str(limit_per_s)
         started_at = time.monotonic()
         self.limits.append((started_at, started_at + for_s, limit_per_s))
         threading.Timer(for_s, self._end_limit).start()
 
     def request_back_off(self, rest_s, share, for_s):
-        """Turn a share away for a time, and ask their routers for a rest."""
+        """Reject a share of the requests for ``for_s``, and request a back-off from the routers that sent them."""
         self.rest = str(rest_s)
         self.rest_share = share
         threading.Timer(for_s, self._end_back_off).start()
@@ -82,7 +82,7 @@
 
 
 class RouterDisturbances:
-    """Times at which routers were killed, paused or started."""
+    """Times at which routers were killed, paused, resumed or started."""
 
     def __init__(self):
         self.times_by_router = defaultdict(list)
@@ -91,12 +91,12 @@
         self.times_by_router[router].append(time.monotonic())
 
     def disturbed_within(self, router, since, until):
-        """Whether something happened to the router in that time."""
+        """Whether the router was disturbed between ``since`` and ``until``."""
         return any(since <= at <= until for at in self.times_by_router[router])
 
 
 def exceeded_limit(engine, disturbances):
-    """Spans in which an engine got more than its limit allows, as (limit, requests)."""
+    """Windows in which an engine received more requests than its limit allows, as (limit, requests)."""
     found = []
     for started_at, ended_at, limit_per_s in engine.limits:
         notified_at = {}
@@ -118,7 +118,7 @@
 
 
 def received_after_leaving(engine, disturbances):
-    """Requests that reached an engine too late after it had told their router that it leaves."""
+    """Requests sent too long after the engine had notified their router that it is leaving, as (router, delay in s)."""
     notified_at = {}
     for at, router in engine.leaving_notices:
         notified_at.setdefault(router, at)
@@ -132,7 +132,7 @@
 
 
 def exceeded_back_off(engine, disturbances):
-    """Rests within which an engine got more than it may, as (router, requests)."""
+    """Back-offs during which an engine received more requests than allowed, as (router, requests)."""
     found = []
     for back_off_at, router in engine.turned_away:
         until = back_off_at + float(engine.rest)
