--- a/tests/utils/crashing_engine.py
+++ b/tests/utils/crashing_engine.py
@@ -1,4 +1,4 @@
-"""An engine of the users' platform that some requests crash."""
+"""An engine of the users' platform that crashes on poison requests."""
 
 import socket
 import struct
@@ -9,23 +9,23 @@
 
 DOWN_S = 4.0
 EXPIRY_S = 3.6
-"""Time after which the entry of an engine that is silent is removed."""
+"""Time after which the store removes the entry of a silent engine."""
 WORK_S = 0.03
 MARK = "poison"
 
 
 class CrashingEngine(Engine):
-    """Begins each request whose path holds ``poison``, goes down with all its connections, and is back later.
+    """Starts each request whose path contains ``poison``, crashes with all its connections, and restarts later.
 
     Parameters
     ----------
     store : Store
-        Where it lists itself: its entry expires while it is down, and comes back under another id.
+        Store in which it registers: its entry expires while it is down, and is created again under another id.
 
     Attributes
     ----------
     arrivals_of_poison, crashes : list of float
-        By the steady clock.
+        Times by the monotonic clock.
     """
 
     def __init__(self, *, name, service, store):
@@ -62,12 +62,12 @@
         self.crashes.append(time.monotonic())
         self.stop_listening()
         for connection in connections:
-            # Unread bytes or not, the other side sees a reset, as from a process that is killed.
+            # With or without unread bytes, the peer gets a reset, as from a killed process.
             connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
             try:
                 connection.shutdown(socket.SHUT_RDWR)
             except OSError:
-                continue  # Its client was faster.
+                continue  # The client has closed the connection already.
         threading.Thread(target=self._come_back, daemon=True).start()
 
     def _come_back(self):
