--- a/tests/utils/disturbances.py
+++ b/tests/utils/disturbances.py
@@ -1,4 +1,4 @@
-"""Routers killed, started again and paused at set moments under a flood, as plans that a seed gives."""
+"""Kills, restarts and pauses routers at planned times under a flood; plans can be generated from a seed."""
 
 import itertools
 import random
@@ -15,20 +15,20 @@
 MAX_DOWN_S = 1.5
 MIN_PAUSE_S, MAX_PAUSE_S = 0.3, 6.0
 SCHEDULER_SHARE = 0.6
-"""Of the events, those that hit whoever is scheduler at that moment: its loss disturbs all others most."""
+"""Share of events that hit the current scheduler, whose loss disturbs the other routers most."""
 
 
 class Event:
-    """What happens to one router.
+    """A disturbance of one router.
 
     Parameters
     ----------
     at_s : float
-        From the first question on.
+        Seconds after the first question.
     kind : str
-        ``kill``; ``restart``, a kill and a start after ``for_s``; ``pause``, for ``for_s``.
+        ``kill``; ``restart``, a kill and a start after ``for_s``; or ``pause``, for ``for_s``.
     on : str
-        ``scheduler``, the router that is scheduler at that moment, or any ``other``.
+        ``scheduler``, the router that is scheduler at that time, or any ``other``.
     for_s : float
     """
 
@@ -45,7 +45,7 @@
 
 
 def random_plan(seed):
-    """Number of routers and events of one seed; at least one router is never hit, nor all of them at once."""
+    """Return the number of routers and the events of a seed; with fewer events than routers, one is never hit."""
     rng = random.Random(seed)
     routers = rng.randint(3, 5)
     events = [_random_event(rng) for _ in range(rng.randint(2, min(4, routers - 1)))]
@@ -64,12 +64,12 @@
 
 
 class Disturbance:
-    """Plays events on the routers of a deployment; the last router is never hit.
+    """Applies events to the routers of a deployment; the last router is never disturbed.
 
     Attributes
     ----------
-    notes : list of str
-        What happened to whom, for the message of a failure.
+    history : list of str
+        Each event and the router it hit, for failure messages.
     """
 
     def __init__(self, *, running, events):
@@ -82,11 +82,11 @@
 
     @property
     def undisturbed_router(self):
-        """Name of the router that nothing happens to."""
+        """Name of the router that is never disturbed."""
         return self._undisturbed_router
 
     def play(self, started_at):
-        """Play the events in a thread each, by their times from ``began_at``."""
+        """Start a thread for each event, timed relative to ``started_at``."""
         for event in self._events:
             thread = threading.Thread(target=self._play, args=(event, started_at))
             self._threads.append(thread)
@@ -101,7 +101,7 @@
         time.sleep(max(0.0, started_at + event.at_s - time.monotonic()))
         name = self._target(event)
         if name is None:
-            self.history.append(f"{event}: nobody left")
+            self.history.append(f"{event}: no router left")
             return
         self.history.append(f"{event}: {name}")
         router = self._running.router(name)
@@ -129,7 +129,7 @@
 
 
 def send_steadily(running, *, router, for_s=SEND_DURATION_S):
-    """Send a question or a plan every 0.15 s through one router; return what was seen."""
+    """Send a question or a plan in turn every 0.15 s through one router; return the observations."""
     observations = []
     senders = []
     started_at = time.monotonic()
