--- a/tests/utils/known_red.py
+++ b/tests/utils/known_red.py
@@ -1,4 +1,4 @@
-"""Tests that are known to fail, with the fault behind each: run and told, and passed over by the verdict."""
+"""Tests that are known to fail, with the fault behind each: they run and are reported, but don't fail the verdict."""
 
 import re
 import unittest
@@ -18,7 +18,7 @@
     test : str
         Its dotted name.
     line : str
-        The whole entry.
+        The complete entry.
     """
 
     __slots__ = ("test", "line")
@@ -28,7 +28,7 @@
         self.line = line
 
     def covers(self, test_id):
-        """Whether the entry stands for this test, one of its subtests, or a fixture of its class or module."""
+        """Whether the entry covers this test, one of its subtests, or a fixture of its class or module."""
         fixture = FIXTURE.match(test_id)
         name = fixture.group(1) if fixture else test_id
         return name == self.test or name.startswith((f"{self.test}.", f"{self.test} "))
@@ -54,7 +54,7 @@
 
 
 def ids_of(suite):
-    """Names of all tests of a suite; to be asked before it runs, as a run suite forgets its tests."""
+    """Names of all tests of a suite. Call it before the suite runs, since a suite drops its tests as they run."""
     for each in suite:
         if isinstance(each, unittest.TestSuite):
             yield from ids_of(each)
@@ -63,13 +63,13 @@
 
 
 class Verdict:
-    """What a whole run comes to, the known failures set apart.
+    """The verdict on a complete run, with known failures counted separately.
 
     Parameters
     ----------
     entries : sequence of KnownRed
     test_ids : sequence of str
-        All that was to run.
+        All tests that were to run.
     result : unittest.TestResult
 
     Attributes
@@ -85,22 +85,22 @@
         self._entries = entries
         self._result = result
         failures = [*result.failures, *result.errors]
-        # A wrong expectation of failure is as bad as a failure, whatever is listed.
+        # An unexpected success counts as a failure, like any other.
         ids = {_test_id(test) for test, _ in failures} | {test.id() for test in result.unexpectedSuccesses}
         self.known_failed = {name for name in ids if any(entry.covers(name) for entry in entries)}
         stale = {entry.test for entry in entries if not any(entry.covers(name) for name in test_ids)}
         self.failed = (ids - self.known_failed) | stale
         self.skipped = len(result.skipped)
-        # A fixture that failed is no test, and those behind it did not run.
+        # A failed fixture is not a test, and the tests that depend on it did not run.
         self.passed = result.testsRun - len(ids & set(test_ids)) - self.skipped
 
     @property
     def is_good(self):
-        """Whether tests ran and all that failed are listed."""
+        """Whether any test ran and every failure is listed."""
         return bool(self._result.testsRun) and not self.failed
 
     def lines(self):
-        """What is to be printed: each entry with what its tests came to, then the counts."""
+        """Lines to print: each entry with the outcome of its tests, then the counts."""
         for entry in self._entries:
             failed = sorted(name for name in self.known_failed if entry.covers(name))
             outcome = f"failed: {', '.join(failed)}" if failed else "passed this time"
@@ -111,5 +111,5 @@
 
 
 def _test_id(test):
-    # A subtest is a part of its test: both would be counted.
+    # A subtest counts as its test; otherwise both would be counted.
     return getattr(test, "test_case", test).id()
