--- a/tests/utils/retry_fleet.py
+++ b/tests/utils/retry_fleet.py
@@ -1,4 +1,4 @@
-"""Routers whose engines fail: real entries, schedulers and views, joined by fakes on one loop whose time jumps."""
+"""Routers whose engines fail: real entries, schedulers and views, joined by fakes on one loop with simulated time."""
 
 import asyncio
 import itertools
@@ -30,7 +30,7 @@
 LOST = RunCut(detail="cut", reached=True)
 REFUSED = RunNotSent(detail="full", arrived=True)
 MIN_LIVE_ROUTERS = 2
-"""Routers that are never killed together, so that callers have somebody to ask."""
+"""Number of routers that must stay live, so that callers have a router to send to."""
 CONNECT_FAILED = RunNotSent(detail="no connection")
 
 
@@ -100,7 +100,7 @@
 
 
 class FleetCaller:
-    """One request's caller, and the engines that its router sends it to."""
+    """The caller of one request, and the engines that its router sends the request to."""
 
     def __init__(self, *, fleet, router, request_id):
         self.fleet = fleet
@@ -123,7 +123,7 @@
 
 
 class RetryFleet:
-    """Routers that are sent requests at a steady rate.
+    """A fleet of routers that receives requests at a steady rate.
 
     Parameters
     ----------
@@ -134,10 +134,10 @@
     Attributes
     ----------
     fail_share : float
-        Part of the runs that end as ``failure``.
+        Share of runs that end with ``failure``.
     failure : outcome
     arrivals_by_id : dict of str to list of float
-        When runs reached engines.
+        Times at which runs reached engines, by request.
     """
 
     def __init__(self, *, routers=12, seed=1, engines=6):
@@ -167,7 +167,7 @@
             await router.close()
 
     def outcome(self, request_id):
-        """What one run comes to, which reaches its engine now unless no connection is made."""
+        """Choose the outcome of a run, and record its arrival at the engine unless no connection was made."""
         fails = self._rng.random() < self.fail_share
         if fails and self.failure is CONNECT_FAILED:
             return self.failure
@@ -181,23 +181,23 @@
 
     async def restart(self, *names):
         for name in names:
-            # As a process whose start the others see before they could find it dead.
+            # Like a process that restarts before the others could declare it dead.
             await self.net.add(name, incarnation=next(self._incarnation), seeds=self.net.by_name)
-            # No router is ready before it has read the platform's list, or met one that has.
+            # A router is ready only after it, or a router it has met, has read the platform's list.
             self.net.by_name[name].observe_vms([_vm(each) for each in self.net.by_name])
             self._run(name)
 
     def disconnect_all(self):
-        """Cut every router off from every other."""
+        """Disconnect every router from every other."""
         self.net.cut = lambda one, other: one != other
 
     def max_budget_excess(self):
-        """The most by which the arrivals beyond the first go beyond what is allowed, in any window."""
+        """Return the largest excess, over all windows, of repeated runs over the retry budget."""
         repeats = sorted(at for times in self.arrivals_by_id.values() for at in times[1:])
         return max((self._budget_excess(repeats, at) for at in repeats), default=0.0)
 
     def served(self, since, until):
-        """Part of the requests sent in a span that got their whole answer."""
+        """Return the share of requests sent in a span that got a complete answer."""
         sent = [caller for at, caller in zip(self.sent_at, self.callers, strict=True) if since <= at < until]
         return sum(isinstance(caller.answer, AnswerWhole) for caller in sent) / len(sent)
 
@@ -223,7 +223,7 @@
 
 
 class Disturbances:
-    """What happens to a fleet by a seed.
+    """Random disturbances of a fleet, determined by a seed.
 
     Parameters
     ----------
@@ -232,8 +232,8 @@
 
     Attributes
     ----------
-    told : list of str
-        What was done, and when.
+    history : list of str
+        Each disturbance with its time.
     """
 
     MAX_PAUSE_S = 2.5
@@ -246,7 +246,7 @@
         self._tasks = []
 
     async def run(self, *, for_s):
-        """Disturb the fleet for a time, and wait until what was begun has ended."""
+        """Disturb the fleet for ``for_s``, and wait until all started disturbances have ended."""
         until = now() + for_s
         while now() < until:
             await self._rng.choice((self._fail, self._kill, self._kill, self._cut))()
@@ -270,7 +270,7 @@
 
     async def _restart(self, names, after_s):
         await asyncio.sleep(after_s)
-        self._log_event(f"started again: {names}")
+        self._log_event(f"restarted: {names}")
         await self._fleet.restart(*names)
 
     async def _cut(self):
