--- a/tests/utils/steady_callers.py
+++ b/tests/utils/steady_callers.py
@@ -1,4 +1,4 @@
-"""Callers that send at a steady rate, whatever becomes of what they sent before."""
+"""Callers that send at a steady rate, whether or not earlier requests are answered."""
 
 import itertools
 import threading
@@ -10,7 +10,7 @@
 
 
 class NoAnswer:
-    """Stands for the answer of a request whose connection failed."""
+    """Placeholder for the answer to a request whose connection failed."""
 
     status = None
 
@@ -19,7 +19,7 @@
 
 
 class SteadyCallers:
-    """Requests at a steady rate to a world's routers in turn.
+    """Sends requests at a steady rate to a world's routers in turn.
 
     Parameters
     ----------
@@ -28,7 +28,7 @@
         Method and path, sent in turn.
     per_s : float
     routers : sequence of int, optional
-        Routers that are asked; all by default.
+        Routers to send to; all by default.
 
     Attributes
     ----------
@@ -52,7 +52,7 @@
         return self
 
     def close(self):
-        """Send no more, and wait for what was sent."""
+        """Stop sending and wait for the outstanding requests."""
         self._ending.set()
         self._thread.join()
         self._pool.shutdown()
@@ -61,7 +61,7 @@
         return [answer.status for answer in self.answers]
 
     def not_served(self):
-        """What those read that got no 200: status, Retry-After and body, or what the connection came to."""
+        """Answers other than 200 as (status, Retry-After, body), and connection errors as text."""
         return [
             repr(answer.error) if answer.status is None else (answer.status, answer.headers["Retry-After"], answer.body)
             for answer in self.answers
@@ -89,6 +89,6 @@
 
 
 def max_within(times, window_s):
-    """The most of these times that fall within one span of ``window_s``."""
+    """Return the largest number of these times that fall within one span of ``window_s``."""
     times = sorted(times)
     return max((sum(first <= at <= first + window_s for at in times[n:]) for n, first in enumerate(times)), default=0)
