--- a/tests/utils/tcp_forwarder.py
+++ b/tests/utils/tcp_forwarder.py
@@ -1,4 +1,4 @@
-"""A forwarder between two ends that can lose track of the connections it has."""
+"""A TCP forwarder that can silently stop forwarding on its open connections."""
 
 import asyncio
 
@@ -19,7 +19,7 @@
             writer.close()
 
     def lose_track(self):
-        """Forward nothing more on present connections, without closing them."""
+        """Stop forwarding on the open connections, without closing them."""
         for is_open in self._open:
             is_open.clear()
 
