--- a/tests/test_engine_rest.py
+++ b/tests/test_engine_rest.py
@@ -37,7 +37,7 @@
             engine.script = ["full"] * 10_000
 
     def check_back_off(self, engine):
-        """Check that no router sent more than allowed between half a second after a rejection and the back-off's end."""
+        """Check that no router sent too much between half a second after a rejection and the end of the back-off."""
         times_by_router = defaultdict(list)
         for at, router in engine.turned_away:
             times_by_router[router].append(at)
