--- a/tests/test_asking_engines.py
+++ b/tests/test_asking_engines.py
@@ -1,4 +1,4 @@
-"""Engines name limits, ask for rests and leave in series, while routers die and pause and the store goes away."""
+"""Engines announce limits, back-offs and leaving in series, while routers die or pause and the store is down."""
 
 import os
 import random
@@ -6,12 +6,18 @@
 import time
 import unittest
 
-from tests.utils.asking_engines import AskingEngine, Excuses, after_leaving, over_limit, within_rests
+from tests.utils.asking_engines import (
+    AskingEngine,
+    RouterDisturbances,
+    exceeded_back_off,
+    exceeded_limit,
+    received_after_leaving,
+)
 from tests.utils.platform_world import World
 from tests.utils.steady_callers import SteadyCallers
 
 SEEDS = [int(seed) for seed in os.environ.get("ASKING_SEEDS", "1 4").split()]
-"""By hand, ``ASKING_SEEDS="1 2 3" python -m unittest tests.test_asking_engines``."""
+"""For other seeds, ``ASKING_SEEDS="1 2 3" python -m unittest tests.test_asking_engines``."""
 ROUTERS = 4
 ENGINES = 4
 PER_S = 60.0
@@ -23,27 +29,27 @@
 
 
 def plan(seed):
-    """Events in order of their times: (time, what, on, value, duration)."""
-    chance = random.Random(seed)
+    """Return the events of a seed in chronological order: (time, kind, on, value, duration)."""
+    rng = random.Random(seed)
     events = []
     leaves = False
     for _ in range(EVENTS):
-        what = chance.choice(("limit", "limit", "rest", "leave", "kill", "pause", "store"))
-        if what == "leave" and leaves:
-            what = "rest"
-        leaves = leaves or what == "leave"
-        on = chance.randrange(ROUTERS if what in ("kill", "pause") else ENGINES)
-        value = round(chance.uniform(0.5, 6.0), 1) if what == "limit" else chance.choice((0.3, 0.6, 1.0))
-        events.append((chance.uniform(0.0, LAST_EVENT_S), what, on, value, chance.uniform(1.0, 4.0)))
+        kind = rng.choice(("limit", "limit", "rest", "leave", "kill", "pause", "store"))
+        if kind == "leave" and leaves:
+            kind = "rest"
+        leaves = leaves or kind == "leave"
+        on = rng.randrange(ROUTERS if kind in ("kill", "pause") else ENGINES)
+        value = round(rng.uniform(0.5, 6.0), 1) if kind == "limit" else rng.choice((0.3, 0.6, 1.0))
+        events.append((rng.uniform(0.0, LAST_EVENT_S), kind, on, value, rng.uniform(1.0, 4.0)))
     return sorted(events)
 
 
 class Play:
-    """A world with its callers, disturbed by a plan."""
+    """A world with callers, disturbed by the events of a seed."""
 
     def __init__(self, *, seed):
         self.events = plan(seed)
-        self.excuses = Excuses()
+        self.disturbances = RouterDisturbances()
         self.world = World(routers=ROUTERS)
         for name in ("b-1", "b-2"):
             self.world.engines.pop(name).close()
@@ -54,29 +60,29 @@
         self._busy_by_router = [threading.Lock() for _ in range(ROUTERS)]
 
     def run(self):
-        """Play all events, and return the answers."""
+        """Apply all events, and return the answers by router."""
         self.world.start()
         paths = [("GET", "/status/1"), ("POST", "/book/1")]
         callers = SteadyCallers(world=self.world, paths=paths, per_s=PER_S).start()
         time.sleep(1.0)
-        began_at = time.monotonic()
+        started_at = time.monotonic()
         timers = []
-        for at, what, on, value, for_s in self.events:
-            time.sleep(max(0.0, began_at + at - time.monotonic()))
-            timers.append(threading.Thread(target=self._happen, args=(what, on, value, for_s), daemon=True))
+        for at, kind, on, value, for_s in self.events:
+            time.sleep(max(0.0, started_at + at - time.monotonic()))
+            timers.append(threading.Thread(target=self._happen, args=(kind, on, value, for_s), daemon=True))
             timers[-1].start()
-        time.sleep(max(0.0, began_at + PLAY_S - time.monotonic()))
+        time.sleep(max(0.0, started_at + PLAY_S - time.monotonic()))
         for timer in timers:
             timer.join()
         callers.close()
         return callers.answers_by_router
 
-    def _happen(self, what, on, value, for_s):
-        match what:
+    def _happen(self, kind, on, value, for_s):
+        match kind:
             case "limit" if self.engines[on].limit is None:
-                self.engines[on].name_limit(value, for_s + 3.0)
+                self.engines[on].set_limit(value, for_s + 3.0)
             case "rest":
-                self.engines[on].ask_for_rests(REST_S, value, for_s)
+                self.engines[on].request_back_off(REST_S, value, for_s)
             case "leave":
                 self.engines[on].leaving = True
             case "store":
@@ -84,13 +90,13 @@
                 time.sleep(for_s)
                 self.world.store.down = False
             case "kill" | "pause":
-                self._disturb(what, on, for_s)
+                self._disturb(kind, on, for_s)
 
-    def _disturb(self, what, on, for_s):
+    def _disturb(self, kind, on, for_s):
         router = self.world.routers[on]
         with self._busy_by_router[on]:
-            self.excuses.note(str(on))
-            if what == "pause":
+            self.disturbances.record(str(on))
+            if kind == "pause":
                 router.freeze()
                 time.sleep(for_s)
                 router.resume()
@@ -99,11 +105,12 @@
                 time.sleep(0.3 * for_s)
                 router.start()
                 router.wait_ready()
-            self.excuses.note(str(on))
+            self.disturbances.record(str(on))
 
 
 class AskingEnginesTest(unittest.TestCase):
-    # Guards against a limit, rest or leaving that is kept alone, and lost beside another or with a router that dies.
+    # Guards against a limit, back-off or leaving notice that is obeyed on its own but lost when it coincides with
+    # another or when a router dies.
     def test_what_engines_ask_for_is_kept_whatever_else_happens(self):
         for seed in SEEDS:
             with self.subTest(seed=seed):
@@ -115,18 +122,18 @@
             answers_by_router = play.run()
         finally:
             play.world.close()
-        told = f"seed {seed}: {[(round(at, 1), what, on, value) for at, what, on, value, _ in play.events]}"
+        description = f"seed {seed}: {[(round(at, 1), kind, on, value) for at, kind, on, value, _ in play.events]}"
         for engine in play.engines:
-            for check in (over_limit, after_leaving, within_rests):
-                self.assertEqual(check(engine, play.excuses), [], f"{check.__name__} {engine.name}, {told}")
+            for check in (exceeded_limit, received_after_leaving, exceeded_back_off):
+                self.assertEqual(check(engine, play.disturbances), [], f"{check.__name__} {engine.name}, {description}")
         statuses = {
             answer.status
             for router, answers in answers_by_router.items()
-            if not play.excuses.times_by_router[str(router)]
+            if not play.disturbances.times_by_router[str(router)]
             for answer in answers
         }
-        self.assertLessEqual(statuses, ANSWERS, told)
-        print(f"{told}: {[len(engine.got) for engine in play.engines]} requests")
+        self.assertLessEqual(statuses, ANSWERS, description)
+        print(f"{description}: {[len(engine.received) for engine in play.engines]} requests")
 
 
 if __name__ == "__main__":
--- a/tests/test_at_most_once_processes.py
+++ b/tests/test_at_most_once_processes.py
@@ -44,10 +44,10 @@
         """Check that there was at most one start, all complete answers are equal, and none exists without a run."""
         starts = self.running.starts(planned.caller_request_id)
         self.assertLessEqual(starts, 1)
-        self.assertLessEqual(len({each.result.text for each in seen if each.result.whole}), 1)
+        self.assertLessEqual(len({each.result.text for each in seen if each.result.complete}), 1)
         if starts == 0:
-            self.assertEqual([each for each in seen if each.result.whole], [])
-        self.assert_whole_answers_are_own(seen)
+            self.assertEqual([each for each in seen if each.result.complete], [])
+        self.assert_complete_answers_match(seen)
         return starts
 
     def test_simultaneous_sends_to_two_routers(self):
@@ -61,7 +61,7 @@
             for sender in senders:
                 sender.join()
             self.assertEqual(self.check_at_most_one_run(planned, seen), 1)
-            self.assert_all_whole(seen)
+            self.assert_all_complete(seen)
 
     def test_resend_after_router_is_killed_during_the_run(self):
         # The caller's router is killed while the booking runs, and the caller re-sends it through
@@ -108,7 +108,7 @@
         running.faults("reservas-1", stream_kind="cut", stream_count=1)
         planned = running.planned(BOOKING)
         seen = [running.send(BOOKING, router=name, planned=self.resend_of(planned)) for name in running.routers]
-        self.assertEqual([each for each in seen if each.result.whole or each.result.executed == "no"], [])
+        self.assertEqual([each for each in seen if each.result.complete or each.result.executed == "no"], [])
         self.assertEqual(self.check_at_most_one_run(planned, seen), 1)
 
     def test_platform_loses_the_answers_of_writes(self):
@@ -122,7 +122,7 @@
             seen = [running.send(BOOKING, router=name, planned=self.resend_of(planned)) for name in running.routers]
             starts = self.check_at_most_one_run(planned, seen)
             for each in seen:
-                self.assertTrue(each.result.whole or starts == 0 or each.result.executed != "no", each)
+                self.assertTrue(each.result.complete or starts == 0 or each.result.executed != "no", each)
             print(f"write answers lost: {starts} run, {[each.result.reason or 'complete' for each in seen]}")
 
     def test_claiming_router_is_paused(self):
--- a/tests/test_engine_rest.py
+++ b/tests/test_engine_rest.py
@@ -1,4 +1,4 @@
-"""Engines that turn a request away and ask the router that sent it for a rest."""
+"""Engines that reject a request and ask the router that sent it to back off."""
 
 import time
 import unittest
@@ -8,11 +8,11 @@
 from tests.utils.steady_callers import SteadyCallers
 
 PER_S = 40.0
-REST_S = 3.0
+BACK_OFF_S = 3.0
 SLACK_S = 0.5
-"""Time after the answer in which what was on its way may still arrive."""
-MAX_IN_A_REST = 2
-WATCHED_S = 8.0
+"""Time after the answer during which requests already in flight may still arrive."""
+MAX_PER_BACK_OFF = 2
+OBSERVED_S = 8.0
 WORK_S = 0.03
 
 
@@ -30,41 +30,41 @@
         self.addCleanup(self.callers.close)
         time.sleep(1.0)
 
-    def turn_away(self, engines):
-        """Let these engines turn all requests away."""
+    def reject_all(self, engines):
+        """Make these engines reject all requests."""
         for engine in engines:
-            engine.retry_after = str(REST_S)
+            engine.retry_after = str(BACK_OFF_S)
             engine.script = ["full"] * 10_000
 
-    def check_rests(self, engine):
-        """No router sent more than it may between half a second after an answer and the end of the rest."""
+    def check_back_off(self, engine):
+        """Check that no router sent too much between half a second after a rejection and the end of the back-off."""
         times_by_router = defaultdict(list)
         for at, router in engine.rejections:
             times_by_router[router].append(at)
         for times in times_by_router.values():
-            for asked_at in times:
-                within = [at for at in times if asked_at + SLACK_S < at < asked_at + REST_S]
-                self.assertLessEqual(len(within), MAX_IN_A_REST)
+            for back_off_at in times:
+                within = [at for at in times if back_off_at + SLACK_S < at < back_off_at + BACK_OFF_S]
+                self.assertLessEqual(len(within), MAX_PER_BACK_OFF)
         self.assertGreater(len(engine.rejections), 0)
 
 
 class RestTest(RestCase):
-    # Guards against a router that sends on to an engine that asked it for a rest.
+    # Guards against a router that keeps sending to an engine that asked it to back off.
     def test_one_engine_gets_its_rest_and_nobody_is_refused(self):
-        self.turn_away(self.engines[:1])
-        time.sleep(WATCHED_S)
-        self.check_rests(self.engines[0])
+        self.reject_all(self.engines[:1])
+        time.sleep(OBSERVED_S)
+        self.check_back_off(self.engines[0])
         self.callers.close()
         self.assertEqual((self.callers.not_served(), set(self.callers.statuses())), ([], {200}))
 
-    # Guards against the same where all engines ask for it, so that there is nowhere else to send.
+    # Guards against the same when all engines ask for it, so that no other engine is left to send to.
     def test_all_engines_get_their_rest_and_callers_are_told_when_to_return(self):
-        self.turn_away(self.engines)
-        time.sleep(WATCHED_S)
+        self.reject_all(self.engines)
+        time.sleep(OBSERVED_S)
         for engine in self.engines:
-            self.check_rests(engine)
+            self.check_back_off(engine)
             engine.script = []
-        time.sleep(REST_S + 1.0)
+        time.sleep(BACK_OFF_S + 1.0)
         answered = len(self.callers.answers)
         time.sleep(1.0)
         self.callers.close()
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -1,4 +1,4 @@
-"""An engine marked as leaving gets no new work on any router."""
+"""An engine marked as leaving gets no new work from any router."""
 
 import time
 import unittest
@@ -7,11 +7,11 @@
 
 RATE = 15.0
 BEFORE_S = 1.0
-PROMISED_S = 2.0
-WATCHED_S = 1.5
+GUARANTEED_S = 2.0
+OBSERVED_S = 1.5
 LIST_LAG_S = 0.5
-LEAVING = "asistente-1"
-STAYING = "asistente-3"
+MARKED_ENGINE = "asistente-1"
+OTHER_ENGINE = "asistente-3"
 
 
 class LeavingTest(PromiseChecks, unittest.TestCase):
@@ -30,24 +30,24 @@
     def check_no_new_work(self, mark, unmark, what):
         load = self.running.load(kinds=(QUESTION, PLAN, TAGGING), rate=RATE).start()
         time.sleep(BEFORE_S)
-        self.assertGreater(self.starts_on(LEAVING), 0)
+        self.assertGreater(self.starts_on(MARKED_ENGINE), 0)
         mark()
         marked_at = time.monotonic()
-        time.sleep(PROMISED_S)
-        starts, elsewhere = self.starts_on(LEAVING), self.starts_on(STAYING)
-        time.sleep(WATCHED_S)
-        self.assertEqual(self.starts_on(LEAVING), starts, f"started later than {PROMISED_S} s after the mark")
-        self.assertGreater(self.starts_on(STAYING), elsewhere)
+        time.sleep(GUARANTEED_S)
+        starts, elsewhere = self.starts_on(MARKED_ENGINE), self.starts_on(OTHER_ENGINE)
+        time.sleep(OBSERVED_S)
+        self.assertEqual(self.starts_on(MARKED_ENGINE), starts, f"started later than {GUARANTEED_S} s after the mark")
+        self.assertGreater(self.starts_on(OTHER_ENGINE), elsewhere)
         unmark()
-        wait_until(lambda: self.starts_on(LEAVING) > starts, "new work once the mark was taken back")
+        wait_until(lambda: self.starts_on(MARKED_ENGINE) > starts, "new work after the mark was removed")
         seen = load.stop()
         self.assert_promises(self.running, seen)
-        self.assert_none_cut(seen)
-        refused = sum(not each.result.whole for each in seen)
-        print(f"leaving by {what}: {refused} of {len(seen)} refused, {time.monotonic() - marked_at:.1f} s watched")
+        self.assert_all_complete_or_refused(seen)
+        refused = sum(not each.result.complete for each in seen)
+        print(f"leaving by {what}: {refused} of {len(seen)} refused, observed for {time.monotonic() - marked_at:.1f} s")
 
     def declare(self, leaving):
-        engine = next(each for each in self.running.deployment.document["engines"] if each["name"] == LEAVING)
+        engine = next(each for each in self.running.deployment.document["engines"] if each["name"] == MARKED_ENGINE)
         engine["leaving"] = leaving
         self.running.deployment.apply()
 
@@ -56,31 +56,31 @@
         time.sleep(LIST_LAG_S)
 
     def test_marked_by_the_declaration(self):
-        # The operators apply a declaration with the engine marked as leaving. Its runs go on to
-        # their end; two seconds later no router sends it anything new; the other engine does the work.
+        # Operators apply a declaration that marks the engine as leaving. Its runs continue to their end;
+        # after two seconds no router sends it anything new, and the other engine serves the load.
         self.check_no_new_work(lambda: self.declare(True), lambda: self.declare(False), "declaration")
 
     def test_marked_by_the_platforms_list(self):
-        # As above, but only the platform's list says so. The list's own lag is not counted.
-        self.check_no_new_work(lambda: self.publish((LEAVING,)), lambda: self.publish(()), "list")
+        # As above, but the engine is marked only in the platform's list of VMs, whose own lag is not counted.
+        self.check_no_new_work(lambda: self.publish((MARKED_ENGINE,)), lambda: self.publish(()), "list")
 
     def test_marked_by_the_list_right_after_the_scheduler_changed(self):
-        # The mark is in force, then the scheduler is killed. A new scheduler that knew the mark only
-        # from its predecessor would send the engine new work.
+        # Guards against a new scheduler that would know the mark only from its predecessor, and would send the
+        # engine new work after the old scheduler is killed.
         running = self.running
-        self.publish((LEAVING,))
-        time.sleep(PROMISED_S)
-        starts = self.starts_on(LEAVING)
+        self.publish((MARKED_ENGINE,))
+        time.sleep(GUARANTEED_S)
+        starts = self.starts_on(MARKED_ENGINE)
         scheduler = running.scheduler_of()
         running.router(scheduler).kill()
         others = [name for name in running.routers if name != scheduler]
         seen = [running.send(QUESTION, router=others[number % 2]) for number in range(10)]
-        self.assertEqual(self.starts_on(LEAVING), starts)
+        self.assertEqual(self.starts_on(MARKED_ENGINE), starts)
         self.assert_promises(running, seen)
-        self.assert_all_whole(seen)
+        self.assert_all_complete(seen)
         running.restart(scheduler)
         self.publish(())
-        wait_until(running.agree, "all routers to agree on one scheduler")
+        wait_until(running.routers_agree, "all routers to agree on one scheduler")
 
 
 if __name__ == "__main__":
--- a/tests/test_paused_engine.py
+++ b/tests/test_paused_engine.py
@@ -1,4 +1,4 @@
-"""An engine stands still for some seconds, as a paused VM does, and then goes on with what it holds."""
+"""An engine is paused for some seconds, like a paused VM, and then resumes its runs."""
 
 import threading
 import time
@@ -7,15 +7,15 @@
 from tests.utils.running import QUESTION, PromiseChecks, Running
 
 PAUSED = "asistente-3"
-SLOW = 2.0
-EVERY_S = 0.1
+TIME_SCALE = 2.0
+INTERVAL_S = 0.1
 BEFORE_S = 1.0
 QUESTIONS = 20
 
 
 class PausedEngineTest(PromiseChecks, unittest.TestCase):
-    def ask_around_a_pause(self, pause_s):
-        running = Running(routers=2, time_scale=SLOW).start()
+    def send_questions_around_pause(self, pause_s):
+        running = Running(routers=2, time_scale=TIME_SCALE).start()
         self.addCleanup(running.close)
         seen = []
         pause = threading.Thread(target=self.pause, args=(running, pause_s))
@@ -26,11 +26,11 @@
             sender = threading.Thread(target=lambda router=router: seen.append(running.send(QUESTION, router=router)))
             senders.append(sender)
             sender.start()
-            time.sleep(EVERY_S)
+            time.sleep(INTERVAL_S)
         for sender in [*senders, pause]:
             sender.join()
         self.assert_promises(running, seen)
-        self.assert_all_whole(seen)
+        self.assert_all_complete(seen)
 
     def pause(self, running, pause_s):
         time.sleep(BEFORE_S)
@@ -39,14 +39,14 @@
         running.engine(PAUSED).resume()
 
     def test_three_seconds(self):
-        # The questions that the engine holds get their answers late. It confirms nothing meanwhile, over no
-        # connection; it answers the second attach and goes on.
-        self.ask_around_a_pause(3.0)
+        # The questions that run on the engine are answered late. While paused it confirms nothing on any
+        # connection; it answers the second attach and continues.
+        self.send_questions_around_pause(3.0)
 
     def test_longer_than_three_limits_on_silence(self):
-        # The caller sees 502, engine_lost, 6 s after its question, though the engine wakes half a second later and
-        # finishes the run within the caller's 8 s. Three limits of 2 s without a word look like a dead process.
-        self.ask_around_a_pause(6.5)
+        # Guards against 502, engine_lost, 6 s after a question, although the engine resumes half a second later and
+        # finishes the run within the caller's 8 s: three silence limits of 2 s made it look like a dead process.
+        self.send_questions_around_pause(6.5)
 
 
 if __name__ == "__main__":
--- a/tests/test_routers_in_series.py
+++ b/tests/test_routers_in_series.py
@@ -1,43 +1,43 @@
-"""Routers are killed, started again and paused in series under a flood; callers of another one notice nothing."""
+"""Routers are killed, restarted and paused in series under a flood; callers of another router are not affected."""
 
 import os
 import time
 import unittest
 
-from tests.test_tier_order import SLOW, Flood
-from tests.utils.disturbances import KILL, PAUSE, RESTART, SCHEDULER, Disturbance, Event, ask_steadily, random_plan
+from tests.test_tier_order import TIME_SCALE, Flood
+from tests.utils.disturbances import KILL, PAUSE, RESTART, SCHEDULER, Disturbance, Event, random_plan, send_steadily
 from tests.utils.running import PromiseChecks, Running
 
 CALLERS = 60
 FLOOD_S = 2.0
-"""Until tagging fills every engine and more of it waits."""
+"""Time for tagging to fill every engine and its queue."""
 SEEDS = [int(seed) for seed in os.environ.get("SERIES_SEEDS", "3 17").split()]
-"""By hand, ``SERIES_SEEDS="1 2 3" python -m unittest tests.test_routers_in_series``."""
+"""For other seeds, ``SERIES_SEEDS="1 2 3" python -m unittest tests.test_routers_in_series``."""
 
 
 class RoutersInSeriesTest(PromiseChecks, unittest.TestCase):
-    # A flood of tagging fills every engine. Questions and plans come through one router that nothing happens to,
-    # while others are killed, started again or paused, the scheduler more often than others. Each new scheduler knows
-    # only what the entries and the engines tell it; whatever it grants too much waits in an engine's queue, in
-    # order of arrival. All questions and plans are to be answered whole.
+    # Guards against questions and plans lost when schedulers change under a flood of tagging that fills every engine.
+    # They are sent through one undisturbed router while others, most often the scheduler, are killed, restarted or
+    # paused. Each new scheduler knows only what entries and engines report to it; anything it grants in excess waits
+    # in an engine's queue, in order of arrival. Every question and plan must get a complete answer.
 
     def play(self, routers, events):
-        running = Running(routers=routers, time_scale=SLOW).start()
+        running = Running(routers=routers, time_scale=TIME_SCALE).start()
         flood = Flood(running=running, callers=CALLERS).start()
         try:
             time.sleep(FLOOD_S)
             disturbance = Disturbance(running=running, events=events)
             disturbance.play(time.monotonic())
-            asked = ask_steadily(running, router=disturbance.spared)
+            results = send_steadily(running, router=disturbance.undisturbed_router)
             disturbance.wait()
-            self.assert_promises(running, [*asked, *list(flood.seen)])
+            self.assert_promises(running, [*results, *list(flood.seen)])
         finally:
             running.close()
             flood.stop()
-        slowest_s = max(each.result.total_s for each in asked if each.result.planned.kind.name == "question")
-        print(f"{routers} routers, {disturbance.notes}: slowest question {slowest_s:.2f} s")
-        lost = [each for each in asked if not each.result.whole]
-        self.assertEqual(lost, [], f"{len(lost)} of {len(asked)}: {disturbance.notes}")
+        slowest_s = max(each.result.total_s for each in results if each.result.planned.kind.name == "question")
+        print(f"{routers} routers, {disturbance.history}: slowest question {slowest_s:.2f} s")
+        lost = [each for each in results if not each.result.complete]
+        self.assertEqual(lost, [], f"{len(lost)} of {len(results)}: {disturbance.history}")
 
     def test_scheduler_started_again_and_another_router_killed(self):
         events = [
--- a/tests/test_tier_order.py
+++ b/tests/test_tier_order.py
@@ -1,4 +1,4 @@
-"""A flood of low-tier work that may be repeated never keeps a higher tier from being served."""
+"""A flood of repeatable low-tier requests never prevents a higher tier from being served."""
 
 import itertools
 import threading
@@ -11,57 +11,57 @@
 QUESTIONS = 10
 PAUSE_S = 0.15
 RETRY_S = 0.2
-SLOW = 2.0
+TIME_SCALE = 2.0
 FEW_THREADS = 12
 
 
 class Flood:
-    """Callers of the lowest tier, each of which asks again as soon as it is answered."""
+    """Callers of the lowest tier, each of which sends its next request as soon as it is answered."""
 
     def __init__(self, *, running, callers):
         self.seen = []
         self._running = running
         self._stopping = threading.Event()
-        self._threads = [threading.Thread(target=self._ask, args=(number,)) for number in range(callers)]
+        self._threads = [threading.Thread(target=self._send_repeatedly, args=(number,)) for number in range(callers)]
 
     def start(self):
-        """Begin to ask."""
+        """Start sending requests."""
         for thread in self._threads:
             thread.start()
         return self
 
     def stop(self):
-        """Ask nothing more and wait for the last answers."""
+        """Stop sending and wait for the outstanding answers."""
         self._stopping.set()
         for thread in self._threads:
             thread.join()
 
-    def _ask(self, number):
+    def _send_repeatedly(self, number):
         routers = self._running.routers
         while not self._stopping.is_set():
             router = routers[number % len(routers)]
             self.seen.append(self._running.send(TAGGING, router=router, output_tokens=LONG_ANSWER))
-            if not self.seen[-1].result.whole:
+            if not self.seen[-1].result.complete:
                 self._stopping.wait(RETRY_S)
 
 
 class FloodCase(PromiseChecks, unittest.TestCase):
-    """A deployment under a flood that begins before the test and is cut off after it."""
+    """A deployment under a flood that starts before the test and is cut off after it."""
 
     CALLERS = 60
     SETTINGS = {}
 
     def setUp(self):
-        self.running = Running(time_scale=SLOW, **self.SETTINGS).start()
+        self.running = Running(time_scale=TIME_SCALE, **self.SETTINGS).start()
         self.flood = Flood(running=self.running, callers=self.CALLERS).start()
 
     def tearDown(self):
-        # The flood's last runs would take many seconds to end; nothing is learned from them.
+        # Close the deployment first: the flood's last runs would take many seconds and show nothing more.
         self.running.close()
         self.flood.stop()
 
-    def ask_questions(self, routers):
-        """Send questions one after the other begins, through the routers in turn; return what was seen."""
+    def send_questions(self, routers):
+        """Send overlapping questions, ``PAUSE_S`` apart, through the routers in turn; return the observations."""
         seen = []
         senders = [
             threading.Thread(target=lambda router=router: seen.append(self.running.send(QUESTION, router=router)))
@@ -77,7 +77,7 @@
     def check(self, questions, what):
         flood = list(self.flood.seen)
         self.assert_promises(self.running, [*flood, *questions])
-        self.assert_all_whole(questions)
+        self.assert_all_complete(questions)
         slowest_s = max(each.result.total_s for each in questions)
         print(f"{what}: slowest question {slowest_s:.2f} s")
 
@@ -99,19 +99,19 @@
         return sum(deployment.get(f"{url}/record")["totals"]["cancelled"] for url in deployment.engine_urls())
 
     def test_questions_while_tagging_fills_every_engine(self):
-        # Tagging fills every engine with runs longer than a question can wait, and more of it waits.
-        # Questions that come then at any router are all answered, for runs of tagging are cancelled.
-        # Then the scheduler dies, so that for a moment the routers disagree on who decides: none of
-        # the others may refuse a question on a guess.
+        # Guards against questions refused or late while tagging fills every engine with runs longer than a
+        # question can wait, and more tagging is queued: runs of tagging must be cancelled. It repeats the
+        # questions after the scheduler is killed, when routers briefly disagree on which router is scheduler;
+        # none of them may refuse a question on an assumption.
         running = self.running
         wait_until(self.is_full, "engines full of tagging")
         self.assertEqual(self.cancelled(), 0)
-        questions = self.ask_questions(running.routers)
+        questions = self.send_questions(running.routers)
         self.assertGreater(self.cancelled(), 0)
         self.check(questions, f"flooded engines ({self.cancelled()} runs of tagging cancelled)")
         scheduler = running.scheduler_of()
         running.router(scheduler).kill()
-        questions = self.ask_questions([name for name in running.routers if name != scheduler])
+        questions = self.send_questions([name for name in running.routers if name != scheduler])
         self.check(questions, "flooded engines, scheduler killed")
 
 
@@ -124,10 +124,10 @@
         return all(limit["held"] >= limit["held_limit"] for limit in limits)
 
     def test_questions_while_tagging_holds_every_thread(self):
-        # Tagging holds every thread of every router, while the engines have room. A question takes
-        # the place of a tagging request; nobody of a higher tier is refused.
+        # Guards against questions refused because tagging holds every thread of every router while the
+        # engines have free slots. A question must displace a tagging request instead.
         wait_until(self.is_full, "routers full of tagging")
-        questions = self.ask_questions(self.running.routers)
+        questions = self.send_questions(self.running.routers)
         displaced = sum(
             self.running.state(name)["callers"]["limits"]["displaced_total"] for name in self.running.routers
         )
--- a/tests/utils/disturbances.py
+++ b/tests/utils/disturbances.py
@@ -1,4 +1,4 @@
-"""Routers killed, started again and paused at set moments under a flood, as plans that a seed gives."""
+"""Kills, restarts and pauses routers at planned times under a flood; plans can be generated from a seed."""
 
 import itertools
 import random
@@ -9,26 +9,26 @@
 
 KILL, RESTART, PAUSE = "kill", "restart", "pause"
 SCHEDULER = "scheduler"
-ASK_EVERY_S = 0.15
-ASK_FOR_S = 8.0
+SEND_INTERVAL_S = 0.15
+SEND_DURATION_S = 8.0
 FIRST_EVENT_S, LAST_EVENT_S = 0.5, 6.0
-LONGEST_DOWN_S = 1.5
-SHORTEST_PAUSE_S, LONGEST_PAUSE_S = 0.3, 6.0
+MAX_DOWN_S = 1.5
+MIN_PAUSE_S, MAX_PAUSE_S = 0.3, 6.0
 SCHEDULER_SHARE = 0.6
-"""Of the events, those that hit whoever is scheduler at that moment: its loss disturbs all others most."""
+"""Share of events that hit the current scheduler, whose loss disturbs the other routers most."""
 
 
 class Event:
-    """What happens to one router.
+    """A disturbance of one router.
 
     Parameters
     ----------
     at_s : float
-        From the first question on.
+        Seconds after the first question.
     kind : str
-        ``kill``; ``restart``, a kill and a start after ``for_s``; ``pause``, for ``for_s``.
+        ``kill``; ``restart``, a kill and a start after ``for_s``; or ``pause``, for ``for_s``.
     on : str
-        ``scheduler``, the router that is scheduler at that moment, or any ``other``.
+        ``scheduler``, the router that is scheduler at that time, or any ``other``.
     for_s : float
     """
 
@@ -45,50 +45,50 @@
 
 
 def random_plan(seed):
-    """Number of routers and events of one seed; at least one router is never hit, nor all of them at once."""
-    chance = random.Random(seed)
-    routers = chance.randint(3, 5)
-    events = [_random_event(chance) for _ in range(chance.randint(2, min(4, routers - 1)))]
+    """Return the number of routers and the events of a seed; with fewer events than routers, one is never hit."""
+    rng = random.Random(seed)
+    routers = rng.randint(3, 5)
+    events = [_random_event(rng) for _ in range(rng.randint(2, min(4, routers - 1)))]
     return routers, sorted(events, key=lambda event: event.at_s)
 
 
-def _random_event(chance):
-    kind = chance.choice((KILL, RESTART, PAUSE))
-    lengths = {KILL: (0.0, 0.0), RESTART: (0.0, LONGEST_DOWN_S), PAUSE: (SHORTEST_PAUSE_S, LONGEST_PAUSE_S)}
+def _random_event(rng):
+    kind = rng.choice((KILL, RESTART, PAUSE))
+    lengths = {KILL: (0.0, 0.0), RESTART: (0.0, MAX_DOWN_S), PAUSE: (MIN_PAUSE_S, MAX_PAUSE_S)}
     return Event(
-        at_s=chance.uniform(FIRST_EVENT_S, LAST_EVENT_S),
+        at_s=rng.uniform(FIRST_EVENT_S, LAST_EVENT_S),
         kind=kind,
-        on=SCHEDULER if chance.random() < SCHEDULER_SHARE else "other",
-        for_s=chance.uniform(*lengths[kind]),
+        on=SCHEDULER if rng.random() < SCHEDULER_SHARE else "other",
+        for_s=rng.uniform(*lengths[kind]),
     )
 
 
 class Disturbance:
-    """Plays events on the routers of a deployment; the last router is never hit.
+    """Applies events to the routers of a deployment; the last router is never disturbed.
 
     Attributes
     ----------
-    notes : list of str
-        What happened to whom, for the message of a failure.
+    history : list of str
+        Each event and the router it hit, for failure messages.
     """
 
     def __init__(self, *, running, events):
-        self.notes = []
+        self.history = []
         self._running = running
         self._events = events
-        self._spared = running.routers[-1]
+        self._undisturbed_router = running.routers[-1]
         self._hit = set()
         self._threads = []
 
     @property
-    def spared(self):
-        """Name of the router that nothing happens to."""
-        return self._spared
+    def undisturbed_router(self):
+        """Name of the router that is never disturbed."""
+        return self._undisturbed_router
 
-    def play(self, began_at):
-        """Play the events in a thread each, by their times from ``began_at``."""
+    def play(self, started_at):
+        """Start a thread for each event, timed relative to ``started_at``."""
         for event in self._events:
-            thread = threading.Thread(target=self._play, args=(event, began_at))
+            thread = threading.Thread(target=self._play, args=(event, started_at))
             self._threads.append(thread)
             thread.start()
 
@@ -97,13 +97,13 @@
         for thread in self._threads:
             thread.join()
 
-    def _play(self, event, began_at):
-        time.sleep(max(0.0, began_at + event.at_s - time.monotonic()))
+    def _play(self, event, started_at):
+        time.sleep(max(0.0, started_at + event.at_s - time.monotonic()))
         name = self._target(event)
         if name is None:
-            self.notes.append(f"{event}: nobody left")
+            self.history.append(f"{event}: no router left")
             return
-        self.notes.append(f"{event}: {name}")
+        self.history.append(f"{event}: {name}")
         router = self._running.router(name)
         if event.kind == PAUSE:
             router.freeze()
@@ -117,9 +117,9 @@
         self._hit.discard(name)
 
     def _target(self, event):
-        scheduler = self._running.scheduler_of(asked=self._spared)
+        scheduler = self._running.scheduler_of(observer=self._undisturbed_router)
         live = [name for name in self._running.routers if self._running.router(name).is_running()]
-        left = [name for name in live if name not in self._hit and name != self._spared]
+        left = [name for name in live if name not in self._hit and name != self._undisturbed_router]
         if event.on == SCHEDULER and scheduler in left:
             left = [scheduler]
         if not left:
@@ -128,19 +128,19 @@
         return left[0]
 
 
-def ask_steadily(running, *, router, for_s=ASK_FOR_S):
-    """Send a question or a plan every 0.15 s through one router; return what was seen."""
-    seen = []
+def send_steadily(running, *, router, for_s=SEND_DURATION_S):
+    """Send a question or a plan in turn every 0.15 s through one router; return the observations."""
+    observations = []
     senders = []
-    began_at = time.monotonic()
+    started_at = time.monotonic()
     for number, kind in enumerate(itertools.cycle((QUESTION, PLAN))):
-        due_at = began_at + number * ASK_EVERY_S
-        if due_at > began_at + for_s:
+        due_at = started_at + number * SEND_INTERVAL_S
+        if due_at > started_at + for_s:
             break
         time.sleep(max(0.0, due_at - time.monotonic()))
-        sender = threading.Thread(target=lambda kind=kind: seen.append(running.send(kind, router=router)))
+        sender = threading.Thread(target=lambda kind=kind: observations.append(running.send(kind, router=router)))
         senders.append(sender)
         sender.start()
     for sender in senders:
         sender.join()
-    return seen
+    return observations
--- a/tests/utils/retry_fleet.py
+++ b/tests/utils/retry_fleet.py
@@ -1,4 +1,4 @@
-"""Routers whose engines fail: real entries, schedulers and views, joined by fakes on one loop whose time jumps."""
+"""Routers whose engines fail: real entries, schedulers and views, joined by fakes on one loop with simulated time."""
 
 import asyncio
 import itertools
@@ -19,8 +19,8 @@
 from wagtailtrestle.peers.directory import Directory
 
 SERVICE = "asistente"
-RATIO = 0.2
-EXTRA = 24.0
+RETRY_SHARE = 0.2
+RETRY_EXTRA = 24.0
 WINDOW_S = 10.0
 PER_S = 60.0
 WORK_S = 0.05
@@ -29,9 +29,9 @@
 TICK_S = 0.1
 LOST = RunCut(detail="cut", reached=True)
 REFUSED = RunNotSent(detail="full", arrived=True)
-MIN_RUNNING = 2
-"""Routers that are never killed together, so that callers have somebody to ask."""
-NOT_CONNECTED = RunNotSent(detail="no connection")
+MIN_LIVE_ROUTERS = 2
+"""Number of routers that must stay live, so that callers have a router to send to."""
+CONNECT_FAILED = RunNotSent(detail="no connection")
 
 
 def declaration(*, engines):
@@ -85,7 +85,7 @@
 
     def _retry_limits(self):
         routers = self.fleet.net.by_name[self.name].fleet_size()
-        return RetryLimits(share=RATIO, extra=EXTRA, window_s=WINDOW_S, routers=routers)
+        return RetryLimits(share=RETRY_SHARE, extra=RETRY_EXTRA, window_s=WINDOW_S, routers=routers)
 
     async def _tick(self):
         while True:
@@ -100,7 +100,7 @@
 
 
 class FleetCaller:
-    """One request's caller, and the engines that its router sends it to."""
+    """The caller of one request, and the engines that its router sends the request to."""
 
     def __init__(self, *, fleet, router, request_id):
         self.fleet = fleet
@@ -123,7 +123,7 @@
 
 
 class RetryFleet:
-    """Routers that are sent requests at a steady rate.
+    """A fleet of routers that receives requests at a steady rate.
 
     Parameters
     ----------
@@ -134,10 +134,10 @@
     Attributes
     ----------
     fail_share : float
-        Part of the runs that end as ``failure``.
+        Share of runs that end with ``failure``.
     failure : outcome
     arrivals_by_id : dict of str to list of float
-        When runs reached engines.
+        Times at which runs reached engines, by request.
     """
 
     def __init__(self, *, routers=12, seed=1, engines=6):
@@ -150,7 +150,7 @@
         self.arrivals_by_id = {}
         self.callers = []
         self._count = routers
-        self._chance = random.Random(seed)
+        self._rng = random.Random(seed)
         self._incarnation = itertools.count(2)
         self._sending = None
 
@@ -158,7 +158,7 @@
         self.net = FakeNet(asyncio.get_running_loop())
         for name in await self.net.add_all(self._count):
             self._run(name)
-        self._sending = asyncio.create_task(self._send_on())
+        self._sending = asyncio.create_task(self._send_steadily())
 
     async def close(self):
         self._sending.cancel()
@@ -167,9 +167,9 @@
             await router.close()
 
     def outcome(self, request_id):
-        """What one run comes to, which reaches its engine now unless no connection is made."""
-        fails = self._chance.random() < self.fail_share
-        if fails and self.failure is NOT_CONNECTED:
+        """Choose the outcome of a run, and record its arrival at the engine unless no connection was made."""
+        fails = self._rng.random() < self.fail_share
+        if fails and self.failure is CONNECT_FAILED:
             return self.failure
         self.arrivals_by_id.setdefault(request_id, []).append(now())
         return self.failure if fails else RunDone()
@@ -181,39 +181,39 @@
 
     async def restart(self, *names):
         for name in names:
-            # As a process whose start the others see before they could find it dead.
+            # Like a process that restarts before the others could declare it dead.
             await self.net.add(name, incarnation=next(self._incarnation), seeds=self.net.by_name)
-            # No router is ready before it has read the platform's list, or met one that has.
+            # A router is ready only after it, or a router it has met, has read the platform's list.
             self.net.by_name[name].observe_vms([_vm(each) for each in self.net.by_name])
             self._run(name)
 
-    def cut_all(self):
-        """Cut every router off from every other."""
+    def disconnect_all(self):
+        """Disconnect every router from every other."""
         self.net.cut = lambda one, other: one != other
 
-    def over_budget(self):
-        """The most by which the arrivals beyond the first go beyond what is allowed, in any window."""
+    def max_budget_excess(self):
+        """Return the largest excess, over all windows, of repeated runs over the retry budget."""
         repeats = sorted(at for times in self.arrivals_by_id.values() for at in times[1:])
-        return max((self._over(repeats, at) for at in repeats), default=0.0)
+        return max((self._budget_excess(repeats, at) for at in repeats), default=0.0)
 
     def served(self, since, until):
-        """Part of the requests sent in a span that got their whole answer."""
+        """Return the share of requests sent in a span that got a complete answer."""
         sent = [caller for at, caller in zip(self.sent_at, self.callers, strict=True) if since <= at < until]
         return sum(isinstance(caller.answer, AnswerWhole) for caller in sent) / len(sent)
 
-    def _over(self, repeats, until):
+    def _budget_excess(self, repeats, until):
         spent = _between(repeats, until - WINDOW_S, until)
         offsets_s = (0.0, WINDOW_S / 2, WINDOW_S)
         requests = max(_between(self.sent_at, until - WINDOW_S - each, until - each) for each in offsets_s)
-        return spent - RATIO * requests - EXTRA
+        return spent - RETRY_SHARE * requests - RETRY_EXTRA
 
     def _run(self, name):
         self.routers_by_name[name] = FleetRouter(fleet=self, name=name)
 
-    async def _send_on(self):
+    async def _send_steadily(self):
         for number in itertools.count():
             await asyncio.sleep(1.0 / PER_S)
-            name = self._chance.choice(sorted(self.routers_by_name))
+            name = self._rng.choice(sorted(self.routers_by_name))
             router = self.routers_by_name[name]
             request_id = f"{name}-{number}"
             caller = FleetCaller(fleet=self, router=router, request_id=request_id)
@@ -223,7 +223,7 @@
 
 
 class Disturbances:
-    """What happens to a fleet by a seed.
+    """Random disturbances of a fleet, determined by a seed.
 
     Parameters
     ----------
@@ -232,63 +232,63 @@
 
     Attributes
     ----------
-    told : list of str
-        What was done, and when.
+    history : list of str
+        Each disturbance with its time.
     """
 
-    LONGEST_PAUSE_S = 2.5
-    LONGEST_S = 8.0
+    MAX_PAUSE_S = 2.5
+    MAX_DURATION_S = 8.0
 
     def __init__(self, *, fleet, seed):
-        self.told = []
+        self.history = []
         self._fleet = fleet
-        self._chance = random.Random(f"{seed} disturbances")
+        self._rng = random.Random(f"{seed} disturbances")
         self._tasks = []
 
     async def run(self, *, for_s):
-        """Disturb the fleet for a time, and wait until what was begun has ended."""
+        """Disturb the fleet for ``for_s``, and wait until all started disturbances have ended."""
         until = now() + for_s
         while now() < until:
-            await self._chance.choice((self._fail, self._kill, self._kill, self._cut))()
-            await asyncio.sleep(self._chance.uniform(0.0, self.LONGEST_PAUSE_S))
+            await self._rng.choice((self._fail, self._kill, self._kill, self._cut))()
+            await asyncio.sleep(self._rng.uniform(0.0, self.MAX_PAUSE_S))
         await asyncio.gather(*self._tasks)
         self._fleet.fail_share = 0.0
 
     async def _fail(self):
-        self._fleet.fail_share = self._chance.choice((0.1, 0.3, 0.5, 0.7, 1.0))
-        self._fleet.failure = self._chance.choice((LOST, REFUSED, NOT_CONNECTED))
-        self._tell(f"{self._fleet.fail_share} end as {type(self._fleet.failure).__name__}")
+        self._fleet.fail_share = self._rng.choice((0.1, 0.3, 0.5, 0.7, 1.0))
+        self._fleet.failure = self._rng.choice((LOST, REFUSED, CONNECT_FAILED))
+        self._log_event(f"{self._fleet.fail_share} end as {type(self._fleet.failure).__name__}")
 
     async def _kill(self):
         names = sorted(self._fleet.routers_by_name)
-        if len(names) <= MIN_RUNNING:
+        if len(names) <= MIN_LIVE_ROUTERS:
             return
-        some = self._chance.sample(names, self._chance.randint(1, len(names) - MIN_RUNNING))
-        self._tell(f"killed: {some}")
+        some = self._rng.sample(names, self._rng.randint(1, len(names) - MIN_LIVE_ROUTERS))
+        self._log_event(f"killed: {some}")
         await self._fleet.kill(*some)
-        self._tasks.append(asyncio.create_task(self._restart(some, self._chance.uniform(0.0, self.LONGEST_S))))
+        self._tasks.append(asyncio.create_task(self._restart(some, self._rng.uniform(0.0, self.MAX_DURATION_S))))
 
     async def _restart(self, names, after_s):
         await asyncio.sleep(after_s)
-        self._tell(f"started again: {names}")
+        self._log_event(f"restarted: {names}")
         await self._fleet.restart(*names)
 
     async def _cut(self):
-        some = frozenset(self._chance.sample(sorted(self._fleet.net.by_name), self._chance.randint(1, 8)))
-        inside = self._chance.random() < 0.5
-        self._tell(f"cut off, {'together' if inside else 'each'}: {sorted(some)}")
+        some = frozenset(self._rng.sample(sorted(self._fleet.net.by_name), self._rng.randint(1, 8)))
+        inside = self._rng.random() < 0.5
+        self._log_event(f"cut off, {'together' if inside else 'each'}: {sorted(some)}")
         self._fleet.net.cut = lambda one, other: (
             one != other and ((one in some) != (other in some) if inside else one in some or other in some)
         )
-        self._tasks.append(asyncio.create_task(self._heal(self._chance.uniform(1.0, self.LONGEST_S))))
+        self._tasks.append(asyncio.create_task(self._heal(self._rng.uniform(1.0, self.MAX_DURATION_S))))
 
     async def _heal(self, after_s):
         await asyncio.sleep(after_s)
-        self._tell("healed")
+        self._log_event("healed")
         self._fleet.net.cut = lambda one, other: False
 
-    def _tell(self, text):
-        self.told.append(f"{now():.1f} {text}")
+    def _log_event(self, text):
+        self.history.append(f"{now():.1f} {text}")
 
 
 def _vm(name):
--- a/wagtailtrestle/cli/explain.py
+++ b/wagtailtrestle/cli/explain.py
@@ -1,4 +1,4 @@
-"""``wagtailtrestle explain``: from routers' log files to what became of requests."""
+"""``wagtailtrestle explain``: request outcomes, reconstructed from router log files."""
 
 from datetime import UTC, datetime
 
@@ -8,7 +8,7 @@
 
 
 def explain(environment, *, files, request_id, by, begin, end):
-    """Print one request's way, or a table of lost requests, and return the exit status."""
+    """Print the log lines of one request or a table of lost requests, and return the exit status."""
     if not files:
         environment.print_error("Give at least one log file. Nothing was read.")
         return ExitStatus.USAGE
@@ -22,17 +22,17 @@
     if logs is None:
         return ExitStatus.USAGE
     if request_id is not None:
-        return _tell_story(environment, logs, request_id)
+        return _print_request_lines(environment, logs, request_id)
     lost, answered = find_losses(logs, begin=times[0], end=times[1])
     environment.print_result(losses_text(lost, answered, key=by, logs=logs))
     return ExitStatus.DONE
 
 
-def _tell_story(environment, logs, request_id):
+def _print_request_lines(environment, logs, request_id):
     lines = request_history(logs, request_id)
     if not lines:
         environment.print_error(
-            f"No line names {request_id}. Give the files of all routers: a caller's second try reaches another one."
+            f"No log line mentions {request_id}. Give the files of all routers: a second try may reach another one."
         )
         return ExitStatus.CHECK_FAILED
     environment.print_result(request_history_text(lines))
@@ -52,14 +52,14 @@
 
 
 def _time(environment, name, text):
-    """Unix seconds of a time as the logs write it, ``None`` without one."""
+    """Parse a timestamp in the logs' format (UTC if it has no offset) into Unix seconds; ``None`` stays ``None``."""
     if text is None:
         return None
     try:
-        told = datetime.fromisoformat(text)
+        parsed = datetime.fromisoformat(text)
     except ValueError:
         environment.print_error(
             f"{name} is {text!r}; allowed: a time as in the logs, 2026-05-05T18:37:25. Nothing was read."
         )
         return ExitStatus.USAGE
-    return (told if told.tzinfo else told.replace(tzinfo=UTC)).timestamp()
+    return (parsed if parsed.tzinfo else parsed.replace(tzinfo=UTC)).timestamp()
--- a/wagtailtrestle/cli/load.py
+++ b/wagtailtrestle/cli/load.py
@@ -1,4 +1,4 @@
-"""``wagtailtrestle-load``: open-loop load against running routers."""
+"""``wagtailtrestle-load``: generates open-loop load against running routers."""
 
 import json
 import sys
@@ -9,8 +9,8 @@
 from wagtailtrestle.exit_status import ExitStatus
 from wagtailtrestle.load.mix import MixFault, read_mix
 from wagtailtrestle.load.plan import make_plan
-from wagtailtrestle.load.records import check_truth, read_records
-from wagtailtrestle.load.report import reason_lines, rows_by_tier, table, truth_lines
+from wagtailtrestle.load.records import check_against_records, read_records
+from wagtailtrestle.load.report import reason_lines, record_check_lines, rows_by_tier, table
 from wagtailtrestle.load.run import run_load
 
 MAX_DURATION_S = 600
@@ -18,23 +18,23 @@
 
 
 def load(*, url, mix, rate=20.0, duration_s=10.0, seed=1, engines="", json_output=False):
-    """Send a mix of requests open-loop and print goodput by tier.
+    """Send a mix of requests open-loop and print the goodput of each tier.
 
     Parameters
     ----------
     url : str
-        Callers' address of a router, or several separated by commas.
+        Address at which a router accepts callers, or several separated by commas.
     mix : str
         YAML file with the request kinds.
     rate : float
-        Requests a second, over all kinds.
+        Requests per second, over all kinds.
     duration_s : float
         How long new requests are sent.
     seed : int
-        The same seed sends the same requests at the same times.
+        The same seed gives the same requests at the same times.
     engines : str
-        Engines' addresses separated by commas; their own records are checked
-        against what callers were told.
+        Engine addresses separated by commas. The callers' responses are checked
+        against the runs that these engines recorded.
     json_output : bool
         Print one JSON document instead of the table.
     """
@@ -48,21 +48,21 @@
         return ExitStatus.USAGE
     results = run_load(urls=_addresses(url), plan=make_plan(kinds=kinds, rate=rate, duration_s=duration_s, seed=seed))
     rows = rows_by_tier(results, dict.fromkeys(kind.tier for kind in kinds))
-    truth = check_truth(results, *read_records(_addresses(engines)))
-    _print(results, rows, truth, json_output)
-    return ExitStatus.CHECK_FAILED if truth.false_refusals or truth.doubled else ExitStatus.DONE
+    record_check = check_against_records(results, *read_records(_addresses(engines)))
+    _print(results, rows, record_check, json_output)
+    return ExitStatus.CHECK_FAILED if record_check.false_refusals or record_check.doubled else ExitStatus.DONE
 
 
-def _print(results, rows, truth, json_output):
+def _print(results, rows, record_check, json_output):
     if json_output:
-        document = {"tiers": [row.as_dict() for row in rows.values()], "wasted_share": truth.wasted_share()}
-        document["false_refusals"] = truth.false_refusals
-        document["doubled"] = truth.doubled
+        document = {"tiers": [row.as_dict() for row in rows.values()], "wasted_share": record_check.wasted_share()}
+        document["false_refusals"] = record_check.false_refusals
+        document["doubled"] = record_check.doubled
         print(json.dumps(document))
         return
     print(table(rows))
     print(reason_lines(results))
-    print(truth_lines(truth))
+    print(record_check_lines(record_check))
 
 
 def _addresses(text):
@@ -71,7 +71,7 @@
 
 
 def main():
-    """Console script."""
+    """Run the command line of this process and exit with its status."""
     outcome = fire.Fire(load, serialize=lambda _: None)
     sys.exit(outcome if isinstance(outcome, int) else 0)
 
--- a/wagtailtrestle/cli/runner.py
+++ b/wagtailtrestle/cli/runner.py
@@ -1,4 +1,4 @@
-"""Runs a program's command line with fire, and turns its errors into plain messages."""
+"""Parses a program's command line with fire, runs the command, and cleans up fire's messages."""
 
 import io
 import re
@@ -10,7 +10,7 @@
 from wagtailtrestle.exit_status import ExitStatus
 
 ANSI = re.compile(r"\x1b\[[0-9;]*m")
-# fire shows its own notes on how arguments are read as if they were commands of ours.
+# fire lists its own metadata on how arguments are parsed as if it were one of the program's commands.
 FIRE_NOISE = re.compile(
     r"^INFO: .*\n+"
     r"|^GROUPS\n(.*\n)*?.*FIRE_METADATA\n+"
@@ -25,11 +25,11 @@
 
 
 class Plan:
-    """The command that the command line chose, noted while fire reads it and run afterwards.
+    """The command chosen by the command line, recorded while fire parses and run afterwards.
 
-    fire calls a command before it has read the arguments that follow. Run at once, ``apply FILE
-    --platform URL --bsae 7`` would replace the declaration without the check that
-    was asked for, and only then complain of the misspelt flag.
+    fire calls a command before it has parsed the remaining arguments. If the command ran immediately,
+    ``apply FILE --platform URL --bsae 7`` would replace the declaration without the requested
+    check and report the misspelt flag only afterwards.
     """
 
     __slots__ = ("_command",)
@@ -37,23 +37,24 @@
     def __init__(self):
         self._command = None
 
-    def note(self, command):
-        """Remember what to run."""
+    def defer(self, command):
+        """Set the command to run once the command line has been parsed."""
         self._command = command
 
     @property
     def command(self):
-        """What to run, or ``None`` if no command was named."""
+        """The command to run, or ``None`` if the command line named none."""
         return self._command
 
 
-def run_program(make_commands, *, environment, arguments):
-    """Read a command line, run what it names, and return the exit status.
+def run_program(make_fire_component, *, environment, arguments):
+    """Parse a command line, run its command, and return the exit status.
 
     Parameters
     ----------
-    make_commands : callable
-        Takes a ``Plan`` and returns what fire reads: its functions only note commands there.
+    make_fire_component : callable
+        Takes a ``Plan`` and returns the function or object given to fire; its commands only defer
+        their work to the ``Plan``.
     environment : Environment
     arguments : sequence of str
         Without the program's name.
@@ -63,22 +64,24 @@
     ExitStatus
     """
     if FIRE_FLAGS_MARK in arguments and arguments[-1] not in HELP_FLAGS:
-        return _end_early(f"Nothing may stand after a bare {FIRE_FLAGS_MARK}.", environment=environment, is_help=False)
+        return _exit_without_running(
+            f"Nothing may stand after a bare {FIRE_FLAGS_MARK}.", environment=environment, is_help=False
+        )
     plan = Plan()
-    told = io.StringIO()
+    fire_output = io.StringIO()
     try:
-        # fire starts a pager for help on a terminal; here it writes to memory and starts nothing.
-        with redirect_stdout(told), redirect_stderr(told):
-            fire.Fire(make_commands(plan), command=list(arguments), name=environment.program)
+        # On a terminal fire shows help in a pager; with its output redirected to memory it starts none.
+        with redirect_stdout(fire_output), redirect_stderr(fire_output):
+            fire.Fire(make_fire_component(plan), command=list(arguments), name=environment.program)
     except fire.core.FireExit as fire_exit:
-        return _end_early(told.getvalue(), environment=environment, is_help=fire_exit.code == 0)
+        return _exit_without_running(fire_output.getvalue(), environment=environment, is_help=fire_exit.code == 0)
     if plan.command is None:
-        return _end_early(told.getvalue(), environment=environment, is_help=False)
+        return _exit_without_running(fire_output.getvalue(), environment=environment, is_help=False)
     return plan.command()
 
 
-def _end_early(told, *, environment, is_help):
-    text = FIRE_NOISE.sub("", ANSI.sub("", told)).strip()
+def _exit_without_running(fire_output, *, environment, is_help):
+    text = FIRE_NOISE.sub("", ANSI.sub("", fire_output)).strip()
     if is_help:
         environment.print_result(text)
         return ExitStatus.DONE
@@ -87,23 +90,23 @@
 
 
 def read_arguments(environment, **typed):
-    """Check arguments, each given as ``name=(text, ValueType)``.
+    """Parse and check arguments, each given as ``name=(text, ValueType)``.
 
     Returns
     -------
     dict or None
-        Values by name; ``None`` after complaining of each faulty one. An absent
-        optional argument, whose text is ``None``, stays ``None``.
+        Values by name, or ``None`` if any argument is invalid; each invalid one is reported. An
+        absent optional argument, whose text is ``None``, stays ``None``.
     """
     values = {}
-    faulty = False
+    has_errors = False
     for name, (text, value_type) in typed.items():
         value = None if text is None else value_type.read(text)
         if isinstance(value, InvalidValue):
-            faulty = True
+            has_errors = True
             environment.print_error(f"{name} {value.problem}; allowed: {value_type.allowed}")
         values[name] = value
-    if faulty:
+    if has_errors:
         environment.print_error(f"Nothing was run. See: {environment.program} --help")
         return None
     return values
--- a/wagtailtrestle/demo/__main__.py
+++ b/wagtailtrestle/demo/__main__.py
@@ -1,4 +1,4 @@
-"""``make demo``: a small Cometas deployment, a declaration applied, a mixed load, a table."""
+"""``make demo``: starts a small Cometas deployment, applies a declaration, sends a mixed load and prints a table."""
 
 import sys
 import tempfile
@@ -10,8 +10,8 @@
 from wagtailtrestle.demo.deployment import Deployment
 from wagtailtrestle.load.mix import read_mix
 from wagtailtrestle.load.plan import make_plan
-from wagtailtrestle.load.records import check_truth, read_records
-from wagtailtrestle.load.report import reason_lines, rows_by_tier, table, truth_lines
+from wagtailtrestle.load.records import check_against_records, read_records
+from wagtailtrestle.load.report import reason_lines, record_check_lines, rows_by_tier, table
 from wagtailtrestle.load.run import run_load
 
 EXAMPLES = Path(__file__).resolve().parents[2] / "examples"
@@ -23,17 +23,17 @@
 
 
 def main():
-    """Run the demo; exit status 0 if everything was served and no promise was broken."""
+    """Run the demo; exit status 0 if every tier was served, every guarantee held and all processes stopped cleanly."""
     document = yaml.safe_load((EXAMPLES / "cometas.yaml").read_text())
     kinds = read_mix((EXAMPLES / "load" / "cometas.yaml").read_text())
     with tempfile.TemporaryDirectory(prefix="wagtailtrestle-demo-") as directory:
         deployment = Deployment(directory=Path(directory), document=document, routers=ROUTERS, time_scale=TIME_SCALE)
         try:
-            good = _run(deployment, kinds)
+            succeeded = _run(deployment, kinds)
         finally:
             statuses = deployment.close()
     print(f"stopped {len(statuses)} processes, exit statuses {sorted(set(statuses.values()))}")
-    sys.exit(0 if good and not any(statuses.values()) else 1)
+    sys.exit(0 if succeeded and not any(statuses.values()) else 1)
 
 
 def _run(deployment, kinds):
@@ -48,20 +48,20 @@
     plan = make_plan(kinds=kinds, rate=rate, duration_s=DURATION_S, seed=SEED)
     results = run_load(urls=deployment.callers_urls(), plan=plan)
     rows = rows_by_tier(results, deployment.document["tiers"])
-    truth = check_truth(results, *read_records(deployment.engine_urls()))
+    record_check = check_against_records(results, *read_records(deployment.engine_urls()))
     print(table(rows))
     if reasons := reason_lines(results):
         print(reasons)
-    print(truth_lines(truth))
+    print(record_check_lines(record_check))
     served = any(row.in_deadline for row in rows.values())
-    return served and not truth.false_refusals and not truth.doubled and not truth.unreadable
+    return served and not record_check.false_refusals and not record_check.doubled and not record_check.unreadable
 
 
 def capacity(document, kinds, time_scale):
-    """Requests a second of this mix that the language engines can finish.
+    """Return how many requests per second of this mix the language engines can finish.
 
-    An engine's second goes to decode steps at a full batch and to prefill; the mix sets how
-    much of each one request needs.
+    An engine divides its time between prefill and decode steps at a full batch; the mix
+    determines how much of each a request needs.
     """
     language = [kind for kind in kinds if kind.prompt_tokens]
     share = sum(kind.share for kind in language) / sum(kind.share for kind in kinds)
@@ -79,7 +79,7 @@
 
 
 def _mean(median, spread):
-    """Mean of a log-normal draw."""
+    """Mean of a log-normal distribution."""
     return median * 2.718281828 ** (spread * spread / 2)
 
 
--- a/wagtailtrestle/demo/deployment.py
+++ b/wagtailtrestle/demo/deployment.py
@@ -1,4 +1,4 @@
-"""A whole local deployment: stand-in platform, engines and services, and routers."""
+"""A complete local deployment: stand-in platform, engines and services, and routers."""
 
 import json
 from pathlib import Path
@@ -15,25 +15,26 @@
 OPERATE_MODULE = "wagtailtrestle.cli.operate"
 CALL_TIMEOUT_S = 5.0
 OK = 200
-MAX_TOLD_BYTES = 200
+MAX_ERROR_BODY_BYTES = 200
 
 
 class Deployment:
-    """Processes of one deployment in one directory.
+    """The processes of one deployment, with their settings files and logs.
 
     Parameters
     ----------
     directory : pathlib.Path
-        For settings files and logs.
+        Directory for settings files and logs.
     document : dict
-        The declaration as read from YAML; engines get free local addresses.
+        The declaration as read from YAML. Its engines are assigned free local addresses.
     routers : int
+        Number of routers.
     time_scale : float
-        Engines are so many times slower than declared.
+        Factor by which engines are slower than declared.
     engine_settings : dict
-        Further settings of every language engine.
+        Additional settings for every language engine.
     router_settings : dict
-        Further settings of every router.
+        Additional settings for every router.
     """
 
     def __init__(self, *, directory, document, routers=3, time_scale=1.0, engine_settings=None, router_settings=None):
@@ -52,13 +53,13 @@
         self.platform_url = ""
         self._reservations = []
 
-    # Building.
+    # Starting and stopping.
 
     def start(self):
-        """Start everything and wait until every process answers; nothing is applied yet."""
+        """Start all processes and wait for the platform and the engines; no declaration is applied yet."""
         self.directory.mkdir(parents=True, exist_ok=True)
-        self._place_engines()
-        self._place_routers()
+        self._configure_engines()
+        self._configure_routers()
         self._start_platform()
         for process in self.engines_by_name.values():
             process.start()
@@ -68,13 +69,13 @@
             process.start()
 
     def wait_routers_ready(self):
-        """Wait until every router has a configuration in force."""
+        """Wait until every router is ready, which requires a configuration in force."""
         for process in self.routers_by_name.values():
             process.wait_ready()
 
     def close(self):
-        """Stop every process that was started; return exit statuses by name."""
-        running = self._running()
+        """Stop all running processes gracefully and return their exit statuses by name."""
+        running = self._running_processes()
         for process in running:
             process.resume()
             process.terminate()
@@ -83,21 +84,21 @@
         return statuses
 
     def kill(self):
-        """End every process that was started at once."""
-        for process in self._running():
+        """Kill all running processes."""
+        for process in self._running_processes():
             process.kill()
         self._release_ports()
 
     # Operating.
 
     def declaration_path(self):
-        """Write the present document and return its path."""
+        """Write the current document to a file and return its path."""
         path = self.directory / "declaration.yaml"
         path.write_text(yaml.safe_dump(self.document, sort_keys=False))
         return path
 
     def apply(self):
-        """Apply the present document by the operators' command line."""
+        """Apply the current document with the operators' command line."""
         process = LocalProcess(
             name="apply",
             module=OPERATE_MODULE,
@@ -111,15 +112,15 @@
             raise RuntimeError(f"apply failed with {status}:\n{process.log_tail()}")
 
     def engine_urls(self):
-        """Addresses of all engines, for reading their records."""
+        """URLs of all engines, used to read their records."""
         return [f"http://{engine['address']}" for engine in self.document["engines"]]
 
     def engine_url(self, name):
-        """Address of one engine."""
+        """URL of one engine."""
         return next(f"http://{each['address']}" for each in self.document["engines"] if each["name"] == name)
 
     def callers_urls(self):
-        """Addresses of all routers, as the balancer would know them."""
+        """URLs at which the routers accept callers, as the balancer would know them."""
         return list(self.callers_url_by_router.values())
 
     def post(self, url, document):
@@ -132,20 +133,20 @@
         Raises
         ------
         RuntimeError
-            If the answer is no success, which is no document of the kind asked for.
+            If the status is not 200: the body is then not the requested document.
         """
         response = urllib3.request("GET", url, timeout=CALL_TIMEOUT_S, retries=False)
         if response.status != OK:
-            raise RuntimeError(f"{url} answered {response.status}: {response.data[:MAX_TOLD_BYTES]!r}")
+            raise RuntimeError(f"{url} answered {response.status}: {response.data[:MAX_ERROR_BODY_BYTES]!r}")
         return json.loads(response.data)
 
     def publish_vms(self, leaving=()):
-        """Tell the platform's list of VMs; names in ``leaving`` are marked so."""
+        """Publish the list of VMs on the platform, with the names in ``leaving`` marked as leaving."""
         return self.post(f"{self.platform_url}/vms", self._vms(leaving))
 
     # Internals.
 
-    def _running(self):
+    def _running_processes(self):
         processes = [*self.routers_by_name.values(), *self.engines_by_name.values()]
         if self.platform is not None:
             processes.append(self.platform)
@@ -161,18 +162,22 @@
             reservation.close()
         self._reservations.clear()
 
-    def _place_engines(self):
+    def _configure_engines(self):
         kinds = {service["name"]: service["kind"] for service in self.document["services"]}
         engines = self.document["engines"]
         for engine, port in zip(engines, self._reserve_ports(len(engines)), strict=True):
             engine["address"] = f"{HOST}:{port}"
             language = kinds[engine["service"]] == LANGUAGE
-            settings = self._engine_file(engine, port) if language else self._service_file(engine, port)
-            self.engines_by_name[engine["name"]] = self._standin(
+            settings = (
+                self._engine_standin_settings(engine, port)
+                if language
+                else self._service_standin_settings(engine, port)
+            )
+            self.engines_by_name[engine["name"]] = self._standin_process(
                 "engine" if language else "service", engine["name"], settings, f"http://{engine['address']}/healthz"
             )
 
-    def _engine_file(self, engine, port):
+    def _engine_standin_settings(self, engine, port):
         step_ms = engine["step_ms"] * self.time_scale
         return {
             "name": engine["name"],
@@ -186,7 +191,7 @@
             **self._engine_settings,
         }
 
-    def _service_file(self, engine, port):
+    def _service_standin_settings(self, engine, port):
         return {
             "name": engine["name"],
             "host": HOST,
@@ -195,7 +200,7 @@
             "concurrency": engine["slots"],
         }
 
-    def _standin(self, kind, name, settings, ready_url):
+    def _standin_process(self, kind, name, settings, ready_url):
         path = self.directory / f"{name}.yaml"
         path.write_text(yaml.safe_dump(settings))
         return LocalProcess(
@@ -206,7 +211,7 @@
             log_path=self.directory / f"{name}.log",
         )
 
-    def _place_routers(self):
+    def _configure_routers(self):
         zones = [zone for zones in self.document["regions"].values() for zone in zones]
         names = [f"router-{number + 1}" for number in range(self._router_count)]
         platform_port, *ports = self._reserve_ports(1 + 3 * len(names))
@@ -216,12 +221,12 @@
             callers, admin = ports[3 * number + 1 : 3 * number + 3]
             self.callers_url_by_router[name] = f"http://{HOST}:{callers}"
             self.admin_url_by_router[name] = f"http://{HOST}:{admin}"
-            self.routers_by_name[name] = self._router(name, zones[number % len(zones)], callers, admin)
+            self.routers_by_name[name] = self._router_process(name, zones[number % len(zones)], callers, admin)
 
-    def _peers_but(self, name):
+    def _peers_of(self, name):
         return [(peer, address) for peer, address in self.peers_address_by_router.items() if peer != name]
 
-    def _router(self, name, zone, callers, admin):
+    def _router_process(self, name, zone, callers, admin):
         path = self.directory / f"{name}.yaml"
         settings = {
             "name": name,
@@ -230,7 +235,7 @@
             "peers_address": self.peers_address_by_router[name],
             "admin_address": f"{HOST}:{admin}",
             "platform_url": self.platform_url,
-            "peers": [f"{peer}={address}" for peer, address in self._peers_but(name)],
+            "peers": [f"{peer}={address}" for peer, address in self._peers_of(name)],
             **self._router_settings,
         }
         path.write_text(yaml.safe_dump(settings))
@@ -245,7 +250,7 @@
     def _start_platform(self):
         address = self.platform_url.removeprefix("http://")
         settings = {"listen": address, "vm_list_lag_s": 0.5, "vms": self._vms()}
-        self.platform = self._standin("platform", "platform", settings, f"{self.platform_url}/healthz")
+        self.platform = self._standin_process("platform", "platform", settings, f"{self.platform_url}/healthz")
         self.platform.start()
         self.platform.wait_ready()
 
--- a/wagtailtrestle/load/client.py
+++ b/wagtailtrestle/load/client.py
@@ -1,4 +1,4 @@
-"""One caller: sends a planned request and reads its answer whole."""
+"""One caller: sends a planned request and reads the complete answer."""
 
 import json
 import time
@@ -11,32 +11,32 @@
 
 
 class Result:
-    """What one caller saw.
+    """The outcome of one request as its caller observed it.
 
     Parameters
     ----------
     planned : PlannedRequest
     status : int
-        HTTP status; 0 when no answer came.
-    whole : bool
-        Whether a whole answer was received.
+        HTTP status; 0 if no answer arrived.
+    complete : bool
+        Whether a complete answer was received.
     executed : str
-        ``no``, ``unknown``, ``yes``; ``unknown`` when no answer came.
+        ``no``, ``unknown`` or ``yes``; ``unknown`` if no answer arrived.
     reason : str
-        The refusal's reason, or what broke.
+        The reason given in a refusal, or the error that occurred.
     late_s : float
-        How much later than planned it was sent (the load's own lag).
+        How much later than planned the request was sent (the lag of the load generator).
     first_s, total_s : float
-        From the planned time to the first token and to the end.
+        Time from the planned send time to the first token and to the end of the answer.
     text : str
-        Text of a completion; the body of a plain service's answer.
+        Text of a completion, or the body of a plain service's answer.
     retry_after_s : float
     """
 
     __slots__ = (
         "planned",
         "status",
-        "whole",
+        "complete",
         "executed",
         "reason",
         "late_s",
@@ -50,7 +50,7 @@
         self.planned = planned
         self.late_s = late_s
         self.status = 0
-        self.whole = False
+        self.complete = False
         self.executed = "unknown"
         self.reason = "no_answer"
         self.first_s = 0.0
@@ -59,29 +59,29 @@
         self.retry_after_s = 0.0
 
     def in_deadline(self):
-        """Whether the whole answer came within the request's deadline."""
-        return self.whole and self.total_s * 1000 <= self.planned.kind.deadline_ms
+        """Whether the complete answer arrived within the request's deadline."""
+        return self.complete and self.total_s * 1000 <= self.planned.kind.deadline_ms
 
 
 def make_pool(connections):
-    """A pool that never repeats a request by itself, for that would hide doubled runs."""
+    """Make a connection pool that never retries, since retries of its own would hide duplicate runs."""
     return urllib3.PoolManager(maxsize=connections, retries=False, block=False)
 
 
 def send(pool, url, planned, started):
     """Send one request and return its :class:`Result`."""
-    due = started + planned.at_s
-    result = Result(planned=planned, late_s=time.monotonic() - due)
+    due_at = started + planned.at_s
+    result = Result(planned=planned, late_s=time.monotonic() - due_at)
     try:
-        _exchange(pool, url, planned, result, due)
+        _exchange(pool, url, planned, result, due_at)
     except urllib3.exceptions.HTTPError as error:
         result.reason = type(error).__name__
-        result.whole = False
-    result.total_s = time.monotonic() - due
+        result.complete = False
+    result.total_s = time.monotonic() - due_at
     return result
 
 
-def _exchange(pool, url, planned, result, due):
+def _exchange(pool, url, planned, result, due_at):
     kind = planned.kind
     response = pool.request(
         kind.method,
@@ -95,9 +95,9 @@
     result.status = response.status
     streamed = response.headers.get("Content-Type", "").startswith("text/event-stream")
     if response.status == 200 and streamed:
-        _read_stream(response, result, due)
+        _read_stream(response, result, due_at)
     else:
-        _read_whole(response, result, due)
+        _read_unary(response, result, due_at)
     response.release_conn()
 
 
@@ -121,8 +121,8 @@
     if not kind.prompt_tokens:
         return json.dumps({"caller": planned.caller_request_id}).encode()
     body = {"model": kind.service, "max_tokens": planned.output_tokens, "stream": kind.stream}
-    if planned.true_output_tokens:
-        body["wagtailtrestle_output_tokens"] = planned.true_output_tokens
+    if planned.actual_output_tokens:
+        body["wagtailtrestle_output_tokens"] = planned.actual_output_tokens
     if kind.path.endswith("/chat/completions"):
         body["messages"] = [{"role": "user", "content": planned.prompt}]
     else:
@@ -130,21 +130,21 @@
     return json.dumps(body).encode()
 
 
-def _read_stream(response, result, due):
+def _read_stream(response, result, due_at):
     pending = b""
     done = False
     for block in response.stream(amt=None):
-        result.first_s = result.first_s or time.monotonic() - due
+        result.first_s = result.first_s or time.monotonic() - due_at
         pending += block
         *events, pending = pending.split(b"\n\n")
         done = any([_read_event(event.decode(), result) for event in events]) or done
-    result.whole = done and result.reason == "no_answer"
-    if result.whole:
+    result.complete = done and result.reason == "no_answer"
+    if result.complete:
         result.executed, result.reason = "yes", ""
 
 
 def _read_event(event, result):
-    """Take one event in; ``True`` for the closing ``[DONE]``."""
+    """Process one event; return whether it is the final ``[DONE]``."""
     data = "".join(line[5:].strip() for line in event.split("\n") if line.startswith("data:"))
     if data == DONE:
         return True
@@ -161,20 +161,20 @@
     return False
 
 
-def _read_whole(response, result, due):
+def _read_unary(response, result, due_at):
     body = response.read()
-    result.first_s = time.monotonic() - due
+    result.first_s = time.monotonic() - due_at
     result.executed = response.headers.get("Wagtailtrestle-Executed", "yes")
     if response.headers.get("Content-Type", "").startswith("application/problem+json"):
         document = json.loads(body)
         result.reason = document.get("reason", "")
         result.retry_after_s = float(response.headers.get("Retry-After", 0))
         return
-    result.whole = response.status < 400
-    result.text = _whole_text(body) if result.whole and result.planned.kind.prompt_tokens else body.decode()
-    result.reason = "" if result.whole else f"status_{response.status}"
+    result.complete = response.status < 400
+    result.text = _completion_text(body) if result.complete and result.planned.kind.prompt_tokens else body.decode()
+    result.reason = "" if result.complete else f"status_{response.status}"
 
 
-def _whole_text(body):
+def _completion_text(body):
     choice = json.loads(body)["choices"][0]
     return choice["message"]["content"] if "message" in choice else choice["text"]
--- a/wagtailtrestle/load/latency.py
+++ b/wagtailtrestle/load/latency.py
@@ -1,7 +1,7 @@
-"""Latency that a router adds: the same requests through it and straight to its engine.
+"""Measures the latency that a router adds: the same requests through it and directly to its engine.
 
-Run as ``python -m wagtailtrestle.load.latency``; it starts its own small deployment. Both
-ways are sent alternately in one run, so that the machine's noise meets both.
+Run as ``python -m wagtailtrestle.load.latency``; it starts its own small deployment. Requests on
+both paths alternate in one run, so that noise on the machine affects both equally.
 """
 
 import json
@@ -27,7 +27,7 @@
 
 
 def measure():
-    """Run it and return percentiles in ms by way, and what the router adds."""
+    """Run the measurement; return latency percentiles in ms for each path, and what the router adds."""
     document = yaml.safe_load((EXAMPLES / "cometas.yaml").read_text())
     document["engines"] = [engine for engine in document["engines"] if engine["name"] == "asistente-1"]
     document["engines"][0].update(slots=32, step_ms=STEP_MS)
@@ -46,21 +46,29 @@
 def _compare(router, engine):
     _send_all({"router": router, "straight": engine}, WARM_UP_S)
     histograms = _send_all({"router": router, "straight": engine}, DURATION_S)
-    ways = {way: _percentiles(histogram) for way, histogram in histograms.items()}
-    added = {key: round(ways["router"][key] - ways["straight"][key], 2) for key in ways["router"]}
-    return {"rate": RATE, "sent": {way: each.total_count for way, each in histograms.items()}, **ways, "added": added}
-
-
-def _send_all(url_by_way, duration_s):
-    histograms = {way: HdrHistogram(1, 60_000_000, 3) for way in url_by_way}
+    percentiles_by_path = {path: _percentiles(histogram) for path, histogram in histograms.items()}
+    added = {
+        key: round(percentiles_by_path["router"][key] - percentiles_by_path["straight"][key], 2)
+        for key in percentiles_by_path["router"]
+    }
+    return {
+        "rate": RATE,
+        "sent": {path: each.total_count for path, each in histograms.items()},
+        **percentiles_by_path,
+        "added": added,
+    }
+
+
+def _send_all(url_by_path, duration_s):
+    histograms = {path: HdrHistogram(1, 60_000_000, 3) for path in url_by_path}
     pool = urllib3.PoolManager(maxsize=64, retries=False)
     threads = []
     began = time.monotonic()
     for number in range(int(RATE * duration_s)):
-        due = began + number / RATE
-        time.sleep(max(due - time.monotonic(), 0))
-        for way, url in url_by_way.items():
-            thread = threading.Thread(target=_send, args=(pool, url, histograms[way]))
+        due_at = began + number / RATE
+        time.sleep(max(due_at - time.monotonic(), 0))
+        for path, url in url_by_path.items():
+            thread = threading.Thread(target=_send, args=(pool, url, histograms[path]))
             thread.start()
             threads.append(thread)
     for thread in threads:
--- a/wagtailtrestle/load/report.py
+++ b/wagtailtrestle/load/report.py
@@ -1,10 +1,10 @@
-"""The table a load ends in, per tier, and its machine-readable form."""
+"""Per-tier report of a load, as a text table and as plain data."""
 
 from collections import Counter
 
 from hdrh.histogram import HdrHistogram
 
-LOWEST_US, HIGHEST_US, DIGITS = 1, 600_000_000, 3
+MIN_LATENCY_US, MAX_LATENCY_US, SIGNIFICANT_DIGITS = 1, 600_000_000, 3
 COLUMNS = (
     "tier",
     "sent",
@@ -20,7 +20,7 @@
 
 
 class TierRow:
-    """Counts and latencies of one tier; latencies are of whole answers, in ms."""
+    """Counts and latencies of one tier; only complete answers count towards the latencies."""
 
     __slots__ = ("tier", "sent", "in_deadline", "late", "refused", "unknown", "unfinished", "total", "first")
 
@@ -32,13 +32,13 @@
         self.refused = 0
         self.unknown = 0
         self.unfinished = 0
-        self.total = HdrHistogram(LOWEST_US, HIGHEST_US, DIGITS)
-        self.first = HdrHistogram(LOWEST_US, HIGHEST_US, DIGITS)
+        self.total = HdrHistogram(MIN_LATENCY_US, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
+        self.first = HdrHistogram(MIN_LATENCY_US, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
 
     def add(self, result):
         """Count one result."""
         self.sent += 1
-        if result.whole:
+        if result.complete:
             self.in_deadline += result.in_deadline()
             self.late += not result.in_deadline()
             self.total.record_value(max(int(result.total_s * 1e6), 1))
@@ -51,7 +51,7 @@
             self.unfinished += 1
 
     def as_dict(self):
-        """Plain data for JSON and for the table."""
+        """Return the row as plain data, with latencies in ms, for JSON and for the table."""
         return {
             "tier": self.tier,
             "sent": self.sent,
@@ -67,7 +67,7 @@
 
 
 def rows_by_tier(results, tiers):
-    """One row for each tier, in the order given."""
+    """Return one row per tier, in the order given; tiers that only occur in results follow."""
     rows = {tier: TierRow(tier=tier) for tier in tiers}
     for result in results:
         rows.setdefault(result.planned.kind.tier, TierRow(tier=result.planned.kind.tier)).add(result)
@@ -75,31 +75,32 @@
 
 
 def table(rows):
-    """Text table of the rows."""
+    """Return the rows as a text table."""
     lines = [COLUMNS, *[tuple(str(cell) for cell in row.as_dict().values()) for row in rows.values()]]
     widths = [max(len(line[column]) for line in lines) for column in range(len(COLUMNS))]
     return "\n".join("  ".join(cell.rjust(width) for cell, width in zip(line, widths, strict=True)) for line in lines)
 
 
 def reason_lines(results):
-    """How often each reason was given, by tier, for requests without a whole answer."""
+    """Count the requests without a complete answer by tier, reason and ``executed``, most frequent first."""
     counts = Counter(
-        (result.planned.kind.tier, result.reason, result.executed) for result in results if not result.whole
+        (result.planned.kind.tier, result.reason, result.executed) for result in results if not result.complete
     )
     return "\n".join(
         f"{tier}: {reason} (executed {executed}): {count}" for (tier, reason, executed), count in counts.most_common()
     )
 
 
-def truth_lines(truth):
-    """What the engines' own record says of the promises."""
+def record_check_lines(record_check):
+    """Format the result of the check against the engines' records."""
     return "\n".join(
         (
-            f"wasted prefill (engines' record): {truth.wasted_prefill_tokens} of {truth.prefill_tokens} tokens "
-            f"({truth.wasted_share():.2%})",
-            f"told 'not run' but ran: {len(truth.false_refusals)}",
-            f"not to be repeated but started twice: {len(truth.doubled)}",
-            *(f"record not readable: {url}" for url in truth.unreadable),
+            f"wasted prefill (engines' records): {record_check.wasted_prefill_tokens} "
+            f"of {record_check.prefill_tokens} tokens "
+            f"({record_check.wasted_share():.2%})",
+            f"refused as not run, but ran: {len(record_check.false_refusals)}",
+            f"not repeatable, but started more than once: {len(record_check.doubled)}",
+            *(f"record could not be read: {url}" for url in record_check.unreadable),
         )
     )
 
--- a/wagtailtrestle/measure/plain_services.py
+++ b/wagtailtrestle/measure/plain_services.py
@@ -13,7 +13,7 @@
 
 from wagtailtrestle.load.mix import RequestKind
 from wagtailtrestle.load.plan import PlannedRequest
-from wagtailtrestle.load.records import check_truth, read_records
+from wagtailtrestle.load.records import check_against_records, read_records
 from wagtailtrestle.load.run import run_load
 from wagtailtrestle.measure.one_run import EXAMPLE_BY_SERVICE, EXAMPLES
 from wagtailtrestle.measure.real_processes import (
@@ -79,17 +79,17 @@
         planned.number = number
     with running_deployment(document, {"caller_threads": CALLER_THREADS}) as deployment:
         results = run_load(urls=deployment.callers_urls(), plan=plan)
-        truth = check_truth(results, *read_records(deployment.engine_urls()))
+        record_check = check_against_records(results, *read_records(deployment.engine_urls()))
     by_route = {}
     for result in results:
         by_route.setdefault((result.planned.kind.service, result.planned.kind.name), []).append(result)
     for (service, route), those in sorted(by_route.items()):
         load = case.load_by_route.get(route, LOAD) if service == case.service else LOAD
         in_time = sum(result.in_deadline() for result in those) / len(those)
-        refused = sum(not result.whole and result.executed == "no" for result in those) / len(those)
+        refused = sum(not result.complete and result.executed == "no" for result in those) / len(those)
         print(
             f"| {service} | {route} | {those[0].planned.kind.tier} | {load:.1f} | {len(those)} | {in_time:.1%} "
-            f"| {refused:.1%} | {len(truth.doubled)}, {len(truth.false_refusals)} |",
+            f"| {refused:.1%} | {len(record_check.doubled)}, {len(record_check.false_refusals)} |",
             flush=True,
         )
 
--- a/wagtailtrestle/measure/real_processes.py
+++ b/wagtailtrestle/measure/real_processes.py
@@ -18,7 +18,7 @@
 from wagtailtrestle.engines.prefix_cache import BLOCK_TOKENS
 from wagtailtrestle.load.mix import RequestKind
 from wagtailtrestle.load.plan import BYTES_PER_TOKEN, PlannedRequest
-from wagtailtrestle.load.records import check_truth, read_records
+from wagtailtrestle.load.records import check_against_records, read_records
 from wagtailtrestle.load.run import run_load
 from wagtailtrestle.measure import virtual_time
 from wagtailtrestle.measure.fleet import TrueSpeed, fleet_cost_s
@@ -112,7 +112,7 @@
     plan = [planned_request(arrival, run.setting.service.name, routes[arrival.kind.route]) for arrival in arrivals]
     with running_deployment(document) as deployment:
         results = run_load(urls=deployment.callers_urls(), plan=plan)
-        truth = check_truth(results, *read_records(deployment.engine_urls()))
+        record_check = check_against_records(results, *read_records(deployment.engine_urls()))
     asked, in_time, done_s = {}, {}, 0.0
     for arrival, result in zip(arrivals, results, strict=True):
         tier = routes[arrival.kind.route].tier
@@ -124,10 +124,10 @@
     return {
         "goodput_of_fleet": done_s / (DURATION_S - WARM_S),
         "bound": bound,
-        "wasted_prefill": truth.wasted_share(),
+        "wasted_prefill": record_check.wasted_share(),
         "by_tier": {tier: {"asked": asked[tier], "in_time": in_time[tier]} for tier in asked},
-        "duplicates": len(truth.doubled),
-        "lies": len(truth.false_refusals),
+        "duplicates": len(record_check.doubled),
+        "lies": len(record_check.false_refusals),
     }
 
 
@@ -172,7 +172,7 @@
         caller_request_id=f"measure-{arrival.number}",
         prompt=_prompt(arrival),
         output_tokens=arrival.output_cap,
-        true_output_tokens=arrival.output_tokens,
+        actual_output_tokens=arrival.output_tokens,
     )
 
 
