--- a/wagtailtrestle/slopes/control.py
+++ b/wagtailtrestle/slopes/control.py
@@ -62,14 +62,14 @@
         """Send a line."""
         self._process.stdin.write(json.dumps(values).encode() + b"\n")
 
-    async def hear(self):
+    async def receive(self):
         """Wait for a line."""
         return json.loads(await self._process.stdout.readline())
 
     async def figures(self):
         """Ask for the figures so far."""
         self.tell({})
-        return await self.hear()
+        return await self.receive()
 
     async def close(self):
         """Kill it."""
@@ -81,7 +81,7 @@
     """Cost of ``rate`` requests a second, each with a run of ``run_s``, over so many schedulers."""
     far, entry = ControlNode(), ControlNode()
     await far.start("schedulers", schedulers=schedulers)
-    addresses_by_name = await far.hear()
+    addresses_by_name = await far.receive()
     relays_by_name = {name: CountingRelay(target=address) for name, address in addresses_by_name.items()}
     for relay in relays_by_name.values():
         await relay.start()
