--- a/wagtailtrestle/slopes/control.py
+++ b/wagtailtrestle/slopes/control.py
@@ -30,17 +30,17 @@
     def __init__(self, *, before, after, requests, taken_s, payload, segments):
         entry_before, schedulers_before = before
         entry_after, schedulers_after = after
-        self.entry_ms = _grown(entry_before, entry_after, "processor_s") / taken_s * 1e3
-        self.scheduler_ms = _grown(schedulers_before, schedulers_after, "processor_s") / taken_s * 1e3
+        self.entry_ms = _increase(entry_before, entry_after, "processor_s") / taken_s * 1e3
+        self.scheduler_ms = _increase(schedulers_before, schedulers_after, "processor_s") / taken_s * 1e3
         self.bytes_per_s = payload / taken_s
         self.segments_per_s = segments / taken_s
         each = max(requests, 1)
-        self.batches = sum(_grown(one, other, "batches") for one, other in zip(before, after, strict=True)) / each
-        self.items = sum(_grown(one, other, "items") for one, other in zip(before, after, strict=True)) / each
+        self.batches = sum(_increase(one, other, "batches") for one, other in zip(before, after, strict=True)) / each
+        self.items = sum(_increase(one, other, "items") for one, other in zip(before, after, strict=True)) / each
         self.wait_ms = entry_after["wait_ms"]
 
 
-def _grown(before, after, name):
+def _increase(before, after, name):
     return after[name] - before[name]
 
 
@@ -109,8 +109,8 @@
     return Cost(
         before=before,
         after=after,
-        requests=_grown(before[0], after[0], "finished"),
-        taken_s=_grown(before[0], after[0], "at"),
+        requests=_increase(before[0], after[0], "finished"),
+        taken_s=_increase(before[0], after[0], "at"),
         payload=payload,
         segments=segments,
     )
