--- a/wagtailtrestle/slopes/control.py
+++ b/wagtailtrestle/slopes/control.py
@@ -79,33 +79,33 @@
 
 async def cost(*, rate, schedulers=SCHEDULERS, run_s=RUN_S, watched_s=WATCHED_S):
     """Cost of ``rate`` requests a second, each with a run of ``run_s``, over so many schedulers."""
-    far, entry = ControlNode(), ControlNode()
-    await far.start("schedulers", schedulers=schedulers)
-    addresses_by_name = await far.receive()
+    schedulers_node, entry = ControlNode(), ControlNode()
+    await schedulers_node.start("schedulers", schedulers=schedulers)
+    addresses_by_name = await schedulers_node.receive()
     relays_by_name = {name: CountingRelay(target=address) for name, address in addresses_by_name.items()}
     for relay in relays_by_name.values():
         await relay.start()
     relayed = {name: relay.address for name, relay in relays_by_name.items()}
-    far.tell(relayed)
+    schedulers_node.tell(relayed)
     await entry.start("entry", addresses_by_name=relayed, rate=rate, run_s=run_s)
     try:
         await asyncio.sleep(SETTLE_S + run_s)
-        return await _watch(entry, far, relays_by_name.values(), watched_s)
+        return await _watch(entry, schedulers_node, relays_by_name.values(), watched_s)
     finally:
-        for each in (entry, far, *relays_by_name.values()):
+        for each in (entry, schedulers_node, *relays_by_name.values()):
             closing = each.close()
             if closing is not None:
                 await closing
 
 
-async def _watch(entry, far, relays, watched_s):
-    before = (await entry.figures(), await far.figures())
+async def _watch(entry, schedulers_node, relays, watched_s):
+    before = (await entry.figures(), await schedulers_node.figures())
     for relay in relays:
         relay.reset()
     await asyncio.sleep(watched_s)
     payload = sum(relay.bytes_passed for relay in relays)
     segments = sum(relay.segments for relay in relays)
-    after = (await entry.figures(), await far.figures())
+    after = (await entry.figures(), await schedulers_node.figures())
     return Cost(
         before=before,
         after=after,
