--- a/wagtailtrestle/slopes/control.py
+++ b/wagtailtrestle/slopes/control.py
@@ -56,9 +56,9 @@
             stdin=asyncio.subprocess.PIPE,
             stdout=asyncio.subprocess.PIPE,
         )
-        self.tell(settings)
+        self.send(settings)
 
-    def tell(self, values):
+    def send(self, values):
         """Send a line."""
         self._process.stdin.write(json.dumps(values).encode() + b"\n")
 
@@ -68,7 +68,7 @@
 
     async def figures(self):
         """Ask for the figures so far."""
-        self.tell({})
+        self.send({})
         return await self.receive()
 
     async def close(self):
@@ -86,7 +86,7 @@
     for relay in relays_by_name.values():
         await relay.start()
     relayed = {name: relay.address for name, relay in relays_by_name.items()}
-    schedulers_node.tell(relayed)
+    schedulers_node.send(relayed)
     await entry.start("entry", addresses_by_name=relayed, rate=rate, run_s=run_s)
     try:
         await asyncio.sleep(SETTLE_S + run_s)
