--- a/wagtailtrestle/slopes/control.py
+++ b/wagtailtrestle/slopes/control.py
@@ -27,13 +27,13 @@
 
     __slots__ = ("entry_ms", "scheduler_ms", "bytes_per_s", "segments_per_s", "batches", "items", "wait_ms")
 
-    def __init__(self, *, before, after, requests, taken_s, payload, segments):
+    def __init__(self, *, before, after, requests, elapsed_s, payload, segments):
         entry_before, schedulers_before = before
         entry_after, schedulers_after = after
-        self.entry_ms = _increase(entry_before, entry_after, "processor_s") / taken_s * 1e3
-        self.scheduler_ms = _increase(schedulers_before, schedulers_after, "processor_s") / taken_s * 1e3
-        self.bytes_per_s = payload / taken_s
-        self.segments_per_s = segments / taken_s
+        self.entry_ms = _increase(entry_before, entry_after, "processor_s") / elapsed_s * 1e3
+        self.scheduler_ms = _increase(schedulers_before, schedulers_after, "processor_s") / elapsed_s * 1e3
+        self.bytes_per_s = payload / elapsed_s
+        self.segments_per_s = segments / elapsed_s
         each = max(requests, 1)
         self.batches = sum(_increase(one, other, "batches") for one, other in zip(before, after, strict=True)) / each
         self.items = sum(_increase(one, other, "items") for one, other in zip(before, after, strict=True)) / each
@@ -110,7 +110,7 @@
         before=before,
         after=after,
         requests=_increase(before[0], after[0], "finished"),
-        taken_s=_increase(before[0], after[0], "at"),
+        elapsed_s=_increase(before[0], after[0], "at"),
         payload=payload,
         segments=segments,
     )
--- a/wagtailtrestle/slopes/fleet.py
+++ b/wagtailtrestle/slopes/fleet.py
@@ -45,10 +45,10 @@
         before = [_cpu_s(process) for process in self._processes]
         began = time.monotonic()
         time.sleep(WATCHED_S)
-        taken_s = time.monotonic() - began
+        elapsed_s = time.monotonic() - began
         used_s = sum(_cpu_s(process) for process in self._processes) - sum(before)
         resident = sum(_resident_bytes(process) for process in self._processes)
-        return used_s / taken_s / self._size * 1e3, resident / self._size / 2**20
+        return used_s / elapsed_s / self._size * 1e3, resident / self._size / 2**20
 
     def _launch(self, name, *seeds):
         command = [sys.executable, "-m", "wagtailtrestle.slopes.member", name, "1", "127.0.0.1:0", *seeds]
--- a/wagtailtrestle/slopes/peers.py
+++ b/wagtailtrestle/slopes/peers.py
@@ -157,11 +157,11 @@
             hub.send(other.name, _heartbeat())
             other.send("hub", _heartbeat())
         await asyncio.sleep(HEARTBEAT_S)
-    taken_s = loop.time() - began
+    elapsed_s = loop.time() - began
     payload = sum(relay.bytes_passed for relay in relays)
     headers = sum(relay.segments for relay in relays) * 2 * SEGMENT_HEADER_BYTES
     await _close(hub, others, relays)
-    return (payload + headers) / taken_s
+    return (payload + headers) / elapsed_s
 
 
 async def link_bytes(links):
--- a/wagtailtrestle/slopes/streams.py
+++ b/wagtailtrestle/slopes/streams.py
@@ -29,11 +29,11 @@
 class Spent:
     """Processor time, time taken and tokens of one load."""
 
-    __slots__ = ("processor_s", "taken_s", "tokens")
+    __slots__ = ("processor_s", "elapsed_s", "tokens")
 
-    def __init__(self, *, processor_s, taken_s, tokens):
+    def __init__(self, *, processor_s, elapsed_s, tokens):
         self.processor_s = processor_s
-        self.taken_s = taken_s
+        self.elapsed_s = elapsed_s
         self.tokens = tokens
 
 
@@ -58,7 +58,7 @@
     idle_share = (usage_of(pid).processor_s - idle) / IDLE_S
     short = _spend(deployment, pid, streams, seconds=SHORT_S)
     long = _spend(deployment, pid, streams, seconds=LONG_S)
-    extra_s = long.processor_s - short.processor_s - idle_share * (long.taken_s - short.taken_s)
+    extra_s = long.processor_s - short.processor_s - idle_share * (long.elapsed_s - short.elapsed_s)
     return extra_s / (long.tokens - short.tokens) * 1e6
 
 
@@ -70,7 +70,7 @@
         raise RuntimeError("the router did not serve everything; the slope would mean nothing")
     return Spent(
         processor_s=usage_of(pid).processor_s - before.processor_s,
-        taken_s=time.monotonic() - began,
+        elapsed_s=time.monotonic() - began,
         tokens=tokens * streams,
     )
 
