--- a/wagtailtrestle/slopes/control.py
+++ b/wagtailtrestle/slopes/control.py
@@ -77,7 +77,7 @@
         await self._process.wait()
 
 
-async def cost(*, rate, schedulers=SCHEDULERS, run_s=RUN_S, watched_s=WATCHED_S):
+async def cost(*, rate, schedulers=SCHEDULERS, run_s=RUN_S, measured_s=WATCHED_S):
     """Cost of ``rate`` requests a second, each with a run of ``run_s``, over so many schedulers."""
     schedulers_node, entry = ControlNode(), ControlNode()
     await schedulers_node.start("schedulers", schedulers=schedulers)
@@ -90,7 +90,7 @@
     await entry.start("entry", addresses_by_name=relayed, rate=rate, run_s=run_s)
     try:
         await asyncio.sleep(SETTLE_S + run_s)
-        return await _watch(entry, schedulers_node, relays_by_name.values(), watched_s)
+        return await _watch(entry, schedulers_node, relays_by_name.values(), measured_s)
     finally:
         for each in (entry, schedulers_node, *relays_by_name.values()):
             closing = each.close()
@@ -98,11 +98,11 @@
                 await closing
 
 
-async def _watch(entry, schedulers_node, relays, watched_s):
+async def _watch(entry, schedulers_node, relays, measured_s):
     before = (await entry.figures(), await schedulers_node.figures())
     for relay in relays:
         relay.reset()
-    await asyncio.sleep(watched_s)
+    await asyncio.sleep(measured_s)
     payload = sum(relay.bytes_passed for relay in relays)
     segments = sum(relay.segments for relay in relays)
     after = (await entry.figures(), await schedulers_node.figures())
