--- a/wagtailtrestle/slopes/control.py
+++ b/wagtailtrestle/slopes/control.py
@@ -90,7 +90,7 @@
     await entry.start("entry", addresses_by_name=relayed, rate=rate, run_s=run_s)
     try:
         await asyncio.sleep(SETTLE_S + run_s)
-        return await _watch(entry, schedulers_node, relays_by_name.values(), measured_s)
+        return await _measure_cost(entry, schedulers_node, relays_by_name.values(), measured_s)
     finally:
         for each in (entry, schedulers_node, *relays_by_name.values()):
             closing = each.close()
@@ -98,7 +98,7 @@
                 await closing
 
 
-async def _watch(entry, schedulers_node, relays, measured_s):
+async def _measure_cost(entry, schedulers_node, relays, measured_s):
     before = (await entry.figures(), await schedulers_node.figures())
     for relay in relays:
         relay.reset()
