--- a/wagtailtrestle/slopes/control.py
+++ b/wagtailtrestle/slopes/control.py
@@ -17,7 +17,7 @@
 # Letter 1's 1.9 million tokens a second over 5,800 requests a second, 37 ms each.
 RUN_S = 12.0
 SETTLE_S = 3.0
-WATCHED_S = 10.0
+MEASURED_S = 10.0
 # An IPv4 and a TCP header with timestamps; each segment is answered by a bare acknowledgement.
 SEGMENT_HEADER_BYTES = 52
 
@@ -77,7 +77,7 @@
         await self._process.wait()
 
 
-async def cost(*, rate, schedulers=SCHEDULERS, run_s=RUN_S, measured_s=WATCHED_S):
+async def cost(*, rate, schedulers=SCHEDULERS, run_s=RUN_S, measured_s=MEASURED_S):
     """Cost of ``rate`` requests a second, each with a run of ``run_s``, over so many schedulers."""
     schedulers_node, entry = ControlNode(), ControlNode()
     await schedulers_node.start("schedulers", schedulers=schedulers)
--- a/wagtailtrestle/slopes/fleet.py
+++ b/wagtailtrestle/slopes/fleet.py
@@ -7,7 +7,7 @@
 import time
 
 SETTLE_S = 4.0
-WATCHED_S = 6.0
+MEASURED_S = 6.0
 CLOCK_TICKS = os.sysconf("SC_CLK_TCK")
 PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
 
@@ -44,7 +44,7 @@
         time.sleep(SETTLE_S)
         before = [_cpu_s(process) for process in self._processes]
         began = time.monotonic()
-        time.sleep(WATCHED_S)
+        time.sleep(MEASURED_S)
         elapsed_s = time.monotonic() - began
         used_s = sum(_cpu_s(process) for process in self._processes) - sum(before)
         resident = sum(_resident_bytes(process) for process in self._processes)
