--- a/wagtailtrestle/slopes/control_node.py
+++ b/wagtailtrestle/slopes/control_node.py
@@ -82,9 +82,9 @@
         self._later(run_s, RunEnded(run_id=run_id, outcome=outcome, duration_s=run_s, first_token_s=FIRST_TOKEN_S))
 
     def _later(self, delay_s, event):
-        self._node.loop.call_later(delay_s, self._tell, event)
+        self._node.loop.call_later(delay_s, self._post_event, event)
 
-    def _tell(self, event):
+    def _post_event(self, event):
         self._node.finished += isinstance(event, RunEnded)
         self._node.entry.post(self._request_id, event)
 
