--- a/wagtailtrestle/slopes/control_node.py
+++ b/wagtailtrestle/slopes/control_node.py
@@ -264,7 +264,7 @@
     return json.loads(line) if line else None
 
 
-def _tell(values):
+def _write_line(values):
     print(json.dumps(values), flush=True)
 
 
@@ -284,10 +284,10 @@
         await node.start()
     else:
         node = SchedulersNode(loop=loop, schedulers=told["schedulers"])
-        _tell(await node.start())
+        _write_line(await node.start())
         node.advertise(await _read(reader))
     while await _read(reader) is not None:
-        _tell(node.figures())
+        _write_line(node.figures())
 
 
 if __name__ == "__main__":
