--- a/wagtailtrestle/slopes/member.py
+++ b/wagtailtrestle/slopes/member.py
@@ -12,7 +12,7 @@
 from wagtailtrestle.peers.peers_grpc import Peers
 
 
-def _tell(**values):
+def _print_line(**values):
     print(json.dumps(values), flush=True)
 
 
@@ -28,10 +28,10 @@
         loop=loop,
         seeds=dict(seed.split("=") for seed in seeds),
     )
-    membership.on_view_change(lambda view: _tell(members=view.all_members))
+    membership.on_view_change(lambda view: _print_line(members=view.all_members))
     await peers.start()
     await membership.start()
-    _tell(address=peers.address)
+    _print_line(address=peers.address)
     await asyncio.Event().wait()
 
 
