--- a/wagtailtrestle/slopes/control_node.py
+++ b/wagtailtrestle/slopes/control_node.py
@@ -72,16 +72,16 @@
         """Nothing is cancelled here."""
 
     def _run(self, run_id):
-        self._later(FIRST_TOKEN_S, RunBegan(run_id=run_id, first_token_s=FIRST_TOKEN_S, prompt_tokens=2048))
+        self._post_later(FIRST_TOKEN_S, RunBegan(run_id=run_id, first_token_s=FIRST_TOKEN_S, prompt_tokens=2048))
         run_s = self._node.run_s
         at_s = FIRST_TOKEN_S + ADVANCE_INTERVAL_S
         while at_s < run_s:
-            self._later(at_s, RunAdvanced(run_id=run_id, output_tokens=int(at_s * 27)))
+            self._post_later(at_s, RunAdvanced(run_id=run_id, output_tokens=int(at_s * 27)))
             at_s += ADVANCE_INTERVAL_S
         outcome = RunDone(output_tokens=int(run_s * 27))
-        self._later(run_s, RunEnded(run_id=run_id, outcome=outcome, duration_s=run_s, first_token_s=FIRST_TOKEN_S))
+        self._post_later(run_s, RunEnded(run_id=run_id, outcome=outcome, duration_s=run_s, first_token_s=FIRST_TOKEN_S))
 
-    def _later(self, delay_s, event):
+    def _post_later(self, delay_s, event):
         self._node.loop.call_later(delay_s, self._post_event, event)
 
     def _post_event(self, event):
