--- a/wagtailtrestle/slopes/control_node.py
+++ b/wagtailtrestle/slopes/control_node.py
@@ -278,12 +278,12 @@
     """Run until the standard input ends."""
     loop = asyncio.get_running_loop()
     reader = await _stdin(loop)
-    told = await _read(reader)
+    settings = await _read(reader)
     if kind == "entry":
-        node = EntryNode(loop=loop, **told)
+        node = EntryNode(loop=loop, **settings)
         await node.start()
     else:
-        node = SchedulersNode(loop=loop, schedulers=told["schedulers"])
+        node = SchedulersNode(loop=loop, schedulers=settings["schedulers"])
         _write_line(await node.start())
         node.advertise(await _read(reader))
     while await _read(reader) is not None:
