--- a/wagtailtrestle/slopes/fleet.py
+++ b/wagtailtrestle/slopes/fleet.py
@@ -55,9 +55,9 @@
         process = subprocess.Popen(command, stdout=subprocess.PIPE, stderr=subprocess.DEVNULL, text=True)
         self._processes.append(process)
         for line in process.stdout:
-            told = json.loads(line)
-            if "address" in told:
-                return told["address"]
+            message = json.loads(line)
+            if "address" in message:
+                return message["address"]
         raise RuntimeError(f"{name} did not start")
 
 
