--- a/wagtailtrestle/slopes/control_node.py
+++ b/wagtailtrestle/slopes/control_node.py
@@ -144,7 +144,7 @@
         peers.set_addresses(self._addresses_by_name)
         peers.keep_open(set(self._addresses_by_name))
         directory.refresh()
-        self._next()
+        self._schedule_next()
 
     def _entry(self, schedulers):
         crashes = CrashWatch(
@@ -161,12 +161,12 @@
             loop=self.loop,
         )
 
-    def _next(self):
+    def _schedule_next(self):
         if self._rate:
             self.loop.call_later(self._random.expovariate(self._rate), self._submit)
 
     def _submit(self):
-        self._next()
+        self._schedule_next()
         shape = self._random.choice(self._shapes)
         request_id = f"{ENTRY}-{uuid.uuid4().hex}"
         request = CallerRequest(
