--- a/wagtailtrestle/slopes/counting_relay.py
+++ b/wagtailtrestle/slopes/counting_relay.py
@@ -35,7 +35,7 @@
 
     async def start(self):
         """Listen; ``address`` then holds where."""
-        self._server = await asyncio.start_server(self._pass_on, "127.0.0.1", 0)
+        self._server = await asyncio.start_server(self._relay_connection, "127.0.0.1", 0)
         port = self._server.sockets[0].getsockname()[1]
         self.address = f"127.0.0.1:{port}"
 
@@ -45,7 +45,7 @@
         for writer in self._writers:
             writer.close()
 
-    async def _pass_on(self, reader, writer):
+    async def _relay_connection(self, reader, writer):
         host, _, port = self._target.rpartition(":")
         far_reader, far_writer = await asyncio.open_connection(host, int(port))
         self._writers += [writer, far_writer]
