--- a/wagtailtrestle/slopes/counting_relay.py
+++ b/wagtailtrestle/slopes/counting_relay.py
@@ -47,9 +47,9 @@
 
     async def _relay_connection(self, reader, writer):
         host, _, port = self._target.rpartition(":")
-        target_reader, far_writer = await asyncio.open_connection(host, int(port))
-        self._writers += [writer, far_writer]
-        await asyncio.gather(self._pump(reader, far_writer), self._pump(target_reader, writer))
+        target_reader, target_writer = await asyncio.open_connection(host, int(port))
+        self._writers += [writer, target_writer]
+        await asyncio.gather(self._pump(reader, target_writer), self._pump(target_reader, writer))
 
     async def _pump(self, reader, writer):
         try:
