--- a/wagtailtrestle/slopes/streams.py
+++ b/wagtailtrestle/slopes/streams.py
@@ -26,7 +26,7 @@
 CALLER_THREADS = 200
 
 
-class Spent:
+class LoadUsage:
     """Processor time, time taken and tokens of one load."""
 
     __slots__ = ("processor_s", "elapsed_s", "tokens")
@@ -68,7 +68,7 @@
     results = run_load(urls=deployment.callers_urls(), plan=_plan(streams, tokens))
     if not all(result.whole for result in results):
         raise RuntimeError("the router did not serve everything; the slope would mean nothing")
-    return Spent(
+    return LoadUsage(
         processor_s=usage_of(pid).processor_s - before.processor_s,
         elapsed_s=time.monotonic() - began,
         tokens=tokens * streams,
