--- a/wagtailtrestle/slopes/streams.py
+++ b/wagtailtrestle/slopes/streams.py
@@ -52,17 +52,17 @@
 
 def _token_us(deployment, streams):
     pid = next(iter(deployment.routers_by_name.values())).pid
-    _spend(deployment, pid, streams, seconds=1.0)
+    _usage_of_load(deployment, pid, streams, seconds=1.0)
     idle = usage_of(pid).processor_s
     time.sleep(IDLE_S)
     idle_share = (usage_of(pid).processor_s - idle) / IDLE_S
-    short = _spend(deployment, pid, streams, seconds=SHORT_S)
-    long = _spend(deployment, pid, streams, seconds=LONG_S)
+    short = _usage_of_load(deployment, pid, streams, seconds=SHORT_S)
+    long = _usage_of_load(deployment, pid, streams, seconds=LONG_S)
     extra_s = long.processor_s - short.processor_s - idle_share * (long.elapsed_s - short.elapsed_s)
     return extra_s / (long.tokens - short.tokens) * 1e6
 
 
-def _spend(deployment, pid, streams, *, seconds):
+def _usage_of_load(deployment, pid, streams, *, seconds):
     tokens = max(2, int(TOKENS_PER_S * seconds / streams))
     began, before = time.monotonic(), usage_of(pid)
     results = run_load(urls=deployment.callers_urls(), plan=_plan(streams, tokens))
