--- a/wagtailtrestle/slopes/peers.py
+++ b/wagtailtrestle/slopes/peers.py
@@ -37,7 +37,7 @@
 SEGMENT_HEADER_BYTES = 52
 
 
-async def _started(count, *, relayed=False):
+async def _start_peers(count, *, relayed=False):
     """One router and ``count`` others, not yet linked; with relays between if wanted."""
     loop = asyncio.get_running_loop()
     hub = Peers(name="hub", incarnation=1, listen_address="127.0.0.1:0", loop=loop)
@@ -64,7 +64,7 @@
 
 async def _linked(count, *, relayed=False):
     """One router linked to ``count`` others."""
-    hub, others, relays = await _started(count, relayed=relayed)
+    hub, others, relays = await _start_peers(count, relayed=relayed)
     await _link(hub, others)
     return hub, others, relays
 
@@ -166,7 +166,7 @@
 
 async def link_bytes(links):
     """Memory, bytes, of one end of so many open links: half of what both ends take."""
-    hub, others, _ = await _started(links)
+    hub, others, _ = await _start_peers(links)
     gc.collect()
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
