--- a/wagtailtrestle/slopes/peers.py
+++ b/wagtailtrestle/slopes/peers.py
@@ -62,7 +62,7 @@
         await asyncio.sleep(0.01)
 
 
-async def _linked(count, *, relayed=False):
+async def _start_linked_peers(count, *, relayed=False):
     """One router linked to ``count`` others."""
     hub, others, relays = await _start_peers(count, relayed=relayed)
     await _link(hub, others)
@@ -93,7 +93,7 @@
 
 async def pair_us(*, in_flight, blocks=32):
     """Processor time, µs, of a grant asked for and given between two routers, both ends."""
-    hub, others, _ = await _linked(1)
+    hub, others, _ = await _start_linked_peers(1)
     done = asyncio.Event()
     request = _request(blocks)
     answer = Granted(
@@ -130,7 +130,7 @@
 
 async def heartbeat_us(links):
     """Processor time, µs, of one heartbeat on its own, both ends, with so many links."""
-    hub, others, _ = await _linked(links)
+    hub, others, _ = await _start_linked_peers(links)
     for each in (hub, *others):
         each.on(Heartbeat, lambda peer, message, cell: None)
     began = time.process_time()
@@ -145,7 +145,7 @@
 
 async def heartbeat_bytes_per_s(links):
     """Bytes a second that heartbeats cost one router with so many links: sent, received, headers and all."""
-    hub, others, relays = await _linked(links, relayed=True)
+    hub, others, relays = await _start_linked_peers(links, relayed=True)
     for each in (hub, *others):
         each.on(Heartbeat, lambda peer, message, cell: None)
     for relay in relays:
