--- a/wagtailtrestle/slopes/ledger.py
+++ b/wagtailtrestle/slopes/ledger.py
@@ -41,18 +41,18 @@
     async def create(self, *, kind, name, value):
         """Create an object."""
         await self._wait("writes")
-        return self._table.create(kind=kind, name=name, value=self._carried(value))
+        return self._table.create(kind=kind, name=name, value=self._json_round_trip(value))
 
     async def update(self, *, kind, name, value, if_version):
         """Replace an object at a version."""
         await self._wait("writes")
-        return self._table.update(kind=kind, name=name, value=self._carried(value), if_version=if_version)
+        return self._table.update(kind=kind, name=name, value=self._json_round_trip(value), if_version=if_version)
 
     async def _wait(self, call):
         self.calls[call] += 1
         await asyncio.sleep(STORE_LATENCY_S)
 
-    def _carried(self, value):
+    def _json_round_trip(self, value):
         text = json.dumps(value)
         self.bytes_written += len(text)
         return json.loads(text)
