--- a/wagtailtrestle/slopes/admin.py
+++ b/wagtailtrestle/slopes/admin.py
@@ -7,7 +7,7 @@
 from wagtailtrestle.observe.metrics import Metrics
 from wagtailtrestle.observe.state_dump import plain
 from wagtailtrestle.slopes.entry import hold, make_entry
-from wagtailtrestle.slopes.line import Slope
+from wagtailtrestle.slopes.slope import Slope
 
 HELD_COUNTS = (0, 200, 1_000, 3_000)
 SERIES_COUNTS = (10, 50, 100, 200)
--- a/wagtailtrestle/slopes/configuration.py
+++ b/wagtailtrestle/slopes/configuration.py
@@ -9,7 +9,7 @@
 from wagtailtrestle.callers.authentication import KeyIndex
 from wagtailtrestle.contracts.declaration import Declaration
 from wagtailtrestle.declarations.check import parse_declaration
-from wagtailtrestle.slopes.line import Slope
+from wagtailtrestle.slopes.slope import Slope
 
 SIZES = ((170, 75), (425, 190), (850, 375), (1_700, 750))
 MODELS = 6
--- a/wagtailtrestle/slopes/control.py
+++ b/wagtailtrestle/slopes/control.py
@@ -9,7 +9,7 @@
 import sys
 
 from wagtailtrestle.slopes.counting_relay import CountingRelay
-from wagtailtrestle.slopes.line import Slope
+from wagtailtrestle.slopes.slope import Slope
 
 ROLE = "control"
 RATES = (0, 5, 15, 30)
--- a/wagtailtrestle/slopes/data_path.py
+++ b/wagtailtrestle/slopes/data_path.py
@@ -11,7 +11,7 @@
 from wagtailtrestle.load.mix import RequestKind
 from wagtailtrestle.load.plan import make_plan
 from wagtailtrestle.load.run import run_load
-from wagtailtrestle.slopes.line import Slope
+from wagtailtrestle.slopes.slope import Slope
 
 EXAMPLES = Path(__file__).resolve().parents[2] / "examples"
 REQUEST_RATES = (0, 10, 20, 40)
--- a/wagtailtrestle/slopes/entry.py
+++ b/wagtailtrestle/slopes/entry.py
@@ -11,7 +11,7 @@
 from wagtailtrestle.entry.crash_watch import CrashWatch
 from wagtailtrestle.entry.entry import Entry
 from wagtailtrestle.entry.poison import CrashDetector, CrashTable
-from wagtailtrestle.slopes.line import Slope
+from wagtailtrestle.slopes.slope import Slope
 
 HELD_COUNTS = (0, 200, 1_000, 3_000)
 CYCLES = 2_000
--- a/wagtailtrestle/slopes/ledger.py
+++ b/wagtailtrestle/slopes/ledger.py
@@ -6,7 +6,7 @@
 
 from wagtailtrestle.contracts.outcomes import ClaimWon
 from wagtailtrestle.ledger.ledger import Ledger
-from wagtailtrestle.slopes.line import Slope
+from wagtailtrestle.slopes.slope import Slope
 from wagtailtrestle.standins.object_table import ObjectTable
 
 STORE_LATENCY_S = 0.005
--- a/wagtailtrestle/slopes/peers.py
+++ b/wagtailtrestle/slopes/peers.py
@@ -16,7 +16,7 @@
 from wagtailtrestle.peers.peers_grpc import Peers
 from wagtailtrestle.slopes.counting_relay import CountingRelay
 from wagtailtrestle.slopes.fleet import idle_cost
-from wagtailtrestle.slopes.line import Slope
+from wagtailtrestle.slopes.slope import Slope
 
 ROLE = "peers"
 IN_FLIGHT = (1, 4, 16, 64)
--- a/wagtailtrestle/slopes/scheduler.py
+++ b/wagtailtrestle/slopes/scheduler.py
@@ -7,7 +7,7 @@
 from wagtailtrestle.contracts.declaration import DeclaredEngine
 from wagtailtrestle.contracts.messages import Granted, GrantRequest, Register, RunFinished, RunProgress, RunStarted
 from wagtailtrestle.engines.policies import PredictedFinish
-from wagtailtrestle.slopes.line import Slope
+from wagtailtrestle.slopes.slope import Slope
 
 CYCLES = 3_000
 ENGINE_COUNTS = (2, 4, 9, 18)
--- a/wagtailtrestle/slopes/streams.py
+++ b/wagtailtrestle/slopes/streams.py
@@ -16,7 +16,7 @@
 from wagtailtrestle.load.plan import make_plan
 from wagtailtrestle.load.run import run_load
 from wagtailtrestle.slopes.data_path import EXAMPLES, IDLE_S, usage_of
-from wagtailtrestle.slopes.line import Slope
+from wagtailtrestle.slopes.slope import Slope
 
 STREAM_COUNTS = (1, 16, 64, 128)
 TOKENS_PER_S = 800
