--- a/wagtailtrestle/slopes/__init__.py
+++ b/wagtailtrestle/slopes/__init__.py
@@ -1,5 +1,5 @@
-"""Slopes behind docs/CAPACITY.md: what each role costs as its load grows, on one machine.
+"""Measurements behind docs/CAPACITY.md: how the cost of each role grows with its load, on one computer.
 
-Processor time is read from the process's own clock, so a busy machine stretches the run
-but hardly the figure. Each module prints JSON lines; ``make slopes`` runs them all.
+Processor time is read from the process's own CPU clock, so other work on the computer lengthens the
+run but hardly changes the figure. Each module prints JSON lines; ``make slopes`` runs them all.
 """
--- a/wagtailtrestle/slopes/__main__.py
+++ b/wagtailtrestle/slopes/__main__.py
@@ -1,4 +1,4 @@
-"""``make slopes``: every slope, as JSON lines."""
+"""Print every slope as JSON lines; run by ``make slopes``."""
 
 from wagtailtrestle.slopes import admin, configuration, control, data_path, entry, ledger, peers, scheduler, streams
 
--- a/wagtailtrestle/slopes/admin.py
+++ b/wagtailtrestle/slopes/admin.py
@@ -1,4 +1,4 @@
-"""Cost of the admin HTTP's answers: the state dump and the metrics, as what they tell grows."""
+"""Cost of the admin HTTP's answers: the state dump by requests held, and the metrics by number of series."""
 
 import asyncio
 import json
@@ -37,7 +37,7 @@
 
 
 def main():
-    """Print the admin's slopes."""
+    """Print the slopes of the admin HTTP."""
     Slope(
         role="admin",
         quantity="processor time of one dump of the entry, ms",
--- a/wagtailtrestle/slopes/configuration.py
+++ b/wagtailtrestle/slopes/configuration.py
@@ -1,4 +1,4 @@
-"""Cost of a declaration: checking it and holding it, as teams and engines grow."""
+"""Cost of checking a declaration and of holding it in memory, by number of teams and engines."""
 
 import hashlib
 import time
@@ -19,7 +19,7 @@
 
 
 def declaration_text(*, teams, engines):
-    """Text of a declaration with so many teams and engines, 5 tiers, 6 models, 6 zones."""
+    """Return a declaration with the given numbers of teams and engines, 5 tiers, 6 models and 6 zones."""
     document = {
         "format": 1,
         "organisation": "full-size",
@@ -34,7 +34,7 @@
 
 
 def check_s(text):
-    """Processor time, s, of one check of the text; the best of three."""
+    """Return the processor time of one check of the text in seconds, the best of three."""
     best = float("inf")
     for _ in range(3):
         began = time.process_time()
@@ -46,7 +46,7 @@
 
 
 def held_bytes(text):
-    """Bytes of the declaration and its index of keys once in force, the text included."""
+    """Return the bytes held by a declaration in force: its text, its parsed form and its index of keys."""
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
     kept = (str(text) + " ", parse_declaration(text))
@@ -58,7 +58,7 @@
 
 
 def peak_bytes(text):
-    """Highest number of bytes in use while the text is checked."""
+    """Return the peak number of bytes in use while the text is checked."""
     tracemalloc.start()
     tracemalloc.reset_peak()
     parse_declaration(text)
@@ -103,7 +103,7 @@
 
 
 def main():
-    """Print the configuration's slopes."""
+    """Print the slopes of the configuration."""
     texts = [(teams + engines, declaration_text(teams=teams, engines=engines)) for teams, engines in SIZES]
     for quantity, measured in (
         ("processor time of one check, s", check_s),
--- a/wagtailtrestle/slopes/control.py
+++ b/wagtailtrestle/slopes/control.py
@@ -1,7 +1,7 @@
-"""Cost of the control traffic of requests: an entry and the schedulers it asks, as processes.
+"""Cost of the control traffic of requests between an entry and its schedulers, in two processes.
 
-No data path and no heartbeats: what is measured is asking for a place, getting it, and
-telling of the run. Bytes are counted by relays between the two processes.
+There is no data path and there are no heartbeats: the figures cover the request for a slot, its
+grant, and the reports on the run. Relays between the two processes count the bytes.
 """
 
 import asyncio
@@ -14,16 +14,16 @@
 ROLE = "control"
 RATES = (0, 5, 15, 30)
 SCHEDULERS = 30
-# Letter 1's 1.9 million tokens a second over 5,800 requests a second, 37 ms each.
+# The required full load: 1.9 million tokens a second over 5,800 requests a second, 37 ms a token.
 RUN_S = 12.0
 SETTLE_S = 3.0
 MEASURED_S = 10.0
-# An IPv4 and a TCP header with timestamps; each segment is answered by a bare acknowledgement.
+# An IPv4 and a TCP header with timestamps. Counted twice, as each segment is acknowledged by one without payload.
 SEGMENT_HEADER_BYTES = 52
 
 
 class Cost:
-    """What one rate of requests cost."""
+    """Cost of the control traffic at one rate of requests."""
 
     __slots__ = ("entry_ms", "scheduler_ms", "bytes_per_s", "segments_per_s", "batches", "items", "wait_ms")
 
@@ -50,7 +50,7 @@
     __slots__ = ("_process",)
 
     async def start(self, kind, **settings):
-        """Start it and tell its settings."""
+        """Start the process and send it its settings."""
         self._process = await asyncio.create_subprocess_exec(
             *(sys.executable, "-m", "wagtailtrestle.slopes.control_node", kind),
             stdin=asyncio.subprocess.PIPE,
@@ -59,26 +59,26 @@
         self.send(settings)
 
     def send(self, values):
-        """Send a line."""
+        """Send one line of JSON."""
         self._process.stdin.write(json.dumps(values).encode() + b"\n")
 
     async def receive(self):
-        """Wait for a line."""
+        """Wait for one line of JSON."""
         return json.loads(await self._process.stdout.readline())
 
     async def figures(self):
-        """Ask for the figures so far."""
+        """Request the figures since the start."""
         self.send({})
         return await self.receive()
 
     async def close(self):
-        """Kill it."""
+        """Kill the process."""
         self._process.kill()
         await self._process.wait()
 
 
 async def cost(*, rate, schedulers=SCHEDULERS, run_s=RUN_S, measured_s=MEASURED_S):
-    """Cost of ``rate`` requests a second, each with a run of ``run_s``, over so many schedulers."""
+    """Measure the cost of ``rate`` requests a second, each with a run of ``run_s``, spread over ``schedulers``."""
     schedulers_node, entry = ControlNode(), ControlNode()
     await schedulers_node.start("schedulers", schedulers=schedulers)
     addresses_by_name = await schedulers_node.receive()
@@ -137,7 +137,7 @@
 
 
 def main(*rates):
-    """Print the slopes of control traffic."""
+    """Print the slopes of the control traffic."""
     asyncio.run(_measure([float(rate) for rate in rates] or RATES))
 
 
--- a/wagtailtrestle/slopes/control_node.py
+++ b/wagtailtrestle/slopes/control_node.py
@@ -1,8 +1,8 @@
-"""One end of the control traffic as a process: an entry with fake callers, or schedulers.
+"""One end of the control traffic as a process: an entry with fake callers, or a set of schedulers.
 
-``schedulers`` hosts several schedulers, each with peers and a directory of its own, as an entry
-at full size talks to about thirty. The view is fixed, so there are no heartbeats. Told by
-lines of JSON on its standard input; each further line asks for the figures so far.
+``schedulers`` runs several schedulers, each with its own peers and directory, because an entry in a
+deployment of full size talks to about thirty. The view is fixed, so there are no heartbeats. The process
+reads its settings as lines of JSON on standard input; each further line requests the figures since the start.
 """
 
 import asyncio
@@ -31,12 +31,13 @@
 PROMPT_BYTES = 8192
 PROMPTS = 40
 FIRST_TOKEN_S = 0.5
-# Slower than a router, as so many schedulers share the process; a scheduler takes a second without one for a pause.
+# Longer than in a router, as many schedulers share the process; below 1 s, as a scheduler treats a second
+# without a tick as a pause of its process.
 TICK_S = 0.4
 
 
 class FixedMembership:
-    """A view that never changes: the schedulers, and one router that is entry only."""
+    """A view that never changes: the schedulers, and one router that is only an entry."""
 
     __slots__ = ("draining", "trusted", "view")
 
@@ -46,14 +47,14 @@
         self.draining = False
 
     def on_view_change(self, callback):
-        """Nothing ever changes."""
+        """Do nothing, as the view never changes."""
 
     def on_trusted(self, callback):
-        """It is trusted from the start."""
+        """Do nothing, as the view is trusted from the start."""
 
 
 class FakeCaller:
-    """Runs what it is told on no engine and tells of it as an engine's reader would."""
+    """Fake of a caller's side: reports each run's events on timers, without an engine."""
 
     __slots__ = ("_began_at", "_node", "_request_id")
 
@@ -63,13 +64,13 @@
         self._began_at = time.monotonic()
 
     def post(self, command):
-        """Take one command of the request's task."""
+        """Act on a command of the request's task."""
         if isinstance(command, StartRun):
             self._node.waits_s.append(time.monotonic() - self._began_at)
             self._run(command.run_id)
 
     def cancel_run(self, *, run_id, engine, address):
-        """Nothing is cancelled here."""
+        """Do nothing: no run is cancelled in this measurement."""
 
     def _run(self, run_id):
         self._post_later(FIRST_TOKEN_S, RunBegan(run_id=run_id, first_token_s=FIRST_TOKEN_S, prompt_tokens=2048))
@@ -90,7 +91,7 @@
 
 
 class Node:
-    """What both kinds of process have in common: declaration and figures."""
+    """Declaration and figures, which both kinds of process have."""
 
     def __init__(self, *, loop, schedulers):
         self.loop = loop
@@ -101,7 +102,7 @@
         self.finished = 0
 
     def figures(self):
-        """Figures since the start."""
+        """Return the figures since the start; the median wait is since the last call."""
         links = [link for peers in self.peers for state in peers.dump().values() if (link := state["link"])]
         waits, self.waits_s = sorted(self.waits_s), []
         return {
@@ -115,7 +116,7 @@
 
 
 class EntryNode(Node):
-    """The entry: submits requests at a rate."""
+    """The entry, which submits requests at random at a mean rate."""
 
     def __init__(self, *, loop, addresses_by_name, rate, run_s):
         super().__init__(loop=loop, schedulers=len(addresses_by_name))
@@ -126,7 +127,7 @@
         self._shapes = [shape_of(f"{number:04}" * (PROMPT_BYTES // 4)) for number in range(PROMPTS)]
 
     async def start(self):
-        """Link to the schedulers and begin to submit."""
+        """Open the links to the schedulers and start to submit requests."""
         peers = Peers(name=ENTRY, incarnation=1, listen_address="127.0.0.1:0", loop=self.loop)
         self.peers.append(peers)
         directory = Directory(
@@ -188,7 +189,7 @@
 
 
 class SchedulersNode(Node):
-    """Schedulers that the entry asks."""
+    """The schedulers that the entry requests grants from."""
 
     def __init__(self, *, loop, schedulers):
         super().__init__(loop=loop, schedulers=schedulers)
@@ -196,7 +197,7 @@
         self._sets = []
 
     async def start(self):
-        """Listen; the result maps names to addresses."""
+        """Start listening and return the address of each scheduler by name."""
         membership = FixedMembership(schedulers=self._names)
         for name in self._names:
             peers = Peers(name=name, incarnation=1, listen_address="127.0.0.1:0", loop=self.loop)
@@ -207,7 +208,7 @@
         return {peers.name: peers.address for peers in self.peers}
 
     def advertise(self, addresses_by_name):
-        """Tell the entry to come through the relays."""
+        """Advertise the relays' addresses, so that the entry connects through them."""
         for peers in self.peers:
             peers.address = addresses_by_name[peers.name]
 
--- a/wagtailtrestle/slopes/counting_relay.py
+++ b/wagtailtrestle/slopes/counting_relay.py
@@ -1,4 +1,4 @@
-"""Passes bytes between two ends and counts them."""
+"""A TCP relay that counts the bytes it passes on."""
 
 import asyncio
 
@@ -6,12 +6,12 @@
 
 
 class CountingRelay:
-    """A relay on a loopback port.
+    """Counts bytes and segments between a loopback port and a target.
 
     Parameters
     ----------
     target : str
-        ``host:port`` to pass connections on to.
+        ``host:port`` that connections are relayed to.
 
     Attributes
     ----------
@@ -29,18 +29,18 @@
         self.reset()
 
     def reset(self):
-        """Count from zero."""
+        """Reset the counts to zero."""
         self.bytes_passed = 0
         self.segments = 0
 
     async def start(self):
-        """Listen; ``address`` then holds where."""
+        """Start listening and set ``address``."""
         self._server = await asyncio.start_server(self._relay_connection, "127.0.0.1", 0)
         port = self._server.sockets[0].getsockname()[1]
         self.address = f"127.0.0.1:{port}"
 
     async def close(self):
-        """End all connections."""
+        """Close the listener and all connections."""
         self._server.close()
         for writer in self._writers:
             writer.close()
--- a/wagtailtrestle/slopes/data_path.py
+++ b/wagtailtrestle/slopes/data_path.py
@@ -1,4 +1,4 @@
-"""Cost of carrying callers' bytes: a real router process against request and token rates."""
+"""Cost of the data path: processor time of a real router process by request rate and by token rate."""
 
 import json
 import tempfile
@@ -33,7 +33,7 @@
 
 
 def usage_of(pid):
-    """Read a process's usage."""
+    """Read the usage of a process from ``/proc``."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     status = Path(f"/proc/{pid}/status").read_text()
     resident = next(line for line in status.splitlines() if line.startswith("VmRSS"))
@@ -44,7 +44,7 @@
 
 
 def main():
-    """Print the data path's slopes."""
+    """Print the slopes of the data path."""
     with tempfile.TemporaryDirectory(prefix="wagtailtrestle-slopes-") as directory:
         deployment = Deployment(directory=Path(directory), document=_document(), routers=1)
         try:
@@ -102,7 +102,7 @@
         planned.output_tokens = tokens
     results = run_load(urls=deployment.callers_urls(), plan=plan)
     if not all(result.whole for result in results):
-        raise RuntimeError("the router did not serve everything; the slope would mean nothing")
+        raise RuntimeError("the router did not answer every request completely, so the slope is not valid")
 
 
 def _document():
--- a/wagtailtrestle/slopes/entry.py
+++ b/wagtailtrestle/slopes/entry.py
@@ -1,4 +1,4 @@
-"""Cost of the entry's decisions: processor time and memory of the requests it holds."""
+"""Cost of the entry's decisions: processor time of a request and memory, by number of requests held."""
 
 import asyncio
 import time
@@ -19,7 +19,7 @@
 
 
 class InstantScheduler:
-    """Grants every ask at once, unless told to hold; the link's other end."""
+    """Fake scheduler link that grants every request immediately, or none while ``granting`` is false."""
 
     __slots__ = ("entry", "granting", "loop")
 
@@ -29,7 +29,7 @@
         self.entry = None
 
     def send(self, *, cell, message):
-        """Take one message of the entry."""
+        """Receive one message of the entry."""
         if self.granting and isinstance(message, GrantRequest):
             granted = Granted(
                 request_id=message.request_id,
@@ -43,7 +43,7 @@
 
 
 class InstantCaller:
-    """Runs what it is told at once and reports a whole answer."""
+    """Fake caller's side that reports the events of a completed run immediately."""
 
     __slots__ = ("entry", "loop", "request_id")
 
@@ -53,12 +53,12 @@
         self.request_id = request_id
 
     def post(self, command):
-        """Take one command of the request's task."""
+        """Act on a command of the request's task."""
         if isinstance(command, StartRun):
             self._run(command.run_id)
 
     def cancel_run(self, *, run_id, engine, address):
-        """Nothing is ever cancelled here."""
+        """Do nothing: no run is cancelled here."""
 
     def _run(self, run_id):
         events = [RunBegan(run_id=run_id, first_token_s=0.05, prompt_tokens=500)]
@@ -69,7 +69,7 @@
 
 
 def make_entry(loop, *, kind=LANGUAGE):
-    """Build an entry whose scheduler grants at once, before one service of that kind."""
+    """Build an entry with one service of the given kind and a scheduler that grants immediately."""
     scheduler = InstantScheduler(loop=loop)
     declaration = _declaration(kind)
     entry = Entry(
@@ -115,7 +115,7 @@
 
 
 async def hold(entry, scheduler, loop, held):
-    """Have the entry hold so many waiting requests."""
+    """Submit ``held`` requests that wait in the entry for a grant."""
     scheduler.granting = False
     for number in range(held):
         _submit(entry, loop, f"held-{number}")
@@ -129,7 +129,7 @@
 
 
 def make_request(loop, request_id, *, repeatable=True, deadline_s=3600.0):
-    """Build one request with an hour to its deadline, or less."""
+    """Build one request whose deadline is in ``deadline_s``."""
     return CallerRequest(
         request_id=request_id,
         service="service",
@@ -170,7 +170,7 @@
 
 
 def main():
-    """Print the entry's slopes."""
+    """Print the slopes of the entry."""
     Slope(
         role="entry",
         quantity="processor time of one request's decisions, µs",
--- a/wagtailtrestle/slopes/fleet.py
+++ b/wagtailtrestle/slopes/fleet.py
@@ -1,4 +1,4 @@
-"""Idle fleets of member processes, to see what membership alone costs one daemon."""
+"""Fleets of idle member processes, which measure what membership alone costs one daemon."""
 
 import json
 import os
@@ -13,7 +13,7 @@
 
 
 class Fleet:
-    """So many member processes of one fleet on loopback.
+    """Member processes of one fleet on loopback.
 
     Parameters
     ----------
@@ -27,7 +27,7 @@
         self._processes = []
 
     def start(self):
-        """Start the processes; the first is the others' seed."""
+        """Start the processes; the first is the seed of the others."""
         seed = self._launch("router-0")
         for number in range(1, self._size):
             self._launch(f"router-{number}", f"router-0={seed}")
@@ -40,7 +40,7 @@
             process.stdout.close()
 
     def idle_cost(self):
-        """Mean processor time, ms a second, and resident memory, MB, of one daemon."""
+        """Return the mean processor time (ms a second) and resident memory (MB) of one daemon."""
         time.sleep(SETTLE_S)
         before = [_cpu_s(process) for process in self._processes]
         began = time.monotonic()
@@ -58,7 +58,7 @@
             message = json.loads(line)
             if "address" in message:
                 return message["address"]
-        raise RuntimeError(f"{name} did not start")
+        raise RuntimeError(f"{name} ended before it printed its address")
 
 
 def _cpu_s(process):
@@ -73,7 +73,7 @@
 
 
 def idle_cost(size):
-    """Processor time and memory of one daemon in an idle fleet of ``size``."""
+    """Measure the processor time and memory of one daemon in an idle fleet of ``size``."""
     fleet = Fleet(size=size)
     try:
         fleet.start()
--- a/wagtailtrestle/slopes/ledger.py
+++ b/wagtailtrestle/slopes/ledger.py
@@ -1,4 +1,4 @@
-"""Cost of the ledger: writes and processor time of a claim as claims come faster."""
+"""Cost of the ledger: writes and processor time of a claim by rate, and of a shard write by claims held."""
 
 import asyncio
 import json
@@ -21,7 +21,7 @@
 
 
 class TableStore:
-    """An ``ObjectStore`` over the stand-in's own table, with a fixed latency.
+    """An ``ObjectStore`` on the stand-in's object table, with a fixed latency.
 
     Values pass through JSON in both directions, as they do over HTTP.
     """
@@ -59,7 +59,7 @@
 
 
 def make_ledger(store, shards=SHARDS):
-    """Build the ledger of a lone router, which then owns every shard."""
+    """Build the ledger of a single router, which owns every shard."""
     ledger = Ledger(
         name="router-1",
         incarnation="1",
@@ -82,7 +82,7 @@
 
 
 async def _at_rate(rate):
-    """Writes per claim, and processor time per claim in µs, its recorded answer included."""
+    """Return the writes and the processor time (µs) per claim, its recorded answer included."""
     store = TableStore()
     ledger = make_ledger(store)
     await ledger.start()
@@ -99,7 +99,7 @@
 
 
 async def _with_held(held):
-    """Processor time, µs, and bytes of one write of a shard that holds so many claims."""
+    """Return the processor time (µs) and the length (bytes) of one write of a shard that holds ``held`` claims."""
     store = TableStore()
     ledger = make_ledger(store, shards=1)
     await ledger.start()
@@ -118,7 +118,7 @@
 
 
 def main():
-    """Print the ledger's slopes."""
+    """Print the slopes of the ledger."""
     by_rate = [(rate, asyncio.run(_at_rate(rate))) for rate in RATES]
     _print("writes per claim, its recorded answer included", "claims/s", by_rate, 0)
     _print("processor time of one claim, µs", "claims/s", by_rate, 1)
--- a/wagtailtrestle/slopes/member.py
+++ b/wagtailtrestle/slopes/member.py
@@ -1,7 +1,7 @@
-"""One router's peers and membership as a process; prints its view at each change.
+"""Peers and membership of one router as a process, which prints its view at each change.
 
-Arguments: name, incarnation, own address, then ``name=address`` of seeds. Used by the
-slopes and by tests that need true processes to stop and kill.
+Arguments: name, incarnation, own address, then ``name=address`` of each seed. Used by the
+slopes and by tests that stop and kill real processes.
 """
 
 import asyncio
@@ -17,7 +17,7 @@
 
 
 async def run(name, incarnation, address, *seeds):
-    """Run until killed."""
+    """Run until the process is killed."""
     loop = asyncio.get_running_loop()
     peers = Peers(name=name, incarnation=int(incarnation), listen_address=address, loop=loop)
     membership = Membership(
--- a/wagtailtrestle/slopes/peers.py
+++ b/wagtailtrestle/slopes/peers.py
@@ -1,6 +1,6 @@
-"""Cost of talking to peers: message pairs, heartbeats, links and views.
+"""Cost of the traffic between peers: message pairs, heartbeats, links and views.
 
-Both ends run in this process over loopback, so processor time is that of both together.
+Both ends run in this process over loopback, so processor time is the sum of both ends.
 """
 
 import asyncio
@@ -23,7 +23,7 @@
 BLOCK_COUNTS = (0, 32, 128, 512)
 LINK_COUNTS = (1, 4, 8)
 HELD_LINK_COUNTS = (8, 32, 64)
-# Everybody is everybody's partner up to five; up to nine each has four; beyond, two.
+# Up to five routers all are partners of each other; with six to nine each has four partners; beyond that, two.
 MESH_SIZES = (2, 4, 5)
 SMALL_SIZES = (6, 8, 9)
 RING_SIZES = (10, 14, 18)
@@ -33,12 +33,12 @@
 HEARTBEAT_PAUSE_S = 0.005
 COUNTED_S = 3.0
 SETTLE_S = 0.2
-# An IPv4 and a TCP header with timestamps; each segment is answered by a bare acknowledgement.
+# An IPv4 and a TCP header with timestamps. Counted twice, as each segment is acknowledged by one without payload.
 SEGMENT_HEADER_BYTES = 52
 
 
 async def _start_peers(count, *, relayed=False):
-    """One router and ``count`` others, not yet linked; with relays between if wanted."""
+    """Start one router's peers and ``count`` others without links; ``relayed`` puts a relay before each other."""
     loop = asyncio.get_running_loop()
     hub = Peers(name="hub", incarnation=1, listen_address="127.0.0.1:0", loop=loop)
     await hub.start()
@@ -63,7 +63,7 @@
 
 
 async def _start_linked_peers(count, *, relayed=False):
-    """One router linked to ``count`` others."""
+    """Start one router's peers, linked to ``count`` others."""
     hub, others, relays = await _start_peers(count, relayed=relayed)
     await _link(hub, others)
     return hub, others, relays
@@ -92,7 +92,7 @@
 
 
 async def pair_us(*, in_flight, blocks=32):
-    """Processor time, µs, of a grant asked for and given between two routers, both ends."""
+    """Return the processor time in µs, of both ends, of one grant request and its grant."""
     hub, others, _ = await _start_linked_peers(1)
     done = asyncio.Event()
     request = _request(blocks)
@@ -129,7 +129,7 @@
 
 
 async def heartbeat_us(links):
-    """Processor time, µs, of one heartbeat on its own, both ends, with so many links."""
+    """Return the processor time in µs, of both ends, of one heartbeat in a batch of its own, with ``links`` links."""
     hub, others, _ = await _start_linked_peers(links)
     for each in (hub, *others):
         each.on(Heartbeat, lambda peer, message, cell: None)
@@ -144,7 +144,7 @@
 
 
 async def heartbeat_bytes_per_s(links):
-    """Bytes a second that heartbeats cost one router with so many links: sent, received, headers and all."""
+    """Return the heartbeat bytes a second of one router with ``links`` links, sent and received, headers included."""
     hub, others, relays = await _start_linked_peers(links, relayed=True)
     for each in (hub, *others):
         each.on(Heartbeat, lambda peer, message, cell: None)
@@ -165,7 +165,7 @@
 
 
 async def link_bytes(links):
-    """Memory, bytes, of one end of so many open links: half of what both ends take."""
+    """Return the bytes held by one end of ``links`` open links: half of what both ends hold."""
     hub, others, _ = await _start_peers(links)
     gc.collect()
     tracemalloc.start()
@@ -195,7 +195,7 @@
 
 
 def view_change_ms(members):
-    """Processor time, ms, to rebuild the view, its digests and the partners of one router."""
+    """Return the processor time in ms to rebuild the view, its digests and the partners of one router."""
     table = _table(members)
     began = time.process_time()
     rounds = 20
@@ -209,7 +209,7 @@
 
 
 def table_kb(members):
-    """Memory, KB, of what one router holds about so many."""
+    """Return the memory in KB of one router's member table and view with ``members`` members."""
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
     table = _table(members)
@@ -246,7 +246,7 @@
 
 
 def main():
-    """Print every slope of peers and membership."""
+    """Print the slopes of peers and membership."""
     asyncio.run(_measure_streams())
     _measure_fleets(MESH_SIZES, "full mesh")
     _measure_fleets(SMALL_SIZES, "four partners each")
--- a/wagtailtrestle/slopes/scheduler.py
+++ b/wagtailtrestle/slopes/scheduler.py
@@ -1,4 +1,4 @@
-"""Cost of the scheduler: processor time of one request's messages, memory of what it holds."""
+"""Cost of the scheduler: processor time of a request's messages and of a tick, and memory of waiting requests."""
 
 import time
 import tracemalloc
@@ -17,7 +17,7 @@
 
 
 class ManualClock:
-    """A clock that moves only when told."""
+    """Clock whose time is set by the caller."""
 
     __slots__ = ("now",)
 
@@ -25,12 +25,12 @@
         self.now = 100.0
 
     def __call__(self):
-        """Seconds."""
+        """Return the time in seconds."""
         return self.now
 
 
 class Inbox:
-    """Collects what a scheduler sends."""
+    """Collects the messages that a scheduler sends."""
 
     __slots__ = ("messages",)
 
@@ -38,7 +38,7 @@
         self.messages = []
 
     def send(self, *, entry, message):
-        """Take one message."""
+        """Append one message."""
         self.messages.append(message)
         return True
 
@@ -57,7 +57,7 @@
 
 
 def make_request(number, *, tier=1, repeatable=False, remaining_s=3600.0):
-    """Build one ask for a place, with a prefix of eight blocks."""
+    """Build one request for a grant, with a prefix of eight blocks."""
     return GrantRequest(
         request_id=f"{ENTRY}-{number}",
         attempt=1,
@@ -75,7 +75,7 @@
 
 
 def cycle_us(*, engines, waiting=0):
-    """Processor time, µs, of one whole request: ask, grant, start, progress, end."""
+    """Return the processor time in µs of one request from grant request to end of run, with progress messages."""
     scheduler, clock, inbox = make_scheduler(engines=engines)
     if waiting:
         _fill(scheduler, engines, waiting)
@@ -89,7 +89,7 @@
 
 
 def memory_bytes(waiting):
-    """Bytes a scheduler holds for so many waiting requests."""
+    """Return the bytes that a scheduler holds for ``waiting`` waiting requests."""
     scheduler, _, _ = make_scheduler(engines=2)
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
@@ -100,7 +100,7 @@
 
 
 def tick_us(waiting):
-    """Processor time, µs, of one tick with so many waiting requests."""
+    """Return the processor time in µs of one tick with ``waiting`` waiting requests."""
     scheduler, clock, _ = make_scheduler(engines=4)
     _fill(scheduler, 4, waiting)
     began = time.process_time()
@@ -111,7 +111,7 @@
 
 
 def _fill(scheduler, engines, waiting):
-    # Every place is taken by runs that may not be cancelled, so the rest waits.
+    # Runs that may not be cancelled occupy every slot, so the other requests wait.
     for number in range(engines * 16 + waiting):
         scheduler.receive(make_request(number, tier=1 if number < engines * 16 else 3))
 
@@ -153,7 +153,7 @@
 
 
 def main():
-    """Print the scheduler's slopes."""
+    """Print the slopes of the scheduler."""
     Slope(
         role="scheduler",
         quantity="processor time of one request's messages, µs",
--- a/wagtailtrestle/slopes/slope.py
+++ b/wagtailtrestle/slopes/slope.py
@@ -1,4 +1,4 @@
-"""Points measured at several sizes, and the straight line through them."""
+"""One quantity measured at several sizes, with a least-squares line through the points."""
 
 import json
 
@@ -9,11 +9,11 @@
     Parameters
     ----------
     role : str
-        Row group of docs/CAPACITY.md.
+        Role in docs/CAPACITY.md that the figure belongs to.
     quantity : str
         What was measured, with its unit.
     against : str
-        What the sizes count.
+        Quantity that the sizes count.
     points : sequence of (float, float)
         Size and value.
     """
@@ -27,7 +27,7 @@
         self.points = tuple(points)
 
     def fit(self):
-        """Least-squares slope and value at size 0."""
+        """Return the least-squares slope and the fitted value at size 0."""
         count = len(self.points)
         mean_x = sum(x for x, _ in self.points) / count
         mean_y = sum(y for _, y in self.points) / count
@@ -36,7 +36,7 @@
         return slope, mean_y - slope * mean_x
 
     def print(self):
-        """Print one JSON line."""
+        """Print the points and the fit as one JSON line."""
         slope, at_zero = self.fit()
         print(
             json.dumps(
--- a/wagtailtrestle/slopes/streams.py
+++ b/wagtailtrestle/slopes/streams.py
@@ -1,8 +1,8 @@
-"""Cost of one token in a router by the number of streams at a time.
+"""Cost of one token in a router by the number of concurrent streams.
 
-The engine's step grows with the number of streams, so that the tokens a second stay the
-same. Each point is the difference between long and short answers: what a request costs
-once, and the idle process, fall out.
+The engine's step grows with the number of streams, so the tokens a second stay the same. Each point is
+the difference between long and short answers, which cancels the fixed cost of a request; the cost of the
+idle process is subtracted.
 """
 
 import tempfile
@@ -27,7 +27,7 @@
 
 
 class LoadUsage:
-    """Processor time, time taken and tokens of one load."""
+    """Processor time, elapsed time and tokens of one load."""
 
     __slots__ = ("processor_s", "elapsed_s", "tokens")
 
@@ -38,7 +38,7 @@
 
 
 def token_us(streams):
-    """Processor time, µs, that a router takes for one token with so many streams at a time."""
+    """Return the processor time in µs that a router uses for one token at this number of concurrent streams."""
     with tempfile.TemporaryDirectory(prefix="wagtailtrestle-slopes-") as directory:
         deployment = _deployment(directory, streams)
         try:
@@ -67,7 +67,7 @@
     began, before = time.monotonic(), usage_of(pid)
     results = run_load(urls=deployment.callers_urls(), plan=_plan(streams, tokens))
     if not all(result.whole for result in results):
-        raise RuntimeError("the router did not serve everything; the slope would mean nothing")
+        raise RuntimeError("the router did not answer every request completely, so the slope is not valid")
     return LoadUsage(
         processor_s=usage_of(pid).processor_s - before.processor_s,
         elapsed_s=time.monotonic() - began,
@@ -111,7 +111,7 @@
 
 
 def main():
-    """Print the cost of a token."""
+    """Print the slope of the cost of a token."""
     Slope(
         role="entry",
         quantity=f"router's processor time for one token, us, at {TOKENS_PER_S} tokens/s together",
