--- a/wagtailtrestle/measure/fake_caller.py
+++ b/wagtailtrestle/measure/fake_caller.py
@@ -74,7 +74,7 @@
         if self._carried is not None:
             self._carried.drop()
 
-    def tell(self, event):
+    def send_event(self, event):
         """Give an event to the entry, over the network."""
         self._loop.call_later(NETWORK_S, self._post_event, self.request_id, event)
 
@@ -143,7 +143,7 @@
         self._first_token_s = now - self._began_at
         self._token_at = now
         self._caller.received_tokens = run.batch_run.last_index
-        self._caller.tell(RunBegan(run_id=self._command.run_id, first_token_s=self._first_token_s))
+        self._caller.send_event(RunBegan(run_id=self._command.run_id, first_token_s=self._first_token_s))
 
     def on_finished(self, run):
         """The whole answer came."""
@@ -162,7 +162,7 @@
         if self._ended:
             return
         self._ended = True
-        self._caller.tell(
+        self._caller.send_event(
             RunEnded(
                 run_id=self._command.run_id,
                 outcome=outcome,
@@ -184,7 +184,9 @@
         if self._run.token_at > self._token_at:
             self._token_at = self._run.token_at
             self._caller.received_tokens = self._run.batch_run.last_index
-            self._caller.tell(RunAdvanced(run_id=self._command.run_id, output_tokens=self._run.batch_run.last_index))
+            self._caller.send_event(
+                RunAdvanced(run_id=self._command.run_id, output_tokens=self._run.batch_run.last_index)
+            )
         command = self._command
         limit_s = command.progress_deadline_s if self._first_token_s else command.first_token_deadline_s
         if now - self._token_at > limit_s or now - self._began_at > command.overall_s + PROGRESS_S:
