--- a/wagtailtrestle/measure/baseline_routers.py
+++ b/wagtailtrestle/measure/baseline_routers.py
@@ -202,7 +202,7 @@
         """End a router's process: its requests are lost."""
         self._entry_by_name.pop(router).close()
         for caller in self._callers_by_router.pop(router):
-            caller.die()
+            caller.disconnect()
 
     def _report(self):
         for view in self._views:
--- a/wagtailtrestle/measure/cluster.py
+++ b/wagtailtrestle/measure/cluster.py
@@ -73,7 +73,7 @@
         """End a router's process: its requests are lost, and its scheduler if it had one."""
         entry = self._entry_by_name.pop(router)
         for caller in self._callers_by_router.pop(router).values():
-            caller.die()
+            caller.disconnect()
         self._loop.create_task(entry.close())
         if router == self._host:
             self._scheduler.stop_granting()
--- a/wagtailtrestle/measure/fake_caller.py
+++ b/wagtailtrestle/measure/fake_caller.py
@@ -68,7 +68,7 @@
         """Ask the engine to cancel; ``RunEnded`` follows."""
         self._loop.call_later(NETWORK_S, self._cancel, run_id, engine)
 
-    def die(self):
+    def disconnect(self):
         """The router that carried this request is gone, and its connections with it."""
         self.lost = not self.settled
         if self._carried is not None:
