--- a/wagtailtrestle/measure/fake_caller.py
+++ b/wagtailtrestle/measure/fake_caller.py
@@ -56,7 +56,9 @@
         """Act on a command of the request's task."""
         match command:
             case StartRun():
-                self._carried = CarriedRun(caller=self, command=command, engine=self._engines_by_name[command.engine])
+                self._carried = RunConnection(
+                    caller=self, command=command, engine=self._engines_by_name[command.engine]
+                )
                 self._loop.call_later(NETWORK_S, self._carried.send)
             case AnswerWhole():
                 self.answered_at = self._loop.time()
@@ -91,7 +93,7 @@
             self._carried.end(RunCancelled(output_tokens=self.received_tokens))
 
 
-class CarriedRun:
+class RunConnection:
     """One run followed over one connection, with its limits on silence.
 
     Parameters
