--- a/wagtailtrestle/measure/fake_caller.py
+++ b/wagtailtrestle/measure/fake_caller.py
@@ -31,7 +31,7 @@
         "_engines_by_name",
         "_loop",
         "_post_event",
-        "_carried",
+        "_connection",
     )
 
     def __init__(self, *, arrival, request_id, engines_by_name, loop, post_event):
@@ -45,7 +45,7 @@
         self._engines_by_name = engines_by_name
         self._loop = loop
         self._post_event = post_event
-        self._carried = None
+        self._connection = None
 
     @property
     def settled(self):
@@ -56,10 +56,10 @@
         """Act on a command of the request's task."""
         match command:
             case StartRun():
-                self._carried = RunConnection(
+                self._connection = RunConnection(
                     caller=self, command=command, engine=self._engines_by_name[command.engine]
                 )
-                self._loop.call_later(NETWORK_S, self._carried.send)
+                self._loop.call_later(NETWORK_S, self._connection.send)
             case AnswerWhole():
                 self.answered_at = self._loop.time()
             case AnswerRefusal(refusal=refusal):
@@ -73,8 +73,8 @@
     def disconnect(self):
         """The router that carried this request is gone, and its connections with it."""
         self.lost = not self.settled
-        if self._carried is not None:
-            self._carried.drop()
+        if self._connection is not None:
+            self._connection.drop()
 
     def send_event(self, event):
         """Give an event to the entry, over the network."""
@@ -90,7 +90,7 @@
 
     def _cancel(self, run_id, engine):
         if self._engines_by_name[engine].cancel(run_id):
-            self._carried.end(RunCancelled(output_tokens=self.received_tokens))
+            self._connection.end(RunCancelled(output_tokens=self.received_tokens))
 
 
 class RunConnection:
