--- a/wagtailtrestle/measure/platform_store.py
+++ b/wagtailtrestle/measure/platform_store.py
@@ -43,12 +43,12 @@
     async def create(self, *, kind, name, value):
         """Create an object."""
         self.writes += 1
-        return await self._answer(lambda: self._table.create(kind=kind, name=name, value=_carried(value)))
+        return await self._answer(lambda: self._table.create(kind=kind, name=name, value=_json_round_trip(value)))
 
     async def update(self, *, kind, name, value, if_version):
         """Replace an object at a version."""
         self.writes += 1
-        write = dict(kind=kind, name=name, value=_carried(value), if_version=if_version)
+        write = dict(kind=kind, name=name, value=_json_round_trip(value), if_version=if_version)
         return await self._answer(lambda: self._table.update(**write))
 
     async def _answer(self, call):
@@ -103,5 +103,5 @@
     return zlib.crc32(request_id.encode()) % 100 < KEYED_PERCENT
 
 
-def _carried(value):
+def _json_round_trip(value):
     return json.loads(json.dumps(value))
