--- a/wagtailtrestle/measure/fake_caller.py
+++ b/wagtailtrestle/measure/fake_caller.py
@@ -135,7 +135,7 @@
                 resume_tokens=self._caller.received_tokens,
                 follower=self,
             )
-        self._caller.call_later(PROGRESS_S, self._watch)
+        self._caller.call_later(PROGRESS_S, self._check_progress)
 
     def on_token(self, run):
         """The first token came (or the first after attaching)."""
@@ -179,7 +179,7 @@
             self._engine.detach(self._command.run_id)
         self._ended = True
 
-    def _watch(self):
+    def _check_progress(self):
         if self._ended:
             return
         now = self._caller.now()
@@ -195,4 +195,4 @@
             self._engine.detach(command.run_id)
             self.end(RunSilent(output_tokens=self._caller.received_tokens, reached=self._first_token_s > 0.0))
             return
-        self._caller.call_later(PROGRESS_S, self._watch)
+        self._caller.call_later(PROGRESS_S, self._check_progress)
