--- a/wagtailtrestle/measure/cluster.py
+++ b/wagtailtrestle/measure/cluster.py
@@ -78,7 +78,7 @@
         if router == self._host:
             self._scheduler.stop_granting()
             self._scheduler = None
-        self._loop.call_later(DETECTION_S, self._note_death, router)
+        self._loop.call_later(DETECTION_S, self._on_death_detected, router)
 
     def _send_to_scheduler(self, router, message):
         delay_s = 0.0 if router == self._host else NETWORK_S
@@ -100,7 +100,7 @@
         if entry is not None:
             entry.on_scheduler_message(message)
 
-    def _note_death(self, router):
+    def _on_death_detected(self, router):
         if router == self._host:
             self._host = next(iter(self._entry_by_name))
             self._scheduler = self._new_scheduler()
