--- a/wagtailtrestle/measure/cluster.py
+++ b/wagtailtrestle/measure/cluster.py
@@ -92,10 +92,10 @@
         if entry_name not in self._entry_by_name:
             return False
         delay_s = 0.0 if entry_name == self._host else NETWORK_S
-        self._loop.call_later(delay_s, self._give, entry_name, message)
+        self._loop.call_later(delay_s, self._deliver, entry_name, message)
         return True
 
-    def _give(self, entry_name, message):
+    def _deliver(self, entry_name, message):
         entry = self._entry_by_name.get(entry_name)
         if entry is not None:
             entry.on_scheduler_message(message)
