--- a/wagtailtrestle/measure/baseline_routers.py
+++ b/wagtailtrestle/measure/baseline_routers.py
@@ -207,10 +207,10 @@
     def _report(self):
         for view in self._views:
             load = self._engines_by_name[view.name].load()
-            self._loop.call_later(REPORT_LAG_S, self._take_report, view, load.running + load.waiting)
+            self._loop.call_later(REPORT_LAG_S, self._apply_report, view, load.running + load.waiting)
         self._loop.call_later(REPORT_EVERY_S, self._report)
 
-    def _take_report(self, view, running):
+    def _apply_report(self, view, running):
         view.reported_running = running
 
 
--- a/wagtailtrestle/measure/cluster.py
+++ b/wagtailtrestle/measure/cluster.py
@@ -155,10 +155,10 @@
                 step_s=load.step_s,
                 leaving=False,
             )
-            self._loop.call_later(REPORT_LAG_S, self._take_report, report)
+            self._loop.call_later(REPORT_LAG_S, self._apply_report, report)
         self._loop.call_later(REPORT_EVERY_S, self._report)
 
-    def _take_report(self, report):
+    def _apply_report(self, report):
         if self._scheduler is not None:
             self._scheduler.on_load_report(report)
 
