--- a/wagtailtrestle/measure/baseline_routers.py
+++ b/wagtailtrestle/measure/baseline_routers.py
@@ -113,7 +113,7 @@
 
     def _dispatch(self, held):
         held.runs += 1
-        chosen = self._policy.choose(request=self._ask(held), engines=self._views, now=self._loop.time())
+        chosen = self._policy.choose(request=self._grant_request(held), engines=self._views, now=self._loop.time())
         held.engine = (chosen or self._views[0]).name
         held.caller.post(
             StartRun(
@@ -126,7 +126,7 @@
             )
         )
 
-    def _ask(self, held):
+    def _grant_request(self, held):
         request = held.request
         return GrantRequest(
             request_id=request.request_id,
