--- a/wagtailtrestle/measure/platform_store.py
+++ b/wagtailtrestle/measure/platform_store.py
@@ -84,14 +84,14 @@
             incarnation="1",
             store=store,
             owner_of=lambda shard: self._rendezvous.ranked(key=shard, members=routers)[0],
-            ask=self._ask,
+            ask=self._query,
             shards=lambda: declared.ledger_shards,
             retention_s=lambda: declared.ledger_retention_s,
             live_routers=lambda: len(routers),
             wall_clock=loop.time,
         )
 
-    async def _ask(self, peer, message, timeout_s):
+    async def _query(self, peer, message, timeout_s):
         await asyncio.sleep(NETWORK_S)
         answer = await self.ledger_by_router[peer].handle(message)
         await asyncio.sleep(NETWORK_S)
