--- a/wagtailtrestle/measure/cluster.py
+++ b/wagtailtrestle/measure/cluster.py
@@ -7,7 +7,7 @@
 from wagtailtrestle.entry.entry import Entry
 from wagtailtrestle.entry.poison import CrashDetector, CrashTable
 from wagtailtrestle.measure.fake_caller import NETWORK_S, FakeCaller
-from wagtailtrestle.measure.run_parts import SentBy, SentTo
+from wagtailtrestle.measure.run_parts import CallbackSchedulerLink, SentTo
 
 TICK_S = 0.05
 REPORT_EVERY_S = 0.1
@@ -118,7 +118,7 @@
         )
         return Entry(
             name=name,
-            schedulers=SentBy(router=name, send=self._send_to_scheduler),
+            schedulers=CallbackSchedulerLink(router=name, send=self._send_to_scheduler),
             claims=self._claims_by_router.get(name),
             crashes=crashes,
             declaration=lambda: self._setting.declaration,
--- a/wagtailtrestle/measure/run_parts.py
+++ b/wagtailtrestle/measure/run_parts.py
@@ -25,7 +25,7 @@
         self.cell = self.declared_engines[0].cell
 
 
-class SentBy:
+class CallbackSchedulerLink:
     """One entry's ``SchedulerLink``.
 
     Parameters
