--- a/wagtailtrestle/measure/cluster.py
+++ b/wagtailtrestle/measure/cluster.py
@@ -7,7 +7,7 @@
 from wagtailtrestle.entry.entry import Entry
 from wagtailtrestle.entry.poison import CrashDetector, CrashTable
 from wagtailtrestle.measure.fake_caller import NETWORK_S, FakeCaller
-from wagtailtrestle.measure.run_parts import CallbackSchedulerLink, SentTo
+from wagtailtrestle.measure.run_parts import CallbackEntryLink, CallbackSchedulerLink
 
 TICK_S = 0.05
 REPORT_EVERY_S = 0.1
@@ -131,7 +131,7 @@
             cell=setting.cell,
             policy=self._make_policy(),
             clock=self._loop.time,
-            entries=SentTo(send=self._send_to_entry),
+            entries=CallbackEntryLink(send=self._send_to_entry),
             prefill_weight=setting.prefill_weight,
         )
         scheduler.set_members(frozenset(self._entry_by_name))
--- a/wagtailtrestle/measure/run_parts.py
+++ b/wagtailtrestle/measure/run_parts.py
@@ -47,7 +47,7 @@
         return True
 
 
-class SentTo:
+class CallbackEntryLink:
     """The scheduler's ``EntryLink``.
 
     Parameters
