--- a/wagtailtrestle/measure/one_run.py
+++ b/wagtailtrestle/measure/one_run.py
@@ -105,7 +105,7 @@
         }
         routers = self._routers(engines_by_name, loop, await self._claims_by_router(loop))
         routers.start()
-        loop.call_later(spec.duration_s * FAULT_AT, self._break, routers, engines_by_name)
+        loop.call_later(spec.duration_s * FAULT_AT, self._inject_fault, routers, engines_by_name)
         await self._arrive(routers, loop)
         await asyncio.sleep(DRAIN_S)
         return self._figures(engines_by_name)
@@ -167,7 +167,7 @@
         teams = self.setting.declaration.teams_by_name
         return Drawing(service=self.setting.service, teams_by_name=teams, seed=seed)
 
-    def _break(self, routers, engines_by_name):
+    def _inject_fault(self, routers, engines_by_name):
         match self._spec.scenario:
             case "straggler":
                 engines_by_name[self.setting.declared_engines[0].name].straggle(STRAGGLE_FACTOR)
