--- a/wagtailtrestle/measure/one_run.py
+++ b/wagtailtrestle/measure/one_run.py
@@ -106,7 +106,7 @@
         routers = self._routers(engines_by_name, loop, await self._claims_by_router(loop))
         routers.start()
         loop.call_later(spec.duration_s * FAULT_AT, self._inject_fault, routers, engines_by_name)
-        await self._arrive(routers, loop)
+        await self._submit_arrivals(routers, loop)
         await asyncio.sleep(DRAIN_S)
         return self._figures(engines_by_name)
 
@@ -137,7 +137,7 @@
         parts = dict(setting=self.setting, engines_by_name=engines_by_name, make_policy=make_policy, loop=loop)
         return SchedulerRouters(**parts, claims_by_router=claims_by_router) if scheduler else BaselineRouters(**parts)
 
-    async def _arrive(self, routers, loop):
+    async def _submit_arrivals(self, routers, loop):
         spec = self._spec
         pick = random.Random(f"balancer {spec.seed}")
         for arrival in self.arrivals():
