--- a/wagtailtrestle/measure/one_run.py
+++ b/wagtailtrestle/measure/one_run.py
@@ -20,7 +20,7 @@
 from wagtailtrestle.record import record
 
 ROUTERS = ("r1", "r2", "r3", "r4")
-WARM_S = 10.0
+WARM_UP_S = 10.0
 STRAGGLE_FACTOR = 5.0
 FAULT_AT = 1.0 / 3.0
 DRAIN_S = 60.0
@@ -82,7 +82,7 @@
         By engine; may be replaced before the run.
     """
 
-    def __init__(self, *, spec, declaration=None, routers=ROUTERS, warm_s=WARM_S):
+    def __init__(self, *, spec, declaration=None, routers=ROUTERS, warm_s=WARM_UP_S):
         self._spec = spec
         self._warm_s = warm_s
         declaration = declaration or load_declaration(spec.service)
--- a/wagtailtrestle/measure/real_processes.py
+++ b/wagtailtrestle/measure/real_processes.py
@@ -31,7 +31,7 @@
 ROUTERS = ("router-1", "router-2")
 SEED = 1
 DURATION_S = 24.0
-WARM_S = 6.0
+WARM_UP_S = 6.0
 LONGEST_DEADLINE_S = 20.0
 STEP_GROWTH = 1.0 / 40.0
 """Growth of the stand-in's step with each run, as the local deployment sets it."""
@@ -49,7 +49,7 @@
     """
 
     def __init__(self, *, spec, declaration):
-        super().__init__(spec=spec, declaration=declaration, routers=ROUTERS, warm_s=WARM_S)
+        super().__init__(spec=spec, declaration=declaration, routers=ROUTERS, warm_s=WARM_UP_S)
         self.speed_by_name = {engine.name: _speed(engine) for engine in self.setting.declared_engines}
 
     def arrivals(self):
@@ -116,13 +116,13 @@
     asked, in_time, done_s = {}, {}, 0.0
     for arrival, result in zip(arrivals, results, strict=True):
         tier = routes[arrival.kind.route].tier
-        if result.in_deadline() and WARM_S <= arrival.at_s + result.total_s < DURATION_S:
+        if result.in_deadline() and WARM_UP_S <= arrival.at_s + result.total_s < DURATION_S:
             done_s += fleet_cost_s(run.speed_by_name, arrival)
-        if arrival.at_s >= WARM_S:
+        if arrival.at_s >= WARM_UP_S:
             asked[tier] = asked.get(tier, 0) + 1
             in_time[tier] = in_time.get(tier, 0) + result.in_deadline()
     return {
-        "goodput_of_fleet": done_s / (DURATION_S - WARM_S),
+        "goodput_of_fleet": done_s / (DURATION_S - WARM_UP_S),
         "bound": bound,
         "wasted_prefill": truth.wasted_share(),
         "by_tier": {tier: {"asked": asked[tier], "in_time": in_time[tier]} for tier in asked},
