--- a/wagtailtrestle/measure/one_run.py
+++ b/wagtailtrestle/measure/one_run.py
@@ -82,9 +82,9 @@
         By engine; may be replaced before the run.
     """
 
-    def __init__(self, *, spec, declaration=None, routers=ROUTERS, warm_s=WARM_UP_S):
+    def __init__(self, *, spec, declaration=None, routers=ROUTERS, warm_up_s=WARM_UP_S):
         self._spec = spec
-        self._warm_s = warm_s
+        self._warm_s = warm_up_s
         declaration = declaration or load_declaration(spec.service)
         service = declaration.services_by_name[spec.service]
         weight = service.prefill_weight if spec.prefill_weight < 0 else spec.prefill_weight
--- a/wagtailtrestle/measure/real_processes.py
+++ b/wagtailtrestle/measure/real_processes.py
@@ -49,7 +49,7 @@
     """
 
     def __init__(self, *, spec, declaration):
-        super().__init__(spec=spec, declaration=declaration, routers=ROUTERS, warm_s=WARM_UP_S)
+        super().__init__(spec=spec, declaration=declaration, routers=ROUTERS, warm_up_s=WARM_UP_S)
         self.speed_by_name = {engine.name: _speed(engine) for engine in self.setting.declared_engines}
 
     def arrivals(self):
