--- a/wagtailtrestle/measure/one_run.py
+++ b/wagtailtrestle/measure/one_run.py
@@ -84,7 +84,7 @@
 
     def __init__(self, *, spec, declaration=None, routers=ROUTERS, warm_up_s=WARM_UP_S):
         self._spec = spec
-        self._warm_s = warm_up_s
+        self._warm_up_s = warm_up_s
         declaration = declaration or load_declaration(spec.service)
         service = declaration.services_by_name[spec.service]
         weight = service.prefill_weight if spec.prefill_weight < 0 else spec.prefill_weight
@@ -187,7 +187,7 @@
             tier_names={tier.rank: tier.name for tier in declaration.tiers_by_name.values()},
             tier_of=self._tier_of,
             repeatable_of={route.name: route.repeatable for route in routes},
-            window=(self._warm_s, spec.duration_s),
+            window=(self._warm_up_s, spec.duration_s),
         )
         figures["requests"] = len(self._callers)
         figures["writes"] = self._store.writes
@@ -208,7 +208,7 @@
             STRAGGLE_FACTOR,
             lambda speed: self._drawing(MEAN_SEED).mean(speed.cost_s),
         )
-        slow_share = (spec.duration_s * (1.0 - FAULT_AT)) / (spec.duration_s - self._warm_s)
+        slow_share = (spec.duration_s * (1.0 - FAULT_AT)) / (spec.duration_s - self._warm_up_s)
         return 1.0 - min(1.0, slow_share) * (1.0 - left)
 
 
