--- a/wagtailtrestle/measure/one_run.py
+++ b/wagtailtrestle/measure/one_run.py
@@ -94,7 +94,7 @@
             route.name: declaration.tiers_by_name[route.tier].rank for route in service.routes_by_name.values()
         }
         self._callers = []
-        self._store = MeasuredStore(out=spec.scenario == PLATFORM_OUT)
+        self._store = MeasuredStore(is_unavailable=spec.scenario == PLATFORM_OUT)
 
     async def run(self):
         """Drive the run to its end."""
--- a/wagtailtrestle/measure/platform_store.py
+++ b/wagtailtrestle/measure/platform_store.py
@@ -31,9 +31,9 @@
 
     __slots__ = ("writes", "_out", "_table")
 
-    def __init__(self, *, out):
+    def __init__(self, *, is_unavailable):
         self.writes = 0
-        self._out = out
+        self._out = is_unavailable
         self._table = ObjectTable()
 
     async def get(self, *, kind, name, unless_version=None):
