--- a/wagtailtrestle/measure/platform_store.py
+++ b/wagtailtrestle/measure/platform_store.py
@@ -29,11 +29,11 @@
         Calls that write, refused ones included.
     """
 
-    __slots__ = ("writes", "_out", "_table")
+    __slots__ = ("writes", "_is_unavailable", "_table")
 
     def __init__(self, *, is_unavailable):
         self.writes = 0
-        self._out = is_unavailable
+        self._is_unavailable = is_unavailable
         self._table = ObjectTable()
 
     async def get(self, *, kind, name, unless_version=None):
@@ -53,7 +53,7 @@
 
     async def _answer(self, call):
         await asyncio.sleep(STORE_LATENCY_S)
-        return StoreUnavailable(detail="the platform is out") if self._out else call()
+        return StoreUnavailable(detail="the platform is out") if self._is_unavailable else call()
 
 
 class MeasuredLedgers:
