--- a/wagtailtrestle/measure/fleet.py
+++ b/wagtailtrestle/measure/fleet.py
@@ -39,13 +39,13 @@
     draw = random.Random(f"speeds {seed}")
     speed_by_name = {}
     for engine in declared_engines:
-        slower = 1.0 / draw.uniform(MIN_SPEED, MAX_SPEED)
-        step_s = engine.step_ms / 1000.0 * slower
+        slowdown = 1.0 / draw.uniform(MIN_SPEED, MAX_SPEED)
+        step_s = engine.step_ms / 1000.0 * slowdown
         speed_by_name[engine.name] = TrueSpeed(
             slots=engine.slots,
             base_step_s=step_s * (1.0 - STEP_GROWTH),
             per_run_step_s=step_s * STEP_GROWTH,
-            prefill_tokens_per_s=engine.prefill_tokens_per_s / slower,
+            prefill_tokens_per_s=engine.prefill_tokens_per_s / slowdown,
         )
     return speed_by_name
 
