--- a/wagtailtrestle/measure/fleet.py
+++ b/wagtailtrestle/measure/fleet.py
@@ -55,7 +55,7 @@
     return 1.0 / sum(1.0 / speed.cost_s(arrival) for speed in speed_by_name.values())
 
 
-def capacity_left(speed_by_name, name, factor, cost_of):
+def remaining_capacity(speed_by_name, name, factor, cost_of):
     """Share of the fleet's capacity left while one engine is ``factor`` times slower.
 
     ``cost_of`` maps an engine's speed to the mean seconds that a request costs it.
--- a/wagtailtrestle/measure/one_run.py
+++ b/wagtailtrestle/measure/one_run.py
@@ -12,7 +12,7 @@
 from wagtailtrestle.measure.baseline_routers import BaselineRouters
 from wagtailtrestle.measure.cluster import SchedulerRouters, caller_request
 from wagtailtrestle.measure.fake_engine import FakeEngine
-from wagtailtrestle.measure.fleet import capacity_left, fleet_cost_s, true_speeds
+from wagtailtrestle.measure.fleet import fleet_cost_s, remaining_capacity, true_speeds
 from wagtailtrestle.measure.platform_store import MeasuredLedgers, MeasuredStore, is_keyed
 from wagtailtrestle.measure.run_parts import RunSetting
 from wagtailtrestle.measure.tally import tally, tally_keyed
@@ -202,7 +202,7 @@
         spec = self._spec
         if spec.scenario != STRAGGLER:
             return 1.0
-        left = capacity_left(
+        left = remaining_capacity(
             self.speed_by_name,
             self.setting.declared_engines[0].name,
             STRAGGLE_FACTOR,
