--- a/wagtailtrestle/measure/plan_of_runs.py
+++ b/wagtailtrestle/measure/plan_of_runs.py
@@ -36,7 +36,7 @@
                 specs += [_spec(service, policy, load, fault, seed) for load in FAULT_LOADS for fault in faults]
             specs += [_spec(service, policy, 2.5, NO_FAULT, seed) for policy in ABLATIONS]
             specs += [_spec(service, OURS, load, NO_FAULT, seed, weight) for load in WEIGHT_LOADS for weight in WEIGHTS]
-    return _dearest_first(specs)
+    return _longest_first(specs)
 
 
 def quick_plan():
@@ -48,7 +48,7 @@
         for policy in policies
         for load in (1.0, 2.5)
     ]
-    return _dearest_first(specs)
+    return _longest_first(specs)
 
 
 def _spec(service, policy, load, scenario, seed, prefill_weight=-1.0, duration_s=DURATION_S):
@@ -63,6 +63,6 @@
     )
 
 
-def _dearest_first(specs):
+def _longest_first(specs):
     """Longest runs first, so that no worker is left alone with one at the end."""
     return sorted(specs, key=lambda spec: (spec.policy in BASELINES, -spec.load))
