--- a/wagtailtrestle/measure/report.py
+++ b/wagtailtrestle/measure/report.py
@@ -11,13 +11,13 @@
 class Row:
     """Means of the runs of one group."""
 
-    __slots__ = ("key", "goodput", "least_goodput", "wasted", "most_wasted", "in_time_by_tier", "duplicates", "lies")
+    __slots__ = ("key", "goodput", "min_goodput", "wasted", "most_wasted", "in_time_by_tier", "duplicates", "lies")
 
     def __init__(self, *, key, results):
         self.key = key
         bounded = [result["goodput_of_fleet"] / result["bound"] for result in results]
         self.goodput = sum(bounded) / len(bounded)
-        self.least_goodput = min(bounded)
+        self.min_goodput = min(bounded)
         self.wasted = sum(result["wasted_prefill"] for result in results) / len(results)
         self.most_wasted = max(result["wasted_prefill"] for result in results)
         self.duplicates = sum(result["duplicates"] for result in results)
@@ -44,7 +44,7 @@
         name = policy if weight < 0 else f"{policy}, prefill_weight {weight}"
         tiers = ", ".join(f"{tier} {share:.1%}" for tier, share in row.in_time_by_tier.items())
         lines.append(
-            f"| {service} | {scenario} | {load} | {name} | {row.goodput:.3f} ({row.least_goodput:.3f}) "
+            f"| {service} | {scenario} | {load} | {name} | {row.goodput:.3f} ({row.min_goodput:.3f}) "
             f"| {row.wasted:.2%} ({row.most_wasted:.2%}) | {tiers} |"
         )
     return "\n".join(lines)
