--- a/wagtailtrestle/measure/report.py
+++ b/wagtailtrestle/measure/report.py
@@ -11,7 +11,7 @@
 class Row:
     """Means of the runs of one group."""
 
-    __slots__ = ("key", "goodput", "min_goodput", "wasted", "most_wasted", "in_time_by_tier", "duplicates", "lies")
+    __slots__ = ("key", "goodput", "min_goodput", "wasted", "max_wasted", "in_time_by_tier", "duplicates", "lies")
 
     def __init__(self, *, key, results):
         self.key = key
@@ -19,7 +19,7 @@
         self.goodput = sum(bounded) / len(bounded)
         self.min_goodput = min(bounded)
         self.wasted = sum(result["wasted_prefill"] for result in results) / len(results)
-        self.most_wasted = max(result["wasted_prefill"] for result in results)
+        self.max_wasted = max(result["wasted_prefill"] for result in results)
         self.duplicates = sum(result["duplicates"] for result in results)
         self.lies = sum(result["lies"] for result in results)
         self.in_time_by_tier = _in_time(results)
@@ -45,7 +45,7 @@
         tiers = ", ".join(f"{tier} {share:.1%}" for tier, share in row.in_time_by_tier.items())
         lines.append(
             f"| {service} | {scenario} | {load} | {name} | {row.goodput:.3f} ({row.min_goodput:.3f}) "
-            f"| {row.wasted:.2%} ({row.most_wasted:.2%}) | {tiers} |"
+            f"| {row.wasted:.2%} ({row.max_wasted:.2%}) | {tiers} |"
         )
     return "\n".join(lines)
 
