--- a/wagtailtrestle/measure/workload.py
+++ b/wagtailtrestle/measure/workload.py
@@ -45,7 +45,7 @@
         "share",
         "prompt_median",
         "prompt_sigma",
-        "prompt_most",
+        "prompt_max",
         "output_median",
         "output_sigma",
         "output_most",
@@ -57,7 +57,7 @@
     def __init__(self, *, route, share, prompt, output, deadline_s, shared_tokens, follow_up_share=0.0):
         self.route = route
         self.share = share
-        self.prompt_median, self.prompt_sigma, self.prompt_most = prompt
+        self.prompt_median, self.prompt_sigma, self.prompt_max = prompt
         self.output_median, self.output_sigma, self.output_most = output
         self.deadline_s = deadline_s
         self.shared_tokens = shared_tokens
@@ -246,7 +246,7 @@
             extra = FOLLOW_UP_EXTRA_TOKENS
             return blocks + self._fresh(extra), tokens + extra, len(blocks) * BLOCK_TOKENS
         shared = self._shared(kind, team)
-        own = self._length(kind.prompt_median, kind.prompt_sigma, MIN_PROMPT_TOKENS, kind.prompt_most)
+        own = self._length(kind.prompt_median, kind.prompt_sigma, MIN_PROMPT_TOKENS, kind.prompt_max)
         blocks = shared + self._fresh(own)
         tokens = kind.shared_tokens + own
         self._recent_by_team[kind.route, team] = (at_s, blocks, tokens)
