--- a/wagtailtrestle/measure/workload.py
+++ b/wagtailtrestle/measure/workload.py
@@ -48,7 +48,7 @@
         "prompt_max",
         "output_median",
         "output_sigma",
-        "output_most",
+        "output_max",
         "deadline_s",
         "shared_tokens",
         "follow_up_share",
@@ -58,7 +58,7 @@
         self.route = route
         self.share = share
         self.prompt_median, self.prompt_sigma, self.prompt_max = prompt
-        self.output_median, self.output_sigma, self.output_most = output
+        self.output_median, self.output_sigma, self.output_max = output
         self.deadline_s = deadline_s
         self.shared_tokens = shared_tokens
         self.follow_up_share = follow_up_share
@@ -222,7 +222,7 @@
         kind = self._random.choices(self._mix, [kind.share for kind in self._mix])[0]
         team = self._team(kind)
         blocks, prompt_tokens, reusable = self._prompt(kind, team, at_s)
-        output = self._length(kind.output_median, kind.output_sigma, MIN_OUTPUT_TOKENS, kind.output_most)
+        output = self._length(kind.output_median, kind.output_sigma, MIN_OUTPUT_TOKENS, kind.output_max)
         return Arrival(
             number=number,
             at_s=at_s,
