--- a/wagtailtrestle/measure/workload.py
+++ b/wagtailtrestle/measure/workload.py
@@ -261,5 +261,5 @@
     def _fresh(self, tokens):
         return tuple(self._random.getrandbits(BLOCK_BITS) for _ in range(tokens // BLOCK_TOKENS))
 
-    def _length(self, median, sigma, least, most):
-        return int(min(max(median * math.exp(self._random.gauss(0.0, sigma)), least), most))
+    def _length(self, median, sigma, minimum, most):
+        return int(min(max(median * math.exp(self._random.gauss(0.0, sigma)), minimum), most))
