--- a/wagtailtrestle/measure/workload.py
+++ b/wagtailtrestle/measure/workload.py
@@ -244,10 +244,10 @@
         if recent and at_s - recent[0] < FOLLOW_UP_WINDOW_S and self._random.random() < kind.follow_up_share:
             _, blocks, tokens = recent
             extra = FOLLOW_UP_EXTRA_TOKENS
-            return blocks + self._fresh(extra), tokens + extra, len(blocks) * BLOCK_TOKENS
+            return blocks + self._new_blocks(extra), tokens + extra, len(blocks) * BLOCK_TOKENS
         shared = self._shared(kind, team)
         own = self._length(kind.prompt_median, kind.prompt_sigma, MIN_PROMPT_TOKENS, kind.prompt_max)
-        blocks = shared + self._fresh(own)
+        blocks = shared + self._new_blocks(own)
         tokens = kind.shared_tokens + own
         self._recent_by_team[kind.route, team] = (at_s, blocks, tokens)
         return blocks, tokens, len(shared) * BLOCK_TOKENS
@@ -255,10 +255,10 @@
     def _shared(self, kind, team):
         key = (kind.route, team)
         if key not in self._shared_by_team:
-            self._shared_by_team[key] = self._fresh(kind.shared_tokens)
+            self._shared_by_team[key] = self._new_blocks(kind.shared_tokens)
         return self._shared_by_team[key]
 
-    def _fresh(self, tokens):
+    def _new_blocks(self, tokens):
         return tuple(self._random.getrandbits(BLOCK_BITS) for _ in range(tokens // BLOCK_TOKENS))
 
     def _length(self, median, sigma, minimum, most):
