--- a/wagtailtrestle/measure/workload.py
+++ b/wagtailtrestle/measure/workload.py
@@ -245,14 +245,14 @@
             _, blocks, tokens = recent
             extra = FOLLOW_UP_EXTRA_TOKENS
             return blocks + self._new_blocks(extra), tokens + extra, len(blocks) * BLOCK_TOKENS
-        shared = self._shared(kind, team)
+        shared = self._shared_blocks(kind, team)
         own = self._length(kind.prompt_median, kind.prompt_sigma, MIN_PROMPT_TOKENS, kind.prompt_max)
         blocks = shared + self._new_blocks(own)
         tokens = kind.shared_tokens + own
         self._recent_by_team[kind.route, team] = (at_s, blocks, tokens)
         return blocks, tokens, len(shared) * BLOCK_TOKENS
 
-    def _shared(self, kind, team):
+    def _shared_blocks(self, kind, team):
         key = (kind.route, team)
         if key not in self._shared_by_team:
             self._shared_by_team[key] = self._new_blocks(kind.shared_tokens)
