--- a/wagtailtrestle/measure/configuration_whole.py
+++ b/wagtailtrestle/measure/configuration_whole.py
@@ -29,7 +29,7 @@
 OUTAGES = ({"down": "unavailable"}, {"down": "cut"}, {"silent": "all"})
 
 
-class Measured:
+class MeasuredDeployment:
     """A running deployment whose document is applied again and again.
 
     Parameters
@@ -116,7 +116,7 @@
         deployment = Deployment(directory=directory, document=_small_document(), routers=ROUTERS)
         try:
             deployment.start()
-            measured = Measured(deployment=deployment)
+            measured = MeasuredDeployment(deployment=deployment)
             measured.apply()
             deployment.wait_routers_ready()
             results = {
