--- a/wagtailtrestle/measure/configuration_whole.py
+++ b/wagtailtrestle/measure/configuration_whole.py
@@ -23,7 +23,7 @@
 APPLIES_WATCHED = 10
 APPLIES_SILENT = 8
 WAIT_S = 12.0
-LOOK_S = 0.02
+POLL_INTERVAL_S = 0.02
 SETTLE_S = 2.0
 IDLE_S = 20.0
 OUTAGES = ({"down": "unavailable"}, {"down": "cut"}, {"silent": "all"})
@@ -81,7 +81,7 @@
                 if state["generation"] >= generation:
                     delay_s = time.monotonic() - state["age_s"] - accepted
                     by_router[name] = (round(delay_s * 1000), state["source"])
-            time.sleep(LOOK_S)
+            time.sleep(POLL_INTERVAL_S)
         return by_router
 
     def configuration_of(self, name):
