--- a/wagtailtrestle/measure/plain_services.py
+++ b/wagtailtrestle/measure/plain_services.py
@@ -28,7 +28,7 @@
 SEED = 1
 SLOTS = 4
 CALLER_THREADS = 48
-FITTING = 0.7
+FITTING_LOAD = 0.7
 """Share of the plain engines' capacity that the top tier asks for."""
 
 
@@ -57,9 +57,9 @@
         service="reservas",
         language="asistente",
         time_scale=10.0,
-        load_by_route={"book": FITTING, "slot-status": LOAD - FITTING},
+        load_by_route={"book": FITTING_LOAD, "slot-status": LOAD - FITTING_LOAD},
     ),
-    PlainCase(service="thikana", language="naamkosh", time_scale=40.0, load_by_route={"door-number": FITTING}),
+    PlainCase(service="thikana", language="naamkosh", time_scale=40.0, load_by_route={"door-number": FITTING_LOAD}),
 )
 
 
