--- a/wagtailtrestle/measure/plain_services.py
+++ b/wagtailtrestle/measure/plain_services.py
@@ -83,12 +83,12 @@
     by_route = {}
     for result in results:
         by_route.setdefault((result.planned.kind.service, result.planned.kind.name), []).append(result)
-    for (service, route), those in sorted(by_route.items()):
+    for (service, route), group in sorted(by_route.items()):
         load = case.load_by_route.get(route, LOAD) if service == case.service else LOAD
-        in_time = sum(result.in_deadline() for result in those) / len(those)
-        refused = sum(not result.whole and result.executed == "no" for result in those) / len(those)
+        in_time = sum(result.in_deadline() for result in group) / len(group)
+        refused = sum(not result.whole and result.executed == "no" for result in group) / len(group)
         print(
-            f"| {service} | {route} | {those[0].planned.kind.tier} | {load:.1f} | {len(those)} | {in_time:.1%} "
+            f"| {service} | {route} | {group[0].planned.kind.tier} | {load:.1f} | {len(group)} | {in_time:.1%} "
             f"| {refused:.1%} | {len(truth.doubled)}, {len(truth.false_refusals)} |",
             flush=True,
         )
