--- a/wagtailtrestle/measure/rollout_ways.py
+++ b/wagtailtrestle/measure/rollout_ways.py
@@ -87,7 +87,7 @@
     def __init__(self):
         self._runs = {True: [], False: []}
 
-    def note(self, *, is_target, bad, pace):
+    def record(self, *, is_target, bad, pace):
         """Take in a run."""
         self._runs[is_target].append((bad, pace))
 
@@ -161,7 +161,7 @@
         bad = chance.random() < behaviour.fails(route, clock.now)
         pace = MEAN_RUN_S * behaviour.slower * math.exp(chance.gauss(0.0, SPREAD))
         if rollout.phase is Phase.TRIAL:
-            at_end.note(is_target=is_target, bad=bad, pace=pace)
+            at_end.record(is_target=is_target, bad=bad, pace=pace)
         finished = SimpleNamespace(result=FAILED if bad else DONE, duration_s=pace, output_tokens=0, first_token_s=0.0)
         engine = f"{version_name}-{chance.randint(1, 2)}"
         rollout.note_end(request=request, engine=engine, version=version_name, finished=finished)
