--- a/wagtailtrestle/measure/rollout_ways.py
+++ b/wagtailtrestle/measure/rollout_ways.py
@@ -87,9 +87,9 @@
     def __init__(self):
         self._runs = {True: [], False: []}
 
-    def record(self, *, is_target, bad, pace):
+    def record(self, *, is_target, bad, run_s):
         """Take in a run."""
-        self._runs[is_target].append((bad, pace))
+        self._runs[is_target].append((bad, run_s))
 
     @property
     def is_bad(self):
@@ -105,7 +105,7 @@
         return (sum(new) / len(new) - sum(old) / len(old)) / spread
 
     def _slower(self, old, new):
-        return _mean([pace for _, pace in new]) > 2.0 * _mean([pace for _, pace in old])
+        return _mean([run_s for _, run_s in new]) > 2.0 * _mean([run_s for _, run_s in old])
 
 
 def _mean(values):
@@ -159,10 +159,10 @@
         rollout.note_grant(request, version_name)
         behaviour = version if is_target else VERSIONS_BY_NAME[GOOD]
         bad = chance.random() < behaviour.fails(route, clock.now)
-        pace = MEAN_RUN_S * behaviour.slower * math.exp(chance.gauss(0.0, SPREAD))
+        run_s = MEAN_RUN_S * behaviour.slower * math.exp(chance.gauss(0.0, SPREAD))
         if rollout.phase is Phase.TRIAL:
-            at_end.record(is_target=is_target, bad=bad, pace=pace)
-        finished = SimpleNamespace(result=FAILED if bad else DONE, duration_s=pace, output_tokens=0, first_token_s=0.0)
+            at_end.record(is_target=is_target, bad=bad, run_s=run_s)
+        finished = SimpleNamespace(result=FAILED if bad else DONE, duration_s=run_s, output_tokens=0, first_token_s=0.0)
         engine = f"{version_name}-{chance.randint(1, 2)}"
         rollout.note_end(request=request, engine=engine, version=version_name, finished=finished)
         if found_at_s is None and rollout.state is RolloutState.ROLLED_BACK:
