--- a/wagtailtrestle/measure/rollout_ways.py
+++ b/wagtailtrestle/measure/rollout_ways.py
@@ -139,7 +139,7 @@
         return self.exposed <= SHARE * self.granted + SLACK
 
 
-def play(version, seed):
+def simulate(version, seed):
     """Draw one roll-out; every run ends at once."""
     chance = random.Random(seed)
     clock = SimpleClock()
@@ -174,7 +174,7 @@
 
 def summary(name, seeds=SEEDS):
     """A row of the table."""
-    played = [play(VERSIONS_BY_NAME[name], seed) for seed in range(seeds)]
+    played = [simulate(VERSIONS_BY_NAME[name], seed) for seed in range(seeds)]
     times = sorted(each.found_at_s for each in played if each.found_at_s is not None)
     return [
         f"{len(times) / seeds:.3f}",
