--- a/wagtailtrestle/measure/rollout_ways.py
+++ b/wagtailtrestle/measure/rollout_ways.py
@@ -112,7 +112,7 @@
     return sum(values) / len(values)
 
 
-class Played:
+class SimulatedRollout:
     """What came of one roll-out.
 
     Attributes
@@ -169,7 +169,7 @@
             found_at_s = clock.now
         # The old engines hold something until the end, so that the shift is as long as it may be.
         rollout.step(old_places=12, target_places=12, old_runs=1)
-    return Played(found_at_s=found_at_s, exposed=exposed, granted=granted, found_at_end=at_end.is_bad)
+    return SimulatedRollout(found_at_s=found_at_s, exposed=exposed, granted=granted, found_at_end=at_end.is_bad)
 
 
 def summary(name, seeds=SEEDS):
