--- a/wagtailtrestle/measure/rollout_ways.py
+++ b/wagtailtrestle/measure/rollout_ways.py
@@ -174,14 +174,14 @@
 
 def summary(name, seeds=SEEDS):
     """A row of the table."""
-    played = [simulate(VERSIONS_BY_NAME[name], seed) for seed in range(seeds)]
-    times = sorted(each.found_at_s for each in played if each.found_at_s is not None)
+    simulated = [simulate(VERSIONS_BY_NAME[name], seed) for seed in range(seeds)]
+    times = sorted(each.found_at_s for each in simulated if each.found_at_s is not None)
     return [
         f"{len(times) / seeds:.3f}",
         f"{times[len(times) // 2]:.1f}" if times else "-",
         f"{times[-1]:.1f}" if times else "-",
-        "-" if name == GOOD else f"{sum(not each.is_within_bound for each in played)}",
-        f"{sum(each.found_at_end for each in played) / seeds:.3f}",
+        "-" if name == GOOD else f"{sum(not each.is_within_bound for each in simulated)}",
+        f"{sum(each.found_at_end for each in simulated) / seeds:.3f}",
     ]
 
 
