--- a/wagtailtrestle/measure/rollout_ways.py
+++ b/wagtailtrestle/measure/rollout_ways.py
@@ -25,7 +25,7 @@
 USUAL_FAILURES = {"read": 0.14, "book": 0.004}
 MEAN_RUN_S = 0.04
 SPREAD = 0.3
-LEVEL_Z = 3.09
+Z_THRESHOLD = 3.09
 """Of the count at the end: one false roll-back in a thousand."""
 
 
@@ -97,7 +97,7 @@
         old, new = self._runs[False], self._runs[True]
         if not old or not new:
             return False
-        return self._z([bad for bad, _ in old], [bad for bad, _ in new]) > LEVEL_Z or self._slower(old, new)
+        return self._z([bad for bad, _ in old], [bad for bad, _ in new]) > Z_THRESHOLD or self._slower(old, new)
 
     def _z(self, old, new):
         part = (sum(old) + sum(new)) / (len(old) + len(new))
