--- a/wagtailtrestle/measure/rollout_ways.py
+++ b/wagtailtrestle/measure/rollout_ways.py
@@ -81,7 +81,7 @@
 }
 
 
-class CountAtEnd:
+class ComparisonAtEnd:
     """The other way: failures of both versions, and their mean times, compared once after the trial."""
 
     def __init__(self):
@@ -145,7 +145,7 @@
     clock = SimpleClock()
     order = RolloutOrder(service="s", target="new", duration_s=DURATION_S, store_version=1)
     rollout = Rollout(order=order, share=SHARE, slack=SLACK, clock=clock)
-    at_end = CountAtEnd()
+    at_end = ComparisonAtEnd()
     found_at_s = None
     granted = exposed = 0
     while clock.now < DURATION_S:
