--- a/wagtailtrestle/measure/rollout_ways.py
+++ b/wagtailtrestle/measure/rollout_ways.py
@@ -125,10 +125,10 @@
         Whether the count after the trial rolls it back.
     """
 
-    __slots__ = ("found_at_s", "exposed", "granted", "found_at_end")
+    __slots__ = ("rolled_back_at_s", "exposed", "granted", "found_at_end")
 
-    def __init__(self, *, found_at_s, exposed, granted, found_at_end):
-        self.found_at_s = found_at_s
+    def __init__(self, *, rolled_back_at_s, exposed, granted, found_at_end):
+        self.rolled_back_at_s = rolled_back_at_s
         self.exposed = exposed
         self.granted = granted
         self.found_at_end = found_at_end
@@ -146,7 +146,7 @@
     order = RolloutOrder(service="s", target="new", duration_s=DURATION_S, store_version=1)
     rollout = Rollout(order=order, share=SHARE, slack=SLACK, clock=clock)
     at_end = ComparisonAtEnd()
-    found_at_s = None
+    rolled_back_at_s = None
     granted = exposed = 0
     while clock.now < DURATION_S:
         clock.now += chance.expovariate(RATE_PER_S)
@@ -165,17 +165,19 @@
         finished = SimpleNamespace(result=FAILED if bad else DONE, duration_s=run_s, output_tokens=0, first_token_s=0.0)
         engine = f"{version_name}-{chance.randint(1, 2)}"
         rollout.note_end(request=request, engine=engine, version=version_name, finished=finished)
-        if found_at_s is None and rollout.state is RolloutState.ROLLED_BACK:
-            found_at_s = clock.now
+        if rolled_back_at_s is None and rollout.state is RolloutState.ROLLED_BACK:
+            rolled_back_at_s = clock.now
         # The old engines hold something until the end, so that the shift is as long as it may be.
         rollout.step(old_places=12, target_places=12, old_runs=1)
-    return SimulatedRollout(found_at_s=found_at_s, exposed=exposed, granted=granted, found_at_end=at_end.is_bad)
+    return SimulatedRollout(
+        rolled_back_at_s=rolled_back_at_s, exposed=exposed, granted=granted, found_at_end=at_end.is_bad
+    )
 
 
 def summary(name, seeds=SEEDS):
     """A row of the table."""
     simulated = [simulate(VERSIONS_BY_NAME[name], seed) for seed in range(seeds)]
-    times = sorted(each.found_at_s for each in simulated if each.found_at_s is not None)
+    times = sorted(each.rolled_back_at_s for each in simulated if each.rolled_back_at_s is not None)
     return [
         f"{len(times) / seeds:.3f}",
         f"{times[len(times) // 2]:.1f}" if times else "-",
