--- a/wagtailtrestle/measure/rollout_ways.py
+++ b/wagtailtrestle/measure/rollout_ways.py
@@ -125,13 +125,13 @@
         Whether the count after the trial rolls it back.
     """
 
-    __slots__ = ("rolled_back_at_s", "exposed", "granted", "found_at_end")
+    __slots__ = ("rolled_back_at_s", "exposed", "granted", "rolled_back_at_end")
 
-    def __init__(self, *, rolled_back_at_s, exposed, granted, found_at_end):
+    def __init__(self, *, rolled_back_at_s, exposed, granted, rolled_back_at_end):
         self.rolled_back_at_s = rolled_back_at_s
         self.exposed = exposed
         self.granted = granted
-        self.found_at_end = found_at_end
+        self.rolled_back_at_end = rolled_back_at_end
 
     @property
     def is_within_bound(self):
@@ -170,7 +170,7 @@
         # The old engines hold something until the end, so that the shift is as long as it may be.
         rollout.step(old_places=12, target_places=12, old_runs=1)
     return SimulatedRollout(
-        rolled_back_at_s=rolled_back_at_s, exposed=exposed, granted=granted, found_at_end=at_end.is_bad
+        rolled_back_at_s=rolled_back_at_s, exposed=exposed, granted=granted, rolled_back_at_end=at_end.is_bad
     )
 
 
@@ -183,7 +183,7 @@
         f"{times[len(times) // 2]:.1f}" if times else "-",
         f"{times[-1]:.1f}" if times else "-",
         "-" if name == GOOD else f"{sum(not each.is_within_bound for each in simulated)}",
-        f"{sum(each.found_at_end for each in simulated) / seeds:.3f}",
+        f"{sum(each.rolled_back_at_end for each in simulated) / seeds:.3f}",
     ]
 
 
