--- a/wagtailtrestle/measure/rollout_ways.py
+++ b/wagtailtrestle/measure/rollout_ways.py
@@ -141,7 +141,7 @@
 
 def simulate(version, seed):
     """Draw one roll-out; every run ends at once."""
-    chance = random.Random(seed)
+    rng = random.Random(seed)
     clock = SimpleClock()
     order = RolloutOrder(service="s", target="new", duration_s=DURATION_S, store_version=1)
     rollout = Rollout(order=order, share=SHARE, slack=SLACK, clock=clock)
@@ -149,8 +149,8 @@
     rolled_back_at_s = None
     granted = exposed = 0
     while clock.now < DURATION_S:
-        clock.now += chance.expovariate(RATE_PER_S)
-        route = "read" if chance.random() < 2 / 3 else "book"
+        clock.now += rng.expovariate(RATE_PER_S)
+        route = "read" if rng.random() < 2 / 3 else "book"
         request = SimpleNamespace(route=route, excluded_engines=(), alone=False, done_tokens=0)
         is_target = rollout.phase is Phase.SHIFT or rollout.wants(request)
         granted += 1
@@ -158,12 +158,12 @@
         version_name = "new" if is_target else "old"
         rollout.note_grant(request, version_name)
         behaviour = version if is_target else VERSIONS_BY_NAME[GOOD]
-        bad = chance.random() < behaviour.fails(route, clock.now)
-        run_s = MEAN_RUN_S * behaviour.slower * math.exp(chance.gauss(0.0, SPREAD))
+        bad = rng.random() < behaviour.fails(route, clock.now)
+        run_s = MEAN_RUN_S * behaviour.slower * math.exp(rng.gauss(0.0, SPREAD))
         if rollout.phase is Phase.TRIAL:
             at_end.record(is_target=is_target, bad=bad, run_s=run_s)
         finished = SimpleNamespace(result=FAILED if bad else DONE, duration_s=run_s, output_tokens=0, first_token_s=0.0)
-        engine = f"{version_name}-{chance.randint(1, 2)}"
+        engine = f"{version_name}-{rng.randint(1, 2)}"
         rollout.note_end(request=request, engine=engine, version=version_name, finished=finished)
         if rolled_back_at_s is None and rollout.state is RolloutState.ROLLED_BACK:
             rolled_back_at_s = clock.now
