--- a/wagtailtrestle/measure/rollout_ways.py
+++ b/wagtailtrestle/measure/rollout_ways.py
@@ -97,14 +97,16 @@
         old, new = self._runs[False], self._runs[True]
         if not old or not new:
             return False
-        return self._z_score([bad for bad, _ in old], [bad for bad, _ in new]) > Z_THRESHOLD or self._slower(old, new)
+        return self._z_score([bad for bad, _ in old], [bad for bad, _ in new]) > Z_THRESHOLD or self._is_slower(
+            old, new
+        )
 
     def _z_score(self, old, new):
         part = (sum(old) + sum(new)) / (len(old) + len(new))
         spread = math.sqrt(max(1e-9, part * (1.0 - part) * (1.0 / len(old) + 1.0 / len(new))))
         return (sum(new) / len(new) - sum(old) / len(old)) / spread
 
-    def _slower(self, old, new):
+    def _is_slower(self, old, new):
         return _mean([run_s for _, run_s in new]) > 2.0 * _mean([run_s for _, run_s in old])
 
 
