--- a/wagtailtrestle/measure/report.py
+++ b/wagtailtrestle/measure/report.py
@@ -96,9 +96,9 @@
     ]
     ours = [row for row in rows if row.key[3] not in BASELINES]
     lines.append(
-        _line("duplicate dispatches of non-repeatable requests", sum(r.duplicates for r in ours), 0, most=True)
+        _line("duplicate dispatches of non-repeatable requests", sum(r.duplicates for r in ours), 0, is_maximum=True)
     )
-    lines.append(_line("refusals said not to have run that did", sum(row.lies for row in ours), 0, most=True))
+    lines.append(_line("refusals said not to have run that did", sum(row.lies for row in ours), 0, is_maximum=True))
     return lines
 
 
@@ -134,7 +134,7 @@
     for (name, scenario, load, policy, weight), row in by_key.items():
         if (name, policy, weight) == (service, OURS, -1.0):
             limit = 0.01 if scenario in (NO_FAULT, KEYED) else 0.05
-            yield _line(f"{service}: wasted prefill, {scenario}, load {load}", row.wasted, limit, most=True)
+            yield _line(f"{service}: wasted prefill, {scenario}, load {load}", row.wasted, limit, is_maximum=True)
 
 
 def _against_baseline(by_key, service):
@@ -146,6 +146,6 @@
         yield _line(f"{service}: best baseline's wasted prefill / ours at 2.5", ratio, 5.0)
 
 
-def _line(name, value, limit, *, most=False):
-    held = value <= limit if most else value >= limit
-    return f"{'held  ' if held else 'MISSED'} {name}: {value:.4g} ({'at most' if most else 'at least'} {limit:g})"
+def _line(name, value, limit, *, is_maximum=False):
+    held = value <= limit if is_maximum else value >= limit
+    return f"{'held  ' if held else 'MISSED'} {name}: {value:.4g} ({'at most' if is_maximum else 'at least'} {limit:g})"
