--- a/wagtailtrestle/measure/__init__.py
+++ b/wagtailtrestle/measure/__init__.py
@@ -1,1 +1,1 @@
-"""Policies measured on fakes under an advanced clock, without any model of a network."""
+"""Measurements of the policies on fakes under a virtual clock; a message takes a fixed time, no network is modelled."""
--- a/wagtailtrestle/measure/__main__.py
+++ b/wagtailtrestle/measure/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m wagtailtrestle.measure``: run the plan in parallel, write results, print tables."""
+"""Run the measurements in parallel, write the results and print tables: ``python -m wagtailtrestle.measure``."""
 
 import json
 import os
@@ -22,13 +22,13 @@
     Parameters
     ----------
     quick : bool
-        Only a few short runs.
+        Make only a few short runs.
     output : str
-        Where the results go, one JSON object a line.
+        File for the results, one JSON object a line.
     workers : int
-        Processes at a time; 0 takes as many as there are cores, at most 8.
+        Number of processes; 0 means one for each core, at most 8.
     only : str
-        ``FIELD=VALUE,…``: only runs whose fields hold these values.
+        ``FIELD=VALUE,…``: make only the runs whose fields have these values.
     """
     began = time.monotonic()
     specs = [spec for spec in (quick_plan() if quick else full_plan()) if _wanted(spec, only)]
--- a/wagtailtrestle/measure/baseline_routers.py
+++ b/wagtailtrestle/measure/baseline_routers.py
@@ -1,7 +1,7 @@
-"""Routers of a baseline: each request is dispatched at once to the engine its policy picks.
+"""Routers of a baseline: each request is dispatched immediately to the engine that the policy chooses.
 
-The engines queue inside themselves, in order of arrival. A lost run is sent again
-elsewhere; a request that misses its deadline is dropped.
+Engines queue runs internally in order of arrival. A lost run is retried on another engine; a request
+that misses its deadline is dropped.
 """
 
 from wagtailtrestle.contracts.exchange import AnswerRefusal, AnswerWhole, RunEnded, StartRun
@@ -17,7 +17,7 @@
 
 
 class ReportedEngine:
-    """An engine as a baseline sees it: what it declared and what it last reported."""
+    """An engine as a baseline sees it: its declared speed and its last reported load."""
 
     __slots__ = (
         "name",
@@ -52,7 +52,7 @@
 
 
 class BaselineRequest:
-    """One request under a baseline: dispatched, sent again if lost, dropped at its deadline."""
+    """One request under a baseline: dispatched, retried if its run is lost, dropped at its deadline."""
 
     __slots__ = ("request", "caller", "runs", "engine", "timer", "excluded")
 
@@ -86,14 +86,14 @@
         self._held_by_id = {}
 
     def submit(self, request, caller):
-        """Dispatch a request at once."""
+        """Dispatch a request immediately."""
         held = BaselineRequest(request=request, caller=caller)
         self._held_by_id[request.request_id] = held
         held.timer = self._loop.call_later(request.deadline - self._loop.time(), self._drop, held)
         self._dispatch(held)
 
     def post(self, request_id, event):
-        """Take an event of the caller's side; only ends of runs matter."""
+        """Handle an event of the caller's side; only the end of a run has an effect."""
         held = self._held_by_id.get(request_id)
         if held is None or not isinstance(event, RunEnded):
             return
@@ -106,7 +106,7 @@
             self._settle(held, AnswerRefusal(refusal=_refusal(Reason.ENGINE_LOST)))
 
     def close(self):
-        """Forget every request: the router's process ended."""
+        """Discard every request, as the router's process has ended."""
         for held in self._held_by_id.values():
             held.timer.cancel()
         self._held_by_id.clear()
@@ -177,15 +177,15 @@
         self._callers_by_router = {name: [] for name in setting.routers}
 
     def start(self):
-        """Start the reports."""
+        """Start the load reports."""
         self._report()
 
     def live(self):
-        """Names of the routers that take callers."""
+        """Return the names of the routers that accept callers."""
         return list(self._entry_by_name)
 
     def submit(self, *, router, request, arrival):
-        """Give one caller's request to a router; returns the caller's side."""
+        """Submit one caller's request to a router and return the caller's side."""
         entry = self._entry_by_name[router]
         caller = FakeCaller(
             arrival=arrival,
@@ -199,7 +199,7 @@
         return caller
 
     def kill(self, router):
-        """End a router's process: its requests are lost."""
+        """Kill a router's process; its requests are lost."""
         self._entry_by_name.pop(router).close()
         for caller in self._callers_by_router.pop(router):
             caller.disconnect()
--- a/wagtailtrestle/measure/cluster.py
+++ b/wagtailtrestle/measure/cluster.py
@@ -1,4 +1,4 @@
-"""The routers of a measured run: real entries and the real scheduler, joined by delayed messages."""
+"""Routers of a measured run: real entries and the real scheduler, connected by delayed messages."""
 
 from wagtailtrestle.capacity.scheduler import Scheduler
 from wagtailtrestle.contracts.exchange import CallerRequest
@@ -13,11 +13,11 @@
 REPORT_EVERY_S = 0.1
 REPORT_LAG_S = 0.2
 DETECTION_S = 1.0
-"""How long it takes until the others know that a router is dead."""
+"""Time until the other routers detect that a router is dead."""
 
 
 class SchedulerRouters:
-    """Routers under the product's own decisions.
+    """Routers whose admission the scheduler decides, as in the product.
 
     Parameters
     ----------
@@ -43,20 +43,20 @@
 
     @property
     def scheduler(self):
-        """The present scheduler."""
+        """Current scheduler; ``None`` between the death of its router and the detection."""
         return self._scheduler
 
     def start(self):
-        """Start the periodic work."""
+        """Start the ticks and the load reports."""
         self._tick()
         self._report()
 
     def live(self):
-        """Names of the routers that take callers."""
+        """Return the names of the routers that accept callers."""
         return list(self._entry_by_name)
 
     def submit(self, *, router, request, arrival):
-        """Give one caller's request to a router; returns the caller's side."""
+        """Submit one caller's request to a router and return the caller's side."""
         entry = self._entry_by_name[router]
         caller = FakeCaller(
             arrival=arrival,
@@ -70,7 +70,7 @@
         return caller
 
     def kill(self, router):
-        """End a router's process: its requests are lost, and its scheduler if it had one."""
+        """Kill a router's process; its requests are lost, and so is the scheduler if it ran there."""
         entry = self._entry_by_name.pop(router)
         for caller in self._callers_by_router.pop(router).values():
             caller.disconnect()
--- a/wagtailtrestle/measure/configuration_delay.py
+++ b/wagtailtrestle/measure/configuration_delay.py
@@ -1,7 +1,8 @@
-"""Time from accepted to in force: the stand-in platform as a process, keepers over HTTP.
+"""Time from the acceptance of an apply until the generation is in force, without help from peers.
 
-Run with ``python -m wagtailtrestle.measure.configuration_delay``; prints JSON. No peer
-helps here, so each figure is that of the watch or of polling alone.
+Run with ``python -m wagtailtrestle.measure.configuration_delay``; prints JSON. The stand-in platform is a
+process; the keepers, one :class:`Configuration` each, reach it over HTTP. No peer answers, so each figure is
+that of the watch or of polling alone.
 """
 
 import asyncio
@@ -32,12 +33,12 @@
 
 
 class Fleet:
-    """Keepers of one deployment and the moments at which each put a generation in force.
+    """Keepers (:class:`Configuration`) of one deployment, and the times at which they put a generation in force.
 
     Parameters
     ----------
     url : str
-        Of the platform.
+        URL of the platform.
     """
 
     def __init__(self, *, url):
@@ -67,7 +68,7 @@
             store.close()
 
     async def delay_s(self, number):
-        """Apply once; time until the last keeper has it in force, or ``None`` if not in ``WAIT_S``."""
+        """Apply once; return the time until the last keeper has it in force, or ``None`` if over ``WAIT_S``."""
         self.moments.clear()
         operator = HttpObjectStore(url=self.url)
         operator.start()
@@ -84,7 +85,7 @@
 
 
 async def measure(url):
-    """Measure with the watch working, then with every open connection silent."""
+    """Measure with a working watch, then with every open connection silent."""
     fleet = Fleet(url=url)
     fleet.start()
     await asyncio.sleep(SETTLE_S)
@@ -127,7 +128,7 @@
 
 
 def main():
-    """Start the platform, measure, stop it, print."""
+    """Start the platform, measure, print the figures and stop the platform."""
     reservation = reserve_ports(1)
     address = f"{HOST}:{reservation.ports[0]}"
     with tempfile.TemporaryDirectory() as directory:
--- a/wagtailtrestle/measure/configuration_whole.py
+++ b/wagtailtrestle/measure/configuration_whole.py
@@ -1,7 +1,7 @@
-"""Time from accepted to in force, and of restarts, with whole router processes.
+"""Time from the acceptance of an apply until it is in force, and time of restarts, with real router processes.
 
-Run with ``python -m wagtailtrestle.measure.configuration_whole``; prints JSON. Routers
-help each other here; :mod:`wagtailtrestle.measure.configuration_delay` has them alone.
+Run with ``python -m wagtailtrestle.measure.configuration_whole``; prints JSON. Routers get configurations from
+their peers here; :mod:`wagtailtrestle.measure.configuration_delay` measures without peers.
 """
 
 import asyncio
@@ -30,7 +30,7 @@
 
 
 class MeasuredDeployment:
-    """A running deployment whose document is applied again and again.
+    """A running deployment whose document is applied repeatedly.
 
     Parameters
     ----------
@@ -43,11 +43,11 @@
         self._applies = 0
 
     def set_faults(self, **faults):
-        """Set the platform's faults; those left out are off."""
+        """Set the platform's faults; faults not named are off."""
         self._deployment.post(f"{self._deployment.platform_url}/faults", faults)
 
     def apply(self):
-        """Apply the document once more; its generation."""
+        """Apply the document once more and return its generation."""
         self._applies += 1
         outcome = asyncio.run(self._apply(f"{self._text}\n# {self._applies}\n", f"apply-{self._applies}"))
         return outcome.generation
@@ -61,7 +61,7 @@
             store.close()
 
     def delays(self, *, applies, **faults):
-        """Milliseconds until the last router had each apply in force, and what brought it."""
+        """Return the milliseconds until the last router had each apply in force, and counts by source."""
         most_ms, sources = [], Counter()
         for _ in range(applies):
             time.sleep(SETTLE_S)
@@ -85,11 +85,11 @@
         return by_router
 
     def configuration_of(self, name):
-        """The configuration's part of a router's state."""
+        """Return the configuration section of a router's ``/state``."""
         return self._deployment.get(f"{self._deployment.admin_url_by_router[name]}/state")["configuration"]
 
     def restart_s(self, **faults):
-        """Seconds from starting a router's process anew until it is ready."""
+        """Restart a router's process and return the seconds until it is ready."""
         process = self._deployment.routers_by_name[RESTARTED]
         process.stop()
         self.set_faults(**faults)
@@ -103,7 +103,7 @@
         return {"faults": faults, "ready_s": ready_s, "is_confirmed": state["is_confirmed"], "source": state["source"]}
 
     def idle_calls(self):
-        """Calls on the platform while nothing happens."""
+        """Count the calls on the platform while the deployment is idle."""
         before = self._deployment.get(f"{self._deployment.platform_url}/counts")
         time.sleep(IDLE_S)
         after = self._deployment.get(f"{self._deployment.platform_url}/counts")
@@ -111,7 +111,7 @@
 
 
 def main():
-    """Start the deployment, measure, stop it, print."""
+    """Start the deployment, measure, print the figures and stop the deployment."""
     with tempfile.TemporaryDirectory() as directory:
         deployment = Deployment(directory=directory, document=_small_document(), routers=ROUTERS)
         try:
@@ -132,7 +132,7 @@
 
 
 def _small_document():
-    """The example with one engine of each service: engines play no part here."""
+    """Return the example with one engine of each service, as engines do not affect these figures."""
     document = yaml.safe_load(Path(DOCUMENT).read_text())
     by_service = {engine["service"]: engine for engine in reversed(document["engines"])}
     document["engines"] = list(by_service.values())
--- a/wagtailtrestle/measure/fake_caller.py
+++ b/wagtailtrestle/measure/fake_caller.py
@@ -1,4 +1,4 @@
-"""A caller's side in a measured run: carries one request's runs to engines and its answer back."""
+"""The caller's side in a measured run: sends a request's runs to engines and receives its answer."""
 
 from wagtailtrestle.contracts.exchange import AnswerRefusal, AnswerWhole, RunAdvanced, RunBegan, RunEnded, StartRun
 from wagtailtrestle.contracts.outcomes import RunCancelled, RunDone, RunLost, RunSilent
@@ -17,7 +17,7 @@
     engines_by_name : dict of str to FakeEngine
     loop : asyncio.AbstractEventLoop
     post_event : callable
-        Gives ``(request_id, event)`` to the entry.
+        Called with ``(request_id, event)`` to post an event to the entry.
     """
 
     __slots__ = (
@@ -49,7 +49,7 @@
 
     @property
     def settled(self):
-        """Whether the caller needs to wait no more."""
+        """Whether the caller has an answer or a refusal, or lost its router."""
         return self.answered_at is not None or self.refusal is not None or self.lost
 
     def post(self, command):
@@ -67,21 +67,21 @@
                 self.refused_at = self._loop.time()
 
     def cancel_run(self, *, run_id, engine, address):
-        """Ask the engine to cancel; ``RunEnded`` follows."""
+        """Cancel a run on its engine; ``RunEnded`` follows if it was active."""
         self._loop.call_later(NETWORK_S, self._cancel, run_id, engine)
 
     def disconnect(self):
-        """The router that carried this request is gone, and its connections with it."""
+        """Drop the connections of this request, as its router was killed."""
         self.lost = not self.settled
         if self._connection is not None:
             self._connection.drop()
 
     def send_event(self, event):
-        """Give an event to the entry, over the network."""
+        """Post an event to the entry after the network delay."""
         self._loop.call_later(NETWORK_S, self._post_event, self.request_id, event)
 
     def now(self):
-        """Loop time."""
+        """Return the loop time."""
         return self._loop.time()
 
     def call_later(self, delay_s, callback):
@@ -94,7 +94,7 @@
 
 
 class RunConnection:
-    """One run followed over one connection, with its limits on silence.
+    """Connection of one run to its engine, with the run's limits on silence.
 
     Parameters
     ----------
@@ -116,7 +116,7 @@
         self._ended = False
 
     def send(self):
-        """Send the request, or attach again."""
+        """Submit the run, or attach to it if it runs already."""
         if self._ended:
             return
         command = self._command
@@ -138,7 +138,7 @@
         self._caller.call_later(PROGRESS_S, self._check_progress)
 
     def on_token(self, run):
-        """The first token came (or the first after attaching)."""
+        """Report the first token, or the first one after attaching."""
         if self._ended or self._first_token_s:
             return
         now = self._caller.now()
@@ -148,7 +148,7 @@
         self._caller.send_event(RunBegan(run_id=self._command.run_id, first_token_s=self._first_token_s))
 
     def on_finished(self, run):
-        """The whole answer came."""
+        """End the run as done, with a complete answer."""
         batch_run = run.batch_run
         self._caller.received_tokens = batch_run.last_index
         self.end(
@@ -160,7 +160,7 @@
         )
 
     def end(self, outcome):
-        """Tell the end of the run once."""
+        """Report the end of the run, once."""
         if self._ended:
             return
         self._ended = True
@@ -174,7 +174,7 @@
         )
 
     def drop(self):
-        """Close the connection without telling anybody."""
+        """Close the connection without reporting an end to the entry."""
         if not self._ended and self._run is not None:
             self._engine.detach(self._command.run_id)
         self._ended = True
--- a/wagtailtrestle/measure/fake_engine.py
+++ b/wagtailtrestle/measure/fake_engine.py
@@ -1,10 +1,10 @@
-"""An engine of a measured run: the stand-in's batching core stepped by the loop's timers."""
+"""Engine of a measured run: the stand-in's batching core, stepped by timers of the loop."""
 
 from wagtailtrestle.measure.fleet import CACHE_TOKENS, PREFILL_CHUNK_TOKENS
 from wagtailtrestle.standins.batching import BatchingEngine, BatchRun
 
 ORPHAN_GRACE_S = 5.0
-"""A run that nobody follows for so long is cancelled, as in the stand-in."""
+"""A run without a follower for this long is cancelled, as in the stand-in."""
 
 
 class EngineRun:
@@ -15,7 +15,7 @@
     batch_run : BatchRun
     request_id : str
     follower : object or None
-        Has ``on_token(run)`` and ``on_finished(run)``; ``None`` once it went away.
+        Has ``on_token(run)`` and ``on_finished(run)``; ``None`` while nothing follows the run.
     """
 
     __slots__ = ("batch_run", "request_id", "follower", "active", "first_token_at", "token_at")
@@ -30,7 +30,7 @@
 
 
 class FakeEngine:
-    """Steps the batch under the loop's clock and records what truly ran.
+    """Steps the batch by the loop's clock and records every run, whatever the routers report.
 
     Parameters
     ----------
@@ -71,7 +71,7 @@
         return run
 
     def attach(self, run_id, follower):
-        """Follow a known run again; its present tokens are told at once."""
+        """Follow a known run again; tokens it already has are reported immediately."""
         run = self.run_by_id[run_id]
         run.follower = follower
         if run.batch_run.generated_tokens:
@@ -80,14 +80,14 @@
             follower.on_finished(run)
 
     def detach(self, run_id):
-        """Stop following a run; it is cancelled if nobody follows it again in time."""
+        """Stop following a run; it is cancelled if not followed again within ``ORPHAN_GRACE_S``."""
         run = self.run_by_id[run_id]
         run.follower = None
         if run.active:
             self._loop.call_later(ORPHAN_GRACE_S, self._cancel_orphan, run)
 
     def cancel(self, run_id):
-        """Cancel a run; ``False`` if it ended before or is not known."""
+        """Cancel a run; return ``False`` if it has ended or is unknown."""
         run = self.run_by_id.get(run_id)
         if run is None or not run.active:
             return False
@@ -96,11 +96,11 @@
         return True
 
     def straggle(self, factor):
-        """Make every step from now on ``factor`` times as long."""
+        """Make every further step ``factor`` times as long."""
         self._core.straggle(factor)
 
     def load(self):
-        """Load of this moment."""
+        """Return the current load."""
         return self._core.load()
 
     def _cancel_orphan(self, run):
--- a/wagtailtrestle/measure/fleet.py
+++ b/wagtailtrestle/measure/fleet.py
@@ -1,4 +1,4 @@
-"""True speeds of the engines in a measured run, and the bound on what they can do."""
+"""Actual speeds of the engines in a measured run, and the bound on their throughput."""
 
 import random
 
@@ -10,7 +10,7 @@
 
 
 class TrueSpeed:
-    """What one engine really does; the declaration only comes near it.
+    """Actual speed of one engine, which the declaration only approximates.
 
     Parameters
     ----------
@@ -28,14 +28,14 @@
         self.prefill_tokens_per_s = prefill_tokens_per_s
 
     def cost_s(self, arrival):
-        """Seconds of this engine that a request costs in a full batch with an ideal cache."""
+        """Return the seconds of this engine that a request uses in a full batch with an ideal cache."""
         step_s = self.base_step_s + self.per_run_step_s * self.slots
         prefill_s = (arrival.prompt_tokens - arrival.reusable_tokens) / self.prefill_tokens_per_s
         return prefill_s + arrival.output_tokens * step_s / self.slots
 
 
 def true_speeds(declared_engines, *, seed):
-    """Speeds by engine name: the declared ones, each off by up to a fifth."""
+    """Return speeds by engine name: each declared speed times a factor drawn from ``MIN_SPEED`` to ``MAX_SPEED``."""
     draw = random.Random(f"speeds {seed}")
     speed_by_name = {}
     for engine in declared_engines:
@@ -51,14 +51,14 @@
 
 
 def fleet_cost_s(speed_by_name, arrival):
-    """Seconds of the whole fleet that a request costs; their sum per second is at most 1."""
+    """Return the seconds of the entire fleet that a request uses; the fleet serves at most a sum of 1 per second."""
     return 1.0 / sum(1.0 / speed.cost_s(arrival) for speed in speed_by_name.values())
 
 
 def remaining_capacity(speed_by_name, name, factor, cost_of):
-    """Share of the fleet's capacity left while one engine is ``factor`` times slower.
+    """Return the share of the fleet's capacity that remains while one engine is ``factor`` times slower.
 
-    ``cost_of`` maps an engine's speed to the mean seconds that a request costs it.
+    ``cost_of`` maps an engine's speed to the mean seconds that a request uses on it.
     """
     rate_by_name = {engine: 1.0 / cost_of(speed) for engine, speed in speed_by_name.items()}
     lost = rate_by_name[name] * (1.0 - 1.0 / factor)
--- a/wagtailtrestle/measure/one_run.py
+++ b/wagtailtrestle/measure/one_run.py
@@ -1,4 +1,4 @@
-"""One measured run: one policy, one service, one load, one scenario, one seed."""
+"""One measured run: one service under one policy, load, scenario and seed."""
 
 import asyncio
 import random
@@ -33,7 +33,7 @@
 KEYED = "keyed"
 PLATFORM_OUT = "platform-out"
 KEYED_SCENARIOS = (KEYED, PLATFORM_OUT)
-"""Half of the callers on at-most-once routes send a key; in the second the store is out."""
+"""Half of the callers on at-most-once routes send a key; in ``PLATFORM_OUT`` the store is unavailable."""
 
 OURS = "ours"
 BASELINES = ("round-robin", "least-reported", "two-choices")
@@ -45,7 +45,7 @@
 
 @record
 class RunSpec:
-    """What one run measures; ``prefill_weight`` below 0 takes the declared one."""
+    """Parameters of one run; a ``prefill_weight`` below 0 means the declared weight."""
 
     service: str
     policy: str
@@ -57,7 +57,7 @@
 
 
 def measure(spec):
-    """Run one spec and return its figures as plain data."""
+    """Run one spec and return its parameters and figures as plain data."""
     began = time.perf_counter()
     figures = virtual_time.run(MeasuredRun(spec=spec).run())
     return {**asdict(spec), **figures, "processor_s": round(time.perf_counter() - began, 2)}
@@ -70,16 +70,16 @@
     ----------
     spec : RunSpec
     declaration : Declaration or None
-        Instead of the example that holds the service.
+        By default the example that contains the service.
     routers : tuple of str
     warm_s : float
-        Start of the measured time.
+        Time after which requests are counted.
 
     Attributes
     ----------
     setting : RunSetting
     speed_by_name : dict of str to TrueSpeed
-        By engine; may be replaced before the run.
+        By engine name; may be replaced before the run.
     """
 
     def __init__(self, *, spec, declaration=None, routers=ROUTERS, warm_up_s=WARM_UP_S):
@@ -97,7 +97,7 @@
         self._store = MeasuredStore(is_unavailable=spec.scenario == PLATFORM_OUT)
 
     async def run(self):
-        """Drive the run to its end."""
+        """Run to the end and return the figures."""
         spec = self._spec
         loop = asyncio.get_running_loop()
         engines_by_name = {
@@ -158,7 +158,7 @@
             self._callers.append(routers.submit(router=router, request=request, arrival=arrival))
 
     def arrivals(self):
-        """Draw the arrivals of the run; the same at each call."""
+        """Draw the arrivals of the run, which are the same at each call."""
         spec = self._spec
         cost_s = self._drawing(MEAN_SEED).mean(lambda arrival: fleet_cost_s(self.speed_by_name, arrival))
         return self._drawing(spec.seed).arrivals(rate=spec.load / cost_s, duration_s=spec.duration_s)
@@ -198,7 +198,7 @@
         return figures
 
     def _capacity(self):
-        """Capacity over the measured time, as a share of the fleet's with every engine sound."""
+        """Capacity over the measured time, as a share of the fleet's capacity without a fault."""
         spec = self._spec
         if spec.scenario != STRAGGLER:
             return 1.0
@@ -213,6 +213,6 @@
 
 
 def load_declaration(service):
-    """Return the example declaration that holds a service."""
+    """Return the example declaration that contains a service."""
     path = EXAMPLES / f"{EXAMPLE_BY_SERVICE[service]}.yaml"
     return parse_declaration(path.read_text(), file=path.name)
--- a/wagtailtrestle/measure/plain_services.py
+++ b/wagtailtrestle/measure/plain_services.py
@@ -1,9 +1,8 @@
-"""``python -m wagtailtrestle.measure.plain_services``: the top tiers, which are plain calls, on real processes.
+"""Measure the top tiers of plain services on real processes: ``python -m wagtailtrestle.measure.plain_services``.
 
-The plain service is asked for 2.5 times what its engines can do, of which the top tier's
-own demand fits; if it has no lower tier, for what fits. At the same time callers of the
-language service flood the same routers, whose threads are few, so that the routers' own
-limits bind too.
+The plain service gets 2.5 times the load that its engines can serve, of which the top tier's share fits their
+capacity; a service without a lower tier gets only the load that fits. Meanwhile callers of the language
+service overload the same routers, which have few threads, so that the routers' own limits apply too.
 """
 
 import random
@@ -29,18 +28,18 @@
 SLOTS = 4
 CALLER_THREADS = 48
 FITTING_LOAD = 0.7
-"""Share of the plain engines' capacity that the top tier asks for."""
+"""Load of the top tier, as a share of the plain engines' capacity."""
 
 
 class PlainCase:
-    """One deployment's plain service: how much slower than declared, and the demand by route.
+    """Plain service of one deployment: its slowdown against the declaration, and its load by route.
 
     Parameters
     ----------
     service, language : str
     time_scale : float
     load_by_route : dict of str to float
-        In multiples of the engines' capacity, the top tier's route first.
+        Multiples of the engines' capacity, with the top tier's route first.
     """
 
     __slots__ = ("service", "language", "time_scale", "load_by_route")
@@ -64,7 +63,7 @@
 
 
 def run():
-    """Print the share in time by route, and what the engines' records say."""
+    """Print by route the share answered in time, and duplicates and false refusals by the engines' records."""
     print("| service | route | tier | load | sent | in time | refused unrun | started twice, false refusals |")
     print("|---|---|---|---|---|---|---|---|")
     for case in CASES:
--- a/wagtailtrestle/measure/plan_of_runs.py
+++ b/wagtailtrestle/measure/plan_of_runs.py
@@ -1,4 +1,4 @@
-"""Which runs `make measure` makes: every policy side by side with the same seeds."""
+"""Plan of the runs of ``make measure``, which measures every policy with the same seeds."""
 
 from wagtailtrestle.measure.one_run import (
     ABLATIONS,
@@ -25,13 +25,13 @@
 
 
 def full_plan():
-    """Return every run of the whole measurement."""
+    """Return every run of the full measurement."""
     specs = []
     for service in SERVICES:
         for seed in SEEDS:
             for policy in (OURS, *BASELINES):
                 specs += [_spec(service, policy, load, NO_FAULT, seed) for load in LOADS]
-                # To a baseline every router is like every other, and it knows no keys.
+                # A baseline has no scheduler to kill, so all its routers are alike, and it ignores idempotency keys.
                 faults = FAULTS if policy == OURS else BASELINE_FAULTS
                 specs += [_spec(service, policy, load, fault, seed) for load in FAULT_LOADS for fault in faults]
             specs += [_spec(service, policy, 2.5, NO_FAULT, seed) for policy in ABLATIONS]
@@ -40,7 +40,7 @@
 
 
 def quick_plan():
-    """Return a few short runs, to see that the measurement works."""
+    """Return a few short runs, to check that the measurement works."""
     policies = (OURS, "two-choices")
     specs = [
         _spec(service, policy, load, NO_FAULT, 1, duration_s=QUICK_DURATION_S)
@@ -64,5 +64,5 @@
 
 
 def _longest_first(specs):
-    """Longest runs first, so that no worker is left alone with one at the end."""
+    """Sort the longest runs first, so that the last worker does not start a long run at the end."""
     return sorted(specs, key=lambda spec: (spec.policy in BASELINES, -spec.load))
--- a/wagtailtrestle/measure/platform_store.py
+++ b/wagtailtrestle/measure/platform_store.py
@@ -1,4 +1,4 @@
-"""The platform's store in a measured run, and the ledgers of its routers."""
+"""The platform's store in a measured run, and the routers' ledgers that use it."""
 
 import asyncio
 import json
@@ -12,21 +12,21 @@
 
 STORE_LATENCY_S = 0.005
 KEYED_PERCENT = 50
-"""Share of the requests on routes that are run at most once whose callers send a key."""
+"""Percentage of the requests on at-most-once routes whose callers send a key."""
 
 
 class MeasuredStore:
-    """An ``ObjectStore`` over the stand-in's own table, with a fixed latency.
+    """An ``ObjectStore`` on the stand-in's object table, with a fixed latency.
 
     Parameters
     ----------
     out : bool
-        Whether it refuses every call, for the whole run.
+        Whether every call fails, during the entire run.
 
     Attributes
     ----------
     writes : int
-        Calls that write, refused ones included.
+        Number of calls that write, failed calls included.
     """
 
     __slots__ = ("writes", "_is_unavailable", "_table")
@@ -57,7 +57,7 @@
 
 
 class MeasuredLedgers:
-    """One real ledger for each router, joined by messages that take the network's time.
+    """One real ledger for each router, connected by messages with the network's delay.
 
     Parameters
     ----------
@@ -72,7 +72,7 @@
         self.ledger_by_router = {name: self._ledger(name, store, loop) for name in setting.routers}
 
     async def start(self):
-        """Read or make the layout of shards."""
+        """Start every ledger, which reads or creates the layout of shards."""
         for ledger in self.ledger_by_router.values():
             await ledger.start()
 
@@ -99,7 +99,7 @@
 
 
 def is_keyed(request_id):
-    """Whether this caller sends an idempotency key; the same in every run of a seed."""
+    """Whether this caller sends an idempotency key; decided by the request id, so equal in runs of the same seed."""
     return zlib.crc32(request_id.encode()) % 100 < KEYED_PERCENT
 
 
--- a/wagtailtrestle/measure/real_processes.py
+++ b/wagtailtrestle/measure/real_processes.py
@@ -1,8 +1,8 @@
-"""``python -m wagtailtrestle.measure.real_processes``: points of the measurement on real processes.
+"""Repeat points of the measurement on real processes: ``python -m wagtailtrestle.measure.real_processes``.
 
-A small deployment (two routers, four engines, a platform) is started as processes, and
-the same arrivals on the same declared engines are run on fakes under the advanced clock.
-Everything is slowed down by ``TIME_SCALE``, deadlines too, so that one machine carries it.
+A small deployment (two routers, four engines, a platform) runs as processes; the same arrivals on the
+same declared engines run on fakes under the virtual clock. Engines and deadlines are slowed down by
+``TIME_SCALE``, so that one computer can run the deployment.
 """
 
 import contextlib
@@ -40,7 +40,7 @@
 
 
 class SlowedRun(MeasuredRun):
-    """A run on fakes whose engines are those of a local deployment, slowed down.
+    """A run on fakes with the slowed engines of a local deployment.
 
     Parameters
     ----------
@@ -53,7 +53,7 @@
         self.speed_by_name = {engine.name: _speed(engine) for engine in self.setting.declared_engines}
 
     def arrivals(self):
-        """The planned arrivals, their deadlines slowed down too, but not beyond what the run waits for."""
+        """Return the arrivals with deadlines scaled by ``TIME_SCALE``, capped at what the run waits for."""
         return [
             with_deadline(arrival, min(LONGEST_DEADLINE_S, TIME_SCALE * arrival.kind.deadline_s))
             for arrival in super().arrivals()
@@ -61,7 +61,7 @@
 
 
 def run(service="asistente"):
-    """Print each point's figures from the fakes and from the processes, side by side.
+    """Print the figures of each point from the fakes and from the processes.
 
     Parameters
     ----------
@@ -80,13 +80,13 @@
 
 
 def slowed_run(service, load, document, duration_s=DURATION_S):
-    """Build the run of one point on the fakes; its arrivals serve the processes too."""
+    """Build the run of one point on the fakes; the processes use the same arrivals."""
     spec = RunSpec(service=service, policy=OURS, load=load, scenario=NO_FAULT, seed=SEED, duration_s=duration_s)
     return SlowedRun(spec=spec, declaration=parse_declaration(yaml.safe_dump(document), file=service))
 
 
 def slowed_document(service):
-    """Declare one service alone on a few slowed engines."""
+    """Return a declaration of one service on a few slowed engines."""
     document = yaml.safe_load((EXAMPLES / f"{EXAMPLE_BY_SERVICE[service]}.yaml").read_text())
     document["services"] = [each for each in document["services"] if each["name"] == service]
     document["engines"] = [each for each in document["engines"] if each["service"] == service][:ENGINES]
@@ -133,7 +133,7 @@
 
 @contextlib.contextmanager
 def running_deployment(document, router_settings=None):
-    """Start a deployment of the document, and stop it at the end."""
+    """Start a deployment of the document and close it on exit."""
     with tempfile.TemporaryDirectory(prefix="wagtailtrestle-measure-") as directory:
         deployment = Deployment(
             directory=Path(directory), document=document, routers=len(ROUTERS), router_settings=router_settings
@@ -142,7 +142,7 @@
             deployment.start()
             deployment.apply()
             deployment.wait_routers_ready()
-            # One round of load reports, so that the schedulers know the engines.
+            # Wait for one round of load reports, so that the schedulers know the engines.
             time.sleep(1.0)
             yield deployment
         finally:
@@ -150,7 +150,7 @@
 
 
 def planned_request(arrival, service, route):
-    """Return the arrival as the load client sends it."""
+    """Return the request that the load client sends for an arrival."""
     kind = RequestKind(
         name=route.name,
         service=service,
@@ -177,7 +177,7 @@
 
 
 def _prompt(arrival):
-    """Text of the arrival's length whose blocks are equal where the arrival's blocks are."""
+    """Return text of the arrival's length; equal prefix blocks of two arrivals give equal text."""
     text = "".join(f"{block:016x}" * (CHARACTERS_PER_BLOCK // 16) for block in arrival.prefix_blocks)
     rest = arrival.prompt_tokens * BYTES_PER_TOKEN - len(text)
     return text + (f"{arrival.number:08x}" * (rest // 8 + 1))[:rest]
--- a/wagtailtrestle/measure/report.py
+++ b/wagtailtrestle/measure/report.py
@@ -1,4 +1,4 @@
-"""Tables of a measurement: means over the seeds, and the targets held or missed."""
+"""Tables of a measurement: means over the seeds, and whether each target is held or missed."""
 
 from collections import defaultdict
 
@@ -9,7 +9,7 @@
 
 
 class Row:
-    """Means of the runs of one group."""
+    """Means, extremes and totals of the runs of one group."""
 
     __slots__ = ("key", "goodput", "min_goodput", "wasted", "max_wasted", "in_time_by_tier", "duplicates", "lies")
 
@@ -26,7 +26,7 @@
 
 
 def rows_of(results):
-    """Group results over seeds, in a fixed order."""
+    """Group the results over seeds, sorted by key."""
     grouped = defaultdict(list)
     for result in results:
         grouped[tuple(result[name] for name in GROUP)].append(result)
@@ -34,7 +34,7 @@
 
 
 def table(rows):
-    """Lay out rows as a Markdown table."""
+    """Format rows as a Markdown table."""
     lines = [
         "| service | scenario | load | policy | goodput / bound (least) | wasted prefill (most) | in time by tier |",
         "|---|---|---|---|---|---|---|",
@@ -51,7 +51,7 @@
 
 
 def platform_table(results):
-    """Lay out what the ledger costs the platform, and what its outage costs callers, as a Markdown table."""
+    """Format the ledger's writes to the platform and the effect of an outage on callers as a Markdown table."""
     lines = [
         "| service | scenario | load | writes per 1,000 requests | per request with a key "
         "| with a key: in time, refused unrun, slowest refusal | without a key: in time |",
@@ -82,7 +82,7 @@
 
 
 def targets(rows):
-    """Return one line for each target: held or missed, with its figure."""
+    """Return one line for each target: held or missed, with figure and limit."""
     by_key = {row.key: row for row in rows}
     lines = [
         line
--- a/wagtailtrestle/measure/rollout_ways.py
+++ b/wagtailtrestle/measure/rollout_ways.py
@@ -1,8 +1,8 @@
-"""Two ways to judge a version, on simulated roll-outs: sequentially by route, and once by a count at the end.
+"""Compare two methods of judging a version on simulated rollouts: a sequential test by route, and one test at the end.
 
-Each seed draws a service of two routes, one of which fails a seventh of its calls with any version, and a target
-that is good or bad in one way. Runs are drawn, not played: only the judgement differs between the ways.
-``python -m wagtailtrestle.measure.rollout_ways`` prints a table.
+Each seed simulates a service of two routes, one of which fails a seventh of its calls with any version, and a
+target that is good or bad in one way. Outcomes of runs are drawn at random, so the methods differ only in their
+judgement. ``python -m wagtailtrestle.measure.rollout_ways`` prints a table.
 """
 
 import math
@@ -26,11 +26,11 @@
 MEAN_RUN_S = 0.04
 SPREAD = 0.3
 Z_THRESHOLD = 3.09
-"""Of the count at the end: one false roll-back in a thousand."""
+"""Threshold of the test at the end: one false rollback in a thousand."""
 
 
 class SimpleClock:
-    """Time that the simulation moves."""
+    """Clock that the simulation advances."""
 
     __slots__ = ("now",)
 
@@ -43,18 +43,18 @@
 
 
 class Version:
-    """How a target behaves.
+    """Failures and speed of a simulated version.
 
     Parameters
     ----------
     share : float
-        Part of its runs that fail besides what any version fails.
+        Share of its runs that fail in addition to those that fail with any version.
     route : str or None
-        The only route on which they do.
+        The only route with these failures; ``None`` means every route.
     after_s : float
-        From this time on.
+        Time at which these failures start.
     slower : float
-        Times by which all runs are slower.
+        Factor by which all runs are slower.
     """
 
     __slots__ = ("share", "route", "after_s", "slower")
@@ -66,7 +66,7 @@
         self.slower = slower
 
     def fails(self, route, at_s):
-        """Part of the runs of a route that fail at a time."""
+        """Return the share of a route's runs that fail at a time."""
         extra = self.share if route == (self.route or route) and at_s >= self.after_s else 0.0
         return USUAL_FAILURES[route] + extra * (1.0 - USUAL_FAILURES[route])
 
@@ -82,18 +82,18 @@
 
 
 class ComparisonAtEnd:
-    """The other way: failures of both versions, and their mean times, compared once after the trial."""
+    """Compares failures and mean run times of both versions once, after the trial."""
 
     def __init__(self):
         self._runs = {True: [], False: []}
 
     def record(self, *, is_target, bad, run_s):
-        """Take in a run."""
+        """Record a run."""
         self._runs[is_target].append((bad, run_s))
 
     @property
     def is_bad(self):
-        """Whether failures or times differ by more than chance would give."""
+        """Whether the target's failures are significantly more, or its mean time over twice as long."""
         old, new = self._runs[False], self._runs[True]
         if not old or not new:
             return False
@@ -115,16 +115,16 @@
 
 
 class SimulatedRollout:
-    """What came of one roll-out.
+    """Result of one simulated rollout.
 
     Attributes
     ----------
     found_at_s : float or None
-        When the sequential way rolled it back.
+        Time at which the sequential test rolled it back.
     exposed, granted : int
-        Runs on the target until then or the end, and all runs until the end.
+        Runs on the target, and all runs, until the end of the simulation.
     found_at_end : bool
-        Whether the count after the trial rolls it back.
+        Whether the test after the trial rolls it back.
     """
 
     __slots__ = ("rolled_back_at_s", "exposed", "granted", "rolled_back_at_end")
@@ -137,12 +137,12 @@
 
     @property
     def is_within_bound(self):
-        """Whether the target got no more than an untested version may."""
+        """Whether the target got no more runs than an untested version may."""
         return self.exposed <= SHARE * self.granted + SLACK
 
 
 def simulate(version, seed):
-    """Draw one roll-out; every run ends at once."""
+    """Simulate one rollout; every run ends immediately."""
     rng = random.Random(seed)
     clock = SimpleClock()
     order = RolloutOrder(service="s", target="new", duration_s=DURATION_S, store_version=1)
@@ -169,7 +169,7 @@
         rollout.note_end(request=request, engine=engine, version=version_name, finished=finished)
         if rolled_back_at_s is None and rollout.state is RolloutState.ROLLED_BACK:
             rolled_back_at_s = clock.now
-        # The old engines hold something until the end, so that the shift is as long as it may be.
+        # The old engines have a run until the end, so that the shift takes the longest time allowed.
         rollout.step(old_places=12, target_places=12, old_runs=1)
     return SimulatedRollout(
         rolled_back_at_s=rolled_back_at_s, exposed=exposed, granted=granted, rolled_back_at_end=at_end.is_bad
@@ -177,7 +177,7 @@
 
 
 def summary(name, seeds=SEEDS):
-    """A row of the table."""
+    """Return the figures of one version as a row of the table."""
     simulated = [simulate(VERSIONS_BY_NAME[name], seed) for seed in range(seeds)]
     times = sorted(each.rolled_back_at_s for each in simulated if each.rolled_back_at_s is not None)
     return [
--- a/wagtailtrestle/measure/run_parts.py
+++ b/wagtailtrestle/measure/run_parts.py
@@ -1,8 +1,8 @@
-"""Small parts of a measured run: its setting and the fakes that need no state of their own."""
+"""Setting of a measured run, and links between entries and scheduler that pass messages to a callback."""
 
 
 class RunSetting:
-    """What stays the same over one measured run.
+    """Values that stay constant during one measured run.
 
     Parameters
     ----------
@@ -26,7 +26,7 @@
 
 
 class CallbackSchedulerLink:
-    """One entry's ``SchedulerLink``.
+    """``SchedulerLink`` of one entry, which passes messages to a callback.
 
     Parameters
     ----------
@@ -42,18 +42,18 @@
         self._send = send
 
     def send(self, *, cell, message):
-        """Carry a message to the scheduler."""
+        """Send a message to the scheduler."""
         self._send(self._router, message)
         return True
 
 
 class CallbackEntryLink:
-    """The scheduler's ``EntryLink``.
+    """``EntryLink`` of the scheduler, which passes messages to a callback.
 
     Parameters
     ----------
     send : callable
-        ``send(entry, message)``; tells whether that entry can be reached.
+        ``send(entry, message)``; returns whether that entry can be reached.
     """
 
     __slots__ = ("_send",)
@@ -62,5 +62,5 @@
         self._send = send
 
     def send(self, *, entry, message):
-        """Carry a message to an entry."""
+        """Send a message to an entry."""
         return self._send(entry, message)
--- a/wagtailtrestle/measure/tally.py
+++ b/wagtailtrestle/measure/tally.py
@@ -1,4 +1,4 @@
-"""Figures of one measured run, taken from the engines' own record and the callers' answers."""
+"""Figures of one measured run, from the engines' records and the callers' answers."""
 
 from wagtailtrestle.contracts.outcomes import Executed, Reason
 from wagtailtrestle.measure.fleet import fleet_cost_s
@@ -6,7 +6,7 @@
 
 
 class TierTally:
-    """Counts of one tier's requests that arrived inside the measured time."""
+    """Outcome counts of the requests of one tier or group."""
 
     __slots__ = ("asked", "in_time", "refused", "late", "unknown")
 
@@ -32,7 +32,7 @@
     speed_by_name : dict of str to TrueSpeed
     tier_names : dict of int to str
     tier_of, repeatable_of : dict
-        Rank, and whether it may run again, by route.
+        Rank of the tier, and whether a request may be repeated, by route.
     window : tuple of float
         Start and end of the measured time.
     """
@@ -79,7 +79,7 @@
 
 
 def tally_keyed(*, callers, routes_by_name):
-    """Counts of the at-most-once routes' callers, apart by whether they sent a key."""
+    """Count the outcomes of callers of at-most-once routes, with and without an idempotency key."""
     counts = {"keyed": TierTally(), "unkeyed": TierTally()}
     slowest_refusal_s = 0.0
     for caller in callers:
@@ -96,7 +96,7 @@
 
 
 def count(tier, caller, in_time):
-    """Count one caller's end."""
+    """Count the outcome of one caller."""
     tier.asked += 1
     if in_time:
         tier.in_time += 1
--- a/wagtailtrestle/measure/virtual_time.py
+++ b/wagtailtrestle/measure/virtual_time.py
@@ -1,7 +1,7 @@
-"""An asyncio loop whose clock jumps to the next timer instead of waiting for it.
+"""An asyncio loop whose clock advances to the next timer without waiting.
 
 A measured run holds hundreds of thousands of timers and no sockets; see
-``docs/design/unlike-engines.md`` for why this stands beside looptime.
+``docs/design/unlike-engines.md`` for why looptime is not used here.
 """
 
 import asyncio
@@ -9,7 +9,7 @@
 
 
 class JumpingSelector(selectors.SelectSelector):
-    """Selector that never sleeps: a wait moves its loop's clock forward by as much."""
+    """Selector that never sleeps: instead of waiting it advances the loop's clock by the timeout."""
 
     def __init__(self):
         super().__init__()
@@ -18,14 +18,14 @@
     def select(self, timeout=None):
         """Advance the clock by ``timeout``; nothing but timers can become ready."""
         if timeout is None:
-            raise RuntimeError("the measured run is stuck: no timer is left and the main task has not ended")
+            raise RuntimeError("the measured run is deadlocked: no timer is pending and the main task has not ended")
         if timeout > 0.0:
             self.now += timeout
         return ()
 
 
 class VirtualTimeLoop(asyncio.SelectorEventLoop):
-    """Event loop under a clock that starts at 0 and costs nothing to advance."""
+    """Event loop with a virtual clock that starts at 0."""
 
     def __init__(self):
         self._jumping = JumpingSelector()
@@ -33,14 +33,14 @@
         self._clock_resolution = 1e-9
 
     def time(self):
-        """Seconds since the loop was made, on its own clock."""
+        """Return the virtual seconds since the loop was created."""
         return self._jumping.now
 
 
 def run(main):
-    """Run the coroutine ``main`` to its end under a fresh clock and return its result.
+    """Run the coroutine ``main`` to its end on a new virtual clock and return its result.
 
-    An error in any callback or task makes the run worthless, so it is raised at the end.
+    An error in any callback or task invalidates the run, so the first one is raised at the end.
     """
     errors = []
     with asyncio.Runner(loop_factory=VirtualTimeLoop) as runner:
--- a/wagtailtrestle/measure/workload.py
+++ b/wagtailtrestle/measure/workload.py
@@ -1,7 +1,7 @@
-"""Open-loop arrivals for the two example deployments, drawn ahead from a fixed seed.
+"""Open-loop arrivals for the two example deployments, drawn in advance from a fixed seed.
 
-Lengths are log-normal over more than a hundredfold; the prompts of a team share its
-system prompt, and some drafts take up the prompt of an earlier draft again.
+Lengths are log-normal and vary by a factor of more than a hundred. The prompts of a team share its
+system prompt, and some requests extend the prompt of an earlier request.
 """
 
 import copy
@@ -25,19 +25,19 @@
     Parameters
     ----------
     route : str
-        Declared route; it gives tier, repeatability and teams.
+        Declared route, which determines tier, repeatability and teams.
     share : float
-        Part of all requests.
-    prompt_median, prompt_sigma, prompt_most
-        Log-normal length of the prompt beyond the team's system prompt.
-    output_median, output_sigma, output_most
-        Log-normal length of the true answer.
+        Share of all requests.
+    prompt_median, prompt_sigma, prompt_max
+        Log-normal length of the prompt after the team's system prompt, up to a maximum.
+    output_median, output_sigma, output_max
+        Log-normal length of the actual answer, up to a maximum.
     deadline_s : float
-        What callers ask for; the route's default is longer.
+        Deadline that callers request; the route's default is longer.
     shared_tokens : int
         Length of the team's system prompt.
     follow_up_share : float
-        Part that repeats the prompt of an earlier request of its team and adds to it.
+        Share of requests that repeat the prompt of an earlier request of the team and extend it.
     """
 
     __slots__ = (
@@ -133,12 +133,12 @@
     team : str
     prompt_tokens : int
     output_tokens : int
-        True length of the answer, known to the engine alone.
+        Actual length of the answer, known only to the engine.
     output_cap : int
-        What the caller asks for at most.
+        Maximum number of output tokens that the caller requests.
     prefix_blocks : tuple of int
     reusable_tokens : int
-        Prompt tokens that an earlier prompt shares: what an ideal cache would hold.
+        Prompt tokens shared with an earlier prompt, which an ideal cache would hold.
     """
 
     __slots__ = (
@@ -191,7 +191,7 @@
     Parameters
     ----------
     service : Service
-        As declared; its routes say which teams may ask.
+        Declared service; its routes name the teams that may call them.
     teams_by_name : dict of str to Team
     seed : int
     """
@@ -205,7 +205,7 @@
         self._recent_by_team = {}
 
     def arrivals(self, *, rate, duration_s):
-        """Poisson arrivals of ``rate`` a second over ``duration_s``."""
+        """Draw Poisson arrivals of ``rate`` a second over ``duration_s``."""
         drawn = []
         at_s = self._random.expovariate(rate)
         while at_s < duration_s:
@@ -214,7 +214,7 @@
         return drawn
 
     def mean(self, cost_of):
-        """Mean of ``cost_of(arrival)`` over many requests of the mix."""
+        """Return the mean of ``cost_of(arrival)`` over ``MEAN_SAMPLE`` requests of the mix."""
         drawn = [self._arrival(number, 0.0) for number in range(MEAN_SAMPLE)]
         return sum(map(cost_of, drawn)) / len(drawn)
 
