--- a/tests/test_measure.py
+++ b/tests/test_measure.py
@@ -33,17 +33,17 @@
         self.assertEqual(first, second)
 
     def test_nothing_runs_twice_and_refusals_are_true_when_the_scheduler_dies(self):
-        # The scheduler's router dies under overload: its own callers are cut off, the others
-        # register with the new scheduler. By the engines' record no request that may not
-        # be repeated ran twice, and none that was told `no` ran at all.
+        # The scheduler's router is killed under overload: its own callers are disconnected, the other
+        # entries register with the new scheduler. By the engines' records no non-repeatable request
+        # ran twice, and no request refused with executed `no` ran at all.
         figures = run(OURS, scenario=KILLED_SCHEDULER, load=2.5)
         self.assertEqual((figures["duplicates"], figures["lies"], figures["unsettled"]), (0, 0, 0))
         self.assertGreater(figures["prefill_tokens"], 0)
 
     def test_platform_out_refuses_keys_at_once_and_nothing_else(self):
-        # The store refuses every call for the whole run: no claim can be proved, so requests
-        # with a key are told at once that they did not run, and that is true. Nothing else
-        # reads the store: the same tier without a key is served under overload as ever.
+        # Every call to the store fails during the entire run: no claim can be proved, so requests with
+        # a key are refused immediately as not executed, and the refusal is accurate. Nothing else reads
+        # the store: requests of the same tier without a key are served as usual under overload.
         figures = run(OURS, scenario=PLATFORM_OUT, load=2.5)
         keyed, unkeyed = figures["keyed"]["keyed"], figures["keyed"]["unkeyed"]
         self.assertEqual((figures["duplicates"], figures["lies"], figures["unsettled"]), (0, 0, 0))
@@ -52,7 +52,7 @@
         self.assertGreater(unkeyed["in_time"], 0.98 * unkeyed["asked"])
 
     def test_claims_share_writes(self):
-        # Every claim and its recorded answer go to the real ledger over a store of 5 ms.
+        # Every claim and its recorded answer go through the real ledger to a store with 5 ms latency.
         figures = run(OURS, scenario=KEYED, load=2.5)
         keyed = figures["keyed"]["keyed"]
         self.assertGreater(keyed["in_time"], 0.98 * keyed["asked"])
