--- a/wagtailtrestle/measure/one_run.py
+++ b/wagtailtrestle/measure/one_run.py
@@ -72,7 +72,7 @@
     declaration : Declaration or None
         By default the example that contains the service.
     routers : tuple of str
-    warm_s : float
+    warm_up_s : float
         Time after which requests are counted.
 
     Attributes
--- a/wagtailtrestle/measure/virtual_time.py
+++ b/wagtailtrestle/measure/virtual_time.py
@@ -18,7 +18,7 @@
     def select(self, timeout=None):
         """Advance the clock by ``timeout``; nothing but timers can become ready."""
         if timeout is None:
-            raise RuntimeError("the measured run is deadlocked: no timer is pending and the main task has not ended")
+            raise RuntimeError("the measured run is deadlocked: no timer is left and the main task has not ended")
         if timeout > 0.0:
             self.now += timeout
         return ()
