--- a/tests/test_rollout_decisions.py
+++ b/tests/test_rollout_decisions.py
@@ -126,9 +126,9 @@
     def test_bad_versions_are_rolled_back_within_the_bound(self):
         for name in ("fails half", "fails a fifth", "fails half from 3 s on", "three times slower"):
             with self.subTest(name):
-                played = [simulate(VERSIONS_BY_NAME[name], seed) for seed in SEEDS]
-                missed = [seed for seed, each in zip(SEEDS, played, strict=True) if each.rolled_back_at_s is None]
-                over = [seed for seed, each in zip(SEEDS, played, strict=True) if not each.is_within_bound]
+                simulated = [simulate(VERSIONS_BY_NAME[name], seed) for seed in SEEDS]
+                missed = [seed for seed, each in zip(SEEDS, simulated, strict=True) if each.rolled_back_at_s is None]
+                over = [seed for seed, each in zip(SEEDS, simulated, strict=True) if not each.is_within_bound]
                 self.assertEqual((missed, over), ([], []))
 
 
