--- a/wagtailtrestle/measure/cluster.py
+++ b/wagtailtrestle/measure/cluster.py
@@ -1,4 +1,4 @@
-"""The routers of a measured run: real entries and the real scheduler, joined by delayed messages."""
+"""Routers of a measured run: real entries and the real scheduler, connected by delayed messages."""
 
 from wagtailtrestle.capacity.scheduler import Scheduler
 from wagtailtrestle.contracts.exchange import CallerRequest
@@ -7,17 +7,17 @@
 from wagtailtrestle.entry.entry import Entry
 from wagtailtrestle.entry.poison import CrashDetector, CrashTable
 from wagtailtrestle.measure.fake_caller import NETWORK_S, FakeCaller
-from wagtailtrestle.measure.run_parts import SentBy, SentTo
+from wagtailtrestle.measure.run_parts import CallbackEntryLink, CallbackSchedulerLink
 
 TICK_S = 0.05
 REPORT_EVERY_S = 0.1
 REPORT_LAG_S = 0.2
 DETECTION_S = 1.0
-"""How long it takes until the others know that a router is dead."""
+"""Time until the other routers detect that a router is dead."""
 
 
 class SchedulerRouters:
-    """Routers under the product's own decisions.
+    """Routers whose admission the scheduler decides, as in the product.
 
     Parameters
     ----------
@@ -43,20 +43,20 @@
 
     @property
     def scheduler(self):
-        """The present scheduler."""
+        """Current scheduler; ``None`` between the death of its router and the detection."""
         return self._scheduler
 
     def start(self):
-        """Start the periodic work."""
+        """Start the ticks and the load reports."""
         self._tick()
         self._report()
 
     def live(self):
-        """Names of the routers that take callers."""
+        """Return the names of the routers that accept callers."""
         return list(self._entry_by_name)
 
     def submit(self, *, router, request, arrival):
-        """Give one caller's request to a router; returns the caller's side."""
+        """Submit one caller's request to a router and return the caller's side."""
         entry = self._entry_by_name[router]
         caller = FakeCaller(
             arrival=arrival,
@@ -70,15 +70,15 @@
         return caller
 
     def kill(self, router):
-        """End a router's process: its requests are lost, and its scheduler if it had one."""
+        """Kill a router's process; its requests are lost, and so is the scheduler if it ran there."""
         entry = self._entry_by_name.pop(router)
         for caller in self._callers_by_router.pop(router).values():
-            caller.die()
+            caller.disconnect()
         self._loop.create_task(entry.close())
         if router == self._host:
             self._scheduler.stop_granting()
             self._scheduler = None
-        self._loop.call_later(DETECTION_S, self._note_death, router)
+        self._loop.call_later(DETECTION_S, self._on_death_detected, router)
 
     def _send_to_scheduler(self, router, message):
         delay_s = 0.0 if router == self._host else NETWORK_S
@@ -92,15 +92,15 @@
         if entry_name not in self._entry_by_name:
             return False
         delay_s = 0.0 if entry_name == self._host else NETWORK_S
-        self._loop.call_later(delay_s, self._give, entry_name, message)
+        self._loop.call_later(delay_s, self._deliver, entry_name, message)
         return True
 
-    def _give(self, entry_name, message):
+    def _deliver(self, entry_name, message):
         entry = self._entry_by_name.get(entry_name)
         if entry is not None:
             entry.on_scheduler_message(message)
 
-    def _note_death(self, router):
+    def _on_death_detected(self, router):
         if router == self._host:
             self._host = next(iter(self._entry_by_name))
             self._scheduler = self._new_scheduler()
@@ -118,7 +118,7 @@
         )
         return Entry(
             name=name,
-            schedulers=SentBy(router=name, send=self._send_to_scheduler),
+            schedulers=CallbackSchedulerLink(router=name, send=self._send_to_scheduler),
             claims=self._claims_by_router.get(name),
             crashes=crashes,
             declaration=lambda: self._setting.declaration,
@@ -131,7 +131,7 @@
             cell=setting.cell,
             policy=self._make_policy(),
             clock=self._loop.time,
-            entries=SentTo(send=self._send_to_entry),
+            entries=CallbackEntryLink(send=self._send_to_entry),
             prefill_weight=setting.prefill_weight,
         )
         scheduler.set_members(frozenset(self._entry_by_name))
@@ -155,10 +155,10 @@
                 step_s=load.step_s,
                 leaving=False,
             )
-            self._loop.call_later(REPORT_LAG_S, self._take_report, report)
+            self._loop.call_later(REPORT_LAG_S, self._apply_report, report)
         self._loop.call_later(REPORT_EVERY_S, self._report)
 
-    def _take_report(self, report):
+    def _apply_report(self, report):
         if self._scheduler is not None:
             self._scheduler.on_load_report(report)
 
--- a/wagtailtrestle/measure/fake_caller.py
+++ b/wagtailtrestle/measure/fake_caller.py
@@ -1,4 +1,4 @@
-"""A caller's side in a measured run: carries one request's runs to engines and its answer back."""
+"""The caller's side in a measured run: sends a request's runs to engines and receives its answer."""
 
 from wagtailtrestle.contracts.exchange import AnswerRefusal, AnswerWhole, RunAdvanced, RunBegan, RunEnded, StartRun
 from wagtailtrestle.contracts.outcomes import RunCancelled, RunDone, RunLost, RunSilent
@@ -17,7 +17,7 @@
     engines_by_name : dict of str to FakeEngine
     loop : asyncio.AbstractEventLoop
     post_event : callable
-        Gives ``(request_id, event)`` to the entry.
+        Called with ``(request_id, event)`` to post an event to the entry.
     """
 
     __slots__ = (
@@ -31,7 +31,7 @@
         "_engines_by_name",
         "_loop",
         "_post_event",
-        "_carried",
+        "_connection",
     )
 
     def __init__(self, *, arrival, request_id, engines_by_name, loop, post_event):
@@ -45,19 +45,21 @@
         self._engines_by_name = engines_by_name
         self._loop = loop
         self._post_event = post_event
-        self._carried = None
+        self._connection = None
 
     @property
     def settled(self):
-        """Whether the caller needs to wait no more."""
+        """Whether the caller has an answer or a refusal, or lost its router."""
         return self.answered_at is not None or self.refusal is not None or self.lost
 
     def post(self, command):
         """Act on a command of the request's task."""
         match command:
             case StartRun():
-                self._carried = CarriedRun(caller=self, command=command, engine=self._engines_by_name[command.engine])
-                self._loop.call_later(NETWORK_S, self._carried.send)
+                self._connection = RunConnection(
+                    caller=self, command=command, engine=self._engines_by_name[command.engine]
+                )
+                self._loop.call_later(NETWORK_S, self._connection.send)
             case AnswerWhole():
                 self.answered_at = self._loop.time()
             case AnswerRefusal(refusal=refusal):
@@ -65,21 +67,21 @@
                 self.refused_at = self._loop.time()
 
     def cancel_run(self, *, run_id, engine, address):
-        """Ask the engine to cancel; ``RunEnded`` follows."""
+        """Cancel a run on its engine; ``RunEnded`` follows if it was active."""
         self._loop.call_later(NETWORK_S, self._cancel, run_id, engine)
 
-    def die(self):
-        """The router that carried this request is gone, and its connections with it."""
+    def disconnect(self):
+        """Drop the connections of this request, as its router was killed."""
         self.lost = not self.settled
-        if self._carried is not None:
-            self._carried.drop()
+        if self._connection is not None:
+            self._connection.drop()
 
-    def tell(self, event):
-        """Give an event to the entry, over the network."""
+    def send_event(self, event):
+        """Post an event to the entry after the network delay."""
         self._loop.call_later(NETWORK_S, self._post_event, self.request_id, event)
 
     def now(self):
-        """Loop time."""
+        """Return the loop time."""
         return self._loop.time()
 
     def call_later(self, delay_s, callback):
@@ -88,11 +90,11 @@
 
     def _cancel(self, run_id, engine):
         if self._engines_by_name[engine].cancel(run_id):
-            self._carried.end(RunCancelled(output_tokens=self.received_tokens))
+            self._connection.end(RunCancelled(output_tokens=self.received_tokens))
 
 
-class CarriedRun:
-    """One run followed over one connection, with its limits on silence.
+class RunConnection:
+    """Connection of one run to its engine, with the run's limits on silence.
 
     Parameters
     ----------
@@ -114,7 +116,7 @@
         self._ended = False
 
     def send(self):
-        """Send the request, or attach again."""
+        """Submit the run, or attach to it if it runs already."""
         if self._ended:
             return
         command = self._command
@@ -133,20 +135,20 @@
                 resume_tokens=self._caller.received_tokens,
                 follower=self,
             )
-        self._caller.call_later(PROGRESS_S, self._watch)
+        self._caller.call_later(PROGRESS_S, self._check_progress)
 
     def on_token(self, run):
-        """The first token came (or the first after attaching)."""
+        """Report the first token, or the first one after attaching."""
         if self._ended or self._first_token_s:
             return
         now = self._caller.now()
         self._first_token_s = now - self._began_at
         self._token_at = now
         self._caller.received_tokens = run.batch_run.last_index
-        self._caller.tell(RunBegan(run_id=self._command.run_id, first_token_s=self._first_token_s))
+        self._caller.send_event(RunBegan(run_id=self._command.run_id, first_token_s=self._first_token_s))
 
     def on_finished(self, run):
-        """The whole answer came."""
+        """End the run as done, with a complete answer."""
         batch_run = run.batch_run
         self._caller.received_tokens = batch_run.last_index
         self.end(
@@ -158,11 +160,11 @@
         )
 
     def end(self, outcome):
-        """Tell the end of the run once."""
+        """Report the end of the run, once."""
         if self._ended:
             return
         self._ended = True
-        self._caller.tell(
+        self._caller.send_event(
             RunEnded(
                 run_id=self._command.run_id,
                 outcome=outcome,
@@ -172,23 +174,25 @@
         )
 
     def drop(self):
-        """Close the connection without telling anybody."""
+        """Close the connection without reporting an end to the entry."""
         if not self._ended and self._run is not None:
             self._engine.detach(self._command.run_id)
         self._ended = True
 
-    def _watch(self):
+    def _check_progress(self):
         if self._ended:
             return
         now = self._caller.now()
         if self._run.token_at > self._token_at:
             self._token_at = self._run.token_at
             self._caller.received_tokens = self._run.batch_run.last_index
-            self._caller.tell(RunAdvanced(run_id=self._command.run_id, output_tokens=self._run.batch_run.last_index))
+            self._caller.send_event(
+                RunAdvanced(run_id=self._command.run_id, output_tokens=self._run.batch_run.last_index)
+            )
         command = self._command
         limit_s = command.progress_deadline_s if self._first_token_s else command.first_token_deadline_s
         if now - self._token_at > limit_s or now - self._began_at > command.overall_s + PROGRESS_S:
             self._engine.detach(command.run_id)
             self.end(RunSilent(output_tokens=self._caller.received_tokens, reached=self._first_token_s > 0.0))
             return
-        self._caller.call_later(PROGRESS_S, self._watch)
+        self._caller.call_later(PROGRESS_S, self._check_progress)
--- a/wagtailtrestle/measure/one_run.py
+++ b/wagtailtrestle/measure/one_run.py
@@ -1,4 +1,4 @@
-"""One measured run: one policy, one service, one load, one scenario, one seed."""
+"""One measured run: one service under one policy, load, scenario and seed."""
 
 import asyncio
 import random
@@ -12,7 +12,7 @@
 from wagtailtrestle.measure.baseline_routers import BaselineRouters
 from wagtailtrestle.measure.cluster import SchedulerRouters, caller_request
 from wagtailtrestle.measure.fake_engine import FakeEngine
-from wagtailtrestle.measure.fleet import capacity_left, fleet_cost_s, true_speeds
+from wagtailtrestle.measure.fleet import fleet_cost_s, remaining_capacity, true_speeds
 from wagtailtrestle.measure.platform_store import MeasuredLedgers, MeasuredStore, is_keyed
 from wagtailtrestle.measure.run_parts import RunSetting
 from wagtailtrestle.measure.tally import tally, tally_keyed
@@ -20,7 +20,7 @@
 from wagtailtrestle.record import record
 
 ROUTERS = ("r1", "r2", "r3", "r4")
-WARM_S = 10.0
+WARM_UP_S = 10.0
 STRAGGLE_FACTOR = 5.0
 FAULT_AT = 1.0 / 3.0
 DRAIN_S = 60.0
@@ -33,7 +33,7 @@
 KEYED = "keyed"
 PLATFORM_OUT = "platform-out"
 KEYED_SCENARIOS = (KEYED, PLATFORM_OUT)
-"""Half of the callers on at-most-once routes send a key; in the second the store is out."""
+"""Half of the callers on at-most-once routes send a key; in ``PLATFORM_OUT`` the store is unavailable."""
 
 OURS = "ours"
 BASELINES = ("round-robin", "least-reported", "two-choices")
@@ -45,7 +45,7 @@
 
 @record
 class RunSpec:
-    """What one run measures; ``prefill_weight`` below 0 takes the declared one."""
+    """Parameters of one run; a ``prefill_weight`` below 0 means the declared weight."""
 
     service: str
     policy: str
@@ -57,7 +57,7 @@
 
 
 def measure(spec):
-    """Run one spec and return its figures as plain data."""
+    """Run one spec and return its parameters and figures as plain data."""
     began = time.perf_counter()
     figures = virtual_time.run(MeasuredRun(spec=spec).run())
     return {**asdict(spec), **figures, "processor_s": round(time.perf_counter() - began, 2)}
@@ -70,21 +70,21 @@
     ----------
     spec : RunSpec
     declaration : Declaration or None
-        Instead of the example that holds the service.
+        By default the example that contains the service.
     routers : tuple of str
-    warm_s : float
-        Start of the measured time.
+    warm_up_s : float
+        Time after which requests are counted.
 
     Attributes
     ----------
     setting : RunSetting
     speed_by_name : dict of str to TrueSpeed
-        By engine; may be replaced before the run.
+        By engine name; may be replaced before the run.
     """
 
-    def __init__(self, *, spec, declaration=None, routers=ROUTERS, warm_s=WARM_S):
+    def __init__(self, *, spec, declaration=None, routers=ROUTERS, warm_up_s=WARM_UP_S):
         self._spec = spec
-        self._warm_s = warm_s
+        self._warm_up_s = warm_up_s
         declaration = declaration or load_declaration(spec.service)
         service = declaration.services_by_name[spec.service]
         weight = service.prefill_weight if spec.prefill_weight < 0 else spec.prefill_weight
@@ -94,10 +94,10 @@
             route.name: declaration.tiers_by_name[route.tier].rank for route in service.routes_by_name.values()
         }
         self._callers = []
-        self._store = MeasuredStore(out=spec.scenario == PLATFORM_OUT)
+        self._store = MeasuredStore(is_unavailable=spec.scenario == PLATFORM_OUT)
 
     async def run(self):
-        """Drive the run to its end."""
+        """Run to the end and return the figures."""
         spec = self._spec
         loop = asyncio.get_running_loop()
         engines_by_name = {
@@ -105,8 +105,8 @@
         }
         routers = self._routers(engines_by_name, loop, await self._claims_by_router(loop))
         routers.start()
-        loop.call_later(spec.duration_s * FAULT_AT, self._break, routers, engines_by_name)
-        await self._arrive(routers, loop)
+        loop.call_later(spec.duration_s * FAULT_AT, self._inject_fault, routers, engines_by_name)
+        await self._submit_arrivals(routers, loop)
         await asyncio.sleep(DRAIN_S)
         return self._figures(engines_by_name)
 
@@ -137,7 +137,7 @@
         parts = dict(setting=self.setting, engines_by_name=engines_by_name, make_policy=make_policy, loop=loop)
         return SchedulerRouters(**parts, claims_by_router=claims_by_router) if scheduler else BaselineRouters(**parts)
 
-    async def _arrive(self, routers, loop):
+    async def _submit_arrivals(self, routers, loop):
         spec = self._spec
         pick = random.Random(f"balancer {spec.seed}")
         for arrival in self.arrivals():
@@ -158,7 +158,7 @@
             self._callers.append(routers.submit(router=router, request=request, arrival=arrival))
 
     def arrivals(self):
-        """Draw the arrivals of the run; the same at each call."""
+        """Draw the arrivals of the run, which are the same at each call."""
         spec = self._spec
         cost_s = self._drawing(MEAN_SEED).mean(lambda arrival: fleet_cost_s(self.speed_by_name, arrival))
         return self._drawing(spec.seed).arrivals(rate=spec.load / cost_s, duration_s=spec.duration_s)
@@ -167,7 +167,7 @@
         teams = self.setting.declaration.teams_by_name
         return Drawing(service=self.setting.service, teams_by_name=teams, seed=seed)
 
-    def _break(self, routers, engines_by_name):
+    def _inject_fault(self, routers, engines_by_name):
         match self._spec.scenario:
             case "straggler":
                 engines_by_name[self.setting.declared_engines[0].name].straggle(STRAGGLE_FACTOR)
@@ -187,7 +187,7 @@
             tier_names={tier.rank: tier.name for tier in declaration.tiers_by_name.values()},
             tier_of=self._tier_of,
             repeatable_of={route.name: route.repeatable for route in routes},
-            window=(self._warm_s, spec.duration_s),
+            window=(self._warm_up_s, spec.duration_s),
         )
         figures["requests"] = len(self._callers)
         figures["writes"] = self._store.writes
@@ -198,21 +198,21 @@
         return figures
 
     def _capacity(self):
-        """Capacity over the measured time, as a share of the fleet's with every engine sound."""
+        """Capacity over the measured time, as a share of the fleet's capacity without a fault."""
         spec = self._spec
         if spec.scenario != STRAGGLER:
             return 1.0
-        left = capacity_left(
+        left = remaining_capacity(
             self.speed_by_name,
             self.setting.declared_engines[0].name,
             STRAGGLE_FACTOR,
             lambda speed: self._drawing(MEAN_SEED).mean(speed.cost_s),
         )
-        slow_share = (spec.duration_s * (1.0 - FAULT_AT)) / (spec.duration_s - self._warm_s)
+        slow_share = (spec.duration_s * (1.0 - FAULT_AT)) / (spec.duration_s - self._warm_up_s)
         return 1.0 - min(1.0, slow_share) * (1.0 - left)
 
 
 def load_declaration(service):
-    """Return the example declaration that holds a service."""
+    """Return the example declaration that contains a service."""
     path = EXAMPLES / f"{EXAMPLE_BY_SERVICE[service]}.yaml"
     return parse_declaration(path.read_text(), file=path.name)
--- a/wagtailtrestle/measure/plain_services.py
+++ b/wagtailtrestle/measure/plain_services.py
@@ -1,9 +1,8 @@
-"""``python -m wagtailtrestle.measure.plain_services``: the top tiers, which are plain calls, on real processes.
+"""Measure the top tiers of plain services on real processes: ``python -m wagtailtrestle.measure.plain_services``.
 
-The plain service is asked for 2.5 times what its engines can do, of which the top tier's
-own demand fits; if it has no lower tier, for what fits. At the same time callers of the
-language service flood the same routers, whose threads are few, so that the routers' own
-limits bind too.
+The plain service gets 2.5 times the load that its engines can serve, of which the top tier's share fits their
+capacity; a service without a lower tier gets only the load that fits. Meanwhile callers of the language
+service overload the same routers, which have few threads, so that the routers' own limits apply too.
 """
 
 import random
@@ -28,19 +27,19 @@
 SEED = 1
 SLOTS = 4
 CALLER_THREADS = 48
-FITTING = 0.7
-"""Share of the plain engines' capacity that the top tier asks for."""
+FITTING_LOAD = 0.7
+"""Load of the top tier, as a share of the plain engines' capacity."""
 
 
 class PlainCase:
-    """One deployment's plain service: how much slower than declared, and the demand by route.
+    """Plain service of one deployment: its slowdown against the declaration, and its load by route.
 
     Parameters
     ----------
     service, language : str
     time_scale : float
     load_by_route : dict of str to float
-        In multiples of the engines' capacity, the top tier's route first.
+        Multiples of the engines' capacity, with the top tier's route first.
     """
 
     __slots__ = ("service", "language", "time_scale", "load_by_route")
@@ -57,14 +56,14 @@
         service="reservas",
         language="asistente",
         time_scale=10.0,
-        load_by_route={"book": FITTING, "slot-status": LOAD - FITTING},
+        load_by_route={"book": FITTING_LOAD, "slot-status": LOAD - FITTING_LOAD},
     ),
-    PlainCase(service="thikana", language="naamkosh", time_scale=40.0, load_by_route={"door-number": FITTING}),
+    PlainCase(service="thikana", language="naamkosh", time_scale=40.0, load_by_route={"door-number": FITTING_LOAD}),
 )
 
 
 def run():
-    """Print the share in time by route, and what the engines' records say."""
+    """Print by route the share answered in time, and duplicates and false refusals by the engines' records."""
     print("| service | route | tier | load | sent | in time | refused unrun | started twice, false refusals |")
     print("|---|---|---|---|---|---|---|---|")
     for case in CASES:
@@ -83,12 +82,12 @@
     by_route = {}
     for result in results:
         by_route.setdefault((result.planned.kind.service, result.planned.kind.name), []).append(result)
-    for (service, route), those in sorted(by_route.items()):
+    for (service, route), group in sorted(by_route.items()):
         load = case.load_by_route.get(route, LOAD) if service == case.service else LOAD
-        in_time = sum(result.in_deadline() for result in those) / len(those)
-        refused = sum(not result.complete and result.executed == "no" for result in those) / len(those)
+        in_time = sum(result.in_deadline() for result in group) / len(group)
+        refused = sum(not result.complete and result.executed == "no" for result in group) / len(group)
         print(
-            f"| {service} | {route} | {those[0].planned.kind.tier} | {load:.1f} | {len(those)} | {in_time:.1%} "
+            f"| {service} | {route} | {group[0].planned.kind.tier} | {load:.1f} | {len(group)} | {in_time:.1%} "
             f"| {refused:.1%} | {len(record_check.doubled)}, {len(record_check.false_refusals)} |",
             flush=True,
         )
--- a/wagtailtrestle/measure/platform_store.py
+++ b/wagtailtrestle/measure/platform_store.py
@@ -1,4 +1,4 @@
-"""The platform's store in a measured run, and the ledgers of its routers."""
+"""The platform's store in a measured run, and the routers' ledgers that use it."""
 
 import asyncio
 import json
@@ -12,28 +12,28 @@
 
 STORE_LATENCY_S = 0.005
 KEYED_PERCENT = 50
-"""Share of the requests on routes that are run at most once whose callers send a key."""
+"""Percentage of the requests on at-most-once routes whose callers send a key."""
 
 
 class MeasuredStore:
-    """An ``ObjectStore`` over the stand-in's own table, with a fixed latency.
+    """An ``ObjectStore`` on the stand-in's object table, with a fixed latency.
 
     Parameters
     ----------
     out : bool
-        Whether it refuses every call, for the whole run.
+        Whether every call fails, during the entire run.
 
     Attributes
     ----------
     writes : int
-        Calls that write, refused ones included.
+        Number of calls that write, failed calls included.
     """
 
-    __slots__ = ("writes", "_out", "_table")
+    __slots__ = ("writes", "_is_unavailable", "_table")
 
-    def __init__(self, *, out):
+    def __init__(self, *, is_unavailable):
         self.writes = 0
-        self._out = out
+        self._is_unavailable = is_unavailable
         self._table = ObjectTable()
 
     async def get(self, *, kind, name, unless_version=None):
@@ -43,21 +43,21 @@
     async def create(self, *, kind, name, value):
         """Create an object."""
         self.writes += 1
-        return await self._answer(lambda: self._table.create(kind=kind, name=name, value=_carried(value)))
+        return await self._answer(lambda: self._table.create(kind=kind, name=name, value=_json_round_trip(value)))
 
     async def update(self, *, kind, name, value, if_version):
         """Replace an object at a version."""
         self.writes += 1
-        write = dict(kind=kind, name=name, value=_carried(value), if_version=if_version)
+        write = dict(kind=kind, name=name, value=_json_round_trip(value), if_version=if_version)
         return await self._answer(lambda: self._table.update(**write))
 
     async def _answer(self, call):
         await asyncio.sleep(STORE_LATENCY_S)
-        return StoreUnavailable(detail="the platform is out") if self._out else call()
+        return StoreUnavailable(detail="the platform is out") if self._is_unavailable else call()
 
 
 class MeasuredLedgers:
-    """One real ledger for each router, joined by messages that take the network's time.
+    """One real ledger for each router, connected by messages with the network's delay.
 
     Parameters
     ----------
@@ -72,7 +72,7 @@
         self.ledger_by_router = {name: self._ledger(name, store, loop) for name in setting.routers}
 
     async def start(self):
-        """Read or make the layout of shards."""
+        """Start every ledger, which reads or creates the layout of shards."""
         for ledger in self.ledger_by_router.values():
             await ledger.start()
 
@@ -84,14 +84,14 @@
             incarnation="1",
             store=store,
             owner_of=lambda shard: self._rendezvous.ranked(key=shard, members=routers)[0],
-            query_peer=self._ask,
+            query_peer=self._query,
             shards=lambda: declared.ledger_shards,
             retention_s=lambda: declared.ledger_retention_s,
             live_routers=lambda: len(routers),
             wall_clock=loop.time,
         )
 
-    async def _ask(self, peer, message, timeout_s):
+    async def _query(self, peer, message, timeout_s):
         await asyncio.sleep(NETWORK_S)
         answer = await self.ledger_by_router[peer].handle(message)
         await asyncio.sleep(NETWORK_S)
@@ -99,9 +99,9 @@
 
 
 def is_keyed(request_id):
-    """Whether this caller sends an idempotency key; the same in every run of a seed."""
+    """Whether this caller sends an idempotency key; decided by the request id, so equal in runs of the same seed."""
     return zlib.crc32(request_id.encode()) % 100 < KEYED_PERCENT
 
 
-def _carried(value):
+def _json_round_trip(value):
     return json.loads(json.dumps(value))
--- a/wagtailtrestle/measure/report.py
+++ b/wagtailtrestle/measure/report.py
@@ -1,4 +1,4 @@
-"""Tables of a measurement: means over the seeds, and the targets held or missed."""
+"""Tables of a measurement: means over the seeds, and whether each target is held or missed."""
 
 from collections import defaultdict
 
@@ -9,24 +9,24 @@
 
 
 class Row:
-    """Means of the runs of one group."""
+    """Means, extremes and totals of the runs of one group."""
 
-    __slots__ = ("key", "goodput", "least_goodput", "wasted", "most_wasted", "in_time_by_tier", "duplicates", "lies")
+    __slots__ = ("key", "goodput", "min_goodput", "wasted", "max_wasted", "in_time_by_tier", "duplicates", "lies")
 
     def __init__(self, *, key, results):
         self.key = key
         bounded = [result["goodput_of_fleet"] / result["bound"] for result in results]
         self.goodput = sum(bounded) / len(bounded)
-        self.least_goodput = min(bounded)
+        self.min_goodput = min(bounded)
         self.wasted = sum(result["wasted_prefill"] for result in results) / len(results)
-        self.most_wasted = max(result["wasted_prefill"] for result in results)
+        self.max_wasted = max(result["wasted_prefill"] for result in results)
         self.duplicates = sum(result["duplicates"] for result in results)
         self.lies = sum(result["lies"] for result in results)
         self.in_time_by_tier = _in_time(results)
 
 
 def rows_of(results):
-    """Group results over seeds, in a fixed order."""
+    """Group the results over seeds, sorted by key."""
     grouped = defaultdict(list)
     for result in results:
         grouped[tuple(result[name] for name in GROUP)].append(result)
@@ -34,7 +34,7 @@
 
 
 def table(rows):
-    """Lay out rows as a Markdown table."""
+    """Format rows as a Markdown table."""
     lines = [
         "| service | scenario | load | policy | goodput / bound (least) | wasted prefill (most) | in time by tier |",
         "|---|---|---|---|---|---|---|",
@@ -44,14 +44,14 @@
         name = policy if weight < 0 else f"{policy}, prefill_weight {weight}"
         tiers = ", ".join(f"{tier} {share:.1%}" for tier, share in row.in_time_by_tier.items())
         lines.append(
-            f"| {service} | {scenario} | {load} | {name} | {row.goodput:.3f} ({row.least_goodput:.3f}) "
-            f"| {row.wasted:.2%} ({row.most_wasted:.2%}) | {tiers} |"
+            f"| {service} | {scenario} | {load} | {name} | {row.goodput:.3f} ({row.min_goodput:.3f}) "
+            f"| {row.wasted:.2%} ({row.max_wasted:.2%}) | {tiers} |"
         )
     return "\n".join(lines)
 
 
 def platform_table(results):
-    """Lay out what the ledger costs the platform, and what its outage costs callers, as a Markdown table."""
+    """Format the ledger's writes to the platform and the effect of an outage on callers as a Markdown table."""
     lines = [
         "| service | scenario | load | writes per 1,000 requests | per request with a key "
         "| with a key: in time, refused unrun, slowest refusal | without a key: in time |",
@@ -82,7 +82,7 @@
 
 
 def targets(rows):
-    """Return one line for each target: held or missed, with its figure."""
+    """Return one line for each target: held or missed, with figure and limit."""
     by_key = {row.key: row for row in rows}
     lines = [
         line
@@ -96,9 +96,9 @@
     ]
     ours = [row for row in rows if row.key[3] not in BASELINES]
     lines.append(
-        _line("duplicate dispatches of non-repeatable requests", sum(r.duplicates for r in ours), 0, most=True)
+        _line("duplicate dispatches of non-repeatable requests", sum(r.duplicates for r in ours), 0, is_maximum=True)
     )
-    lines.append(_line("refusals said not to have run that did", sum(row.lies for row in ours), 0, most=True))
+    lines.append(_line("refusals said not to have run that did", sum(row.lies for row in ours), 0, is_maximum=True))
     return lines
 
 
@@ -134,7 +134,7 @@
     for (name, scenario, load, policy, weight), row in by_key.items():
         if (name, policy, weight) == (service, OURS, -1.0):
             limit = 0.01 if scenario in (NO_FAULT, KEYED) else 0.05
-            yield _line(f"{service}: wasted prefill, {scenario}, load {load}", row.wasted, limit, most=True)
+            yield _line(f"{service}: wasted prefill, {scenario}, load {load}", row.wasted, limit, is_maximum=True)
 
 
 def _against_baseline(by_key, service):
@@ -146,6 +146,6 @@
         yield _line(f"{service}: best baseline's wasted prefill / ours at 2.5", ratio, 5.0)
 
 
-def _line(name, value, limit, *, most=False):
-    held = value <= limit if most else value >= limit
-    return f"{'held  ' if held else 'MISSED'} {name}: {value:.4g} ({'at most' if most else 'at least'} {limit:g})"
+def _line(name, value, limit, *, is_maximum=False):
+    held = value <= limit if is_maximum else value >= limit
+    return f"{'held  ' if held else 'MISSED'} {name}: {value:.4g} ({'at most' if is_maximum else 'at least'} {limit:g})"
--- a/wagtailtrestle/measure/rollout_ways.py
+++ b/wagtailtrestle/measure/rollout_ways.py
@@ -1,8 +1,8 @@
-"""Two ways to judge a version, on simulated roll-outs: sequentially by route, and once by a count at the end.
+"""Compare two methods of judging a version on simulated rollouts: a sequential test by route, and one test at the end.
 
-Each seed draws a service of two routes, one of which fails a seventh of its calls with any version, and a target
-that is good or bad in one way. Runs are drawn, not played: only the judgement differs between the ways.
-``python -m wagtailtrestle.measure.rollout_ways`` prints a table.
+Each seed simulates a service of two routes, one of which fails a seventh of its calls with any version, and a
+target that is good or bad in one way. Outcomes of runs are drawn at random, so the methods differ only in their
+judgement. ``python -m wagtailtrestle.measure.rollout_ways`` prints a table.
 """
 
 import math
@@ -25,12 +25,12 @@
 USUAL_FAILURES = {"read": 0.14, "book": 0.004}
 MEAN_RUN_S = 0.04
 SPREAD = 0.3
-LEVEL_Z = 3.09
-"""Of the count at the end: one false roll-back in a thousand."""
+Z_THRESHOLD = 3.09
+"""Threshold of the test at the end: one false rollback in a thousand."""
 
 
 class SimpleClock:
-    """Time that the simulation moves."""
+    """Clock that the simulation advances."""
 
     __slots__ = ("now",)
 
@@ -43,18 +43,18 @@
 
 
 class Version:
-    """How a target behaves.
+    """Failures and speed of a simulated version.
 
     Parameters
     ----------
     share : float
-        Part of its runs that fail besides what any version fails.
+        Share of its runs that fail in addition to those that fail with any version.
     route : str or None
-        The only route on which they do.
+        The only route with these failures; ``None`` means every route.
     after_s : float
-        From this time on.
+        Time at which these failures start.
     slower : float
-        Times by which all runs are slower.
+        Factor by which all runs are slower.
     """
 
     __slots__ = ("share", "route", "after_s", "slower")
@@ -66,7 +66,7 @@
         self.slower = slower
 
     def fails(self, route, at_s):
-        """Part of the runs of a route that fail at a time."""
+        """Return the share of a route's runs that fail at a time."""
         extra = self.share if route == (self.route or route) and at_s >= self.after_s else 0.0
         return USUAL_FAILURES[route] + extra * (1.0 - USUAL_FAILURES[route])
 
@@ -81,76 +81,78 @@
 }
 
 
-class CountAtEnd:
-    """The other way: failures of both versions, and their mean times, compared once after the trial."""
+class ComparisonAtEnd:
+    """Compares failures and mean run times of both versions once, after the trial."""
 
     def __init__(self):
         self._runs = {True: [], False: []}
 
-    def note(self, *, is_target, bad, pace):
-        """Take in a run."""
-        self._runs[is_target].append((bad, pace))
+    def record(self, *, is_target, bad, run_s):
+        """Record a run."""
+        self._runs[is_target].append((bad, run_s))
 
     @property
     def is_bad(self):
-        """Whether failures or times differ by more than chance would give."""
+        """Whether the target's failures are significantly more, or its mean time over twice as long."""
         old, new = self._runs[False], self._runs[True]
         if not old or not new:
             return False
-        return self._z([bad for bad, _ in old], [bad for bad, _ in new]) > LEVEL_Z or self._slower(old, new)
+        return self._z_score([bad for bad, _ in old], [bad for bad, _ in new]) > Z_THRESHOLD or self._is_slower(
+            old, new
+        )
 
-    def _z(self, old, new):
+    def _z_score(self, old, new):
         part = (sum(old) + sum(new)) / (len(old) + len(new))
         spread = math.sqrt(max(1e-9, part * (1.0 - part) * (1.0 / len(old) + 1.0 / len(new))))
         return (sum(new) / len(new) - sum(old) / len(old)) / spread
 
-    def _slower(self, old, new):
-        return _mean([pace for _, pace in new]) > 2.0 * _mean([pace for _, pace in old])
+    def _is_slower(self, old, new):
+        return _mean([run_s for _, run_s in new]) > 2.0 * _mean([run_s for _, run_s in old])
 
 
 def _mean(values):
     return sum(values) / len(values)
 
 
-class Played:
-    """What came of one roll-out.
+class SimulatedRollout:
+    """Result of one simulated rollout.
 
     Attributes
     ----------
     found_at_s : float or None
-        When the sequential way rolled it back.
+        Time at which the sequential test rolled it back.
     exposed, granted : int
-        Runs on the target until then or the end, and all runs until the end.
+        Runs on the target, and all runs, until the end of the simulation.
     found_at_end : bool
-        Whether the count after the trial rolls it back.
+        Whether the test after the trial rolls it back.
     """
 
-    __slots__ = ("found_at_s", "exposed", "granted", "found_at_end")
+    __slots__ = ("rolled_back_at_s", "exposed", "granted", "rolled_back_at_end")
 
-    def __init__(self, *, found_at_s, exposed, granted, found_at_end):
-        self.found_at_s = found_at_s
+    def __init__(self, *, rolled_back_at_s, exposed, granted, rolled_back_at_end):
+        self.rolled_back_at_s = rolled_back_at_s
         self.exposed = exposed
         self.granted = granted
-        self.found_at_end = found_at_end
+        self.rolled_back_at_end = rolled_back_at_end
 
     @property
     def is_within_bound(self):
-        """Whether the target got no more than an untested version may."""
+        """Whether the target got no more runs than an untested version may."""
         return self.exposed <= SHARE * self.granted + SLACK
 
 
-def play(version, seed):
-    """Draw one roll-out; every run ends at once."""
-    chance = random.Random(seed)
+def simulate(version, seed):
+    """Simulate one rollout; every run ends immediately."""
+    rng = random.Random(seed)
     clock = SimpleClock()
     order = RolloutOrder(service="s", target="new", duration_s=DURATION_S, store_version=1)
     rollout = Rollout(order=order, share=SHARE, slack=SLACK, clock=clock)
-    at_end = CountAtEnd()
-    found_at_s = None
+    at_end = ComparisonAtEnd()
+    rolled_back_at_s = None
     granted = exposed = 0
     while clock.now < DURATION_S:
-        clock.now += chance.expovariate(RATE_PER_S)
-        route = "read" if chance.random() < 2 / 3 else "book"
+        clock.now += rng.expovariate(RATE_PER_S)
+        route = "read" if rng.random() < 2 / 3 else "book"
         request = SimpleNamespace(route=route, excluded_engines=(), alone=False, done_tokens=0)
         is_target = rollout.phase is Phase.SHIFT or rollout.should_expose(request)
         granted += 1
@@ -158,30 +160,32 @@
         version_name = "new" if is_target else "old"
         rollout.record_grant(request, version_name)
         behaviour = version if is_target else VERSIONS_BY_NAME[GOOD]
-        bad = chance.random() < behaviour.fails(route, clock.now)
-        pace = MEAN_RUN_S * behaviour.slower * math.exp(chance.gauss(0.0, SPREAD))
+        bad = rng.random() < behaviour.fails(route, clock.now)
+        run_s = MEAN_RUN_S * behaviour.slower * math.exp(rng.gauss(0.0, SPREAD))
         if rollout.phase is Phase.TRIAL:
-            at_end.note(is_target=is_target, bad=bad, pace=pace)
-        finished = SimpleNamespace(result=FAILED if bad else DONE, duration_s=pace, output_tokens=0, first_token_s=0.0)
-        engine = f"{version_name}-{chance.randint(1, 2)}"
+            at_end.record(is_target=is_target, bad=bad, run_s=run_s)
+        finished = SimpleNamespace(result=FAILED if bad else DONE, duration_s=run_s, output_tokens=0, first_token_s=0.0)
+        engine = f"{version_name}-{rng.randint(1, 2)}"
         rollout.record_run_end(request=request, engine=engine, version=version_name, finished=finished)
-        if found_at_s is None and rollout.state is RolloutState.ROLLED_BACK:
-            found_at_s = clock.now
-        # The old engines hold something until the end, so that the shift is as long as it may be.
+        if rolled_back_at_s is None and rollout.state is RolloutState.ROLLED_BACK:
+            rolled_back_at_s = clock.now
+        # The old engines have a run until the end, so that the shift takes the longest time allowed.
         rollout.step(old_slots=12, target_slots=12, old_runs=1)
-    return Played(found_at_s=found_at_s, exposed=exposed, granted=granted, found_at_end=at_end.is_bad)
+    return SimulatedRollout(
+        rolled_back_at_s=rolled_back_at_s, exposed=exposed, granted=granted, rolled_back_at_end=at_end.is_bad
+    )
 
 
 def summary(name, seeds=SEEDS):
-    """A row of the table."""
-    played = [play(VERSIONS_BY_NAME[name], seed) for seed in range(seeds)]
-    times = sorted(each.found_at_s for each in played if each.found_at_s is not None)
+    """Return the figures of one version as a row of the table."""
+    simulated = [simulate(VERSIONS_BY_NAME[name], seed) for seed in range(seeds)]
+    times = sorted(each.rolled_back_at_s for each in simulated if each.rolled_back_at_s is not None)
     return [
         f"{len(times) / seeds:.3f}",
         f"{times[len(times) // 2]:.1f}" if times else "-",
         f"{times[-1]:.1f}" if times else "-",
-        "-" if name == GOOD else f"{sum(not each.is_within_bound for each in played)}",
-        f"{sum(each.found_at_end for each in played) / seeds:.3f}",
+        "-" if name == GOOD else f"{sum(not each.is_within_bound for each in simulated)}",
+        f"{sum(each.rolled_back_at_end for each in simulated) / seeds:.3f}",
     ]
 
 
--- a/wagtailtrestle/measure/workload.py
+++ b/wagtailtrestle/measure/workload.py
@@ -1,7 +1,7 @@
-"""Open-loop arrivals for the two example deployments, drawn ahead from a fixed seed.
+"""Open-loop arrivals for the two example deployments, drawn in advance from a fixed seed.
 
-Lengths are log-normal over more than a hundredfold; the prompts of a team share its
-system prompt, and some drafts take up the prompt of an earlier draft again.
+Lengths are log-normal and vary by a factor of more than a hundred. The prompts of a team share its
+system prompt, and some requests extend the prompt of an earlier request.
 """
 
 import copy
@@ -25,19 +25,19 @@
     Parameters
     ----------
     route : str
-        Declared route; it gives tier, repeatability and teams.
+        Declared route, which determines tier, repeatability and teams.
     share : float
-        Part of all requests.
-    prompt_median, prompt_sigma, prompt_most
-        Log-normal length of the prompt beyond the team's system prompt.
-    output_median, output_sigma, output_most
-        Log-normal length of the true answer.
+        Share of all requests.
+    prompt_median, prompt_sigma, prompt_max
+        Log-normal length of the prompt after the team's system prompt, up to a maximum.
+    output_median, output_sigma, output_max
+        Log-normal length of the actual answer, up to a maximum.
     deadline_s : float
-        What callers ask for; the route's default is longer.
+        Deadline that callers request; the route's default is longer.
     shared_tokens : int
         Length of the team's system prompt.
     follow_up_share : float
-        Part that repeats the prompt of an earlier request of its team and adds to it.
+        Share of requests that repeat the prompt of an earlier request of the team and extend it.
     """
 
     __slots__ = (
@@ -45,10 +45,10 @@
         "share",
         "prompt_median",
         "prompt_sigma",
-        "prompt_most",
+        "prompt_max",
         "output_median",
         "output_sigma",
-        "output_most",
+        "output_max",
         "deadline_s",
         "shared_tokens",
         "follow_up_share",
@@ -57,8 +57,8 @@
     def __init__(self, *, route, share, prompt, output, deadline_s, shared_tokens, follow_up_share=0.0):
         self.route = route
         self.share = share
-        self.prompt_median, self.prompt_sigma, self.prompt_most = prompt
-        self.output_median, self.output_sigma, self.output_most = output
+        self.prompt_median, self.prompt_sigma, self.prompt_max = prompt
+        self.output_median, self.output_sigma, self.output_max = output
         self.deadline_s = deadline_s
         self.shared_tokens = shared_tokens
         self.follow_up_share = follow_up_share
@@ -133,12 +133,12 @@
     team : str
     prompt_tokens : int
     output_tokens : int
-        True length of the answer, known to the engine alone.
+        Actual length of the answer, known only to the engine.
     output_cap : int
-        What the caller asks for at most.
+        Maximum number of output tokens that the caller requests.
     prefix_blocks : tuple of int
     reusable_tokens : int
-        Prompt tokens that an earlier prompt shares: what an ideal cache would hold.
+        Prompt tokens shared with an earlier prompt, which an ideal cache would hold.
     """
 
     __slots__ = (
@@ -191,7 +191,7 @@
     Parameters
     ----------
     service : Service
-        As declared; its routes say which teams may ask.
+        Declared service; its routes name the teams that may call them.
     teams_by_name : dict of str to Team
     seed : int
     """
@@ -205,7 +205,7 @@
         self._recent_by_team = {}
 
     def arrivals(self, *, rate, duration_s):
-        """Poisson arrivals of ``rate`` a second over ``duration_s``."""
+        """Draw Poisson arrivals of ``rate`` a second over ``duration_s``."""
         drawn = []
         at_s = self._random.expovariate(rate)
         while at_s < duration_s:
@@ -214,7 +214,7 @@
         return drawn
 
     def mean(self, cost_of):
-        """Mean of ``cost_of(arrival)`` over many requests of the mix."""
+        """Return the mean of ``cost_of(arrival)`` over ``MEAN_SAMPLE`` requests of the mix."""
         drawn = [self._arrival(number, 0.0) for number in range(MEAN_SAMPLE)]
         return sum(map(cost_of, drawn)) / len(drawn)
 
@@ -222,7 +222,7 @@
         kind = self._random.choices(self._mix, [kind.share for kind in self._mix])[0]
         team = self._team(kind)
         blocks, prompt_tokens, reusable = self._prompt(kind, team, at_s)
-        output = self._length(kind.output_median, kind.output_sigma, MIN_OUTPUT_TOKENS, kind.output_most)
+        output = self._length(kind.output_median, kind.output_sigma, MIN_OUTPUT_TOKENS, kind.output_max)
         return Arrival(
             number=number,
             at_s=at_s,
@@ -244,22 +244,22 @@
         if recent and at_s - recent[0] < FOLLOW_UP_WINDOW_S and self._random.random() < kind.follow_up_share:
             _, blocks, tokens = recent
             extra = FOLLOW_UP_EXTRA_TOKENS
-            return blocks + self._fresh(extra), tokens + extra, len(blocks) * BLOCK_TOKENS
-        shared = self._shared(kind, team)
-        own = self._length(kind.prompt_median, kind.prompt_sigma, MIN_PROMPT_TOKENS, kind.prompt_most)
-        blocks = shared + self._fresh(own)
+            return blocks + self._new_blocks(extra), tokens + extra, len(blocks) * BLOCK_TOKENS
+        shared = self._shared_blocks(kind, team)
+        own = self._length(kind.prompt_median, kind.prompt_sigma, MIN_PROMPT_TOKENS, kind.prompt_max)
+        blocks = shared + self._new_blocks(own)
         tokens = kind.shared_tokens + own
         self._recent_by_team[kind.route, team] = (at_s, blocks, tokens)
         return blocks, tokens, len(shared) * BLOCK_TOKENS
 
-    def _shared(self, kind, team):
+    def _shared_blocks(self, kind, team):
         key = (kind.route, team)
         if key not in self._shared_by_team:
-            self._shared_by_team[key] = self._fresh(kind.shared_tokens)
+            self._shared_by_team[key] = self._new_blocks(kind.shared_tokens)
         return self._shared_by_team[key]
 
-    def _fresh(self, tokens):
+    def _new_blocks(self, tokens):
         return tuple(self._random.getrandbits(BLOCK_BITS) for _ in range(tokens // BLOCK_TOKENS))
 
-    def _length(self, median, sigma, least, most):
-        return int(min(max(median * math.exp(self._random.gauss(0.0, sigma)), least), most))
+    def _length(self, median, sigma, minimum, most):
+        return int(min(max(median * math.exp(self._random.gauss(0.0, sigma)), minimum), most))
--- a/wagtailtrestle/slopes/admin.py
+++ b/wagtailtrestle/slopes/admin.py
@@ -1,4 +1,4 @@
-"""Cost of the admin HTTP's answers: the state dump and the metrics, as what they tell grows."""
+"""Cost of the admin HTTP's answers: the state dump by requests held, and the metrics by number of series."""
 
 import asyncio
 import json
@@ -7,7 +7,7 @@
 from wagtailtrestle.observe.metrics import Metrics
 from wagtailtrestle.observe.state_dump import plain
 from wagtailtrestle.slopes.entry import hold, make_entry
-from wagtailtrestle.slopes.line import Slope
+from wagtailtrestle.slopes.slope import Slope
 
 HELD_COUNTS = (0, 200, 1_000, 3_000)
 SERIES_COUNTS = (10, 50, 100, 200)
@@ -37,7 +37,7 @@
 
 
 def main():
-    """Print the admin's slopes."""
+    """Print the slopes of the admin HTTP."""
     Slope(
         role="admin",
         quantity="processor time of one dump of the entry, ms",
--- a/wagtailtrestle/slopes/control.py
+++ b/wagtailtrestle/slopes/control.py
@@ -1,7 +1,7 @@
-"""Cost of the control traffic of requests: an entry and the schedulers it asks, as processes.
+"""Cost of the control traffic of requests between an entry and its schedulers, in two processes.
 
-No data path and no heartbeats: what is measured is asking for a place, getting it, and
-telling of the run. Bytes are counted by relays between the two processes.
+There is no data path and there are no heartbeats: the figures cover the request for a slot, its
+grant, and the reports on the run. Relays between the two processes count the bytes.
 """
 
 import asyncio
@@ -9,38 +9,38 @@
 import sys
 
 from wagtailtrestle.slopes.counting_relay import CountingRelay
-from wagtailtrestle.slopes.line import Slope
+from wagtailtrestle.slopes.slope import Slope
 
 ROLE = "control"
 RATES = (0, 5, 15, 30)
 SCHEDULERS = 30
-# Letter 1's 1.9 million tokens a second over 5,800 requests a second, 37 ms each.
+# The required full load: 1.9 million tokens a second over 5,800 requests a second, 37 ms a token.
 RUN_S = 12.0
 SETTLE_S = 3.0
-WATCHED_S = 10.0
-# An IPv4 and a TCP header with timestamps; each segment is answered by a bare acknowledgement.
+MEASURED_S = 10.0
+# An IPv4 and a TCP header with timestamps. Counted twice, as each segment is acknowledged by one without payload.
 SEGMENT_HEADER_BYTES = 52
 
 
 class Cost:
-    """What one rate of requests cost."""
+    """Cost of the control traffic at one rate of requests."""
 
     __slots__ = ("entry_ms", "scheduler_ms", "bytes_per_s", "segments_per_s", "batches", "items", "wait_ms")
 
-    def __init__(self, *, before, after, requests, taken_s, payload, segments):
+    def __init__(self, *, before, after, requests, elapsed_s, payload, segments):
         entry_before, schedulers_before = before
         entry_after, schedulers_after = after
-        self.entry_ms = _grown(entry_before, entry_after, "processor_s") / taken_s * 1e3
-        self.scheduler_ms = _grown(schedulers_before, schedulers_after, "processor_s") / taken_s * 1e3
-        self.bytes_per_s = payload / taken_s
-        self.segments_per_s = segments / taken_s
+        self.entry_ms = _increase(entry_before, entry_after, "processor_s") / elapsed_s * 1e3
+        self.scheduler_ms = _increase(schedulers_before, schedulers_after, "processor_s") / elapsed_s * 1e3
+        self.bytes_per_s = payload / elapsed_s
+        self.segments_per_s = segments / elapsed_s
         each = max(requests, 1)
-        self.batches = sum(_grown(one, other, "batches") for one, other in zip(before, after, strict=True)) / each
-        self.items = sum(_grown(one, other, "items") for one, other in zip(before, after, strict=True)) / each
+        self.batches = sum(_increase(one, other, "batches") for one, other in zip(before, after, strict=True)) / each
+        self.items = sum(_increase(one, other, "items") for one, other in zip(before, after, strict=True)) / each
         self.wait_ms = entry_after["wait_ms"]
 
 
-def _grown(before, after, name):
+def _increase(before, after, name):
     return after[name] - before[name]
 
 
@@ -50,67 +50,67 @@
     __slots__ = ("_process",)
 
     async def start(self, kind, **settings):
-        """Start it and tell its settings."""
+        """Start the process and send it its settings."""
         self._process = await asyncio.create_subprocess_exec(
             *(sys.executable, "-m", "wagtailtrestle.slopes.control_node", kind),
             stdin=asyncio.subprocess.PIPE,
             stdout=asyncio.subprocess.PIPE,
         )
-        self.tell(settings)
+        self.send(settings)
 
-    def tell(self, values):
-        """Send a line."""
+    def send(self, values):
+        """Send one line of JSON."""
         self._process.stdin.write(json.dumps(values).encode() + b"\n")
 
-    async def hear(self):
-        """Wait for a line."""
+    async def receive(self):
+        """Wait for one line of JSON."""
         return json.loads(await self._process.stdout.readline())
 
     async def figures(self):
-        """Ask for the figures so far."""
-        self.tell({})
-        return await self.hear()
+        """Request the figures since the start."""
+        self.send({})
+        return await self.receive()
 
     async def close(self):
-        """Kill it."""
+        """Kill the process."""
         self._process.kill()
         await self._process.wait()
 
 
-async def cost(*, rate, schedulers=SCHEDULERS, run_s=RUN_S, watched_s=WATCHED_S):
-    """Cost of ``rate`` requests a second, each with a run of ``run_s``, over so many schedulers."""
-    far, entry = ControlNode(), ControlNode()
-    await far.start("schedulers", schedulers=schedulers)
-    addresses_by_name = await far.hear()
+async def cost(*, rate, schedulers=SCHEDULERS, run_s=RUN_S, measured_s=MEASURED_S):
+    """Measure the cost of ``rate`` requests a second, each with a run of ``run_s``, spread over ``schedulers``."""
+    schedulers_node, entry = ControlNode(), ControlNode()
+    await schedulers_node.start("schedulers", schedulers=schedulers)
+    addresses_by_name = await schedulers_node.receive()
     relays_by_name = {name: CountingRelay(target=address) for name, address in addresses_by_name.items()}
     for relay in relays_by_name.values():
         await relay.start()
     relayed = {name: relay.address for name, relay in relays_by_name.items()}
-    far.tell(relayed)
+    schedulers_node.send(relayed)
     await entry.start("entry", addresses_by_name=relayed, rate=rate, run_s=run_s)
     try:
         await asyncio.sleep(SETTLE_S + run_s)
-        return await _watch(entry, far, relays_by_name.values(), watched_s)
+        return await _measure_cost(entry, schedulers_node, relays_by_name.values(), measured_s)
     finally:
-        for each in (entry, far, *relays_by_name.values()):
+        for each in (entry, schedulers_node, *relays_by_name.values()):
             closing = each.close()
             if closing is not None:
                 await closing
 
 
-async def _watch(entry, far, relays, watched_s):
-    before = (await entry.figures(), await far.figures())
+async def _measure_cost(entry, schedulers_node, relays, measured_s):
+    before = (await entry.figures(), await schedulers_node.figures())
     for relay in relays:
         relay.reset()
-    await asyncio.sleep(watched_s)
+    await asyncio.sleep(measured_s)
     payload = sum(relay.bytes_passed for relay in relays)
     segments = sum(relay.segments for relay in relays)
-    after = (await entry.figures(), await far.figures())
+    after = (await entry.figures(), await schedulers_node.figures())
     return Cost(
         before=before,
         after=after,
-        requests=_grown(before[0], after[0], "finished"),
-        taken_s=_grown(before[0], after[0], "at"),
+        requests=_increase(before[0], after[0], "finished"),
+        elapsed_s=_increase(before[0], after[0], "at"),
         payload=payload,
         segments=segments,
     )
@@ -137,7 +137,7 @@
 
 
 def main(*rates):
-    """Print the slopes of control traffic."""
+    """Print the slopes of the control traffic."""
     asyncio.run(_measure([float(rate) for rate in rates] or RATES))
 
 
--- a/wagtailtrestle/slopes/member.py
+++ b/wagtailtrestle/slopes/member.py
@@ -1,7 +1,7 @@
-"""One router's peers and membership as a process; prints its view at each change.
+"""Peers and membership of one router as a process, which prints its view at each change.
 
-Arguments: name, incarnation, own address, then ``name=address`` of seeds. Used by the
-slopes and by tests that need true processes to stop and kill.
+Arguments: name, incarnation, own address, then ``name=address`` of each seed. Used by the
+slopes and by tests that stop and kill real processes.
 """
 
 import asyncio
@@ -12,12 +12,12 @@
 from wagtailtrestle.peers.peers_grpc import Peers
 
 
-def _tell(**values):
+def _print_line(**values):
     print(json.dumps(values), flush=True)
 
 
 async def run(name, incarnation, address, *seeds):
-    """Run until killed."""
+    """Run until the process is killed."""
     loop = asyncio.get_running_loop()
     peers = Peers(name=name, incarnation=int(incarnation), listen_address=address, loop=loop)
     membership = Membership(
@@ -28,10 +28,10 @@
         loop=loop,
         seeds=dict(seed.split("=") for seed in seeds),
     )
-    membership.on_view_change(lambda view: _tell(members=view.all_members))
+    membership.on_view_change(lambda view: _print_line(members=view.all_members))
     await peers.start()
     await membership.start()
-    _tell(address=peers.address)
+    _print_line(address=peers.address)
     await asyncio.Event().wait()
 
 
--- a/wagtailtrestle/slopes/streams.py
+++ b/wagtailtrestle/slopes/streams.py
@@ -1,8 +1,8 @@
-"""Cost of one token in a router by the number of streams at a time.
+"""Cost of one token in a router by the number of concurrent streams.
 
-The engine's step grows with the number of streams, so that the tokens a second stay the
-same. Each point is the difference between long and short answers: what a request costs
-once, and the idle process, fall out.
+The engine's step grows with the number of streams, so the tokens a second stay the same. Each point is
+the difference between long and short answers, which cancels the fixed cost of a request; the cost of the
+idle process is subtracted.
 """
 
 import tempfile
@@ -16,7 +16,7 @@
 from wagtailtrestle.load.plan import make_plan
 from wagtailtrestle.load.run import run_load
 from wagtailtrestle.slopes.data_path import EXAMPLES, IDLE_S, usage_of
-from wagtailtrestle.slopes.line import Slope
+from wagtailtrestle.slopes.slope import Slope
 
 STREAM_COUNTS = (1, 16, 64, 128)
 TOKENS_PER_S = 800
@@ -26,19 +26,19 @@
 CALLER_THREADS = 200
 
 
-class Spent:
-    """Processor time, time taken and tokens of one load."""
+class LoadUsage:
+    """Processor time, elapsed time and tokens of one load."""
 
-    __slots__ = ("processor_s", "taken_s", "tokens")
+    __slots__ = ("processor_s", "elapsed_s", "tokens")
 
-    def __init__(self, *, processor_s, taken_s, tokens):
+    def __init__(self, *, processor_s, elapsed_s, tokens):
         self.processor_s = processor_s
-        self.taken_s = taken_s
+        self.elapsed_s = elapsed_s
         self.tokens = tokens
 
 
 def token_us(streams):
-    """Processor time, µs, that a router takes for one token with so many streams at a time."""
+    """Return the processor time in µs that a router uses for one token at this number of concurrent streams."""
     with tempfile.TemporaryDirectory(prefix="wagtailtrestle-slopes-") as directory:
         deployment = _deployment(directory, streams)
         try:
@@ -52,25 +52,25 @@
 
 def _token_us(deployment, streams):
     pid = next(iter(deployment.routers_by_name.values())).pid
-    _spend(deployment, pid, streams, seconds=1.0)
+    _usage_of_load(deployment, pid, streams, seconds=1.0)
     idle = usage_of(pid).processor_s
     time.sleep(IDLE_S)
     idle_share = (usage_of(pid).processor_s - idle) / IDLE_S
-    short = _spend(deployment, pid, streams, seconds=SHORT_S)
-    long = _spend(deployment, pid, streams, seconds=LONG_S)
-    extra_s = long.processor_s - short.processor_s - idle_share * (long.taken_s - short.taken_s)
+    short = _usage_of_load(deployment, pid, streams, seconds=SHORT_S)
+    long = _usage_of_load(deployment, pid, streams, seconds=LONG_S)
+    extra_s = long.processor_s - short.processor_s - idle_share * (long.elapsed_s - short.elapsed_s)
     return extra_s / (long.tokens - short.tokens) * 1e6
 
 
-def _spend(deployment, pid, streams, *, seconds):
+def _usage_of_load(deployment, pid, streams, *, seconds):
     tokens = max(2, int(TOKENS_PER_S * seconds / streams))
     began, before = time.monotonic(), usage_of(pid)
     results = run_load(urls=deployment.callers_urls(), plan=_plan(streams, tokens))
     if not all(result.complete for result in results):
-        raise RuntimeError("the router did not serve everything; the slope would mean nothing")
-    return Spent(
+        raise RuntimeError("the router did not answer every request completely, so the slope is not valid")
+    return LoadUsage(
         processor_s=usage_of(pid).processor_s - before.processor_s,
-        taken_s=time.monotonic() - began,
+        elapsed_s=time.monotonic() - began,
         tokens=tokens * streams,
     )
 
@@ -111,7 +111,7 @@
 
 
 def main():
-    """Print the cost of a token."""
+    """Print the slope of the cost of a token."""
     Slope(
         role="entry",
         quantity=f"router's processor time for one token, us, at {TOKENS_PER_S} tokens/s together",
