--- a/wagtailtrestle/spec/__init__.py
+++ b/wagtailtrestle/spec/__init__.py
@@ -1,1 +1,1 @@
-"""Model checks of the core protocol: small specifications, their safeguards and the checker."""
+"""Formal specifications of the core protocols, and the bounded model checker that verifies them."""
--- a/wagtailtrestle/spec/__main__.py
+++ b/wagtailtrestle/spec/__main__.py
@@ -1,4 +1,7 @@
-"""Prints every check of the specifications; ``--deep`` searches further and larger."""
+"""Runs all checks of the specifications and prints the results.
+
+``--deep`` searches longer traces and larger instances.
+"""
 
 import sys
 import time
@@ -11,7 +14,7 @@
 
 
 def run(deep=False):
-    """Run all checks and exit with 1 if one did not come out as it must."""
+    """Run all checks and exit with status 1 if any of them failed."""
     failed = 0
     for module in MODULES:
         began = time.perf_counter()
--- a/wagtailtrestle/spec/checker.py
+++ b/wagtailtrestle/spec/checker.py
@@ -1,8 +1,8 @@
-"""Searches a specification for traces to a bad state, and proves that there are none.
+"""Searches a specification for traces that violate a property, and proves that there are none.
 
-Two ways, both on z3: *bounded* search unrolls the steps and gives the shortest trace;
-*induction* shows that the properties with their lemmas survive every single step, from
-any state at all, so no trace of whatever length breaks them.
+Both methods use z3. *Bounded search* unrolls the transition relation and returns the shortest
+trace. *Induction* shows that every single step, from any state that satisfies the properties
+and lemmas, preserves them; this holds for traces of any length.
 """
 
 import re
@@ -39,7 +39,7 @@
 
 
 class Trace:
-    """States and actions from an initial state on."""
+    """A sequence of states and actions that starts in an initial state."""
 
     __slots__ = ("steps",)
 
@@ -48,11 +48,11 @@
 
     @property
     def actions(self):
-        """The actions taken, in order."""
+        """Names of the actions, in order."""
         return [step.action for step in self.steps[1:]]
 
     def text(self):
-        """Print one line for each step: the action and what it changed."""
+        """Format one line per step: the action and the variables that it changed."""
         lines = []
         before = self.steps[0].state
         for number, step in enumerate(self.steps[1:], start=1):
@@ -63,13 +63,13 @@
 
 
 class Bounded:
-    """The steps of a specification, unrolled one by one.
+    """Bounded search: unrolls the steps of a specification one by one.
 
     Parameters
     ----------
     specification : Specification
     opening : tuple of str
-        Actions that the first steps take.
+        Actions that the first steps are constrained to take.
     """
 
     def __init__(self, specification, *, opening=()):
@@ -81,19 +81,19 @@
         self._choice = z3.Const("choice", z3.BitVecSort(len(specification.actions).bit_length()))
         self._now = _variables(specification, "")
         self._next = _variables(specification, "'")
-        # Built once: substituting in one term is much cheaper than building it at each step.
+        # Built once: substituting variables in one term is much cheaper than building the term for each step.
         self._relation = self._step_relation()
         self._states.append(_variables(specification, "@0"))
         self._solver.add(self._at(specification.initial, 0))
 
     @property
     def depth(self):
-        """Steps unrolled so far."""
+        """Number of steps unrolled so far."""
         return len(self._choices)
 
     @property
     def effort(self):
-        """Conflicts the solver met so far."""
+        """Number of conflicts in the SAT solver so far."""
         statistics = self._solver.statistics()
         return next((statistics.get_key_value(key) for key in statistics.keys() if key == "sat conflicts"), 0)
 
@@ -111,9 +111,9 @@
         self._states.append(after)
 
     def search(self, bad):
-        """Look for a trace whose last state is ``bad``; ``None`` if there is none within the depth.
+        """Return a trace whose last state satisfies ``bad``, or ``None`` if there is none of at most this depth.
 
-        A step may change nothing, so this covers every shorter trace too.
+        A step may leave the state unchanged, so shorter traces are covered too.
         """
         self._solver.push()
         self._solver.add(self._at(bad, self.depth))
@@ -121,11 +121,11 @@
         trace = self._trace(self._solver.model()) if found == z3.sat else None
         self._solver.pop()
         if found == z3.unknown:
-            raise RuntimeError(f"the solver gave up: {self._solver.reason_unknown()}")
+            raise RuntimeError(f"the solver returned unknown: {self._solver.reason_unknown()}")
         return trace
 
     def _step_relation(self):
-        """One step: the chosen action's guard holds and it alone changes the state, or nothing does."""
+        """Transition relation: the chosen action's guard holds and its changes apply, or the state stays the same."""
         actions = self._specification.actions
         taken = [self._choice == index for index in range(len(actions))]
         parts = [z3.ULE(self._choice, len(actions))]
@@ -167,7 +167,7 @@
 
 
 def shortest_trace(specification, bad, *, most_steps, opening=()):
-    """Shortest trace to a ``bad`` state, or ``None`` within ``most_steps``."""
+    """Return the shortest trace to a ``bad`` state, or ``None`` if there is none of at most ``most_steps``."""
     bounded = Bounded(specification, opening=opening)
     for _ in range(most_steps):
         bounded.deepen()
@@ -178,7 +178,7 @@
 
 
 class Gap:
-    """Where an induction fails: ``step`` leads from an allowed state to one that is not."""
+    """Counterexample to an induction: ``action`` leads from a state that satisfies all facts to one that does not."""
 
     __slots__ = ("action", "broken", "trace")
 
@@ -189,7 +189,7 @@
 
 
 class Inductive:
-    """Proof by induction that a specification's properties hold for ever.
+    """Proof by induction that a specification's properties hold in every reachable state.
 
     Parameters
     ----------
@@ -207,7 +207,7 @@
         self._facts_by_name |= {f"lemma {number}": lemma for number, lemma in enumerate(specification.lemmas)}
 
     def gap(self):
-        """First gap of the proof, or ``None`` when it is whole."""
+        """Return the first gap in the proof, or ``None`` if the proof succeeds."""
         fact = z3.And(list(self._facts_by_name.values()))
         solver = z3.SolverFor("QF_FD")
         solver.add(self._specification.initial, z3.Not(fact))
@@ -251,7 +251,7 @@
 
 
 def covering_traces(specification, *, most_steps):
-    """Give a short trace to each action that can be taken within ``most_steps``, by the action's name."""
+    """Return a shortest trace to each action that is reachable within ``most_steps``, by action name."""
     bounded = Bounded(specification)
     traces_by_action = {}
     for _ in range(most_steps):
--- a/wagtailtrestle/spec/checks.py
+++ b/wagtailtrestle/spec/checks.py
@@ -1,4 +1,4 @@
-"""Every check of every specification: proofs, mutants, witnesses, limits."""
+"""Checks of all specifications: proofs, bounded searches, mutants, witnesses and limits."""
 
 from enum import StrEnum
 
@@ -10,18 +10,18 @@
 
 MODULES = (claims, scheduling, configuring, draining, freshness, resumption)
 SIZES_BY_MODULE = {claims: {"sends": 4}, configuring: {"generations": 6}, draining: {"requests": 5}}
-"""Larger instances of the deep run."""
+"""Instance sizes that a deep run proves in addition."""
 
 MAX_STEPS = 24
 """Steps within which every mutant must be refuted and every witness reached."""
 
 BOUNDED_STEPS = 8
 DEEP_BOUNDED_STEPS = 24
-"""Steps searched in the whole specification, as a second way beside the induction."""
+"""Depth of the bounded search of the unmutated specification, which cross-checks the induction."""
 
 
 class Kind(StrEnum):
-    """What a check asks."""
+    """Kind of a check."""
 
     PROOF = "proof"
     SEARCH = "search"
@@ -32,14 +32,14 @@
 
 @record
 class Finding:
-    """What came of one check.
+    """Result of one check.
 
     Parameters
     ----------
     passed : bool
-        For a mutant or a limit: that it was refuted.
+        For a mutant or a limit, whether it was refuted.
     trace : Trace or None
-        The counterexample or the way to the witness.
+        The counterexample, or the trace to the witness.
     """
 
     specification: str
@@ -51,7 +51,7 @@
 
 
 def findings_of(module, *, deep=False):
-    """Run the checks of one specification, one finding after the other."""
+    """Run the checks of one specification and yield their findings."""
     whole = module.specification()
     yield _proof(whole)
     yield _search(whole, DEEP_BOUNDED_STEPS if deep else BOUNDED_STEPS)
@@ -68,7 +68,7 @@
 
 
 def mutant(module, name):
-    """Refute the specification without one safeguard, both ways."""
+    """Check that the specification without one safeguard is refuted by both search and induction."""
     safeguard = module.SAFEGUARDS[name]
     mutated = module.specification(without=name, **safeguard.size)
     bad = z3.Not(mutated.properties_by_name[safeguard.breaks])
@@ -80,7 +80,7 @@
         kind=Kind.MUTANT,
         name=name,
         passed=trace is not None and gap is not None,
-        detail=detail if gap is not None else f"{detail}; yet the induction passes",
+        detail=detail if gap is not None else f"{detail}; but the induction still passes",
         trace=trace,
     )
 
@@ -122,6 +122,6 @@
 
 
 def state_bits(specification):
-    """Bits of one state."""
+    """Return the size of a state in bits."""
     sorts = [term.sort() for term in (domain.variable("x") for domain in specification.domains_by_variable.values())]
     return sum(sort.size() if z3.is_bv_sort(sort) else 1 for sort in sorts)
--- a/wagtailtrestle/spec/claims.py
+++ b/wagtailtrestle/spec/claims.py
@@ -1,8 +1,8 @@
 """Claims and dispatch: sends of one idempotency key at two routers, over a faulty store.
 
-Each router takes sends and can write the shard, so there are always two writers ("two
-owners"). Any step may be late for as long as it likes, which covers paused processes; a
-write's answer may be lost, its write may land later; reads may be stale; a router may die
+Each router accepts sends and can write the shard, so there are always two writers ("two
+owners"). Any step may be delayed without bound, which covers paused processes. The response to
+a write may be lost, and the write may take effect later. Reads may be stale. A router may crash
 between any two steps. See ``docs/design/model-checking.md``.
 """
 
@@ -27,7 +27,7 @@
 ONCE = "at most once"
 TRUTH_TOLD = "told not run means not run"
 ANSWER_OF_RUN = "an answer is the answer of a run"
-# The first send's claim is in the store, and its request was refused.
+# Leads to a state where the first send's claim is in the store and its request was refused.
 CLAIMED_AND_REFUSED = (
     "ask(send=0, writer=0)",
     "read(writer=0)",
@@ -38,18 +38,18 @@
 
 SAFEGUARDS = {
     "conditional_update": Safeguard(rule="a write takes effect only on the version it was made from", breaks=ONCE),
-    "read_back": Safeguard(rule="a write without an answer is read back, not taken for done", breaks=ONCE),
+    "read_back": Safeguard(rule="a write without an answer is read back, not assumed to have succeeded", breaks=ONCE),
     "proof": Safeguard(rule="a request runs only once its nonce was seen in the store", breaks=ONCE),
     "refused_is_final": Safeguard(
-        rule="a refused nonce is never dispatched, whatever answer comes late", breaks=TRUTH_TOLD
+        rule="a refused nonce is never dispatched, whatever answer arrives later", breaks=TRUTH_TOLD
     ),
     "takeover_of_refused_only": Safeguard(
-        rule="a claim is taken over only when its router says that it was refused", breaks=ONCE
+        rule="a claim is taken over only when its router reports that it was refused", breaks=ONCE
     ),
     "gone_is_not_refused": Safeguard(
-        rule="a restarted router does not call a nonce of its earlier life refused", breaks=ONCE
+        rule="a restarted router does not report a nonce from before its restart as refused", breaks=ONCE
     ),
-    "claiming_is_not_refused": Safeguard(rule="a claim under way is not called refused", breaks=ONCE),
+    "claiming_is_not_refused": Safeguard(rule="a claim in progress is not reported as refused", breaks=ONCE),
     "takeover_names_nonce": Safeguard(
         rule="a takeover replaces exactly the nonce that was refused",
         breaks=ONCE,
@@ -58,21 +58,21 @@
     ),
     "one_dispatch": Safeguard(rule="a dispatch that may have reached an engine is never repeated", breaks=ONCE),
     "truth_after_dispatch": Safeguard(
-        rule="after a dispatch that may have reached an engine nobody is told that it did not run", breaks=TRUTH_TOLD
+        rule="after a dispatch that may have reached an engine no caller is told that it did not run", breaks=TRUTH_TOLD
     ),
     "release_of_refused_only": Safeguard(
-        rule="a claim is given back only for a request that was never dispatched", breaks=ONCE
+        rule="a claim is released only for a request that was never dispatched", breaks=ONCE
     ),
 }
 
 
 def specification(*, sends=2, without=""):
-    """Build the specification, for a mutant ``without`` one safeguard."""
+    """Build the specification; ``without`` names a safeguard to leave out of a mutant."""
     return _Claims(sends=sends, without=without).specification()
 
 
 class _Claims(Builder):
-    """Builder of one specification."""
+    """Builder of the specification of claims."""
 
     def __init__(self, *, sends, without):
         super().__init__(safeguards=SAFEGUARDS, without=without)
@@ -136,14 +136,14 @@
             limits_by_name=self._limits(),
         )
 
-    # The entry of one send.
+    # Actions of the entry of one send.
 
     def _entry_actions(self, send):
         v = self.v
         request, runs = variable_name("request", send), variable_name("runs", send)
         told, release = variable_name("told", send), variable_name("release", send)
         is_in = {name: v("request", send) == REQUEST[name] for name in REQUEST.names}
-        # Only a claim that still waits for its answer may win by it.
+        # Only a claim that still waits for its answer may be won by that answer.
         may_win = is_in["claiming"]
         if not self.keeps("refused_is_final"):
             may_win = z3.Or(may_win, is_in["refused"])
@@ -153,7 +153,7 @@
         if self.keeps("proof"):
             self.act("give_up", [is_in["claiming"], knows_nobody], refuse, send=send)
         else:
-            # Without proof: no answer in time, so it is taken for granted that the claim is in.
+            # Without proof, a claim that got no answer in time is assumed to be in the store.
             self.act("give_up", [is_in["claiming"], knows_nobody], {request: REQUEST["running"]}, send=send)
         self.act(
             "stop_waiting",
@@ -191,7 +191,7 @@
         )
 
     def _inquire(self, send, other):
-        """The re-send asks the router of the send that holds the key what became of it."""
+        """The re-send queries the router of the send that holds the key for its outcome."""
         v = self.v
         request, told = variable_name("request", send), variable_name("told", send)
         waits = [v("request", send) == REQUEST["claiming"], v("knows", send) == self.n(other)]
@@ -212,7 +212,7 @@
         given = {request: REQUEST["refused"], told: TOLD["unknown"]}
         self.act("hear_unknown", [*waits, lost], given, send=send, other=other)
 
-    # One writer of the shard.
+    # Actions of one writer of the shard.
 
     def _writer_actions(self, writer):
         v = self.v
@@ -232,7 +232,7 @@
         writing, value = variable_name("writing", writer), variable_name("value", writer)
         free = snapshot == self.snapshot[NOBODY]
         replaced = [z3.And(snapshot == self.s(other), v("replaces", send) == self.n(other)) for other in self.sends]
-        # One write may give a refused claim back and make the next one.
+        # One write may release a refused claim and make the next one.
         replaced += [z3.And(snapshot == self.s(other), v("release", other)) for other in self.sends]
         if not self.keeps("takeover_names_nonce"):
             replaces_any = v("replaces", send) != self.nonce[NOBODY]
@@ -255,7 +255,7 @@
             self.act("answer_held", held, learned, writer=writer, send=send, other=other)
 
     def _store_actions(self, writer):
-        """The store settles the write that is under way; its answer comes or is lost."""
+        """The store settles the write in progress; its answer arrives or is lost."""
         v = self.v
         snapshot, fresh = variable_name("snapshot", writer), variable_name("fresh", writer)
         writing, late = variable_name("writing", writer), variable_name("late", writer)
@@ -267,7 +267,7 @@
         unheard = unknown if self.keeps("read_back") else {**idle, snapshot: v("value", writer)}
         self.act("write_done", [v("writing", writer), in_time], {**applied, **known}, writer=writer)
         self.act("write_done_unheard", [v("writing", writer), in_time], {**applied, **unheard}, writer=writer)
-        # A version also moves on with the claims of other keys, so a conflict may come at any time.
+        # Claims of other keys change the version too, so a conflict is possible at any time.
         self.act("write_conflict", [v("writing", writer)], unknown, writer=writer)
         self.act("write_unavailable", [v("writing", writer)], idle, writer=writer)
         delayed = {
@@ -283,12 +283,12 @@
         self.act("late_write_refused", [v("late", writer)], {late: FALSE}, writer=writer)
 
     def _new_version(self):
-        """Whatever was made from the version before is stale now."""
+        """Mark every write that is based on the previous version as stale."""
         stale = {variable_name("fresh", one): FALSE for one in self.routers}
         return stale | {variable_name("late_fresh", one): FALSE for one in self.routers}
 
     def _crash(self, router):
-        """The router dies with all that it held and starts again, knowing nothing."""
+        """The router crashes and restarts with no state; a write in transit may still take effect."""
         v = self.v
         changes = {
             variable_name("snapshot", router): self.snapshot[UNREAD],
@@ -306,7 +306,7 @@
                 changes[variable_name("request", send)] = z3.If(stays, state, REQUEST["gone"])
         self.act("crash", [], changes, router=router)
 
-    # What must hold.
+    # Properties, witnesses and limits.
 
     def _properties(self):
         v = self.v
--- a/wagtailtrestle/spec/claims_proof.py
+++ b/wagtailtrestle/spec/claims_proof.py
@@ -1,7 +1,7 @@
-"""What makes the properties of :mod:`wagtailtrestle.spec.claims` inductive.
+"""Lemmas that make the properties of :mod:`wagtailtrestle.spec.claims` inductive.
 
-In words: a nonce that was ever in the store stays there until it is refused; whoever may run
-has its nonce there; so two that may run would have to be in one place.
+A nonce that was once in the store stays there until it is refused. A send that may run has its
+nonce in the store. The store holds a single nonce, so no two sends may run.
 """
 
 import z3
@@ -11,7 +11,7 @@
 
 
 def lemmas(spec):
-    """Facts that carry the induction; ``spec`` is the builder of the specification."""
+    """Build the lemmas; ``spec`` is the builder of the specification."""
     v = spec.v
     holds = [_stands(spec, v("holder"), send) for send in spec.sends]
     facts = []
@@ -59,7 +59,7 @@
 
 
 def _seen(spec, send):
-    """Places that hold the nonce because it was in the store."""
+    """Conditions under which a copy of the store's content holds the nonce, so that it was in the store."""
     v = spec.v
     seen = [_stands(spec, v("past"), send)]
     for writer in spec.routers:
@@ -68,7 +68,7 @@
 
 
 def _idle_for_ever(spec, send):
-    """The send never ran and never will: it was refused, also if its router died later."""
+    """Whether the send never ran and never will: it was refused, or its router died."""
     state = spec.v("request", send)
     never_ran = spec.v("runs", send) == RUNS["none"]
     return z3.And(never_ran, z3.Or(state == REQUEST["refused"], state == REQUEST["gone"]))
--- a/wagtailtrestle/spec/claims_terms.py
+++ b/wagtailtrestle/spec/claims_terms.py
@@ -6,8 +6,8 @@
 NOBODY = "nobody"
 UNREAD = "unread"
 
-# queued, dispatched, finished, refused, unknown as in RequestState; claiming and running as in
-# NonceState; gone: its router died.
+# queued, dispatched, finished, refused and unknown are as in RequestState, claiming and running as
+# in NonceState; gone means that the router of the send died.
 REQUEST = Domain("queued", "claiming", "running", "dispatched", "finished", "refused", "unknown", "gone")
 TOLD = Domain("nothing", "no", "unknown", "answer")
 RUNS = Domain("none", "one", "more")
--- a/wagtailtrestle/spec/configuring.py
+++ b/wagtailtrestle/spec/configuring.py
@@ -1,7 +1,8 @@
-"""Configuration: two operators apply at once, two routers follow, the store reads stale.
+"""Configuration: two operators apply concurrently, two routers follow, reads of the store may be stale.
 
-A generation is made by one conditional update. Answers and requests may be lost or late;
-reads may give any older generation; routers restart and begin from the platform or peers.
+A generation is created by one conditional update. Requests and answers may be lost or delayed.
+Reads may return any older generation. Routers restart and load the configuration from the
+platform or from a peer.
 """
 
 import z3
@@ -35,15 +36,16 @@
 SAFEGUARDS = {
     "conditional_update": Safeguard(rule="an update takes effect only on the version it was made from", breaks=ONLY_UP),
     "lost_answer_is_not_done": Safeguard(
-        rule="an update without an answer is not taken for refused", breaks=TRUE_ANSWER
+        rule="an update without an answer is not assumed to have been refused", breaks=TRUE_ANSWER
     ),
     "lost_answer_is_not_success": Safeguard(
-        rule="an update without an answer is not taken for done", breaks=TRUE_ANSWER
+        rule="an update without an answer is not assumed to have succeeded", breaks=TRUE_ANSWER
     ),
     "sent_again": Safeguard(
-        rule="not finding one's id proves nothing; sending the same update again does", breaks=TRUE_ANSWER
+        rule="not finding one's id is no proof that the update failed; sending the same update again gives it",
+        breaks=TRUE_ANSWER,
     ),
-    "own_id": Safeguard(rule="a conflict is judged by whose id stands under the generation", breaks=TRUE_ANSWER),
+    "own_id": Safeguard(rule="a conflict is decided by the id that is stored with the generation", breaks=TRUE_ANSWER),
     "higher_only": Safeguard(rule="a router puts in force only a higher generation", breaks=NO_REVERT),
     "confirmed_start": Safeguard(
         rule="a restarted router proves that its read is the newest", breaks=NO_REVERT_OVER_RESTART
@@ -52,12 +54,12 @@
 
 
 def specification(*, generations=3, without=""):
-    """Build the specification, for a mutant ``without`` one safeguard."""
+    """Build the specification; ``without`` names a safeguard to leave out of a mutant."""
     return _Configuring(generations=generations, without=without).specification()
 
 
 class _Configuring(Builder):
-    """Builder of one specification."""
+    """Builder of the specification of the configuration."""
 
     def __init__(self, *, generations, without):
         super().__init__(safeguards=SAFEGUARDS, without=without)
@@ -97,7 +99,7 @@
             limits_by_name=self._limits(),
         )
 
-    # One operator's apply.
+    # Actions of one operator's apply.
 
     def _operator_actions(self, operator):
         v = self.v
@@ -132,7 +134,7 @@
         self._settle(operator, is_in["unsettled"], in_time, put)
 
     def _settle(self, operator, unsettled, in_time, put):
-        """The answer was lost: read back whose id stands there, and send the same update again."""
+        """After a lost answer the operator reads back the stored id, and sends the same update again."""
         apply, told = variable_name("apply", operator), variable_name("told", operator)
         mine, others = self._mine(operator), self._others(operator)
         applied = {apply: APPLY["ended"], told: TOLD["applied"]}
@@ -159,7 +161,7 @@
         return z3.And(same, self.v("accepted") != self.g(self.numbers[-1]))
 
     def _put(self, operator):
-        """The update takes effect: the generation after the base becomes this operator's."""
+        """The update takes effect: this operator owns the generation after its base."""
         v = self.v
         changes = {"accepted": v("base", operator) + 1}
         raised = z3.ULT(v("highest_accepted"), v("base", operator) + 1)
@@ -181,7 +183,7 @@
             z3.And(v("base", operator) == self.g(number - 1), wanted(v("owner", number))) for number in self.numbers[1:]
         )
 
-    # One router.
+    # Actions of one router.
 
     def _router_actions(self, router):
         v = self.v
@@ -189,7 +191,7 @@
         began = in_force != self.g(0)
         newest = v("accepted") != self.g(0)
         for number in self.numbers[1:]:
-            # A read, a watch event or a peer's text may be of any generation there ever was.
+            # A read, a watch event or a peer's text may carry any generation that was ever accepted.
             seen = [z3.ULE(self.g(number), v("accepted"))]
             higher = z3.ULT(in_force, self.g(number)) if self.keeps("higher_only") else TRUE
             self.act(
@@ -232,7 +234,7 @@
             variable_name("behind", router): z3.Or(v("behind", router), behind),
         }
 
-    # What must hold.
+    # Properties, lemmas, witnesses and limits.
 
     def _properties(self):
         v = self.v
@@ -305,7 +307,7 @@
         }
 
     def _limits(self):
-        """What a start during an outage of the platform can't promise."""
+        """Guarantees that a start during an outage of the platform cannot give."""
         v = self.v
         kept = all_of(
             z3.Or(v("in_force", router) == self.g(0), z3.ULE(v("reached", router), v("in_force", router)))
--- a/wagtailtrestle/spec/draining.py
+++ b/wagtailtrestle/spec/draining.py
@@ -1,7 +1,8 @@
-"""Drain and leaving: no new work after the mark, nothing in flight cut.
+"""Drain and leaving: no new work on a leaving engine, and no request in flight is cut.
 
-One router drains; another lives on. Each entered one request. One engine is marked leaving
-by tellers that disagree for a while: the declaration and the platform's lagging list.
+One router drains while another keeps serving; requests alternate between them. One engine is
+marked as leaving by two sources (tellers) that may disagree temporarily: the declaration and
+the platform's list, which lags.
 """
 
 import z3
@@ -21,8 +22,8 @@
 
 LEAVER, STAYER = "leaver", "stayer"
 ENGINES = (LEAVER, STAYER)
-# serving, then draining while the balancer may still send, closing once intake is shut,
-# drained once nothing was seen in flight, ended.
+# draining: the balancer may still send requests; closing: intake is closed; drained: no request
+# was seen in flight; ended: the process has exited.
 ROUTER = Domain("serving", "draining", "closing", "drained", "ended")
 REQUEST = Domain("absent", "queued", "dispatched", "finished", "refused", "cut")
 PLACE = Domain("nowhere", *ENGINES)
@@ -34,23 +35,25 @@
 
 SAFEGUARDS = {
     "leaving_checked": Safeguard(rule="a grant goes only to an engine that is not leaving", breaks=NO_NEW_WORK),
-    "any_teller": Safeguard(rule="one teller's mark stands until that teller takes it back", breaks=NO_NEW_WORK),
-    "waits_for_flight": Safeguard(rule="a router ends only after its last request", breaks=NOTHING_CUT),
+    "any_teller": Safeguard(rule="a mark stays until the teller that set it removes it", breaks=NO_NEW_WORK),
+    "waits_for_flight": Safeguard(rule="a router exits only after its last request has ended", breaks=NOTHING_CUT),
     "intake_closed_first": Safeguard(
-        rule="intake is shut before the router looks whether it is empty", breaks=NOTHING_CUT
+        rule="intake is closed before the router checks whether requests are in flight", breaks=NOTHING_CUT
     ),
     "stops_granting": Safeguard(rule="a draining router's scheduler stops granting", breaks=NO_GRANT_AFTER_HANDOVER),
-    "refused_unrun": Safeguard(rule="a closing router refuses only what it has not taken in", breaks=TOLD_TRULY),
+    "refused_unrun": Safeguard(
+        rule="a closing router refuses only requests that it has not accepted", breaks=TOLD_TRULY
+    ),
 }
 
 
 def specification(*, requests=2, without=""):
-    """Build the specification, for a mutant ``without`` one safeguard."""
+    """Build the specification; ``without`` names a safeguard to leave out of a mutant."""
     return _Draining(requests=requests, without=without).specification()
 
 
 class _Draining(Builder):
-    """Builder of one specification."""
+    """Builder of the specification of drains."""
 
     def __init__(self, *, requests, without):
         super().__init__(safeguards=SAFEGUARDS, without=without)
@@ -68,7 +71,7 @@
             self.declare(TRUTH, "ran", request, initial=FALSE)
 
     def entered_here(self, request):
-        """Even requests are the draining router's."""
+        """Whether the request entered at the draining router: the even ones do."""
         return request % 2 == 0
 
     def specification(self):
@@ -90,7 +93,7 @@
         v = self.v
         for teller in ("declared_leaving", "listed_leaving"):
             other = "listed_leaving" if teller == "declared_leaving" else "declared_leaving"
-            # Without the safeguard whoever spoke last is believed.
+            # Without the safeguard the last report wins.
             unmarked = v(other) if self.keeps("any_teller") else FALSE
             name = teller.partition("_")[0]
             self.act(f"{name}_mark", [z3.Not(v(teller))], {teller: TRUE, "believed_leaving": TRUE})
@@ -101,7 +104,7 @@
         is_in = {name: v("router") == ROUTER[name] for name in ROUTER.names}
         self.act("drain", [is_in["serving"]], {"router": ROUTER["draining"]})
         self.act("shut_intake", [is_in["draining"]], {"router": ROUTER["closing"]})
-        # The others learn of the drain a little later and take the cell over.
+        # The other routers learn of the drain later and then take the cell over.
         self.act("hand_over", [z3.Not(is_in["serving"]), v("scheduler_here")], {"scheduler_here": FALSE})
         empty = all_of(z3.Not(self._in_flight(request)) for request in self.requests if self.entered_here(request))
         when = is_in["closing"] if self.keeps("intake_closed_first") else z3.Or(is_in["closing"], is_in["draining"])
@@ -141,7 +144,7 @@
         return z3.Or(open_, router == ROUTER["drained"]), closing
 
     def _grant(self, request, place):
-        """The scheduler grants and the entry dispatches; a draining entry's request is granted by others."""
+        """The scheduler grants and the entry dispatches; requests of a draining router are granted by another."""
         v = self.v
         state = v("request", request)
         on_leaver = place == LEAVER
--- a/wagtailtrestle/spec/freshness.py
+++ b/wagtailtrestle/spec/freshness.py
@@ -1,9 +1,9 @@
-"""Relayed freshness: a key is revoked while routers read the store, ask each other, and pause.
+"""Relayed freshness: a key is revoked while routers read the store, query each other, and pause.
 
-A router may use a key only while it can show that it would know of the key's end by now: by its
-own read of the store, or by the word of a router that can. Time passes in ticks for everybody at
-once; between two ticks anything may happen or not, which covers slow answers and paused
-processes. The same rule decides whether a router believes another's list of engines.
+A router may use a key only while it has proof that it would know of a revocation: its own read of
+the store, or the report of a router that has such proof. Time advances in ticks for all routers
+together; between two ticks any number of actions may happen, which covers slow answers and paused
+processes. The same rule decides whether a router accepts another's list of engines.
 """
 
 import z3
@@ -22,9 +22,9 @@
 
 ROUTERS = range(2)
 LIMIT = 3
-"""Ticks after which a revoked key may run nothing."""
+"""Ticks after which a revoked key must not admit any run."""
 TICKS = Domain(*(f"t{number}" for number in range(LIMIT + 2)))
-"""A count of ticks; the last one stands for all higher ones."""
+"""A saturating count of ticks: the last value stands for all higher ones."""
 READ = Domain("idle", "begun", "answered")
 ASK = Domain("idle", "asked", "answered")
 
@@ -35,25 +35,27 @@
         rule="a key is used only while its proof is younger than the limit", breaks=NOTHING_LATE
     ),
     "read_counts_from_its_start": Safeguard(
-        rule="a read proves what held when it began, however late its answer comes", breaks=NOTHING_LATE
+        rule="a read proves what held when it began, however late its answer arrives", breaks=NOTHING_LATE
+    ),
+    "way_counts": Safeguard(rule="the transit time of a router's report counts towards its age", breaks=NOTHING_LATE),
+    "age_is_relayed": Safeguard(
+        rule="a router's report is as old as the proof that it is based on", breaks=NOTHING_LATE
     ),
-    "way_counts": Safeguard(rule="the way of a router's word counts as its age", breaks=NOTHING_LATE),
-    "age_is_relayed": Safeguard(rule="a router's word is as old as the proof behind it", breaks=NOTHING_LATE),
     "same_knowledge_only": Safeguard(
-        rule="a router's word proves only the configuration that it speaks of", breaks=NOTHING_LATE
+        rule="a router's report proves only the configuration that it refers to", breaks=NOTHING_LATE
     ),
-    "pauses_count": Safeguard(rule="proofs age also while their router is suspended", breaks=NOTHING_LATE),
-    "restart_forgets": Safeguard(rule="a router that starts has no proof", breaks=NOTHING_LATE),
+    "pauses_count": Safeguard(rule="proofs age while their router is suspended", breaks=NOTHING_LATE),
+    "restart_forgets": Safeguard(rule="a router has no proof when it starts", breaks=NOTHING_LATE),
 }
 
 
 def specification(*, without=""):
-    """Build the specification, for a mutant ``without`` one safeguard."""
+    """Build the specification; ``without`` names a safeguard to leave out of a mutant."""
     return _Freshness(without=without).specification()
 
 
 class _Freshness(Builder):
-    """Builder of one specification."""
+    """Builder of the specification of relayed freshness."""
 
     def __init__(self, *, without):
         super().__init__(safeguards=SAFEGUARDS, without=without)
@@ -98,7 +100,7 @@
                 changes[variable_name(name, router)] = self._older(name, router)
         self.act("tick", [], changes)
         if not self.keeps("pauses_count"):
-            # By a clock that stands still while the VM is suspended, its router's proof does not age.
+            # With a clock that stops while the VM is suspended, the proof of its router does not age.
             for router in ROUTERS:
                 paused = {name: term for name, term in changes.items() if name != variable_name("age", router)}
                 self.act("tick_suspended", [], paused, router=router)
@@ -108,7 +110,7 @@
         read = variable_name("read", router)
         begun = {read: READ["begun"], variable_name("read_for", router): TICKS["t0"]}
         self.act("begin_read", [v("read", router) == READ["idle"]], begun, router=router)
-        # What the store tells is what held when it answered; the answer may take long to arrive.
+        # The answer carries what held when the store answered, and may arrive much later.
         answered = {read: READ["answered"], variable_name("read_tells", router): v("revoked")}
         self.act("answer_read", [v("read", router) == READ["begun"]], answered, router=router)
         proved = v("read_for", router) if self.keeps("read_counts_from_its_start") else TICKS["t0"]
@@ -174,7 +176,7 @@
         return z3.If(term == _most(), term, term + 1)
 
     def _covers(self, knows, age):
-        """Whether knowledge of this age would show a key revoked before."""
+        """Whether knowledge whose proof has this age includes the revocation, if the key was revoked before the proof."""
         return z3.Or(z3.Not(self.v("revoked")), knows, z3.ULE(self.v("since"), age))
 
     def _lemmas(self):
@@ -209,7 +211,7 @@
 
 
 def _sum(one, other):
-    """Sum of two counts of ticks, at most the highest one."""
+    """Saturating sum of two counts of ticks."""
     whole = z3.ZeroExt(1, one) + z3.ZeroExt(1, other)
     most = z3.ZeroExt(1, _most())
     return z3.If(z3.UGE(whole, most), _most(), z3.Extract(one.size() - 1, 0, whole))
--- a/wagtailtrestle/spec/language.py
+++ b/wagtailtrestle/spec/language.py
@@ -1,19 +1,19 @@
-"""What a specification is made of: finite variables, guarded actions, properties, safeguards.
+"""Building blocks of specifications: finite variables, guarded actions, properties and safeguards.
 
-Everything is a z3 term over bit vectors and Booleans, so one text serves for searching
-traces, for proving inductively and for replaying against the code.
+Everything is a z3 term over bit vectors and Booleans, so that the same specification serves
+bounded search, proof by induction and replay against the code.
 """
 
 import z3
 
 
 class Domain:
-    """A finite set of named values, coded as bit vectors.
+    """A finite set of named values, encoded as bit vectors.
 
     Parameters
     ----------
     names : tuple of str
-        The first one is coded as 0.
+        The first one is encoded as 0.
     """
 
     __slots__ = ("names", "sort", "_values_by_name")
@@ -31,11 +31,11 @@
         return z3.Const(name, self.sort)
 
     def within(self, term):
-        """Say that a term is one of the named values."""
+        """Build the constraint that a term is one of the named values."""
         return z3.ULE(term, z3.BitVecVal(len(self.names) - 1, self.sort))
 
     def read(self, value):
-        """Name of a value taken from a model."""
+        """Return the name of a value from a model."""
         return self.names[value.as_long()]
 
 
@@ -49,11 +49,11 @@
         return z3.Bool(name)
 
     def within(self, term):
-        """Say nothing: every Boolean is within."""
+        """Build the trivial constraint: every Boolean is in the domain."""
         return z3.BoolVal(True)
 
     def read(self, value):
-        """Python's truth value."""
+        """Convert a value from a model to ``bool``."""
         return z3.is_true(value)
 
 
@@ -63,16 +63,16 @@
 
 
 class Action:
-    """One step that may be taken whenever its guard holds.
+    """A transition that is enabled whenever its guard holds.
 
     Parameters
     ----------
     name : str
         With its parameters, as printed in traces: ``dispatch(send=0)``.
     guard : z3.BoolRef
-        Over the state's variables.
+        Condition over the state's variables.
     changes : dict of str to z3 term
-        New values; a variable not named keeps its value.
+        New values; variables that are not listed keep theirs.
     """
 
     __slots__ = ("name", "guard", "changes")
@@ -93,13 +93,13 @@
     actions : list of Action
     initial : z3.BoolRef
     properties_by_name : dict of str to z3.BoolRef
-        What must hold in every reachable state.
+        Invariants: must hold in every reachable state.
     lemmas : list of z3.BoolRef
-        Further facts that, together with the properties, are inductive.
+        Auxiliary invariants that make the properties inductive.
     witnesses_by_name : dict of str to z3.BoolRef
-        States that must be reachable: without them a check might hold because nothing happens.
+        States that must be reachable, so that the properties do not hold vacuously.
     limits_by_name : dict of str to z3.BoolRef
-        What users might expect and the design does not promise; the checker must refute them.
+        Plausible guarantees that the design does not give; the checker must refute them.
     """
 
     __slots__ = (
@@ -136,18 +136,18 @@
 
 
 class Safeguard:
-    """One rule of the design; the specification without it must be refuted.
+    """One rule of the design; the checker must refute the specification without it.
 
     Parameters
     ----------
     rule : str
-        What the design demands.
+        The rule, in words.
     breaks : str
-        The property that falls without it.
+        Name of the property that is violated without it.
     opening : tuple of str
-        First actions of the search, when a trace from nothing would be too long to find.
+        First actions of the search, for mutants whose trace is too long to find from the initial state.
     size : dict
-        Sizes of the instance that shows the failure, when the usual one is too small.
+        Sizes of the instance that shows the failure, if the default instance is too small.
     """
 
     __slots__ = ("rule", "breaks", "opening", "size")
@@ -179,7 +179,7 @@
         self._initial = []
 
     def keeps(self, safeguard):
-        """Whether this one has the safeguard."""
+        """Whether this instance has the safeguard."""
         return self.without != safeguard
 
     def declare(self, domain, name, *indices, initial):
@@ -190,42 +190,42 @@
         self._initial.append(self._terms_by_variable[key] == initial)
 
     def v(self, name, *indices):
-        """Term of a variable."""
+        """Return the term of a variable."""
         return self._terms_by_variable[variable_name(name, *indices)]
 
     def act(self, name, guards, changes, **parameters):
-        """Add an action; ``changes`` maps variables' names to terms."""
+        """Add an action; ``changes`` maps variable names to terms."""
         guard = z3.And(list(guards)) if guards else TRUE
         self.actions.append(Action(name=action_name(name, **parameters), guard=guard, changes=changes))
 
     @property
     def initial(self):
-        """The initial state."""
+        """Constraint that holds in the initial state."""
         return z3.And(self._initial)
 
 
 def variable_name(name, *indices):
-    """Name of an indexed variable, ``asked[0,1]``."""
+    """Return the name of an indexed variable, such as ``asked[0,1]``."""
     return f"{name}[{','.join(map(str, indices))}]" if indices else name
 
 
 def action_name(name, **parameters):
-    """Name of an action with its parameters, ``ask(send=0, writer=1)``."""
+    """Return the name of an action with its parameters, such as ``ask(send=0, writer=1)``."""
     return f"{name}({', '.join(f'{key}={value}' for key, value in parameters.items())})"
 
 
 def all_of(terms):
-    """Conjunction."""
+    """Return the conjunction of the terms."""
     return z3.And(list(terms))
 
 
 def any_of(terms):
-    """Disjunction."""
+    """Return the disjunction of the terms."""
     return z3.Or(list(terms))
 
 
 def at_most_one(terms):
-    """Say that no two of the terms hold."""
+    """Build the constraint that no two of the terms hold."""
     terms = list(terms)
     pairs = [z3.Not(z3.And(one, other)) for index, one in enumerate(terms) for other in terms[index + 1 :]]
     return z3.And(pairs)
--- a/wagtailtrestle/spec/monitor.py
+++ b/wagtailtrestle/spec/monitor.py
@@ -1,18 +1,18 @@
-"""Follows a specification step by step, beside a run of the real code.
+"""Runtime monitor: tracks the state of a specification alongside a run of the real code.
 
-Each thing that the code does is told as an action; the monitor says whether the
-specification allows it there. That keeps specification and code from drifting apart.
+Each step of the code is reported as an action, and the monitor checks that the specification
+allows it in the present state. This keeps specification and code from drifting apart.
 """
 
 import z3
 
 
 class NotAllowed(Exception):
-    """The code did what the specification does not allow in this state."""
+    """The code took an action that the specification does not allow in this state."""
 
 
 class Monitor:
-    """One state of a specification, moved by named actions.
+    """Current state of a specification, advanced by named actions.
 
     Parameters
     ----------
@@ -24,7 +24,7 @@
     def __init__(self, specification):
         self.specification = specification
         self.taken = []
-        # Kept here too: a task of the code may swallow what is raised in it.
+        # Recorded as well as raised: a task of the code under test may swallow the exception.
         self.violations = []
         self._actions_by_name = {action.name: action for action in specification.actions}
         domains = specification.domains_by_variable
@@ -32,12 +32,12 @@
         self._state = self._initial_state()
 
     def allows(self, name):
-        """Whether the action may be taken now; an action that does not exist may not."""
+        """Whether the action is enabled now; an unknown action never is."""
         action = self._actions_by_name.get(name)
         return action is not None and z3.is_true(self._value(action.guard))
 
     def take(self, name):
-        """Take an action that must be allowed."""
+        """Take an action, or record a violation and raise :class:`NotAllowed`."""
         if not self.allows(name):
             self.violations.append(f"{name} after {', '.join(self.taken)} in {self.state()}")
             raise NotAllowed(self.violations[-1])
@@ -46,19 +46,19 @@
         self.taken.append(name)
 
     def take_first(self, *names):
-        """Take the first of the actions that is allowed."""
+        """Take the first action that is allowed; if none is, the first name is the violation."""
         self.take(next((name for name in names if self.allows(name)), names[0]))
 
     def read(self, variable):
-        """Value of one variable, by name."""
+        """Return the value of a variable."""
         return self.specification.domains_by_variable[variable].read(self._state[variable])
 
     def state(self):
-        """Return the whole state as plain data."""
+        """Return the values of all variables as plain data."""
         return {variable: self.read(variable) for variable in self._state}
 
     def broken(self):
-        """Names of the properties that do not hold now."""
+        """Return the names of the properties that do not hold now."""
         properties = self.specification.properties_by_name
         return [name for name, term in properties.items() if not z3.is_true(self._value(term))]
 
--- a/wagtailtrestle/spec/resumption.py
+++ b/wagtailtrestle/spec/resumption.py
@@ -1,8 +1,9 @@
-"""Resumed streams: one stream made of the runs of several engines, each of which may break off.
+"""Resumed streams: one stream assembled from runs on several engines, each of which may break off.
 
-An engine is told the last event that the caller has; it may begin there, or from the first event again,
-whose text up to there is then the same. From there on two runs may say different things under one
-number. What an earlier run sent may still arrive after a later one began, whole or torn.
+An engine receives the number of the last event that the caller has. It continues from there, or starts
+again from the first event, in which case the text up to there is the same. After that point two runs may
+send different text under the same number. Events of an earlier run may arrive after a later run began,
+complete or truncated.
 """
 
 import z3
@@ -21,11 +22,11 @@
 ENGINES = range(2)
 EVENTS = 3
 COUNT = Domain("c0", "c1", "c2", "c3", "c4")
-"""A number of events; one more than there are stands for the end of the stream."""
+"""A number of events; one more than ``EVENTS`` stands for the end of the stream."""
 NOBODY = "nobody"
 ACTIVE = Domain(NOBODY, "e0", "e1")
 FLYING = Domain("nothing", "c1", "c2", "c3", "end", "torn")
-"""What is on its way from an engine: an event by its number, the end, a piece of an event."""
+"""What is in transit from an engine: an event by its number, the end, or a truncated event."""
 RUNS = Domain("none", "one", "more")
 
 IN_ORDER = "each event comes once and in order"
@@ -35,22 +36,22 @@
 ONCE = "a request that may not be repeated runs once"
 
 SAFEGUARDS = {
-    "present_run_only": Safeguard(rule="only what the present run sends is passed on", breaks=NOT_JOINED),
-    "had_before_dropped": Safeguard(rule="an event that was had before is dropped", breaks=IN_ORDER),
+    "present_run_only": Safeguard(rule="only events of the current run are passed on", breaks=NOT_JOINED),
+    "had_before_dropped": Safeguard(rule="an event that the caller already has is dropped", breaks=IN_ORDER),
     "gap_ends_run": Safeguard(rule="an event that doesn't follow the last one ends its run", breaks=IN_ORDER),
-    "torn_kept_back": Safeguard(rule="an event is passed on once it is whole", breaks=WHOLE_ONLY),
+    "torn_kept_back": Safeguard(rule="an event is passed on only when it is complete", breaks=WHOLE_ONLY),
     "cut_is_no_end": Safeguard(rule="a run that breaks off does not end the stream", breaks=COMPLETE),
     "repeatable_only": Safeguard(rule="only a request that may be repeated is resumed", breaks=ONCE),
 }
 
 
 def specification(*, without=""):
-    """Build the specification, for a mutant ``without`` one safeguard."""
+    """Build the specification; ``without`` names a safeguard to leave out of a mutant."""
     return _Resumption(without=without).specification()
 
 
 class _Resumption(Builder):
-    """Builder of one specification."""
+    """Builder of the specification of resumed streams."""
 
     def __init__(self, *, without):
         super().__init__(safeguards=SAFEGUARDS, without=without)
@@ -102,7 +103,7 @@
         runs = z3.If(v("runs") == RUNS["none"], RUNS["one"], RUNS["more"])
         begun = {"active": ACTIVE[f"e{engine}"], "runs": runs, goes: TRUE}
         begun["was_resumed"] = z3.Or(v("was_resumed"), v("had") != COUNT["c0"])
-        # A new run is a new connection: nothing of an earlier one arrives on it.
+        # A new run uses a new connection, on which nothing of an earlier run arrives.
         begun[flying] = FLYING["nothing"]
         begun[variable_name("start", engine)] = v("had")
         self.act("resume", [*idle, may_run], {**begun, following: v("had") + 1}, engine=engine)
@@ -112,8 +113,8 @@
         self.act("send", [*sends, z3.ULE(v("next", engine), COUNT[f"c{EVENTS}"])], sent, engine=engine)
         is_over = v("next", engine) == COUNT[f"c{EVENTS + 1}"]
         self.act("send_end", [*sends, is_over], {flying: FLYING["end"], goes: FALSE}, engine=engine)
-        # An engine at fault leaves an event out. Not the first one: streams may begin at any number, so
-        # that nobody can tell; and not the last one, as nobody knows how many there will be.
+        # A faulty engine skips an event. The first and the last are excluded because that cannot be
+        # detected: a stream may begin at any number, and its length is not known in advance.
         is_between = z3.And(v("next", engine) != COUNT["c1"], z3.ULT(v("next", engine), COUNT[f"c{EVENTS}"]))
         skips = [v("goes", engine), is_between]
         self.act("skip", skips, {following: v("next", engine) + 1}, engine=engine)
@@ -140,7 +141,7 @@
         passed = FALSE if self.keeps("torn_kept_back") else TRUE
         torn = {**flown, "active": ACTIVE[NOBODY], "passed_torn": z3.Or(v("passed_torn"), passed)}
         self.act("take_torn", [*here, flying == FLYING["torn"]], torn, engine=engine)
-        # Nothing came for too long: the run is given up, though it may go on.
+        # No event arrived in time: the run is abandoned, although the engine may still be running it.
         self.act("give_up", [is_active], {"active": ACTIVE[NOBODY]}, engine=engine)
         cut = {"active": ACTIVE[NOBODY]}
         if not self.keeps("cut_is_no_end"):
@@ -170,11 +171,11 @@
             self.act("take_beyond", beyond, skipped, engine=engine, event=number)
 
     def _goes_on(self, engine):
-        """Whether a run of this engine goes on from the last event that the caller has."""
+        """Whether a run of this engine continues from the last event that the caller has."""
         return z3.Or(self.v("had") == self.v("start", engine), self.v("last_from") == ACTIVE[f"e{engine}"])
 
     def _event(self, number):
-        """The flying event of a number: both domains number events alike."""
+        """Convert a count to the event in transit with that number; both domains encode numbers alike."""
         return z3.ZeroExt(FLYING.sort.size() - number.size(), number)
 
     def _lemmas(self):
@@ -203,5 +204,5 @@
 
 
 def _is_over(flying):
-    """Whether a run's connection brings nothing more but its end or a torn piece."""
+    """Whether only the end or a truncated event is in transit from a run."""
     return z3.Or(flying == FLYING["end"], flying == FLYING["torn"])
--- a/wagtailtrestle/spec/scheduling.py
+++ b/wagtailtrestle/spec/scheduling.py
@@ -1,9 +1,9 @@
-"""Scheduling: two routers that both may act as scheduler of one cell with one place.
+"""Scheduling: two routers that may both act as scheduler of one cell with one slot.
 
-Three requests: one of a high tier, one of a low tier that may be repeated, one of the low
-tier that may not. Each entry has its own view of who is scheduler and may change it at any
-moment. Messages to and from schedulers may come late, twice, or never; only those that give
-a place back come in order after what they follow, as one link carries them.
+Three requests: one of a high tier, one of a low tier that may be repeated, and one of the low
+tier that may not. Each entry has its own view of which router is the scheduler, and may change
+it at any time. Messages to and from schedulers may be delayed, duplicated or lost; only messages
+that release a slot arrive in order, because they share a link with what they follow.
 """
 
 import z3
@@ -46,31 +46,31 @@
 CAPACITY = "while views agree the place holds one run"
 
 SAFEGUARDS = {
-    "queued_only": Safeguard(rule="an entry takes a grant only for a request that waits", breaks=ONE_RUN),
-    "attempt": Safeguard(rule="a grant counts only for the ask that it answers", breaks=CAPACITY),
+    "queued_only": Safeguard(rule="an entry accepts a grant only for a request that waits", breaks=ONE_RUN),
+    "attempt": Safeguard(rule="a grant is valid only for the request message that it answers", breaks=CAPACITY),
     "preempt_repeatable_only": Safeguard(
-        rule="a run is taken back only if the request may be repeated", breaks=NOT_REPEATED
+        rule="a run is preempted only if the request may be repeated", breaks=NOT_REPEATED
     ),
-    "lower_first": Safeguard(rule="lower repeatable work goes before a higher tier is refused", breaks=TIER_ORDER),
-    "yield_first": Safeguard(
-        rule="a wait is given up only after lower repeatable runs were told to yield", breaks=EXPIRY
+    "lower_first": Safeguard(
+        rule="lower repeatable work is preempted or refused before a higher tier is refused", breaks=TIER_ORDER
     ),
-    "highest_first": Safeguard(rule="of those that wait the highest tier is granted first", breaks=GRANT_ORDER),
-    "exact_account": Safeguard(rule="a scheduler grants only places that its account shows free", breaks=CAPACITY),
+    "yield_first": Safeguard(rule="a wait expires only after lower repeatable runs were asked to yield", breaks=EXPIRY),
+    "highest_first": Safeguard(rule="among waiting requests the highest tier is granted first", breaks=GRANT_ORDER),
+    "exact_account": Safeguard(rule="a scheduler grants only slots that are free in its account", breaks=CAPACITY),
     "place_until_ended": Safeguard(
-        rule="a place is free when its run ended, not when it was taken back", breaks=CAPACITY
+        rule="a slot is free when its run has ended, not when the run was preempted", breaks=CAPACITY
     ),
-    "ended_asks": Safeguard(rule="a late copy of a settled ask is not served again", breaks=RETURNED),
+    "ended_asks": Safeguard(rule="a late duplicate of a settled request message is not served again", breaks=RETURNED),
 }
 
 
 def specification(*, without=""):
-    """Build the specification, for a mutant ``without`` one safeguard."""
+    """Build the specification; ``without`` names a safeguard to leave out of a mutant."""
     return _Scheduling(without=without).specification()
 
 
 class _Scheduling(Builder):
-    """Builder of one specification."""
+    """Builder of the specification of scheduling."""
 
     def __init__(self, *, without):
         super().__init__(safeguards=SAFEGUARDS, without=without)
@@ -90,7 +90,7 @@
                 self._declare_pair(scheduler, request)
 
     def _declare_pair(self, scheduler, request):
-        """What a scheduler holds of a request, and the last message of each kind between them."""
+        """Declare a scheduler's state of a request, and the last message of each kind between them."""
         none = ATTEMPT["a0"]
         self.declare(HELD, "held", scheduler, request, initial=HELD["none"])
         self.declare(ATTEMPT, "held_attempt", scheduler, request, initial=none)
@@ -120,10 +120,10 @@
             limits_by_name=self._limits(),
         )
 
-    # The entry.
+    # Actions of the entry.
 
     def _change_view(self, request):
-        """The entry sees another scheduler: it frees what the old one holds and asks the new one."""
+        """The entry's view changes: it releases the slot at the old scheduler and may then request one from the new."""
         v = self.v
         for before, after in (SCHEDULERS, SCHEDULERS[::-1]):
             changes = {
@@ -143,7 +143,7 @@
         self.act("finish", [v("state", request) == STATE["dispatched"]], changes, request=request)
 
     def _give_back(self, request):
-        """Tell the scheduler of the present view that the run of this attempt ended."""
+        """Notify the scheduler in the current view that the run of this attempt ended."""
         v = self.v
         changes = {}
         for scheduler in SCHEDULERS:
@@ -183,13 +183,13 @@
         if may_yield:
             self.act("take_preempt", [*told, room], again, scheduler=scheduler, request=request)
 
-    # The scheduler.
+    # Actions of the scheduler.
 
     def _scheduler_receives(self, scheduler, request):
         v = self.v
         held, ask = variable_name("held", scheduler, request), v("ask", scheduler, request)
         ended = v("ended", scheduler, request)
-        # What gave a place back was sent before the next ask on the same link.
+        # The message that released the slot was sent on the same link before the next request.
         first = v("returned", scheduler, request) == ATTEMPT["a0"]
         new = [ask != ATTEMPT["a0"], first, v("held", scheduler, request) == HELD["none"]]
         if self.keeps("ended_asks"):
@@ -236,7 +236,7 @@
         if request in REPEATABLE:
             self._preempt(scheduler, request, higher_waits)
         else:
-            # The scheduler may hold an older declaration, by which the run could be repeated.
+            # The scheduler may have an older declaration, in which the request may be repeated.
             stray = {variable_name("preempt", scheduler, request): v("attempt", request)}
             dispatched = v("state", request) == STATE["dispatched"]
             self.act(
@@ -244,7 +244,7 @@
             )
 
     def _expire(self, scheduler, request):
-        """The request can no longer be finished in time, so its wait ends."""
+        """The request can no longer finish in time, so the scheduler ends its wait."""
         v = self.v
         unasked = any_of(
             z3.And(
@@ -275,17 +275,17 @@
         self.act("preempt", [granted, higher_waits], preempt, scheduler=scheduler, request=request)
 
     def _knows_lower(self, scheduler, request):
-        """Whether lower work that may be repeated waits or runs, as known to the scheduler."""
+        """Whether the scheduler knows of repeatable work of a lower tier that waits or runs."""
         lower = [other for other in REPEATABLE if TIER_BY_REQUEST[other] > TIER_BY_REQUEST[request]]
         return any_of(self.v("held", scheduler, other) != HELD["none"] for other in lower)
 
     def _lower_runs(self, request):
-        """Whether lower work that may be repeated truly runs, known or not."""
+        """Whether repeatable work of a lower tier runs, known to the scheduler or not."""
         lower = [other for other in REPEATABLE if TIER_BY_REQUEST[other] > TIER_BY_REQUEST[request]]
         return any_of(self.v("state", other) == STATE["dispatched"] for other in lower)
 
     def _restart(self, scheduler):
-        """The scheduler's router dies and another life of it knows nothing."""
+        """The scheduler's router crashes and restarts with no state."""
         changes = {"views_differed": TRUE}
         for request in REQUESTS:
             changes[variable_name("held", scheduler, request)] = HELD["none"]
@@ -294,7 +294,7 @@
                 changes[variable_name(message, scheduler, request)] = ATTEMPT["a0"]
         self.act("restart", [], changes, scheduler=scheduler)
 
-    # What must hold.
+    # Properties, witnesses and limits.
 
     def _properties(self):
         v = self.v
--- a/wagtailtrestle/spec/scheduling_proof.py
+++ b/wagtailtrestle/spec/scheduling_proof.py
@@ -1,7 +1,7 @@
-"""What makes the properties of :mod:`wagtailtrestle.spec.scheduling` inductive.
+"""Lemmas that make the properties of :mod:`wagtailtrestle.spec.scheduling` inductive.
 
-In words: while views agree, the one scheduler's account follows each request through its phases,
-and what is on its way between them is for the present attempt or the one before.
+While views agree, the account of the only scheduler matches the phase of each request, and
+messages in transit belong to the current attempt or the previous one.
 """
 
 import z3
@@ -11,7 +11,7 @@
 
 
 def lemmas(spec):
-    """Facts that carry the induction; ``spec`` is the builder of the specification."""
+    """Build the lemmas; ``spec`` is the builder of the specification."""
     v = spec.v
     facts = [
         v("attempt", FIXED) == ATTEMPT["a1"],
@@ -27,7 +27,7 @@
 
 
 def _lemmas_while_views_agree(spec, request):
-    """Say, for each phase of a request, what the one scheduler and the link hold of it."""
+    """Relate each phase of a request to the scheduler's account and to the messages in transit."""
     v = spec.v
     attempt, state = v("attempt", request), v("state", request)
     held, held_attempt = v("held", "s0", request), v("held_attempt", "s0", request)
