--- a/tests/test_spec.py
+++ b/tests/test_spec.py
@@ -1,4 +1,4 @@
-"""Model checks of the core protocol, and checks of the checker itself."""
+"""Model checks of the core protocols, and tests of the checker itself."""
 
 import unittest
 
@@ -24,7 +24,7 @@
 
 
 class CheckerTest(unittest.TestCase):
-    """A counter that goes up by one and stops at its limit."""
+    """Checks a counter that increments by one up to a limit."""
 
     def make(self, *, limit, lemmas=()):
         builder = Builder(safeguards={}, without="")
--- a/tests/test_spec_replay.py
+++ b/tests/test_spec_replay.py
@@ -1,8 +1,8 @@
-"""Traces of the specifications, led through the real decision modules.
+"""Replays traces of the specifications against the real decision modules.
 
-The traces come from z3: one to every action, one to every witness, and the counterexample of
-every mutant. The code need not follow a trace to its end, but each thing that it does must be
-allowed by the whole specification at that point, so specification and code can't drift apart.
+z3 generates the traces: one to every action, one to every witness and limit, and the counterexample
+of every mutant. The code need not follow a trace to its end, but the specification with all
+safeguards must allow each of its actions, so that specification and code cannot drift apart.
 """
 
 import asyncio
@@ -31,8 +31,8 @@
 
 COVER_STEPS = 12
 NOT_SENT = OUTCOMES[0]
-# The run's answer is recorded, its router dies, and the re-send reads the record. Which of two equal
-# ways a model of z3 takes differs with the order of its terms, so this one is spelled out.
+# The run's answer is recorded, its router crashes, and the re-send reads the record. Written out because
+# z3 chooses between traces of equal length by the order of its terms.
 RECORDED_ANSWER = (
     "ask(send=0, writer=0)",
     "read(writer=0)",
@@ -40,14 +40,14 @@
     "win(send=0)",
     "dispatch(send=0)",
     "finish(send=0)",
-    *["record(send=0)"] * 10,  # an end is recorded a little later, so several steps of time
+    *["record(send=0)"] * 10,  # the ledger records an end after a delay of several steps
     "write_done(writer=0)",
     "crash(router=0)",
     "ask(send=1, writer=1)",
     "read(writer=1)",
 )
-# A router tells another what it proved two ticks ago. The mutant's shortest trace has a word with no proof at
-# all behind it, which the code refuses for another reason.
+# A router reports to another what it proved two ticks ago. In the shortest trace of the mutant the report has
+# no proof at all, which the code rejects for another reason.
 OLD_WORD = (
     "begin_read(router=1)",
     "answer_read(router=1)",
@@ -73,7 +73,7 @@
 
 @functools.cache
 def guides(module):
-    """Traces to lead the code along: ``(name, trace, sizes of the instance)``."""
+    """Return the traces to replay, as ``(name, trace, sizes of the instance)``."""
     return list(_guides(module))
 
 
@@ -119,7 +119,7 @@
                 self.assertEqual(replay.holder(), replay.monitor.read("holder"))
                 followed |= {action.partition("(")[0] for action in replay.monitor.taken}
         verbs = {action.name.partition("(")[0] for action in claims.specification().actions}
-        # Stale reads are the configuration's matter; the ledger's store reads are current here.
+        # Stale reads are covered by the configuration's replay; the ledger's reads are current here.
         self.assertEqual(verbs - followed, {"read_stale"})
 
 
@@ -155,7 +155,7 @@
         followed = set()
         for name, trace, _ in guides(scheduling):
             with self.subTest(guide=name):
-                # Where the mutant's fault is the scheduler's, the entry must follow it all the same.
+                # If the mutant lacks a safeguard of the scheduler, the entry must follow the trace as well.
                 without = name.removeprefix("without ") if name.startswith("without ") else ""
                 without = "" if without in ENTRY_SAFEGUARDS else without
                 replay = EntryReplay(specification=scheduling.specification(without=without), trace=trace)
@@ -208,8 +208,8 @@
         self.assertLessEqual({"grant", "finish", "seen_empty", "end", "hand_over", "listed_unmark"}, followed)
 
     def test_what_is_believed_of_an_engine_follows_every_teller(self):
-        # Declaration and list mark an engine as leaving and take it back, in every order. While one
-        # of them marks it, it gets no work; once neither does, it must get work again.
+        # The declaration and the list set and remove their marks of a leaving engine in every order. While
+        # either mark is set, the engine gets no work; once neither is set, it must get work again.
         for tellers in itertools.product(("declared", "listed"), repeat=4):
             with self.subTest(tellers=tellers):
                 replay = DrainReplay(specification=draining.specification(), trace=None)
@@ -242,28 +242,28 @@
                 longest = max(longest, len(numbers))
                 faults += replay.faults
                 dropped += replay.dropped
-        # Each rule of the splitter was needed by some trace.
+        # Some trace exercises each rule of the splitter.
         self.assertEqual(longest, resumption.EVENTS)
         self.assertGreater(faults, 0)
         self.assertGreater(dropped, 0)
 
 
 class TierOrderTest(unittest.TestCase):
-    """Rules of the scheduling specification that no trace of three requests shows."""
+    """Rules of the scheduling specification that need more than the three requests of its traces."""
 
     def test_a_middle_tier_is_not_refused_while_a_lower_tier_runs(self):
-        # A report that was cancelled several times for questions asks again while tagging runs
-        # and waits. Refusing it ("preempted") sheds a higher tier while lower repeatable work,
-        # which should yield, goes on: `refuse` is not allowed while the scheduler knows lower work.
+        # A report (tier 1) that questions preempted several times requests a slot again while tagging (tier 2) runs
+        # and waits. Refusing it as "preempted" would shed a higher tier while lower repeatable work, which
+        # should yield, continues: `refuse` is not allowed while the scheduler knows of lower work.
         cell = Cell(slots=1)
         cell.receive(ask("tag1", tier=2, remaining_s=600.0), ask("tag2", tier=2, remaining_s=600.0))
         cell.receive(ask("report", tier=1, attempt=MAX_PREEMPTED_ATTEMPTS + 1, done_tokens=50))
         self.assertEqual(cell.entries.ids(Refused), [])
 
     def test_a_new_scheduler_tells_lower_runs_to_yield(self):
-        # A scheduler takes a cell over; one entry registered a long tagging run, another is still
-        # silent. A question arrives and can only be finished if the tagging yields. It must not wait
-        # in vain until it expires: `expire` is not allowed before the run was told to yield.
+        # A scheduler takes over a cell; one entry has registered a long tagging run, another has not
+        # registered yet. A question arrives that can only finish in time if the tagging yields. It must
+        # not wait until it expires: `expire` is not allowed before the run was asked to yield.
         cell = Cell(slots=1, members=("r1", "r2"))
         tagging = ask("tag", tier=2, remaining_s=600.0, output_tokens=3000)
         cell.receive(register("r1", running=[running(tagging)]))
--- a/tests/utils/configuring_replay.py
+++ b/tests/utils/configuring_replay.py
@@ -1,4 +1,4 @@
-"""Runs real applies and real configuration keepers along traces of their specification."""
+"""Replays traces of the configuration specification against real applies and :class:`Configuration`."""
 
 import asyncio
 import random
@@ -36,7 +36,7 @@
 
 
 class OperatorStore(MemoryStore):
-    """One operator's view of the store; its updates come out as scripted and are told."""
+    """One operator's view of the store; its updates end as scripted and are reported to the monitor."""
 
     def __init__(self, *, table, operator, monitor):
         super().__init__(table=table)
@@ -110,7 +110,7 @@
 
 
 class ApplyReplay:
-    """Two real applies over one store, led along one trace."""
+    """Replays one trace against two real applies over one store."""
 
     def __init__(self, *, specification, trace):
         self.monitor = Monitor(specification)
@@ -121,7 +121,7 @@
         self._applies = {}
 
     async def run(self):
-        """Follow the trace, then let both applies come to their end."""
+        """Follow the trace, then let both applies finish."""
         for step in self._trace.steps[1:]:
             operator = step.parameters.get("operator")
             if step.verb in SCRIPT_BY_VERB:
@@ -158,7 +158,7 @@
 
 
 class ConfigurationReplay:
-    """Two real configuration keepers over one store, led along one trace."""
+    """Replays one trace against two real :class:`Configuration` objects over one store."""
 
     def __init__(self, *, specification, trace):
         self.monitor = Monitor(specification)
@@ -170,7 +170,7 @@
         self._stores = [None] * len(ROUTERS)
 
     async def run(self):
-        """Follow the trace; whatever comes in force is told to the monitor at once."""
+        """Follow the trace; each generation that takes effect is reported to the monitor immediately."""
         for step in self._trace.steps[1:]:
             await self._follow(step)
         for keeper in self._keepers:
@@ -218,7 +218,7 @@
             self.monitor.take(f"restart(router={router})")
 
     def _offer(self, router, generation):
-        """Offer a generation that was accepted once, be it old; lower ones must not come in force."""
+        """Offer any generation that was ever accepted; a lower one must not take effect."""
         keeper = self._keepers[router]
         if keeper is not None and generation <= int(self.monitor.read("accepted")[1:]):
             keeper.offer(generation, "text", "peer")
@@ -228,7 +228,7 @@
         accepted = int(self.monitor.read("accepted")[1:])
         if accepted == 0:
             return
-        # A start stays unconfirmed while no write comes through; its reads may be stale.
+        # A start stays unconfirmed while no write succeeds; its reads may be stale.
         store.stale_versions = max(0, accepted - (generation or accepted))
         if verb != "begin_confirmed":
             store.lose_requests = 10**6
@@ -246,7 +246,7 @@
         store.silent_watch = True
         keeper.start()
         await asyncio.sleep(8.0)
-        # A stale store that heals lets a start be confirmed after all.
+        # Once the store recovers, the start can be confirmed.
         store.stale_versions = store.lose_requests = 0
 
     async def _peers_answer(self, router, verb):
@@ -272,8 +272,8 @@
     def _check_newest(self, generation):
         newest = self.monitor.read("accepted")
         if newest != f"g{generation}":
-            self.monitor.violations.append(f"began confirmed with g{generation} while {newest} is accepted")
+            self.monitor.violations.append(f"confirmed start with g{generation} while {newest} is accepted")
 
     def in_force(self):
-        """Generations that the real keepers have in force."""
+        """Return the generation that is in force at each router."""
         return [f"g{keeper.generation if keeper else 0}" for keeper in self._keepers]
--- a/tests/utils/dispatch_replay.py
+++ b/tests/utils/dispatch_replay.py
@@ -1,4 +1,4 @@
-"""Runs one real request of a route that may not be repeated through ends of runs."""
+"""Replays run outcomes against one real request of a route that may not be repeated."""
 
 import asyncio
 
@@ -32,7 +32,7 @@
 
 
 class WonClaims:
-    """Every claim is won; what the entry says of its end is kept."""
+    """Fake claims: every claim is won, and the calls that end a claim are recorded."""
 
     def __init__(self):
         self.ends = []
@@ -51,12 +51,12 @@
 
 
 class DispatchReplay:
-    """One request whose runs end as given, one after the other.
+    """One request whose successive runs end with the given outcomes.
 
     Parameters
     ----------
     specification : Specification
-        Of claims.
+        The specification of claims.
     outcomes : tuple of RunOutcome
     """
 
@@ -67,7 +67,7 @@
         self._caller = FakeCaller()
 
     async def run(self):
-        """Let the request live until it is answered or the outcomes are used up."""
+        """Run the request until it is answered or no outcome is left."""
         loop = asyncio.get_running_loop()
         entry, _ = make_entry(loop=loop, claims=self.claims)
         for action in (*WINNING, "answer_won(writer=0, send=0)", "win(send=0)"):
@@ -96,7 +96,7 @@
     def _end_run(self, entry, outcome):
         start = self._caller.starts[-1]
         if not start.attach and not isinstance(outcome, RunNotSent):
-            # Bytes were sent: whether the engine began is known only if it told so.
+            # Bytes were sent, so the run is known to have begun only if the engine reported it.
             began = isinstance(outcome, RunDone) or getattr(outcome, "reached", False)
             self.monitor.take("dispatch(send=0)" if began else "dispatch_unheard(send=0)")
         entry.post("n0", RunEnded(run_id=start.run_id, outcome=outcome, duration_s=0.1))
@@ -106,7 +106,7 @@
         if answer is None:
             return
         if isinstance(answer, AnswerWhole):
-            # What an attached run gives was run by the first one, unheard until then.
+            # The answer of an attached run comes from the first run, which was not reported until then.
             self.monitor.take_first("finish(send=0)", "cut(send=0)")
         elif answer.refusal.executed is Executed.NO:
             self.monitor.take("refuse(send=0)")
@@ -115,9 +115,9 @@
         expected = {"no": "release", "answer": "finish", "unknown": "finish_unknown"}
         told = "answer" if isinstance(answer, AnswerWhole) else self.monitor.read("told[0]")
         if self.claims.ends != [expected[told]]:
-            self.monitor.violations.append(f"told {told} but the ledger was told {self.claims.ends}")
+            self.monitor.violations.append(f"the caller was told {told} but the ledger received {self.claims.ends}")
 
     @property
     def dispatches(self):
-        """Runs begun, attaching to one of them not counted."""
+        """Runs that were started, without those that attached to an earlier one."""
         return [start for start in self._caller.starts if not start.attach]
--- a/tests/utils/draining_replay.py
+++ b/tests/utils/draining_replay.py
@@ -1,4 +1,4 @@
-"""Runs real schedulers and a real entry along traces of the drain's specification."""
+"""Replays traces of the drain specification against real schedulers and a real entry."""
 
 import asyncio
 
@@ -34,7 +34,7 @@
 
 
 class DrainReplay:
-    """The scheduler of the draining router, then that of another, and the draining entry.
+    """The draining router's entry, and the scheduler: first that of the draining router, then that of another.
 
     Parameters
     ----------
@@ -57,7 +57,7 @@
         self._granted = {}
 
     async def run(self):
-        """Follow the trace; grants and the end of the drain are the real modules' own."""
+        """Follow the trace; the real modules decide the grants and the end of the drain."""
         loop = asyncio.get_running_loop()
         self._entry, _ = make_entry(loop=loop, declaration=self._declaration)
         self._schedulers = self._new_schedulers()
@@ -71,7 +71,7 @@
         await self._entry.close()
 
     async def toggle(self, tellers):
-        """Let tellers mark the engine or take it back in turn; returns what should be and is believed."""
+        """Let tellers toggle their marks of the engine in turn; return the expected and the actual leaving states."""
         self._entry, _ = make_entry(loop=asyncio.get_running_loop(), declaration=self._declaration)
         self._schedulers = self._new_schedulers()
         self._schedulers.deliver(CELL, ask("first"))
@@ -115,7 +115,7 @@
                 self.ended_with_work = bool(self._entry.tasks_by_id)
 
     def _hand_over(self):
-        """Another router's scheduler takes the cell; the entries register what waits."""
+        """Another router's scheduler takes over the cell, and the entries register their waiting requests."""
         self._schedulers = self._new_schedulers()
         for number in range(len(self.monitor.specification.domains_by_variable)):
             if f"request[{number}]" not in self.monitor.specification.domains_by_variable:
--- a/tests/utils/freshness_replay.py
+++ b/tests/utils/freshness_replay.py
@@ -1,4 +1,4 @@
-"""Leads the real source of the configuration, and the proof of keys, along traces of relayed freshness."""
+"""Replays traces of relayed freshness against the real configuration source and key proofs."""
 
 import asyncio
 import random
@@ -16,25 +16,25 @@
 TICK_S = 0.5
 LIMIT_S = LIMIT * TICK_S
 WITH_KEY, WITHOUT_KEY = 1, 2
-"""Generations: the key holds; it was revoked."""
+"""Generations of the configuration before and after the key was revoked."""
 PASSES = 5
-"""Passes of the event loop in which a step's consequences are over; nothing here waits for time."""
+"""Iterations of the event loop that complete the effects of a step; nothing here waits for time."""
 
 
 class Place:
-    """An object that holds nothing but its generation."""
+    """A stored object that consists only of its generation."""
 
     kind = "config"
     name = "main"
     reads_are_linearizable = True
 
     def parse_accepted(self, *, version, value):
-        """Read the generation."""
+        """Parse the generation."""
         return SimpleNamespace(generation=value, text="")
 
 
 class HeldStore:
-    """Takes a read, answers it when told, and delivers the answer when told."""
+    """Store whose reads are answered, and their answers delivered, by explicit calls."""
 
     def __init__(self):
         self._reading = None
@@ -45,34 +45,34 @@
         return await self._reading
 
     def answer(self, generation):
-        """Settle what the read will tell."""
+        """Set the answer to the pending read."""
         self._answer = StoreDone(version=generation, value=generation)
 
     def deliver(self):
-        """Let the answer arrive."""
+        """Deliver the answer to the reader."""
         if self._reading is not None and not self._reading.done() and self._answer is not None:
             self._reading.set_result(self._answer)
         self._answer = None
 
 
 class OneReader:
-    """The other router, always to be asked."""
+    """Selects the other router as the reader to query, always."""
 
     reads_store = False
 
     def readers_to_query(self):
-        """The readers to ask."""
+        """Return the readers to query."""
         return ("peer",)
 
     def pause(self, name):
-        """Go on asking it: the trace decides what it answers."""
+        """Do nothing: the trace decides what the reader answers, so it stays available."""
 
 
 class Router:
     """One router's source of the configuration and its answers to peers."""
 
     def __init__(self, *, clock):
-        # As told by a peer, without a proof: what every router starts from here.
+        # Every router starts with a generation reported by a peer, without a proof.
         self.generation = WITH_KEY
         self.store = HeldStore()
         self.word = None
@@ -99,15 +99,15 @@
         )
 
     def age_s(self):
-        """Seconds since the proof behind what is known here, or ``None``."""
+        """Return the age of this router's proof in seconds, or ``None`` without a proof."""
         return None if self.source.confirmed_at is None else self._clock() - self.source.confirmed_at
 
     def uses_key(self):
-        """Whether a request with the key would run now."""
+        """Whether a request with the key would be admitted now."""
         return self.generation == WITH_KEY and KeyProof(age_s=self.age_s(), limit_s=LIMIT_S).is_fresh
 
     def begin(self, name, coroutine):
-        """Begin a read or a question, unless one is under way."""
+        """Start a read or a query, unless one is in progress."""
         task = self._tasks.get(name)
         if task is None or task.done():
             self._tasks[name] = asyncio.get_running_loop().create_task(coroutine)
@@ -115,17 +115,17 @@
             coroutine.close()
 
     def tell(self):
-        """What this router answers a peer now."""
+        """Return this router's answer to a peer's query."""
         return self._answers._answer_confirmation("peer", ConfirmationAsk(), "")
 
     def take_word(self):
-        """Let a peer's answer arrive."""
+        """Deliver a peer's answer."""
         if self._asking is not None and not self._asking.done() and self.word is not None:
             self._asking.set_result(self.word)
         self.word = None
 
     async def close(self):
-        """End what is under way."""
+        """Cancel reads and queries in progress."""
         for task in self._tasks.values():
             task.cancel()
         await asyncio.gather(*self._tasks.values(), return_exceptions=True)
@@ -139,14 +139,14 @@
 
 
 class FreshnessReplay:
-    """Two routers led along one trace.
+    """Replays one trace against two routers.
 
     Attributes
     ----------
     late : list of str
-        Steps after which a router would have used the key too late.
+        Steps after which a router would still have used the key although the limit had passed.
     proved_by_word : int
-        How often a router's proof became younger by the other's word.
+        Number of times that a report of the other router renewed a router's proof.
     """
 
     def __init__(self, *, trace):
@@ -162,7 +162,7 @@
 
     async def run(self):
         """Follow the trace."""
-        # A fetch is another step of the trace, so that no question waits for one.
+        # A fetch is a step of its own in the trace, so a query must not wait for one.
         with (
             mock.patch.object(sources, "boot_time_s", lambda: self._now),
             mock.patch.object(sources, "FETCH_TIMEOUT_S", 0.0),
--- a/tests/utils/ledger_replay.py
+++ b/tests/utils/ledger_replay.py
@@ -1,4 +1,4 @@
-"""Runs real ledgers along a specification's trace, telling a monitor all that they do."""
+"""Replays traces of the claims specification against real ledgers, and reports their actions to a monitor."""
 
 import asyncio
 from unittest import mock
@@ -43,7 +43,7 @@
 
 
 class ScriptedStore(MemoryStore):
-    """One router's view of the store: calls wait for their step and are told to the monitor."""
+    """One router's view of the store: calls wait for their step and are reported to the monitor."""
 
     def __init__(self, *, table, router, monitor, late=None):
         super().__init__(table=table)
@@ -92,7 +92,7 @@
         try:
             scripted = await self.outcomes.get()
         except asyncio.CancelledError:
-            # The writer gave up waiting: the write may still land.
+            # The writer timed out; the write may still take effect.
             self._delay(write)
             raise
         self.in_flight = None
@@ -115,7 +115,7 @@
             self._take("write_delayed")
 
     def _tell_write(self, records):
-        """Tell what the write is for; ``False`` if it only records how a request ended."""
+        """Report the purpose of the write; return ``False`` if it only records how a request ended."""
         before = self._monitor.read(f"snapshot[{self._router}]")
         if KEY not in records:
             self._monitor.take(f"write_release(writer={self._router}, send={_send(before)})")
@@ -130,7 +130,7 @@
 
 
 class KillableLedger(Ledger):
-    """A ledger whose router can die: nothing of it goes on."""
+    """A ledger that can be stopped as in a crash of its router: all of its tasks are cancelled."""
 
     def stop_at_once(self):
         tasks = [writer._task for writer in self._writers_by_shard.values() if writer._task]
@@ -139,12 +139,12 @@
 
 
 class LedgerReplay:
-    """Two routers with real ledgers, led along one trace.
+    """Replays one trace against two routers with real ledgers.
 
     Parameters
     ----------
     specification : Specification
-        The whole one, whatever mutant the trace comes from.
+        With all safeguards, also when the trace comes from a mutant.
     trace : Trace
     sends : int
     """
@@ -162,7 +162,7 @@
         self._heard = [asyncio.Queue() for _ in self._sends]
 
     async def run(self):
-        """Follow the trace, then let everything come to its end."""
+        """Follow the trace, then let all requests and writes finish."""
         with mock.patch.object(ledger_module, "ShardWriter", self._observed_writer()):
             for router in range(ROUTERS):
                 await self._start(router)
@@ -175,7 +175,7 @@
                 await store.land()
 
     def _open_gates(self):
-        """Let everything that still waits for its step go on."""
+        """Release every call that still waits for its step."""
         for store in self._stores:
             for _ in range(MANY):
                 store.reads.put_nowait("turn")
@@ -184,7 +184,7 @@
             for _ in range(MANY):
                 heard.put_nowait("turn")
 
-    # Following the trace.
+    # Steps of the trace.
 
     async def _follow(self, step):
         parameters = step.parameters
@@ -244,7 +244,7 @@
             claim.cancel()
 
     def _end(self, action, verb, send):
-        """Do what the entry does with a claim that it won, if the real claim was won."""
+        """End a claim as the entry does, if the real claim was won."""
         if not self.monitor.allows(action):
             return
         self.monitor.take(action)
@@ -299,7 +299,7 @@
         return answer
 
     async def _handle(self, router, message):
-        """Answer this router's own ask."""
+        """Answer a request of this router itself."""
         answer = await self._ledgers[router].told_by_handle(message)
         self._hear(router, message, answer)
         return answer
@@ -325,7 +325,7 @@
         replay = self
 
         class ObservedWriter(ShardWriter):
-            """Tells the monitor which answers are given."""
+            """Reports answers to the monitor."""
 
             async def claim(self, ask, *, timeout_s):
                 replay._tell_ask(ask, replay._router_of(self))
@@ -350,7 +350,7 @@
             self.monitor.take(f"answer_held(writer={writer}, send={send}, other={_send(answer.nonce)})")
 
     def holder(self):
-        """Nonce in the store, as it is."""
+        """Return the nonce that is in the store."""
         outcome = self._table.get(kind=LEDGER_KIND, name="shard-000")
         records = outcome.value["claims"] if isinstance(outcome, StoreDone) else {}
         return records[KEY][0] if KEY in records else "nobody"
--- a/tests/utils/resumption_replay.py
+++ b/tests/utils/resumption_replay.py
@@ -1,4 +1,4 @@
-"""Feeds the real splitter of events what engines send along traces of resumed streams."""
+"""Replays traces of resumed streams against the real :class:`EventSplitter`."""
 
 import itertools
 
@@ -9,21 +9,21 @@
 
 
 def event_bytes(number):
-    """One whole event."""
+    """Encode one complete event."""
     return f"id: {number}\ndata: piece {number}".encode() + EVENT_END
 
 
 class ResumptionReplay:
-    """One stream whose runs come from the engines of a trace.
+    """Replays one trace as a stream with runs on several engines.
 
     Attributes
     ----------
     passed : bytes
-        What the caller has got.
+        Data that the caller has received.
     faults : int
-        Runs that were given up for a gap.
+        Number of runs that were ended because of a gap.
     dropped : int
-        Events that were had before.
+        Number of events dropped because the caller already had them.
     """
 
     def __init__(self, *, trace):
@@ -53,7 +53,7 @@
                     self._arrive(engine)
 
     def numbers(self):
-        """Numbers of the events passed on, ``None`` for a piece that is no whole event."""
+        """Return the numbers of the events passed on, with ``None`` for an incomplete event."""
         pieces = self.passed.split(EVENT_END)
         known = {event_bytes(number).removesuffix(EVENT_END): number for number in range(1, 10)}
         return [known.get(piece) for piece in pieces if piece]
@@ -66,7 +66,7 @@
 
     def _arrive(self, engine):
         data, self._flying[engine] = self._flying[engine], b""
-        # Each run has a connection of its own; that of a run given up is closed and read no more.
+        # Each run has its own connection, which is closed and no longer read once the run is abandoned.
         if engine != self._active:
             return
         got = self._splitter.feed(data)
--- a/tests/utils/scheduling_replay.py
+++ b/tests/utils/scheduling_replay.py
@@ -1,4 +1,4 @@
-"""Runs a real scheduler, or a real entry, along traces of the scheduling specification."""
+"""Replays traces of the scheduling specification against a real scheduler or a real entry."""
 
 import asyncio
 
@@ -27,7 +27,7 @@
 
 
 class SchedulerReplay:
-    """A real scheduler as ``s0``; the entries and ``s1`` are the specification's own.
+    """Replays a trace with a real scheduler as ``s0``; the entries and ``s1`` are simulated by the specification.
 
     Parameters
     ----------
@@ -54,12 +54,12 @@
             yield
 
     def held(self):
-        """What the real scheduler holds: requests running, and number waiting by tier."""
+        """Return the real scheduler's running requests and its number of waiting requests by tier."""
         dump = self.cell.scheduler.dump()
         return set(dump["running"]), {tier: count for tier, count in dump["waiting_by_tier"].items() if count}
 
     def expected(self):
-        """What the specification's ``s0`` holds, in the same form."""
+        """Return the state of the specification's ``s0`` in the form of :meth:`held`."""
         held = {request: self.monitor.read(f"held[{SCHEDULER},{request}]") for request in REQUESTS}
         waiting = {}
         for request, state in held.items():
@@ -87,7 +87,7 @@
                 self._start()
 
     def _deliver_ask(self, request):
-        # One link carries both, in order: what gave a place back comes first.
+        # One link carries both in order: the message that released the slot arrives first.
         self._deliver_returned(request)
         self._tell()
         attempt = self.monitor.read(f"ask[{SCHEDULER},{request}]")
@@ -109,7 +109,7 @@
             self.monitor.take(hold)
 
     def _remaining_s(self, request):
-        """Deadlines that let the real scheduler come to what the trace shows, if it may."""
+        """Return a time to the deadline that lets the real scheduler make the decisions of the trace."""
         if f"refuse:{request}" in self._steps or f"expire:{request}" in self._steps:
             return SHORT_S
         preempts = any(step.startswith(("preempt:", "stray_preempt:")) for step in self._steps)
@@ -131,7 +131,7 @@
         return self.cell.entries.sent[self._seen :]
 
     def _tell(self):
-        """Tell the monitor what the real scheduler sent since the last time."""
+        """Report to the monitor what the real scheduler sent since the last call."""
         new = self._new()
         self._seen += len(new)
         for message in new:
@@ -145,14 +145,14 @@
             case Preempt():
                 self.monitor.take(f"preempt{pair}")
             case Refused(reason=Reason.DEADLINE_UNREACHABLE):
-                # No engine could finish it even alone: not a matter of load.
+                # No engine could finish the request in time even without load.
                 self.monitor.take_first(f"expire{pair}", f"refuse{pair}")
             case Refused():
                 self.monitor.take_first(f"refuse{pair}", f"expire{pair}")
 
 
 class FakeCaller:
-    """Keeps the commands of one request and cancels runs when asked."""
+    """Records the commands for one request and the runs that were cancelled."""
 
     def __init__(self):
         self.commands = []
@@ -174,7 +174,7 @@
 
 
 class QuietSchedulers:
-    """Takes what the entry sends and answers nothing."""
+    """Records what the entry sends and never answers."""
 
     def __init__(self):
         self.sent = []
@@ -185,7 +185,7 @@
 
 
 class QuietCrashes:
-    """Blames nobody."""
+    """Crash records without any crash: nothing is blocked."""
 
     def is_blocked(self, body_digest):
         return False
@@ -218,7 +218,7 @@
 
 
 def make_entry(*, loop, claims=None, declaration=None, **parts):
-    """Make a real entry whose schedulers and callers are fakes; ``parts`` go to the entry."""
+    """Make a real entry with fake schedulers and callers; ``parts`` are passed to the entry."""
     schedulers = QuietSchedulers()
     declaration = declaration or small_declaration()
     parts = {"crashes": QuietCrashes()} | parts
@@ -227,7 +227,7 @@
 
 
 def caller_request(request_id, *, tier=0, repeatable=True, deadline, **changes):
-    """Build a small request."""
+    """Build a caller's request with small token counts."""
     fields = {"at_most_once": False, "idempotency_key": "", "body_digest": "d"} | changes
     return CallerRequest(
         request_id=request_id,
@@ -245,10 +245,10 @@
 
 
 class EntryReplay:
-    """Real request tasks as the entries; both schedulers are the specification's own.
+    """Replays a trace with real request tasks as the entries; the specification simulates both schedulers.
 
-    A message of a trace is delivered also where the specification says that the entry does
-    not take it: then the entry must not change.
+    A message of the trace is delivered even if the specification does not allow the entry to
+    accept it; the entry must then stay unchanged.
     """
 
     def __init__(self, *, specification, trace):
@@ -258,7 +258,7 @@
         self._entry = None
 
     async def run(self):
-        """Follow the trace, comparing after each step; returns what differed."""
+        """Follow the trace and compare states after each step; return the differences."""
         loop = asyncio.get_running_loop()
         self._entry, _ = make_entry(loop=loop)
         for request, caller in self._callers.items():
@@ -328,7 +328,7 @@
         for request in REQUESTS:
             real, told = self._real(request), self._told(request)
             if real != told:
-                yield f"{request} is {real}, the specification says {told}"
+                yield f"{request} is {real}, the specification expects {told}"
 
     def _real(self, request):
         caller, task = self._callers[request], self._entry.tasks_by_id.get(request)
--- a/wagtailtrestle/spec/freshness.py
+++ b/wagtailtrestle/spec/freshness.py
@@ -176,7 +176,7 @@
         return z3.If(term == _most(), term, term + 1)
 
     def _covers(self, knows, age):
-        """Whether knowledge whose proof has this age includes the revocation, if the key was revoked before the proof."""
+        """Whether knowledge whose proof has this age includes any revocation before the proof."""
         return z3.Or(z3.Not(self.v("revoked")), knows, z3.ULE(self.v("since"), age))
 
     def _lemmas(self):
