--- a/tests/test_spec.py
+++ b/tests/test_spec.py
@@ -42,14 +42,14 @@
 
     def test_finds_the_shortest_trace(self):
         wrong = self.make(limit="three")
-        trace = shortest_trace(wrong, z3.Not(wrong.properties_by_name["below three"]), most_steps=5)
+        trace = shortest_trace(wrong, z3.Not(wrong.properties_by_name["below three"]), max_steps=5)
         self.assertEqual(trace.actions, ["raise(by=1)"] * 3)
         self.assertIn("level = three", trace.text())
         self.assertEqual(trace.steps[1].parameters, {"by": 1})
 
     def test_finds_no_trace_where_there_is_none(self):
         right = self.make(limit="two")
-        self.assertIsNone(shortest_trace(right, LEVEL.variable("level") == LEVEL["three"], most_steps=5))
+        self.assertIsNone(shortest_trace(right, LEVEL.variable("level") == LEVEL["three"], max_steps=5))
 
     def test_induction_shows_its_gap(self):
         self.assertIsNone(Inductive(self.make(limit="two")).gap())
--- a/tests/test_spec_replay.py
+++ b/tests/test_spec_replay.py
@@ -79,12 +79,12 @@
 
 def _guides(module):
     whole = module.specification()
-    for action, trace in covering_traces(whole, most_steps=COVER_STEPS).items():
+    for action, trace in covering_traces(whole, max_steps=COVER_STEPS).items():
         yield action, trace, {}
     for name, wanted in whole.witnesses_by_name.items():
-        yield name, shortest_trace(whole, wanted, most_steps=MAX_STEPS), {}
+        yield name, shortest_trace(whole, wanted, max_steps=MAX_STEPS), {}
     for name, expected in whole.limits_by_name.items():
-        yield name, shortest_trace(whole, z3.Not(expected), most_steps=MAX_STEPS), {}
+        yield name, shortest_trace(whole, z3.Not(expected), max_steps=MAX_STEPS), {}
     for name, safeguard in module.SAFEGUARDS.items():
         yield f"without {name}", mutant(module, name).trace, safeguard.size
 
--- a/wagtailtrestle/spec/checker.py
+++ b/wagtailtrestle/spec/checker.py
@@ -166,10 +166,10 @@
     return {name: domain.variable(name + suffix) for name, domain in specification.domains_by_variable.items()}
 
 
-def shortest_trace(specification, bad, *, most_steps, opening=()):
+def shortest_trace(specification, bad, *, max_steps, opening=()):
     """Return the shortest trace to a ``bad`` state, or ``None`` if there is none of at most ``most_steps``."""
     bounded = Bounded(specification, opening=opening)
-    for _ in range(most_steps):
+    for _ in range(max_steps):
         bounded.deepen()
         trace = bounded.search(bad)
         if trace is not None:
@@ -250,11 +250,11 @@
         return Trace(steps=[Step(action="", state=read(before)), Step(action=action.name, state=read(after))])
 
 
-def covering_traces(specification, *, most_steps):
+def covering_traces(specification, *, max_steps):
     """Return a shortest trace to each action that is reachable within ``most_steps``, by action name."""
     bounded = Bounded(specification)
     traces_by_action = {}
-    for _ in range(most_steps):
+    for _ in range(max_steps):
         bounded.deepen()
         for action in specification.actions:
             if action.name in traces_by_action:
--- a/wagtailtrestle/spec/checks.py
+++ b/wagtailtrestle/spec/checks.py
@@ -58,10 +58,10 @@
     for name in module.SAFEGUARDS:
         yield mutant(module, name)
     for name, wanted in whole.witnesses_by_name.items():
-        trace = shortest_trace(whole, wanted, most_steps=MAX_STEPS)
+        trace = shortest_trace(whole, wanted, max_steps=MAX_STEPS)
         yield _found(whole, Kind.WITNESS, name, trace)
     for name, expected in whole.limits_by_name.items():
-        trace = shortest_trace(whole, z3.Not(expected), most_steps=MAX_STEPS)
+        trace = shortest_trace(whole, z3.Not(expected), max_steps=MAX_STEPS)
         yield _found(whole, Kind.LIMIT, name, trace)
     if deep and module in SIZES_BY_MODULE:
         yield _proof(module.specification(**SIZES_BY_MODULE[module]))
@@ -72,7 +72,7 @@
     safeguard = module.SAFEGUARDS[name]
     mutated = module.specification(without=name, **safeguard.size)
     bad = z3.Not(mutated.properties_by_name[safeguard.breaks])
-    trace = shortest_trace(mutated, bad, most_steps=MAX_STEPS, opening=safeguard.opening)
+    trace = shortest_trace(mutated, bad, max_steps=MAX_STEPS, opening=safeguard.opening)
     detail = f"without: {safeguard.rule}; breaks: {safeguard.breaks}"
     gap = Inductive(mutated).gap()
     return Finding(
