--- a/wagtailtrestle/spec/claims.py
+++ b/wagtailtrestle/spec/claims.py
@@ -25,7 +25,7 @@
 )
 
 ONCE = "at most once"
-TRUTH_TOLD = "told not run means not run"
+REPORTED_NOT_RUN = "told not run means not run"
 ANSWER_OF_RUN = "an answer is the answer of a run"
 # Leads to a state where the first send's claim is in the store and its request was refused.
 CLAIMED_AND_REFUSED = (
@@ -41,7 +41,7 @@
     "read_back": Safeguard(rule="a write without an answer is read back, not assumed to have succeeded", breaks=ONCE),
     "proof": Safeguard(rule="a request runs only once its nonce was seen in the store", breaks=ONCE),
     "refused_is_final": Safeguard(
-        rule="a refused nonce is never dispatched, whatever answer arrives later", breaks=TRUTH_TOLD
+        rule="a refused nonce is never dispatched, whatever answer arrives later", breaks=REPORTED_NOT_RUN
     ),
     "takeover_of_refused_only": Safeguard(
         rule="a claim is taken over only when its router reports that it was refused", breaks=ONCE
@@ -58,7 +58,8 @@
     ),
     "one_dispatch": Safeguard(rule="a dispatch that may have reached an engine is never repeated", breaks=ONCE),
     "truth_after_dispatch": Safeguard(
-        rule="after a dispatch that may have reached an engine no caller is told that it did not run", breaks=TRUTH_TOLD
+        rule="after a dispatch that may have reached an engine no caller is told that it did not run",
+        breaks=REPORTED_NOT_RUN,
     ),
     "release_of_refused_only": Safeguard(
         rule="a claim is released only for a request that was never dispatched", breaks=ONCE
@@ -315,7 +316,7 @@
         truth = [z3.Implies(v("told", send) == TOLD["no"], v("runs", send) == RUNS["none"]) for send in self.sends]
         return {
             ONCE: z3.And(at_most_one(ran), *once),
-            TRUTH_TOLD: all_of(truth),
+            REPORTED_NOT_RUN: all_of(truth),
             ANSWER_OF_RUN: all_of(z3.Implies(v("told", send) == TOLD["answer"], any_of(ran)) for send in self.sends),
         }
 
