--- a/wagtailtrestle/spec/draining.py
+++ b/wagtailtrestle/spec/draining.py
@@ -31,7 +31,7 @@
 NO_NEW_WORK = "no grant on an engine that any teller marks as leaving"
 NOTHING_CUT = "nothing in flight is cut"
 NO_GRANT_AFTER_HANDOVER = "a draining router grants nothing"
-TOLD_TRULY = "what a closing router refuses was not run"
+REFUSED_NOT_RUN = "what a closing router refuses was not run"
 
 SAFEGUARDS = {
     "leaving_checked": Safeguard(rule="a grant goes only to an engine that is not leaving", breaks=NO_NEW_WORK),
@@ -42,7 +42,7 @@
     ),
     "stops_granting": Safeguard(rule="a draining router's scheduler stops granting", breaks=NO_GRANT_AFTER_HANDOVER),
     "refused_unrun": Safeguard(
-        rule="a closing router refuses only requests that it has not accepted", breaks=TOLD_TRULY
+        rule="a closing router refuses only requests that it has not accepted", breaks=REFUSED_NOT_RUN
     ),
 }
 
@@ -175,7 +175,7 @@
             NO_NEW_WORK: z3.Not(v("granted_to_leaver")),
             NOTHING_CUT: all_of(v("request", request) != REQUEST["cut"] for request in self.requests),
             NO_GRANT_AFTER_HANDOVER: z3.Not(v("granted_after_handover")),
-            TOLD_TRULY: all_of(
+            REFUSED_NOT_RUN: all_of(
                 z3.Implies(v("request", request) == REQUEST["refused"], z3.Not(v("ran", request)))
                 for request in self.requests
             ),
