--- a/wagtailtrestle/spec/configuring.py
+++ b/wagtailtrestle/spec/configuring.py
@@ -27,7 +27,7 @@
 APPLY = Domain("idle", "read", "sent", "unsettled", "ended")
 TOLD = Domain("nothing", "applied", "conflict", "not_done", "unknown")
 
-TRUE_ANSWER = "an operator is told the truth"
+ACCURATE_ANSWER = "an operator is told the truth"
 ONLY_UP = "the accepted generation never goes down"
 NO_REVERT = "a router never goes back within its life"
 NO_REVERT_OVER_RESTART = "a confirmed start is never behind an earlier life"
@@ -36,16 +36,18 @@
 SAFEGUARDS = {
     "conditional_update": Safeguard(rule="an update takes effect only on the version it was made from", breaks=ONLY_UP),
     "lost_answer_is_not_done": Safeguard(
-        rule="an update without an answer is not assumed to have been refused", breaks=TRUE_ANSWER
+        rule="an update without an answer is not assumed to have been refused", breaks=ACCURATE_ANSWER
     ),
     "lost_answer_is_not_success": Safeguard(
-        rule="an update without an answer is not assumed to have succeeded", breaks=TRUE_ANSWER
+        rule="an update without an answer is not assumed to have succeeded", breaks=ACCURATE_ANSWER
     ),
     "sent_again": Safeguard(
         rule="not finding one's id is no proof that the update failed; sending the same update again gives it",
-        breaks=TRUE_ANSWER,
+        breaks=ACCURATE_ANSWER,
+    ),
+    "own_id": Safeguard(
+        rule="a conflict is decided by the id that is stored with the generation", breaks=ACCURATE_ANSWER
     ),
-    "own_id": Safeguard(rule="a conflict is decided by the id that is stored with the generation", breaks=TRUE_ANSWER),
     "higher_only": Safeguard(rule="a router puts in force only a higher generation", breaks=NO_REVERT),
     "confirmed_start": Safeguard(
         rule="a restarted router proves that its read is the newest", breaks=NO_REVERT_OVER_RESTART
@@ -253,7 +255,7 @@
             for number in self.numbers[1:]
         ]
         return {
-            TRUE_ANSWER: all_of(truths),
+            ACCURATE_ANSWER: all_of(truths),
             ONLY_UP: v("accepted") == v("highest_accepted"),
             NO_REVERT: all_of(z3.Not(v("reverted", router)) for router in ROUTERS),
             NO_REVERT_OVER_RESTART: all_of(z3.Not(v("behind", router)) for router in ROUTERS),
