--- a/wagtailtrestle/spec/freshness.py
+++ b/wagtailtrestle/spec/freshness.py
@@ -65,7 +65,7 @@
         self.declare(TRUTH, "ran_after_end", initial=FALSE)
         for router in ROUTERS:
             self.declare(TRUTH, "knows", router, initial=FALSE)
-            self.declare(TICKS, "age", router, initial=_most())
+            self.declare(TICKS, "age", router, initial=_max_ticks())
             self.declare(TRUTH, "has_read", router, initial=FALSE)
             self.declare(READ, "read", router, initial=READ["idle"])
             self.declare(TICKS, "read_for", router, initial=TICKS["t0"])
@@ -168,12 +168,12 @@
             variable_name("ask", router): ASK["idle"],
         }
         if self.keeps("restart_forgets"):
-            fresh_start[variable_name("age", router)] = _most()
+            fresh_start[variable_name("age", router)] = _max_ticks()
         self.act("restart", [], fresh_start, router=router)
 
     def _older(self, name, *indices):
         term = self.v(name, *indices)
-        return z3.If(term == _most(), term, term + 1)
+        return z3.If(term == _max_ticks(), term, term + 1)
 
     def _covers(self, knows, age):
         """Whether knowledge whose proof has this age includes any revocation before the proof."""
@@ -194,7 +194,7 @@
         v = self.v
         by_word_alone = z3.And(z3.Not(v("has_read", 0)), z3.ULT(v("age", 0), TICKS[f"t{LIMIT}"]))
         learned = z3.And(v("revoked"), v("knows", 0), v("knows", 1))
-        aged = all_of([v("has_read", 0), v("age", 0) == _most(), z3.Not(v("knows", 0))])
+        aged = all_of([v("has_read", 0), v("age", 0) == _max_ticks(), z3.Not(v("knows", 0))])
         return {
             "a router that never reads goes on by another's word": by_word_alone,
             "both routers learn that the key was revoked": learned,
@@ -202,7 +202,7 @@
         }
 
 
-def _most():
+def _max_ticks():
     return TICKS[TICKS.names[-1]]
 
 
@@ -213,5 +213,5 @@
 def _sum(one, other):
     """Saturating sum of two counts of ticks."""
     whole = z3.ZeroExt(1, one) + z3.ZeroExt(1, other)
-    most = z3.ZeroExt(1, _most())
-    return z3.If(z3.UGE(whole, most), _most(), z3.Extract(one.size() - 1, 0, whole))
+    most = z3.ZeroExt(1, _max_ticks())
+    return z3.If(z3.UGE(whole, most), _max_ticks(), z3.Extract(one.size() - 1, 0, whole))
