--- a/wagtailtrestle/spec/draining.py
+++ b/wagtailtrestle/spec/draining.py
@@ -75,7 +75,7 @@
         return request % 2 == 0
 
     def specification(self):
-        self._tellers()
+        self._teller_actions()
         self._router_actions()
         for request in self.requests:
             self._request_actions(request)
@@ -89,7 +89,7 @@
             witnesses_by_name=self._witnesses(),
         )
 
-    def _tellers(self):
+    def _teller_actions(self):
         v = self.v
         for teller in ("declared_leaving", "listed_leaving"):
             other = "listed_leaving" if teller == "declared_leaving" else "declared_leaving"
