--- a/wagtailtrestle/spec/checker.py
+++ b/wagtailtrestle/spec/checker.py
@@ -214,12 +214,12 @@
         if solver.check() != z3.unsat:
             return Gap(action="initial", broken=self._broken(solver.model(), {}), trace=None)
         for action in self._specification.actions:
-            found = self._survives(action, fact)
+            found = self._gap_at(action, fact)
             if found is not None:
                 return found
         return None
 
-    def _survives(self, action, fact):
+    def _gap_at(self, action, fact):
         changes = [(self._variables[name], term) for name, term in action.changes.items()]
         after = z3.substitute(fact, changes) if changes else fact
         solver = z3.SolverFor("QF_FD")
