--- a/tests/utils/freshness_replay.py
+++ b/tests/utils/freshness_replay.py
@@ -174,7 +174,7 @@
                     await asyncio.sleep(0)
                 after = [router.source.confirmed_at for router in self._routers]
                 self.proved_by_word += step.verb == "take" and after != before
-                self._look(step)
+                self._check_key_use(step)
         for router in self._routers:
             await router.close()
 
@@ -202,7 +202,7 @@
                 await router.close()
                 self._routers[number] = self._new_router()
 
-    def _look(self, step):
+    def _check_key_use(self, step):
         since_s = None if self._revoked_at is None else self._now - self._revoked_at
         for router in self._routers:
             if not router.uses_key():
