--- a/tests/utils/freshness_replay.py
+++ b/tests/utils/freshness_replay.py
@@ -33,7 +33,7 @@
         return SimpleNamespace(generation=value, text="")
 
 
-class HeldStore:
+class ManualStore:
     """Store whose reads are answered, and their answers delivered, by explicit calls."""
 
     def __init__(self):
@@ -74,7 +74,7 @@
     def __init__(self, *, clock):
         # Every router starts with a generation reported by a peer, without a proof.
         self.generation = WITH_KEY
-        self.store = HeldStore()
+        self.store = ManualStore()
         self.word = None
         self._clock = clock
         self._asking = None
