--- a/tests/utils/freshness_replay.py
+++ b/tests/utils/freshness_replay.py
@@ -21,7 +21,7 @@
 """Iterations of the event loop that complete the effects of a step; nothing here waits for time."""
 
 
-class Place:
+class GenerationObject:
     """A stored object that consists only of its generation."""
 
     kind = "config"
@@ -85,7 +85,7 @@
             poll_interval_s=TICK_S,
             watch_timeout_s=TICK_S,
             jitter=random.Random(1),
-            place=Place(),
+            place=GenerationObject(),
             readers=OneReader(),
             request_confirmation=self._ask,
             generation=lambda: self.generation,
