--- a/tests/utils/freshness_replay.py
+++ b/tests/utils/freshness_replay.py
@@ -118,7 +118,7 @@
         """Return this router's answer to a peer's query."""
         return self._answers._answer_confirmation("peer", ConfirmationAsk(), "")
 
-    def take_word(self):
+    def deliver_report(self):
         """Deliver a peer's answer."""
         if self._asking is not None and not self._asking.done() and self.word is not None:
             self._asking.set_result(self.word)
@@ -197,7 +197,7 @@
             case "answer":
                 router.word = peer.tell()
             case "take":
-                router.take_word()
+                router.deliver_report()
             case "restart":
                 await router.close()
                 self._routers[number] = self._new_router()
