--- a/tests/test_spec_replay.py
+++ b/tests/test_spec_replay.py
@@ -219,15 +219,15 @@
 
 class FreshnessReplayTest(unittest.TestCase):
     def test_no_key_is_used_after_the_limit(self):
-        proved_by_word = 0
+        proved_by_report = 0
         old_word = ("an old word", spelled_out(OLD_WORD), {})
         for name, trace, _ in [*guides(freshness), old_word]:
             with self.subTest(guide=name):
                 replay = FreshnessReplay(trace=trace)
                 on_paused_clock(replay.run())
                 self.assertEqual(replay.late, [])
-                proved_by_word += replay.proved_by_word
-        self.assertGreater(proved_by_word, 0)
+                proved_by_report += replay.proved_by_report
+        self.assertGreater(proved_by_report, 0)
 
 
 class ResumptionReplayTest(unittest.TestCase):
--- a/tests/utils/freshness_replay.py
+++ b/tests/utils/freshness_replay.py
@@ -151,7 +151,7 @@
 
     def __init__(self, *, trace):
         self.late = []
-        self.proved_by_word = 0
+        self.proved_by_report = 0
         self._trace = trace
         self._now = 100.0
         self._revoked_at = None
@@ -173,7 +173,7 @@
                 for _ in range(PASSES):
                     await asyncio.sleep(0)
                 after = [router.source.confirmed_at for router in self._routers]
-                self.proved_by_word += step.verb == "take" and after != before
+                self.proved_by_report += step.verb == "take" and after != before
                 self._check_key_use(step)
         for router in self._routers:
             await router.close()
