--- a/tests/test_spec_replay.py
+++ b/tests/test_spec_replay.py
@@ -48,7 +48,7 @@
 )
 # A router reports to another what it proved two ticks ago. In the shortest trace of the mutant the report has
 # no proof at all, which the code rejects for another reason.
-OLD_WORD = (
+OLD_REPORT = (
     "begin_read(router=1)",
     "answer_read(router=1)",
     "end_read(router=1)",
@@ -220,7 +220,7 @@
 class FreshnessReplayTest(unittest.TestCase):
     def test_no_key_is_used_after_the_limit(self):
         proved_by_report = 0
-        old_word = ("an old word", spelled_out(OLD_WORD), {})
+        old_word = ("an old word", spelled_out(OLD_REPORT), {})
         for name, trace, _ in [*guides(freshness), old_word]:
             with self.subTest(guide=name):
                 replay = FreshnessReplay(trace=trace)
