--- a/tests/test_spec_replay.py
+++ b/tests/test_spec_replay.py
@@ -89,7 +89,7 @@
         yield f"without {name}", mutant(module, name).trace, safeguard.size
 
 
-def spelled_out(actions):
+def written_trace(actions):
     return Trace(steps=[Step(action=action, state={}) for action in ("", *actions)])
 
 
@@ -109,7 +109,7 @@
 class ClaimsReplayTest(unittest.TestCase):
     def test_ledgers_do_only_what_the_specification_allows(self):
         followed = set()
-        for name, trace, size in [*guides(claims), ("recorded answer", spelled_out(RECORDED_ANSWER), {})]:
+        for name, trace, size in [*guides(claims), ("recorded answer", written_trace(RECORDED_ANSWER), {})]:
             with self.subTest(guide=name):
                 sends = size.get("sends", 2)
                 replay = LedgerReplay(specification=claims.specification(sends=sends), trace=trace, sends=sends)
@@ -220,7 +220,7 @@
 class FreshnessReplayTest(unittest.TestCase):
     def test_no_key_is_used_after_the_limit(self):
         proved_by_report = 0
-        old_word = ("an old word", spelled_out(OLD_REPORT), {})
+        old_word = ("an old word", written_trace(OLD_REPORT), {})
         for name, trace, _ in [*guides(freshness), old_word]:
             with self.subTest(guide=name):
                 replay = FreshnessReplay(trace=trace)
