--- a/tests/utils/configuring_replay.py
+++ b/tests/utils/configuring_replay.py
@@ -165,7 +165,7 @@
         self._trace = trace
         self._table = MemoryStore().table
         self._truth = MemoryStore(table=self._table)
-        self._keepers = [None] * len(ROUTERS)
+        self._configurations = [None] * len(ROUTERS)
         self._known = [0] * len(ROUTERS)
         self._stores = [None] * len(ROUTERS)
 
@@ -173,7 +173,7 @@
         """Follow the trace; each generation that takes effect is reported to the monitor immediately."""
         for step in self._trace.steps[1:]:
             await self._follow(step)
-        for keeper in self._keepers:
+        for keeper in self._configurations:
             if keeper is not None:
                 await keeper.close()
 
@@ -185,7 +185,7 @@
             await self._stop(router)
         elif step.verb == "offer":
             self._offer(router, generation)
-        elif step.verb.startswith("begin") and self._keepers[router] is None:
+        elif step.verb.startswith("begin") and self._configurations[router] is None:
             await self._begin(router, step.verb, generation)
         await asyncio.sleep(STEP_S)
 
@@ -212,14 +212,14 @@
         await self._truth.update(kind=DECLARATION_KIND, name=DECLARATION_NAME, value=value, if_version=held.version)
 
     async def _stop(self, router):
-        if self._keepers[router] is not None and self.monitor.allows(f"restart(router={router})"):
-            await self._keepers[router].close()
-            self._keepers[router] = None
+        if self._configurations[router] is not None and self.monitor.allows(f"restart(router={router})"):
+            await self._configurations[router].close()
+            self._configurations[router] = None
             self.monitor.take(f"restart(router={router})")
 
     def _offer(self, router, generation):
         """Offer any generation that was ever accepted; a lower one must not take effect."""
-        keeper = self._keepers[router]
+        keeper = self._configurations[router]
         if keeper is not None and generation <= int(self.monitor.read("accepted")[1:]):
             keeper.offer(generation, "text", "peer")
 
@@ -241,7 +241,7 @@
             watch_timeout_s=1e5,
             jitter=random.Random(1),
         )
-        self._keepers[router] = keeper
+        self._configurations[router] = keeper
         self._known[router] = 0
         store.silent_watch = True
         keeper.start()
@@ -250,14 +250,14 @@
         store.stale_versions = store.lose_requests = 0
 
     async def _peers_answer(self, router, verb):
-        peer = self._keepers[1 - router]
+        peer = self._configurations[1 - router]
         if verb != "begin_by_peer" or peer is None or not peer.generation:
             return PeersAnswer()
         return PeersAnswer(answered=1, generation=peer.generation, text="text")
 
     def _tell(self, router, generation):
         first = self.monitor.read(f"in_force[{router}]") == "g0"
-        confirmed = self._keepers[router].dump()["is_confirmed"]
+        confirmed = self._configurations[router].dump()["is_confirmed"]
         if not first:
             names = [f"offer(router={router}, generation={generation})"]
         elif confirmed:
@@ -265,7 +265,10 @@
             names = [f"begin_confirmed(router={router})"]
         else:
             names = [f"begin_unconfirmed(router={router}, generation={generation})"]
-            if self._keepers[1 - router] is not None and self._keepers[1 - router].generation == generation:
+            if (
+                self._configurations[1 - router] is not None
+                and self._configurations[1 - router].generation == generation
+            ):
                 names.insert(0, f"begin_by_peer(router={router}, peer={1 - router})")
         self.monitor.take_first(*names)
 
@@ -276,4 +279,4 @@
 
     def in_force(self):
         """Return the generation that is in force at each router."""
-        return [f"g{keeper.generation if keeper else 0}" for keeper in self._keepers]
+        return [f"g{keeper.generation if keeper else 0}" for keeper in self._configurations]
