--- a/tests/utils/configuring_replay.py
+++ b/tests/utils/configuring_replay.py
@@ -164,7 +164,7 @@
         self.monitor = Monitor(specification)
         self._trace = trace
         self._table = MemoryStore().table
-        self._truth = MemoryStore(table=self._table)
+        self._store = MemoryStore(table=self._table)
         self._configurations = [None] * len(ROUTERS)
         self._known = [0] * len(ROUTERS)
         self._stores = [None] * len(ROUTERS)
@@ -206,10 +206,10 @@
             "recent": [],
         }
         if generation == 1:
-            await self._truth.create(kind=DECLARATION_KIND, name=DECLARATION_NAME, value=value)
+            await self._store.create(kind=DECLARATION_KIND, name=DECLARATION_NAME, value=value)
             return
-        held = await self._truth.get(kind=DECLARATION_KIND, name=DECLARATION_NAME)
-        await self._truth.update(kind=DECLARATION_KIND, name=DECLARATION_NAME, value=value, if_version=held.version)
+        held = await self._store.get(kind=DECLARATION_KIND, name=DECLARATION_NAME)
+        await self._store.update(kind=DECLARATION_KIND, name=DECLARATION_NAME, value=value, if_version=held.version)
 
     async def _stop(self, router):
         if self._configurations[router] is not None and self.monitor.allows(f"restart(router={router})"):
