--- a/tests/utils/configuring_replay.py
+++ b/tests/utils/configuring_replay.py
@@ -51,7 +51,7 @@
     async def get(self, *, kind, name, unless_version=None):
         outcome = await super().get(kind=kind, name=name)
         if self._monitor.read(f"apply[{self._operator}]") == "idle":
-            self._tell_base(outcome)
+            self._report_base(outcome)
         return outcome
 
     async def create(self, *, kind, name, value):
@@ -71,7 +71,7 @@
     def take(self, action):
         self._monitor.take(f"{action}(operator={self._operator})")
 
-    def _tell_base(self, outcome):
+    def _report_base(self, outcome):
         generation = outcome.value["generation"] if isinstance(outcome, StoreDone) else 0
         if self._monitor.read("accepted") == f"g{generation}":
             self.take("read_base")
