--- a/tests/utils/configuring_replay.py
+++ b/tests/utils/configuring_replay.py
@@ -99,9 +99,9 @@
             if first:
                 self.take("conflict")
             return outcome
-        return self._tell_done(first, scripted, outcome)
+        return self._report_done(first, scripted, outcome)
 
-    def _tell_done(self, first, scripted, outcome):
+    def _report_done(self, first, scripted, outcome):
         if scripted == "unheard":
             self.take("applied_unheard" if first else "sent_again_unheard")
             return StoreUnknown(detail="scripted")
