--- a/tests/utils/dispatch_replay.py
+++ b/tests/utils/dispatch_replay.py
@@ -84,7 +84,7 @@
                 break
             self._end_run(entry, outcome)
             await asyncio.sleep(STEP_S)
-        self._tell_answer()
+        self._report_answer()
         await entry.close()
 
     def _grant(self, entry):
@@ -101,7 +101,7 @@
             self.monitor.take("dispatch(send=0)" if began else "dispatch_unheard(send=0)")
         entry.post("n0", RunEnded(run_id=start.run_id, outcome=outcome, duration_s=0.1))
 
-    def _tell_answer(self):
+    def _report_answer(self):
         answer = self._caller.answer
         if answer is None:
             return
