--- a/tests/utils/draining_replay.py
+++ b/tests/utils/draining_replay.py
@@ -65,7 +65,7 @@
             self._follow(step)
             await asyncio.sleep(STEP_S)
             self._schedulers.tick()
-            self._tell_grants()
+            self._report_grants()
             await asyncio.sleep(STEP_S)
             self._tell_drained()
         await self._entry.close()
@@ -136,7 +136,7 @@
             run_id = self._callers[request].starts[-1].run_id
             self._entry.post(f"q{request}", RunEnded(run_id=run_id, outcome=RunDone(), duration_s=0.1))
 
-    def _tell_grants(self):
+    def _report_grants(self):
         for message in self._entries.of(Granted):
             request = int(message.request_id[1:])
             if request not in self._granted:
