--- a/tests/utils/draining_replay.py
+++ b/tests/utils/draining_replay.py
@@ -67,7 +67,7 @@
             self._schedulers.tick()
             self._report_grants()
             await asyncio.sleep(STEP_S)
-            self._tell_drained()
+            self._report_drained()
         await self._entry.close()
 
     async def toggle(self, tellers):
@@ -144,7 +144,7 @@
                 self.monitor.take(f"grant(request={request}, engine={message.engine})")
                 self._entry.on_scheduler_message(message)
 
-    def _tell_drained(self):
+    def _report_drained(self):
         if self._drained is not None and self._drained.done():
             self._drained = None
             self.monitor.take("seen_empty()")
