--- a/tests/utils/ledger_replay.py
+++ b/tests/utils/ledger_replay.py
@@ -86,7 +86,7 @@
         self._monitor.take(f"{action}(writer={self._router})")
 
     async def _write_scripted(self, value, write):
-        if not self._tell_write(value["claims"]):
+        if not self._report_write(value["claims"]):
             return await write()
         self.in_flight = write
         try:
@@ -114,7 +114,7 @@
             self.late = write
             self._take("write_delayed")
 
-    def _tell_write(self, records):
+    def _report_write(self, records):
         """Report the purpose of the write; return ``False`` if it only records how a request ended."""
         before = self._monitor.read(f"snapshot[{self._router}]")
         if KEY not in records:
