--- a/tests/utils/ledger_replay.py
+++ b/tests/utils/ledger_replay.py
@@ -220,9 +220,9 @@
             if ledger is self._ledgers[send % ROUTERS]:
                 self.monitor.take_first(f"give_up(send={send})", f"stop_waiting(send={send})")
             raise
-        self._tell_outcome(send, outcome)
+        self._report_outcome(send, outcome)
 
-    def _tell_outcome(self, send, outcome):
+    def _report_outcome(self, send, outcome):
         others = [other for other in self._sends if other != send]
         match outcome:
             case ClaimWon():
