--- a/tests/utils/ledger_replay.py
+++ b/tests/utils/ledger_replay.py
@@ -287,7 +287,7 @@
         dead.stop_at_once()
 
     async def _ask(self, router, peer, message, timeout_s):
-        self._tell_ask(message, peer)
+        self._report_ask(message, peer)
         try:
             async with asyncio.timeout(timeout_s):
                 answer = await self._ledgers[peer].told_by_handle(message)
@@ -313,7 +313,7 @@
             if self.monitor.allows(action):
                 self.monitor.take(action)
 
-    def _tell_ask(self, message, writer):
+    def _report_ask(self, message, writer):
         if isinstance(message, ClaimAsk):
             action = f"ask(send={_send(message.nonce)}, writer={writer})"
             if self.monitor.allows(action):
@@ -328,7 +328,7 @@
             """Reports answers to the monitor."""
 
             async def claim(self, ask, *, timeout_s):
-                replay._tell_ask(ask, replay._router_of(self))
+                replay._report_ask(ask, replay._router_of(self))
                 return await super().claim(ask, timeout_s=timeout_s)
 
             def _answer(self, batch, answers):
