--- a/tests/utils/ledger_replay.py
+++ b/tests/utils/ledger_replay.py
@@ -334,7 +334,7 @@
             def _answer(self, batch, answers):
                 for pending, answer in zip(batch, answers, strict=True):
                     if isinstance(pending.ask, ClaimAsk) and not pending.answered.done():
-                        replay._tell_answer(replay._router_of(self), pending.ask, answer)
+                        replay._report_answer(replay._router_of(self), pending.ask, answer)
                 super()._answer(batch, answers)
 
         return ObservedWriter
@@ -342,7 +342,7 @@
     def _router_of(self, writer):
         return self._stores.index(writer._store)
 
-    def _tell_answer(self, writer, ask, answer):
+    def _report_answer(self, writer, ask, answer):
         send = _send(ask.nonce)
         if answer.result == ClaimResult.WON:
             self.monitor.take(f"answer_won(writer={writer}, send={send})")
