--- a/tests/utils/ledger_replay.py
+++ b/tests/utils/ledger_replay.py
@@ -295,16 +295,16 @@
                     await self._heard[_send(message.nonce)].get()
         except TimeoutError:
             return None
-        self._hear(router, message, answer)
+        self._report_refused_nonce(router, message, answer)
         return answer
 
     async def _handle(self, router, message):
         """Answer a request of this router itself."""
         answer = await self._ledgers[router].told_by_handle(message)
-        self._hear(router, message, answer)
+        self._report_refused_nonce(router, message, answer)
         return answer
 
-    def _hear(self, router, message, answer):
+    def _report_refused_nonce(self, router, message, answer):
         if not isinstance(message, NonceAsk) or answer.state != NonceState.REFUSED:
             return
         other = _send(message.nonce)
