--- a/tests/utils/ledger_replay.py
+++ b/tests/utils/ledger_replay.py
@@ -159,7 +159,7 @@
         self._ledgers = [None] * ROUTERS
         self._owner = 0
         self._claims_by_send = {}
-        self._heard = [asyncio.Queue() for _ in self._sends]
+        self._deliveries = [asyncio.Queue() for _ in self._sends]
 
     async def run(self):
         """Follow the trace, then let all requests and writes finish."""
@@ -180,7 +180,7 @@
             for _ in range(MANY):
                 store.reads.put_nowait("turn")
                 store.outcomes.put_nowait("done")
-        for heard in self._heard:
+        for heard in self._deliveries:
             for _ in range(MANY):
                 heard.put_nowait("turn")
 
@@ -195,7 +195,7 @@
             case verb if verb in SCRIPT_BY_VERB:
                 self._stores[parameters["writer"]].outcomes.put_nowait(SCRIPT_BY_VERB[verb])
             case verb if verb in HEAR_VERBS:
-                self._heard[send].put_nowait("turn")
+                self._deliveries[send].put_nowait("turn")
             case "ask":
                 self._claim(send, parameters["writer"])
             case "late_write_lands" | "late_write_refused":
@@ -292,7 +292,7 @@
             async with asyncio.timeout(timeout_s):
                 answer = await self._ledgers[peer].told_by_handle(message)
                 if isinstance(message, ClaimAsk):
-                    await self._heard[_send(message.nonce)].get()
+                    await self._deliveries[_send(message.nonce)].get()
         except TimeoutError:
             return None
         self._report_refused_nonce(router, message, answer)
