--- a/tests/utils/ledger_replay.py
+++ b/tests/utils/ledger_replay.py
@@ -28,7 +28,7 @@
     "write_delayed": "delayed",
     "write_unavailable": "unavailable",
 }
-HEAR_VERBS = ("win", "answer_held", "hear_refused", "hear_finished", "hear_unknown", "read_recorded")
+DELIVERY_VERBS = ("win", "answer_held", "hear_refused", "hear_finished", "hear_unknown", "read_recorded")
 STEP_S = 0.05
 AFTERWARDS_S = 60.0
 MANY = 1000
@@ -194,7 +194,7 @@
                 self._stores[parameters["writer"]].reads.put_nowait("turn")
             case verb if verb in SCRIPT_BY_VERB:
                 self._stores[parameters["writer"]].outcomes.put_nowait(SCRIPT_BY_VERB[verb])
-            case verb if verb in HEAR_VERBS:
+            case verb if verb in DELIVERY_VERBS:
                 self._deliveries[send].put_nowait("turn")
             case "ask":
                 self._claim(send, parameters["writer"])
