--- a/tests/utils/ledger_replay.py
+++ b/tests/utils/ledger_replay.py
@@ -271,7 +271,7 @@
             retention_s=lambda: 3600.0,
             wall_clock=lambda: 1e6,
         )
-        ledger.told_by_handle = ledger.handle
+        ledger.inner_handle = ledger.handle
         ledger.handle = lambda message: self._handle(router, message)
         self._stores[router], self._ledgers[router] = store, ledger
         await ledger.start()
@@ -290,7 +290,7 @@
         self._report_ask(message, peer)
         try:
             async with asyncio.timeout(timeout_s):
-                answer = await self._ledgers[peer].told_by_handle(message)
+                answer = await self._ledgers[peer].inner_handle(message)
                 if isinstance(message, ClaimAsk):
                     await self._deliveries[_send(message.nonce)].get()
         except TimeoutError:
@@ -300,7 +300,7 @@
 
     async def _handle(self, router, message):
         """Answer a request of this router itself."""
-        answer = await self._ledgers[router].told_by_handle(message)
+        answer = await self._ledgers[router].inner_handle(message)
         self._report_refused_nonce(router, message, answer)
         return answer
 
