--- a/tests/utils/ledger_replay.py
+++ b/tests/utils/ledger_replay.py
@@ -132,7 +132,7 @@
 class KillableLedger(Ledger):
     """A ledger that can be stopped as in a crash of its router: all of its tasks are cancelled."""
 
-    def stop_at_once(self):
+    def cancel_tasks(self):
         tasks = [writer._task for writer in self._writers_by_shard.values() if writer._task]
         for task in [*tasks, *self._settling_by_nonce.values()]:
             task.cancel()
@@ -284,7 +284,7 @@
             if send % ROUTERS == router and not claim.done():
                 claim.cancel()
         await asyncio.sleep(0)
-        dead.stop_at_once()
+        dead.cancel_tasks()
 
     async def _ask(self, router, peer, message, timeout_s):
         self._report_ask(message, peer)
