--- a/tests/utils/scheduling_replay.py
+++ b/tests/utils/scheduling_replay.py
@@ -135,9 +135,9 @@
         new = self._new()
         self._seen += len(new)
         for message in new:
-            self._tell_one(message)
+            self._report_message(message)
 
-    def _tell_one(self, message):
+    def _report_message(self, message):
         pair = f"(scheduler={SCHEDULER}, request={message.request_id})"
         match message:
             case Granted():
