--- a/tests/test_spec_replay.py
+++ b/tests/test_spec_replay.py
@@ -220,7 +220,7 @@
 class FreshnessReplayTest(unittest.TestCase):
     def test_no_key_is_used_after_the_limit(self):
         proved_by_report = 0
-        old_word = ("an old word", written_trace(OLD_REPORT), {})
+        old_word = ("an old report", written_trace(OLD_REPORT), {})
         for name, trace, _ in [*guides(freshness), old_word]:
             with self.subTest(guide=name):
                 replay = FreshnessReplay(trace=trace)
--- a/tests/utils/freshness_replay.py
+++ b/tests/utils/freshness_replay.py
@@ -145,7 +145,7 @@
     ----------
     late : list of str
         Steps after which a router would still have used the key although the limit had passed.
-    proved_by_word : int
+    proved_by_report : int
         Number of times that a report of the other router renewed a router's proof.
     """
 
--- a/wagtailtrestle/spec/checker.py
+++ b/wagtailtrestle/spec/checker.py
@@ -167,7 +167,7 @@
 
 
 def shortest_trace(specification, bad, *, max_steps, opening=()):
-    """Return the shortest trace to a ``bad`` state, or ``None`` if there is none of at most ``most_steps``."""
+    """Return the shortest trace to a ``bad`` state, or ``None`` if there is none of at most ``max_steps``."""
     bounded = Bounded(specification, opening=opening)
     for _ in range(max_steps):
         bounded.deepen()
@@ -251,7 +251,7 @@
 
 
 def covering_traces(specification, *, max_steps):
-    """Return a shortest trace to each action that is reachable within ``most_steps``, by action name."""
+    """Return a shortest trace to each action that is reachable within ``max_steps``, by action name."""
     bounded = Bounded(specification)
     traces_by_action = {}
     for _ in range(max_steps):
