--- a/tests/utils/configuring_replay.py
+++ b/tests/utils/configuring_replay.py
@@ -173,9 +173,9 @@
         """Follow the trace; each generation that takes effect is reported to the monitor immediately."""
         for step in self._trace.steps[1:]:
             await self._follow(step)
-        for keeper in self._configurations:
-            if keeper is not None:
-                await keeper.close()
+        for router_configuration in self._configurations:
+            if router_configuration is not None:
+                await router_configuration.close()
 
     async def _follow(self, step):
         router, generation = step.parameters.get("router"), step.parameters.get("generation")
@@ -219,9 +219,9 @@
 
     def _offer(self, router, generation):
         """Offer any generation that was ever accepted; a lower one must not take effect."""
-        keeper = self._configurations[router]
-        if keeper is not None and generation <= int(self.monitor.read("accepted")[1:]):
-            keeper.offer(generation, "text", "peer")
+        router_configuration = self._configurations[router]
+        if router_configuration is not None and generation <= int(self.monitor.read("accepted")[1:]):
+            router_configuration.offer(generation, "text", "peer")
 
     async def _begin(self, router, verb, generation):
         store = self._stores[router] = MemoryStore(table=self._table)
@@ -232,7 +232,7 @@
         store.stale_versions = max(0, accepted - (generation or accepted))
         if verb != "begin_confirmed":
             store.lose_requests = 10**6
-        keeper = Configuration(
+        router_configuration = Configuration(
             store=store,
             parse=lambda text: small_declaration(),
             on_change=lambda in_force: self._tell(router, in_force.generation),
@@ -241,10 +241,10 @@
             watch_timeout_s=1e5,
             jitter=random.Random(1),
         )
-        self._configurations[router] = keeper
+        self._configurations[router] = router_configuration
         self._known[router] = 0
         store.silent_watch = True
-        keeper.start()
+        router_configuration.start()
         await asyncio.sleep(8.0)
         # Once the store recovers, the start can be confirmed.
         store.stale_versions = store.lose_requests = 0
@@ -279,4 +279,7 @@
 
     def in_force(self):
         """Return the generation that is in force at each router."""
-        return [f"g{keeper.generation if keeper else 0}" for keeper in self._configurations]
+        return [
+            f"g{router_configuration.generation if router_configuration else 0}"
+            for router_configuration in self._configurations
+        ]
