--- a/tests/utils/configuring_replay.py
+++ b/tests/utils/configuring_replay.py
@@ -235,7 +235,7 @@
         router_configuration = Configuration(
             store=store,
             parse=lambda text: small_declaration(),
-            on_change=lambda in_force: self._tell(router, in_force.generation),
+            on_change=lambda in_force: self._report_generation(router, in_force.generation),
             query_peers=lambda wanted, preferred_peer: self._peers_answer(router, verb),
             poll_interval_s=1e6,
             watch_timeout_s=1e5,
@@ -255,7 +255,7 @@
             return PeersAnswer()
         return PeersAnswer(answered=1, generation=peer.generation, text="text")
 
-    def _tell(self, router, generation):
+    def _report_generation(self, router, generation):
         first = self.monitor.read(f"in_force[{router}]") == "g0"
         confirmed = self._configurations[router].dump()["is_confirmed"]
         if not first:
