--- a/tests/utils/scheduling_replay.py
+++ b/tests/utils/scheduling_replay.py
@@ -50,7 +50,7 @@
         """Follow the trace as far as the real scheduler allows."""
         for step in self._trace.steps[1:]:
             self._follow(step)
-            self._tell()
+            self._report_messages()
             yield
 
     def held(self):
@@ -89,7 +89,7 @@
     def _deliver_ask(self, request):
         # One link carries both in order: the message that released the slot arrives first.
         self._deliver_returned(request)
-        self._tell()
+        self._report_messages()
         attempt = self.monitor.read(f"ask[{SCHEDULER},{request}]")
         if attempt == NEVER_SENT:
             return
@@ -130,7 +130,7 @@
     def _new(self):
         return self.cell.entries.sent[self._seen :]
 
-    def _tell(self):
+    def _report_messages(self):
         """Report to the monitor what the real scheduler sent since the last call."""
         new = self._new()
         self._seen += len(new)
