--- a/tests/utils/scheduling_replay.py
+++ b/tests/utils/scheduling_replay.py
@@ -326,7 +326,7 @@
 
     def _differences(self):
         for request in REQUESTS:
-            real, told = self._real(request), self._told(request)
+            real, told = self._real(request), self._expected(request)
             if real != told:
                 yield f"{request} is {real}, the specification expects {told}"
 
@@ -337,5 +337,5 @@
             return ("finished" if isinstance(caller.answer, AnswerWhole) else "refused"), count
         return str(task.state), count
 
-    def _told(self, request):
+    def _expected(self, request):
         return self.monitor.read(f"state[{request}]"), self.monitor.read(f"dispatches[{request}]")
