--- a/tests/utils/freshness_replay.py
+++ b/tests/utils/freshness_replay.py
@@ -114,7 +114,7 @@
         else:
             coroutine.close()
 
-    def tell(self):
+    def answer_query(self):
         """Return this router's answer to a peer's query."""
         return self._answers._answer_confirmation("peer", ConfirmationAsk(), "")
 
@@ -195,7 +195,7 @@
             case "ask":
                 router.begin("ask", router.source._is_confirmed_by_reader())
             case "answer":
-                router.word = peer.tell()
+                router.word = peer.answer_query()
             case "take":
                 router.deliver_report()
             case "restart":
