--- a/tests/utils/freshness_replay.py
+++ b/tests/utils/freshness_replay.py
@@ -75,7 +75,7 @@
         # Every router starts with a generation reported by a peer, without a proof.
         self.generation = WITH_KEY
         self.store = ManualStore()
-        self.word = None
+        self.report = None
         self._clock = clock
         self._asking = None
         self._tasks = {}
@@ -120,9 +120,9 @@
 
     def deliver_report(self):
         """Deliver a peer's answer."""
-        if self._asking is not None and not self._asking.done() and self.word is not None:
-            self._asking.set_result(self.word)
-        self.word = None
+        if self._asking is not None and not self._asking.done() and self.report is not None:
+            self._asking.set_result(self.report)
+        self.report = None
 
     async def close(self):
         """Cancel reads and queries in progress."""
@@ -195,7 +195,7 @@
             case "ask":
                 router.begin("ask", router.source._is_confirmed_by_reader())
             case "answer":
-                router.word = peer.answer_query()
+                router.report = peer.answer_query()
             case "take":
                 router.deliver_report()
             case "restart":
