--- a/tests/utils/freshness_replay.py
+++ b/tests/utils/freshness_replay.py
@@ -17,7 +17,7 @@
 LIMIT_S = LIMIT * TICK_S
 WITH_KEY, WITHOUT_KEY = 1, 2
 """Generations of the configuration before and after the key was revoked."""
-PASSES = 5
+LOOP_ITERATIONS = 5
 """Iterations of the event loop that complete the effects of a step; nothing here waits for time."""
 
 
@@ -170,7 +170,7 @@
             for step in self._trace.steps[1:]:
                 before = [router.source.confirmed_at for router in self._routers]
                 await self._follow(step)
-                for _ in range(PASSES):
+                for _ in range(LOOP_ITERATIONS):
                     await asyncio.sleep(0)
                 after = [router.source.confirmed_at for router in self._routers]
                 self.proved_by_report += step.verb == "take" and after != before
