--- a/tests/utils/ledger_replay.py
+++ b/tests/utils/ledger_replay.py
@@ -31,7 +31,7 @@
 DELIVERY_VERBS = ("win", "answer_held", "hear_refused", "hear_finished", "hear_unknown", "read_recorded")
 STEP_S = 0.05
 AFTERWARDS_S = 60.0
-MANY = 1000
+OPEN_GATE_TURNS = 1000
 
 
 def _nonce(send):
@@ -177,11 +177,11 @@
     def _open_gates(self):
         """Release every call that still waits for its step."""
         for store in self._stores:
-            for _ in range(MANY):
+            for _ in range(OPEN_GATE_TURNS):
                 store.reads.put_nowait("turn")
                 store.outcomes.put_nowait("done")
         for heard in self._deliveries:
-            for _ in range(MANY):
+            for _ in range(OPEN_GATE_TURNS):
                 heard.put_nowait("turn")
 
     # Steps of the trace.
