--- a/wagtailtrestle/spec/__main__.py
+++ b/wagtailtrestle/spec/__main__.py
@@ -10,7 +10,7 @@
 
 from wagtailtrestle.spec.checks import MODULES, Kind, findings_of
 
-WITH_TRACE = (Kind.MUTANT, Kind.LIMIT)
+KINDS_WITH_TRACE = (Kind.MUTANT, Kind.LIMIT)
 
 
 def run(deep=False):
@@ -21,7 +21,7 @@
         for finding in findings_of(module, deep=deep):
             failed += not finding.passed
             print(_line(finding, time.perf_counter() - began), flush=True)
-            if finding.trace is not None and (finding.kind in WITH_TRACE or not finding.passed):
+            if finding.trace is not None and (finding.kind in KINDS_WITH_TRACE or not finding.passed):
                 print(finding.trace.text(), flush=True)
             began = time.perf_counter()
     print(f"{failed} checks failed")
