--- a/wagtailtrestle/spec/claims_proof.py
+++ b/wagtailtrestle/spec/claims_proof.py
@@ -13,7 +13,7 @@
 def lemmas(spec):
     """Build the lemmas; ``spec`` is the builder of the specification."""
     v = spec.v
-    holds = [_stands(spec, v("holder"), send) for send in spec.sends]
+    holds = [_holds_nonce(spec, v("holder"), send) for send in spec.sends]
     facts = []
     for send in spec.sends:
         state = v("request", send)
@@ -54,16 +54,16 @@
     ]
 
 
-def _stands(spec, place, send):
+def _holds_nonce(spec, place, send):
     return place == spec.s(send)
 
 
 def _seen(spec, send):
     """Conditions under which a copy of the store's content holds the nonce, so that it was in the store."""
     v = spec.v
-    seen = [_stands(spec, v("past"), send)]
+    seen = [_holds_nonce(spec, v("past"), send)]
     for writer in spec.routers:
-        seen.append(_stands(spec, v("snapshot", writer), send))
+        seen.append(_holds_nonce(spec, v("snapshot", writer), send))
     return seen
 
 
@@ -76,7 +76,7 @@
 
 def _replaceable(spec, place):
     free = place == spec.snapshot[NOBODY]
-    return z3.Or(free, *(z3.And(_stands(spec, place, send), _idle_for_ever(spec, send)) for send in spec.sends))
+    return z3.Or(free, *(z3.And(_holds_nonce(spec, place, send), _idle_for_ever(spec, send)) for send in spec.sends))
 
 
 def _unheard(spec, send):
