--- a/wagtailtrestle/spec/claims_proof.py
+++ b/wagtailtrestle/spec/claims_proof.py
@@ -29,7 +29,7 @@
             z3.Implies(v("told", send) == TOLD["no"], z3.Or(refused, state == REQUEST["gone"])),
             z3.Implies(state == REQUEST["queued"], _unheard(spec, send)),
             # Once in the store a nonce stays there until it is refused.
-            z3.Implies(z3.Or(v("won", send), *_seen(spec, send)), z3.Or(holds[send], _idle_for_ever(spec, send))),
+            z3.Implies(z3.Or(v("won", send), *_was_stored(spec, send)), z3.Or(holds[send], _idle_for_ever(spec, send))),
         ]
         for other in spec.sends:
             facts.append(z3.Implies(v("replaces", send) == spec.n(other), _idle_for_ever(spec, other)))
@@ -58,7 +58,7 @@
     return place == spec.s(send)
 
 
-def _seen(spec, send):
+def _was_stored(spec, send):
     """Conditions under which a copy of the store's content holds the nonce, so that it was in the store."""
     v = spec.v
     seen = [_holds_nonce(spec, v("past"), send)]
