--- a/wagtailtrestle/spec/claims_proof.py
+++ b/wagtailtrestle/spec/claims_proof.py
@@ -29,10 +29,10 @@
             z3.Implies(v("told", send) == TOLD["no"], z3.Or(refused, state == REQUEST["gone"])),
             z3.Implies(state == REQUEST["queued"], _unheard(spec, send)),
             # Once in the store a nonce stays there until it is refused.
-            z3.Implies(z3.Or(v("won", send), *_was_stored(spec, send)), z3.Or(holds[send], _idle_for_ever(spec, send))),
+            z3.Implies(z3.Or(v("won", send), *_was_stored(spec, send)), z3.Or(holds[send], _never_runs(spec, send))),
         ]
         for other in spec.sends:
-            facts.append(z3.Implies(v("replaces", send) == spec.n(other), _idle_for_ever(spec, other)))
+            facts.append(z3.Implies(v("replaces", send) == spec.n(other), _never_runs(spec, other)))
             facts.append(v("replaces", send) != spec.n(send))
     for writer in spec.routers:
         facts += _writer_lemmas(spec, writer)
@@ -67,7 +67,7 @@
     return seen
 
 
-def _idle_for_ever(spec, send):
+def _never_runs(spec, send):
     """Whether the send never ran and never will: it was refused, or its router died."""
     state = spec.v("request", send)
     never_ran = spec.v("runs", send) == RUNS["none"]
@@ -76,7 +76,7 @@
 
 def _replaceable(spec, place):
     free = place == spec.snapshot[NOBODY]
-    return z3.Or(free, *(z3.And(_holds_nonce(spec, place, send), _idle_for_ever(spec, send)) for send in spec.sends))
+    return z3.Or(free, *(z3.And(_holds_nonce(spec, place, send), _never_runs(spec, send)) for send in spec.sends))
 
 
 def _unheard(spec, send):
