--- a/wagtailtrestle/spec/claims_proof.py
+++ b/wagtailtrestle/spec/claims_proof.py
@@ -27,7 +27,7 @@
             z3.Implies(z3.Or(state == REQUEST["running"], state == REQUEST["claiming"]), z3.Not(ran)),
             z3.Implies(v("release", send), z3.Or(refused, z3.And(state == REQUEST["gone"], z3.Not(ran)))),
             z3.Implies(v("told", send) == TOLD["no"], z3.Or(refused, state == REQUEST["gone"])),
-            z3.Implies(state == REQUEST["queued"], _unheard(spec, send)),
+            z3.Implies(state == REQUEST["queued"], _never_asked(spec, send)),
             # Once in the store a nonce stays there until it is refused.
             z3.Implies(z3.Or(v("won", send), *_was_stored(spec, send)), z3.Or(holds[send], _never_runs(spec, send))),
         ]
@@ -79,7 +79,7 @@
     return z3.Or(free, *(z3.And(_holds_nonce(spec, place, send), _never_runs(spec, send)) for send in spec.sends))
 
 
-def _unheard(spec, send):
+def _never_asked(spec, send):
     v = spec.v
     nowhere = [z3.Not(v("asked", send, writer)) for writer in spec.routers]
     return z3.And(z3.Not(v("won", send)), v("runs", send) == RUNS["none"], *nowhere)
