--- a/wagtailtrestle/spec/scheduling_proof.py
+++ b/wagtailtrestle/spec/scheduling_proof.py
@@ -60,8 +60,8 @@
     phase_by_state = {"dispatched": runs, "finished": finished, "refused": is_refused}
     phase_by_state["queued"] = z3.If(returned == none, ahead, coming_back)
     phases = [z3.Implies(state == STATE[name], phase) for name, phase in phase_by_state.items()]
-    told = ("ask", "granted", "refused", "returned", "ended", "preempt")
-    bounds = [z3.ULE(v(message, "s0", request), attempt) for message in told]
-    silent = [v(message, "s1", request) == none for message in told]
+    messages = ("ask", "granted", "refused", "returned", "ended", "preempt")
+    bounds = [z3.ULE(v(message, "s0", request), attempt) for message in messages]
+    silent = [v(message, "s1", request) == none for message in messages]
     views = [v("view", request) == VIEW["s0"], v("held", "s1", request) == HELD["none"]]
     return [*phases, *bounds, *silent, *views]
