--- a/wagtailtrestle/spec/configuring.py
+++ b/wagtailtrestle/spec/configuring.py
@@ -138,7 +138,7 @@
     def _settle(self, operator, unsettled, in_time, put):
         """After a lost answer the operator reads back the stored id, and sends the same update again."""
         apply, told = variable_name("apply", operator), variable_name("told", operator)
-        mine, others = self._mine(operator), self._others(operator)
+        mine, others = self._owned_by_self(operator), self._others(operator)
         applied = {apply: APPLY["ended"], told: TOLD["applied"]}
         conflict = {apply: APPLY["ended"], told: TOLD["conflict"]}
         self.act("read_back_own", [unsettled, mine], applied, operator=operator)
@@ -173,7 +173,7 @@
             changes[variable_name("owner", number)] = z3.If(made, OWNER[f"o{operator}"], v("owner", number))
         return changes
 
-    def _mine(self, operator):
+    def _owned_by_self(self, operator):
         return self._owned_by(operator, lambda owner: owner == OWNER[f"o{operator}"])
 
     def _others(self, operator):
@@ -246,7 +246,7 @@
             never = z3.And(self._never_made(operator), z3.Not(z3.And(v("late", operator), self._in_time(operator))))
             not_applied = z3.Or(told == TOLD["conflict"], told == TOLD["not_done"])
             truths += [
-                z3.Implies(told == TOLD["applied"], self._mine(operator)),
+                z3.Implies(told == TOLD["applied"], self._owned_by_self(operator)),
                 z3.Implies(not_applied, never),
             ]
         accepted = [
