--- a/wagtailtrestle/spec/configuring.py
+++ b/wagtailtrestle/spec/configuring.py
@@ -138,7 +138,7 @@
     def _settle(self, operator, unsettled, in_time, put):
         """After a lost answer the operator reads back the stored id, and sends the same update again."""
         apply, told = variable_name("apply", operator), variable_name("told", operator)
-        mine, others = self._owned_by_self(operator), self._others(operator)
+        mine, others = self._owned_by_self(operator), self._owned_by_others(operator)
         applied = {apply: APPLY["ended"], told: TOLD["applied"]}
         conflict = {apply: APPLY["ended"], told: TOLD["conflict"]}
         self.act("read_back_own", [unsettled, mine], applied, operator=operator)
@@ -176,7 +176,7 @@
     def _owned_by_self(self, operator):
         return self._owned_by(operator, lambda owner: owner == OWNER[f"o{operator}"])
 
-    def _others(self, operator):
+    def _owned_by_others(self, operator):
         return self._owned_by(operator, lambda owner: z3.And(owner != OWNER[f"o{operator}"], owner != OWNER[NOBODY]))
 
     def _owned_by(self, operator, wanted):
