--- a/wagtailtrestle/spec/resumption.py
+++ b/wagtailtrestle/spec/resumption.py
@@ -154,7 +154,7 @@
         event = COUNT[f"c{number}"]
         follows = v("had") + 1 == event
         had_before = z3.ULE(event, v("had"))
-        joined = z3.Or(v("joined"), z3.Not(self._goes_on(engine)))
+        joined = z3.Or(v("joined"), z3.Not(self._continues(engine)))
         passed = {**flown, "had": event, "last_from": ACTIVE[f"e{engine}"], "joined": joined}
         self.act("take", [*guards, follows], passed, engine=engine, event=number)
         if self.keeps("had_before_dropped"):
@@ -170,7 +170,7 @@
             skipped = {**flown, "had": event, "out_of_order": TRUE}
             self.act("take_beyond", beyond, skipped, engine=engine, event=number)
 
-    def _goes_on(self, engine):
+    def _continues(self, engine):
         """Whether a run of this engine continues from the last event that the caller has."""
         return z3.Or(self.v("had") == self.v("start", engine), self.v("last_from") == ACTIVE[f"e{engine}"])
 
@@ -185,7 +185,7 @@
         for engine in ENGINES:
             is_active = v("active") == ACTIVE[f"e{engine}"]
             flying, following = v("flying", engine), v("next", engine)
-            lemmas.append(z3.Implies(is_active, self._goes_on(engine)))
+            lemmas.append(z3.Implies(is_active, self._continues(engine)))
             sent_all = z3.And(following == COUNT[f"c{EVENTS + 1}"], flying == FLYING["nothing"])
             lemmas.append(z3.Implies(z3.And(is_active, sent_all), is_whole))
             lemmas.append(z3.Implies(z3.And(is_active, flying == FLYING["end"]), is_whole))
