--- a/wagtailtrestle/spec/resumption.py
+++ b/wagtailtrestle/spec/resumption.py
@@ -77,7 +77,7 @@
         self.act("forbid_repeats", [unbegun], {"repeatable": FALSE})
         for engine in ENGINES:
             self._engine_actions(engine)
-            self._take_actions(engine)
+            self._receive_actions(engine)
         return Specification(
             name="resumed streams",
             domains_by_variable=self.domains_by_variable,
@@ -122,7 +122,7 @@
         torn = {goes: FALSE, flying: FLYING["torn"]}
         self.act("break_off_torn", [*sends], torn, engine=engine)
 
-    def _take_actions(self, engine):
+    def _receive_actions(self, engine):
         v = self.v
         is_active = v("active") == ACTIVE[f"e{engine}"]
         here = [is_active] if self.keeps("present_run_only") else []
