--- a/wagtailtrestle/spec/resumption.py
+++ b/wagtailtrestle/spec/resumption.py
@@ -129,7 +129,7 @@
         flown = {variable_name("flying", engine): FLYING["nothing"]}
         flying = v("flying", engine)
         for number in range(1, EVENTS + 1):
-            self._take_event(engine, number, [*here, flying == FLYING[f"c{number}"]], flown)
+            self._receive_event(engine, number, [*here, flying == FLYING[f"c{number}"]], flown)
         is_whole = v("had") == COUNT[f"c{EVENTS}"]
         ended = {
             **flown,
@@ -149,7 +149,7 @@
         silent = [is_active, z3.Not(v("goes", engine)), flying == FLYING["nothing"]]
         self.act("take_cut", silent, cut, engine=engine)
 
-    def _take_event(self, engine, number, guards, flown):
+    def _receive_event(self, engine, number, guards, flown):
         v = self.v
         event = COUNT[f"c{number}"]
         follows = v("had") + 1 == event
