--- a/wagtailtrestle/spec/scheduling.py
+++ b/wagtailtrestle/spec/scheduling.py
@@ -138,11 +138,11 @@
         changes = {
             variable_name("state", request): STATE["finished"],
             variable_name("runs", request): _fewer(v("runs", request)),
-            **self._give_back(request),
+            **self._release_slot(request),
         }
         self.act("finish", [v("state", request) == STATE["dispatched"]], changes, request=request)
 
-    def _give_back(self, request):
+    def _release_slot(self, request):
         """Notify the scheduler in the current view that the run of this attempt ended."""
         v = self.v
         changes = {}
@@ -178,7 +178,7 @@
             variable_name("state", request): STATE["queued"],
             variable_name("runs", request): _fewer(v("runs", request)),
             variable_name("attempt", request): attempt + 1,
-            **self._give_back(request),
+            **self._release_slot(request),
         }
         if may_yield:
             self.act("take_preempt", [*told, room], again, scheduler=scheduler, request=request)
