--- a/wagtailtrestle/spec/freshness.py
+++ b/wagtailtrestle/spec/freshness.py
@@ -81,7 +81,7 @@
         for router in ROUTERS:
             self._read_actions(router)
             self._ask_actions(router)
-            self._own_actions(router)
+            self._key_actions(router)
         return Specification(
             name="relayed freshness",
             domains_by_variable=self.domains_by_variable,
@@ -149,7 +149,7 @@
             variable_name("age", router): z3.If(believed, younger, v("age", router)),
         }
 
-    def _own_actions(self, router):
+    def _key_actions(self, router):
         v = self.v
         is_fresh = z3.ULT(v("age", router), TICKS[f"t{LIMIT}"])
         guards = [z3.Not(v("knows", router))]
