--- a/wagtailtrestle/spec/freshness.py
+++ b/wagtailtrestle/spec/freshness.py
@@ -134,9 +134,9 @@
             variable_name("told_age", router): v("age", peer) if self.keeps("age_is_relayed") else TICKS["t0"],
         }
         self.act("answer", [v("ask", router) == ASK["asked"]], answered, router=router)
-        self.act("take", [v("ask", router) == ASK["answered"]], self._taken(router), router=router)
+        self.act("take", [v("ask", router) == ASK["answered"]], self._accepted_report(router), router=router)
 
-    def _taken(self, router):
+    def _accepted_report(self, router):
         v = self.v
         age = v("told_age", router)
         if self.keeps("way_counts"):
