--- a/wagtailtrestle/spec/freshness.py
+++ b/wagtailtrestle/spec/freshness.py
@@ -175,7 +175,7 @@
         term = self.v(name, *indices)
         return z3.If(term == _max_ticks(), term, term + 1)
 
-    def _covers(self, knows, age):
+    def _includes_revocation(self, knows, age):
         """Whether knowledge whose proof has this age includes any revocation before the proof."""
         return z3.Or(z3.Not(self.v("revoked")), knows, z3.ULE(self.v("since"), age))
 
@@ -183,10 +183,10 @@
         v = self.v
         lemmas = []
         for router in ROUTERS:
-            lemmas.append(self._covers(v("knows", router), v("age", router)))
-            reading = self._covers(v("read_tells", router), v("read_for", router))
+            lemmas.append(self._includes_revocation(v("knows", router), v("age", router)))
+            reading = self._includes_revocation(v("read_tells", router), v("read_for", router))
             lemmas.append(z3.Implies(v("read", router) == READ["answered"], reading))
-            told = self._covers(v("told", router), _sum(v("told_age", router), v("asked_for", router)))
+            told = self._includes_revocation(v("told", router), _sum(v("told_age", router), v("asked_for", router)))
             lemmas.append(z3.Implies(v("ask", router) == ASK["answered"], told))
         return lemmas
 
