--- a/tests/test_spec_replay.py
+++ b/tests/test_spec_replay.py
@@ -72,7 +72,7 @@
 
 
 @functools.cache
-def guides(module):
+def replay_traces(module):
     """Return the traces to replay, as ``(name, trace, sizes of the instance)``."""
     return list(_guides(module))
 
@@ -109,7 +109,7 @@
 class ClaimsReplayTest(unittest.TestCase):
     def test_ledgers_do_only_what_the_specification_allows(self):
         followed = set()
-        for name, trace, size in [*guides(claims), ("recorded answer", written_trace(RECORDED_ANSWER), {})]:
+        for name, trace, size in [*replay_traces(claims), ("recorded answer", written_trace(RECORDED_ANSWER), {})]:
             with self.subTest(guide=name):
                 sends = size.get("sends", 2)
                 replay = LedgerReplay(specification=claims.specification(sends=sends), trace=trace, sends=sends)
@@ -140,7 +140,7 @@
 class SchedulingReplayTest(unittest.TestCase):
     def test_a_scheduler_does_only_what_the_specification_allows(self):
         followed = set()
-        for name, trace, _ in guides(scheduling):
+        for name, trace, _ in replay_traces(scheduling):
             with self.subTest(guide=name):
                 replay = SchedulerReplay(specification=scheduling.specification(), trace=trace)
                 for _ in replay.run():
@@ -153,7 +153,7 @@
 
     def test_an_entry_does_only_what_the_specification_allows(self):
         followed = set()
-        for name, trace, _ in guides(scheduling):
+        for name, trace, _ in replay_traces(scheduling):
             with self.subTest(guide=name):
                 # If the mutant lacks a safeguard of the scheduler, the entry must follow the trace as well.
                 without = name.removeprefix("without ") if name.startswith("without ") else ""
@@ -168,7 +168,7 @@
 class ConfiguringReplayTest(unittest.TestCase):
     def test_applies_do_only_what_the_specification_allows(self):
         followed = set()
-        for name, trace, _ in guides(configuring):
+        for name, trace, _ in replay_traces(configuring):
             with self.subTest(guide=name):
                 replay = ApplyReplay(specification=configuring.specification(), trace=trace)
                 on_paused_clock(replay.run())
@@ -182,7 +182,7 @@
 
     def test_configuration_does_only_what_the_specification_allows(self):
         followed = set()
-        for name, trace, _ in guides(configuring):
+        for name, trace, _ in replay_traces(configuring):
             with self.subTest(guide=name):
                 replay = ConfigurationReplay(specification=configuring.specification(), trace=trace)
                 on_paused_clock(replay.run())
@@ -197,7 +197,7 @@
 class DrainingReplayTest(unittest.TestCase):
     def test_schedulers_and_entry_do_only_what_the_specification_allows(self):
         followed = set()
-        for name, trace, _ in guides(draining):
+        for name, trace, _ in replay_traces(draining):
             with self.subTest(guide=name):
                 replay = DrainReplay(specification=draining.specification(), trace=trace)
                 on_paused_clock(replay.run())
@@ -221,7 +221,7 @@
     def test_no_key_is_used_after_the_limit(self):
         proved_by_report = 0
         old_word = ("an old report", written_trace(OLD_REPORT), {})
-        for name, trace, _ in [*guides(freshness), old_word]:
+        for name, trace, _ in [*replay_traces(freshness), old_word]:
             with self.subTest(guide=name):
                 replay = FreshnessReplay(trace=trace)
                 on_paused_clock(replay.run())
@@ -233,7 +233,7 @@
 class ResumptionReplayTest(unittest.TestCase):
     def test_callers_get_each_event_once_whole_and_in_order(self):
         longest = faults = dropped = 0
-        for name, trace, _ in guides(resumption):
+        for name, trace, _ in replay_traces(resumption):
             with self.subTest(guide=name):
                 replay = ResumptionReplay(trace=trace)
                 replay.run()
