--- a/tests/test_spec_replay.py
+++ b/tests/test_spec_replay.py
@@ -74,10 +74,10 @@
 @functools.cache
 def replay_traces(module):
     """Return the traces to replay, as ``(name, trace, sizes of the instance)``."""
-    return list(_guides(module))
+    return list(_replay_traces(module))
 
 
-def _guides(module):
+def _replay_traces(module):
     whole = module.specification()
     for action, trace in covering_traces(whole, max_steps=COVER_STEPS).items():
         yield action, trace, {}
