--- a/tests/test_spec_replay.py
+++ b/tests/test_spec_replay.py
@@ -93,7 +93,7 @@
     return Trace(steps=[Step(action=action, state={}) for action in ("", *actions)])
 
 
-def on_paused_clock(coroutine):
+def on_simulated_clock(coroutine):
     loop = looptime.new_event_loop()
     try:
         return loop.run_until_complete(coroutine)
@@ -113,7 +113,7 @@
             with self.subTest(guide=name):
                 sends = size.get("sends", 2)
                 replay = LedgerReplay(specification=claims.specification(sends=sends), trace=trace, sends=sends)
-                on_paused_clock(replay.run())
+                on_simulated_clock(replay.run())
                 self.assertEqual(replay.monitor.violations, [])
                 self.assertEqual(replay.monitor.broken(), [])
                 self.assertEqual(replay.holder(), replay.monitor.read("holder"))
@@ -130,7 +130,7 @@
         for outcomes in [*itertools.product(OUTCOMES, repeat=3), (NOT_SENT,) * MAX_NOT_SENT]:
             with self.subTest(outcomes=outcomes):
                 replay = DispatchReplay(specification=specification, outcomes=outcomes)
-                on_paused_clock(replay.run())
+                on_simulated_clock(replay.run())
                 self.assertEqual(replay.monitor.violations, [])
                 self.assertEqual(replay.monitor.broken(), [])
                 answers.add(replay.monitor.read("told[0]"))
@@ -159,7 +159,7 @@
                 without = name.removeprefix("without ") if name.startswith("without ") else ""
                 without = "" if without in ENTRY_SAFEGUARDS else without
                 replay = EntryReplay(specification=scheduling.specification(without=without), trace=trace)
-                self.assertEqual(on_paused_clock(replay.run()), [])
+                self.assertEqual(on_simulated_clock(replay.run()), [])
                 self.assertEqual(replay.monitor.violations, [])
                 followed |= {action.partition("(")[0] for action in replay.monitor.taken}
         self.assertLessEqual({"take_grant", "take_refusal", "take_preempt", "finish", "change_view"}, followed)
@@ -171,7 +171,7 @@
         for name, trace, _ in replay_traces(configuring):
             with self.subTest(guide=name):
                 replay = ApplyReplay(specification=configuring.specification(), trace=trace)
-                on_paused_clock(replay.run())
+                on_simulated_clock(replay.run())
                 self.assertEqual(replay.monitor.violations, [])
                 self.assertEqual(replay.monitor.broken(), [])
                 for operator, told in replay.told.items():
@@ -185,7 +185,7 @@
         for name, trace, _ in replay_traces(configuring):
             with self.subTest(guide=name):
                 replay = ConfigurationReplay(specification=configuring.specification(), trace=trace)
-                on_paused_clock(replay.run())
+                on_simulated_clock(replay.run())
                 self.assertEqual(replay.monitor.violations, [])
                 self.assertEqual(replay.monitor.broken(), [])
                 expected = [replay.monitor.read(f"in_force[{router}]") for router in configuring.ROUTERS]
@@ -200,7 +200,7 @@
         for name, trace, _ in replay_traces(draining):
             with self.subTest(guide=name):
                 replay = DrainReplay(specification=draining.specification(), trace=trace)
-                on_paused_clock(replay.run())
+                on_simulated_clock(replay.run())
                 self.assertEqual(replay.monitor.violations, [])
                 self.assertEqual(replay.monitor.broken(), [])
                 self.assertFalse(replay.ended_with_work)
@@ -213,7 +213,7 @@
         for tellers in itertools.product(("declared", "listed"), repeat=4):
             with self.subTest(tellers=tellers):
                 replay = DrainReplay(specification=draining.specification(), trace=None)
-                expected, believed = on_paused_clock(replay.toggle(tellers))
+                expected, believed = on_simulated_clock(replay.toggle(tellers))
                 self.assertEqual(believed, expected)
 
 
@@ -224,7 +224,7 @@
         for name, trace, _ in [*replay_traces(freshness), old_word]:
             with self.subTest(guide=name):
                 replay = FreshnessReplay(trace=trace)
-                on_paused_clock(replay.run())
+                on_simulated_clock(replay.run())
                 self.assertEqual(replay.late, [])
                 proved_by_report += replay.proved_by_report
         self.assertGreater(proved_by_report, 0)
