--- a/wagtailtrestle/spec/checks.py
+++ b/wagtailtrestle/spec/checks.py
@@ -52,17 +52,17 @@
 
 def findings_of(module, *, deep=False):
     """Run the checks of one specification and yield their findings."""
-    whole = module.specification()
-    yield _proof(whole)
-    yield _search(whole, DEEP_BOUNDED_STEPS if deep else BOUNDED_STEPS)
+    full_specification = module.specification()
+    yield _proof(full_specification)
+    yield _search(full_specification, DEEP_BOUNDED_STEPS if deep else BOUNDED_STEPS)
     for name in module.SAFEGUARDS:
         yield mutant(module, name)
-    for name, wanted in whole.witnesses_by_name.items():
-        trace = shortest_trace(whole, wanted, max_steps=MAX_STEPS)
-        yield _found(whole, Kind.WITNESS, name, trace)
-    for name, expected in whole.limits_by_name.items():
-        trace = shortest_trace(whole, z3.Not(expected), max_steps=MAX_STEPS)
-        yield _found(whole, Kind.LIMIT, name, trace)
+    for name, wanted in full_specification.witnesses_by_name.items():
+        trace = shortest_trace(full_specification, wanted, max_steps=MAX_STEPS)
+        yield _found(full_specification, Kind.WITNESS, name, trace)
+    for name, expected in full_specification.limits_by_name.items():
+        trace = shortest_trace(full_specification, z3.Not(expected), max_steps=MAX_STEPS)
+        yield _found(full_specification, Kind.LIMIT, name, trace)
     if deep and module in SIZES_BY_MODULE:
         yield _proof(module.specification(**SIZES_BY_MODULE[module]))
 
@@ -85,13 +85,13 @@
     )
 
 
-def _proof(whole):
-    gap = Inductive(whole).gap()
-    detail = f"{len(whole.actions)} actions, {state_bits(whole)} bits of state, traces of any length"
+def _proof(full_specification):
+    gap = Inductive(full_specification).gap()
+    detail = f"{len(full_specification.actions)} actions, {state_bits(full_specification)} bits of state, traces of any length"
     if gap is not None:
         detail = f"{gap.action} breaks {gap.broken}"
     return Finding(
-        specification=whole.name,
+        specification=full_specification.name,
         kind=Kind.PROOF,
         name="induction",
         passed=gap is None,
@@ -100,14 +100,14 @@
     )
 
 
-def _search(whole, steps):
-    bounded = Bounded(whole)
+def _search(full_specification, steps):
+    bounded = Bounded(full_specification)
     for _ in range(steps):
         bounded.deepen()
-    trace = bounded.search(z3.Not(z3.And(list(whole.properties_by_name.values()))))
+    trace = bounded.search(z3.Not(z3.And(list(full_specification.properties_by_name.values()))))
     detail = f"every trace of up to {steps} steps, {bounded.effort} conflicts in the solver"
     return Finding(
-        specification=whole.name,
+        specification=full_specification.name,
         kind=Kind.SEARCH,
         name="bounded",
         passed=trace is None,
@@ -116,9 +116,16 @@
     )
 
 
-def _found(whole, kind, name, trace):
+def _found(full_specification, kind, name, trace):
     detail = "not reached" if trace is None else f"reached in {len(trace.actions)} steps"
-    return Finding(specification=whole.name, kind=kind, name=name, passed=trace is not None, detail=detail, trace=trace)
+    return Finding(
+        specification=full_specification.name,
+        kind=kind,
+        name=name,
+        passed=trace is not None,
+        detail=detail,
+        trace=trace,
+    )
 
 
 def state_bits(specification):
