--- a/tests/test_spec_replay.py
+++ b/tests/test_spec_replay.py
@@ -78,13 +78,13 @@
 
 
 def _replay_traces(module):
-    whole = module.specification()
-    for action, trace in covering_traces(whole, max_steps=COVER_STEPS).items():
+    full_specification = module.specification()
+    for action, trace in covering_traces(full_specification, max_steps=COVER_STEPS).items():
         yield action, trace, {}
-    for name, wanted in whole.witnesses_by_name.items():
-        yield name, shortest_trace(whole, wanted, max_steps=MAX_STEPS), {}
-    for name, expected in whole.limits_by_name.items():
-        yield name, shortest_trace(whole, z3.Not(expected), max_steps=MAX_STEPS), {}
+    for name, wanted in full_specification.witnesses_by_name.items():
+        yield name, shortest_trace(full_specification, wanted, max_steps=MAX_STEPS), {}
+    for name, expected in full_specification.limits_by_name.items():
+        yield name, shortest_trace(full_specification, z3.Not(expected), max_steps=MAX_STEPS), {}
     for name, safeguard in module.SAFEGUARDS.items():
         yield f"without {name}", mutant(module, name).trace, safeguard.size
 
