--- a/wagtailtrestle/spec/checker.py
+++ b/wagtailtrestle/spec/checker.py
@@ -92,7 +92,7 @@
         return len(self._choices)
 
     @property
-    def effort(self):
+    def conflicts(self):
         """Number of conflicts in the SAT solver so far."""
         statistics = self._solver.statistics()
         return next((statistics.get_key_value(key) for key in statistics.keys() if key == "sat conflicts"), 0)
--- a/wagtailtrestle/spec/checks.py
+++ b/wagtailtrestle/spec/checks.py
@@ -105,7 +105,7 @@
     for _ in range(steps):
         bounded.deepen()
     trace = bounded.search(z3.Not(z3.And(list(full_specification.properties_by_name.values()))))
-    detail = f"every trace of up to {steps} steps, {bounded.effort} conflicts in the solver"
+    detail = f"every trace of up to {steps} steps, {bounded.conflicts} conflicts in the solver"
     return Finding(
         specification=full_specification.name,
         kind=Kind.SEARCH,
