--- a/wagtailtrestle/spec/freshness.py
+++ b/wagtailtrestle/spec/freshness.py
@@ -213,5 +213,5 @@
 def _sum(one, other):
     """Saturating sum of two counts of ticks."""
     total = z3.ZeroExt(1, one) + z3.ZeroExt(1, other)
-    most = z3.ZeroExt(1, _max_ticks())
-    return z3.If(z3.UGE(total, most), _max_ticks(), z3.Extract(one.size() - 1, 0, total))
+    highest = z3.ZeroExt(1, _max_ticks())
+    return z3.If(z3.UGE(total, highest), _max_ticks(), z3.Extract(one.size() - 1, 0, total))
