--- a/wagtailtrestle/spec/resumption.py
+++ b/wagtailtrestle/spec/resumption.py
@@ -198,9 +198,12 @@
 
     def _witnesses(self):
         v = self.v
-        whole = z3.And(v("is_complete"), v("was_resumed"))
+        complete_after_resumption = z3.And(v("is_complete"), v("was_resumed"))
         late = z3.And(v("active") == ACTIVE["e1"], v("flying", 0) == FLYING["c2"], v("had") == COUNT["c1"])
-        return {"a stream of two runs is complete": whole, "an event of an earlier run arrives late": late}
+        return {
+            "a stream of two runs is complete": complete_after_resumption,
+            "an event of an earlier run arrives late": late,
+        }
 
 
 def _is_over(flying):
