--- a/tests/test_run_counts.py
+++ b/tests/test_run_counts.py
@@ -6,7 +6,7 @@
 
 from tests.test_counted_runs import OneRequest
 from tests.utils.paused_clock import on_paused_clock
-from tests.utils.scheduling_replay import QuietCrashes
+from tests.utils.scheduling_replay import NoCrashes
 from wagtailtrestle.contracts.messages import EngineNotice, Refused
 from wagtailtrestle.contracts.outcomes import Reason, RunCut, RunNotSent
 from wagtailtrestle.entry.poison import CRASH_LIMIT
@@ -22,7 +22,7 @@
         self[(name, *labels.values())] += 1
 
 
-class CrashedOften(QuietCrashes):
+class CrashedOften(NoCrashes):
     def crash_count(self, body_digest):
         return CRASH_LIMIT
 
--- a/tests/utils/retry_fleet.py
+++ b/tests/utils/retry_fleet.py
@@ -8,7 +8,7 @@
 from tests.utils.fake_routers import FakeNet
 from tests.utils.paused_clock import now
 from tests.utils.scheduler_fakes import engine
-from tests.utils.scheduling_replay import QuietCrashes, caller_request
+from tests.utils.scheduling_replay import NoCrashes, caller_request
 from wagtailtrestle.capacity.retry_budget import RetryLimits
 from wagtailtrestle.capacity.scheduler_set import SchedulerSet
 from wagtailtrestle.contracts.declaration import PLAIN, Declaration, Service
@@ -76,7 +76,7 @@
             name=name,
             schedulers=self.directory.scheduler_link,
             claims=None,
-            crashes=QuietCrashes(),
+            crashes=NoCrashes(),
             declaration=lambda: fleet.declaration,
             loop=loop,
         )
--- a/tests/utils/scheduling_replay.py
+++ b/tests/utils/scheduling_replay.py
@@ -184,7 +184,7 @@
         return True
 
 
-class QuietCrashes:
+class NoCrashes:
     """Crash records without any crash: nothing is blocked."""
 
     def is_blocked(self, body_digest):
@@ -221,7 +221,7 @@
     """Make a real entry with fake schedulers and callers; ``parts`` are passed to the entry."""
     schedulers = QuietSchedulers()
     declaration = declaration or small_declaration()
-    parts = {"crashes": QuietCrashes()} | parts
+    parts = {"crashes": NoCrashes()} | parts
     entry = Entry(name="r1", schedulers=schedulers, claims=claims, declaration=lambda: declaration, loop=loop, **parts)
     return entry, schedulers
 
