--- a/tests/utils/scheduling_replay.py
+++ b/tests/utils/scheduling_replay.py
@@ -173,7 +173,7 @@
         return next((command for command in self.commands if isinstance(command, AnswerWhole | AnswerRefusal)), None)
 
 
-class QuietSchedulers:
+class SilentSchedulers:
     """Records what the entry sends and never answers."""
 
     def __init__(self):
@@ -219,7 +219,7 @@
 
 def make_entry(*, loop, claims=None, declaration=None, **parts):
     """Make a real entry with fake schedulers and callers; ``parts`` are passed to the entry."""
-    schedulers = QuietSchedulers()
+    schedulers = SilentSchedulers()
     declaration = declaration or small_declaration()
     parts = {"crashes": NoCrashes()} | parts
     entry = Entry(name="r1", schedulers=schedulers, claims=claims, declaration=lambda: declaration, loop=loop, **parts)
