--- a/tests/utils/configuring_replay.py
+++ b/tests/utils/configuring_replay.py
@@ -32,7 +32,7 @@
 }
 TOLD_BY_OUTCOME = {Applied: "applied", ApplyConflict: "conflict", ApplyNotDone: "not_done"}
 STEP_S = 0.05
-AFTERWARDS_S = 60.0
+SETTLE_S = 60.0
 
 
 class OperatorStore(MemoryStore):
@@ -131,7 +131,7 @@
             await asyncio.sleep(STEP_S)
         for store in self._stores:
             store.may_send.set()
-        await asyncio.sleep(AFTERWARDS_S)
+        await asyncio.sleep(SETTLE_S)
         for store in self._stores:
             await store.land()
 
--- a/tests/utils/ledger_replay.py
+++ b/tests/utils/ledger_replay.py
@@ -30,7 +30,7 @@
 }
 DELIVERY_VERBS = ("win", "answer_held", "hear_refused", "hear_finished", "hear_unknown", "read_recorded")
 STEP_S = 0.05
-AFTERWARDS_S = 60.0
+SETTLE_S = 60.0
 OPEN_GATE_TURNS = 1000
 
 
@@ -170,7 +170,7 @@
                 await self._follow(step)
                 await asyncio.sleep(STEP_S)
             self._open_gates()
-            await asyncio.sleep(AFTERWARDS_S)
+            await asyncio.sleep(SETTLE_S)
             for store in self._stores:
                 await store.land()
 
