--- a/wagtailtrestle/spec/configuring.py
+++ b/wagtailtrestle/spec/configuring.py
@@ -108,9 +108,9 @@
         apply, told = variable_name("apply", operator), variable_name("told", operator)
         late = variable_name("late", operator)
         is_in = {name: v("apply", operator) == APPLY[name] for name in APPLY.names}
-        room = v("accepted") != self.g(self.numbers[-1])
+        has_next_generation = v("accepted") != self.g(self.numbers[-1])
         read = {apply: APPLY["read"], variable_name("base", operator): v("accepted")}
-        self.act("read_base", [is_in["idle"], room], read, operator=operator)
+        self.act("read_base", [is_in["idle"], has_next_generation], read, operator=operator)
         for number in self.numbers[:-1]:
             stale = {apply: APPLY["read"], variable_name("base", operator): self.g(number)}
             older = [is_in["idle"], z3.ULT(self.g(number), v("accepted"))]
