--- a/wagtailtrestle/spec/configuring.py
+++ b/wagtailtrestle/spec/configuring.py
@@ -240,12 +240,12 @@
 
     def _properties(self):
         v = self.v
-        truths = []
+        accurate = []
         for operator in OPERATORS:
             told = v("told", operator)
             never = z3.And(self._never_made(operator), z3.Not(z3.And(v("late", operator), self._in_time(operator))))
             not_applied = z3.Or(told == TOLD["conflict"], told == TOLD["not_done"])
-            truths += [
+            accurate += [
                 z3.Implies(told == TOLD["applied"], self._owned_by_self(operator)),
                 z3.Implies(not_applied, never),
             ]
@@ -255,7 +255,7 @@
             for number in self.numbers[1:]
         ]
         return {
-            ACCURATE_ANSWER: all_of(truths),
+            ACCURATE_ANSWER: all_of(accurate),
             ONLY_UP: v("accepted") == v("highest_accepted"),
             NO_REVERT: all_of(z3.Not(v("reverted", router)) for router in ROUTERS),
             NO_REVERT_OVER_RESTART: all_of(z3.Not(v("behind", router)) for router in ROUTERS),
