--- a/wagtailtrestle/spec/claims.py
+++ b/wagtailtrestle/spec/claims.py
@@ -313,10 +313,10 @@
         v = self.v
         ran = [v("runs", send) != RUNS["none"] for send in self.sends]
         once = [v("runs", send) != RUNS["more"] for send in self.sends]
-        truth = [z3.Implies(v("told", send) == TOLD["no"], v("runs", send) == RUNS["none"]) for send in self.sends]
+        accurate = [z3.Implies(v("told", send) == TOLD["no"], v("runs", send) == RUNS["none"]) for send in self.sends]
         return {
             ONCE: z3.And(at_most_one(ran), *once),
-            REPORTED_NOT_RUN: all_of(truth),
+            REPORTED_NOT_RUN: all_of(accurate),
             ANSWER_OF_RUN: all_of(z3.Implies(v("told", send) == TOLD["answer"], any_of(ran)) for send in self.sends),
         }
 
