--- a/wagtailtrestle/spec/checks.py
+++ b/wagtailtrestle/spec/checks.py
@@ -85,13 +85,13 @@
     )
 
 
-def _proof(specification):
-    gap = Inductive(specification).gap()
-    detail = f"{len(specification.actions)} actions, {state_bits(specification)} bits of state, traces of any length"
+def _proof(instance):
+    gap = Inductive(instance).gap()
+    detail = f"{len(instance.actions)} actions, {state_bits(instance)} bits of state, traces of any length"
     if gap is not None:
         detail = f"{gap.action} breaks {gap.broken}"
     return Finding(
-        specification=specification.name,
+        specification=instance.name,
         kind=Kind.PROOF,
         name="induction",
         passed=gap is None,
@@ -100,14 +100,14 @@
     )
 
 
-def _search(specification, steps):
-    bounded = Bounded(specification)
+def _search(instance, steps):
+    bounded = Bounded(instance)
     for _ in range(steps):
         bounded.deepen()
-    trace = bounded.search(z3.Not(z3.And(list(specification.properties_by_name.values()))))
+    trace = bounded.search(z3.Not(z3.And(list(instance.properties_by_name.values()))))
     detail = f"every trace of up to {steps} steps, {bounded.conflicts} conflicts in the solver"
     return Finding(
-        specification=specification.name,
+        specification=instance.name,
         kind=Kind.SEARCH,
         name="bounded",
         passed=trace is None,
@@ -116,10 +116,10 @@
     )
 
 
-def _found(specification, kind, name, trace):
+def _found(instance, kind, name, trace):
     detail = "not reached" if trace is None else f"reached in {len(trace.actions)} steps"
     return Finding(
-        specification=specification.name,
+        specification=instance.name,
         kind=kind,
         name=name,
         passed=trace is not None,
