--- a/wagtailtrestle/spec/scheduling.py
+++ b/wagtailtrestle/spec/scheduling.py
@@ -46,7 +46,7 @@
 CAPACITY = "while views agree the place holds one run"
 
 SAFEGUARDS = {
-    "queued_only": Safeguard(rule="a grant is taken only for a request that waits", breaks=ONE_RUN),
+    "queued_only": Safeguard(rule="a grant is taken by an entry only for a request that waits", breaks=ONE_RUN),
     "attempt": Safeguard(rule="a grant counts only for the request message that it answers", breaks=CAPACITY),
     "preempt_repeatable_only": Safeguard(
         rule="a run is preempted only if the request may be repeated", breaks=NOT_REPEATED
