--- a/tests/test_spec_replay.py
+++ b/tests/test_spec_replay.py
@@ -1,8 +1,8 @@
-"""Traces of the specifications, led through the real decision modules.
+"""Replays traces of the specifications against the real decision modules.
 
-The traces come from z3: one to every action, one to every witness, and the counterexample of
-every mutant. The code need not follow a trace to its end, but each thing that it does must be
-allowed by the whole specification at that point, so specification and code can't drift apart.
+z3 generates the traces: one to every action, one to every witness and limit, and the counterexample
+of every mutant. The code need not follow a trace to its end, but the specification with all
+safeguards must allow each of its actions, so that specification and code cannot drift apart.
 """
 
 import asyncio
@@ -31,8 +31,8 @@
 
 COVER_STEPS = 12
 NOT_SENT = OUTCOMES[0]
-# The run's answer is recorded, its router dies, and the re-send reads the record. Which of two equal
-# ways a model of z3 takes differs with the order of its terms, so this one is spelled out.
+# The run's answer is recorded, its router crashes, and the re-send reads the record. Written out because
+# z3 chooses between traces of equal length by the order of its terms.
 RECORDED_ANSWER = (
     "ask(send=0, writer=0)",
     "read(writer=0)",
@@ -40,15 +40,15 @@
     "win(send=0)",
     "dispatch(send=0)",
     "finish(send=0)",
-    *["record(send=0)"] * 10,  # an end is recorded a little later, so several steps of time
+    *["record(send=0)"] * 10,  # the ledger records an end after a delay of several steps
     "write_done(writer=0)",
     "crash(router=0)",
     "ask(send=1, writer=1)",
     "read(writer=1)",
 )
-# A router tells another what it proved two ticks ago. The mutant's shortest trace has a word with no proof at
-# all behind it, which the code refuses for another reason.
-OLD_WORD = (
+# A router reports to another what it proved two ticks ago. In the shortest trace of the mutant the report has
+# no proof at all, which the code rejects for another reason.
+OLD_REPORT = (
     "begin_read(router=1)",
     "answer_read(router=1)",
     "end_read(router=1)",
@@ -72,28 +72,28 @@
 
 
 @functools.cache
-def guides(module):
-    """Traces to lead the code along: ``(name, trace, sizes of the instance)``."""
-    return list(_guides(module))
+def replay_traces(module):
+    """Return the traces to replay, as ``(name, trace, sizes of the instance)``."""
+    return list(_replay_traces(module))
 
 
-def _guides(module):
-    whole = module.specification()
-    for action, trace in covering_traces(whole, most_steps=COVER_STEPS).items():
+def _replay_traces(module):
+    full_specification = module.specification()
+    for action, trace in covering_traces(full_specification, max_steps=COVER_STEPS).items():
         yield action, trace, {}
-    for name, wanted in whole.witnesses_by_name.items():
-        yield name, shortest_trace(whole, wanted, most_steps=MAX_STEPS), {}
-    for name, expected in whole.limits_by_name.items():
-        yield name, shortest_trace(whole, z3.Not(expected), most_steps=MAX_STEPS), {}
+    for name, wanted in full_specification.witnesses_by_name.items():
+        yield name, shortest_trace(full_specification, wanted, max_steps=MAX_STEPS), {}
+    for name, expected in full_specification.limits_by_name.items():
+        yield name, shortest_trace(full_specification, z3.Not(expected), max_steps=MAX_STEPS), {}
     for name, safeguard in module.SAFEGUARDS.items():
         yield f"without {name}", mutant(module, name).trace, safeguard.size
 
 
-def spelled_out(actions):
+def written_trace(actions):
     return Trace(steps=[Step(action=action, state={}) for action in ("", *actions)])
 
 
-def on_paused_clock(coroutine):
+def on_simulated_clock(coroutine):
     loop = looptime.new_event_loop()
     try:
         return loop.run_until_complete(coroutine)
@@ -109,17 +109,17 @@
 class ClaimsReplayTest(unittest.TestCase):
     def test_ledgers_do_only_what_the_specification_allows(self):
         followed = set()
-        for name, trace, size in [*guides(claims), ("recorded answer", spelled_out(RECORDED_ANSWER), {})]:
+        for name, trace, size in [*replay_traces(claims), ("recorded answer", written_trace(RECORDED_ANSWER), {})]:
             with self.subTest(guide=name):
                 sends = size.get("sends", 2)
                 replay = LedgerReplay(specification=claims.specification(sends=sends), trace=trace, sends=sends)
-                on_paused_clock(replay.run())
+                on_simulated_clock(replay.run())
                 self.assertEqual(replay.monitor.violations, [])
                 self.assertEqual(replay.monitor.broken(), [])
                 self.assertEqual(replay.holder(), replay.monitor.read("holder"))
                 followed |= {action.partition("(")[0] for action in replay.monitor.taken}
         verbs = {action.name.partition("(")[0] for action in claims.specification().actions}
-        # Stale reads are the configuration's matter; the ledger's store reads are current here.
+        # Stale reads are covered by the configuration's replay; the ledger's reads are current here.
         self.assertEqual(verbs - followed, {"read_stale"})
 
 
@@ -130,7 +130,7 @@
         for outcomes in [*itertools.product(OUTCOMES, repeat=3), (NOT_SENT,) * MAX_NOT_SENT]:
             with self.subTest(outcomes=outcomes):
                 replay = DispatchReplay(specification=specification, outcomes=outcomes)
-                on_paused_clock(replay.run())
+                on_simulated_clock(replay.run())
                 self.assertEqual(replay.monitor.violations, [])
                 self.assertEqual(replay.monitor.broken(), [])
                 answers.add(replay.monitor.read("told[0]"))
@@ -140,7 +140,7 @@
 class SchedulingReplayTest(unittest.TestCase):
     def test_a_scheduler_does_only_what_the_specification_allows(self):
         followed = set()
-        for name, trace, _ in guides(scheduling):
+        for name, trace, _ in replay_traces(scheduling):
             with self.subTest(guide=name):
                 replay = SchedulerReplay(specification=scheduling.specification(), trace=trace)
                 for _ in replay.run():
@@ -153,13 +153,13 @@
 
     def test_an_entry_does_only_what_the_specification_allows(self):
         followed = set()
-        for name, trace, _ in guides(scheduling):
+        for name, trace, _ in replay_traces(scheduling):
             with self.subTest(guide=name):
-                # Where the mutant's fault is the scheduler's, the entry must follow it all the same.
+                # If the mutant lacks a safeguard of the scheduler, the entry must follow the trace as well.
                 without = name.removeprefix("without ") if name.startswith("without ") else ""
                 without = "" if without in ENTRY_SAFEGUARDS else without
                 replay = EntryReplay(specification=scheduling.specification(without=without), trace=trace)
-                self.assertEqual(on_paused_clock(replay.run()), [])
+                self.assertEqual(on_simulated_clock(replay.run()), [])
                 self.assertEqual(replay.monitor.violations, [])
                 followed |= {action.partition("(")[0] for action in replay.monitor.taken}
         self.assertLessEqual({"take_grant", "take_refusal", "take_preempt", "finish", "change_view"}, followed)
@@ -168,10 +168,10 @@
 class ConfiguringReplayTest(unittest.TestCase):
     def test_applies_do_only_what_the_specification_allows(self):
         followed = set()
-        for name, trace, _ in guides(configuring):
+        for name, trace, _ in replay_traces(configuring):
             with self.subTest(guide=name):
                 replay = ApplyReplay(specification=configuring.specification(), trace=trace)
-                on_paused_clock(replay.run())
+                on_simulated_clock(replay.run())
                 self.assertEqual(replay.monitor.violations, [])
                 self.assertEqual(replay.monitor.broken(), [])
                 for operator, told in replay.told.items():
@@ -182,10 +182,10 @@
 
     def test_configuration_does_only_what_the_specification_allows(self):
         followed = set()
-        for name, trace, _ in guides(configuring):
+        for name, trace, _ in replay_traces(configuring):
             with self.subTest(guide=name):
                 replay = ConfigurationReplay(specification=configuring.specification(), trace=trace)
-                on_paused_clock(replay.run())
+                on_simulated_clock(replay.run())
                 self.assertEqual(replay.monitor.violations, [])
                 self.assertEqual(replay.monitor.broken(), [])
                 expected = [replay.monitor.read(f"in_force[{router}]") for router in configuring.ROUTERS]
@@ -197,10 +197,10 @@
 class DrainingReplayTest(unittest.TestCase):
     def test_schedulers_and_entry_do_only_what_the_specification_allows(self):
         followed = set()
-        for name, trace, _ in guides(draining):
+        for name, trace, _ in replay_traces(draining):
             with self.subTest(guide=name):
                 replay = DrainReplay(specification=draining.specification(), trace=trace)
-                on_paused_clock(replay.run())
+                on_simulated_clock(replay.run())
                 self.assertEqual(replay.monitor.violations, [])
                 self.assertEqual(replay.monitor.broken(), [])
                 self.assertFalse(replay.ended_with_work)
@@ -208,32 +208,32 @@
         self.assertLessEqual({"grant", "finish", "seen_empty", "end", "hand_over", "listed_unmark"}, followed)
 
     def test_what_is_believed_of_an_engine_follows_every_teller(self):
-        # Declaration and list mark an engine as leaving and take it back, in every order. While one
-        # of them marks it, it gets no work; once neither does, it must get work again.
+        # The declaration and the list set and remove their marks of a leaving engine in every order. While
+        # either mark is set, the engine gets no work; once neither is set, it must get work again.
         for tellers in itertools.product(("declared", "listed"), repeat=4):
             with self.subTest(tellers=tellers):
                 replay = DrainReplay(specification=draining.specification(), trace=None)
-                expected, believed = on_paused_clock(replay.toggle(tellers))
+                expected, believed = on_simulated_clock(replay.toggle(tellers))
                 self.assertEqual(believed, expected)
 
 
 class FreshnessReplayTest(unittest.TestCase):
     def test_no_key_is_used_after_the_limit(self):
-        proved_by_word = 0
-        old_word = ("an old word", spelled_out(OLD_WORD), {})
-        for name, trace, _ in [*guides(freshness), old_word]:
+        proved_by_report = 0
+        old_word = ("an old report", written_trace(OLD_REPORT), {})
+        for name, trace, _ in [*replay_traces(freshness), old_word]:
             with self.subTest(guide=name):
                 replay = FreshnessReplay(trace=trace)
-                on_paused_clock(replay.run())
+                on_simulated_clock(replay.run())
                 self.assertEqual(replay.late, [])
-                proved_by_word += replay.proved_by_word
-        self.assertGreater(proved_by_word, 0)
+                proved_by_report += replay.proved_by_report
+        self.assertGreater(proved_by_report, 0)
 
 
 class ResumptionReplayTest(unittest.TestCase):
     def test_callers_get_each_event_once_whole_and_in_order(self):
         longest = faults = dropped = 0
-        for name, trace, _ in guides(resumption):
+        for name, trace, _ in replay_traces(resumption):
             with self.subTest(guide=name):
                 replay = ResumptionReplay(trace=trace)
                 replay.run()
@@ -242,28 +242,28 @@
                 longest = max(longest, len(numbers))
                 faults += replay.faults
                 dropped += replay.dropped
-        # Each rule of the splitter was needed by some trace.
+        # Some trace exercises each rule of the splitter.
         self.assertEqual(longest, resumption.EVENTS)
         self.assertGreater(faults, 0)
         self.assertGreater(dropped, 0)
 
 
 class TierOrderTest(unittest.TestCase):
-    """Rules of the scheduling specification that no trace of three requests shows."""
+    """Rules of the scheduling specification that need more than the three requests of its traces."""
 
     def test_a_middle_tier_is_not_refused_while_a_lower_tier_runs(self):
-        # A report that was cancelled several times for questions asks again while tagging runs
-        # and waits. Refusing it ("preempted") sheds a higher tier while lower repeatable work,
-        # which should yield, goes on: `refuse` is not allowed while the scheduler knows lower work.
+        # A report (tier 1) that questions preempted several times requests a slot again while tagging (tier 2) runs
+        # and waits. Refusing it as "preempted" would shed a higher tier while lower repeatable work, which
+        # should yield, continues: `refuse` is not allowed while the scheduler knows of lower work.
         cell = Cell(slots=1)
         cell.receive(ask("tag1", tier=2, remaining_s=600.0), ask("tag2", tier=2, remaining_s=600.0))
         cell.receive(ask("report", tier=1, attempt=MAX_PREEMPTED_ATTEMPTS + 1, done_tokens=50))
         self.assertEqual(cell.entries.ids(Refused), [])
 
     def test_a_new_scheduler_tells_lower_runs_to_yield(self):
-        # A scheduler takes a cell over; one entry registered a long tagging run, another is still
-        # silent. A question arrives and can only be finished if the tagging yields. It must not wait
-        # in vain until it expires: `expire` is not allowed before the run was told to yield.
+        # A scheduler takes over a cell; one entry has registered a long tagging run, another has not
+        # registered yet. A question arrives that can only finish in time if the tagging yields. It must
+        # not wait until it expires: `expire` is not allowed before the run was asked to yield.
         cell = Cell(slots=1, members=("r1", "r2"))
         tagging = ask("tag", tier=2, remaining_s=600.0, output_tokens=3000)
         cell.receive(register("r1", running=[running(tagging)]))
--- a/tests/utils/configuring_replay.py
+++ b/tests/utils/configuring_replay.py
@@ -1,4 +1,4 @@
-"""Runs real applies and real configuration keepers along traces of their specification."""
+"""Replays traces of the configuration specification against real applies and :class:`Configuration`."""
 
 import asyncio
 import random
@@ -32,11 +32,11 @@
 }
 TOLD_BY_OUTCOME = {Applied: "applied", ApplyConflict: "conflict", ApplyNotDone: "not_done"}
 STEP_S = 0.05
-AFTERWARDS_S = 60.0
+SETTLE_S = 60.0
 
 
 class OperatorStore(MemoryStore):
-    """One operator's view of the store; its updates come out as scripted and are told."""
+    """One operator's view of the store; its updates end as scripted and are reported to the monitor."""
 
     def __init__(self, *, table, operator, monitor):
         super().__init__(table=table)
@@ -51,7 +51,7 @@
     async def get(self, *, kind, name, unless_version=None):
         outcome = await super().get(kind=kind, name=name)
         if self._monitor.read(f"apply[{self._operator}]") == "idle":
-            self._tell_base(outcome)
+            self._report_base(outcome)
         return outcome
 
     async def create(self, *, kind, name, value):
@@ -71,7 +71,7 @@
     def take(self, action):
         self._monitor.take(f"{action}(operator={self._operator})")
 
-    def _tell_base(self, outcome):
+    def _report_base(self, outcome):
         generation = outcome.value["generation"] if isinstance(outcome, StoreDone) else 0
         if self._monitor.read("accepted") == f"g{generation}":
             self.take("read_base")
@@ -99,9 +99,9 @@
             if first:
                 self.take("conflict")
             return outcome
-        return self._tell_done(first, scripted, outcome)
+        return self._report_done(first, scripted, outcome)
 
-    def _tell_done(self, first, scripted, outcome):
+    def _report_done(self, first, scripted, outcome):
         if scripted == "unheard":
             self.take("applied_unheard" if first else "sent_again_unheard")
             return StoreUnknown(detail="scripted")
@@ -110,7 +110,7 @@
 
 
 class ApplyReplay:
-    """Two real applies over one store, led along one trace."""
+    """Replays one trace against two real applies over one store."""
 
     def __init__(self, *, specification, trace):
         self.monitor = Monitor(specification)
@@ -121,7 +121,7 @@
         self._applies = {}
 
     async def run(self):
-        """Follow the trace, then let both applies come to their end."""
+        """Follow the trace, then let both applies finish."""
         for step in self._trace.steps[1:]:
             operator = step.parameters.get("operator")
             if step.verb in SCRIPT_BY_VERB:
@@ -131,7 +131,7 @@
             await asyncio.sleep(STEP_S)
         for store in self._stores:
             store.may_send.set()
-        await asyncio.sleep(AFTERWARDS_S)
+        await asyncio.sleep(SETTLE_S)
         for store in self._stores:
             await store.land()
 
@@ -158,24 +158,24 @@
 
 
 class ConfigurationReplay:
-    """Two real configuration keepers over one store, led along one trace."""
+    """Replays one trace against two real :class:`Configuration` objects over one store."""
 
     def __init__(self, *, specification, trace):
         self.monitor = Monitor(specification)
         self._trace = trace
         self._table = MemoryStore().table
-        self._truth = MemoryStore(table=self._table)
-        self._keepers = [None] * len(ROUTERS)
+        self._store = MemoryStore(table=self._table)
+        self._configurations = [None] * len(ROUTERS)
         self._known = [0] * len(ROUTERS)
         self._stores = [None] * len(ROUTERS)
 
     async def run(self):
-        """Follow the trace; whatever comes in force is told to the monitor at once."""
+        """Follow the trace; each generation that takes effect is reported to the monitor immediately."""
         for step in self._trace.steps[1:]:
             await self._follow(step)
-        for keeper in self._keepers:
-            if keeper is not None:
-                await keeper.close()
+        for router_configuration in self._configurations:
+            if router_configuration is not None:
+                await router_configuration.close()
 
     async def _follow(self, step):
         router, generation = step.parameters.get("router"), step.parameters.get("generation")
@@ -185,7 +185,7 @@
             await self._stop(router)
         elif step.verb == "offer":
             self._offer(router, generation)
-        elif step.verb.startswith("begin") and self._keepers[router] is None:
+        elif step.verb.startswith("begin") and self._configurations[router] is None:
             await self._begin(router, step.verb, generation)
         await asyncio.sleep(STEP_S)
 
@@ -206,58 +206,58 @@
             "recent": [],
         }
         if generation == 1:
-            await self._truth.create(kind=DECLARATION_KIND, name=DECLARATION_NAME, value=value)
+            await self._store.create(kind=DECLARATION_KIND, name=DECLARATION_NAME, value=value)
             return
-        held = await self._truth.get(kind=DECLARATION_KIND, name=DECLARATION_NAME)
-        await self._truth.update(kind=DECLARATION_KIND, name=DECLARATION_NAME, value=value, if_version=held.version)
+        held = await self._store.get(kind=DECLARATION_KIND, name=DECLARATION_NAME)
+        await self._store.update(kind=DECLARATION_KIND, name=DECLARATION_NAME, value=value, if_version=held.version)
 
     async def _stop(self, router):
-        if self._keepers[router] is not None and self.monitor.allows(f"restart(router={router})"):
-            await self._keepers[router].close()
-            self._keepers[router] = None
+        if self._configurations[router] is not None and self.monitor.allows(f"restart(router={router})"):
+            await self._configurations[router].close()
+            self._configurations[router] = None
             self.monitor.take(f"restart(router={router})")
 
     def _offer(self, router, generation):
-        """Offer a generation that was accepted once, be it old; lower ones must not come in force."""
-        keeper = self._keepers[router]
-        if keeper is not None and generation <= int(self.monitor.read("accepted")[1:]):
-            keeper.offer(generation, "text", "peer")
+        """Offer any generation that was ever accepted; a lower one must not take effect."""
+        router_configuration = self._configurations[router]
+        if router_configuration is not None and generation <= int(self.monitor.read("accepted")[1:]):
+            router_configuration.offer(generation, "text", "peer")
 
     async def _begin(self, router, verb, generation):
         store = self._stores[router] = MemoryStore(table=self._table)
         accepted = int(self.monitor.read("accepted")[1:])
         if accepted == 0:
             return
-        # A start stays unconfirmed while no write comes through; its reads may be stale.
+        # A start stays unconfirmed while no write succeeds; its reads may be stale.
         store.stale_versions = max(0, accepted - (generation or accepted))
         if verb != "begin_confirmed":
             store.lose_requests = 10**6
-        keeper = Configuration(
+        router_configuration = Configuration(
             store=store,
             parse=lambda text: small_declaration(),
-            on_change=lambda in_force: self._tell(router, in_force.generation),
+            on_change=lambda in_force: self._report_generation(router, in_force.generation),
             query_peers=lambda wanted, preferred_peer: self._peers_answer(router, verb),
             poll_interval_s=1e6,
             watch_timeout_s=1e5,
             jitter=random.Random(1),
         )
-        self._keepers[router] = keeper
+        self._configurations[router] = router_configuration
         self._known[router] = 0
         store.silent_watch = True
-        keeper.start()
+        router_configuration.start()
         await asyncio.sleep(8.0)
-        # A stale store that heals lets a start be confirmed after all.
+        # Once the store recovers, the start can be confirmed.
         store.stale_versions = store.lose_requests = 0
 
     async def _peers_answer(self, router, verb):
-        peer = self._keepers[1 - router]
+        peer = self._configurations[1 - router]
         if verb != "begin_by_peer" or peer is None or not peer.generation:
             return PeersAnswer()
         return PeersAnswer(answered=1, generation=peer.generation, text="text")
 
-    def _tell(self, router, generation):
+    def _report_generation(self, router, generation):
         first = self.monitor.read(f"in_force[{router}]") == "g0"
-        confirmed = self._keepers[router].dump()["is_confirmed"]
+        confirmed = self._configurations[router].dump()["is_confirmed"]
         if not first:
             names = [f"offer(router={router}, generation={generation})"]
         elif confirmed:
@@ -265,15 +265,21 @@
             names = [f"begin_confirmed(router={router})"]
         else:
             names = [f"begin_unconfirmed(router={router}, generation={generation})"]
-            if self._keepers[1 - router] is not None and self._keepers[1 - router].generation == generation:
+            if (
+                self._configurations[1 - router] is not None
+                and self._configurations[1 - router].generation == generation
+            ):
                 names.insert(0, f"begin_by_peer(router={router}, peer={1 - router})")
         self.monitor.take_first(*names)
 
     def _check_newest(self, generation):
         newest = self.monitor.read("accepted")
         if newest != f"g{generation}":
-            self.monitor.violations.append(f"began confirmed with g{generation} while {newest} is accepted")
+            self.monitor.violations.append(f"confirmed start with g{generation} while {newest} is accepted")
 
     def in_force(self):
-        """Generations that the real keepers have in force."""
-        return [f"g{keeper.generation if keeper else 0}" for keeper in self._keepers]
+        """Return the generation that is in force at each router."""
+        return [
+            f"g{router_configuration.generation if router_configuration else 0}"
+            for router_configuration in self._configurations
+        ]
--- a/tests/utils/draining_replay.py
+++ b/tests/utils/draining_replay.py
@@ -1,4 +1,4 @@
-"""Runs real schedulers and a real entry along traces of the drain's specification."""
+"""Replays traces of the drain specification against real schedulers and a real entry."""
 
 import asyncio
 
@@ -34,7 +34,7 @@
 
 
 class DrainReplay:
-    """The scheduler of the draining router, then that of another, and the draining entry.
+    """The draining router's entry, and the scheduler: first that of the draining router, then that of another.
 
     Parameters
     ----------
@@ -57,7 +57,7 @@
         self._granted = {}
 
     async def run(self):
-        """Follow the trace; grants and the end of the drain are the real modules' own."""
+        """Follow the trace; the real modules decide the grants and the end of the drain."""
         loop = asyncio.get_running_loop()
         self._entry, _ = make_entry(loop=loop, declaration=self._declaration)
         self._schedulers = self._new_schedulers()
@@ -65,13 +65,13 @@
             self._follow(step)
             await asyncio.sleep(STEP_S)
             self._schedulers.tick()
-            self._tell_grants()
+            self._report_grants()
             await asyncio.sleep(STEP_S)
-            self._tell_drained()
+            self._report_drained()
         await self._entry.close()
 
     async def toggle(self, tellers):
-        """Let tellers mark the engine or take it back in turn; returns what should be and is believed."""
+        """Let tellers toggle their marks of the engine in turn; return the expected and the actual leaving states."""
         self._entry, _ = make_entry(loop=asyncio.get_running_loop(), declaration=self._declaration)
         self._schedulers = self._new_schedulers()
         self._schedulers.deliver(CELL, ask("first"))
@@ -115,7 +115,7 @@
                 self.ended_with_work = bool(self._entry.tasks_by_id)
 
     def _hand_over(self):
-        """Another router's scheduler takes the cell; the entries register what waits."""
+        """Another router's scheduler takes over the cell, and the entries register their waiting requests."""
         self._schedulers = self._new_schedulers()
         for number in range(len(self.monitor.specification.domains_by_variable)):
             if f"request[{number}]" not in self.monitor.specification.domains_by_variable:
@@ -136,7 +136,7 @@
             run_id = self._callers[request].starts[-1].run_id
             self._entry.post(f"q{request}", RunEnded(run_id=run_id, outcome=RunDone(), duration_s=0.1))
 
-    def _tell_grants(self):
+    def _report_grants(self):
         for message in self._entries.of(Granted):
             request = int(message.request_id[1:])
             if request not in self._granted:
@@ -144,7 +144,7 @@
                 self.monitor.take(f"grant(request={request}, engine={message.engine})")
                 self._entry.on_scheduler_message(message)
 
-    def _tell_drained(self):
+    def _report_drained(self):
         if self._drained is not None and self._drained.done():
             self._drained = None
             self.monitor.take("seen_empty()")
--- a/tests/utils/ledger_replay.py
+++ b/tests/utils/ledger_replay.py
@@ -1,4 +1,4 @@
-"""Runs real ledgers along a specification's trace, telling a monitor all that they do."""
+"""Replays traces of the claims specification against real ledgers, and reports their actions to a monitor."""
 
 import asyncio
 from unittest import mock
@@ -28,10 +28,10 @@
     "write_delayed": "delayed",
     "write_unavailable": "unavailable",
 }
-HEAR_VERBS = ("win", "answer_held", "hear_refused", "hear_finished", "hear_unknown", "read_recorded")
+DELIVERY_VERBS = ("win", "answer_held", "hear_refused", "hear_finished", "hear_unknown", "read_recorded")
 STEP_S = 0.05
-AFTERWARDS_S = 60.0
-MANY = 1000
+SETTLE_S = 60.0
+OPEN_GATE_TURNS = 1000
 
 
 def _nonce(send):
@@ -43,7 +43,7 @@
 
 
 class ScriptedStore(MemoryStore):
-    """One router's view of the store: calls wait for their step and are told to the monitor."""
+    """One router's view of the store: calls wait for their step and are reported to the monitor."""
 
     def __init__(self, *, table, router, monitor, late=None):
         super().__init__(table=table)
@@ -86,13 +86,13 @@
         self._monitor.take(f"{action}(writer={self._router})")
 
     async def _write_scripted(self, value, write):
-        if not self._tell_write(value["claims"]):
+        if not self._report_write(value["claims"]):
             return await write()
         self.in_flight = write
         try:
             scripted = await self.outcomes.get()
         except asyncio.CancelledError:
-            # The writer gave up waiting: the write may still land.
+            # The writer timed out; the write may still take effect.
             self._delay(write)
             raise
         self.in_flight = None
@@ -114,8 +114,8 @@
             self.late = write
             self._take("write_delayed")
 
-    def _tell_write(self, records):
-        """Tell what the write is for; ``False`` if it only records how a request ended."""
+    def _report_write(self, records):
+        """Report the purpose of the write; return ``False`` if it only records how a request ended."""
         before = self._monitor.read(f"snapshot[{self._router}]")
         if KEY not in records:
             self._monitor.take(f"write_release(writer={self._router}, send={_send(before)})")
@@ -130,21 +130,21 @@
 
 
 class KillableLedger(Ledger):
-    """A ledger whose router can die: nothing of it goes on."""
+    """A ledger that can be stopped as in a crash of its router: all of its tasks are cancelled."""
 
-    def stop_at_once(self):
+    def cancel_tasks(self):
         tasks = [writer._task for writer in self._writers_by_shard.values() if writer._task]
         for task in [*tasks, *self._settling_by_nonce.values()]:
             task.cancel()
 
 
 class LedgerReplay:
-    """Two routers with real ledgers, led along one trace.
+    """Replays one trace against two routers with real ledgers.
 
     Parameters
     ----------
     specification : Specification
-        The whole one, whatever mutant the trace comes from.
+        With all safeguards, also when the trace comes from a mutant.
     trace : Trace
     sends : int
     """
@@ -159,10 +159,10 @@
         self._ledgers = [None] * ROUTERS
         self._owner = 0
         self._claims_by_send = {}
-        self._heard = [asyncio.Queue() for _ in self._sends]
+        self._deliveries = [asyncio.Queue() for _ in self._sends]
 
     async def run(self):
-        """Follow the trace, then let everything come to its end."""
+        """Follow the trace, then let all requests and writes finish."""
         with mock.patch.object(ledger_module, "ShardWriter", self._observed_writer()):
             for router in range(ROUTERS):
                 await self._start(router)
@@ -170,21 +170,21 @@
                 await self._follow(step)
                 await asyncio.sleep(STEP_S)
             self._open_gates()
-            await asyncio.sleep(AFTERWARDS_S)
+            await asyncio.sleep(SETTLE_S)
             for store in self._stores:
                 await store.land()
 
     def _open_gates(self):
-        """Let everything that still waits for its step go on."""
+        """Release every call that still waits for its step."""
         for store in self._stores:
-            for _ in range(MANY):
+            for _ in range(OPEN_GATE_TURNS):
                 store.reads.put_nowait("turn")
                 store.outcomes.put_nowait("done")
-        for heard in self._heard:
-            for _ in range(MANY):
+        for heard in self._deliveries:
+            for _ in range(OPEN_GATE_TURNS):
                 heard.put_nowait("turn")
 
-    # Following the trace.
+    # Steps of the trace.
 
     async def _follow(self, step):
         parameters = step.parameters
@@ -194,8 +194,8 @@
                 self._stores[parameters["writer"]].reads.put_nowait("turn")
             case verb if verb in SCRIPT_BY_VERB:
                 self._stores[parameters["writer"]].outcomes.put_nowait(SCRIPT_BY_VERB[verb])
-            case verb if verb in HEAR_VERBS:
-                self._heard[send].put_nowait("turn")
+            case verb if verb in DELIVERY_VERBS:
+                self._deliveries[send].put_nowait("turn")
             case "ask":
                 self._claim(send, parameters["writer"])
             case "late_write_lands" | "late_write_refused":
@@ -220,9 +220,9 @@
             if ledger is self._ledgers[send % ROUTERS]:
                 self.monitor.take_first(f"give_up(send={send})", f"stop_waiting(send={send})")
             raise
-        self._tell_outcome(send, outcome)
+        self._report_outcome(send, outcome)
 
-    def _tell_outcome(self, send, outcome):
+    def _report_outcome(self, send, outcome):
         others = [other for other in self._sends if other != send]
         match outcome:
             case ClaimWon():
@@ -244,7 +244,7 @@
             claim.cancel()
 
     def _end(self, action, verb, send):
-        """Do what the entry does with a claim that it won, if the real claim was won."""
+        """End a claim as the entry does, if the real claim was won."""
         if not self.monitor.allows(action):
             return
         self.monitor.take(action)
@@ -271,7 +271,7 @@
             retention_s=lambda: 3600.0,
             wall_clock=lambda: 1e6,
         )
-        ledger.told_by_handle = ledger.handle
+        ledger.inner_handle = ledger.handle
         ledger.handle = lambda message: self._handle(router, message)
         self._stores[router], self._ledgers[router] = store, ledger
         await ledger.start()
@@ -284,27 +284,27 @@
             if send % ROUTERS == router and not claim.done():
                 claim.cancel()
         await asyncio.sleep(0)
-        dead.stop_at_once()
+        dead.cancel_tasks()
 
     async def _ask(self, router, peer, message, timeout_s):
-        self._tell_ask(message, peer)
+        self._report_ask(message, peer)
         try:
             async with asyncio.timeout(timeout_s):
-                answer = await self._ledgers[peer].told_by_handle(message)
+                answer = await self._ledgers[peer].inner_handle(message)
                 if isinstance(message, ClaimAsk):
-                    await self._heard[_send(message.nonce)].get()
+                    await self._deliveries[_send(message.nonce)].get()
         except TimeoutError:
             return None
-        self._hear(router, message, answer)
+        self._report_refused_nonce(router, message, answer)
         return answer
 
     async def _handle(self, router, message):
-        """Answer this router's own ask."""
-        answer = await self._ledgers[router].told_by_handle(message)
-        self._hear(router, message, answer)
+        """Answer a request of this router itself."""
+        answer = await self._ledgers[router].inner_handle(message)
+        self._report_refused_nonce(router, message, answer)
         return answer
 
-    def _hear(self, router, message, answer):
+    def _report_refused_nonce(self, router, message, answer):
         if not isinstance(message, NonceAsk) or answer.state != NonceState.REFUSED:
             return
         other = _send(message.nonce)
@@ -313,7 +313,7 @@
             if self.monitor.allows(action):
                 self.monitor.take(action)
 
-    def _tell_ask(self, message, writer):
+    def _report_ask(self, message, writer):
         if isinstance(message, ClaimAsk):
             action = f"ask(send={_send(message.nonce)}, writer={writer})"
             if self.monitor.allows(action):
@@ -325,16 +325,16 @@
         replay = self
 
         class ObservedWriter(ShardWriter):
-            """Tells the monitor which answers are given."""
+            """Reports answers to the monitor."""
 
             async def claim(self, ask, *, timeout_s):
-                replay._tell_ask(ask, replay._router_of(self))
+                replay._report_ask(ask, replay._router_of(self))
                 return await super().claim(ask, timeout_s=timeout_s)
 
             def _answer(self, batch, answers):
                 for pending, answer in zip(batch, answers, strict=True):
                     if isinstance(pending.request, ClaimAsk) and not pending.answered.done():
-                        replay._tell_answer(replay._router_of(self), pending.request, answer)
+                        replay._report_answer(replay._router_of(self), pending.request, answer)
                 super()._answer(batch, answers)
 
         return ObservedWriter
@@ -342,7 +342,7 @@
     def _router_of(self, writer):
         return self._stores.index(writer._store)
 
-    def _tell_answer(self, writer, ask, answer):
+    def _report_answer(self, writer, ask, answer):
         send = _send(ask.nonce)
         if answer.result == ClaimResult.WON:
             self.monitor.take(f"answer_won(writer={writer}, send={send})")
@@ -350,7 +350,7 @@
             self.monitor.take(f"answer_held(writer={writer}, send={send}, other={_send(answer.nonce)})")
 
     def holder(self):
-        """Nonce in the store, as it is."""
+        """Return the nonce that is in the store."""
         outcome = self._table.get(kind=LEDGER_KIND, name="shard-000")
         records = outcome.value["claims"] if isinstance(outcome, StoreDone) else {}
         return records[KEY][0] if KEY in records else "nobody"
--- a/wagtailtrestle/spec/__main__.py
+++ b/wagtailtrestle/spec/__main__.py
@@ -1,4 +1,7 @@
-"""Prints every check of the specifications; ``--deep`` searches further and larger."""
+"""Runs all checks of the specifications and prints the results.
+
+``--deep`` searches longer traces and larger instances.
+"""
 
 import sys
 import time
@@ -7,18 +10,18 @@
 
 from wagtailtrestle.spec.checks import MODULES, Kind, findings_of
 
-WITH_TRACE = (Kind.MUTANT, Kind.LIMIT)
+KINDS_WITH_TRACE = (Kind.MUTANT, Kind.LIMIT)
 
 
 def run(deep=False):
-    """Run all checks and exit with 1 if one did not come out as it must."""
+    """Run all checks and exit with status 1 if any of them failed."""
     failed = 0
     for module in MODULES:
         began = time.perf_counter()
         for finding in findings_of(module, deep=deep):
             failed += not finding.passed
             print(_line(finding, time.perf_counter() - began), flush=True)
-            if finding.trace is not None and (finding.kind in WITH_TRACE or not finding.passed):
+            if finding.trace is not None and (finding.kind in KINDS_WITH_TRACE or not finding.passed):
                 print(finding.trace.text(), flush=True)
             began = time.perf_counter()
     print(f"{failed} checks failed")
--- a/wagtailtrestle/spec/claims_proof.py
+++ b/wagtailtrestle/spec/claims_proof.py
@@ -1,7 +1,7 @@
-"""What makes the properties of :mod:`wagtailtrestle.spec.claims` inductive.
+"""Lemmas that make the properties of :mod:`wagtailtrestle.spec.claims` inductive.
 
-In words: a nonce that was ever in the store stays there until it is refused; whoever may run
-has its nonce there; so two that may run would have to be in one place.
+A nonce that was once in the store stays there until it is refused. A send that may run has its
+nonce in the store. The store holds a single nonce, so no two sends may run.
 """
 
 import z3
@@ -11,9 +11,9 @@
 
 
 def lemmas(spec):
-    """Facts that carry the induction; ``spec`` is the builder of the specification."""
+    """Build the lemmas; ``spec`` is the builder of the specification."""
     v = spec.v
-    holds = [_stands(spec, v("holder"), send) for send in spec.sends]
+    holds = [_holds_nonce(spec, v("holder"), send) for send in spec.sends]
     facts = []
     for send in spec.sends:
         state = v("request", send)
@@ -27,12 +27,12 @@
             z3.Implies(z3.Or(state == REQUEST["running"], state == REQUEST["claiming"]), z3.Not(ran)),
             z3.Implies(v("release", send), z3.Or(refused, z3.And(state == REQUEST["gone"], z3.Not(ran)))),
             z3.Implies(v("told", send) == TOLD["no"], z3.Or(refused, state == REQUEST["gone"])),
-            z3.Implies(state == REQUEST["queued"], _unheard(spec, send)),
+            z3.Implies(state == REQUEST["queued"], _never_asked(spec, send)),
             # Once in the store a nonce stays there until it is refused.
-            z3.Implies(z3.Or(v("won", send), *_seen(spec, send)), z3.Or(holds[send], _idle_for_ever(spec, send))),
+            z3.Implies(z3.Or(v("won", send), *_was_stored(spec, send)), z3.Or(holds[send], _never_runs(spec, send))),
         ]
         for other in spec.sends:
-            facts.append(z3.Implies(v("replaces", send) == spec.n(other), _idle_for_ever(spec, other)))
+            facts.append(z3.Implies(v("replaces", send) == spec.n(other), _never_runs(spec, other)))
             facts.append(v("replaces", send) != spec.n(send))
     for writer in spec.routers:
         facts += _writer_lemmas(spec, writer)
@@ -54,21 +54,21 @@
     ]
 
 
-def _stands(spec, place, send):
+def _holds_nonce(spec, place, send):
     return place == spec.s(send)
 
 
-def _seen(spec, send):
-    """Places that hold the nonce because it was in the store."""
+def _was_stored(spec, send):
+    """Conditions under which a copy of the store's content holds the nonce, so that it was in the store."""
     v = spec.v
-    seen = [_stands(spec, v("past"), send)]
+    seen = [_holds_nonce(spec, v("past"), send)]
     for writer in spec.routers:
-        seen.append(_stands(spec, v("snapshot", writer), send))
+        seen.append(_holds_nonce(spec, v("snapshot", writer), send))
     return seen
 
 
-def _idle_for_ever(spec, send):
-    """The send never ran and never will: it was refused, also if its router died later."""
+def _never_runs(spec, send):
+    """Whether the send never ran and never will: it was refused, or its router died."""
     state = spec.v("request", send)
     never_ran = spec.v("runs", send) == RUNS["none"]
     return z3.And(never_ran, z3.Or(state == REQUEST["refused"], state == REQUEST["gone"]))
@@ -76,10 +76,10 @@
 
 def _replaceable(spec, place):
     free = place == spec.snapshot[NOBODY]
-    return z3.Or(free, *(z3.And(_stands(spec, place, send), _idle_for_ever(spec, send)) for send in spec.sends))
+    return z3.Or(free, *(z3.And(_holds_nonce(spec, place, send), _never_runs(spec, send)) for send in spec.sends))
 
 
-def _unheard(spec, send):
+def _never_asked(spec, send):
     v = spec.v
     nowhere = [z3.Not(v("asked", send, writer)) for writer in spec.routers]
     return z3.And(z3.Not(v("won", send)), v("runs", send) == RUNS["none"], *nowhere)
--- a/wagtailtrestle/spec/configuring.py
+++ b/wagtailtrestle/spec/configuring.py
@@ -1,7 +1,8 @@
-"""Configuration: two operators apply at once, two routers follow, the store reads stale.
+"""Configuration: two operators apply concurrently, two routers follow, reads of the store may be stale.
 
-A generation is made by one conditional update. Answers and requests may be lost or late;
-reads may give any older generation; routers restart and begin from the platform or peers.
+A generation is created by one conditional update. Requests and answers may be lost or delayed.
+Reads may return any older generation. Routers restart and load the configuration from the
+platform or from a peer.
 """
 
 import z3
@@ -26,7 +27,7 @@
 APPLY = Domain("idle", "read", "sent", "unsettled", "ended")
 TOLD = Domain("nothing", "applied", "conflict", "not_done", "unknown")
 
-TRUE_ANSWER = "an operator is told the truth"
+ACCURATE_ANSWER = "an operator is told the truth"
 ONLY_UP = "the accepted generation never goes down"
 NO_REVERT = "a router never goes back within its life"
 NO_REVERT_OVER_RESTART = "a confirmed start is never behind an earlier life"
@@ -35,15 +36,18 @@
 SAFEGUARDS = {
     "conditional_update": Safeguard(rule="an update takes effect only on the version it was made from", breaks=ONLY_UP),
     "lost_answer_is_not_done": Safeguard(
-        rule="an update without an answer is not taken for refused", breaks=TRUE_ANSWER
+        rule="an update without an answer is not taken as refused", breaks=ACCURATE_ANSWER
     ),
     "lost_answer_is_not_success": Safeguard(
-        rule="an update without an answer is not taken for done", breaks=TRUE_ANSWER
+        rule="an update without an answer is not taken as successful", breaks=ACCURATE_ANSWER
     ),
     "sent_again": Safeguard(
-        rule="not finding one's id proves nothing; sending the same update again does", breaks=TRUE_ANSWER
+        rule="not finding one's id is no proof that the update failed; sending the same update again gives it",
+        breaks=ACCURATE_ANSWER,
+    ),
+    "own_id": Safeguard(
+        rule="a conflict is decided by the id that is stored with the generation", breaks=ACCURATE_ANSWER
     ),
-    "own_id": Safeguard(rule="a conflict is judged by whose id stands under the generation", breaks=TRUE_ANSWER),
     "higher_only": Safeguard(rule="a router puts in force only a higher generation", breaks=NO_REVERT),
     "confirmed_start": Safeguard(
         rule="a restarted router proves that its read is the newest", breaks=NO_REVERT_OVER_RESTART
@@ -52,12 +56,12 @@
 
 
 def specification(*, generations=3, without=""):
-    """Build the specification, for a mutant ``without`` one safeguard."""
+    """Build the specification; ``without`` names a safeguard to leave out of a mutant."""
     return _Configuring(generations=generations, without=without).specification()
 
 
 class _Configuring(Builder):
-    """Builder of one specification."""
+    """Builder of the specification of the configuration."""
 
     def __init__(self, *, generations, without):
         super().__init__(safeguards=SAFEGUARDS, without=without)
@@ -97,16 +101,16 @@
             limits_by_name=self._limits(),
         )
 
-    # One operator's apply.
+    # Actions of one operator's apply.
 
     def _operator_actions(self, operator):
         v = self.v
         apply, told = variable_name("apply", operator), variable_name("told", operator)
         late = variable_name("late", operator)
         is_in = {name: v("apply", operator) == APPLY[name] for name in APPLY.names}
-        room = v("accepted") != self.g(self.numbers[-1])
+        has_next_generation = v("accepted") != self.g(self.numbers[-1])
         read = {apply: APPLY["read"], variable_name("base", operator): v("accepted")}
-        self.act("read_base", [is_in["idle"], room], read, operator=operator)
+        self.act("read_base", [is_in["idle"], has_next_generation], read, operator=operator)
         for number in self.numbers[:-1]:
             stale = {apply: APPLY["read"], variable_name("base", operator): self.g(number)}
             older = [is_in["idle"], z3.ULT(self.g(number), v("accepted"))]
@@ -132,9 +136,9 @@
         self._settle(operator, is_in["unsettled"], in_time, put)
 
     def _settle(self, operator, unsettled, in_time, put):
-        """The answer was lost: read back whose id stands there, and send the same update again."""
+        """After a lost answer the operator reads back the stored id, and sends the same update again."""
         apply, told = variable_name("apply", operator), variable_name("told", operator)
-        mine, others = self._mine(operator), self._others(operator)
+        mine, others = self._owned_by_self(operator), self._owned_by_others(operator)
         applied = {apply: APPLY["ended"], told: TOLD["applied"]}
         conflict = {apply: APPLY["ended"], told: TOLD["conflict"]}
         self.act("read_back_own", [unsettled, mine], applied, operator=operator)
@@ -159,7 +163,7 @@
         return z3.And(same, self.v("accepted") != self.g(self.numbers[-1]))
 
     def _put(self, operator):
-        """The update takes effect: the generation after the base becomes this operator's."""
+        """The update takes effect: this operator owns the generation after its base."""
         v = self.v
         changes = {"accepted": v("base", operator) + 1}
         raised = z3.ULT(v("highest_accepted"), v("base", operator) + 1)
@@ -169,10 +173,10 @@
             changes[variable_name("owner", number)] = z3.If(made, OWNER[f"o{operator}"], v("owner", number))
         return changes
 
-    def _mine(self, operator):
+    def _owned_by_self(self, operator):
         return self._owned_by(operator, lambda owner: owner == OWNER[f"o{operator}"])
 
-    def _others(self, operator):
+    def _owned_by_others(self, operator):
         return self._owned_by(operator, lambda owner: z3.And(owner != OWNER[f"o{operator}"], owner != OWNER[NOBODY]))
 
     def _owned_by(self, operator, wanted):
@@ -181,7 +185,7 @@
             z3.And(v("base", operator) == self.g(number - 1), wanted(v("owner", number))) for number in self.numbers[1:]
         )
 
-    # One router.
+    # Actions of one router.
 
     def _router_actions(self, router):
         v = self.v
@@ -189,7 +193,7 @@
         began = in_force != self.g(0)
         newest = v("accepted") != self.g(0)
         for number in self.numbers[1:]:
-            # A read, a watch event or a peer's text may be of any generation there ever was.
+            # A read, a watch event or a peer's text may carry any generation that was ever accepted.
             seen = [z3.ULE(self.g(number), v("accepted"))]
             higher = z3.ULT(in_force, self.g(number)) if self.keeps("higher_only") else TRUE
             self.act(
@@ -232,17 +236,17 @@
             variable_name("behind", router): z3.Or(v("behind", router), behind),
         }
 
-    # What must hold.
+    # Properties, lemmas, witnesses and limits.
 
     def _properties(self):
         v = self.v
-        truths = []
+        accurate = []
         for operator in OPERATORS:
             told = v("told", operator)
             never = z3.And(self._never_made(operator), z3.Not(z3.And(v("late", operator), self._in_time(operator))))
             not_applied = z3.Or(told == TOLD["conflict"], told == TOLD["not_done"])
-            truths += [
-                z3.Implies(told == TOLD["applied"], self._mine(operator)),
+            accurate += [
+                z3.Implies(told == TOLD["applied"], self._owned_by_self(operator)),
                 z3.Implies(not_applied, never),
             ]
         accepted = [
@@ -251,7 +255,7 @@
             for number in self.numbers[1:]
         ]
         return {
-            TRUE_ANSWER: all_of(truths),
+            ACCURATE_ANSWER: all_of(accurate),
             ONLY_UP: v("accepted") == v("highest_accepted"),
             NO_REVERT: all_of(z3.Not(v("reverted", router)) for router in ROUTERS),
             NO_REVERT_OVER_RESTART: all_of(z3.Not(v("behind", router)) for router in ROUTERS),
@@ -305,7 +309,7 @@
         }
 
     def _limits(self):
-        """What a start during an outage of the platform can't promise."""
+        """Guarantees that a start during an outage of the platform cannot give."""
         v = self.v
         kept = all_of(
             z3.Or(v("in_force", router) == self.g(0), z3.ULE(v("reached", router), v("in_force", router)))
--- a/wagtailtrestle/spec/freshness.py
+++ b/wagtailtrestle/spec/freshness.py
@@ -1,9 +1,9 @@
-"""Relayed freshness: a key is revoked while routers read the store, ask each other, and pause.
+"""Relayed freshness: a key is revoked while routers read the store, query each other, and pause.
 
-A router may use a key only while it can show that it would know of the key's end by now: by its
-own read of the store, or by the word of a router that can. Time passes in ticks for everybody at
-once; between two ticks anything may happen or not, which covers slow answers and paused
-processes. The same rule decides whether a router believes another's list of engines.
+A router may use a key only while it has proof that it would know of a revocation: its own read of
+the store, or the report of a router that has such proof. Time advances in ticks for all routers
+together; between two ticks any number of actions may happen, which covers slow answers and paused
+processes. The same rule decides whether a router accepts another's list of engines.
 """
 
 import z3
@@ -22,9 +22,9 @@
 
 ROUTERS = range(2)
 LIMIT = 3
-"""Ticks after which a revoked key may run nothing."""
+"""Ticks after which a revoked key must not admit any run."""
 TICKS = Domain(*(f"t{number}" for number in range(LIMIT + 2)))
-"""A count of ticks; the last one stands for all higher ones."""
+"""A saturating count of ticks: the last value stands for all higher ones."""
 READ = Domain("idle", "begun", "answered")
 ASK = Domain("idle", "asked", "answered")
 
@@ -35,25 +35,27 @@
         rule="a key is used only while its proof is younger than the limit", breaks=NOTHING_LATE
     ),
     "read_counts_from_its_start": Safeguard(
-        rule="a read proves what held when it began, however late its answer comes", breaks=NOTHING_LATE
+        rule="a read proves what held when it began, however late its answer arrives", breaks=NOTHING_LATE
+    ),
+    "way_counts": Safeguard(rule="the transit time of a router's report counts towards its age", breaks=NOTHING_LATE),
+    "age_is_relayed": Safeguard(
+        rule="a router's report is as old as the proof that it is based on", breaks=NOTHING_LATE
     ),
-    "way_counts": Safeguard(rule="the way of a router's word counts as its age", breaks=NOTHING_LATE),
-    "age_is_relayed": Safeguard(rule="a router's word is as old as the proof behind it", breaks=NOTHING_LATE),
     "same_knowledge_only": Safeguard(
-        rule="a router's word proves only the configuration that it speaks of", breaks=NOTHING_LATE
+        rule="a router's report proves only the configuration that it refers to", breaks=NOTHING_LATE
     ),
-    "pauses_count": Safeguard(rule="proofs age also while their router is suspended", breaks=NOTHING_LATE),
-    "restart_forgets": Safeguard(rule="a router that starts has no proof", breaks=NOTHING_LATE),
+    "pauses_count": Safeguard(rule="proofs age while their router is suspended", breaks=NOTHING_LATE),
+    "restart_forgets": Safeguard(rule="a router has no proof when it starts", breaks=NOTHING_LATE),
 }
 
 
 def specification(*, without=""):
-    """Build the specification, for a mutant ``without`` one safeguard."""
+    """Build the specification; ``without`` names a safeguard to leave out of a mutant."""
     return _Freshness(without=without).specification()
 
 
 class _Freshness(Builder):
-    """Builder of one specification."""
+    """Builder of the specification of relayed freshness."""
 
     def __init__(self, *, without):
         super().__init__(safeguards=SAFEGUARDS, without=without)
@@ -63,7 +65,7 @@
         self.declare(TRUTH, "ran_after_end", initial=FALSE)
         for router in ROUTERS:
             self.declare(TRUTH, "knows", router, initial=FALSE)
-            self.declare(TICKS, "age", router, initial=_most())
+            self.declare(TICKS, "age", router, initial=_max_ticks())
             self.declare(TRUTH, "has_read", router, initial=FALSE)
             self.declare(READ, "read", router, initial=READ["idle"])
             self.declare(TICKS, "read_for", router, initial=TICKS["t0"])
@@ -79,7 +81,7 @@
         for router in ROUTERS:
             self._read_actions(router)
             self._ask_actions(router)
-            self._own_actions(router)
+            self._key_actions(router)
         return Specification(
             name="relayed freshness",
             domains_by_variable=self.domains_by_variable,
@@ -98,7 +100,7 @@
                 changes[variable_name(name, router)] = self._older(name, router)
         self.act("tick", [], changes)
         if not self.keeps("pauses_count"):
-            # By a clock that stands still while the VM is suspended, its router's proof does not age.
+            # With a clock that stops while the VM is suspended, the proof of its router does not age.
             for router in ROUTERS:
                 paused = {name: term for name, term in changes.items() if name != variable_name("age", router)}
                 self.act("tick_suspended", [], paused, router=router)
@@ -108,7 +110,7 @@
         read = variable_name("read", router)
         begun = {read: READ["begun"], variable_name("read_for", router): TICKS["t0"]}
         self.act("begin_read", [v("read", router) == READ["idle"]], begun, router=router)
-        # What the store tells is what held when it answered; the answer may take long to arrive.
+        # The answer carries what held when the store answered, and may arrive much later.
         answered = {read: READ["answered"], variable_name("read_tells", router): v("revoked")}
         self.act("answer_read", [v("read", router) == READ["begun"]], answered, router=router)
         proved = v("read_for", router) if self.keeps("read_counts_from_its_start") else TICKS["t0"]
@@ -132,9 +134,9 @@
             variable_name("told_age", router): v("age", peer) if self.keeps("age_is_relayed") else TICKS["t0"],
         }
         self.act("answer", [v("ask", router) == ASK["asked"]], answered, router=router)
-        self.act("take", [v("ask", router) == ASK["answered"]], self._taken(router), router=router)
+        self.act("take", [v("ask", router) == ASK["answered"]], self._accepted_report(router), router=router)
 
-    def _taken(self, router):
+    def _accepted_report(self, router):
         v = self.v
         age = v("told_age", router)
         if self.keeps("way_counts"):
@@ -147,7 +149,7 @@
             variable_name("age", router): z3.If(believed, younger, v("age", router)),
         }
 
-    def _own_actions(self, router):
+    def _key_actions(self, router):
         v = self.v
         is_fresh = z3.ULT(v("age", router), TICKS[f"t{LIMIT}"])
         guards = [z3.Not(v("knows", router))]
@@ -166,25 +168,25 @@
             variable_name("ask", router): ASK["idle"],
         }
         if self.keeps("restart_forgets"):
-            fresh_start[variable_name("age", router)] = _most()
+            fresh_start[variable_name("age", router)] = _max_ticks()
         self.act("restart", [], fresh_start, router=router)
 
     def _older(self, name, *indices):
         term = self.v(name, *indices)
-        return z3.If(term == _most(), term, term + 1)
+        return z3.If(term == _max_ticks(), term, term + 1)
 
-    def _covers(self, knows, age):
-        """Whether knowledge of this age would show a key revoked before."""
+    def _includes_revocation(self, knows, age):
+        """Whether knowledge whose proof has this age includes any revocation before the proof."""
         return z3.Or(z3.Not(self.v("revoked")), knows, z3.ULE(self.v("since"), age))
 
     def _lemmas(self):
         v = self.v
         lemmas = []
         for router in ROUTERS:
-            lemmas.append(self._covers(v("knows", router), v("age", router)))
-            reading = self._covers(v("read_tells", router), v("read_for", router))
+            lemmas.append(self._includes_revocation(v("knows", router), v("age", router)))
+            reading = self._includes_revocation(v("read_tells", router), v("read_for", router))
             lemmas.append(z3.Implies(v("read", router) == READ["answered"], reading))
-            told = self._covers(v("told", router), _sum(v("told_age", router), v("asked_for", router)))
+            told = self._includes_revocation(v("told", router), _sum(v("told_age", router), v("asked_for", router)))
             lemmas.append(z3.Implies(v("ask", router) == ASK["answered"], told))
         return lemmas
 
@@ -192,7 +194,7 @@
         v = self.v
         by_word_alone = z3.And(z3.Not(v("has_read", 0)), z3.ULT(v("age", 0), TICKS[f"t{LIMIT}"]))
         learned = z3.And(v("revoked"), v("knows", 0), v("knows", 1))
-        aged = all_of([v("has_read", 0), v("age", 0) == _most(), z3.Not(v("knows", 0))])
+        aged = all_of([v("has_read", 0), v("age", 0) == _max_ticks(), z3.Not(v("knows", 0))])
         return {
             "a router that never reads goes on by another's word": by_word_alone,
             "both routers learn that the key was revoked": learned,
@@ -200,7 +202,7 @@
         }
 
 
-def _most():
+def _max_ticks():
     return TICKS[TICKS.names[-1]]
 
 
@@ -209,7 +211,7 @@
 
 
 def _sum(one, other):
-    """Sum of two counts of ticks, at most the highest one."""
-    whole = z3.ZeroExt(1, one) + z3.ZeroExt(1, other)
-    most = z3.ZeroExt(1, _most())
-    return z3.If(z3.UGE(whole, most), _most(), z3.Extract(one.size() - 1, 0, whole))
+    """Saturating sum of two counts of ticks."""
+    total = z3.ZeroExt(1, one) + z3.ZeroExt(1, other)
+    highest = z3.ZeroExt(1, _max_ticks())
+    return z3.If(z3.UGE(total, highest), _max_ticks(), z3.Extract(one.size() - 1, 0, total))
