--- a/wagtailtrestle/standins/batching.py
+++ b/wagtailtrestle/standins/batching.py
@@ -1,6 +1,6 @@
 """Continuous batching on one engine, as a pure model: no I/O, no clock.
 
-The stand-in engine steps it in real time, measurements step it under an advanced clock.
+The stand-in engine steps it in real time; measurements step it under a simulated clock.
 Lengths are in tokens, times in seconds.
 """
 
@@ -20,11 +20,11 @@
     prompt_tokens : int
         Tokens of the prompt alone.
     output_tokens : int
-        Index of the last token of the answer, resumed ones included.
+        Index of the last token of the answer, counting the resumed tokens.
     prefix_blocks : tuple of int
         Chained hashes of the prompt's full blocks.
     resume_tokens : int
-        Tokens an earlier run already generated; they are prefilled after the prompt.
+        Tokens that an earlier run already generated; they are prefilled after the prompt.
 
     Attributes
     ----------
@@ -67,7 +67,7 @@
 
 @record
 class StepResult:
-    """What one step did.
+    """Result of one step.
 
     Parameters
     ----------
@@ -91,7 +91,7 @@
 
 @record
 class BatchLoad:
-    """Present load: runs in the batch, runs waiting, length of the last step."""
+    """Current load: runs in the batch, waiting runs, duration of the last step."""
 
     running: int
     waiting: int
@@ -99,7 +99,7 @@
 
 
 class PrefixCache:
-    """Least recently used blocks of 64 tokens, at most ``cache_tokens`` tokens."""
+    """LRU cache of 64-token blocks that holds at most ``cache_tokens`` tokens."""
 
     __slots__ = ("_blocks", "_capacity", "added", "removed")
 
@@ -113,7 +113,7 @@
         return len(self._blocks)
 
     def match(self, prefix_blocks) -> int:
-        """Count the leading blocks held, and mark them used."""
+        """Count the leading blocks that are cached, and mark them as recently used."""
         held = 0
         for block in prefix_blocks:
             if block not in self._blocks:
@@ -123,7 +123,7 @@
         return held
 
     def put(self, prefix_blocks):
-        """Hold these blocks, the first ones the longest."""
+        """Cache these blocks; the leading ones count as the most recently used."""
         for block in reversed(prefix_blocks[: self._capacity]):
             if block not in self._blocks:
                 self._blocks[block] = True
@@ -140,27 +140,27 @@
         return added, removed
 
     def clear(self):
-        """Forget every block, as a restart does."""
+        """Evict every block, as a restart does."""
         self.removed.extend(self._blocks)
         self._blocks.clear()
 
 
 class BatchingEngine:
-    """An engine that batches continuously, admits as runs arrive and knows no priorities.
+    """Model of an engine with continuous batching: runs are admitted in order of arrival, without priorities.
 
     Parameters
     ----------
     slots : int
         Largest batch; more runs wait in order of arrival.
     base_step_s, per_run_step_s : float
-        A step takes ``base_step_s + per_run_step_s * batch`` and the prefill in it.
+        A step takes ``base_step_s + per_run_step_s * batch`` plus the time of its prefill.
     prefill_tokens_per_s : float
-        Speed of prefill of uncached tokens.
+        Prefill speed for uncached tokens.
     cache_tokens : int
         Size of the prefix cache.
     prefill_chunk_tokens : int
-        Most prompt tokens computed in one step, so that a long prompt slows
-        everybody's steps but stops nobody.
+        Maximum of prompt tokens computed in one step. A long prompt then slows the other
+        runs in the batch, but does not block them.
     """
 
     __slots__ = (
@@ -198,7 +198,7 @@
         self._last_step_s = base_step_s
 
     def submit(self, run):
-        """Admit a run into the batch, or let it wait for a slot."""
+        """Admit a run into the batch, or queue it until a slot is free."""
         if len(self._active_by_id) < self._slots:
             self._admit(run)
         else:
@@ -220,21 +220,21 @@
         )
 
     def cancel(self, run_id):
-        """Remove a run; return it, or ``None`` if the engine does not hold it."""
+        """Remove and return a run, or return ``None`` if the engine does not have it."""
         if run_id in self._waiting_by_id:
             return self._waiting_by_id.pop(run_id)
         return self._remove(run_id)
 
     def load(self) -> BatchLoad:
-        """Report the load of this moment."""
+        """Return the current load."""
         return BatchLoad(running=len(self._active_by_id), waiting=len(self._waiting_by_id), step_s=self._last_step_s)
 
     def straggle(self, factor):
-        """Make every step ``factor`` times as long from now on."""
+        """Multiply the duration of all later steps by ``factor``."""
         self._straggle = factor
 
     def clear(self):
-        """Forget every run and the cache, as a crash does."""
+        """Drop every run and clear the cache, as a crash does."""
         self._active_by_id.clear()
         self._waiting_by_id.clear()
         self.cache.clear()
@@ -242,7 +242,7 @@
     def _admit(self, run):
         total = run.prompt_tokens + run.resume_tokens
         held = self.cache.match(run.prefix_blocks) * TOKENS_PER_BLOCK
-        # The last token is always computed: without it the first step has nothing to start from.
+        # The last token to prefill is always computed: the first generated token depends on its output.
         run.cached_tokens = min(held, max(total - 1, 0))
         run.prefill_left = total - run.cached_tokens
         self._active_by_id[run.run_id] = run
--- a/wagtailtrestle/standins/engine.py
+++ b/wagtailtrestle/standins/engine.py
@@ -1,4 +1,4 @@
-"""The stand-in language engine: one process that batches continuously and speaks HTTP."""
+"""The stand-in language engine: one process with continuous batching, served over HTTP."""
 
 import json
 import os
@@ -38,12 +38,12 @@
 
 
 class EngineStandin:
-    """The process: settings in, HTTP out.
+    """Stand-in engine process: HTTP endpoints around the batching model.
 
     Parameters
     ----------
     settings : StandinSettings
-        With the names of ``ENGINE_DEFAULTS``.
+        Its names are those of ``ENGINE_DEFAULTS``.
     """
 
     def __init__(self, *, settings):
@@ -78,7 +78,7 @@
             )
 
     def start(self):
-        """Start stepping and serving."""
+        """Start the batching threads and the HTTP servers."""
         self._runs.start()
         self._load.start()
         self._serving.start()
@@ -86,13 +86,13 @@
             self._control.start()
 
     def close(self):
-        """Say that it leaves, finish every run, refuse new ones, then stop."""
+        """Report that the engine is draining, refuse new runs after the grace period, finish all others, and stop."""
         self.leave()
         time.sleep(self._settings["drain_grace_ms"] / 1000)
         self._orders.refusing = True
         self._runs.wait_idle(DRAIN_LIMIT_S)
-        # A request on its way is answered that it was refused. Were the port closed at once,
-        # its connection would be reset, and nobody could say whether it had run.
+        # Requests in transit still get a refusal. If the port were closed immediately, their
+        # connections would be reset, and the sender could not tell whether they had run.
         time.sleep(self._settings["drain_linger_ms"] / 1000)
         self._serving.close()
         if self._control is not None:
@@ -101,17 +101,17 @@
         self._runs.close()
 
     def leave(self):
-        """Mark the engine as leaving; it goes on with what it has."""
+        """Mark the engine as draining; its current runs continue."""
         self._orders.leaving = True
         self.record.note_leaving()
 
     def silence_open(self, *, spared=None):
-        """Let every open connection but one carry nothing more; new ones work."""
+        """Stop sending on every open connection except ``spared``; new connections work."""
         self._silent_connections.update(other for other in self._connections if other is not spared)
         self._runs.silence_open()
 
     def addresses(self) -> dict:
-        """Return where the process listens."""
+        """Return the addresses that the process listens on."""
         control = {} if self._control is None else {"control": f"{self._control.host}:{self._control.port}"}
         return {"name": self._settings["name"], "address": f"{self._serving.host}:{self._serving.port}", **control}
 
@@ -310,7 +310,7 @@
     # Crashes.
 
     def crash(self):
-        """Crash in the way of the fault ``crash_mode``."""
+        """Crash as the fault ``crash_mode`` says."""
         self.faults.crash_now = False
         if self.faults.crash_mode == "exit":
             os._exit(CRASH_STATUS)
@@ -319,7 +319,7 @@
         self._go_down(self.faults.down_s)
 
     def is_down(self):
-        """Whether it goes down, is down, or is about to listen again."""
+        """Return whether the server is going down, is down, or has yet to listen again."""
         return self._down is not None and self._down.is_alive()
 
     def _go_down(self, down_s):
--- a/wagtailtrestle/standins/faults.py
+++ b/wagtailtrestle/standins/faults.py
@@ -1,37 +1,37 @@
-"""Faults a stand-in can be told to show, set over its own HTTP."""
+"""Faults that a stand-in can inject, set with ``POST /faults``."""
 
 STREAM_KINDS = ("cut", "silent", "cross", "duplicate", "late", "gap")
 CRASH_MODES = ("emulate", "exit")
 
 
 class Faults:
-    """Faults in force; every field has the value of a healthy process by default.
+    """Active faults; the defaults are those of a healthy process.
 
     Parameters
     ----------
     poison_marker : str
-        A prompt that holds this text crashes the engine once its prefill is done.
+        A prompt that contains this text crashes the engine once its prefill is done.
     crash_mode : str
-        ``exit`` ends the process; ``emulate`` drops every connection, forgets every run
+        ``exit`` ends the process; ``emulate`` drops every connection and every run,
         and refuses connections for ``down_s``.
     down_s : float
-        Length of an emulated crash.
+        Duration of an emulated crash.
     straggle : float
-        Factor on the length of each step or service time.
+        Factor on the duration of each step, or on the service time.
     stream_kind : str
-        What the next ``stream_count`` answers suffer after ``stream_after_tokens`` tokens:
+        Fault of the next ``stream_count`` answers after ``stream_after_tokens`` tokens:
         ``cut``, ``silent`` (the connection stays open), ``cross`` (another run's id),
-        ``duplicate``, ``late`` (held back ``late_s``) or ``gap`` (a token left out).
+        ``duplicate``, ``late`` (delayed by ``late_s``) or ``gap`` (a token left out).
     silent_open : bool
-        Connections that were open when this was set carry nothing more; new ones work.
+        Nothing more is sent on connections that were open when this was set; new ones work.
     ignore_fencing : bool
-        Accept orders with an old fencing number.
+        Accept orders with an outdated fencing number.
     reject_status : int
         Answer the next ``reject_count`` requests with this HTTP status.
     crash_now : bool
-        Crash at once in the way of ``crash_mode``.
+        Crash immediately, as ``crash_mode`` says.
     refuse_connects_s : float
-        Drop every connection and listen no more for so long; runs go on.
+        Drop every connection and do not listen for this long; runs continue.
     """
 
     __slots__ = (
@@ -76,21 +76,21 @@
         return problems
 
     def take_stream_kind(self) -> str:
-        """Return what the answer that begins now shall suffer."""
+        """Return the stream fault of the answer that begins now, or an empty string; use up one of the count."""
         if self.stream_count <= 0:
             return ""
         self.stream_count -= 1
         return self.stream_kind
 
     def take_reject_status(self) -> int:
-        """Return the HTTP status to refuse the present request with, or 0."""
+        """Return the HTTP status to reject the current request with, or 0; use up one of the count."""
         if self.reject_count <= 0:
             return 0
         self.reject_count -= 1
         return self.reject_status
 
     def as_dict(self) -> dict:
-        """Return the faults in force as JSON holds them."""
+        """Return the active faults as a JSON-serializable dict."""
         return {name: getattr(self, name) for name in self.__slots__}
 
     def _problem(self, name, value) -> str:
--- a/wagtailtrestle/standins/http_serving.py
+++ b/wagtailtrestle/standins/http_serving.py
@@ -1,4 +1,4 @@
-"""HTTP plumbing the stand-ins share: JSON answers over cheroot, start, and stop on SIGTERM."""
+"""HTTP serving shared by the stand-ins: JSON answers with cheroot, start, and stop on SIGTERM."""
 
 import json
 import select
@@ -24,25 +24,25 @@
 POLL_S = 0.05
 SILENT_LIMIT_S = 120.0
 REBIND_LIMIT_S = 10.0
-# The library's own limit of ten would close connections that routers keep for their polls.
+# cheroot's default of 10 would close connections that routers keep open for polling.
 MAX_IDLE_CONNECTIONS = 512
 
 
 class StreamCutError(Exception):
-    """Breaks the connection in the middle of an answer; cheroot then closes it."""
+    """Raised to break off an answer; cheroot then closes the connection."""
 
 
 def break_connection(connection):
-    """End a connection without another byte, as a process that died would."""
+    """Shut a connection down without sending anything more, as when its process dies."""
     try:
         connection.socket.shutdown(socket.SHUT_RDWR)
     except OSError:
-        pass  # The other end was first.
+        pass  # The peer closed it first.
     raise StreamCutError
 
 
 def connection_closed(connection) -> bool:
-    """Tell whether the other end closed the connection."""
+    """Return whether the peer closed the connection."""
     readable, _, _ = select.select([connection.socket], [], [], 0)
     if not readable:
         return False
@@ -53,7 +53,7 @@
 
 
 def hold_silent(connection, stopping):
-    """Keep a connection open and say nothing until the other end gives up, or this one stops."""
+    """Keep a connection open without sending until the peer closes it or this server stops."""
     until = time.monotonic() + SILENT_LIMIT_S
     while time.monotonic() < until and not connection_closed(connection):
         if stopping.wait(POLL_S):
@@ -62,7 +62,7 @@
 
 
 def read_body(environ) -> bytes:
-    """Read the whole body of a request."""
+    """Read the complete body of a request."""
     length = environ.get("CONTENT_LENGTH")
     if length:
         return environ["wsgi.input"].read(int(length))
@@ -81,7 +81,7 @@
 
 
 def metrics_text(counts) -> bytes:
-    """Text exposition of a stand-in's numbers by name."""
+    """Return the numeric counts in the Prometheus text format."""
     metrics = Metrics(prefix="wagtailtrestle_standin")
     for name, value in counts.items():
         if isinstance(value, int | float):
@@ -90,26 +90,26 @@
 
 
 def metrics_answer(start_response, counts):
-    """Answer with a text exposition."""
+    """Answer with metrics in the Prometheus text format."""
     return bytes_answer(start_response, HTTPStatus.OK, metrics_text(counts), [("Content-Type", TEXT_TYPE)])
 
 
 def refuse_unstarted(start_response, run_id):
-    """Refuse a request, and say that it was not begun: whoever sent it may send it elsewhere."""
+    """Refuse a request and report that it was not started, so that the sender may send it to another upstream."""
     body = json.dumps({"error": {"message": "leaving: not started"}}).encode()
     headers = [("Content-Type", JSON_TYPE), ("X-Request-Id", run_id), (STARTED_HEADER, "no")]
     return bytes_answer(start_response, HTTPStatus.SERVICE_UNAVAILABLE, body, headers)
 
 
 def bytes_answer(start_response, status, body, headers):
-    """Answer with a whole body of known length."""
+    """Answer with a complete body and its Content-Length."""
     status = HTTPStatus(status)
     start_response(f"{status.value} {status.phrase}", [*headers, ("Content-Length", str(len(body)))])
     return [body]
 
 
 class _Gateway(wsgi.Gateway_10):
-    """Tells the application which connection a request came on."""
+    """Passes the connection of a request to the application."""
 
     def get_environ(self):
         """Return the WSGI environment with the connection added."""
@@ -157,7 +157,7 @@
             self._listen()
 
     def close(self):
-        """Stop accepting, let the requests in work end, and release the port."""
+        """Stop accepting, let requests in progress finish, and release the port."""
         self._closed.set()
         with self._lock:
             self._stop()
@@ -165,7 +165,7 @@
             self._reservation.close()
 
     def go_down(self, down_s):
-        """Drop every connection, refuse new ones for so long, then listen on the same port again."""
+        """Drop every connection, refuse new ones for ``down_s``, then listen on the same port again."""
         with self._lock:
             self._stop()
             if not self._closed.wait(down_s):
@@ -190,8 +190,8 @@
         self._thread.start()
 
     def _listen_again(self):
-        # The port was free to others while this was down, and may serve one of their
-        # connections for a moment.
+        # While the server was down, another process may have used the port for a short
+        # connection; retry until it is free.
         until = time.monotonic() + REBIND_LIMIT_S
         while True:
             try:
@@ -210,11 +210,11 @@
 
 
 def _discard(msg="", level=20, traceback=False):
-    """Drop cheroot's log lines: broken connections are what this stand-in is for."""
+    """Discard cheroot's log lines: stand-ins break connections on purpose."""
 
 
 def run_until_signal(standin):
-    """Start a stand-in, say where it listens, and close it on SIGTERM or SIGINT."""
+    """Start a stand-in, print its addresses, and close it on SIGTERM or SIGINT."""
     stop = threading.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         signal.signal(number, lambda *_: stop.set())
--- a/wagtailtrestle/standins/lagging.py
+++ b/wagtailtrestle/standins/lagging.py
@@ -1,4 +1,4 @@
-"""What the stand-in engine tells of itself late: its load and its cache events."""
+"""Delayed reports of the stand-in engine: its load and its cache events."""
 
 import threading
 import time
@@ -10,7 +10,7 @@
 
 
 class LaggingLoad:
-    """Samples the load and reports it ``lag_s`` late."""
+    """Samples the load and reports it with a delay of ``lag_s``."""
 
     __slots__ = ("_read", "_lag_s", "_samples", "_stop", "_thread")
 
@@ -47,7 +47,7 @@
 
 
 class CacheEventLog:
-    """Numbered cache events, told ``lag_s`` late; every ``gap_every``-th is lost (0: none)."""
+    """Numbered cache events, reported with a delay of ``lag_s``; every ``gap_every``-th is lost (0: none)."""
 
     __slots__ = ("_lag_s", "_gap_every", "_events", "_last_number", "_epoch", "_lock")
 
@@ -60,7 +60,7 @@
         self._lock = threading.Lock()
 
     def add(self, stored, removed):
-        """Number a change of the cache and keep it, unless it is to be lost."""
+        """Record a cache change under the next number, unless ``gap_every`` drops it."""
         with self._lock:
             self._last_number += 1
             if self._gap_every and self._last_number % self._gap_every == 0:
@@ -69,16 +69,16 @@
             self._events.append((time.monotonic(), event))
 
     def restart(self):
-        """Forget all events and number them anew, as a restarted process does."""
+        """Clear all events and start a new epoch at number 1, as a restarted process does."""
         with self._lock:
             self._events.clear()
             self._last_number = 0
             self._epoch = uuid.uuid4().hex
 
     def since(self, number) -> dict:
-        """Return the events from ``number`` on that are old enough, and the number to ask for next.
+        """Return the events from ``number`` on that are at least ``lag_s`` old, and the number to request next.
 
-        A number of an earlier epoch is not known here: all events of this one are returned.
+        A number above those of this epoch comes from an earlier epoch: all events of this epoch are returned.
         """
         before = time.monotonic() - self._lag_s
         with self._lock:
--- a/wagtailtrestle/standins/local_ports.py
+++ b/wagtailtrestle/standins/local_ports.py
@@ -6,24 +6,24 @@
 HOST = "127.0.0.1"
 FIRST_PORT = 12_000
 LAST_PORT = 31_999
-"""Below the ports that the kernel gives to outgoing connections. A port picked from those and released
-may be taken by any connection before its process listens, which then ends as its address is in use."""
+"""The range lies below the kernel's ephemeral ports. An ephemeral port that was picked and released may be
+used by any outgoing connection before its process listens, which then fails with "address in use"."""
 MAX_TRIES = 1000
 
 
 class PortReservation:
-    """Ports that nobody else draws until this is closed, while the processes they are for listen on them.
+    """Reserves ports for processes of a deployment until it is closed.
 
-    A process listens up to seconds after its port was drawn. Only looked at and let go of, the port could be
-    drawn meanwhile for another process of the deployment, or of one started beside it: the later one of the
-    two then ended as its address was in use, and who asked it for its state read the other's. Each port is
-    therefore kept bound here. A bound port that nobody listens on refuses connections like a free one, and a
-    process that allows the reuse of its address, as servers do, listens on it as if it were free.
+    A process may start to listen seconds after its port was picked. If the port were only probed and released,
+    it could meanwhile be picked for another process of this deployment or of one started in parallel: the
+    second process then failed with "address in use", and a request for its state reached the first. Each port
+    therefore stays bound here. A bound port without a listener refuses connections like a free one, and a
+    process that sets SO_REUSEADDR, as servers do, can listen on it.
 
     Parameters
     ----------
     sockets : sequence of socket.socket
-        Bound, one for each port.
+        One bound socket for each port.
 
     Attributes
     ----------
@@ -38,18 +38,18 @@
         self.ports = sorted(bound.getsockname()[1] for bound in sockets)
 
     def close(self):
-        """Let others draw these ports."""
+        """Release the ports."""
         for bound in self._sockets:
             bound.close()
 
 
 def reserve_ports(count) -> PortReservation:
-    """Reserve ports that are free at this moment, all different.
+    """Reserve ``count`` different ports that are free now.
 
     Raises
     ------
     OSError
-        If so many can't be found.
+        If not enough free ports are found.
     """
     sockets = []
     for _ in range(MAX_TRIES):
@@ -69,6 +69,6 @@
     except OSError:
         bound.close()
         return None
-    # Only now: set before, it would let two reservations bind the same port.
+    # Set after bind: set before it, SO_REUSEADDR would let two reservations bind the same port.
     bound.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     return bound
--- a/wagtailtrestle/standins/object_table.py
+++ b/wagtailtrestle/standins/object_table.py
@@ -1,4 +1,4 @@
-"""Pure core of the platform stand-in: versioned objects, conditional updates, lagging VMs.
+"""Core of the platform stand-in without I/O: versioned objects, conditional updates, a lagging VM list.
 
 No sockets, no threads, no clock: callers pass the time in seconds. Outcomes are those
 of :mod:`wagtailtrestle.contracts.outcomes`.
@@ -11,9 +11,9 @@
 
 
 class ObjectTable:
-    """Every object by kind and name; versions are one count over the whole table.
+    """All objects by kind and name, with one version counter for the whole table.
 
-    A deleted object stays as a version with value ``None`` so that watches tell of it.
+    A deleted object stays as a version with value ``None``, so that watches report the deletion.
 
     Attributes
     ----------
@@ -36,14 +36,14 @@
         self._vm_lists = [(float("-inf"), 0, [])]
 
     def get(self, *, kind, name, stale_versions=0):
-        """Read an object, or its value ``stale_versions`` writes ago."""
+        """Read an object, as it was ``stale_versions`` writes ago."""
         version, value = self._at(kind, name, stale_versions)
         if value is None:
             return StoreAbsent()
         return StoreDone(version=version, value=value)
 
     def list(self, *, kind, stale_versions=0):
-        """Read a kind: ``value`` maps name to ``(version, value)``."""
+        """List the objects of a kind: ``value`` maps each name to ``(version, value)``."""
         by_name = {}
         for name in self._versions_by_kind.get(kind, {}):
             version, value = self._at(kind, name, stale_versions)
@@ -52,14 +52,14 @@
         return StoreDone(version=self.revision, value=by_name)
 
     def create(self, *, kind, name, value, hide=False):
-        """Create an object that must not exist; ``hide`` drops its watch event."""
+        """Create an object unless it exists; ``hide`` drops the watch event."""
         version, present = self._at(kind, name)
         if present is not None:
             return StoreConflict(version=version)
         return self._write(kind, name, value, hide)
 
     def update(self, *, kind, name, value, if_version, hide=False):
-        """Replace an object that must be at ``if_version``."""
+        """Replace an object if its version is ``if_version``."""
         version, present = self._at(kind, name)
         if present is None:
             return StoreAbsent()
@@ -68,11 +68,11 @@
         return self._write(kind, name, value, hide)
 
     def delete(self, *, kind, name, if_version, hide=False):
-        """Delete an object that must be at ``if_version``."""
+        """Delete an object if its version is ``if_version``."""
         return self.update(kind=kind, name=name, value=None, if_version=if_version, hide=hide)
 
     def changes(self, *, kind, from_version):
-        """Newest state of every object of ``kind`` changed after ``from_version``.
+        """Return the newest state of every object of ``kind`` that changed after ``from_version``.
 
         ``value`` is a tuple of ``(name, version, value)``, oldest change first; a
         deleted object has value ``None``.
@@ -87,7 +87,7 @@
         return StoreDone(version=newest, value=tuple(changed))
 
     def set_vms(self, *, vms, now):
-        """Replace the true list of VMs."""
+        """Replace the current list of VMs."""
         version = self._vm_lists[-1][1] + 1
         self._vm_lists.append((now, version, vms))
         del self._vm_lists[:-KEPT_VM_LISTS]
@@ -99,7 +99,7 @@
         return StoreDone(version=version, value=vms)
 
     def objects_by_kind(self):
-        """Count of present objects by kind, for the state dump."""
+        """Count the existing objects by kind, for the state dump."""
         return {kind: len(self.list(kind=kind).value) for kind in sorted(self._versions_by_kind)}
 
     def _at(self, kind, name, stale_versions=0):
--- a/wagtailtrestle/standins/orders.py
+++ b/wagtailtrestle/standins/orders.py
@@ -1,4 +1,4 @@
-"""Orders the stand-in engine takes, with or without a check of their fencing numbers."""
+"""Orders to the stand-in engine, with an optional check of their fencing numbers."""
 
 import threading
 
@@ -7,15 +7,15 @@
 
 
 class Orders:
-    """Orders taken so far, and whether the engine is leaving.
+    """Orders accepted so far, and whether the engine is draining.
 
-    A leaving engine still admits what it is sent: keeping work away is the senders' duty,
-    and the record shows whether they do. Only one about to stop refuses.
+    A draining engine still admits runs: the senders have to stop sending, and the run record
+    shows whether they do. It refuses runs only when it is about to stop.
 
     Parameters
     ----------
     checks_fencing : bool
-        Refuse an order whose fencing number is lower than one already seen.
+        Refuse an order whose fencing number is lower than the highest seen.
     """
 
     __slots__ = ("leaving", "refusing", "_checks_fencing", "_highest", "_taken", "_lock")
@@ -29,7 +29,7 @@
         self._lock = threading.Lock()
 
     def take(self, order, *, ignore_fencing):
-        """Take or refuse an order: HTTP status and answer."""
+        """Apply or refuse an order; return the HTTP status and the answer."""
         fencing = order.get("fencing")
         kind = order.get("order")
         if not isinstance(fencing, int) or not isinstance(kind, str):
@@ -44,6 +44,6 @@
         return 200, {"highest": self._highest}
 
     def as_dict(self) -> dict:
-        """Return what was taken, for a dump."""
+        """Return the accepted orders, for the state dump."""
         with self._lock:
             return {"leaving": self.leaving, "highest": self._highest, "taken": list(self._taken)}
--- a/wagtailtrestle/standins/platform.py
+++ b/wagtailtrestle/standins/platform.py
@@ -37,7 +37,7 @@
 from wagtailtrestle.standins.platform_settings import USAGE_STATUS, check_vms, load_platform_settings
 
 MAX_VALUE_BYTES = 1024 * 1024
-# Larger bodies are read whole, so that the client gets its 413 and not a reset.
+# Bodies above MAX_VALUE_BYTES are still read completely, so that the client gets a 413 instead of a reset.
 MAX_BODY_BYTES = 16 * MAX_VALUE_BYTES
 MAX_WATCH_S = 60.0
 KEEP_ALIVE_CONNECTIONS = 2048
@@ -47,7 +47,7 @@
 
 
 class CallCounts:
-    """Calls by kind since the start; ``watches`` counts each waiting watch as one call."""
+    """Calls by kind since the start; a long-polling watch counts as one call."""
 
     __slots__ = ("reads", "writes", "watches", "refused")
 
@@ -67,7 +67,7 @@
 
 
 class _Gateway(wsgi.Gateway_10):
-    """Tells the application which connection a request came over."""
+    """Passes the connection of a request to the application."""
 
     def get_environ(self):
         environ = super().get_environ()
@@ -76,7 +76,7 @@
 
 
 class PlatformStandIn:
-    """The HTTP server around one :class:`ObjectTable`.
+    """HTTP server around one :class:`ObjectTable`.
 
     Parameters
     ----------
@@ -100,16 +100,16 @@
 
     @property
     def address(self):
-        """``host:port`` actually listened on."""
+        """``host:port`` that the server listens on."""
         host, port = self._server.bind_addr[:2]
         return f"{host}:{port}"
 
     def addresses(self):
-        """Return where the process listens, for its announcement."""
+        """Return the address of the process, printed when it starts."""
         return {"process": "platform", "name": self.settings.name, "address": self.address}
 
     def start(self):
-        """Listen and serve on threads of its own."""
+        """Listen and serve in background threads."""
         self._server = wsgi.Server(
             (self.settings.host, self.settings.port),
             self._application,
@@ -155,7 +155,7 @@
             return self._answer_admin(method, path, body)
         self._show_faults(connection)
         answer = self._refuse() or self._answer_object(method, path, query, body, environ)
-        # The connection of a waiting watch may have gone silent meanwhile.
+        # The connection may have been silenced while a watch was waiting.
         self._stay_silent(connection)
         return answer
 
@@ -261,7 +261,7 @@
             self._changed.notify_all()
         if is_lost:
             raise _connection_lost()
-        # The writer knows its value: only the version goes back.
+        # The writer knows the value, so only the version is returned.
         return answer_outcome(outcome, with_value=False)
 
     def _write_table(self, method, kind, name, value, if_version):
@@ -316,9 +316,9 @@
             self._silent_connections.clear()
             if faults.silent == SILENT_OPEN:
                 self._silent_connections.update(self._connections)
-            # An outage ends waiting watches too.
+            # Wakes waiting watches, which an outage ends.
             self._changed.notify_all()
-        # Wakes threads that were silent, so that a cleared fault holds no thread.
+        # Wakes threads that hold silent connections, so that they continue once the fault is cleared.
         self._faults_set.set()
         self._faults_set.clear()
         return Answer(status=HTTPStatus.OK, body=faults.dump())
@@ -333,7 +333,7 @@
 
 
 def _unless_known(outcome, known_tag):
-    """Answer a read; without the value if the client has this version already."""
+    """Answer a read, or with 304 if the client already has this version."""
     if isinstance(outcome, StoreDone) and known_tag == entity_tag(outcome.version):
         return Answer(status=HTTPStatus.NOT_MODIFIED, version=outcome.version)
     return answer_outcome(outcome)
@@ -347,7 +347,7 @@
 
 
 def _connection_lost():
-    # The server ignores a reset silently and closes the connection, which is what we want.
+    # cheroot ignores a connection reset without logging it and closes the connection.
     return ConnectionLost(errno.ECONNRESET, "closed without an answer")
 
 
--- a/wagtailtrestle/standins/platform_answers.py
+++ b/wagtailtrestle/standins/platform_answers.py
@@ -1,4 +1,4 @@
-"""Answers of the platform stand-in: outcomes of the object table as HTTP."""
+"""HTTP answers of the platform stand-in, made from outcomes of the object table."""
 
 import gzip
 import json
@@ -10,7 +10,7 @@
 
 
 class Answer:
-    """One HTTP answer: a status, a JSON body and an entity tag if it has a version."""
+    """HTTP answer: a status, a JSON body, and an entity tag if it has a version."""
 
     __slots__ = ("status", "body", "version")
 
@@ -21,7 +21,7 @@
 
 
 def answer_outcome(outcome, *, with_value=True):
-    """Turn an outcome into an answer; a writer knows its value and needs only the version."""
+    """Convert an outcome to an answer; a write is answered with the version only."""
     match outcome:
         case StoreDone(version=version, value=value):
             body = {"version": version, "value": value} if with_value else {"version": version}
@@ -34,7 +34,7 @@
 
 
 def bad_request(*problems):
-    """Refuse a request that can't be understood."""
+    """Return a 400 answer that lists the problems."""
     return Answer(status=HTTPStatus.BAD_REQUEST, body={"applied": False, "error": "; ".join(problems)})
 
 
@@ -44,7 +44,7 @@
 
 
 def send(answer, environ, start_response):
-    """Send an answer as WSGI does; a large body is compressed if the client takes that."""
+    """Send an answer over WSGI; a large body is compressed if the client accepts gzip."""
     headers = []
     body = b""
     if answer.version is not None:
--- a/wagtailtrestle/standins/platform_faults.py
+++ b/wagtailtrestle/standins/platform_faults.py
@@ -1,4 +1,4 @@
-"""Faults that the platform stand-in can be made to show, as set by ``POST /faults``."""
+"""Faults that the platform stand-in can inject, set with ``POST /faults``."""
 
 from wagtailtrestle.contracts.outcomes import StoreUnavailable
 
@@ -12,26 +12,26 @@
 
 
 class PlatformFaults:
-    """What is wrong with the platform at present.
+    """Active faults of the platform.
 
     Parameters
     ----------
     down : str
-        ``"unavailable"``: every call gets 503, certainly not applied; ``"cut"``: the
+        ``"unavailable"``: every call gets 503 and is not applied; ``"cut"``: the
         connection is closed without an answer, nothing is applied; ``""``: up.
     slow_s : float
-        Every call takes this long before it takes effect.
+        Delay of every call before it takes effect.
     lose_answers : int
-        So many next writes take effect and get no answer; -1 for all.
+        Number of next writes that take effect but get no answer; -1 for all.
     drop_watch_events : bool
-        Writes made now are never told to any watch.
+        Writes made while this is set are never reported to a watch.
     silent : str
-        ``"open"``: connections open at this moment never answer again while new ones
+        ``"open"``: connections that are open now never answer again, while new ones
         work; ``"all"``: every connection is silent until this is cleared.
     stale_versions : int
-        Reads give the value of so many writes ago.
+        Reads return the value from this number of writes ago.
     rate_limit_per_s : int
-        Calls above this rate get 429, certainly not applied; 0 for no limit.
+        Calls above this rate get 429 and are not applied; 0 for no limit.
     """
 
     __slots__ = (
@@ -68,7 +68,7 @@
         return {name: getattr(self, name) for name in self.__slots__}
 
     def take_lost_answer(self):
-        """Tell whether the answer to the write that just took effect is to be lost."""
+        """Return whether to drop the answer to the write that just took effect; use up one of the count."""
         if self.lose_answers > 0:
             self.lose_answers -= 1
             return True
@@ -87,12 +87,12 @@
 
 
 def parse_faults(fields):
-    """Build faults from a JSON object; fields left out are off.
+    """Parse faults from a JSON object; missing fields keep their defaults.
 
     Returns
     -------
     PlatformFaults or list of str
-        Every problem at once if there is any.
+        All problems, if there are any.
     """
     if not isinstance(fields, dict):
         return ["faults: must be an object"]
@@ -108,13 +108,7 @@
 
 
 class RateLimit:
-    """Counts calls in windows of one second.
-
-    Parameters
-    ----------
-    limit_per_s : int
-        0 for no limit.
-    """
+    """Rate limit over fixed windows of one second."""
 
     __slots__ = ("_window", "_calls")
 
@@ -123,7 +117,7 @@
         self._calls = 0
 
     def refuse(self, *, limit_per_s, now):
-        """Count one call; a ``StoreUnavailable`` if it is above the limit, else ``None``."""
+        """Count one call; return ``StoreUnavailable`` if it is above ``limit_per_s`` (0: no limit), else ``None``."""
         if int(now) != self._window:
             self._window = int(now)
             self._calls = 0
--- a/wagtailtrestle/standins/platform_settings.py
+++ b/wagtailtrestle/standins/platform_settings.py
@@ -1,4 +1,4 @@
-"""Checked settings of the platform stand-in."""
+"""Validated settings of the platform stand-in."""
 
 import yaml
 
@@ -20,11 +20,11 @@
         0 for any free port.
     name : str
     threads : int
-        Each waiting watch and each silent connection holds one.
+        Each waiting watch and each silent connection occupies one.
     vm_list_lag_s : float
-        The list of VMs is told as it was so long ago.
+        Delay of the list of VMs.
     vms : list of dict
-        Entries of the list of VMs at the start.
+        Initial list of VMs.
     """
 
     __slots__ = ("host", "port", "name", "threads", "vm_list_lag_s", "vms")
@@ -48,12 +48,12 @@
 
 
 def load_platform_settings(path):
-    """Read and check a settings file.
+    """Read and validate a settings file.
 
     Returns
     -------
     PlatformSettings or list of str
-        Every problem at once if there is any.
+        All problems, if there are any.
     """
     try:
         with open(path, encoding="utf-8") as file:
@@ -64,7 +64,7 @@
 
 
 def parse_platform_settings(fields):
-    """Check the settings as read from YAML; see :func:`load_platform_settings`."""
+    """Validate settings parsed from YAML; see :func:`load_platform_settings`."""
     if not isinstance(fields, dict):
         return ["settings: must be a mapping"]
     allowed = ("listen", "name", "threads", "vm_list_lag_s", "vms")
@@ -85,7 +85,7 @@
 
 
 def check_vms(vms):
-    """Return every problem of a list of VMs, as strings."""
+    """Return the problems of a list of VMs, as strings."""
     if not isinstance(vms, list):
         return ["vms: must be a list"]
     problems = []
--- a/wagtailtrestle/standins/prompts.py
+++ b/wagtailtrestle/standins/prompts.py
@@ -1,4 +1,4 @@
-"""How the stand-in engine reads a prompt: its text, its tokens, its prefix blocks, its answer."""
+"""Prompts in the stand-in engine: text, token count, prefix blocks, and the text of the answer."""
 
 import hashlib
 
@@ -10,7 +10,7 @@
 
 
 def prompt_text(body) -> str:
-    """Join the text of a chat's messages, or of a completion's prompt."""
+    """Return the joined text of a chat's messages, or of a completion's prompt."""
     if "messages" in body:
         return "".join(_content_text(message.get("content")) for message in body["messages"])
     prompt = body.get("prompt", "")
@@ -42,20 +42,20 @@
 
 
 def answer_key(text) -> str:
-    """Short digest of a prompt, part of every token of its answer."""
+    """Return a short digest of a prompt, which is part of every token of its answer."""
     return hashlib.sha256(text.encode()).hexdigest()[:DIGEST_CHARACTERS]
 
 
 def token_text(key, index) -> str:
-    """Text of the token at ``index`` (from 1) of the answer to the prompt with this key.
+    """Return the text of the token at ``index`` (from 1) of the answer to the prompt with this key.
 
-    The same prompt gives the same answer on every engine, so a test can tell whether a
-    caller got its own answer, whole, even when a second engine wrote its end.
+    The same prompt gives the same answer on every engine, so a test can check that a
+    caller got its own, complete answer, even if a second engine generated the last part.
     """
     return f"{key}.{index} "
 
 
 def whole_answer(text, output_tokens) -> str:
-    """Text of the whole answer to a prompt."""
+    """Return the text of the complete answer to a prompt."""
     key = answer_key(text)
     return "".join(token_text(key, index) for index in range(1, output_tokens + 1))
--- a/wagtailtrestle/standins/record.py
+++ b/wagtailtrestle/standins/record.py
@@ -1,18 +1,18 @@
-"""The engine's own record of what truly ran, kept through an emulated crash."""
+"""Record of the runs that a stand-in really executed, kept across emulated crashes."""
 
 import threading
 import time
 
 
 class RunRecord:
-    """What one run came to on this engine.
+    """Executions and results of one run on this stand-in.
 
     Attributes
     ----------
     starts, finished, cancelled : int
         A run that is neither finished nor cancelled is active, or was lost in a crash.
     resends : int
-        Times the run's id was sent again and refused, since it was known.
+        Times the run's id was sent again and refused as already known.
     prefill_tokens, cached_tokens, output_tokens : int
     """
 
@@ -38,7 +38,7 @@
         self.resends = 0
 
     def as_dict(self) -> dict:
-        """Return the record as JSON holds it."""
+        """Return the record as a JSON-serializable dict."""
         return {name: getattr(self, name) for name in self.__slots__}
 
 
@@ -46,7 +46,7 @@
 
 
 class Record:
-    """Records of runs by run id, shared by the threads of a stand-in."""
+    """Run records by run id, shared by the threads of a stand-in."""
 
     __slots__ = ("_by_run_id", "_leaving_at", "_starts_after_leaving", "_last_start_after_s", "_lock")
 
@@ -58,7 +58,7 @@
         self._lock = threading.Lock()
 
     def started(self, *, run_id, caller_request_id):
-        """Count a start; a second one under the same id is a repeated dispatch."""
+        """Count a start; a second start under the same id is a repeated dispatch."""
         with self._lock:
             record = self._by_run_id.get(run_id)
             if record is None:
@@ -69,28 +69,28 @@
                 self._last_start_after_s = time.monotonic() - self._leaving_at
 
     def note_leaving(self):
-        """Count starts from now on as starts on a leaving engine."""
+        """Mark the engine as draining; later starts count as ``starts_after_leaving``."""
         with self._lock:
             if self._leaving_at is None:
                 self._leaving_at = time.monotonic()
 
     def sent_again(self, *, run_id):
-        """Count a dispatch that was refused because its run is known."""
+        """Count a dispatch that was refused because the run is already known."""
         with self._lock:
             self._by_run_id[run_id].resends += 1
 
     def finished(self, *, run_id):
-        """Count an end with a whole answer."""
+        """Count a run that ended with a complete answer."""
         with self._lock:
             self._by_run_id[run_id].finished += 1
 
     def cancelled(self, *, run_id):
-        """Count an end by cancellation."""
+        """Count a run that was cancelled."""
         with self._lock:
             self._by_run_id[run_id].cancelled += 1
 
     def computed(self, *, run_id, prefill_tokens, cached_tokens, output_tokens):
-        """Set the work done for a run so far."""
+        """Set the tokens processed so far for a run."""
         with self._lock:
             record = self._by_run_id[run_id]
             record.prefill_tokens = prefill_tokens
--- a/wagtailtrestle/standins/runs.py
+++ b/wagtailtrestle/standins/runs.py
@@ -1,4 +1,4 @@
-"""Runs in the stand-in engine: the thread that steps the batch, and those who read its tokens."""
+"""Runs in the stand-in engine: the thread that steps the batch, and the readers of its tokens."""
 
 import queue
 import threading
@@ -17,7 +17,7 @@
 
 
 class LiveRun:
-    """A run the engine knows, ended ones included for a while so that callers can attach.
+    """A run known to the engine; an ended run is kept for ``RETAIN_ENDED_S``, so that routers can attach to it.
 
     Parameters
     ----------
@@ -25,9 +25,9 @@
     answer_key : str
         See :func:`wagtailtrestle.standins.prompts.token_text`.
     chat : bool
-        Whether it answers as a chat completion.
+        Whether the answer is a chat completion.
     most_output_tokens : int
-        The caller's cap.
+        Output limit set by the caller.
     poisoned : bool
         Whether its first token crashes the engine.
     batch_run : BatchRun
@@ -35,7 +35,7 @@
     Attributes
     ----------
     last_index : int
-        Index of the last token that was given out; the model is a step ahead.
+        Index of the last token published to readers; the batching model is one step ahead.
     """
 
     __slots__ = (
@@ -64,14 +64,14 @@
         self.changed_at = time.monotonic()
 
     def finish_reason(self) -> str:
-        """Why the answer ended, in the word chat clients know."""
+        """Return ``finish_reason`` as chat clients expect it."""
         if self.state == CANCELLED:
             return CANCELLED
         return "length" if self.last_index >= self.most_output_tokens else "stop"
 
 
 class Reader:
-    """One connection that follows a run: the queue holds the newest index after each step."""
+    """One connection that follows a run; after each step the newest token index is queued."""
 
     __slots__ = ("indices", "silent", "cut")
 
@@ -82,18 +82,18 @@
 
 
 class EngineRuns:
-    """Owns the batching model and steps it in real time.
+    """Owns the batching model and runs its steps in real time.
 
     Parameters
     ----------
     engine : BatchingEngine
     record : Record
     on_poison : callable
-        Called from the stepping thread when a poisoned run gives its first token.
+        Called from the stepping thread when a poisoned run generates its first token.
     on_cache_change : callable
         Called with the lists of blocks added and removed.
     orphan_grace_s : float
-        A run that nobody has followed for so long is cancelled; 0 keeps it.
+        A run without readers for this long is cancelled; 0 disables this.
     """
 
     def __init__(self, *, engine, record, on_poison, on_cache_change, orphan_grace_s):
@@ -111,7 +111,7 @@
         self._threads = ()
 
     def start(self):
-        """Start the stepping thread and the one that looks for orphans."""
+        """Start the stepping thread and the thread that cancels orphaned runs."""
         self._threads = (
             threading.Thread(target=self._step_forever, name="steps", daemon=True),
             threading.Thread(target=self._cancel_orphans_forever, name="orphans", daemon=True),
@@ -120,7 +120,7 @@
             thread.start()
 
     def close(self):
-        """End both threads; runs still active are lost."""
+        """Stop both threads; active runs are lost."""
         with self._lock:
             self._closing = True
             self._work.notify_all()
@@ -130,7 +130,7 @@
         self.forget_all()
 
     def submit(self, run, *, caller_request_id) -> Reader | None:
-        """Admit a run and follow it; ``None`` if its id is already in use."""
+        """Submit a run and return its reader, or ``None`` if the run id is already known."""
         reader = Reader()
         with self._lock:
             if run.run_id in self._run_by_id:
@@ -144,7 +144,7 @@
         return reader
 
     def attach(self, run_id):
-        """Follow a known run from the start of what it has: ``(run, reader)`` or ``(None, None)``."""
+        """Follow a known run from its first token: return ``(run, reader)``, or ``(None, None)`` if it is not known."""
         with self._lock:
             run = self._run_by_id.get(run_id)
             if run is None:
@@ -165,7 +165,7 @@
             run.changed_at = time.monotonic()
 
     def cancel(self, run_id):
-        """Cancel a run: its state before, and the tokens it had generated."""
+        """Cancel a run if it is active; return its state and the number of tokens it generated."""
         with self._lock:
             run = self._run_by_id.get(run_id)
             if run is None:
@@ -177,7 +177,7 @@
             return run.state, run.last_index - run.batch_run.resume_tokens
 
     def forget_all(self):
-        """Lose every run, as a crash does; whoever follows one is cut off."""
+        """Drop every run and cut its readers off, as a crash does."""
         with self._lock:
             self._engine.clear()
             for run in self._run_by_id.values():
@@ -190,14 +190,14 @@
             self._idle.notify_all()
 
     def silence_open(self):
-        """Let every connection that follows a run now carry nothing more."""
+        """Stop sending on every connection that follows a run now."""
         with self._lock:
             for run in self._run_by_id.values():
                 for reader in run.readers:
                     reader.silent.set()
 
     def cut_open(self):
-        """Break every connection that follows a run now; the runs go on."""
+        """Break every connection that follows a run now; the runs continue."""
         with self._lock:
             for run in self._run_by_id.values():
                 self._cut_readers(run)
@@ -208,28 +208,28 @@
             return self._idle.wait_for(lambda: self._closing or not self._unended(), timeout_s)
 
     def load(self):
-        """Return the load of this moment."""
+        """Return the current load."""
         with self._lock:
             return self._engine.load()
 
     def straggle(self, factor):
-        """Slow every step by a factor."""
+        """Multiply the duration of every step by ``factor``."""
         with self._lock:
             self._engine.straggle(factor)
 
     def batch_run(self, run_id):
-        """Return the known run's batch run, or ``None``."""
+        """Return the batch run of a known run, or ``None``."""
         with self._lock:
             run = self._run_by_id.get(run_id)
             return None if run is None else run.batch_run
 
     def import_blocks(self, blocks):
-        """Hold these blocks in the cache."""
+        """Add these blocks to the prefix cache."""
         with self._lock:
             self._engine.cache.put(blocks)
 
     def as_dict(self) -> dict:
-        """Return the runs known, for a dump."""
+        """Return the known runs, for the state dump."""
         with self._lock:
             return {
                 run.run_id: {
@@ -241,7 +241,7 @@
             }
 
     def _unended(self) -> bool:
-        # The model drops a run when its last step begins; its last token is given out later.
+        # The model removes a run when its last step begins; the last token is published at the end of that step.
         return any(run.state == ACTIVE for run in self._run_by_id.values())
 
     def _cut_readers(self, run):
@@ -262,8 +262,8 @@
                 if self._closing:
                     return
                 result = self._engine.step()
-            # A step begins where the last one ended, so that a late wake-up of this thread
-            # doesn't slow the modelled engine; after a pause it begins now.
+            # A step begins when the previous one ended by the model's time, so that a late wake-up
+            # of this thread does not slow the modelled engine; after a pause it begins now.
             ends_at = max(ends_at, time.monotonic() - MAX_LATE_S) + result.duration_s
             time.sleep(max(ends_at - time.monotonic(), 0.0))
             if self._publish(result):
@@ -316,8 +316,8 @@
         self._idle.notify_all()
 
     def _cancel_orphans_forever(self):
-        # A router that died leaves its runs behind; unless somebody attaches in time they
-        # would hold slots for answers that nobody waits for.
+        # The runs of a router that died would occupy slots for answers that no caller waits for,
+        # so they are cancelled unless another router attaches within the grace period.
         while not self._closing:
             time.sleep(ORPHAN_CHECK_S)
             if not self._orphan_grace_s:
--- a/wagtailtrestle/standins/service.py
+++ b/wagtailtrestle/standins/service.py
@@ -1,4 +1,4 @@
-"""The stand-in plain service: fixed service time, bounded concurrency, a record of what ran."""
+"""The stand-in plain service: fixed service time, bounded concurrency, a record of executed requests."""
 
 import hashlib
 import json
@@ -29,12 +29,12 @@
 
 
 class ServiceStandin:
-    """Answers any method and path; counts what ran by run id and by the caller's request id.
+    """Answers any method and path; counts executions by run id and by the caller's request id.
 
     Parameters
     ----------
     settings : StandinSettings
-        With the names of ``SERVICE_DEFAULTS``.
+        Its names are those of ``SERVICE_DEFAULTS``.
     """
 
     def __init__(self, *, settings):
@@ -64,23 +64,23 @@
             self._control.start()
 
     def close(self):
-        """Let the requests in work end, then stop."""
+        """Report that the service is draining, let requests in progress finish, then stop."""
         self._leaving = True
         self.record.note_leaving()
         time.sleep(self._settings["drain_grace_ms"] / 1000)
         self._refusing = True
-        # As the engine does: whoever still sends is answered, rather than cut off.
+        # As in the engine: late requests get a refusal instead of a reset connection.
         time.sleep(self._settings["drain_linger_ms"] / 1000)
         self._serving.close()
         if self._control is not None:
             self._control.close()
 
     def silence_open(self, *, spared=None):
-        """Let every open connection but one carry nothing more; new ones work."""
+        """Stop sending on every open connection except ``spared``; new connections work."""
         self._silent_connections.update(other for other in self._connections if other is not spared)
 
     def addresses(self) -> dict:
-        """Return where the process listens."""
+        """Return the addresses that the process listens on."""
         control = {} if self._control is None else {"control": f"{self._control.host}:{self._control.port}"}
         return {"name": self._settings["name"], "address": f"{self._serving.host}:{self._serving.port}", **control}
 
@@ -143,7 +143,7 @@
         return self._answer(environ, start_response, run_id, body)
 
     def _work(self, run_id, caller_request_id, body) -> bool:
-        """Do the work of one request; ``False`` if a crash came in between."""
+        """Execute one request; return ``False`` if the service crashed meanwhile."""
         crashes = self._crashes
         with self._counts_lock:
             self._waiting += 1
@@ -198,7 +198,7 @@
         return json_answer(start_response, 200, self.faults.as_dict())
 
     def crash(self):
-        """Crash in the way of the fault ``crash_mode``."""
+        """Crash as the fault ``crash_mode`` says."""
         if self.faults.crash_mode == "exit":
             os._exit(CRASH_STATUS)
         self._crashes += 1
--- a/wagtailtrestle/standins/standin_settings.py
+++ b/wagtailtrestle/standins/standin_settings.py
@@ -1,4 +1,4 @@
-"""Checked settings of the stand-in engine and the stand-in service."""
+"""Validated settings of the stand-in engine and the stand-in service."""
 
 import sys
 
@@ -40,7 +40,7 @@
 
 
 class StandinSettings:
-    """Settings by name, each checked against the kind of its default."""
+    """Settings by name, each validated against the type of its default."""
 
     __slots__ = ("_by_name",)
 
@@ -51,12 +51,12 @@
         return self._by_name[name]
 
     def as_dict(self) -> dict:
-        """Return the settings as they are in force."""
+        """Return the effective settings."""
         return dict(self._by_name)
 
 
 def settings_problems(values, defaults) -> list:
-    """Return everything wrong with the values of a settings file, one sentence each."""
+    """Return all problems of the values of a settings file, one message each."""
     if not isinstance(values, dict):
         return ["the file must hold a mapping of settings"]
     return [problem for name, value in values.items() if (problem := _problem(name, value, defaults))]
@@ -83,7 +83,7 @@
 
 
 def load_settings(path, defaults) -> StandinSettings:
-    """Read a settings file; on any fault print all of them and exit with status 2."""
+    """Read a settings file; if it has problems, print all of them and exit with status 2."""
     try:
         with open(path, encoding="utf-8") as file:
             values = yaml.safe_load(file) or {}
--- a/wagtailtrestle/standins/streaming.py
+++ b/wagtailtrestle/standins/streaming.py
@@ -1,4 +1,4 @@
-"""The answers of the stand-in engine as bytes: server-sent events or one JSON body, with faults."""
+"""Encodes answers of the stand-in engine as server-sent events or one JSON body, with injected faults."""
 
 import json
 import queue
@@ -14,7 +14,7 @@
 
 
 class EventText:
-    """Writes the events of one run."""
+    """Encodes the server-sent events of one run."""
 
     __slots__ = ("_run", "_answer_key", "_head", "_tail")
 
@@ -26,7 +26,7 @@
         self._tail = ',"finish_reason":null}]'
 
     def token(self, index) -> bytes:
-        """Write one token's event; the first one tells the use of the cache."""
+        """Return the event of one token; the first one includes the usage, with the cached tokens."""
         text = json.dumps(token_text(self._answer_key, index))
         part = f'"delta":{{"content":{text}}}' if self._run.chat else f'"text":{text}'
         batch = self._run.batch_run
@@ -34,11 +34,11 @@
         return f"id: {index}\n{self._head}{part}{self._tail}{usage}}}\n\n".encode()
 
     def tokens(self, first, last) -> bytes:
-        """Write the events of the tokens from ``first`` to ``last``."""
+        """Return the events of the tokens from ``first`` to ``last``."""
         return b"".join(self.token(index) for index in range(first, last + 1))
 
     def end(self) -> bytes:
-        """Write the last chunk and the end mark; a cancelled run has no end mark."""
+        """Return the last chunk and the ``[DONE]`` event, which a cancelled run does not get."""
         part = '"delta":{}' if self._run.chat else '"text":""'
         reason = self._run.finish_reason()
         usage = json.dumps(usage_of(self._run))
@@ -47,7 +47,7 @@
 
 
 def usage_of(run) -> dict:
-    """Usage in the shape chat clients know; ``completion_tokens`` includes resumed tokens."""
+    """Return usage in the chat API's format; ``completion_tokens`` includes resumed tokens."""
     batch = run.batch_run
     return {
         "prompt_tokens": batch.prompt_tokens,
@@ -65,7 +65,7 @@
     run : LiveRun
     reader : Reader
     from_token : int
-        Index of the last token the other end has.
+        Index of the last token that the client already has.
     connection
         The server's connection.
     stopping : threading.Event
@@ -90,12 +90,12 @@
                 yield first, newest
 
     def wait_end(self):
-        """Follow the run and keep its tokens to itself."""
+        """Wait until the run ends, without yielding its tokens."""
         for _ in self.ranges():
             pass
 
     def stream(self, fault):
-        """Yield the bytes of a streamed answer, with the fault if there is one."""
+        """Yield the bytes of a streamed answer, with ``fault`` injected unless it is ``None``."""
         text = EventText(run=self.run)
         yield ACCEPTED
         if fault is None:
@@ -111,7 +111,7 @@
         newest = None
         while newest is None and not self._ended:
             newest = self._next_index()
-        # Whatever came in the meantime goes out in the same write.
+        # Tokens that arrived meanwhile are sent in the same write.
         while not self._ended and not self._reader.indices.empty():
             newest = self._next_index() or newest
         return newest
@@ -156,7 +156,7 @@
 
 
 class StreamFault:
-    """What one streamed answer suffers after so many tokens."""
+    """Fault of one streamed answer after its first ``after_tokens`` tokens."""
 
     __slots__ = ("kind", "after_tokens", "late_s")
 
@@ -167,7 +167,7 @@
 
 
 def whole_body(run) -> bytes:
-    """Write the whole answer of a run as one JSON body."""
+    """Return the complete answer of a run as one JSON body."""
     answer = "".join(token_text(run.answer_key, index) for index in range(1, run.last_index + 1))
     choice = {"index": 0, "finish_reason": run.finish_reason()}
     if run.chat:
