--- a/wagtailtrestle/standins/engine.py
+++ b/wagtailtrestle/standins/engine.py
@@ -186,7 +186,7 @@
             run_id=run_id,
             answer_key=answer_key(text),
             chat=chat,
-            most_output_tokens=most,
+            max_output_tokens=most,
             poisoned=bool(marker) and marker in text,
             batch_run=BatchRun(
                 run_id=run_id,
--- a/wagtailtrestle/standins/runs.py
+++ b/wagtailtrestle/standins/runs.py
@@ -42,7 +42,7 @@
         "run_id",
         "answer_key",
         "chat",
-        "most_output_tokens",
+        "max_output_tokens",
         "poisoned",
         "batch_run",
         "state",
@@ -51,11 +51,11 @@
         "changed_at",
     )
 
-    def __init__(self, *, run_id, answer_key, chat, most_output_tokens, poisoned, batch_run):
+    def __init__(self, *, run_id, answer_key, chat, max_output_tokens, poisoned, batch_run):
         self.run_id = run_id
         self.answer_key = answer_key
         self.chat = chat
-        self.most_output_tokens = most_output_tokens
+        self.max_output_tokens = max_output_tokens
         self.poisoned = poisoned
         self.batch_run = batch_run
         self.state = ACTIVE
@@ -67,7 +67,7 @@
         """Return ``finish_reason`` as chat clients expect it."""
         if self.state == CANCELLED:
             return CANCELLED
-        return "length" if self.last_index >= self.most_output_tokens else "stop"
+        return "length" if self.last_index >= self.max_output_tokens else "stop"
 
 
 class Reader:
