--- a/wagtailtrestle/standins/service.py
+++ b/wagtailtrestle/standins/service.py
@@ -41,7 +41,7 @@
         self._settings = settings
         self.faults = Faults()
         self.record = Record()
-        self._places = threading.BoundedSemaphore(settings["concurrency"])
+        self._slots = threading.BoundedSemaphore(settings["concurrency"])
         self._counts_lock = threading.Lock()
         self._running = 0
         self._crashes = 0
@@ -147,7 +147,7 @@
         crashes = self._crashes
         with self._counts_lock:
             self._waiting += 1
-        with self._places:
+        with self._slots:
             with self._counts_lock:
                 self._waiting -= 1
                 self._running += 1
