--- a/wagtailtrestle/standins/engine.py
+++ b/wagtailtrestle/standins/engine.py
@@ -103,7 +103,7 @@
     def leave(self):
         """Mark the engine as draining; its current runs continue."""
         self._orders.leaving = True
-        self.record.note_leaving()
+        self.record.mark_leaving()
 
     def silence_open(self, *, spared=None):
         """Stop sending on every open connection except ``spared``; new connections work."""
@@ -262,7 +262,7 @@
         order = json.loads(read_body(environ))
         status, answer = self._orders.take(order, ignore_fencing=self.faults.ignore_fencing)
         if self._orders.leaving:
-            self.record.note_leaving()
+            self.record.mark_leaving()
         return json_answer(start_response, status, answer)
 
     def _export_kv(self, environ, start_response, parts):
--- a/wagtailtrestle/standins/record.py
+++ b/wagtailtrestle/standins/record.py
@@ -68,7 +68,7 @@
                 self._starts_after_leaving += 1
                 self._last_start_after_s = time.monotonic() - self._leaving_at
 
-    def note_leaving(self):
+    def mark_leaving(self):
         """Mark the engine as draining; later starts count as ``starts_after_leaving``."""
         with self._lock:
             if self._leaving_at is None:
--- a/wagtailtrestle/standins/service.py
+++ b/wagtailtrestle/standins/service.py
@@ -66,7 +66,7 @@
     def close(self):
         """Report that the service is draining, let requests in progress finish, then stop."""
         self._leaving = True
-        self.record.note_leaving()
+        self.record.mark_leaving()
         time.sleep(self._settings["drain_grace_ms"] / 1000)
         self._refusing = True
         # As in the engine: late requests get a refusal instead of a reset connection.
