--- a/wagtailtrestle/standins/runs.py
+++ b/wagtailtrestle/standins/runs.py
@@ -288,7 +288,7 @@
                 if run is not None and run.state == ACTIVE:
                     self._record.finished(run_id=run.run_id)
                     self._end(run, FINISHED)
-            self._tell_cache_changes()
+            self._report_cache_changes()
             return False
 
     def _record_work(self, run):
@@ -299,7 +299,7 @@
             output_tokens=run.last_index - run.batch_run.resume_tokens,
         )
 
-    def _tell_cache_changes(self):
+    def _report_cache_changes(self):
         added, removed = self._engine.cache.take_changes()
         if added or removed:
             self._on_cache_change(added, removed)
