--- a/wagtailtrestle/standins/engine.py
+++ b/wagtailtrestle/standins/engine.py
@@ -314,7 +314,7 @@
         self.faults.crash_now = False
         if self.faults.crash_mode == "exit":
             os._exit(CRASH_STATUS)
-        self._runs.forget_all()
+        self._runs.drop_all()
         self._cache_events.restart()
         self._go_down(self.faults.down_s)
 
--- a/wagtailtrestle/standins/runs.py
+++ b/wagtailtrestle/standins/runs.py
@@ -127,7 +127,7 @@
             self._idle.notify_all()
         for thread in self._threads:
             thread.join()
-        self.forget_all()
+        self.drop_all()
 
     def submit(self, run, *, caller_request_id) -> Reader | None:
         """Submit a run and return its reader, or ``None`` if the run id is already known."""
@@ -176,7 +176,7 @@
                 self._end(run, CANCELLED)
             return run.state, run.last_index - run.batch_run.resume_tokens
 
-    def forget_all(self):
+    def drop_all(self):
         """Drop every run and cut its readers off, as a crash does."""
         with self._lock:
             self._engine.clear()
