--- a/wagtailtrestle/standins/platform.py
+++ b/wagtailtrestle/standins/platform.py
@@ -257,7 +257,7 @@
         with self._changed:
             self.counts.writes += 1
             outcome = self._write_table(method, kind, name, value, if_version)
-            is_lost = isinstance(outcome, StoreDone) and self.faults.take_lost_answer()
+            is_lost = isinstance(outcome, StoreDone) and self.faults.consume_lost_answer()
             self._changed.notify_all()
         if is_lost:
             raise _connection_lost()
--- a/wagtailtrestle/standins/platform_faults.py
+++ b/wagtailtrestle/standins/platform_faults.py
@@ -67,7 +67,7 @@
         """Return a plain dict."""
         return {name: getattr(self, name) for name in self.__slots__}
 
-    def take_lost_answer(self):
+    def consume_lost_answer(self):
         """Return whether to drop the answer to the write that just took effect; use up one of the count."""
         if self.lose_answers > 0:
             self.lose_answers -= 1
