--- a/wagtailtrestle/standins/engine.py
+++ b/wagtailtrestle/standins/engine.py
@@ -199,7 +199,7 @@
 
     def _stream(self, environ, start_response, run, reader, from_token):
         start_response("200 OK", [*EVENT_STREAM, ("X-Request-Id", run.run_id)])
-        kind = self.faults.take_stream_kind()
+        kind = self.faults.consume_stream_kind()
         fault = None
         if kind:
             fault = StreamFault(kind=kind, after_tokens=self.faults.stream_after_tokens, late_s=self.faults.late_s)
--- a/wagtailtrestle/standins/faults.py
+++ b/wagtailtrestle/standins/faults.py
@@ -75,7 +75,7 @@
                 setattr(self, name, value)
         return problems
 
-    def take_stream_kind(self) -> str:
+    def consume_stream_kind(self) -> str:
         """Return the stream fault of the answer that begins now, or an empty string; use up one of the count."""
         if self.stream_count <= 0:
             return ""
--- a/wagtailtrestle/standins/service.py
+++ b/wagtailtrestle/standins/service.py
@@ -164,7 +164,7 @@
         return whole
 
     def _answer(self, environ, start_response, run_id, body):
-        kind = self.faults.take_stream_kind()
+        kind = self.faults.consume_stream_kind()
         if kind == "silent":
             hold_silent(environ[CONNECTION], environ[STOPPING])
         if kind == "late":
