--- a/wagtailtrestle/standins/engine.py
+++ b/wagtailtrestle/standins/engine.py
@@ -163,7 +163,7 @@
             problem = f"not JSON: {error}"
         if problem:
             return json_answer(start_response, 400, {"error": {"message": problem}})
-        status = self.faults.take_reject_status()
+        status = self.faults.consume_reject_status()
         if status:
             return json_answer(start_response, status, {"error": {"message": "refused by the engine"}})
         run_id = environ.get("HTTP_X_REQUEST_ID") or uuid.uuid4().hex
--- a/wagtailtrestle/standins/faults.py
+++ b/wagtailtrestle/standins/faults.py
@@ -82,7 +82,7 @@
         self.stream_count -= 1
         return self.stream_kind
 
-    def take_reject_status(self) -> int:
+    def consume_reject_status(self) -> int:
         """Return the HTTP status to reject the current request with, or 0; use up one of the count."""
         if self.reject_count <= 0:
             return 0
--- a/wagtailtrestle/standins/service.py
+++ b/wagtailtrestle/standins/service.py
@@ -132,7 +132,7 @@
 
     def _run(self, environ, start_response):
         body = read_body(environ)
-        status = self.faults.take_reject_status()
+        status = self.faults.consume_reject_status()
         run_id = environ.get("HTTP_X_REQUEST_ID") or uuid.uuid4().hex
         if status:
             return json_answer(start_response, status, {"error": "refused by the service"}, request_id=run_id)
