--- a/wagtailtrestle/standins/engine.py
+++ b/wagtailtrestle/standins/engine.py
@@ -28,7 +28,7 @@
 from wagtailtrestle.standins.record import Record
 from wagtailtrestle.standins.runs import EngineRuns, LiveRun
 from wagtailtrestle.standins.standin_settings import ENGINE_DEFAULTS, load_settings
-from wagtailtrestle.standins.streaming import Following, StreamFault, whole_body
+from wagtailtrestle.standins.streaming import Following, StreamFault, complete_body
 
 CHAT_PATH = "/v1/chat/completions"
 COMPLETION_PATH = "/v1/completions"
@@ -227,7 +227,7 @@
         finally:
             self._runs.detach(run, reader)
         headers = [("Content-Type", "application/json"), ("X-Request-Id", run.run_id)]
-        return bytes_answer(start_response, 200, whole_body(run), headers)
+        return bytes_answer(start_response, 200, complete_body(run), headers)
 
     def _attach(self, environ, start_response, parts):
         run, reader = self._runs.attach(parts[1])
--- a/wagtailtrestle/standins/streaming.py
+++ b/wagtailtrestle/standins/streaming.py
@@ -166,7 +166,7 @@
         self.late_s = late_s
 
 
-def whole_body(run) -> bytes:
+def complete_body(run) -> bytes:
     """Return the complete answer of a run as one JSON body."""
     answer = "".join(token_text(run.answer_key, index) for index in range(1, run.last_index + 1))
     choice = {"index": 0, "finish_reason": run.finish_reason()}
