--- a/wagtailtrestle/standins/engine.py
+++ b/wagtailtrestle/standins/engine.py
@@ -175,7 +175,7 @@
             return json_answer(start_response, 409, {"error": {"message": f"run {run.run_id} is known"}})
         if body.get("stream"):
             return self._stream(environ, start_response, run, reader, run.batch_run.resume_tokens)
-        return self._whole(environ, start_response, run, reader)
+        return self._answer_unstreamed(environ, start_response, run, reader)
 
     def _live_run(self, body, run_id, *, chat) -> LiveRun:
         text = prompt_text(body)
@@ -221,7 +221,7 @@
         finally:
             self._runs.detach(run, reader)
 
-    def _whole(self, environ, start_response, run, reader):
+    def _answer_unstreamed(self, environ, start_response, run, reader):
         try:
             self._following(environ, run, reader, 0).wait_end()
         finally:
