--- a/wagtailtrestle/standins/platform_faults.py
+++ b/wagtailtrestle/standins/platform_faults.py
@@ -78,11 +78,11 @@
 _CHECKS_BY_NAME = {
     "down": (lambda v: v in (DOWN_NO, DOWN_UNAVAILABLE, DOWN_CUT), 'one of "", "unavailable", "cut"'),
     "slow_s": (lambda v: _is_number(v) and 0 <= v <= 3600, "seconds from 0 to 3600"),
-    "lose_answers": (lambda v: _is_whole(v) and v >= EVERY, "a whole number, -1 for all"),
+    "lose_answers": (lambda v: _is_integer(v) and v >= EVERY, "a whole number, -1 for all"),
     "drop_watch_events": (lambda v: isinstance(v, bool), "true or false"),
     "silent": (lambda v: v in (SILENT_NO, SILENT_OPEN, SILENT_ALL), 'one of "", "open", "all"'),
-    "stale_versions": (lambda v: _is_whole(v) and v >= 0, "a whole number from 0"),
-    "rate_limit_per_s": (lambda v: _is_whole(v) and v >= 0, "a whole number from 0"),
+    "stale_versions": (lambda v: _is_integer(v) and v >= 0, "a whole number from 0"),
+    "rate_limit_per_s": (lambda v: _is_integer(v) and v >= 0, "a whole number from 0"),
 }
 
 
@@ -131,5 +131,5 @@
     return isinstance(value, int | float) and not isinstance(value, bool)
 
 
-def _is_whole(value):
+def _is_integer(value):
     return isinstance(value, int) and not isinstance(value, bool)
