--- a/wagtailtrestle/standins/platform.py
+++ b/wagtailtrestle/standins/platform.py
@@ -153,13 +153,13 @@
         method = environ["REQUEST_METHOD"]
         if path[0] not in ("objects", "watch", "vms") or (path == ("vms",) and method == "POST"):
             return self._answer_admin(method, path, body)
-        self._show_faults(connection)
+        self._apply_faults(connection)
         answer = self._refuse() or self._answer_object(method, path, query, body, environ)
         # The connection may have been silenced while a watch was waiting.
         self._stay_silent(connection)
         return answer
 
-    def _show_faults(self, connection):
+    def _apply_faults(self, connection):
         self._stay_silent(connection)
         if self._closing.is_set() or self.faults.down == DOWN_CUT:
             raise _connection_lost()
