--- a/wagtailtrestle/standins/platform.py
+++ b/wagtailtrestle/standins/platform.py
@@ -156,17 +156,17 @@
         self._apply_faults(connection)
         answer = self._refuse() or self._answer_object(method, path, query, body, environ)
         # The connection may have been silenced while a watch was waiting.
-        self._stay_silent(connection)
+        self._wait_while_silent(connection)
         return answer
 
     def _apply_faults(self, connection):
-        self._stay_silent(connection)
+        self._wait_while_silent(connection)
         if self._closing.is_set() or self.faults.down == DOWN_CUT:
             raise _connection_lost()
         if self.faults.slow_s:
             self._closing.wait(self.faults.slow_s)
 
-    def _stay_silent(self, connection):
+    def _wait_while_silent(self, connection):
         while self._is_silent(connection):
             if connection_closed(connection):
                 raise _connection_lost()
