--- a/wagtailtrestle/standins/platform.py
+++ b/wagtailtrestle/standins/platform.py
@@ -209,7 +209,7 @@
         with self._changed:
             self.counts.reads += 1
             outcome = self.table.get(kind=kind, name=name, stale_versions=self.faults.stale_versions)
-        return _unless_known(outcome, known_tag)
+        return _answer_read(outcome, known_tag)
 
     def _list(self, kind):
         with self._changed:
@@ -222,7 +222,7 @@
         with self._changed:
             self.counts.reads += 1
             outcome = self.table.vms(now=time.monotonic(), lag_s=self.settings.vm_list_lag_s)
-        return _unless_known(outcome, known_tag)
+        return _answer_read(outcome, known_tag)
 
     def _watch(self, kind, query):
         try:
@@ -332,7 +332,7 @@
         return Answer(status=HTTPStatus.OK, body={"vms": len(vms)})
 
 
-def _unless_known(outcome, known_tag):
+def _answer_read(outcome, known_tag):
     """Answer a read, or with 304 if the client already has this version."""
     if isinstance(outcome, StoreDone) and known_tag == entity_tag(outcome.version):
         return Answer(status=HTTPStatus.NOT_MODIFIED, version=outcome.version)
