--- a/wagtailtrestle/standins/service.py
+++ b/wagtailtrestle/standins/service.py
@@ -156,12 +156,12 @@
             if marker and marker in body:
                 self.crash()
             time.sleep(self._settings["service_ms"] / 1000 * self.faults.straggle)
-            whole = self._crashes == crashes
-            if whole:
+            completed = self._crashes == crashes
+            if completed:
                 self.record.finished(run_id=run_id)
             with self._counts_lock:
                 self._running -= 1
-        return whole
+        return completed
 
     def _answer(self, environ, start_response, run_id, body):
         kind = self.faults.consume_stream_kind()
