--- a/wagtailtrestle/standins/engine.py
+++ b/wagtailtrestle/standins/engine.py
@@ -179,14 +179,14 @@
 
     def _live_run(self, body, run_id, *, chat) -> LiveRun:
         text = prompt_text(body)
-        most = body.get("max_completion_tokens") or body.get("max_tokens") or self._settings["default_output_tokens"]
-        output_tokens = min(most, body.get("wagtailtrestle_output_tokens") or most)
+        limit = body.get("max_completion_tokens") or body.get("max_tokens") or self._settings["default_output_tokens"]
+        output_tokens = min(limit, body.get("wagtailtrestle_output_tokens") or limit)
         marker = self.faults.poison_marker
         return LiveRun(
             run_id=run_id,
             answer_key=answer_key(text),
             chat=chat,
-            max_output_tokens=most,
+            max_output_tokens=limit,
             poisoned=bool(marker) and marker in text,
             batch_run=BatchRun(
                 run_id=run_id,
