--- a/wagtailtrestle/standins/engine.py
+++ b/wagtailtrestle/standins/engine.py
@@ -260,7 +260,7 @@
 
     def _post_order(self, environ, start_response, parts):
         order = json.loads(read_body(environ))
-        status, answer = self._orders.take(order, ignore_fencing=self.faults.ignore_fencing)
+        status, answer = self._orders.apply(order, ignore_fencing=self.faults.ignore_fencing)
         if self._orders.leaving:
             self.record.mark_leaving()
         return json_answer(start_response, status, answer)
--- a/wagtailtrestle/standins/orders.py
+++ b/wagtailtrestle/standins/orders.py
@@ -28,7 +28,7 @@
         self._taken = []
         self._lock = threading.Lock()
 
-    def take(self, order, *, ignore_fencing):
+    def apply(self, order, *, ignore_fencing):
         """Apply or refuse an order; return the HTTP status and the answer."""
         fencing = order.get("fencing")
         kind = order.get("order")
