--- a/wagtailtrestle/standins/orders.py
+++ b/wagtailtrestle/standins/orders.py
@@ -18,14 +18,14 @@
         Refuse an order whose fencing number is lower than the highest seen.
     """
 
-    __slots__ = ("leaving", "refusing", "_checks_fencing", "_highest", "_taken", "_lock")
+    __slots__ = ("leaving", "refusing", "_checks_fencing", "_highest", "_accepted", "_lock")
 
     def __init__(self, *, checks_fencing):
         self.leaving = False
         self.refusing = False
         self._checks_fencing = checks_fencing
         self._highest = 0
-        self._taken = []
+        self._accepted = []
         self._lock = threading.Lock()
 
     def apply(self, order, *, ignore_fencing):
@@ -38,7 +38,7 @@
             if fencing < self._highest and self._checks_fencing and not ignore_fencing:
                 return 409, {"highest": self._highest}
             self._highest = max(self._highest, fencing)
-            self._taken.append(order)
+            self._accepted.append(order)
             if kind in (LEAVE, STAY):
                 self.leaving = kind == LEAVE
         return 200, {"highest": self._highest}
@@ -46,4 +46,4 @@
     def as_dict(self) -> dict:
         """Return the accepted orders, for the state dump."""
         with self._lock:
-            return {"leaving": self.leaving, "highest": self._highest, "taken": list(self._taken)}
+            return {"leaving": self.leaving, "highest": self._highest, "taken": list(self._accepted)}
