--- a/wagtailtrestle/standins/engine.py
+++ b/wagtailtrestle/standins/engine.py
@@ -256,7 +256,7 @@
         )
 
     def _get_cache_events(self, environ, start_response, parts):
-        return json_answer(start_response, 200, self._cache_events.since(_query_number(environ, "from")))
+        return json_answer(start_response, 200, self._cache_events.events_from(_query_number(environ, "from")))
 
     def _post_order(self, environ, start_response, parts):
         order = json.loads(read_body(environ))
--- a/wagtailtrestle/standins/lagging.py
+++ b/wagtailtrestle/standins/lagging.py
@@ -75,7 +75,7 @@
             self._last_number = 0
             self._epoch = uuid.uuid4().hex
 
-    def since(self, number) -> dict:
+    def events_from(self, number) -> dict:
         """Return the events from ``number`` on that are at least ``lag_s`` old, and the number to request next.
 
         A number above those of this epoch comes from an earlier epoch: all events of this epoch are returned.
