--- a/tests/test_engine_http.py
+++ b/tests/test_engine_http.py
@@ -19,7 +19,7 @@
 from wagtailtrestle.contracts.report_messages import CacheEvents, LoadReport, LoadUnreachable
 from wagtailtrestle.engines.answer_check import AnswerCheck, ReceivedAnswer
 from wagtailtrestle.engines.reports import EngineReports
-from wagtailtrestle.standins.prompts import whole_answer
+from wagtailtrestle.standins.prompts import complete_answer
 
 SILENCE_LIMIT_S = 0.2
 """Silence deadline of a run whose silence must be detected."""
@@ -40,7 +40,7 @@
         return self.engine.record.as_dict()["runs"][run_id]
 
     def assert_complete(self, output_tokens=20):
-        self.assertEqual(self.sender.received.text, whole_answer(PROMPT, output_tokens))
+        self.assertEqual(self.sender.received.text, complete_answer(PROMPT, output_tokens))
         self.assertEqual([index for index, _ in self.sender.tokens], list(range(1, output_tokens + 1)))
 
     def test_complete_answer(self):
@@ -101,7 +101,7 @@
         thread.join(3)
         self.assertIsInstance(sender.ended.outcome, RunSilent)
         self.assertIsInstance(sender.send(self.address, attach=True), RunDone)
-        self.assertEqual(sender.received.text, whole_answer(PROMPT, 400))
+        self.assertEqual(sender.received.text, complete_answer(PROMPT, 400))
 
     def test_crossed_answer_never_reaches_the_caller(self):
         # From the sixth token on, the connection carries another run's answer. The caller gets
@@ -110,7 +110,7 @@
         outcome = self.sender.send(self.address)
         self.assertIsInstance(outcome, RunCut)
         self.assertIn("crossed", outcome.detail)
-        self.assertEqual(self.sender.received.text, whole_answer(PROMPT, 5))
+        self.assertEqual(self.sender.received.text, complete_answer(PROMPT, 5))
 
     def test_duplicated_tokens_are_dropped(self):
         self.inject_fault("duplicate")
@@ -121,7 +121,7 @@
         self.inject_fault("gap")
         outcome = self.sender.send(self.address)
         self.assertIn("gap", outcome.detail)
-        self.assertEqual(self.sender.received.text, whole_answer(PROMPT, 5))
+        self.assertEqual(self.sender.received.text, complete_answer(PROMPT, 5))
 
     def test_late_token_within_the_deadline_is_accepted(self):
         self.inject_fault("late", late_s=0.1)
@@ -178,7 +178,7 @@
         had = len(sender.received.tokens)
         self.assertIsInstance(self.attach_after_restart(sender), RunLost)
         self.assertIsInstance(sender.send(address_of(other), run_id="r.2"), RunDone)
-        self.assertEqual(sender.received.text, whole_answer(PROMPT, 300))
+        self.assertEqual(sender.received.text, complete_answer(PROMPT, 300))
         self.assertEqual(other.record.as_dict()["runs"]["r.2"]["output_tokens"], 300 - had)
 
     def attach_after_restart(self, sender):
@@ -234,7 +234,7 @@
         sender.client.cancel(address=self.address, run_id="r.1")
         thread.join(2)
         self.assertIsInstance(sender.send(self.address, run_id="r.2"), RunDone)
-        self.assertEqual(sender.received.text, whole_answer(PROMPT, 300))
+        self.assertEqual(sender.received.text, complete_answer(PROMPT, 300))
 
 
 class TestPlainRun(unittest.TestCase):
--- a/tests/test_standin_engine.py
+++ b/tests/test_standin_engine.py
@@ -17,7 +17,7 @@
 from wagtailtrestle.callers.prompt_shape import shape_of
 from wagtailtrestle.contracts.outcomes import RunCut, RunDone, RunNotSent, RunSilent
 from wagtailtrestle.standins.batching import BatchingEngine, BatchRun
-from wagtailtrestle.standins.prompts import count_tokens, prefix_blocks, whole_answer
+from wagtailtrestle.standins.prompts import complete_answer, count_tokens, prefix_blocks
 from wagtailtrestle.standins.standin_settings import ENGINE_DEFAULTS, settings_problems
 
 HTTP = urllib3.PoolManager(retries=False)
@@ -179,12 +179,12 @@
                 status, answer = self.call("POST", "/v1/chat/completions", body)
                 self.assertEqual(status, 200)
                 text = answer["choices"][0]["message"]["content"]
-                self.assertEqual(text, whole_answer(PROMPT, counts[name]))
+                self.assertEqual(text, complete_answer(PROMPT, counts[name]))
                 self.assertEqual(answer["usage"]["completion_tokens"], counts[name])
 
     def test_plain_completion(self):
         status, answer = self.call("POST", "/v1/completions", {"prompt": PROMPT, "max_tokens": 4})
-        self.assertEqual((status, answer["choices"][0]["text"]), (200, whole_answer(PROMPT, 4)))
+        self.assertEqual((status, answer["choices"][0]["text"]), (200, complete_answer(PROMPT, 4)))
         self.assertEqual(answer["choices"][0]["finish_reason"], "length")
 
     def test_bad_bodies(self):
@@ -271,7 +271,7 @@
         self.assertIsInstance(sender.ended.outcome, RunCut)
         self.assert_down_and_up(engine)
         self.assertIsInstance(sender.send(address_of(engine), attach=True), RunDone)
-        self.assertEqual(sender.received.text, whole_answer(PROMPT, 1000))
+        self.assertEqual(sender.received.text, complete_answer(PROMPT, 1000))
 
     def assert_down_and_up(self, engine):
         seen = set()
--- a/tests/test_whole_path.py
+++ b/tests/test_whole_path.py
@@ -9,7 +9,7 @@
 
 from wagtailtrestle.demo.deployment import Deployment
 from wagtailtrestle.load.records import read_records
-from wagtailtrestle.standins.prompts import whole_answer
+from wagtailtrestle.standins.prompts import complete_answer
 
 EXAMPLES = Path(__file__).resolve().parents[1] / "examples"
 KEY = {"Authorization": "Bearer example-key-socios", "Content-Type": "application/json"}
@@ -53,7 +53,7 @@
         answer = self.ask(0, "/v1/chat/completions", self.chat())
         self.assertEqual(answer.status, 200, answer.data)
         document = answer.json()
-        self.assertEqual(document["choices"][0]["message"]["content"], whole_answer(PROMPT, 6))
+        self.assertEqual(document["choices"][0]["message"]["content"], complete_answer(PROMPT, 6))
         self.assertEqual(document["usage"]["completion_tokens"], 6)
 
     def test_streamed_chat_answer(self):
--- a/tests/utils/running.py
+++ b/tests/utils/running.py
@@ -18,7 +18,7 @@
 from wagtailtrestle.load.mix import RequestKind
 from wagtailtrestle.load.plan import PlannedRequest
 from wagtailtrestle.load.records import read_records
-from wagtailtrestle.standins.prompts import whole_answer
+from wagtailtrestle.standins.prompts import complete_answer
 
 EXAMPLES = Path(__file__).resolve().parents[2] / "examples"
 SMALL_FLEET = ("asistente-1", "asistente-3", "reservas-1")
@@ -365,7 +365,7 @@
     """Whether the text is the whole answer to what this caller asked."""
     planned = result.planned
     if planned.kind.prompt_tokens:
-        return result.text == whole_answer(planned.prompt, planned.output_tokens)
+        return result.text == complete_answer(planned.prompt, planned.output_tokens)
     sent = json.dumps({"caller": planned.caller_request_id}).encode()
     return json.loads(result.text)["body_sha256"] == hashlib.sha256(sent).hexdigest()
 
--- a/wagtailtrestle/standins/prompts.py
+++ b/wagtailtrestle/standins/prompts.py
@@ -55,7 +55,7 @@
     return f"{key}.{index} "
 
 
-def whole_answer(text, output_tokens) -> str:
+def complete_answer(text, output_tokens) -> str:
     """Return the text of the complete answer to a prompt."""
     key = answer_key(text)
     return "".join(token_text(key, index) for index in range(1, output_tokens + 1))
