--- a/wagtailtrestle/standins/engine.py
+++ b/wagtailtrestle/standins/engine.py
@@ -327,7 +327,7 @@
         self._down.start()
 
     def state(self) -> dict:
-        """Return the whole state, for a dump."""
+        """Return the complete state, for the state dump."""
         load = self._runs.load()
         return {
             "settings": self._settings.as_dict(),
--- a/wagtailtrestle/standins/http_serving.py
+++ b/wagtailtrestle/standins/http_serving.py
@@ -120,17 +120,17 @@
 
 
 class HttpServing:
-    """One cheroot server in a thread of its own.
+    """One cheroot server in a background thread.
 
     Parameters
     ----------
     host : str
     port : int
-        0 takes a free port; ``port`` then tells which.
+        0 picks a free port, which ``port`` then holds.
     application : callable
         WSGI application.
     threads : int
-        Connections served at once.
+        Number of connections served concurrently.
     """
 
     __slots__ = ("host", "port", "_application", "_threads", "_server", "_thread", "_closed", "_lock", "_reservation")
--- a/wagtailtrestle/standins/platform.py
+++ b/wagtailtrestle/standins/platform.py
@@ -293,7 +293,7 @@
         return Answer(status=HTTPStatus.NOT_FOUND, body={"error": "no such path"})
 
     def dump(self):
-        """Return the whole state, without objects' values, as a plain dict."""
+        """Return the complete state as a plain dict, without the values of objects."""
         with self._changed:
             return {
                 "process": "platform",
--- a/wagtailtrestle/standins/runs.py
+++ b/wagtailtrestle/standins/runs.py
@@ -26,7 +26,7 @@
         See :func:`wagtailtrestle.standins.prompts.token_text`.
     chat : bool
         Whether the answer is a chat completion.
-    most_output_tokens : int
+    max_output_tokens : int
         Output limit set by the caller.
     poisoned : bool
         Whether its first token crashes the engine.
--- a/wagtailtrestle/standins/service.py
+++ b/wagtailtrestle/standins/service.py
@@ -85,7 +85,7 @@
         return {"name": self._settings["name"], "address": f"{self._serving.host}:{self._serving.port}", **control}
 
     def state(self) -> dict:
-        """Return the whole state, for a dump."""
+        """Return the complete state, for the state dump."""
         return {
             "settings": self._settings.as_dict(),
             "addresses": self.addresses(),
