--- a/tests/test_local_ports.py
+++ b/tests/test_local_ports.py
@@ -1,4 +1,4 @@
-"""Ports for the processes of a local deployment, drawn before any of them listens."""
+"""Ports for the processes of a local deployment, reserved before any of them listens."""
 
 import random
 import socket
@@ -16,10 +16,10 @@
 
 
 class LocalPortsTest(unittest.TestCase):
-    # Whoever starts a deployment sees a router end with "The router could not listen: Address already in use",
-    # or asks a router for its state and reads an engine's. Ports are drawn for all processes, and each listens
-    # up to seconds later; drawn meanwhile for another process, of this deployment or one started beside it, a
-    # port that was only looked at and let go of again is still free, and both get it.
+    # Guards against two processes getting the same port: a router ends with "The router could not listen:
+    # Address already in use", or a request for a router's state reaches an engine. Ports are picked for all
+    # processes, and each listens up to seconds later. A port that was only probed and released is still free
+    # in between, so that it can be picked again for this deployment or for one started in parallel.
 
     def reserve(self, count=COUNT):
         reservation = reserve_ports(count)
@@ -66,8 +66,8 @@
 
 class StateOfAnotherProcessTest(unittest.TestCase):
     def test_answer_that_is_no_success_is_told_as_such(self):
-        # A router whose loop is busy answers 503 to a question for its state. Read as if it were the state, it
-        # shows as a key that is missing, and the reader looks for a fault in the state.
+        # A router whose event loop is busy answers a state request with 503. If that body were read as the
+        # state, the error would be a missing key, which points to a fault in the state instead.
         deployment = Deployment(directory="unused", document={})
         answer = mock.Mock(status=503, data=b'{"error": "the event loop gave no state"}')
         with mock.patch("urllib3.request", return_value=answer), self.assertRaisesRegex(RuntimeError, "503.*no state"):
--- a/tests/test_standin_engine.py
+++ b/tests/test_standin_engine.py
@@ -73,8 +73,8 @@
         self.assertEqual(finished, ["r.0", "r.1", "r.2"])
 
     def test_long_prompt_is_prefilled_in_chunks_and_slows_the_others(self):
-        # A short run is being answered when a long prompt arrives: each of its steps is
-        # longer by a chunk of prefill, but it goes on giving a token in each.
+        # A long prompt arrives while a short run generates: each step takes longer by one chunk
+        # of prefill, but the short run still gets a token in each.
         engine = make_engine()
         engine.submit(make_run("short", prompt_tokens=1, output_tokens=10))
         engine.step()
@@ -139,8 +139,8 @@
 
 class TestPrompts(unittest.TestCase):
     def test_router_and_engine_count_alike(self):
-        # Each has its own code for it, as two programs would; they must agree, or the
-        # router's guesses at cached prefixes never hit.
+        # Router and engine have separate implementations, as separate programs would. If they
+        # differ, the router's estimates of cached prefixes never match.
         for text in ("", "a", "ñandú " * 200, "x" * 256, "y" * 1000):
             with self.subTest(text[:5]):
                 shape = shape_of(text)
@@ -214,8 +214,8 @@
             self.assertEqual(self.call("POST", "/orders", {"fencing": fencing, "order": "x"}, standin=engine)[0], 200)
 
     def test_starts_on_a_leaving_engine_are_counted(self):
-        # The engine is marked leaving: it finishes what it has, and what is still sent to it
-        # runs, but the record tells on the sender.
+        # A draining engine finishes its runs and still executes new ones, but its record counts
+        # them, so that a test can detect a sender that does not stop.
         sender = RunSender(call=chat_call(output_tokens=100))
         thread = sender.send_in_thread(address_of(self.engine))
         self.assertTrue(sender.first_token.wait(2))
@@ -243,8 +243,8 @@
         self.assertEqual(self.call("GET", "/faults")[1]["straggle"], 1.0)
 
     def test_poisoned_prompt_crashes_the_engine(self):
-        # One caller's prompt crashes the engine once it is prefilled: an innocent run beside
-        # it is cut, both are unfinished in the record, and the engine returns without them.
+        # A poisoned prompt crashes the engine after its prefill: a run in the same batch is cut
+        # too, the record has both as unfinished, and the engine restarts without them.
         engine = start_engine(self, control_port=0)
         self.call("POST", "/faults", {"poison_marker": "POISON", "down_s": 0.3}, standin=engine)
         innocent = RunSender(call=chat_call(output_tokens=2000))
@@ -260,8 +260,8 @@
         self.assertEqual(runs["r.1"]["prefill_tokens"], 10)
 
     def test_refused_connections_leave_the_runs_alone(self):
-        # The engine's port refuses connections for a while, as behind a broken link: the run
-        # under way is cut off from its router, goes on, and is there to attach to afterwards.
+        # The engine's port refuses connections for a while, as behind a broken link: the active
+        # run loses its connection but continues, and can be attached to afterwards.
         engine = start_engine(self)
         sender = RunSender(call=chat_call(output_tokens=1000))
         thread = sender.send_in_thread(address_of(engine))
@@ -285,7 +285,7 @@
         self.assertLessEqual({RunNotSent, RunDone}, seen)
 
     def test_orphaned_run_is_cancelled(self):
-        # The router that sent a run died: nobody follows it, and after the grace its slot is free.
+        # The router that sent the run died: it has no reader and is cancelled after the grace period.
         engine = start_engine(self, orphan_grace_ms=100.0)
         RunSender(call=chat_call(output_tokens=100_000)).send(address_of(engine), overall_s=0.1)
         until = time.monotonic() + 5
@@ -354,8 +354,8 @@
         self.assertEqual(len(settings_problems({"slots": True, "checks_fencing": 1}, ENGINE_DEFAULTS)), 2)
 
     def test_sigterm_cuts_no_run(self):
-        # The operator stops the engine while it answers: the run under way ends whole. One
-        # that comes too late is refused as not begun, so it may go to another engine. Then
+        # The operator stops the engine while it answers: the active run completes. A run that
+        # arrives later is refused as not started, so it may be sent to another engine. Then
         # the process ends with status 0 and its port is closed.
         process = self.start("base_step_ms: 2\ndrain_grace_ms: 0\n")
         address = json.loads(process.stdout.readline())["address"]
