--- a/tests/test_local_ports.py
+++ b/tests/test_local_ports.py
@@ -26,7 +26,7 @@
         self.addCleanup(reservation.close)
         return reservation.ports
 
-    def test_ports_are_not_drawn_twice_before_anyone_listens(self):
+    def test_ports_are_not_reserved_twice_before_a_process_listens(self):
         random.seed(SEED)
         first = self.reserve()
         random.seed(SEED)
