--- a/tests/test_local_ports.py
+++ b/tests/test_local_ports.py
@@ -32,7 +32,7 @@
         random.seed(SEED)
         self.assertEqual(set(first) & set(self.reserve()), set())
 
-    def test_ports_are_not_drawn_by_another_process_before_anyone_listens(self):
+    def test_ports_are_not_reserved_by_another_process_meanwhile(self):
         random.seed(SEED)
         first = self.reserve()
         drawn = subprocess.run(
