--- a/tests/test_local_ports.py
+++ b/tests/test_local_ports.py
@@ -51,7 +51,7 @@
             with socket.create_server((HOST, port)) as server, socket.create_connection((HOST, port), timeout=1):
                 server.accept()[0].close()
 
-    def test_port_nobody_listens_on_refuses_connections(self):
+    def test_reserved_port_without_listener_refuses_connections(self):
         (port,) = self.reserve(1)
         with self.assertRaises(ConnectionRefusedError):
             socket.create_connection((HOST, port), timeout=1)
