--- a/tests/test_local_ports.py
+++ b/tests/test_local_ports.py
@@ -56,7 +56,7 @@
         with self.assertRaises(ConnectionRefusedError):
             socket.create_connection((HOST, port), timeout=1)
 
-    def test_closed_reservation_gives_its_ports_back(self):
+    def test_closed_reservation_releases_its_ports(self):
         random.seed(SEED)
         first = reserve_ports(COUNT)
         first.close()
