--- a/tests/test_local_ports.py
+++ b/tests/test_local_ports.py
@@ -65,7 +65,7 @@
 
 
 class StateOfAnotherProcessTest(unittest.TestCase):
-    def test_answer_that_is_no_success_is_told_as_such(self):
+    def test_failed_state_request_raises_its_error(self):
         # A router whose event loop is busy answers a state request with 503. If that body were read as the
         # state, the error would be a missing key, which points to a fault in the state instead.
         deployment = Deployment(directory="unused", document={})
