--- a/tests/test_standin_engine.py
+++ b/tests/test_standin_engine.py
@@ -247,13 +247,13 @@
         # too, the record has both as unfinished, and the engine restarts without them.
         engine = start_engine(self, control_port=0)
         self.call("POST", "/faults", {"poison_marker": "POISON", "down_s": 0.3}, standin=engine)
-        innocent = RunSender(call=chat_call(output_tokens=2000))
-        thread = innocent.send_in_thread(address_of(engine))
-        self.assertTrue(innocent.first_token.wait(2))
+        healthy = RunSender(call=chat_call(output_tokens=2000))
+        thread = healthy.send_in_thread(address_of(engine))
+        self.assertTrue(healthy.first_token.wait(2))
         guilty = RunSender(call=chat_call(prompt="POISON"))
         self.assertIsInstance(guilty.send(address_of(engine), run_id="r.2"), RunCut)
         thread.join(2)
-        self.assertIsInstance(innocent.ended.outcome, RunCut)
+        self.assertIsInstance(healthy.ended.outcome, RunCut)
         self.assert_down_and_up(engine)
         runs = engine.record.as_dict()["runs"]
         self.assertEqual((runs["r.1"]["finished"], runs["r.2"]["finished"]), (0, 0))
