--- a/tests/test_local_ports.py
+++ b/tests/test_local_ports.py
@@ -1,4 +1,4 @@
-"""Ports for the processes of a local deployment, drawn before any of them listens."""
+"""Ports for the processes of a local deployment, reserved before any of them listens."""
 
 import random
 import socket
@@ -16,23 +16,23 @@
 
 
 class LocalPortsTest(unittest.TestCase):
-    # Whoever starts a deployment sees a router end with "The router could not listen: Address already in use",
-    # or asks a router for its state and reads an engine's. Ports are drawn for all processes, and each listens
-    # up to seconds later; drawn meanwhile for another process, of this deployment or one started beside it, a
-    # port that was only looked at and let go of again is still free, and both get it.
+    # Guards against two processes getting the same port: a router ends with "The router could not listen:
+    # Address already in use", or a request for a router's state reaches an engine. Ports are picked for all
+    # processes, and each listens up to seconds later. A port that was only probed and released is still free
+    # in between, so that it can be picked again for this deployment or for one started in parallel.
 
     def reserve(self, count=COUNT):
         reservation = reserve_ports(count)
         self.addCleanup(reservation.close)
         return reservation.ports
 
-    def test_ports_are_not_drawn_twice_before_anyone_listens(self):
+    def test_ports_are_not_reserved_twice_before_a_process_listens(self):
         random.seed(SEED)
         first = self.reserve()
         random.seed(SEED)
         self.assertEqual(set(first) & set(self.reserve()), set())
 
-    def test_ports_are_not_drawn_by_another_process_before_anyone_listens(self):
+    def test_ports_are_not_reserved_by_another_process_meanwhile(self):
         random.seed(SEED)
         first = self.reserve()
         drawn = subprocess.run(
@@ -51,12 +51,12 @@
             with socket.create_server((HOST, port)) as server, socket.create_connection((HOST, port), timeout=1):
                 server.accept()[0].close()
 
-    def test_port_nobody_listens_on_refuses_connections(self):
+    def test_reserved_port_without_listener_refuses_connections(self):
         (port,) = self.reserve(1)
         with self.assertRaises(ConnectionRefusedError):
             socket.create_connection((HOST, port), timeout=1)
 
-    def test_closed_reservation_gives_its_ports_back(self):
+    def test_closed_reservation_releases_its_ports(self):
         random.seed(SEED)
         first = reserve_ports(COUNT)
         first.close()
@@ -65,9 +65,9 @@
 
 
 class StateOfAnotherProcessTest(unittest.TestCase):
-    def test_answer_that_is_no_success_is_told_as_such(self):
-        # A router whose loop is busy answers 503 to a question for its state. Read as if it were the state, it
-        # shows as a key that is missing, and the reader looks for a fault in the state.
+    def test_failed_state_request_raises_its_error(self):
+        # A router whose event loop is busy answers a state request with 503. If that body were read as the
+        # state, the error would be a missing key, which points to a fault in the state instead.
         deployment = Deployment(directory="unused", document={})
         answer = mock.Mock(status=503, data=b'{"error": "the event loop gave no state"}')
         with mock.patch("urllib3.request", return_value=answer), self.assertRaisesRegex(RuntimeError, "503.*no state"):
--- a/wagtailtrestle/standins/engine.py
+++ b/wagtailtrestle/standins/engine.py
@@ -1,4 +1,4 @@
-"""The stand-in language engine: one process that batches continuously and speaks HTTP."""
+"""The stand-in language engine: one process with continuous batching, served over HTTP."""
 
 import json
 import os
@@ -28,7 +28,7 @@
 from wagtailtrestle.standins.record import Record
 from wagtailtrestle.standins.runs import EngineRuns, LiveRun
 from wagtailtrestle.standins.standin_settings import ENGINE_DEFAULTS, load_settings
-from wagtailtrestle.standins.streaming import Following, StreamFault, whole_body
+from wagtailtrestle.standins.streaming import Following, StreamFault, complete_body
 
 CHAT_PATH = "/v1/chat/completions"
 COMPLETION_PATH = "/v1/completions"
@@ -38,12 +38,12 @@
 
 
 class EngineStandin:
-    """The process: settings in, HTTP out.
+    """Stand-in engine process: HTTP endpoints around the batching model.
 
     Parameters
     ----------
     settings : StandinSettings
-        With the names of ``ENGINE_DEFAULTS``.
+        Its names are those of ``ENGINE_DEFAULTS``.
     """
 
     def __init__(self, *, settings):
@@ -78,7 +78,7 @@
             )
 
     def start(self):
-        """Start stepping and serving."""
+        """Start the batching threads and the HTTP servers."""
         self._runs.start()
         self._load.start()
         self._serving.start()
@@ -86,13 +86,13 @@
             self._control.start()
 
     def close(self):
-        """Say that it leaves, finish every run, refuse new ones, then stop."""
+        """Report that the engine is draining, refuse new runs after the grace period, finish all others, and stop."""
         self.leave()
         time.sleep(self._settings["drain_grace_ms"] / 1000)
         self._orders.refusing = True
         self._runs.wait_idle(DRAIN_LIMIT_S)
-        # A request on its way is answered that it was refused. Were the port closed at once,
-        # its connection would be reset, and nobody could say whether it had run.
+        # Requests in transit still get a refusal. If the port were closed immediately, their
+        # connections would be reset, and the sender could not tell whether they had run.
         time.sleep(self._settings["drain_linger_ms"] / 1000)
         self._serving.close()
         if self._control is not None:
@@ -101,17 +101,17 @@
         self._runs.close()
 
     def leave(self):
-        """Mark the engine as leaving; it goes on with what it has."""
+        """Mark the engine as draining; its current runs continue."""
         self._orders.leaving = True
-        self.record.note_leaving()
+        self.record.mark_leaving()
 
     def silence_open(self, *, spared=None):
-        """Let every open connection but one carry nothing more; new ones work."""
+        """Stop sending on every open connection except ``spared``; new connections work."""
         self._silent_connections.update(other for other in self._connections if other is not spared)
         self._runs.silence_open()
 
     def addresses(self) -> dict:
-        """Return where the process listens."""
+        """Return the addresses that the process listens on."""
         control = {} if self._control is None else {"control": f"{self._control.host}:{self._control.port}"}
         return {"name": self._settings["name"], "address": f"{self._serving.host}:{self._serving.port}", **control}
 
@@ -163,7 +163,7 @@
             problem = f"not JSON: {error}"
         if problem:
             return json_answer(start_response, 400, {"error": {"message": problem}})
-        status = self.faults.take_reject_status()
+        status = self.faults.consume_reject_status()
         if status:
             return json_answer(start_response, status, {"error": {"message": "refused by the engine"}})
         run_id = environ.get("HTTP_X_REQUEST_ID") or uuid.uuid4().hex
@@ -175,18 +175,18 @@
             return json_answer(start_response, 409, {"error": {"message": f"run {run.run_id} is known"}})
         if body.get("stream"):
             return self._stream(environ, start_response, run, reader, run.batch_run.resume_tokens)
-        return self._whole(environ, start_response, run, reader)
+        return self._answer_unstreamed(environ, start_response, run, reader)
 
     def _live_run(self, body, run_id, *, chat) -> LiveRun:
         text = prompt_text(body)
-        most = body.get("max_completion_tokens") or body.get("max_tokens") or self._settings["default_output_tokens"]
-        output_tokens = min(most, body.get("wagtailtrestle_output_tokens") or most)
+        limit = body.get("max_completion_tokens") or body.get("max_tokens") or self._settings["default_output_tokens"]
+        output_tokens = min(limit, body.get("wagtailtrestle_output_tokens") or limit)
         marker = self.faults.poison_marker
         return LiveRun(
             run_id=run_id,
             answer_key=answer_key(text),
             chat=chat,
-            most_output_tokens=most,
+            max_output_tokens=limit,
             poisoned=bool(marker) and marker in text,
             batch_run=BatchRun(
                 run_id=run_id,
@@ -199,7 +199,7 @@
 
     def _stream(self, environ, start_response, run, reader, from_token):
         start_response("200 OK", [*EVENT_STREAM, ("X-Request-Id", run.run_id)])
-        kind = self.faults.take_stream_kind()
+        kind = self.faults.consume_stream_kind()
         fault = None
         if kind:
             fault = StreamFault(kind=kind, after_tokens=self.faults.stream_after_tokens, late_s=self.faults.late_s)
@@ -221,13 +221,13 @@
         finally:
             self._runs.detach(run, reader)
 
-    def _whole(self, environ, start_response, run, reader):
+    def _answer_unstreamed(self, environ, start_response, run, reader):
         try:
             self._following(environ, run, reader, 0).wait_end()
         finally:
             self._runs.detach(run, reader)
         headers = [("Content-Type", "application/json"), ("X-Request-Id", run.run_id)]
-        return bytes_answer(start_response, 200, whole_body(run), headers)
+        return bytes_answer(start_response, 200, complete_body(run), headers)
 
     def _attach(self, environ, start_response, parts):
         run, reader = self._runs.attach(parts[1])
@@ -256,13 +256,13 @@
         )
 
     def _get_cache_events(self, environ, start_response, parts):
-        return json_answer(start_response, 200, self._cache_events.since(_query_number(environ, "from")))
+        return json_answer(start_response, 200, self._cache_events.events_from(_query_number(environ, "from")))
 
     def _post_order(self, environ, start_response, parts):
         order = json.loads(read_body(environ))
-        status, answer = self._orders.take(order, ignore_fencing=self.faults.ignore_fencing)
+        status, answer = self._orders.apply(order, ignore_fencing=self.faults.ignore_fencing)
         if self._orders.leaving:
-            self.record.note_leaving()
+            self.record.mark_leaving()
         return json_answer(start_response, status, answer)
 
     def _export_kv(self, environ, start_response, parts):
@@ -310,16 +310,16 @@
     # Crashes.
 
     def crash(self):
-        """Crash in the way of the fault ``crash_mode``."""
+        """Crash as the fault ``crash_mode`` says."""
         self.faults.crash_now = False
         if self.faults.crash_mode == "exit":
             os._exit(CRASH_STATUS)
-        self._runs.forget_all()
+        self._runs.drop_all()
         self._cache_events.restart()
         self._go_down(self.faults.down_s)
 
     def is_down(self):
-        """Whether it goes down, is down, or is about to listen again."""
+        """Return whether the server is going down, is down, or has yet to listen again."""
         return self._down is not None and self._down.is_alive()
 
     def _go_down(self, down_s):
@@ -327,7 +327,7 @@
         self._down.start()
 
     def state(self) -> dict:
-        """Return the whole state, for a dump."""
+        """Return the complete state, for the state dump."""
         load = self._runs.load()
         return {
             "settings": self._settings.as_dict(),
