--- a/tests/test_leaving_notices.py
+++ b/tests/test_leaving_notices.py
@@ -26,7 +26,7 @@
         await request.grant("e1")
         self.assertEqual(request.caller.starts, [])
         self.assertTrue(any(isinstance(sent, EngineNotice) and sent.leaving for sent in request.schedulers.sent))
-        self.assertEqual(request.asks[-1].excluded_engines, ("e1",))
+        self.assertEqual(request.grant_requests[-1].excluded_engines, ("e1",))
         await request.grant("e2")
         self.assertEqual(len(request.caller.starts), 1)
 
--- a/tests/test_rate_limit.py
+++ b/tests/test_rate_limit.py
@@ -190,7 +190,7 @@
         kinds = [type(message) for message in request.schedulers.sent]
         self.assertEqual(kinds[0], EngineNotice)
         self.assertEqual(kinds[-1], GrantRequest)
-        self.assertEqual(request.asks[-1].excluded_engines, ())
+        self.assertEqual(request.grant_requests[-1].excluded_engines, ())
         await request.grant("e1", limit_age_s=0.01)
         self.assertEqual(len(request.caller.starts), 1)
 
--- a/tests/test_rest_notices.py
+++ b/tests/test_rest_notices.py
@@ -93,9 +93,9 @@
         request = OneRequest()
         request.entry.post("r1", back_off_notice())
         await request.grant("e1")
-        self.assertEqual(request.asks[-1].excluded_engines, ())
+        self.assertEqual(request.grant_requests[-1].excluded_engines, ())
         await request.grant("e1")
-        self.assertEqual(request.asks[-1].excluded_engines, ("e1",))
+        self.assertEqual(request.grant_requests[-1].excluded_engines, ("e1",))
 
     # Guards against a shorter back-off in a later answer that ends a longer one.
     @on_paused_clock
