--- a/tests/test_confirmation.py
+++ b/tests/test_confirmation.py
@@ -52,7 +52,7 @@
             poll_interval_s=POLL_S,
             watch_timeout_s=30.0,
             jitter=random.Random(1),
-            place=NativeDeclarations(),
+            location=NativeDeclarations(),
             readers=self.readers,
             request_confirmation=self.ask,
             generation=lambda: self.generation,
--- a/tests/test_store_epoch.py
+++ b/tests/test_store_epoch.py
@@ -243,7 +243,7 @@
             poll_interval_s=1.0,
             watch_timeout_s=1.0,
             jitter=random.Random(1),
-            place=PlatformDeclarations(),
+            location=PlatformDeclarations(),
         )
         source.proof = Proof(is_settled=lambda generation: True, epoch=epoch, clock=self.clock)
         return source
--- a/tests/test_store_readers.py
+++ b/tests/test_store_readers.py
@@ -105,7 +105,7 @@
             poll_interval_s=POLL_S,
             watch_timeout_s=30.0,
             jitter=random.Random(name),
-            place=Place(),
+            location=Place(),
             readers=self.readers,
             request_confirmation=self.peers.request_confirmation,
             generation=lambda: GENERATION,
--- a/tests/utils/freshness_replay.py
+++ b/tests/utils/freshness_replay.py
@@ -85,7 +85,7 @@
             poll_interval_s=TICK_S,
             watch_timeout_s=TICK_S,
             jitter=random.Random(1),
-            place=GenerationObject(),
+            location=GenerationObject(),
             readers=OneReader(),
             request_confirmation=self._ask,
             generation=lambda: self.generation,
--- a/wagtailtrestle/adapters.py
+++ b/wagtailtrestle/adapters.py
@@ -16,7 +16,7 @@
 
     Attributes
     ----------
-    place : DeclarationLocation
+    location : DeclarationLocation
     reports : ReportDialect
     ended_call : EngineDialect or None
         See :class:`wagtailtrestle.engines.client.EngineClient`.
@@ -33,7 +33,7 @@
         Kind of the object that records the store's epoch; ``None`` where the store reports none.
     """
 
-    place: object
+    location: object
     reports: object
     ended_call: object
     router_kind: str | None
@@ -58,7 +58,7 @@
 class NativeAdapter:
     """The native interface."""
 
-    place = NativeDeclarations()
+    location = NativeDeclarations()
     reports = NativeReports()
     ended_call = CANCEL_CALL
     router_kind = None
--- a/wagtailtrestle/configuration/configuration.py
+++ b/wagtailtrestle/configuration/configuration.py
@@ -69,7 +69,7 @@
     start_wait_s : float
         How long a starting router waits for its first declaration to be confirmed.
     jitter : random.Random, optional
-    place : DeclarationLocation, optional
+    location : DeclarationLocation, optional
         Where the store holds the declaration; by default the object that ``wagtailtrestle apply`` writes.
     readers : StoreReaders, optional
         Selects the routers that read the platform for all; without it every router watches and polls it.
@@ -91,7 +91,7 @@
         watch_timeout_s=DEFAULT_WATCH_TIMEOUT_S,
         start_wait_s=DEFAULT_START_WAIT_S,
         jitter=None,
-        place=None,
+        location=None,
         readers=None,
         request_confirmation=None,
         epoch=None,
@@ -110,7 +110,7 @@
             poll_interval_s=poll_interval_s,
             watch_timeout_s=watch_timeout_s,
             jitter=jitter,
-            place=place or NativeDeclarations(),
+            location=location or NativeDeclarations(),
             readers=readers,
             request_confirmation=request_confirmation,
             generation=lambda: self.generation,
--- a/wagtailtrestle/configuration/sources.py
+++ b/wagtailtrestle/configuration/sources.py
@@ -88,7 +88,7 @@
     Parameters
     ----------
     store : ObjectStore
-    place : DeclarationLocation
+    location : DeclarationLocation
         Location of the declaration in the store, and how its object is read.
     offer : callable
         ``offer(generation, text, source)``.
@@ -137,7 +137,7 @@
         poll_interval_s,
         watch_timeout_s,
         jitter,
-        place,
+        location,
         readers=None,
         request_confirmation=None,
         generation=None,
@@ -152,7 +152,7 @@
         self._observe_generation = observe_generation
         self.known_version = NO_VERSION
         self.last_read_at = None
-        self._place = place
+        self._place = location
         self._watched_version = NO_VERSION
         self._store = store
         self._offer = offer
--- a/wagtailtrestle/platform/adapter.py
+++ b/wagtailtrestle/platform/adapter.py
@@ -13,7 +13,7 @@
 class PlatformAdapter:
     """Adapter for the users' platform."""
 
-    place = PlatformDeclarations()
+    location = PlatformDeclarations()
     reports = PlatformReports()
     ended_call = None
     router_kind = ROUTER_KIND
@@ -28,7 +28,7 @@
 
     def parse(self, text):
         """Decode the operator's configuration."""
-        return self.place.parse(text)
+        return self.location.parse(text)
 
     def read_engine(self, name, value):
         """Decode an engine's registration."""
--- a/wagtailtrestle/router.py
+++ b/wagtailtrestle/router.py
@@ -129,7 +129,7 @@
             on_change=self._apply_configuration,
             query_peers=self._peer_configuration.fetch,
             executor=self._parsing,
-            place=self._adapter.place,
+            location=self._adapter.location,
             readers=readers,
             request_confirmation=self._peer_configuration.request_confirmation,
             poll_interval_s=self._settings.configuration_poll_s,
