--- a/tests/test_confirmation.py
+++ b/tests/test_confirmation.py
@@ -132,7 +132,7 @@
         source = Source(None)
         in_force = {GENERATION}
         source.source.proof._is_settled = lambda generation: generation in in_force
-        source.source._place = SimpleNamespace(
+        source.source._location = SimpleNamespace(
             kind="config",
             name="main",
             reads_are_linearizable=True,
--- a/wagtailtrestle/configuration/sources.py
+++ b/wagtailtrestle/configuration/sources.py
@@ -116,7 +116,7 @@
         "known_version",
         "last_read_at",
         "proof",
-        "_place",
+        "_location",
         "_readers",
         "_request_confirmation",
         "_generation",
@@ -152,7 +152,7 @@
         self._observe_generation = observe_generation
         self.known_version = NO_VERSION
         self.last_read_at = None
-        self._place = location
+        self._location = location
         self._watched_version = NO_VERSION
         self._store = store
         self._offer = offer
@@ -188,14 +188,14 @@
             self._watched_version = max(self._watched_version, outcome.version)
             self.proof.record_answer(outcome.version)
             for name, version, value in outcome.value:
-                if name == self._place.name and value is not None:
+                if name == self._location.name and value is not None:
                     self._offer_declaration(version, value, Source.WATCH)
 
     async def _watch_once(self):
         try:
             async with asyncio.timeout(self._watch_timeout_s + WATCH_MARGIN_S):
                 return await self._store.watch(
-                    kind=self._place.kind,
+                    kind=self._location.kind,
                     from_version=max(self._watched_version, self.known_version),
                     timeout_s=self._watch_timeout_s,
                 )
@@ -259,7 +259,7 @@
         """Read the declaration; return its version (``NO_VERSION`` if absent), or ``None`` if it can't be read."""
         known = self.known_version or None
         began_at = boot_time_s()
-        outcome = await self._store.get(kind=self._place.kind, name=self._place.name, unless_version=known)
+        outcome = await self._store.get(kind=self._location.kind, name=self._location.name, unless_version=known)
         if isinstance(outcome, StoreAbsent):
             return NO_VERSION
         if not isinstance(outcome, StoreDone):
@@ -272,9 +272,9 @@
         return outcome.version
 
     def _offer_declaration(self, version, value, source):
-        accepted = self._place.parse_accepted(version=version, value=value)
+        accepted = self._location.parse_accepted(version=version, value=value)
         if accepted is None:
-            logger.error("object {}/{} is not a valid declaration", self._place.kind, self._place.name)
+            logger.error("object {}/{} is not a valid declaration", self._location.kind, self._location.name)
             return
         self.proof.record_declaration(version, accepted.generation)
         # The version only increases: a stale read must not make the watch repeat events.
@@ -297,10 +297,10 @@
         read_version = await self._read(Source.POLL)
         if read_version is None:
             return False
-        if self._place.reads_are_linearizable:
+        if self._location.reads_are_linearizable:
             return True
         outcome = await self._store.update(
-            kind=self._place.kind, name=self._place.name, value=None, if_version=NO_VERSION
+            kind=self._location.kind, name=self._location.name, value=None, if_version=NO_VERSION
         )
         if isinstance(outcome, StoreAbsent):
             return read_version == NO_VERSION
