--- a/wagtailtrestle/platform/store.py
+++ b/wagtailtrestle/platform/store.py
@@ -56,8 +56,8 @@
 
     def start(self):
         """Start the threads; connections are opened by the first calls."""
-        self._calls = self._make_lane(threads=CALL_THREADS, name="store")
-        self._watches = self._make_lane(threads=WATCH_THREADS, name="watch")
+        self._calls = self._make_client(threads=CALL_THREADS, name="store")
+        self._watches = self._make_client(threads=WATCH_THREADS, name="watch")
 
     def close(self):
         """Cancel all calls in flight and stop the threads."""
@@ -143,7 +143,7 @@
         headers = {} if body is None else {"Content-Type": "application/json"}
         return await self._calls.call(method=method, path=path, wait_s=READ_TIMEOUT_S, headers=headers, body=encoded)
 
-    def _make_lane(self, *, threads, name):
+    def _make_client(self, *, threads, name):
         return ThreadedHttpClient(
             host=self._url.hostname,
             port=self._url.port,
@@ -183,7 +183,9 @@
             return _with_epoch(answer, StoreAbsent())
         case status if status in NOT_APPLIED_STATUSES:
             return _unavailable(answer)
-    return _with_epoch(answer, StoreUnknown(detail=describe_answer(answer))) if answer.was_sent else _unavailable(answer)
+    return (
+        _with_epoch(answer, StoreUnknown(detail=describe_answer(answer))) if answer.was_sent else _unavailable(answer)
+    )
 
 
 def _event(kind, event):
