--- a/wagtailtrestle/router.py
+++ b/wagtailtrestle/router.py
@@ -88,7 +88,7 @@
         self._engine_client = EngineClient(connect_timeout_s=CONNECT_TIMEOUT_S, ended_call=self._adapter.ended_call)
         self._make_peers()
         self._make_configuration()
-        self._make_decisions()
+        self._make_scheduling()
         self._make_servers()
 
     # Construction of the components.
@@ -179,7 +179,7 @@
         limits = RelayLimits(propagation_limit_s=self._settings.engine_leaving_ms / MS_PER_S)
         return EngineRelay(peers=self._peers, readers=readers, limits=limits)
 
-    def _make_decisions(self):
+    def _make_scheduling(self):
         name = self._settings.name
         self._directory = Directory(
             name=name,
