--- a/wagtailtrestle/callers/connection_watcher.py
+++ b/wagtailtrestle/callers/connection_watcher.py
@@ -110,8 +110,8 @@
     def _stop_slow_senders(self):
         now = time.monotonic()
         with self._lock:
-            crowded = len(self._since_by_connection) > self._max_receiving
-            allowed_s = min(BUSY_TIMEOUT_S, self._timeout_s) if crowded else self._timeout_s
+            is_busy = len(self._since_by_connection) > self._max_receiving
+            allowed_s = min(BUSY_TIMEOUT_S, self._timeout_s) if is_busy else self._timeout_s
             late = [c for c, since in self._since_by_connection.items() if now - since > allowed_s]
             for connection in late:
                 del self._since_by_connection[connection]
