--- a/wagtailtrestle/configuration/engine_list.py
+++ b/wagtailtrestle/configuration/engine_list.py
@@ -190,10 +190,10 @@
         return self._missing_kept_until is not None and now >= self._missing_kept_until
 
     def _watch_s(self):
-        longest_s = WATCH_TIMEOUT_S if self._relay is None else self._relay.limits.watch_s
+        max_watch_s = WATCH_TIMEOUT_S if self._relay is None else self._relay.limits.watch_s
         if self._missing_kept_until is None:
-            return longest_s
-        return max(0.05, min(longest_s, self._missing_kept_until - self._clock()))
+            return max_watch_s
+        return max(0.05, min(max_watch_s, self._missing_kept_until - self._clock()))
 
     def _record_answer(self):
         now = self._clock()
