--- a/wagtailtrestle/callers/connection_watcher.py
+++ b/wagtailtrestle/callers/connection_watcher.py
@@ -94,9 +94,9 @@
             self._stop_slow_senders()
 
     def _pop_disconnected(self):
-        # An event found before the lock was acquired may belong to a connection that has been closed since, and its
-        # descriptor may have been reused: the request of a connected caller was aborted that way. Polled again under
-        # the lock, the kernel reports only connections that are watched now.
+        # An event returned before the lock was acquired may belong to a connection that has been closed since and
+        # whose descriptor has been reused. Acting on it aborted the request of a caller that was still connected.
+        # Polled again under the lock, the kernel reports only connections that are watched now.
         with self._lock:
             dropped = [self._unregister(fd) for fd, _ in self._epoll.poll(0)]
         return [on_disconnect for on_disconnect in dropped if on_disconnect is not None]
--- a/wagtailtrestle/callers/limits.py
+++ b/wagtailtrestle/callers/limits.py
@@ -131,8 +131,9 @@
     def retry_after_s(self) -> float:
         """Return the time after which a refused caller should retry: the mean hold time of a request.
 
-        Capacity is freed all the time, but goes to whichever request comes at that moment. After one
-        mean hold time, most of the requests held now have ended.
+        In that time, about every held request has been replaced once. Capacity is freed all the time, but
+        goes first to requests that arrive at that very moment. After one mean hold time, the requests held
+        now no longer compete for the capacity.
         """
         with self._lock:
             return min(MAX_RETRY_AFTER_S, max(MIN_RETRY_AFTER_S, self._hold_s))
--- a/wagtailtrestle/configuration/engine_relay.py
+++ b/wagtailtrestle/configuration/engine_relay.py
@@ -20,7 +20,7 @@
 
 DEFAULT_PROPAGATION_LIMIT_S = 2.0
 MAX_PROPAGATION_LIMIT_S = 6.0
-"""Above this limit, requests would go to an engine that was cut off for longer than callers wait."""
+"""Above this limit, an engine that was cut off would get requests for longer than callers wait."""
 WATCH_SHARE = 0.35
 WAIT_SHARE = 0.2
 MAX_AGE_SHARE = 0.5
--- a/wagtailtrestle/configuration/epoch_note.py
+++ b/wagtailtrestle/configuration/epoch_note.py
@@ -1,4 +1,4 @@
-"""The note in the store of the last epoch that the fleet considered settled.
+"""The note in the store that names the last epoch the fleet considered settled.
 
 A router that starts can't know whether the store has just been restored from a backup. Routers that kept running
 report it, but none does when all start together, as after a power failure. A backup made before an epoch can't hold a
--- a/wagtailtrestle/contracts/exchange.py
+++ b/wagtailtrestle/contracts/exchange.py
@@ -129,7 +129,7 @@
         Whether to reattach to ``run_id`` on the same engine over a new connection, after
         the tokens already received; the engine starts no second run.
     first_token_deadline_s, progress_deadline_s, overall_s : float
-        Time-outs for the first token, for each following token and for the whole run.
+        Timeouts for the first token, for each following token and for the whole run.
     start_ms : int
         Start time of the engine process that it is meant for; see ``DeclaredEngine``.
     was_limited : bool
--- a/wagtailtrestle/declarations/argument_types.py
+++ b/wagtailtrestle/declarations/argument_types.py
@@ -110,7 +110,7 @@
 
 
 class Flag:
-    """Boolean, only as ``true`` or ``false`` as in YAML 1.2: 'no' and 'off' are easily mistaken for text."""
+    """Boolean, only as ``true`` or ``false`` as in YAML 1.2: 'no' and 'off' are too easily misread."""
 
     allowed = "true or false"
     is_text = False
--- a/wagtailtrestle/declarations/settings.py
+++ b/wagtailtrestle/declarations/settings.py
@@ -68,7 +68,7 @@
     peer_heartbeat_s : float
         Time between two heartbeats to a peer.
     adapter : {"own", "platform"}
-        Interface to callers, engines and the store: the product's own, or that of the users' platform.
+        Interface to callers, engines and the store: the native one, or that of the users' platform.
     metrics_address : str or None
         ``IP:PORT`` of a second listener for metrics and state.
     retry_share : float
--- a/wagtailtrestle/declarations/settings_watch.py
+++ b/wagtailtrestle/declarations/settings_watch.py
@@ -22,7 +22,7 @@
     "quota_overage",
     "quota_slack",
 )
-"""Fields whose change takes effect at once, as they are read at each use; others, such as addresses and pool sizes,
+"""Fields whose change takes effect immediately, as they are read at each use; others, such as addresses and pool sizes,
 only take effect at the next start."""
 
 
