--- a/wagtailtrestle/configuration/engine_list.py
+++ b/wagtailtrestle/configuration/engine_list.py
@@ -198,7 +198,7 @@
     def _record_answer(self):
         now = self._clock()
         if self._answered_at is not None and now - self._answered_at > WATCH_TIMEOUT_S + MIN_OUTAGE_S:
-            logger.warning("the store has not answered for {:.1f} s; missing engines are kept", now - self._answered_at)
+            logger.warning("the store answered nothing for {:.1f} s; missing engines are kept", now - self._answered_at)
             self._missing_kept_until = now + self._return_grace_s
         self._answered_at = now
 
