--- a/wagtailtrestle/configuration/epoch_note.py
+++ b/wagtailtrestle/configuration/epoch_note.py
@@ -28,7 +28,7 @@
     kind : str
     epoch : StoreEpoch
     is_writer : callable
-        Returns whether this router is a reader of the store.
+        Returns whether this router writes the note, as the readers of the store do.
     """
 
     __slots__ = (
--- a/wagtailtrestle/router.py
+++ b/wagtailtrestle/router.py
@@ -306,7 +306,7 @@
     async def start(self):
         """Start all components; the router is ready once a configuration is in force.
 
-        If one of them cannot start (for example because its address is in use), those already started are stopped again.
+        If one of them cannot start (for example, its address is in use), those already started are stopped again.
         """
         try:
             await self._start_parts()
