--- a/tests/test_confirmation.py
+++ b/tests/test_confirmation.py
@@ -52,7 +52,7 @@
             poll_interval_s=POLL_S,
             watch_timeout_s=30.0,
             jitter=random.Random(1),
-            place=NativeDeclarations(),
+            location=NativeDeclarations(),
             readers=self.readers,
             request_confirmation=self.ask,
             generation=lambda: self.generation,
@@ -132,7 +132,7 @@
         source = Source(None)
         in_force = {GENERATION}
         source.source.proof._is_settled = lambda generation: generation in in_force
-        source.source._place = SimpleNamespace(
+        source.source._location = SimpleNamespace(
             kind="config",
             name="main",
             reads_are_linearizable=True,
--- a/wagtailtrestle/callers/connection_watcher.py
+++ b/wagtailtrestle/callers/connection_watcher.py
@@ -94,9 +94,9 @@
             self._stop_slow_senders()
 
     def _pop_disconnected(self):
-        # An event found before the lock was acquired may belong to a connection that has been closed since, and its
-        # descriptor may have been reused: the request of a connected caller was aborted that way. Polled again under
-        # the lock, the kernel reports only connections that are watched now.
+        # An event returned before the lock was acquired may belong to a connection that has been closed since and
+        # whose descriptor has been reused. Acting on it aborted the request of a caller that was still connected.
+        # Polled again under the lock, the kernel reports only connections that are watched now.
         with self._lock:
             dropped = [self._unregister(fd) for fd, _ in self._epoll.poll(0)]
         return [on_disconnect for on_disconnect in dropped if on_disconnect is not None]
@@ -110,8 +110,8 @@
     def _stop_slow_senders(self):
         now = time.monotonic()
         with self._lock:
-            crowded = len(self._since_by_connection) > self._max_receiving
-            allowed_s = min(BUSY_TIMEOUT_S, self._timeout_s) if crowded else self._timeout_s
+            is_busy = len(self._since_by_connection) > self._max_receiving
+            allowed_s = min(BUSY_TIMEOUT_S, self._timeout_s) if is_busy else self._timeout_s
             late = [c for c, since in self._since_by_connection.items() if now - since > allowed_s]
             for connection in late:
                 del self._since_by_connection[connection]
--- a/wagtailtrestle/configuration/engine_list.py
+++ b/wagtailtrestle/configuration/engine_list.py
@@ -190,15 +190,15 @@
         return self._missing_kept_until is not None and now >= self._missing_kept_until
 
     def _watch_s(self):
-        longest_s = WATCH_TIMEOUT_S if self._relay is None else self._relay.limits.watch_s
+        max_watch_s = WATCH_TIMEOUT_S if self._relay is None else self._relay.limits.watch_s
         if self._missing_kept_until is None:
-            return longest_s
-        return max(0.05, min(longest_s, self._missing_kept_until - self._clock()))
+            return max_watch_s
+        return max(0.05, min(max_watch_s, self._missing_kept_until - self._clock()))
 
     def _record_answer(self):
         now = self._clock()
         if self._answered_at is not None and now - self._answered_at > WATCH_TIMEOUT_S + MIN_OUTAGE_S:
-            logger.warning("the store has not answered for {:.1f} s; missing engines are kept", now - self._answered_at)
+            logger.warning("the store answered nothing for {:.1f} s; missing engines are kept", now - self._answered_at)
             self._missing_kept_until = now + self._return_grace_s
         self._answered_at = now
 
--- a/wagtailtrestle/router.py
+++ b/wagtailtrestle/router.py
@@ -88,7 +88,7 @@
         self._engine_client = EngineClient(connect_timeout_s=CONNECT_TIMEOUT_S, ended_call=self._adapter.ended_call)
         self._make_peers()
         self._make_configuration()
-        self._make_decisions()
+        self._make_scheduling()
         self._make_servers()
 
     # Construction of the components.
@@ -129,7 +129,7 @@
             on_change=self._apply_configuration,
             query_peers=self._peer_configuration.fetch,
             executor=self._parsing,
-            place=self._adapter.place,
+            location=self._adapter.location,
             readers=readers,
             request_confirmation=self._peer_configuration.request_confirmation,
             poll_interval_s=self._settings.configuration_poll_s,
@@ -179,7 +179,7 @@
         limits = RelayLimits(propagation_limit_s=self._settings.engine_leaving_ms / MS_PER_S)
         return EngineRelay(peers=self._peers, readers=readers, limits=limits)
 
-    def _make_decisions(self):
+    def _make_scheduling(self):
         name = self._settings.name
         self._directory = Directory(
             name=name,
@@ -306,7 +306,7 @@
     async def start(self):
         """Start all components; the router is ready once a configuration is in force.
 
-        If one of them cannot start (its address is in use), those already started are stopped again.
+        If one of them cannot start (for example, its address is in use), those already started are stopped again.
         """
         try:
             await self._start_parts()
