--- a/wagtailtrestle/capacity/admission.py
+++ b/wagtailtrestle/capacity/admission.py
@@ -29,7 +29,7 @@
 
 WAIT_TOLERANCE = 1.5
 """Factor by which a predicted wait may exceed the time left. The prediction assumes that higher tiers keep arriving at
-their current rate, but a burst may end and leave room."""
+their current rate, but a burst may end and leave free slots."""
 
 RATE_WINDOW_S = 5.0
 """Time constant over which the arrival rate of work is averaged."""
--- a/wagtailtrestle/capacity/preemption.py
+++ b/wagtailtrestle/capacity/preemption.py
@@ -177,7 +177,7 @@
     def _in_time(self, waiting, slot, duration_s):
         # A cold model may be too optimistic by as much as admission assumes it to be too pessimistic. If a request
         # waited for the latest moment that such a prediction allows, it would get its slot too late, while the run
-        # that it could have preempted continued. A slot that was preempted already is as good as another victim's.
+        # that it could have preempted continued. A slot whose run was preempted already is as good as another victim's.
         preempted = slot.grant is not None and slot.grant.preempted_at is not None
         uncertainty = 1.0 if preempted else tolerance(slot.engine)
         expected = self._now + FREE_SLOT_DELAY_FACTOR * (slot.free_at - self._now) + uncertainty * duration_s
--- a/wagtailtrestle/capacity/scheduler.py
+++ b/wagtailtrestle/capacity/scheduler.py
@@ -1,8 +1,8 @@
 """Scheduler of one cell: grants slots on its engines in order of tier, refuses requests and preempts runs.
 
-All state is soft and can be rebuilt from what entries hold. A grant conveys capacity, not the right to run a
-request, so a scheduler that is wrong, late or duplicated can overfill or underfill an engine but can't make a
-request run twice.
+All state is soft and can be rebuilt from what entries hold. A grant only assigns a slot; whether a request runs, and
+that it does not run twice, is decided by its entry. So a scheduler that is wrong, late or duplicated can overfill or
+underfill an engine but can't make a request run twice.
 """
 
 import itertools
@@ -561,7 +561,7 @@
             return
         first = self._queue.first(LOOK_AHEAD)
         # A slot freed on an engine reserved for a suspect does not go to waiting requests, and preempting a run on
-        # an engine with a rate limit makes no room for another.
+        # an engine with a rate limit does not let another one start there.
         engines = [
             engine for engine in self._runs.engines if engine.kept_for is None and not engine.rate_limit.in_force
         ]
--- a/wagtailtrestle/capacity/tier_queue.py
+++ b/wagtailtrestle/capacity/tier_queue.py
@@ -132,7 +132,7 @@
             self._unpark(waiting)
 
     def peek_last(self):
-        """Return the request to evict first: of the lowest tier, of the team with most work for its share, due last.
+        """Return the request to evict first: of the lowest tier, of the team with most work per share, due last.
 
         So the team that floods its tier bears the cost. Isolated requests are left out.
         """
