--- a/wagtailtrestle/entry/attaches.py
+++ b/wagtailtrestle/entry/attaches.py
@@ -53,7 +53,7 @@
         self._tokens = outcome.output_tokens
         # Abandoning a run that no other engine may continue gains nothing: its engine may be paused or hold the run in
         # a long queue, and would finish it without a reader. The caller is answered at the deadline, as for any run
-        # that is too slow. A VM that vanished ends the run sooner, since no connection to it is established.
+        # that is too slow. A run on a VM that vanished ends sooner, since no connection can be established.
         if not (is_last and isinstance(outcome, RunSilent)):
             self._count += 1
 
--- a/wagtailtrestle/entry/request_task.py
+++ b/wagtailtrestle/entry/request_task.py
@@ -219,7 +219,7 @@
             return True
         # A caller that resends through another router must not cause a second run. The
         # claim is confirmed in the platform's store before the first dispatch; without that
-        # confirmation nothing is dispatched, so a refusal as not executed is accurate.
+        # confirmation nothing is dispatched, so the refusal can state that the request was not executed.
         match await self._request_claim.win():
             case ClaimWon():
                 return True
@@ -464,8 +464,8 @@
             return self._refuse_as_lost()
         if self._not_sent_count >= MAX_NOT_SENT:
             return self._refuse(Reason.NO_ENGINE, retry_after_s=self.context.retry_after_s(self.request.service))
-        # A refusal costs the engine a connection and the parsing of the request. The next run counts as a
-        # retry; without that limit, refusals alone could keep full engines busy.
+        # A refusal costs the engine a connection and the parsing of the request. The next run therefore counts against
+        # the retry budget; otherwise the refusals of repeated runs alone could keep full engines busy.
         if outcome.arrived:
             self._next_kind = RunKind.AFTER_REFUSAL
         return False
