--- a/wagtailtrestle/quotas/accounts.py
+++ b/wagtailtrestle/quotas/accounts.py
@@ -28,7 +28,7 @@
 
 RETURN_FACTOR = 2.0
 """Credits beyond this multiple of the prefetch target are returned to the owner: demand has moved to other
-routers, or a request was refunded, and the credits are missing where they are needed."""
+routers, or a request was refunded. If the credits stayed here, they would be missing at the other routers."""
 
 
 class QuotaRefused:
