--- a/wagtailtrestle/rollouts/canary_analysis.py
+++ b/wagtailtrestle/rollouts/canary_analysis.py
@@ -1,10 +1,11 @@
-"""Detects whether a version is worse than the one that it replaces.
-
-Each run on the target is compared with what the old version shows on the same route: a service may answer a
-seventh of one route's calls with failures of its own, with any version. A cumulative sum of log likelihood ratios
-(CUSUM), one for each route, one over all and one over those begun on a full engine, grows with bad runs and never
-falls below zero, so that a version which turns bad after a good beginning is found as soon as one that always was.
-Few runs of an untested version find its engine full; among all others a failure that comes only then is too rare.
+"""Detects whether a version has more bad runs, which fail, are lost or are slow, than the one that it replaces.
+
+The bad runs on the target are compared with those of the old version on the same route: with any version, a service
+may answer a seventh of one route's calls with failures of its own. A cumulative sum of log likelihood ratios (CUSUM)
+grows with bad runs and never falls below zero, so that a version which turns bad after a good start is detected as
+soon as one that was bad from the start. There is one sum for each route, one for all runs and one for the runs that
+filled their engine. The last is needed because few runs of an untested version fill its engine: a failure that occurs
+only then is too rare among all runs to be detected.
 """
 
 import math
@@ -62,7 +63,7 @@
     def usual(self, prior=PRIOR_BAD_RUNS / PRIOR_RUNS):
         """Return the expected rate of bad runs, one standard deviation above the observed rate.
 
-        With the observed rate alone, noise in the old version's runs would make a good target look worse.
+        With the observed rate alone, noise in the old version's runs would make a good target look bad.
         """
         bad_rate = self.bad_rate(prior)
         return bad_rate + math.sqrt(bad_rate * (1.0 - bad_rate) / (self.old_runs + PRIOR_RUNS))
@@ -132,7 +133,7 @@
 
     @property
     def is_bad(self):
-        """Whether the target is worse than the old version."""
+        """Whether the evidence that the target has more bad runs than the old version reaches the threshold."""
         return self.suspicion >= self.threshold
 
     @property
@@ -179,7 +180,7 @@
         }
 
     def _is_bad_run(self, route, engine, is_target, result, latency, now):
-        """Whether a run was bad; ``None`` if it tells nothing."""
+        """Whether a run was bad; ``None`` if it gives no evidence."""
         if result == FAILED:
             return True
         if result in CUT_RESULTS:
--- a/wagtailtrestle/rollouts/coordinator.py
+++ b/wagtailtrestle/rollouts/coordinator.py
@@ -25,7 +25,7 @@
     ----------
     store : StatusStore
     adapter : Adapter
-        Gives the ``rollout_kind`` and parses its objects.
+        Provides the ``rollout_kind`` and parses its objects.
     schedulers : SchedulerSet
     broadcast : Broadcast
     own_services : callable
--- a/wagtailtrestle/rollouts/order_watcher.py
+++ b/wagtailtrestle/rollouts/order_watcher.py
@@ -21,7 +21,7 @@
     ----------
     store : StatusStore
     adapter : Adapter
-        Gives the ``rollout_kind`` and parses its objects.
+        Provides the ``rollout_kind`` and parses its objects.
     is_needed : callable
         Returns whether this router needs the orders.
     on_change : callable
@@ -69,7 +69,7 @@
         self._task = None
 
     def start(self):
-        """Begin to follow; must be called on the running event loop."""
+        """Start watching; must be called on the running event loop."""
         self._task = asyncio.get_running_loop().create_task(self._follow())
 
     async def close(self):
