--- a/wagtailtrestle/rollouts/coordinator.py
+++ b/wagtailtrestle/rollouts/coordinator.py
@@ -235,7 +235,7 @@
                 clock=self._clock,
                 progress=self._last_progress(order),
             )
-            logger.bind(service=service, target=order.target, duration_s=order.duration_s).info("a roll-out begins")
+            logger.bind(service=service, target=order.target, duration_s=order.duration_s).info("rollout started")
         return rollout
 
     def _last_progress(self, order):
--- a/wagtailtrestle/rollouts/order_watcher.py
+++ b/wagtailtrestle/rollouts/order_watcher.py
@@ -164,7 +164,7 @@
         )
         log = logger.bind(service=order.service, target=order.target, state=str(state))
         if isinstance(outcome, StoreDone):
-            log.info("roll-out told to the store")
+            log.info("rollout state written to the store")
         else:
             log.bind(outcome=type(outcome).__name__).warning("rollout state could not be written to the store")
         # Read back in any case: the response may be lost, or another scheduler may have written.
--- a/wagtailtrestle/rollouts/rollout.py
+++ b/wagtailtrestle/rollouts/rollout.py
@@ -210,10 +210,10 @@
     def _end(self, state):
         self.phase = Phase.ENDED
         self.state = state
-        self._log(f"the roll-out is {state.replace('_', ' ')}")
+        self._log(f"the rollout is {state.replace('_', ' ')}")
 
     def _log(self, text):
-        logger.bind(service=self.order.service, **self.dump()).info("roll-out of {}: {}", self.order.service, text)
+        logger.bind(service=self.order.service, **self.dump()).info("rollout of {}: {}", self.order.service, text)
 
 
 def _latency(finished):
