--- a/wagtailtrestle/entry/request_task.py
+++ b/wagtailtrestle/entry/request_task.py
@@ -165,7 +165,7 @@
         """Run the request to its final answer."""
         if not await self._claim():
             return
-        while self._check_not_poisoned():
+        while self._passes_poison_check():
             granted = await self._acquire_slot()
             if granted is None:
                 return
@@ -235,7 +235,7 @@
 
     # Slot.
 
-    def _check_not_poisoned(self):
+    def _passes_poison_check(self):
         if self.context.crashes.is_blocked(self.request.body_digest):
             self._refuse(Reason.POISONED)
             return False
