--- a/wagtailtrestle/rollouts/canary_analysis.py
+++ b/wagtailtrestle/rollouts/canary_analysis.py
@@ -70,8 +70,8 @@
 
     def add(self, bad, usual):
         """Add a run on the target to the CUSUM; ``usual`` is the expected rate of bad runs."""
-        worse = usual + MIN_EXCESS_BAD_RATE * (1.0 - usual)
-        step = math.log(worse / usual) if bad else math.log((1.0 - worse) / (1.0 - usual))
+        degraded_rate = usual + MIN_EXCESS_BAD_RATE * (1.0 - usual)
+        step = math.log(degraded_rate / usual) if bad else math.log((1.0 - degraded_rate) / (1.0 - usual))
         self.total = max(0.0, self.total + step)
 
 
