--- a/wagtailtrestle/rollouts/rollout.py
+++ b/wagtailtrestle/rollouts/rollout.py
@@ -143,8 +143,8 @@
         elif self.phase is Phase.RAMP and self._is_ramp_over(fraction):
             self._shift()
         elif self.phase is Phase.SHIFT:
-            has_room = self.elapsed_s < self.order.duration_s - COMPLETION_MARGIN_S
-            if not (has_room and old_runs):
+            has_time_left = self.elapsed_s < self.order.duration_s - COMPLETION_MARGIN_S
+            if not (has_time_left and old_runs):
                 self._end(RolloutState.COMPLETED)
 
     def end_as(self, state):
