--- a/wagtailtrestle/entry/entry.py
+++ b/wagtailtrestle/entry/entry.py
@@ -99,8 +99,8 @@
     def retry_after_s(self, service):
         """Time until some engine of a service accepts requests of this router again, with a minimum."""
         engines = self._declaration().engines_by_name.values()
-        rests = [self._notices.rest_s(engine) for engine in engines if engine.service == service]
-        return max(DEFAULT_RETRY_AFTER_S, min(rests, default=0.0))
+        back_offs_s = [self._notices.rest_s(engine) for engine in engines if engine.service == service]
+        return max(DEFAULT_RETRY_AFTER_S, min(back_offs_s, default=0.0))
 
     def resend_notices(self, engine):
         """Send an engine's recent notices to the scheduler again, so that its next grant accounts for them."""
