--- a/wagtailtrestle/entry/poison.py
+++ b/wagtailtrestle/entry/poison.py
@@ -140,20 +140,20 @@
         self._crashes_by_fingerprint = {}
         self._early_clearances_by_incident = OrderedDict()
 
-    def record_crash(self, engine, by_fingerprint_running) -> CrashReport:
+    def record_crash(self, engine, running_fingerprints) -> CrashReport:
         """Record a crash seen by this router.
 
         Parameters
         ----------
         engine : str
-        by_fingerprint_running : iterable of str
+        running_fingerprints : iterable of str
             Fingerprints of the requests that this router ran there.
         """
         self._count += 1
         report = CrashReport(
             engine=engine,
             incident=f"{self._reporter}/{self._count}",
-            suspects=tuple(sorted(by_fingerprint_running)),
+            suspects=tuple(sorted(running_fingerprints)),
         )
         self.merge(report)
         return report
