--- a/wagtailtrestle/rollouts/canary_analysis.py
+++ b/wagtailtrestle/rollouts/canary_analysis.py
@@ -60,7 +60,7 @@
         """Return the old version's rate of bad runs, smoothed by ``prior``."""
         return (self.old_bad + PRIOR_RUNS * prior) / (self.old_runs + PRIOR_RUNS)
 
-    def usual(self, prior=PRIOR_BAD_RUNS / PRIOR_RUNS):
+    def expected_bad_rate(self, prior=PRIOR_BAD_RUNS / PRIOR_RUNS):
         """Return the expected rate of bad runs, one standard deviation above the observed rate.
 
         With the observed rate alone, noise in the old version's runs would make a good target look bad.
@@ -68,10 +68,14 @@
         bad_rate = self.bad_rate(prior)
         return bad_rate + math.sqrt(bad_rate * (1.0 - bad_rate) / (self.old_runs + PRIOR_RUNS))
 
-    def add(self, bad, usual):
-        """Add a run on the target to the CUSUM; ``usual`` is the expected rate of bad runs."""
-        degraded_rate = usual + MIN_EXCESS_BAD_RATE * (1.0 - usual)
-        step = math.log(degraded_rate / usual) if bad else math.log((1.0 - degraded_rate) / (1.0 - usual))
+    def add(self, bad, expected_bad_rate):
+        """Add a run on the target to the CUSUM; ``expected_bad_rate`` is the rate with any version."""
+        degraded_rate = expected_bad_rate + MIN_EXCESS_BAD_RATE * (1.0 - expected_bad_rate)
+        step = (
+            math.log(degraded_rate / expected_bad_rate)
+            if bad
+            else math.log((1.0 - degraded_rate) / (1.0 - expected_bad_rate))
+        )
         self.total = max(0.0, self.total + step)
 
 
@@ -208,8 +212,8 @@
     def _record_target_run(self, evidence, bad, was_full):
         self.target_runs += 1
         self.target_bad += bad
-        usual = evidence.usual()
-        evidence.add(bad, usual)
-        self._all.add(bad, usual)
+        expected_bad_rate = evidence.expected_bad_rate()
+        evidence.add(bad, expected_bad_rate)
+        self._all.add(bad, expected_bad_rate)
         if was_full:
-            self._full.add(bad, max(usual, self._full.usual(prior=evidence.bad_rate())))
+            self._full.add(bad, max(expected_bad_rate, self._full.expected_bad_rate(prior=evidence.bad_rate())))
