--- a/wagtailtrestle/capacity/retry_budget.py
+++ b/wagtailtrestle/capacity/retry_budget.py
@@ -92,7 +92,7 @@
             Routers that use this scheduler. Partitioned ones use another, which has their part of ``extra``.
         """
         limits = self._limits()
-        self._forget_old(limits.window_s)
+        self._drop_expired(limits.window_s)
         part = min(1.0, max(1, len(entries)) / max(1, limits.routers))
         successes = sum(len(times) for times in self._successes_by_entry.values())
         retries = sum(len(times) for times in self._retries_by_entry.values()) + waiting + 1
@@ -139,7 +139,7 @@
     def dump(self):
         """Return the current figures for the state dump."""
         limits = self._limits()
-        self._forget_old(limits.window_s)
+        self._drop_expired(limits.window_s)
         return {
             "successes": sum(len(times) for times in self._successes_by_entry.values()),
             "retries": sum(len(times) for times in self._retries_by_entry.values()),
@@ -158,7 +158,7 @@
         ]
         return max(MIN_KNOWN_SHARE, sum(known_s) / (window_s * len(known_s))) if known_s else 1.0
 
-    def _forget_old(self, window_s):
+    def _drop_expired(self, window_s):
         now = self._clock()
         for entry, times in list(self._retries_by_entry.items()):
             times.discard_before(now - window_s - ARRIVAL_SPREAD_S)
