--- a/wagtailtrestle/entry/request_task.py
+++ b/wagtailtrestle/entry/request_task.py
@@ -236,6 +236,7 @@
     # Slot.
 
     def _passes_poison_check(self):
+        """Refuse a request that is blocked as poison; return whether it may run."""
         if self.context.crashes.is_blocked(self.request.body_digest):
             self._refuse(Reason.POISONED)
             return False
--- a/wagtailtrestle/rollouts/canary_analysis.py
+++ b/wagtailtrestle/rollouts/canary_analysis.py
@@ -69,7 +69,7 @@
         return bad_rate + math.sqrt(bad_rate * (1.0 - bad_rate) / (self.old_runs + PRIOR_RUNS))
 
     def add(self, bad, expected_bad_rate):
-        """Add a run on the target to the CUSUM; ``expected_bad_rate`` is the rate with any version."""
+        """Add a run on the target to the CUSUM; ``expected_bad_rate`` is that of the old version."""
         degraded_rate = expected_bad_rate + MIN_EXCESS_BAD_RATE * (1.0 - expected_bad_rate)
         step = (
             math.log(degraded_rate / expected_bad_rate)
@@ -137,7 +137,7 @@
 
     @property
     def is_bad(self):
-        """Whether the evidence that the target has more bad runs than the old version reaches the threshold."""
+        """Whether a sum has reached the threshold: the target has more bad runs than the old version."""
         return self.suspicion >= self.threshold
 
     @property
