--- a/wagtailtrestle/capacity/scheduler_log.py
+++ b/wagtailtrestle/capacity/scheduler_log.py
@@ -65,4 +65,4 @@
             unknown=engine.phantom,
             reported=engine.reported_running,
             report_age_s=round(engine.report_age_s, 3),
-        ).warning("engine {} holds more runs than it has slots", engine.name)
+        ).warning("engine {} holds more runs than it has places", engine.name)
