--- a/wagtailtrestle/entry/entry.py
+++ b/wagtailtrestle/entry/entry.py
@@ -65,7 +65,7 @@
         self._notices = notices
 
     def send(self, cell, message):
-        """Send to the cell's scheduler; registering again recovers a lost message."""
+        """Send to the cell's scheduler; the next registration makes up for a lost message."""
         self._schedulers.send(cell=cell, message=message)
 
     def address_of(self, engine):
--- a/wagtailtrestle/entry/request_task.py
+++ b/wagtailtrestle/entry/request_task.py
@@ -54,7 +54,7 @@
 MIN_ATTACH_TIME_S = 0.05
 CANCEL_GRACE_S = 2.0
 COUNTED_RUN_SILENCE_S = 3.0
-"""Minimum silence limit for runs of a request that limits its number of runs. Engines that prefill several
+"""Minimum silence limit for runs of a request whose number of runs is limited. Engines that prefill several
 long prompts pause for a second or two; with a shorter limit their runs would be repeated on other engines,
 which prefill the prompts again just when load is highest."""
 MIN_FIRST_TOKEN_S = 0.001
--- a/wagtailtrestle/entry/run_reports.py
+++ b/wagtailtrestle/entry/run_reports.py
@@ -5,7 +5,7 @@
 
 
 class RunReports:
-    """Reports one request's runs to the scheduler of its cell; registering again recovers a lost message.
+    """Reports one request's runs to the scheduler of its cell; the next registration makes up for a lost message.
 
     Parameters
     ----------
