--- a/wagtailtrestle/rollouts/canary_analysis.py
+++ b/wagtailtrestle/rollouts/canary_analysis.py
@@ -1,4 +1,4 @@
-"""Detects whether a version has more bad runs, which fail, are lost or are slow, than the one that it replaces.
+"""Detects whether a version has a higher rate of bad runs (failed, lost or slow) than the one that it replaces.
 
 The bad runs on the target are compared with those of the old version on the same route: with any version, a service
 may answer a seventh of one route's calls with failures of its own. A cumulative sum of log likelihood ratios (CUSUM)
@@ -137,7 +137,7 @@
 
     @property
     def is_bad(self):
-        """Whether a sum has reached the threshold: the target has more bad runs than the old version."""
+        """Whether the target counts as bad, because the largest sum has reached the threshold."""
         return self.suspicion >= self.threshold
 
     @property
--- a/wagtailtrestle/rollouts/exposure.py
+++ b/wagtailtrestle/rollouts/exposure.py
@@ -86,7 +86,10 @@
             self._opens_at = now + CREDIT_ACCUMULATION_S
 
     def _is_ahead(self, route):
-        """Return whether a route has used more than its share, as a version may be bad on another route only."""
+        """Return whether a route has had more than its share of exposures.
+
+        A version that is bad on one route only is detected by the exposures of that route, so each needs its share.
+        """
         min_granted = COMMON_ROUTE_FRACTION * self.granted
         common = [other for other, count in self._granted_by_route.items() if count >= min_granted]
         min_exposed = min((self._exposed_by_route[other] for other in common), default=0)
