--- a/wagtailtrestle/capacity/admission.py
+++ b/wagtailtrestle/capacity/admission.py
@@ -304,7 +304,7 @@
         if not any(self.could_finish(waiting, engine) for engine in possible):
             return Reason.DEADLINE_UNREACHABLE
         # Parked requests wait although slots are free, because no engine with free slots is suitable for them. Later
-        # arrivals take nothing from them, and refusing these would leave engines idle.
+        # arrivals take nothing from them, and refusing those arrivals would leave engines idle.
         if self._has_free_slot(request) and not self._queue.ready:
             return None
         if self._has_lower_tier(request.tier):
