--- a/wagtailtrestle/capacity/admission.py
+++ b/wagtailtrestle/capacity/admission.py
@@ -29,7 +29,7 @@
 
 WAIT_TOLERANCE = 1.5
 """Factor by which a predicted wait may exceed the time left. The prediction assumes that higher tiers keep arriving at
-their current rate, but a burst may end and leave room."""
+their current rate, but a burst may end and leave free slots."""
 
 RATE_WINDOW_S = 5.0
 """Time constant over which the arrival rate of work is averaged."""
@@ -304,7 +304,7 @@
         if not any(self.could_finish(waiting, engine) for engine in possible):
             return Reason.DEADLINE_UNREACHABLE
         # Parked requests wait although slots are free, because no engine with free slots is suitable for them. Later
-        # arrivals take nothing from them, and refusing these would leave engines idle.
+        # arrivals take nothing from them, and refusing those arrivals would leave engines idle.
         if self._has_free_slot(request) and not self._queue.ready:
             return None
         if self._has_lower_tier(request.tier):
--- a/wagtailtrestle/entry/request_task.py
+++ b/wagtailtrestle/entry/request_task.py
@@ -54,7 +54,7 @@
 MIN_ATTACH_TIME_S = 0.05
 CANCEL_GRACE_S = 2.0
 COUNTED_RUN_SILENCE_S = 3.0
-"""Minimum silence limit for runs of a request that limits its number of runs. Engines that prefill several
+"""Minimum silence limit for runs of a request whose number of runs is limited. Engines that prefill several
 long prompts pause for a second or two; with a shorter limit their runs would be repeated on other engines,
 which prefill the prompts again just when load is highest."""
 MIN_FIRST_TOKEN_S = 0.001
@@ -165,7 +165,7 @@
         """Run the request to its final answer."""
         if not await self._claim():
             return
-        while self._check_not_poisoned():
+        while self._passes_poison_check():
             granted = await self._acquire_slot()
             if granted is None:
                 return
@@ -219,7 +219,7 @@
             return True
         # A caller that resends through another router must not cause a second run. The
         # claim is confirmed in the platform's store before the first dispatch; without that
-        # confirmation nothing is dispatched, so a refusal as not executed is accurate.
+        # confirmation nothing is dispatched, so the refusal can state that the request was not executed.
         match await self._request_claim.win():
             case ClaimWon():
                 return True
@@ -235,7 +235,8 @@
 
     # Slot.
 
-    def _check_not_poisoned(self):
+    def _passes_poison_check(self):
+        """Refuse a request that is blocked as poison; return whether it may run."""
         if self.context.crashes.is_blocked(self.request.body_digest):
             self._refuse(Reason.POISONED)
             return False
@@ -464,8 +465,8 @@
             return self._refuse_as_lost()
         if self._not_sent_count >= MAX_NOT_SENT:
             return self._refuse(Reason.NO_ENGINE, retry_after_s=self.context.retry_after_s(self.request.service))
-        # A refusal costs the engine a connection and the parsing of the request. The next run counts as a
-        # retry; without that limit, refusals alone could keep full engines busy.
+        # A refusal costs the engine a connection and the parsing of the request. The next run therefore counts against
+        # the retry budget; otherwise the refusals of repeated runs alone could keep full engines busy.
         if outcome.arrived:
             self._next_kind = RunKind.AFTER_REFUSAL
         return False
