--- a/tests/__main__.py
+++ b/tests/__main__.py
@@ -1,4 +1,4 @@
-"""Runs every test and closes with a plain count; what KNOWN-RED.txt lists is run, told and passed over."""
+"""Runs every test and prints the counts; failures listed in KNOWN-RED.txt are reported, but don't fail the run."""
 
 import sys
 import unittest
@@ -12,7 +12,7 @@
 
 
 def main():
-    # Failure tests make the product log what it should; the verdict is easier to find without it.
+    # Failure tests make the product log errors as intended; in a file they don't hide the verdict.
     logger.remove()
     logger.add(LOG_FILE, mode="w")
     entries = read_list()
--- a/tests/test_crash_signs.py
+++ b/tests/test_crash_signs.py
@@ -31,7 +31,7 @@
         self.cell.scheduler.on_unreachable("e1")
         self.assertEqual(self.notified_engines(), ["e1"])
 
-    # Guards against blaming a run for an engine that went down long after cutting it, or after the run had ended.
+    # Guards against blaming runs that the engine cut long before it went down, or that had ended normally there.
     def test_entries_that_lost_no_run_recently_are_not_notified(self):
         self.cell.receive(finished("a", result="RunCut"), finished("b"))
         self.cell.advance(DOWN_WINDOW_S + 0.1)
--- a/tests/test_crashing_request.py
+++ b/tests/test_crashing_request.py
@@ -9,7 +9,7 @@
 RATE = 8.0
 POISON = "this-crashes-engines".ljust(400, "y")
 RESTART_S = 6.0
-"""Longer than ``SAME_CRASH_WINDOW_S``, in which reports on one engine count as one crash; so is a real restart."""
+"""Longer than ``SAME_CRASH_WINDOW_S``, in which reports on one engine count as one crash, like a real restart."""
 
 PAUSE_S = 0.7
 MAX_SENDINGS = 20
--- a/tests/test_first_token_target.py
+++ b/tests/test_first_token_target.py
@@ -79,8 +79,8 @@
         self.assertEqual(cell.entries.of(Refused)[0].reason, Reason.OVERLOADED)
 
     def test_overload_refuses_immediately(self):
-        # Ten requests per second arrive at a cell that starts two. A refused request that had waited first was kept
-        # from being retried elsewhere without benefit.
+        # Ten requests per second arrive at a cell that starts two. Waiting before a refusal gained nothing, and delayed
+        # the caller's retry elsewhere.
         self.check_refused_immediately(Overload())
 
     # Guards against free slots of an engine in back-off, which can't be used and would make the cell look not full.
--- a/tests/test_new_scheduler.py
+++ b/tests/test_new_scheduler.py
@@ -41,9 +41,10 @@
         return self.entries.ids(Granted)
 
     def test_freshly_started_router_expects_runs_of_its_previous_process(self):
-        # Guards against a question of another entry that waits in the engine's queue. The scheduler was killed and
-        # restarted under its name, and its engine continues its runs. No entry registers these runs and the new process
-        # has seen no router die, so it granted as soon as all live routers had registered, and overfilled the engine.
+        # Guards against overfilling an engine, so that a question of another entry waits in its queue. The scheduler
+        # was killed and restarted under its name, and the engine continues what its former process had sent there. No
+        # entry registers these runs and the new process has seen no router die, so it granted as soon as all live
+        # routers had registered.
         self.schedulers.set_declaration(declaration())
         self.receive(register("r1", waiting=[ask("r"), ask("s")]))
         self.assertEqual(self.granted(), [])
@@ -70,9 +71,10 @@
         self.assertEqual(self.granted(), ["r"])
 
     def test_runs_of_a_restarted_router_keep_their_slots(self):
-        # Guards against a question of another entry that waits in the engine's queue, up to its deadline. A router that
-        # is not the scheduler dies and restarts immediately. The runs of its previous process continue; the new process
-        # registers that it holds nothing, and the scheduler, which had kept their slots until a report, grants them.
+        # Guards against overfilling an engine, so that a question of another entry waits in its queue up to its
+        # deadline. A router that is not the scheduler dies and restarts immediately, and the runs of its previous
+        # process continue. The new process registers that it holds nothing, and the scheduler, which had kept the slots
+        # of these runs until a report, granted them.
         self.schedulers.set_members({"r1", "r2"})
         self.schedulers.set_declaration(declaration())
         self.advance(ORPHAN_WINDOW_S + 0.1)
--- a/tests/test_pause_of_all.py
+++ b/tests/test_pause_of_all.py
@@ -1,4 +1,4 @@
-"""All routers pause at once, as on a starved machine, while requests keep arriving."""
+"""All routers pause simultaneously, as on overloaded VMs, while requests keep arriving."""
 
 import signal
 import time
--- a/tests/test_rate_limit.py
+++ b/tests/test_rate_limit.py
@@ -101,7 +101,7 @@
 
 
 class ChangedLimitTest(unittest.TestCase):
-    # Guards against an overloaded engine that lowers its limit and still gets the burst saved under the former one.
+    # Guards against an overloaded engine that lowers its limit and still gets the burst earned under the former one.
     def test_lower_limit_counts_earlier_requests(self):
         cell = LoadedCell()
         cell.receive(notice(10.0))
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -315,9 +315,10 @@
         self.assertEqual(cell.entries.ids(Granted), ["r"])
 
     def test_runs_of_an_entry_that_switched_schedulers_keep_their_slots(self):
-        # Guards against a question of r1 that waits in the engine's queue until its deadline. A restarted scheduler
-        # takes the cell back; r2 learns of it first and registers here as using another scheduler. Its run continues
-        # nevertheless: if its slot were freed, r1, which does not know yet, would get a second run on it.
+        # Guards against overfilling an engine, so that a question of r1 waits in its queue until its deadline. A
+        # restarted scheduler takes the cell back; r2 learns of it first and registers here as using another scheduler.
+        # Its run continues nevertheless: if its slot were freed, r1, which does not know yet, would get a second run
+        # on it.
         cell = Cell(slots=1, members=("r1", "r2"))
         cell.receive(register("r1"), register("r2"), ask("x", entry="r2"), ask("r"))
         self.assertEqual(cell.entries.ids(Granted), ["x"])
--- a/tests/test_start_hold.py
+++ b/tests/test_start_hold.py
@@ -2,8 +2,8 @@
 
 About 70 requests per second reach nine routers. All routers stop for half a second or more, and each
 refused requests for another half a second before it was ready. A caller retries once, and its retry
-reached another starting router. The default hold time is twice that half second. A caller is held for at
-most a third of its timeout, the same share that it allows for the delay stated in ``Retry-After``.
+reached another starting router. The default hold time is about twice that half second. A caller is held for
+at most a third of its timeout, the same share that it allows for the delay stated in ``Retry-After``.
 """
 
 import socket
--- a/tests/test_store_restored.py
+++ b/tests/test_store_restored.py
@@ -19,7 +19,7 @@
     def start(self, *, routers=3):
         world = World(routers=routers, key_revocation_ms=int(REVOKED_S * 1000))
         world.store.epoch = 1
-        # The fleet has considered this epoch settled.
+        # The note of the epoch that the fleet considers settled, as after a long time without a restore.
         world.store.put(NOTE_KIND, NOTE_NAME, {"epoch": 1})
         self.addCleanup(world.close)
         return world.start()
