--- a/tests/test_platform_outage.py
+++ b/tests/test_platform_outage.py
@@ -14,7 +14,7 @@
 RATE = 15.0
 OUT_S = 2.5
 IN_FORCE_S = 5.0
-LOADED_VM_S = 3.0
+LOADED_VM_MARGIN_S = 3.0
 MAX_REFUSAL_S = 3.0
 
 
@@ -115,7 +115,7 @@
         took_s = self.apply("under-load", 4)
         seen = load.stop()
         print(f"configuration: in force on every router {took_s:.2f} s after it was accepted")
-        self.assertLess(took_s, IN_FORCE_S + LOADED_VM_S)
+        self.assertLess(took_s, IN_FORCE_S + LOADED_VM_MARGIN_S)
         self.assert_promises(self.running, seen)
         self.assert_all_complete(seen)
 
@@ -125,7 +125,7 @@
         self.running.platform_faults(drop_watch_events=True)
         took_s = self.apply("silent-watch", 5)
         print(f"configuration: in force {took_s:.2f} s after it was accepted, watches silent")
-        self.assertLess(took_s, IN_FORCE_S + LOADED_VM_S)
+        self.assertLess(took_s, IN_FORCE_S + LOADED_VM_MARGIN_S)
 
     def test_open_connections_to_the_platform_went_silent(self):
         # A component between the routers and the platform lost the state of all open connections: the
@@ -133,7 +133,7 @@
         self.running.platform_faults(silent="open")
         took_s = self.apply("silent-connections", 6)
         print(f"configuration: in force {took_s:.2f} s after it was accepted, open connections silent")
-        self.assertLess(took_s, IN_FORCE_S + LOADED_VM_S)
+        self.assertLess(took_s, IN_FORCE_S + LOADED_VM_MARGIN_S)
 
     def test_two_operators_at_once(self):
         # Both apply a file based on the same generation at nearly the same time. One is accepted,
