--- a/tests/test_rate_limit.py
+++ b/tests/test_rate_limit.py
@@ -30,7 +30,7 @@
         self.run_s = run_s
         self.tiers = tiers
         self.waiting = waiting
-        self.asked = 0
+        self.request_count = 0
         self.granted = []
         self.ends = []
 
@@ -49,9 +49,9 @@
 
     def _refill_queue(self):
         while len(self.scheduler._queue) < self.waiting:
-            self.asked += 1
-            tier = self.tiers[self.asked % len(self.tiers)]
-            self.receive(ask(f"q{self.asked}", tier=tier, remaining_s=60.0, output_tokens=5, prompt_tokens=5))
+            self.request_count += 1
+            tier = self.tiers[self.request_count % len(self.tiers)]
+            self.receive(ask(f"q{self.request_count}", tier=tier, remaining_s=60.0, output_tokens=5, prompt_tokens=5))
             if len(self.entries.of(Refused)):
                 break
 
