--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -189,16 +189,16 @@
         """Request ``share`` of the rate; returns the fleet, the units admitted, and the refusals with their sizes."""
         quota = TokenQuota(rate_per_s=self.RATE_PER_S, burst=self.BURST, counts_tokens=True)
         fleet = Fleet(peers=routers, quota=quota)
-        chance = random.Random(seed)
+        rng = random.Random(seed)
         admitted, refused = 0, []
         gap_s = sum(self.SIZES) / len(self.SIZES) / (share * self.RATE_PER_S)
         due = fleet.clock.now
         for _ in range(round(seconds / TICK_S)):
             fleet.advance(TICK_S)
             while due <= fleet.clock.now:
-                due += gap_s * chance.uniform(0.5, 1.5)
-                units = chance.choice(self.SIZES)
-                charge = chance.choice(fleet.peers).acquire("club", units)
+                due += gap_s * rng.uniform(0.5, 1.5)
+                units = rng.choice(self.SIZES)
+                charge = rng.choice(fleet.peers).acquire("club", units)
                 if isinstance(charge, QuotaCharge):
                     admitted += units
                 else:
