--- a/tests/test_rate_limit.py
+++ b/tests/test_rate_limit.py
@@ -126,12 +126,12 @@
         for limit_per_s, share, seed in itertools.product((1.6, 2.3, 5.0), (0.5, 0.33), range(4)):
             with self.subTest(limit_per_s=limit_per_s, share=share, seed=seed):
                 cell = LoadedCell()
-                chance = random.Random(seed)
+                rng = random.Random(seed)
                 cell.receive(notice(limit_per_s))
                 cell.run(
                     40.0,
-                    notice_for=lambda engine, per_s=limit_per_s, chance=chance, share=share: notice(
-                        per_s if chance.random() < share else math.inf
+                    notice_for=lambda engine, per_s=limit_per_s, rng=rng, share=share: notice(
+                        per_s if rng.random() < share else math.inf
                     ),
                 )
                 most = max_within(cell.times("e1"), WINDOW_S)
