--- a/tests/test_spec_replay.py
+++ b/tests/test_spec_replay.py
@@ -220,8 +220,8 @@
 class FreshnessReplayTest(unittest.TestCase):
     def test_no_key_is_used_after_the_limit(self):
         proved_by_report = 0
-        old_word = ("an old report", written_trace(OLD_REPORT), {})
-        for name, trace, _ in [*replay_traces(freshness), old_word]:
+        old_report = ("an old report", written_trace(OLD_REPORT), {})
+        for name, trace, _ in [*replay_traces(freshness), old_report]:
             with self.subTest(guide=name):
                 replay = FreshnessReplay(trace=trace)
                 on_simulated_clock(replay.run())
