--- a/tests/utils/scheduling_replay.py
+++ b/tests/utils/scheduling_replay.py
@@ -262,10 +262,10 @@
         loop = asyncio.get_running_loop()
         self._entry, _ = make_entry(loop=loop)
         for request, caller in self._callers.items():
-            asked = caller_request(
+            caller_call = caller_request(
                 request, tier=TIER_BY_REQUEST[request], repeatable=request in REPEATABLE, deadline=loop.time() + LONG_S
             )
-            self._entry.submit(asked, caller)
+            self._entry.submit(caller_call, caller)
         differences = []
         for step in self._trace.steps[1:]:
             await self._follow(step)
