--- a/tests/utils/configuring_replay.py
+++ b/tests/utils/configuring_replay.py
@@ -30,7 +30,7 @@
     "unavailable": "unavailable",
     "give_up": "unavailable",
 }
-TOLD_BY_OUTCOME = {Applied: "applied", ApplyConflict: "conflict", ApplyNotDone: "not_done"}
+RESULT_BY_OUTCOME = {Applied: "applied", ApplyConflict: "conflict", ApplyNotDone: "not_done"}
 STEP_S = 0.05
 SETTLE_S = 60.0
 
@@ -149,7 +149,7 @@
     async def _apply(self, operator):
         store = self._stores[operator]
         outcome = await apply(store=store, text="text", apply_id=f"o{operator}", clock=lambda: 0.0)
-        self.told[operator] = TOLD_BY_OUTCOME.get(type(outcome), "unknown")
+        self.told[operator] = RESULT_BY_OUTCOME.get(type(outcome), "unknown")
         if self.monitor.read(f"apply[{operator}]") == "unsettled":
             again = ["sent_again_own", "sent_again_conflict"] if store.refused_again else []
             names = {"applied": ["read_back_own"], "conflict": ["read_back_other"], "unknown": ["give_up"]}
