--- a/tests/test_poison.py
+++ b/tests/test_poison.py
@@ -128,14 +128,14 @@
         # beside which it happens to run. The clearance may overtake a report and arrive twice.
         clock = Clock()
         here, there = (CrashTable(clock=clock, reporter=name) for name in ("r1", "r2"))
-        report = []
+        reports = []
         for engine in ("e1", "e2"):
             clock.now += 2 * SAME_CRASH_WINDOW_S
-            report.append(here.record_crash(engine, {"poison": 1, "innocent": 1}))
-        there.merge(report[0])
+            reports.append(here.record_crash(engine, {"poison": 1, "innocent": 1}))
+        there.merge(reports[0])
         clearance = here.record_success("innocent")
         there.merge_clearance(clearance)
-        there.merge(report[1])
+        there.merge(reports[1])
         self.assertFalse(there.is_suspect("innocent"))
         self.assertTrue(there.must_run_alone("poison"))
         self.assertIsNone(here.record_success("innocent"))
