--- a/tests/test_foreign_runs.py
+++ b/tests/test_foreign_runs.py
@@ -52,9 +52,11 @@
         for number, router in zip(range(QUESTIONS), routers, strict=False):
             if number == QUESTIONS_BEFORE_BURST:
                 self.post_foreign(count=count, output_tokens=output_tokens)
-            ask = threading.Thread(target=lambda router=router: seen.append(self.running.send(QUESTION, router=router)))
-            senders.append(ask)
-            ask.start()
+            sender = threading.Thread(
+                target=lambda router=router: seen.append(self.running.send(QUESTION, router=router))
+            )
+            senders.append(sender)
+            sender.start()
             time.sleep(PAUSE_S)
         for sender in senders:
             sender.join()
