--- a/tests/utils/ledger_replay.py
+++ b/tests/utils/ledger_replay.py
@@ -180,9 +180,9 @@
             for _ in range(OPEN_GATE_TURNS):
                 store.reads.put_nowait("turn")
                 store.outcomes.put_nowait("done")
-        for heard in self._deliveries:
+        for queue in self._deliveries:
             for _ in range(OPEN_GATE_TURNS):
-                heard.put_nowait("turn")
+                queue.put_nowait("turn")
 
     # Steps of the trace.
 
@@ -308,8 +308,8 @@
         if not isinstance(message, NonceAsk) or answer.state != NonceState.REFUSED:
             return
         other = _send(message.nonce)
-        heard = [f"hear_refused(send={send}, other={other})" for send in self._sends if send % ROUTERS == router]
-        for action in heard:
+        actions = [f"hear_refused(send={send}, other={other})" for send in self._sends if send % ROUTERS == router]
+        for action in actions:
             if self.monitor.allows(action):
                 self.monitor.take(action)
 
