--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -17,13 +17,13 @@
         def run(self):
             if outcome == "subtest":
                 with self.subTest(seed=3):
-                    self.fail("as told")
+                    self.fail("as requested")
                 with self.subTest(seed=4):
-                    self.fail("as told")
+                    self.fail("as requested")
             elif outcome == "skip":
-                self.skipTest("as told")
+                self.skipTest("as requested")
             elif outcome == "fail":
-                self.fail("as told")
+                self.fail("as requested")
 
         return run
 
