--- a/tests/test_rollouts.py
+++ b/tests/test_rollouts.py
@@ -16,7 +16,7 @@
 
 
 class RolloutTest(unittest.TestCase):
-    def play(self, *, after_order=None, duration_s=DURATION_S, end="completed", **version):
+    def run_rollout(self, *, after_order=None, duration_s=DURATION_S, end="completed", **version):
         """Order a version and wait until its rollout ends; return the world and the callers' answers by status."""
         world = RolloutWorld(**version)
         self.addCleanup(world.close)
@@ -51,7 +51,7 @@
         # All callers get their answers. The old engines stop as soon as the rollout is reported as completed, so they
         # must have no runs at that moment and get none afterwards.
         for _ in range(REPEATS):
-            world, counts = self.play()
+            world, counts = self.run_rollout()
             self.assertEqual(set(counts), {200})
             self.assertLess(world.arrivals(world.old)[-1], world.ended_at)
 
@@ -59,29 +59,29 @@
         # Few callers see a failure: repeatable calls are retried on the old version, while bookings get the engine's
         # own answer.
         for _ in range(REPEATS):
-            world, _ = self.play(is_bad=fails(0.5), end="rolled_back")
+            world, _ = self.run_rollout(is_bad=fails(0.5), end="rolled_back")
             self.assert_exposed_little(world)
 
     def test_version_that_fails_a_fifth_of_its_runs_is_rolled_back(self):
         for _ in range(REPEATS):
-            world, _ = self.play(is_bad=fails(0.2), end="rolled_back")
+            world, _ = self.run_rollout(is_bad=fails(0.2), end="rolled_back")
             self.assert_exposed_little(world)
 
     def test_version_that_fails_on_one_route_later_only_is_rolled_back(self):
         for _ in range(REPEATS):
-            world, _ = self.play(is_bad=fails(0.5, path=BOOK_PATH, after_s=3.0), end="rolled_back")
+            world, _ = self.run_rollout(is_bad=fails(0.5, path=BOOK_PATH, after_s=3.0), end="rolled_back")
             self.assert_exposed_little(world)
 
     def test_version_that_fails_only_when_full_is_rolled_back(self):
         # The few requests of an untested version would never fill an engine if they were spread thinly. Here the old
         # engines are nearly full, so the new ones would be too.
         for _ in range(REPEATS):
-            world, _ = self.play(is_bad=fails(0.5, when_full=True), work_s=0.15, end="rolled_back")
+            world, _ = self.run_rollout(is_bad=fails(0.5, when_full=True), work_s=0.15, end="rolled_back")
             self.assert_exposed_little(world)
 
     def test_version_that_is_four_times_slower_is_rolled_back(self):
         for _ in range(REPEATS):
-            world, _ = self.play(slow_by=lambda engine, path: 4.0, end="rolled_back")
+            world, _ = self.run_rollout(slow_by=lambda engine, path: 4.0, end="rolled_back")
             self.assert_exposed_little(world)
 
     def test_bad_version_is_rolled_back_though_the_scheduler_dies(self):
@@ -93,7 +93,7 @@
             self.assertEqual(len(coordinators), 1)
             coordinators[0].kill()
 
-        world, _ = self.play(is_bad=fails(0.3), after_order=kill_scheduler, end="rolled_back")
+        world, _ = self.run_rollout(is_bad=fails(0.3), after_order=kill_scheduler, end="rolled_back")
         self.assert_exposed_little(world)
 
     def test_store_restored_from_a_backup_does_not_reverse_the_verdict(self):
