--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -185,7 +185,7 @@
     SIZES = (4_700, 7_100, 9_800, 14_600)
     WINDOW_S = 8.0
 
-    def play(self, *, routers, share, seconds, seed=5):
+    def run_load(self, *, routers, share, seconds, seed=5):
         """Request ``share`` of the rate; returns the fleet, the units admitted, and the refusals with their sizes."""
         quota = TokenQuota(rate_per_s=self.RATE_PER_S, burst=self.BURST, counts_tokens=True)
         fleet = Fleet(routers=routers, quota=quota)
@@ -211,20 +211,20 @@
         # that it was refused at half of its rate.
         for routers in (20, 200):
             with self.subTest(routers=routers):
-                _, _, refused = self.play(routers=routers, share=0.95, seconds=30.0)
+                _, _, refused = self.run_load(routers=routers, share=0.95, seconds=30.0)
                 self.assertEqual(refused, [])
 
     def test_requests_beyond_the_quota_are_refused_and_the_rest_admitted(self):
         for routers in (20, 200):
             with self.subTest(routers=routers):
-                _, admitted, refused = self.play(routers=routers, share=2.0, seconds=30.0)
+                _, admitted, refused = self.run_load(routers=routers, share=2.0, seconds=30.0)
                 allowed = 30.0 * self.RATE_PER_S + self.BURST
                 self.assertLessEqual(admitted, allowed)
                 self.assertGreater(admitted, 0.93 * allowed)
                 self.assertGreater(len(refused), 10)
 
     def test_a_request_passes_after_the_reported_retry_time(self):
-        fleet, _, _ = self.play(routers=20, share=3.0, seconds=20.0)
+        fleet, _, _ = self.run_load(routers=20, share=3.0, seconds=20.0)
         units = max(self.SIZES)
         while isinstance(refusal := fleet.accounts[0].acquire("club", units), QuotaCharge):
             pass
