--- a/tests/test_retry_fleet.py
+++ b/tests/test_retry_fleet.py
@@ -70,7 +70,7 @@
 class SeededSeriesTest(unittest.TestCase):
     """Overlapping series of kills, restarts and network cuts, while runs fail in changing ways."""
 
-    async def play(self, seed):
+    async def run_seed(self, seed):
         fleet = RetryFleet(seed=seed)
         await fleet.start()
         await asyncio.sleep(CALM_S)
@@ -81,7 +81,7 @@
 
     def check(self, seed):
         with asyncio.Runner(loop_factory=lambda: looptime.new_event_loop(start=0)) as runner:
-            over, history = runner.run(self.play(seed))
+            over, history = runner.run(self.run_seed(seed))
         self.assertLessEqual(over, 0.0, history)
 
     # Guards against faults that only a combination of disturbances shows.
