--- a/tests/test_routers_in_series.py
+++ b/tests/test_routers_in_series.py
@@ -21,7 +21,7 @@
     # paused. Each new scheduler knows only what entries and engines report to it; anything it grants in excess waits
     # in an engine's queue, in order of arrival. Every question and plan must get a complete answer.
 
-    def play(self, routers, events):
+    def run_series(self, routers, events):
         running = Running(routers=routers, time_scale=TIME_SCALE).start()
         flood = Flood(running=running, callers=CALLERS).start()
         try:
@@ -44,26 +44,26 @@
             Event(at_s=0.57, kind=RESTART, on=SCHEDULER, for_s=0.5),
             Event(at_s=4.83, kind=KILL, on="other"),
         ]
-        self.play(4, events)
+        self.run_series(4, events)
 
     def test_scheduler_paused_and_then_the_next_one(self):
         events = [
             Event(at_s=1.76, kind=PAUSE, on=SCHEDULER, for_s=4.0),
             Event(at_s=4.45, kind=PAUSE, on=SCHEDULER, for_s=3.0),
         ]
-        self.play(5, events)
+        self.run_series(5, events)
 
     def test_scheduler_paused_twice(self):
         events = [
             Event(at_s=1.53, kind=PAUSE, on=SCHEDULER, for_s=3.0),
             Event(at_s=8.00, kind=PAUSE, on=SCHEDULER, for_s=3.0),
         ]
-        self.play(3, events)
+        self.run_series(3, events)
 
     def test_events_that_a_seed_gives(self):
         for seed in SEEDS:
             with self.subTest(seed=seed):
-                self.play(*random_plan(seed))
+                self.run_series(*random_plan(seed))
 
 
 if __name__ == "__main__":
