--- a/tests/utils/disturbances.py
+++ b/tests/utils/disturbances.py
@@ -85,7 +85,7 @@
         """Name of the router that is never disturbed."""
         return self._undisturbed_router
 
-    def play(self, started_at):
+    def start_events(self, started_at):
         """Start a thread for each event, timed relative to ``started_at``."""
         for event in self._events:
             thread = threading.Thread(target=self._play, args=(event, started_at))
