--- a/tests/utils/disturbances.py
+++ b/tests/utils/disturbances.py
@@ -88,7 +88,7 @@
     def start_events(self, started_at):
         """Start a thread for each event, timed relative to ``started_at``."""
         for event in self._events:
-            thread = threading.Thread(target=self._play, args=(event, started_at))
+            thread = threading.Thread(target=self._apply_event, args=(event, started_at))
             self._threads.append(thread)
             thread.start()
 
@@ -97,7 +97,7 @@
         for thread in self._threads:
             thread.join()
 
-    def _play(self, event, started_at):
+    def _apply_event(self, event, started_at):
         time.sleep(max(0.0, started_at + event.at_s - time.monotonic()))
         name = self._target(event)
         if name is None:
