--- a/tests/test_asking_engines.py
+++ b/tests/test_asking_engines.py
@@ -44,7 +44,7 @@
     return sorted(events)
 
 
-class Play:
+class DisturbedWorld:
     """A world with callers, disturbed by the events of a seed."""
 
     def __init__(self, *, seed):
@@ -117,7 +117,7 @@
                 self.play(seed)
 
     def play(self, seed):
-        play = Play(seed=seed)
+        play = DisturbedWorld(seed=seed)
         try:
             answers_by_router = play.run()
         finally:
