--- a/tests/test_asking_engines.py
+++ b/tests/test_asking_engines.py
@@ -114,9 +114,9 @@
     def test_what_engines_ask_for_is_kept_whatever_else_happens(self):
         for seed in SEEDS:
             with self.subTest(seed=seed):
-                self.play(seed)
+                self.run_seed(seed)
 
-    def play(self, seed):
+    def run_seed(self, seed):
         play = DisturbedWorld(seed=seed)
         try:
             answers_by_router = play.run()
