--- a/tests/test_asking_engines.py
+++ b/tests/test_asking_engines.py
@@ -117,23 +117,25 @@
                 self.run_seed(seed)
 
     def run_seed(self, seed):
-        play = DisturbedWorld(seed=seed)
+        disturbed = DisturbedWorld(seed=seed)
         try:
-            answers_by_router = play.run()
+            answers_by_router = disturbed.run()
         finally:
-            play.world.close()
-        description = f"seed {seed}: {[(round(at, 1), kind, on, value) for at, kind, on, value, _ in play.events]}"
-        for engine in play.engines:
+            disturbed.world.close()
+        description = f"seed {seed}: {[(round(at, 1), kind, on, value) for at, kind, on, value, _ in disturbed.events]}"
+        for engine in disturbed.engines:
             for check in (exceeded_limit, received_after_leaving, exceeded_back_off):
-                self.assertEqual(check(engine, play.disturbances), [], f"{check.__name__} {engine.name}, {description}")
+                self.assertEqual(
+                    check(engine, disturbed.disturbances), [], f"{check.__name__} {engine.name}, {description}"
+                )
         statuses = {
             answer.status
             for router, answers in answers_by_router.items()
-            if not play.disturbances.times_by_router[str(router)]
+            if not disturbed.disturbances.times_by_router[str(router)]
             for answer in answers
         }
         self.assertLessEqual(statuses, ANSWERS, description)
-        print(f"{description}: {[len(engine.received) for engine in play.engines]} requests")
+        print(f"{description}: {[len(engine.received) for engine in disturbed.engines]} requests")
 
 
 if __name__ == "__main__":
