--- a/tests/test_routers_in_series.py
+++ b/tests/test_routers_in_series.py
@@ -27,7 +27,7 @@
         try:
             time.sleep(FLOOD_S)
             disturbance = Disturbance(running=running, events=events)
-            disturbance.play(time.monotonic())
+            disturbance.start_events(time.monotonic())
             results = send_steadily(running, router=disturbance.undisturbed_router)
             disturbance.wait()
             self.assert_promises(running, [*results, *list(flood.seen)])
