--- a/tests/test_foreign_entries.py
+++ b/tests/test_foreign_entries.py
@@ -137,7 +137,7 @@
 class ForeignConfigurationTest(unittest.TestCase):
     @steady
     @given(VALUES | st.dictionaries(st.sampled_from(["version", "routes", "services", "tenants"]), VALUES))
-    def test_a_configuration_is_read_or_its_faults_are_told(self, document):
+    def test_configuration_is_parsed_or_its_faults_are_reported(self, document):
         read = PlatformDeclarations().parse(json.dumps(document))
         self.assertTrue(hasattr(read, "faults") or hasattr(read, "host_routes"))
         PlatformDeclarations().parse_accepted(version=1, value=document)
