--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -97,7 +97,7 @@
     def test_no_list(self):
         self.assertEqual(read_list(Path("no/such/file")), [])
 
-    def test_a_line_that_lacks_a_field_is_told(self):
+    def test_line_without_a_field_is_reported(self):
         for line in ("tests.made_up\n", "tests.made_up | a cause | a command |  | issue 1\n"):
             with self.subTest(line), self.assertRaises(ValueError):
                 self.read(line)
