--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -43,7 +43,7 @@
 
 
 class VerdictTest(unittest.TestCase):
-    def test_a_listed_test_that_fails_is_told_and_passed_over(self):
+    def test_failure_of_a_listed_test_is_reported_and_tolerated(self):
         verdict = verdict_of(suite_of(test_a="fail", test_b="pass"), "tests.made_up.Case.test_a")
         self.assertTrue(verdict.is_good)
         first, last = verdict.lines()
