--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -51,7 +51,7 @@
         self.assertIn("502 once", first)
         self.assertEqual(last, "1 passed, 0 failed, 0 skipped")
 
-    def test_a_listed_test_that_passes_is_told_and_counted(self):
+    def test_listed_test_that_passes_is_reported_and_counted(self):
         verdict = verdict_of(suite_of(test_a="pass", test_b="skip"), "tests.made_up.Case.test_a")
         self.assertIn("passed this time", next(iter(verdict.lines())))
         self.assertEqual(list(verdict.lines())[-1], "1 passed, 0 failed, 1 skipped")
