--- a/tests/test_poison.py
+++ b/tests/test_poison.py
@@ -180,7 +180,7 @@
         self.clock.now += 1.0
         self.assertEqual(self.detector.on_engine_down("e1"), {"a"})
 
-    def test_a_refused_connection_alone_blames_nobody(self):
+    def test_a_refused_connection_alone_blames_no_request(self):
         self.assertEqual(self.detector.on_engine_down("e1"), set())
         self.detector.on_cut("e1", "a")
         self.clock.now += RESTART_WINDOW_S + 0.1
