--- a/tests/test_platform_router.py
+++ b/tests/test_platform_router.py
@@ -62,7 +62,7 @@
         self.assertEqual(self.world.request("GET", "/status/1", key=None).status, 401)
         self.assertEqual(self.world.runs(service="booking"), [])
 
-    def test_a_request_with_two_lengths_is_not_passed_on(self):
+    def test_a_request_with_two_lengths_is_not_forwarded(self):
         # Request smuggling: with both Content-Length and chunked coding, an engine that goes by one of
         # them while the router goes by the other would run a second request hidden inside the first.
         host, _, port = self.world.routers[0].values["callers_address"].partition(":")
