--- a/tests/test_engine_rest.py
+++ b/tests/test_engine_rest.py
@@ -58,7 +58,7 @@
         self.assertEqual((self.callers.not_served(), set(self.callers.statuses())), ([], {200}))
 
     # Guards against the same when all engines ask for it, so that no other engine is left to send to.
-    def test_all_engines_get_their_rest_and_callers_are_told_when_to_return(self):
+    def test_back_off_of_all_engines_is_kept_and_refusals_have_a_retry_after(self):
         self.reject_all(self.engines)
         time.sleep(OBSERVED_S)
         for engine in self.engines:
