--- a/tests/test_engine_limits.py
+++ b/tests/test_engine_limits.py
@@ -59,7 +59,7 @@
         self.assertEqual((callers.not_served(), set(callers.statuses())), ([], {200}))
 
     # Guards against limits of all engines that each router enforces by itself instead of all routers together.
-    def test_all_engines_limited_keep_their_share_and_refusals_are_told_when_to_return(self):
+    def test_limits_of_all_engines_are_kept_and_refusals_have_a_retry_after(self):
         callers = self.call()
         time.sleep(1.0)
         engines = (self.limited, self.other)
