--- a/tests/test_engine_rest.py
+++ b/tests/test_engine_rest.py
@@ -50,7 +50,7 @@
 
 class RestTest(RestCase):
     # Guards against a router that keeps sending to an engine that asked it to back off.
-    def test_one_engine_gets_its_rest_and_nobody_is_refused(self):
+    def test_back_off_of_one_engine_is_kept_and_no_request_is_refused(self):
         self.reject_all(self.engines[:1])
         time.sleep(OBSERVED_S)
         self.check_back_off(self.engines[0])
