--- a/tests/test_engine_rest.py
+++ b/tests/test_engine_rest.py
@@ -16,7 +16,7 @@
 WORK_S = 0.03
 
 
-class RestCase(WorldCase):
+class BackOffCase(WorldCase):
     ROUTERS = 4
     SERVICE = "booking"
     PATHS = (("GET", "/status/1"), ("POST", "/book/1"))
@@ -48,7 +48,7 @@
         self.assertGreater(len(engine.rejections), 0)
 
 
-class RestTest(RestCase):
+class RestTest(BackOffCase):
     # Guards against a router that keeps sending to an engine that asked it to back off.
     def test_back_off_of_one_engine_is_kept_and_no_request_is_refused(self):
         self.reject_all(self.engines[:1])
