--- a/tests/test_engine_leaving.py
+++ b/tests/test_engine_leaving.py
@@ -62,7 +62,7 @@
         self.assertGreater(len(arrivals_elsewhere), 0.5 * OBSERVED_S * PER_S)
 
 
-class StrayWordTest(WorldCase):
+class StrayNoticeTest(WorldCase):
     # Guards against an engine taken out of use because of an answer that another engine sent.
     def test_an_answer_with_another_id_takes_no_engine_out(self):
         engines = [engine for engine in self.world.engines.values() if engine.service == "booking"]
