--- a/tests/test_engine_http.py
+++ b/tests/test_engine_http.py
@@ -460,7 +460,7 @@
         await self.poll(engine, until=until)
         self.assertEqual(self.seen(LoadUnreachable), [])
 
-    async def test_cache_events_tell_gaps_and_restarts(self):
+    async def test_cache_events_show_gaps_and_restarts(self):
         engine = start_engine(self, cache_lag_ms=0.0, cache_gap_every=2)
         for number in range(4):
             prompt = f"{number}" * 300
