--- a/tests/test_spec_replay.py
+++ b/tests/test_spec_replay.py
@@ -231,7 +231,7 @@
 
 
 class ResumptionReplayTest(unittest.TestCase):
-    def test_callers_get_each_event_once_whole_and_in_order(self):
+    def test_callers_get_each_event_once_complete_and_in_order(self):
         longest = faults = dropped = 0
         for name, trace, _ in replay_traces(resumption):
             with self.subTest(guide=name):
