--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -264,7 +264,7 @@
 
 
 class StatusTests(unittest.IsolatedAsyncioTestCase):
-    async def test_lagging_and_unreachable_routers_are_told_apart(self):
+    async def test_lagging_and_unreachable_routers_are_distinguished(self):
         store = MemoryStore()
         store.set_vms(VM_ITEMS)
         for text in ("a", "b"):
