--- a/tests/test_measure.py
+++ b/tests/test_measure.py
@@ -40,7 +40,7 @@
         self.assertEqual((figures["duplicates"], figures["lies"], figures["unsettled"]), (0, 0, 0))
         self.assertGreater(figures["prefill_tokens"], 0)
 
-    def test_platform_out_refuses_keys_at_once_and_nothing_else(self):
+    def test_platform_outage_refuses_keys_immediately_and_nothing_else(self):
         # Every call to the store fails during the entire run: no claim can be proved, so requests with
         # a key are refused immediately as not executed, and the refusal is accurate. Nothing else reads
         # the store: requests of the same tier without a key are served as usual under overload.
