--- a/tests/test_asking_engines.py
+++ b/tests/test_asking_engines.py
@@ -111,7 +111,7 @@
 class AskingEnginesTest(unittest.TestCase):
     # Guards against a limit, back-off or leaving notice that is obeyed on its own but lost when it coincides with
     # another or when a router dies.
-    def test_what_engines_ask_for_is_kept_whatever_else_happens(self):
+    def test_notices_of_engines_are_obeyed_during_disturbances(self):
         for seed in SEEDS:
             with self.subTest(seed=seed):
                 self.run_seed(seed)
