--- a/tests/test_whole_path.py
+++ b/tests/test_whole_path.py
@@ -49,7 +49,7 @@
     def chat(self, **fields):
         return {"model": "asistente", "max_tokens": 6, "messages": [{"role": "user", "content": PROMPT}], **fields}
 
-    def test_whole_chat_answer(self):
+    def test_complete_chat_answer(self):
         answer = self.send_request(0, "/v1/chat/completions", self.chat())
         self.assertEqual(answer.status, 200, answer.data)
         document = answer.json()
