--- a/tests/test_standin_engine.py
+++ b/tests/test_standin_engine.py
@@ -117,7 +117,7 @@
         added, removed = engine.cache.take_changes()
         self.assertEqual((sorted(added), removed), ([1, 2, 3, 4, 5], [4]))
 
-    def test_resumed_run_prefills_what_it_had_and_goes_on_after_it(self):
+    def test_resumed_run_prefills_received_tokens_and_continues_after_them(self):
         engine = make_engine()
         run = make_run("r.1", prompt_tokens=10, output_tokens=8, resume_tokens=5)
         engine.submit(run)
