--- a/tests/test_engine_limits.py
+++ b/tests/test_engine_limits.py
@@ -107,7 +107,7 @@
         callers.close()
 
     # Guards against a broken stream that is resumed on an engine beyond that engine's limit.
-    def test_streams_that_break_and_go_on_elsewhere_keep_to_the_limit(self):
+    def test_streams_that_break_and_resume_elsewhere_keep_to_the_limit(self):
         for engine in (self.limited, self.other):
             engine.pause_s = 0.02
             engine.script = ["cut", "well"] * 500
