--- a/tests/test_whole_path.py
+++ b/tests/test_whole_path.py
@@ -78,7 +78,7 @@
         runs = read_records([self.deployment.engine_url("reservas-1")])[0].values()
         self.assertEqual(sum(run.starts for each in runs for run in each), 1)
 
-    def test_every_process_tells_of_itself(self):
+    def test_every_process_serves_health_state_and_metrics(self):
         urls = [self.deployment.platform_url, *self.deployment.engine_urls()]
         urls += self.deployment.admin_url_by_router.values()
         for url in urls:
