--- a/tests/utils/freshness_replay.py
+++ b/tests/utils/freshness_replay.py
@@ -77,7 +77,7 @@
         self.store = ManualStore()
         self.report = None
         self._clock = clock
-        self._asking = None
+        self._pending_query = None
         self._tasks = {}
         self.source = PlatformSource(
             store=self.store,
@@ -120,8 +120,8 @@
 
     def deliver_report(self):
         """Deliver a peer's answer."""
-        if self._asking is not None and not self._asking.done() and self.report is not None:
-            self._asking.set_result(self.report)
+        if self._pending_query is not None and not self._pending_query.done() and self.report is not None:
+            self._pending_query.set_result(self.report)
         self.report = None
 
     async def close(self):
@@ -134,8 +134,8 @@
         self.generation = max(self.generation, generation)
 
     async def _ask(self, reader):
-        self._asking = asyncio.get_running_loop().create_future()
-        return await self._asking
+        self._pending_query = asyncio.get_running_loop().create_future()
+        return await self._pending_query
 
 
 class FreshnessReplay:
