--- a/tests/utils/freshness_replay.py
+++ b/tests/utils/freshness_replay.py
@@ -87,7 +87,7 @@
             jitter=random.Random(1),
             place=GenerationObject(),
             readers=OneReader(),
-            request_confirmation=self._ask,
+            request_confirmation=self._query,
             generation=lambda: self.generation,
             observe_generation=lambda generation, peer: None,
         )
@@ -133,7 +133,7 @@
     def _offer(self, generation, text, source):
         self.generation = max(self.generation, generation)
 
-    async def _ask(self, reader):
+    async def _query(self, reader):
         self._pending_query = asyncio.get_running_loop().create_future()
         return await self._pending_query
 
