--- a/tests/test_peer_configuration.py
+++ b/tests/test_peer_configuration.py
@@ -29,10 +29,10 @@
             if message_type is ConfigurationAsk:
                 self.answer_by_name[name] = handler
 
-        peers = SimpleNamespace(on=on, query=self._ask)
+        peers = SimpleNamespace(on=on, query=self._query)
         return PeerConfiguration(peers=peers, members=lambda: NAMES, in_force=lambda: held)
 
-    async def _ask(self, name, message, timeout_s):
+    async def _query(self, name, message, timeout_s):
         self.queried.append(name)
         answer = self.answer_by_name[name](None, message, "")
         self.sent_bytes += len(answer.packed)
