--- a/tests/test_confirmation.py
+++ b/tests/test_confirmation.py
@@ -54,12 +54,12 @@
             jitter=random.Random(1),
             place=NativeDeclarations(),
             readers=self.readers,
-            request_confirmation=self.ask,
+            request_confirmation=self.confirm,
             generation=lambda: self.generation,
             observe_generation=self.observe,
         )
 
-    async def ask(self, reader):
+    async def confirm(self, reader):
         return self.answer
 
     def observe(self, generation, peer):
