--- a/tests/utils/draining_replay.py
+++ b/tests/utils/draining_replay.py
@@ -76,9 +76,9 @@
         self._schedulers = self._new_schedulers()
         self._schedulers.deliver(CELL, ask("first"))
         expected, believed = [], []
-        for teller in sources:
-            verb = "unmark" if self.monitor.read(f"{teller}_leaving") else "mark"
-            self._follow(Step(action=f"{teller}_{verb}()", state={}))
+        for source in sources:
+            verb = "unmark" if self.monitor.read(f"{source}_leaving") else "mark"
+            self._follow(Step(action=f"{source}_{verb}()", state={}))
             expected.append(self.monitor.read("believed_leaving"))
             believed.append(self._schedulers.dump()[CELL]["engines"][LEAVER]["leaving"])
         return expected, believed
