--- a/tests/test_spec_replay.py
+++ b/tests/test_spec_replay.py
@@ -213,8 +213,8 @@
         for sources in itertools.product(("declared", "listed"), repeat=4):
             with self.subTest(sources=sources):
                 replay = DrainReplay(specification=draining.specification(), trace=None)
-                expected, believed = on_simulated_clock(replay.toggle(sources))
-                self.assertEqual(believed, expected)
+                expected, actual = on_simulated_clock(replay.toggle(sources))
+                self.assertEqual(actual, expected)
 
 
 class FreshnessReplayTest(unittest.TestCase):
--- a/tests/utils/draining_replay.py
+++ b/tests/utils/draining_replay.py
@@ -75,13 +75,13 @@
         self._entry, _ = make_entry(loop=asyncio.get_running_loop(), declaration=self._declaration)
         self._schedulers = self._new_schedulers()
         self._schedulers.deliver(CELL, ask("first"))
-        expected, believed = [], []
+        expected, actual = [], []
         for source in sources:
             verb = "unmark" if self.monitor.read(f"{source}_leaving") else "mark"
             self._follow(Step(action=f"{source}_{verb}()", state={}))
             expected.append(self.monitor.read("believed_leaving"))
-            believed.append(self._schedulers.dump()[CELL]["engines"][LEAVER]["leaving"])
-        return expected, believed
+            actual.append(self._schedulers.dump()[CELL]["engines"][LEAVER]["leaving"])
+        return expected, actual
 
     def _new_schedulers(self):
         schedulers = SchedulerSet(clock=asyncio.get_running_loop().time, entries=self._entries)
