--- a/tests/test_asking_engines.py
+++ b/tests/test_asking_engines.py
@@ -21,7 +21,7 @@
 ROUTERS = 4
 ENGINES = 4
 PER_S = 60.0
-PLAY_S = 14.0
+DURATION_S = 14.0
 LAST_EVENT_S = 9.0
 EVENTS = 7
 REST_S = 2.5
@@ -71,7 +71,7 @@
             time.sleep(max(0.0, started_at + at - time.monotonic()))
             timers.append(threading.Thread(target=self._happen, args=(kind, on, value, for_s), daemon=True))
             timers[-1].start()
-        time.sleep(max(0.0, started_at + PLAY_S - time.monotonic()))
+        time.sleep(max(0.0, started_at + DURATION_S - time.monotonic()))
         for timer in timers:
             timer.join()
         callers.close()
