--- a/tests/utils/draining_replay.py
+++ b/tests/utils/draining_replay.py
@@ -71,7 +71,7 @@
         await self._entry.close()
 
     async def toggle(self, sources):
-        """Let tellers toggle their marks of the engine in turn; return the expected and the actual leaving states."""
+        """Let sources toggle their marks of the engine in turn; return the expected and the actual leaving states."""
         self._entry, _ = make_entry(loop=asyncio.get_running_loop(), declaration=self._declaration)
         self._schedulers = self._new_schedulers()
         self._schedulers.deliver(CELL, ask("first"))
