--- a/tests/test_standin_engine.py
+++ b/tests/test_standin_engine.py
@@ -285,7 +285,8 @@
         self.assertLessEqual({RunNotSent, RunDone}, seen)
 
     def test_orphaned_run_is_cancelled(self):
-        # The router that sent the run died: it has no reader and is cancelled after the grace period.
+        # The router that sent the run died, so the run has no reader. After the grace period it is cancelled, which
+        # frees its slot.
         engine = start_engine(self, orphan_grace_ms=100.0)
         RunSender(call=chat_call(output_tokens=100_000)).send(address_of(engine), overall_s=0.1)
         until = time.monotonic() + 5
