--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -22,16 +22,16 @@
 class Fleet:
     """Routers with one owner; messages arrive without delay unless the connection is cut."""
 
-    def __init__(self, *, routers=2, quota=QUOTA, tolerance=None):
+    def __init__(self, *, peers=2, quota=QUOTA, tolerance=None):
         self.clock = Clock()
         self.threads = []
-        self.present = routers
+        self.present = peers
         self.cut = set()
         self.owner = QuotaOwner(
             clock=self.clock, members=lambda: self.present, tolerance=lambda: tolerance or Tolerance()
         )
         self.owner.set_quotas({"club": quota})
-        self.accounts = [self._make_accounts(number) for number in range(routers)]
+        self.accounts = [self._make_accounts(number) for number in range(peers)]
         for router_accounts in self.accounts:
             router_accounts.set_quotas({"club": quota})
 
@@ -88,11 +88,11 @@
 
     def test_one_router_may_use_the_whole_quota(self):
         # All callers of a team use one router. A fixed share per router would refuse what the quota allows.
-        used = Fleet(routers=5).use_up(10.0, routers=[0])
+        used = Fleet(peers=5).use_up(10.0, routers=[0])
         self.assertGreater(used, 0.9 * 10.0 * QUOTA.rate_per_s)
 
     def test_a_refusal_reports_the_time_until_retry(self):
-        fleet = Fleet(routers=1)
+        fleet = Fleet(peers=1)
         fleet.use_up(0.1)
         refused = fleet.accounts[0].acquire("club", 500)
         self.assertIsInstance(refused, QuotaRefused)
@@ -100,7 +100,7 @@
         self.assertLess(refused.retry_after_s, 1.0)
 
     def test_a_request_that_did_not_run_gives_back(self):
-        fleet = Fleet(routers=1)
+        fleet = Fleet(peers=1)
         charge = fleet.accounts[0].acquire("club", 2000)
         self.assertIsInstance(charge, QuotaCharge)
         charge.refund()
@@ -112,13 +112,13 @@
         # Guards against a 429 for a team whose quota is untouched. A refunded request left 2,000 units, of which the
         # next tick returned 800 to the owner and kept 1,200. The next request of 2,000 was sent to the owner
         # without the balance of 1,200, and the owner, which had 800, refused it.
-        fleet = Fleet(routers=1)
+        fleet = Fleet(peers=1)
         fleet.accounts[0].acquire("club", 2000).refund()
         fleet.advance(0.0)
         self.assertIsInstance(fleet.accounts[0].acquire("club", 2000), QuotaCharge)
 
     def test_credits_in_hand_are_not_counted_twice(self):
-        fleet = Fleet(routers=1)
+        fleet = Fleet(peers=1)
         fleet.accounts[0].acquire("club", 2000).refund()
         fleet.advance(0.0)
         fleet.accounts[0].acquire("club", 2000)
@@ -127,7 +127,7 @@
     def test_a_router_partitioned_from_the_owner_uses_its_share(self):
         # The connection to the owner is cut. Refusing everything would fail the team's callers here;
         # admitting everything would exceed the quota, since the owner grants the rest elsewhere.
-        fleet = Fleet(routers=4)
+        fleet = Fleet(peers=4)
         fleet.use_up(1.0, routers=[3])
         fleet.cut = {3}
         fleet.clock.now += OWNER_TIMEOUT_S
@@ -138,7 +138,7 @@
         self.assertLess(used, 1.3 * 10.0 * QUOTA.rate_per_s / 4)
 
     def test_the_owner_withholds_the_share_of_routers_that_vanished(self):
-        fleet = Fleet(routers=4)
+        fleet = Fleet(peers=4)
         fleet.use_up(2.0)
         fleet.present = 2
         fleet.clock.now += 0.1
@@ -149,13 +149,13 @@
 
     def test_part_of_the_tolerance_is_granted(self):
         tolerance = Tolerance(window_s=8.0, share=0.1, units=4000.0)
-        used = Fleet(routers=1, tolerance=tolerance).use_up(8.0)
+        used = Fleet(peers=1, tolerance=tolerance).use_up(8.0)
         strict = 8.0 * QUOTA.rate_per_s + QUOTA.burst
         self.assertGreater(used, strict)
         self.assertLess(used, 1.1 * strict + 4000.0)
 
     def test_a_lower_quota_applies_immediately(self):
-        fleet = Fleet(routers=1)
+        fleet = Fleet(peers=1)
         fleet.use_up(1.0)
         lower = TokenQuota(rate_per_s=100.0, burst=100.0, counts_tokens=True)
         fleet.owner.set_quotas({"club": lower})
@@ -188,7 +188,7 @@
     def run_load(self, *, routers, share, seconds, seed=5):
         """Request ``share`` of the rate; returns the fleet, the units admitted, and the refusals with their sizes."""
         quota = TokenQuota(rate_per_s=self.RATE_PER_S, burst=self.BURST, counts_tokens=True)
-        fleet = Fleet(routers=routers, quota=quota)
+        fleet = Fleet(peers=routers, quota=quota)
         rng = random.Random(seed)
         admitted, refused = 0, []
         gap_s = sum(self.SIZES) / len(self.SIZES) / (share * self.RATE_PER_S)
@@ -234,7 +234,7 @@
     def test_a_small_request_passes_where_a_large_one_does_not_fit(self):
         # Units prefetched for more small requests are returned within a second and serve another router.
         quota = TokenQuota(rate_per_s=10.0, burst=2000.0, counts_tokens=True)
-        fleet = Fleet(routers=2, quota=quota)
+        fleet = Fleet(peers=2, quota=quota)
         self.assertIsInstance(fleet.accounts[0].acquire("club", 1500), QuotaCharge)
         self.assertIsInstance(fleet.accounts[0].acquire("club", 800), QuotaRefused)
         self.assertIsInstance(fleet.accounts[0].acquire("club", 300), QuotaCharge)
@@ -245,7 +245,7 @@
         # A request was charged and then refused for lack of a free slot; the team's next request reaches
         # another router.
         quota = TokenQuota(rate_per_s=10.0, burst=2000.0, counts_tokens=True)
-        fleet = Fleet(routers=2, quota=quota)
+        fleet = Fleet(peers=2, quota=quota)
         fleet.accounts[0].acquire("club", 2000).refund()
         fleet.advance(1.1)
         self.assertIsInstance(fleet.accounts[1].acquire("club", 1900), QuotaCharge)
@@ -253,7 +253,7 @@
     def test_a_request_larger_than_the_burst_passes_a_full_bucket_and_delays_others(self):
         # The request is within what the quota allows in the operator's window, but a bucket never holds that much.
         quota = TokenQuota(rate_per_s=1000.0, burst=2000.0, counts_tokens=True)
-        fleet = Fleet(routers=1, quota=quota, tolerance=Tolerance(window_s=8.0))
+        fleet = Fleet(peers=1, quota=quota, tolerance=Tolerance(window_s=8.0))
         self.assertIsInstance(fleet.accounts[0].acquire("club", 5000), QuotaCharge)
         fleet.advance(2.0)
         self.assertIsInstance(fleet.accounts[0].acquire("club", 100), QuotaRefused)
