--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -64,12 +64,12 @@
         for router_accounts in self.accounts:
             router_accounts.tick()
 
-    def use_up(self, seconds, *, units=100, tick_s=0.1, routers=None):
+    def use_up(self, seconds, *, units=100, tick_s=0.1, peers=None):
         """Acquire as many units as possible for some time; returns how many were admitted."""
         used = 0
         for _ in range(round(seconds / tick_s)):
             self.clock.now += tick_s
-            for number in routers if routers is not None else range(len(self.accounts)):
+            for number in peers if peers is not None else range(len(self.accounts)):
                 router_accounts = self.accounts[number]
                 router_accounts.tick()
                 while isinstance(charge := router_accounts.acquire("club", units), QuotaCharge):
@@ -88,7 +88,7 @@
 
     def test_one_router_may_use_the_whole_quota(self):
         # All callers of a team use one router. A fixed share per router would refuse what the quota allows.
-        used = Fleet(peers=5).use_up(10.0, routers=[0])
+        used = Fleet(peers=5).use_up(10.0, peers=[0])
         self.assertGreater(used, 0.9 * 10.0 * QUOTA.rate_per_s)
 
     def test_a_refusal_reports_the_time_until_retry(self):
@@ -128,12 +128,12 @@
         # The connection to the owner is cut. Refusing everything would fail the team's callers here;
         # admitting everything would exceed the quota, since the owner grants the rest elsewhere.
         fleet = Fleet(peers=4)
-        fleet.use_up(1.0, routers=[3])
+        fleet.use_up(1.0, peers=[3])
         fleet.cut = {3}
         fleet.clock.now += OWNER_TIMEOUT_S
         # No answer arrives, so that a shorter wait changes only the duration of the test.
         with mock.patch.object(accounts_module, "MAX_WAIT_S", 0.05):
-            used = fleet.use_up(10.0, routers=[3])
+            used = fleet.use_up(10.0, peers=[3])
         self.assertGreater(used, 0.5 * 10.0 * QUOTA.rate_per_s / 4)
         self.assertLess(used, 1.3 * 10.0 * QUOTA.rate_per_s / 4)
 
