--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -31,14 +31,14 @@
             clock=self.clock, members=lambda: self.present, tolerance=lambda: tolerance or Tolerance()
         )
         self.owner.set_quotas({"club": quota})
-        self.accounts = [self._make_accounts(number) for number in range(peers)]
-        for router_accounts in self.accounts:
+        self.peers = [self._make_accounts(number) for number in range(peers)]
+        for router_accounts in self.peers:
             router_accounts.set_quotas({"club": quota})
 
     def _make_accounts(self, number):
         def send(request):
             if number not in self.cut:
-                self.accounts[number].on_grant(self.owner.grant(request))
+                self.peers[number].on_grant(self.owner.grant(request))
 
         # ``acquire`` holds its lock while it calls this, so that the callback must run in another thread; as on
         # the loop, each callback starts when the previous one has ended.
@@ -53,7 +53,7 @@
             self.threads.append(threading.Thread(target=run))
             self.threads[-1].start()
 
-        return QuotaAccounts(clock=self.clock, call_soon=soon, send_ask=send, members=lambda: len(self.accounts))
+        return QuotaAccounts(clock=self.clock, call_soon=soon, send_ask=send, members=lambda: len(self.peers))
 
     def advance(self, seconds):
         """Advance the clock once all messages are answered."""
@@ -61,7 +61,7 @@
             thread.join()
         self.threads.clear()
         self.clock.now += seconds
-        for router_accounts in self.accounts:
+        for router_accounts in self.peers:
             router_accounts.tick()
 
     def use_up(self, seconds, *, units=100, tick_s=0.1, peers=None):
@@ -69,8 +69,8 @@
         used = 0
         for _ in range(round(seconds / tick_s)):
             self.clock.now += tick_s
-            for number in peers if peers is not None else range(len(self.accounts)):
-                router_accounts = self.accounts[number]
+            for number in peers if peers is not None else range(len(self.peers)):
+                router_accounts = self.peers[number]
                 router_accounts.tick()
                 while isinstance(charge := router_accounts.acquire("club", units), QuotaCharge):
                     used += units
@@ -94,35 +94,35 @@
     def test_a_refusal_reports_the_time_until_retry(self):
         fleet = Fleet(peers=1)
         fleet.use_up(0.1)
-        refused = fleet.accounts[0].acquire("club", 500)
+        refused = fleet.peers[0].acquire("club", 500)
         self.assertIsInstance(refused, QuotaRefused)
         self.assertGreater(refused.retry_after_s, 0.0)
         self.assertLess(refused.retry_after_s, 1.0)
 
     def test_a_request_that_did_not_run_gives_back(self):
         fleet = Fleet(peers=1)
-        charge = fleet.accounts[0].acquire("club", 2000)
+        charge = fleet.peers[0].acquire("club", 2000)
         self.assertIsInstance(charge, QuotaCharge)
         charge.refund()
         charge.refund()
-        self.assertIsInstance(fleet.accounts[0].acquire("club", 2000), QuotaCharge)
-        self.assertIsInstance(fleet.accounts[0].acquire("club", 100), QuotaRefused)
+        self.assertIsInstance(fleet.peers[0].acquire("club", 2000), QuotaCharge)
+        self.assertIsInstance(fleet.peers[0].acquire("club", 100), QuotaRefused)
 
     def test_credits_in_hand_count_for_a_request_that_needs_more(self):
         # Guards against a 429 for a team whose quota is untouched. A refunded request left 2,000 units, of which the
         # next tick returned 800 to the owner and kept 1,200. The next request of 2,000 was sent to the owner
         # without the balance of 1,200, and the owner, which had 800, refused it.
         fleet = Fleet(peers=1)
-        fleet.accounts[0].acquire("club", 2000).refund()
+        fleet.peers[0].acquire("club", 2000).refund()
         fleet.advance(0.0)
-        self.assertIsInstance(fleet.accounts[0].acquire("club", 2000), QuotaCharge)
+        self.assertIsInstance(fleet.peers[0].acquire("club", 2000), QuotaCharge)
 
     def test_credits_in_hand_are_not_counted_twice(self):
         fleet = Fleet(peers=1)
-        fleet.accounts[0].acquire("club", 2000).refund()
+        fleet.peers[0].acquire("club", 2000).refund()
         fleet.advance(0.0)
-        fleet.accounts[0].acquire("club", 2000)
-        self.assertIsInstance(fleet.accounts[0].acquire("club", 100), QuotaRefused)
+        fleet.peers[0].acquire("club", 2000)
+        self.assertIsInstance(fleet.peers[0].acquire("club", 100), QuotaRefused)
 
     def test_a_router_partitioned_from_the_owner_uses_its_share(self):
         # The connection to the owner is cut. Refusing everything would fail the team's callers here;
@@ -159,11 +159,11 @@
         fleet.use_up(1.0)
         lower = TokenQuota(rate_per_s=100.0, burst=100.0, counts_tokens=True)
         fleet.owner.set_quotas({"club": lower})
-        fleet.accounts[0].set_quotas({"club": lower})
+        fleet.peers[0].set_quotas({"club": lower})
         self.assertLess(fleet.use_up(10.0, units=10), 100.0 * 10.0 + 1000.0)
 
     def test_a_team_without_a_quota_is_not_counted(self):
-        self.assertIsNone(Fleet().accounts[0].acquire("others", 10**9))
+        self.assertIsNone(Fleet().peers[0].acquire("others", 10**9))
 
     def test_the_owner_answers_for_a_team_it_does_not_know(self):
         # The owner's configuration is older than the requesting router's. Without an answer that router
@@ -198,7 +198,7 @@
             while due <= fleet.clock.now:
                 due += gap_s * rng.uniform(0.5, 1.5)
                 units = rng.choice(self.SIZES)
-                charge = rng.choice(fleet.accounts).acquire("club", units)
+                charge = rng.choice(fleet.peers).acquire("club", units)
                 if isinstance(charge, QuotaCharge):
                     admitted += units
                 else:
@@ -226,40 +226,40 @@
     def test_a_request_passes_after_the_reported_retry_time(self):
         fleet, _, _ = self.run_load(routers=20, share=3.0, seconds=20.0)
         units = max(self.SIZES)
-        while isinstance(refusal := fleet.accounts[0].acquire("club", units), QuotaCharge):
+        while isinstance(refusal := fleet.peers[0].acquire("club", units), QuotaCharge):
             pass
         fleet.advance(refusal.retry_after_s + TICK_S)
-        self.assertIsInstance(fleet.accounts[3].acquire("club", units), QuotaCharge)
+        self.assertIsInstance(fleet.peers[3].acquire("club", units), QuotaCharge)
 
     def test_a_small_request_passes_where_a_large_one_does_not_fit(self):
         # Units prefetched for more small requests are returned within a second and serve another router.
         quota = TokenQuota(rate_per_s=10.0, burst=2000.0, counts_tokens=True)
         fleet = Fleet(peers=2, quota=quota)
-        self.assertIsInstance(fleet.accounts[0].acquire("club", 1500), QuotaCharge)
-        self.assertIsInstance(fleet.accounts[0].acquire("club", 800), QuotaRefused)
-        self.assertIsInstance(fleet.accounts[0].acquire("club", 300), QuotaCharge)
+        self.assertIsInstance(fleet.peers[0].acquire("club", 1500), QuotaCharge)
+        self.assertIsInstance(fleet.peers[0].acquire("club", 800), QuotaRefused)
+        self.assertIsInstance(fleet.peers[0].acquire("club", 300), QuotaCharge)
         fleet.advance(1.1)
-        self.assertIsInstance(fleet.accounts[1].acquire("club", 190), QuotaCharge)
+        self.assertIsInstance(fleet.peers[1].acquire("club", 190), QuotaCharge)
 
     def test_returned_units_serve_another_router(self):
         # A request was charged and then refused for lack of a free slot; the team's next request reaches
         # another router.
         quota = TokenQuota(rate_per_s=10.0, burst=2000.0, counts_tokens=True)
         fleet = Fleet(peers=2, quota=quota)
-        fleet.accounts[0].acquire("club", 2000).refund()
+        fleet.peers[0].acquire("club", 2000).refund()
         fleet.advance(1.1)
-        self.assertIsInstance(fleet.accounts[1].acquire("club", 1900), QuotaCharge)
+        self.assertIsInstance(fleet.peers[1].acquire("club", 1900), QuotaCharge)
 
     def test_a_request_larger_than_the_burst_passes_a_full_bucket_and_delays_others(self):
         # The request is within what the quota allows in the operator's window, but a bucket never holds that much.
         quota = TokenQuota(rate_per_s=1000.0, burst=2000.0, counts_tokens=True)
         fleet = Fleet(peers=1, quota=quota, tolerance=Tolerance(window_s=8.0))
-        self.assertIsInstance(fleet.accounts[0].acquire("club", 5000), QuotaCharge)
+        self.assertIsInstance(fleet.peers[0].acquire("club", 5000), QuotaCharge)
         fleet.advance(2.0)
-        self.assertIsInstance(fleet.accounts[0].acquire("club", 100), QuotaRefused)
+        self.assertIsInstance(fleet.peers[0].acquire("club", 100), QuotaRefused)
         fleet.advance(1.5)
-        self.assertIsInstance(fleet.accounts[0].acquire("club", 100), QuotaCharge)
-        self.assertIsInstance(fleet.accounts[0].acquire("club", 20_000), QuotaRefused)
+        self.assertIsInstance(fleet.peers[0].acquire("club", 100), QuotaCharge)
+        self.assertIsInstance(fleet.peers[0].acquire("club", 20_000), QuotaRefused)
 
 
 class OwnersChangeTest(unittest.TestCase):
@@ -295,7 +295,7 @@
     def test_a_request_beyond_the_quota_is_refused_as_not_run_with_its_cause(self):
         fleet = Fleet()
         team = SimpleNamespace(name="club", quota=QUOTA)
-        refusal = charge_team(accounts=fleet.accounts[0], team=team, tokens=50_000)
+        refusal = charge_team(accounts=fleet.peers[0], team=team, tokens=50_000)
         self.assertEqual((refusal.reason, refusal.executed), (Reason.QUOTA, Executed.NO))
         self.assertGreater(refusal.retry_after_s, 0.0)
         self.assertEqual(
@@ -307,9 +307,9 @@
     def test_what_fits_is_charged_and_no_quota_charges_nothing(self):
         fleet = Fleet()
         team = SimpleNamespace(name="club", quota=QUOTA)
-        self.assertIsInstance(charge_team(accounts=fleet.accounts[0], team=team, tokens=100), QuotaCharge)
+        self.assertIsInstance(charge_team(accounts=fleet.peers[0], team=team, tokens=100), QuotaCharge)
         for free in (None, SimpleNamespace(name="club", quota=None)):
-            self.assertIsNone(charge_team(accounts=fleet.accounts[0], team=free, tokens=100))
+            self.assertIsNone(charge_team(accounts=fleet.peers[0], team=free, tokens=100))
 
 
 if __name__ == "__main__":
