--- a/tests/test_foreign_runs.py
+++ b/tests/test_foreign_runs.py
@@ -52,11 +52,11 @@
         for number, router in zip(range(QUESTIONS), routers, strict=False):
             if number == QUESTIONS_BEFORE_BURST:
                 self.post_foreign(count=count, output_tokens=output_tokens)
-            sender = threading.Thread(
+            thread = threading.Thread(
                 target=lambda router=router: seen.append(self.running.send(QUESTION, router=router))
             )
-            senders.append(sender)
-            sender.start()
+            senders.append(thread)
+            thread.start()
             time.sleep(PAUSE_S)
         for sender in senders:
             sender.join()
