--- a/tests/test_asking_engines.py
+++ b/tests/test_asking_engines.py
@@ -21,7 +21,7 @@
 ROUTERS = 4
 ENGINES = 4
 PER_S = 60.0
-PLAY_S = 14.0
+DURATION_S = 14.0
 LAST_EVENT_S = 9.0
 EVENTS = 7
 REST_S = 2.5
@@ -44,7 +44,7 @@
     return sorted(events)
 
 
-class Play:
+class DisturbedWorld:
     """A world with callers, disturbed by the events of a seed."""
 
     def __init__(self, *, seed):
@@ -71,7 +71,7 @@
             time.sleep(max(0.0, started_at + at - time.monotonic()))
             timers.append(threading.Thread(target=self._happen, args=(kind, on, value, for_s), daemon=True))
             timers[-1].start()
-        time.sleep(max(0.0, started_at + PLAY_S - time.monotonic()))
+        time.sleep(max(0.0, started_at + DURATION_S - time.monotonic()))
         for timer in timers:
             timer.join()
         callers.close()
@@ -111,29 +111,31 @@
 class AskingEnginesTest(unittest.TestCase):
     # Guards against a limit, back-off or leaving notice that is obeyed on its own but lost when it coincides with
     # another or when a router dies.
-    def test_what_engines_ask_for_is_kept_whatever_else_happens(self):
+    def test_notices_of_engines_are_obeyed_during_disturbances(self):
         for seed in SEEDS:
             with self.subTest(seed=seed):
-                self.play(seed)
+                self.run_seed(seed)
 
-    def play(self, seed):
-        play = Play(seed=seed)
+    def run_seed(self, seed):
+        disturbed = DisturbedWorld(seed=seed)
         try:
-            answers_by_router = play.run()
+            answers_by_router = disturbed.run()
         finally:
-            play.world.close()
-        description = f"seed {seed}: {[(round(at, 1), kind, on, value) for at, kind, on, value, _ in play.events]}"
-        for engine in play.engines:
+            disturbed.world.close()
+        description = f"seed {seed}: {[(round(at, 1), kind, on, value) for at, kind, on, value, _ in disturbed.events]}"
+        for engine in disturbed.engines:
             for check in (exceeded_limit, received_after_leaving, exceeded_back_off):
-                self.assertEqual(check(engine, play.disturbances), [], f"{check.__name__} {engine.name}, {description}")
+                self.assertEqual(
+                    check(engine, disturbed.disturbances), [], f"{check.__name__} {engine.name}, {description}"
+                )
         statuses = {
             answer.status
             for router, answers in answers_by_router.items()
-            if not play.disturbances.times_by_router[str(router)]
+            if not disturbed.disturbances.times_by_router[str(router)]
             for answer in answers
         }
         self.assertLessEqual(statuses, ANSWERS, description)
-        print(f"{description}: {[len(engine.received) for engine in play.engines]} requests")
+        print(f"{description}: {[len(engine.received) for engine in disturbed.engines]} requests")
 
 
 if __name__ == "__main__":
--- a/tests/test_engine_limits.py
+++ b/tests/test_engine_limits.py
@@ -59,7 +59,7 @@
         self.assertEqual((callers.not_served(), set(callers.statuses())), ([], {200}))
 
     # Guards against limits of all engines that each router enforces by itself instead of all routers together.
-    def test_all_engines_limited_keep_their_share_and_refusals_are_told_when_to_return(self):
+    def test_limits_of_all_engines_are_kept_and_refusals_have_a_retry_after(self):
         callers = self.call()
         time.sleep(1.0)
         engines = (self.limited, self.other)
@@ -107,7 +107,7 @@
         callers.close()
 
     # Guards against a broken stream that is resumed on an engine beyond that engine's limit.
-    def test_streams_that_break_and_go_on_elsewhere_keep_to_the_limit(self):
+    def test_streams_that_break_and_resume_elsewhere_keep_to_the_limit(self):
         for engine in (self.limited, self.other):
             engine.pause_s = 0.02
             engine.script = ["cut", "well"] * 500
--- a/tests/test_engine_rest.py
+++ b/tests/test_engine_rest.py
@@ -16,7 +16,7 @@
 WORK_S = 0.03
 
 
-class RestCase(WorldCase):
+class BackOffCase(WorldCase):
     ROUTERS = 4
     SERVICE = "booking"
     PATHS = (("GET", "/status/1"), ("POST", "/book/1"))
@@ -48,9 +48,9 @@
         self.assertGreater(len(engine.rejections), 0)
 
 
-class RestTest(RestCase):
+class BackOffTest(BackOffCase):
     # Guards against a router that keeps sending to an engine that asked it to back off.
-    def test_one_engine_gets_its_rest_and_nobody_is_refused(self):
+    def test_back_off_of_one_engine_is_kept_and_no_request_is_refused(self):
         self.reject_all(self.engines[:1])
         time.sleep(OBSERVED_S)
         self.check_back_off(self.engines[0])
@@ -58,7 +58,7 @@
         self.assertEqual((self.callers.not_served(), set(self.callers.statuses())), ([], {200}))
 
     # Guards against the same when all engines ask for it, so that no other engine is left to send to.
-    def test_all_engines_get_their_rest_and_callers_are_told_when_to_return(self):
+    def test_back_off_of_all_engines_is_kept_and_refusals_have_a_retry_after(self):
         self.reject_all(self.engines)
         time.sleep(OBSERVED_S)
         for engine in self.engines:
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -17,13 +17,13 @@
         def run(self):
             if outcome == "subtest":
                 with self.subTest(seed=3):
-                    self.fail("as told")
+                    self.fail("as requested")
                 with self.subTest(seed=4):
-                    self.fail("as told")
+                    self.fail("as requested")
             elif outcome == "skip":
-                self.skipTest("as told")
+                self.skipTest("as requested")
             elif outcome == "fail":
-                self.fail("as told")
+                self.fail("as requested")
 
         return run
 
@@ -43,7 +43,7 @@
 
 
 class VerdictTest(unittest.TestCase):
-    def test_a_listed_test_that_fails_is_told_and_passed_over(self):
+    def test_failure_of_a_listed_test_is_reported_and_tolerated(self):
         verdict = verdict_of(suite_of(test_a="fail", test_b="pass"), "tests.made_up.Case.test_a")
         self.assertTrue(verdict.is_good)
         first, last = verdict.lines()
@@ -51,7 +51,7 @@
         self.assertIn("502 once", first)
         self.assertEqual(last, "1 passed, 0 failed, 0 skipped")
 
-    def test_a_listed_test_that_passes_is_told_and_counted(self):
+    def test_listed_test_that_passes_is_reported_and_counted(self):
         verdict = verdict_of(suite_of(test_a="pass", test_b="skip"), "tests.made_up.Case.test_a")
         self.assertIn("passed this time", next(iter(verdict.lines())))
         self.assertEqual(list(verdict.lines())[-1], "1 passed, 0 failed, 1 skipped")
@@ -97,7 +97,7 @@
     def test_no_list(self):
         self.assertEqual(read_list(Path("no/such/file")), [])
 
-    def test_a_line_that_lacks_a_field_is_told(self):
+    def test_line_without_a_field_is_reported(self):
         for line in ("tests.made_up\n", "tests.made_up | a cause | a command |  | issue 1\n"):
             with self.subTest(line), self.assertRaises(ValueError):
                 self.read(line)
--- a/tests/test_rate_limit.py
+++ b/tests/test_rate_limit.py
@@ -30,7 +30,7 @@
         self.run_s = run_s
         self.tiers = tiers
         self.waiting = waiting
-        self.asked = 0
+        self.request_count = 0
         self.granted = []
         self.ends = []
 
@@ -49,9 +49,9 @@
 
     def _refill_queue(self):
         while len(self.scheduler._queue) < self.waiting:
-            self.asked += 1
-            tier = self.tiers[self.asked % len(self.tiers)]
-            self.receive(ask(f"q{self.asked}", tier=tier, remaining_s=60.0, output_tokens=5, prompt_tokens=5))
+            self.request_count += 1
+            tier = self.tiers[self.request_count % len(self.tiers)]
+            self.receive(ask(f"q{self.request_count}", tier=tier, remaining_s=60.0, output_tokens=5, prompt_tokens=5))
             if len(self.entries.of(Refused)):
                 break
 
@@ -101,7 +101,7 @@
 
 
 class ChangedLimitTest(unittest.TestCase):
-    # Guards against an overloaded engine that lowers its limit and still gets the burst saved under the former one.
+    # Guards against an overloaded engine that lowers its limit and still gets the burst earned under the former one.
     def test_lower_limit_counts_earlier_requests(self):
         cell = LoadedCell()
         cell.receive(notice(10.0))
@@ -126,12 +126,12 @@
         for limit_per_s, share, seed in itertools.product((1.6, 2.3, 5.0), (0.5, 0.33), range(4)):
             with self.subTest(limit_per_s=limit_per_s, share=share, seed=seed):
                 cell = LoadedCell()
-                chance = random.Random(seed)
+                rng = random.Random(seed)
                 cell.receive(notice(limit_per_s))
                 cell.run(
                     40.0,
-                    notice_for=lambda engine, per_s=limit_per_s, chance=chance, share=share: notice(
-                        per_s if chance.random() < share else math.inf
+                    notice_for=lambda engine, per_s=limit_per_s, rng=rng, share=share: notice(
+                        per_s if rng.random() < share else math.inf
                     ),
                 )
                 most = max_within(cell.times("e1"), WINDOW_S)
--- a/tests/test_spec_replay.py
+++ b/tests/test_spec_replay.py
@@ -174,8 +174,8 @@
                 on_simulated_clock(replay.run())
                 self.assertEqual(replay.monitor.violations, [])
                 self.assertEqual(replay.monitor.broken(), [])
-                for operator, told in replay.told.items():
-                    self.assertEqual(told, replay.monitor.read(f"told[{operator}]"))
+                for operator, reported in replay.reported.items():
+                    self.assertEqual(reported, replay.monitor.read(f"told[{operator}]"))
                 followed |= {action.partition("(")[0] for action in replay.monitor.taken}
         self.assertLessEqual({"applied_unheard", "delayed", "late_lands", "conflict", "read_back_own"}, followed)
         self.assertLessEqual({"sent_again_applied", "sent_again_unheard"}, followed)
@@ -210,18 +210,18 @@
     def test_what_is_believed_of_an_engine_follows_every_teller(self):
         # The declaration and the list set and remove their marks of a leaving engine in every order. While
         # either mark is set, the engine gets no work; once neither is set, it must get work again.
-        for tellers in itertools.product(("declared", "listed"), repeat=4):
-            with self.subTest(tellers=tellers):
+        for sources in itertools.product(("declared", "listed"), repeat=4):
+            with self.subTest(sources=sources):
                 replay = DrainReplay(specification=draining.specification(), trace=None)
-                expected, believed = on_simulated_clock(replay.toggle(tellers))
-                self.assertEqual(believed, expected)
+                expected, actual = on_simulated_clock(replay.toggle(sources))
+                self.assertEqual(actual, expected)
 
 
 class FreshnessReplayTest(unittest.TestCase):
     def test_no_key_is_used_after_the_limit(self):
         proved_by_report = 0
-        old_word = ("an old report", written_trace(OLD_REPORT), {})
-        for name, trace, _ in [*replay_traces(freshness), old_word]:
+        old_report = ("an old report", written_trace(OLD_REPORT), {})
+        for name, trace, _ in [*replay_traces(freshness), old_report]:
             with self.subTest(guide=name):
                 replay = FreshnessReplay(trace=trace)
                 on_simulated_clock(replay.run())
@@ -231,7 +231,7 @@
 
 
 class ResumptionReplayTest(unittest.TestCase):
-    def test_callers_get_each_event_once_whole_and_in_order(self):
+    def test_callers_get_each_event_once_complete_and_in_order(self):
         longest = faults = dropped = 0
         for name, trace, _ in replay_traces(resumption):
             with self.subTest(guide=name):
--- a/tests/test_standin_engine.py
+++ b/tests/test_standin_engine.py
@@ -117,7 +117,7 @@
         added, removed = engine.cache.take_changes()
         self.assertEqual((sorted(added), removed), ([1, 2, 3, 4, 5], [4]))
 
-    def test_resumed_run_prefills_what_it_had_and_goes_on_after_it(self):
+    def test_resumed_run_prefills_received_tokens_and_continues_after_them(self):
         engine = make_engine()
         run = make_run("r.1", prompt_tokens=10, output_tokens=8, resume_tokens=5)
         engine.submit(run)
@@ -285,7 +285,8 @@
         self.assertLessEqual({RunNotSent, RunDone}, seen)
 
     def test_orphaned_run_is_cancelled(self):
-        # The router that sent the run died: it has no reader and is cancelled after the grace period.
+        # The router that sent the run died, so the run has no reader. After the grace period it is cancelled, which
+        # frees its slot.
         engine = start_engine(self, orphan_grace_ms=100.0)
         RunSender(call=chat_call(output_tokens=100_000)).send(address_of(engine), overall_s=0.1)
         until = time.monotonic() + 5
--- a/tests/test_whole_path.py
+++ b/tests/test_whole_path.py
@@ -49,7 +49,7 @@
     def chat(self, **fields):
         return {"model": "asistente", "max_tokens": 6, "messages": [{"role": "user", "content": PROMPT}], **fields}
 
-    def test_whole_chat_answer(self):
+    def test_complete_chat_answer(self):
         answer = self.send_request(0, "/v1/chat/completions", self.chat())
         self.assertEqual(answer.status, 200, answer.data)
         document = answer.json()
@@ -78,7 +78,7 @@
         runs = read_records([self.deployment.engine_url("reservas-1")])[0].values()
         self.assertEqual(sum(run.starts for each in runs for run in each), 1)
 
-    def test_every_process_tells_of_itself(self):
+    def test_every_process_serves_health_state_and_metrics(self):
         urls = [self.deployment.platform_url, *self.deployment.engine_urls()]
         urls += self.deployment.admin_url_by_router.values()
         for url in urls:
--- a/tests/utils/scheduling_replay.py
+++ b/tests/utils/scheduling_replay.py
@@ -262,10 +262,10 @@
         loop = asyncio.get_running_loop()
         self._entry, _ = make_entry(loop=loop)
         for request, caller in self._callers.items():
-            asked = caller_request(
+            caller_call = caller_request(
                 request, tier=TIER_BY_REQUEST[request], repeatable=request in REPEATABLE, deadline=loop.time() + LONG_S
             )
-            self._entry.submit(asked, caller)
+            self._entry.submit(caller_call, caller)
         differences = []
         for step in self._trace.steps[1:]:
             await self._follow(step)
@@ -326,9 +326,9 @@
 
     def _differences(self):
         for request in REQUESTS:
-            real, told = self._real(request), self._expected(request)
-            if real != told:
-                yield f"{request} is {real}, the specification expects {told}"
+            real, expected = self._real(request), self._expected(request)
+            if real != expected:
+                yield f"{request} is {real}, the specification expects {expected}"
 
     def _real(self, request):
         caller, task = self._callers[request], self._entry.tasks_by_id.get(request)
