--- a/wagtailtrestle/engines/answer_check.py
+++ b/wagtailtrestle/engines/answer_check.py
@@ -155,7 +155,7 @@
         return True
 
     def _learn_event_frame(self, data, text):
-        """Store the bytes around the text of a checked event, if the text occurs in it only once."""
+        """Store the bytes around the text of a checked event, if it has no usage and the text occurs only once."""
         quoted = json.dumps(text).encode()
         if data.count(quoted) != 1 or b'"usage"' in data:
             return
--- a/wagtailtrestle/engines/client.py
+++ b/wagtailtrestle/engines/client.py
@@ -15,7 +15,7 @@
 from wagtailtrestle.engines.run_exchange import OK, RunExchange
 
 CANCEL_TIMEOUT_S = 1.0
-"""Time-out of an engine's answer to a cancel; a healthy engine answers within a decode step or two, under 0.1 s."""
+"""Timeout of an engine's answer to a cancel; a healthy engine answers within a decode step or two, under 0.1 s."""
 CANCEL_GRACE_S = 0.5
 """Time that a cancelled run has to end before its connection is cut; about ten decode steps of 40 ms."""
 FINISHED_STATE = "finished"
--- a/wagtailtrestle/engines/health.py
+++ b/wagtailtrestle/engines/health.py
@@ -17,7 +17,7 @@
 MAX_EJECTION_S = 30.0
 
 PROBE_SHARE = 0.01
-"""Share of an engine that is being probed: the concurrency limit rounds it up to one run."""
+"""Share of the concurrency limit of an engine that is being probed: it is rounded up to one run."""
 
 MAX_EJECTED_SHARE = 0.34
 
--- a/wagtailtrestle/engines/model.py
+++ b/wagtailtrestle/engines/model.py
@@ -267,7 +267,7 @@
 
 
 def saturation_concurrency(step_s_by_runs):
-    """Lowest number of runs that gives nearly the best throughput, or at which the step time reaches its limit."""
+    """Lowest number of runs that gives nearly the best throughput, capped where one more run makes steps too long."""
     slots = len(step_s_by_runs)
     best = slots / step_s_by_runs[-1]
     longest_s = MAX_STEP_RATIO * step_s_by_runs[0]
--- a/wagtailtrestle/engines/native_call.py
+++ b/wagtailtrestle/engines/native_call.py
@@ -100,7 +100,7 @@
         return CallHead(method=self.method, target=target, headers={**forwarded, **headers}, body=self.body or None)
 
     def notice(self, exchange):
-        """Return the engine's notice in the answer's head; ``None`` for an answer that carries another run's id."""
+        """Return the engine's notice in the answer's head; ``None`` if the answer doesn't carry this run's id."""
         headers = exchange.response.headers
         if headers.get(RUN_ID_HEADER) != exchange.command.run_id:
             return None
@@ -158,7 +158,7 @@
 
 def _refused_before_start(exchange) -> bool:
     # An engine that is about to stop states that it did not start the run that it refuses.
-    # The statement counts only with this run's id: it may be a late answer to another run.
+    # It counts only with this run's id: otherwise it may be in a late answer to another run.
     headers = exchange.response.headers
     return (
         exchange.response.status == UNAVAILABLE
--- a/wagtailtrestle/engines/notices.py
+++ b/wagtailtrestle/engines/notices.py
@@ -35,7 +35,8 @@
     Returns
     -------
     EngineNotice or None
-        ``None`` if the head carries no valid notice: an invalid limit neither sets nor ends one.
+        ``None`` if the head has only an invalid limit, which neither sets nor ends one. Without any of these headers
+        the notice says that there is no limit.
     """
     limit_per_s = math.inf if limit is None else _read_number(limit)
     rest_s = 0.0 if retry_after is None else min(MAX_BACK_OFF_S, _read_number(retry_after) or 0.0)
--- a/wagtailtrestle/engines/policies.py
+++ b/wagtailtrestle/engines/policies.py
@@ -66,7 +66,7 @@
         self._prefill_weight = prefill_weight
 
     def choose(self, *, request, engines, now):
-        """Return the engine with the lowest cost."""
+        """Return the engine with the lowest :meth:`cost_s`."""
         return min(candidates(request, engines), key=lambda engine: self.cost_s(request, engine), default=None)
 
     def cost_s(self, request, engine):
@@ -105,7 +105,7 @@
 
 
 class LeastReportedLoad:
-    """The engine with the lowest reported load; a baseline."""
+    """The engine with the lowest reported load, as a share of its slots; a baseline."""
 
     __slots__ = ()
 
--- a/wagtailtrestle/engines/rate_limit.py
+++ b/wagtailtrestle/engines/rate_limit.py
@@ -26,7 +26,8 @@
 """Time in which a limit that is no longer stated doubles."""
 
 LIMIT_NOTICE_TTL_S = 10.0
-"""Time for which routers pass on a limit that an answer stated; an older one may have ended without their notice."""
+"""Time for which routers pass on a limit that an answer stated; an older one may have ended in an
+answer that they did not receive."""
 
 LIFTED_GROWTH_FACTOR = 16.0
 """Growth at which the limit is removed: the engine's load returns gradually, over some seconds."""
@@ -75,7 +76,7 @@
 
     @property
     def age_s(self):
-        """Time since an answer last stated a limit; infinite if none did, or once an ended limit's notice expired."""
+        """Time since an answer last stated a limit; infinite if none did, or if it has ended and is long ago."""
         age_s = self._clock() - self._limited_answer_at
         return age_s if self.in_force or age_s < LIMIT_NOTICE_TTL_S else math.inf
 
--- a/wagtailtrestle/engines/run_exchange.py
+++ b/wagtailtrestle/engines/run_exchange.py
@@ -167,7 +167,7 @@
         return b"".join(parts)
 
     def record_answer(self, body):
-        """Record the complete answer as received."""
+        """Record a plain answer, or an engine's error, as received."""
         self.received.status = self.response.status
         self.received.headers = dict(self.response.headers)
         self.received.body = body
@@ -190,7 +190,7 @@
     def _connect(self):
         # Each run has a new connection, not a pooled one: an idle pooled connection may have
         # been closed by the engine, and a request would then fail after its bytes were written.
-        # That can't be told from an engine that read the request and died, so it could not be
+        # An engine that read the request and died looks the same, so the request could not be
         # sent again. A new connection costs one round trip, and if it fails, certainly nothing
         # was sent. It also means that no run starts on a connection that went silent while idle.
         host, port = split_address(self.command.address)
--- a/wagtailtrestle/engines/run_progress.py
+++ b/wagtailtrestle/engines/run_progress.py
@@ -1,4 +1,4 @@
-"""Progress of one run, and the time-outs for reading its answer."""
+"""Progress of one run, and the timeouts for reading its answer."""
 
 import time
 
--- a/wagtailtrestle/engines/silence_limits.py
+++ b/wagtailtrestle/engines/silence_limits.py
@@ -1,22 +1,22 @@
-"""Time-outs after which the entry abandons a granted run that stays silent."""
+"""Timeouts after which the entry abandons a granted run that stays silent."""
 
 from wagtailtrestle.contracts.messages import Granted
 
 MIN_PROGRESS_DEADLINE_S = 1.0
-"""Minimum time-out between tokens."""
+"""Minimum timeout between tokens."""
 
 MIN_FIRST_TOKEN_DEADLINE_S = 2.0
-"""Minimum time-out of the first token."""
+"""Minimum timeout of the first token."""
 
 SILENCE_TOLERANCE_FACTOR = 8.0
-"""Time-outs as a multiple of the predicted time."""
+"""Timeouts as a multiple of the predicted time."""
 
 INTERLEAVED_PREFILL_TOKENS = 1024
 """Prompt tokens of other runs that an engine may prefill between two tokens of a run."""
 
 
 def granted_message(grant, engine, *, retries_used_up=False):
-    """Build the message that grants an entry a slot on the engine, with the time-outs of the run."""
+    """Build the message that grants an entry a slot on the engine, with the timeouts of the run."""
     model = engine.model
     first_token_s = model.predict_first_token_s(
         uncached_tokens=grant.prefill_tokens,
--- a/wagtailtrestle/engines/state.py
+++ b/wagtailtrestle/engines/state.py
@@ -155,7 +155,7 @@
 
     @property
     def reported(self):
-        """Whether a report has arrived that is newer than the last call of :meth:`invalidate_reports`."""
+        """Whether the last load report is no older than the last call of :meth:`invalidate_reports`, if any."""
         return self._report_at >= self._reports_valid_from
 
     @property
@@ -227,7 +227,8 @@
             self._refresh_limit()
             return
         if notice.rest_s and not notice.has_rate_limit:
-            return  # Back-off notices may be repeated by registrations: without a limit they don't show that one ended.
+            # Entries repeat back-off notices in registrations, so one without a limit doesn't show that a limit ended.
+            return
         was_limited = self.rate_limit.in_force
         self.rate_limit.observe(notice.limit_per_s, age_s=notice.age_s)
         if self.rate_limit.in_force and not was_limited:
