--- a/wagtailtrestle/membership/announcement.py
+++ b/wagtailtrestle/membership/announcement.py
@@ -13,7 +13,8 @@
 """Time over which routers spread the rewriting of their entries after a store restore, so that hundreds of them don't
 write at the same moment."""
 WITHDRAW_TIMEOUT_S = 1.0
-"""Longest time that a leaving router spends on its entry: the others detect its end by their heartbeats anyway."""
+"""Longest time that a leaving router spends on deleting its entry: the others detect its end by their
+heartbeats anyway."""
 
 
 class Announcement:
--- a/wagtailtrestle/membership/member_table.py
+++ b/wagtailtrestle/membership/member_table.py
@@ -84,7 +84,7 @@
         Returns
         -------
         applied : list of ViewEvent
-            Events that changed this table.
+            Events that were new to this table, except for revived members and deaths accepted by ``trust_peer``.
         disputed : list of str
             Routers that the peer reports dead and this router considers alive.
         """
--- a/wagtailtrestle/membership/membership.py
+++ b/wagtailtrestle/membership/membership.py
@@ -32,7 +32,7 @@
 REFRESH_DELAY_PER_MEMBER_S = 0.0002
 """Events are batched for this much longer per member: a view of 195 members costs some two milliseconds to build and
 apply, and when a whole fleet starts each router receives events about 194 others. The resulting 45 ms are little
-compared to the 0.25 s until a lost router is declared dead."""
+compared to the 0.25 s (``REFUTE_S``) from the suspicion of a lost router until it is declared dead."""
 RELAY_FINGERS = 2
 """With both neighbours this gives a fan-out of three, not counting the sender: four or five hops for some two hundred
 routers."""
@@ -57,7 +57,7 @@
     seeds : dict of str to str
         Addresses from the settings by router name, for a start during an outage of the platform.
     heartbeat_s : float
-        Time between heartbeats to one partner; at least ``RING_HEARTBEAT_S`` beyond a full mesh.
+        Time between heartbeats to one partner; at least ``RING_HEARTBEAT_S`` unless ``Ring.is_small``.
     jitter : random.Random, optional
     epoch : StoreEpoch, optional
         Epoch of the platform's store, sent with each heartbeat.
@@ -185,7 +185,7 @@
         self.send_heartbeats()
 
     def send_heartbeats(self):
-        """Send a heartbeat immediately, when its content has changed."""
+        """Send a heartbeat to all broadcast targets immediately; for callers that have changed its content."""
         for peer in self.broadcast_targets():
             self._peers.send(peer, self._heartbeat())
 
@@ -322,7 +322,7 @@
             self._refresh_soon()
 
     def _on_pulled(self, peer, events, applied):
-        """React to a merged view of a peer; ``applied`` are the events that changed the table."""
+        """React to a merged view of a peer; ``applied`` are the events that were new to the table."""
         for event in events:
             if event.name == self.name:
                 self._on_own_event(event)
@@ -375,7 +375,7 @@
         self._loop.call_later(TRUST_TIMEOUT_S, self._trust_without_peers, now)
 
     def _trust_without_peers(self, distrusted_at):
-        """Trust the own view after the time-out: no peer sent one, so this router is alone or partitioned."""
+        """Trust the own view after the timeout: no peer sent one, so this router is alone or partitioned."""
         if distrusted_at == self._distrusted_since:
             self._trust_view()
 
@@ -436,7 +436,7 @@
                 continue
             silent_s = min(silent_s, self._loop.time() - self._silence_counted_from)
             if silent_s > self._max_silence_s:
-                # The connection may be dead while the router is alive: opening a new one tells the two apart.
+                # The connection may be dead while the router is alive: opening a new one shows which.
                 self._peers.reopen(peer)
 
     # The view and the partners.
--- a/wagtailtrestle/membership/partners.py
+++ b/wagtailtrestle/membership/partners.py
@@ -49,7 +49,7 @@
         return {self._at(name, sign * step) for step in steps for sign in (1, -1)}
 
     def fingers(self, name):
-        """Set of the routers half, a quarter, … of the ring away."""
+        """Set of the routers 2, 4, 8, … positions further, up to half of the ring."""
         if self.is_mesh:
             return set()
         fingers = set()
--- a/wagtailtrestle/membership/suspicion.py
+++ b/wagtailtrestle/membership/suspicion.py
@@ -38,7 +38,7 @@
         self._timers_by_name = {}
 
     def suspect(self, member, detail):
-        """Suspect a router to which this router could not open a new connection either."""
+        """Suspect a router on first-hand evidence: it can't be reached, even on a new connection."""
         now = self._loop.time()
         if not member.present or member.own_suspicion or now < member.suspect_again_at:
             return
@@ -72,7 +72,7 @@
         member.suspect_again_at = min(member.suspect_again_at, now + SUSPECT_AGAIN_S)
 
     def restart(self):
-        """Restart the timers of all suspects after a pause of this process."""
+        """Discard the evidence against all suspects and restart their timers, after a pause of this process."""
         self.close()
         for member in self._table.by_name.values():
             if member.state is MemberState.SUSPECT:
--- a/wagtailtrestle/membership/vm_list.py
+++ b/wagtailtrestle/membership/vm_list.py
@@ -78,8 +78,9 @@
     interval_s : float
         Mean time between reads.
     settled_s : float
-        Mean time between reads once the list is settled; 0 for ``interval_s`` always. Routers that are in contact
-        report joins and departures to each other, so a settled list is needed only for VMs no router can report.
+        Mean time between reads once the list is settled; 0 to use ``interval_s`` always. Routers that are in
+        contact report joins and departures to each other, so a settled list is read only for VMs that no
+        router reports.
     jitter : random.Random, optional
     """
 
