--- a/wagtailtrestle/peers/delays.py
+++ b/wagtailtrestle/peers/delays.py
@@ -12,7 +12,7 @@
 
 @record
 class Delay:
-    """Batching delay and response time-out of a message type.
+    """Batching delay and response timeout of a message type.
 
     Parameters
     ----------
@@ -48,7 +48,7 @@
     RunFinished: Delay(patience_s=2.0),
     # Partners watch each other's heartbeats, and replace a connection on which these stop.
     Heartbeat: Delay(patience_s=None),
-    # The requester has a short time-out of its own.
+    # The requester has a short timeout of its own.
     EnginesAsk: Delay(patience_s=None),
     EnginesAnswer: Delay(patience_s=None),
     # If a pong expected a response, both ends would ping each other forever.
--- a/wagtailtrestle/peers/directory.py
+++ b/wagtailtrestle/peers/directory.py
@@ -172,7 +172,7 @@
     def _change_scheduler(self, cell, before, scheduler):
         self._scheduler_by_cell[cell] = scheduler
         if scheduler == self.name:
-            # If this router was scheduler of the cell before, its scheduler still assumes that all entries have
+            # If this router was scheduler of the cell before, its old state still says that all entries have
             # registered. It would grant immediately on top of what was granted since, and fill engines twice.
             self._begin_cell(cell)
         if before in self._membership.view.all_members:
--- a/wagtailtrestle/peers/links.py
+++ b/wagtailtrestle/peers/links.py
@@ -200,7 +200,7 @@
         return True
 
     def _keeps_old(self, old, new):
-        # Both ends dialed at the same moment. Without a rule each would drop the connection that the other keeps,
+        # Both ends may dial at the same moment. Without a rule each would drop the connection that the other keeps,
         # and dial again. Both keep the one opened by the router with the lower name.
         return (
             old.hello.incarnation == new.hello.incarnation
--- a/wagtailtrestle/peers/watch.py
+++ b/wagtailtrestle/peers/watch.py
@@ -15,8 +15,8 @@
 class LinkWatch:
     """Checks all links at a short interval.
 
-    A link without traffic costs nothing. If something was sent and nothing was received for
-    a while, the peer is pinged on the same connection.
+    A link without traffic costs nothing. If nothing is received for a while after a message
+    that expects a response, the peer is pinged on the same connection.
 
     Parameters
     ----------
