--- a/wagtailtrestle/ledger/ledger.py
+++ b/wagtailtrestle/ledger/ledger.py
@@ -167,7 +167,7 @@
             await writer.close()
 
     def dump(self):
-        """Return the state as a plain dict."""
+        """Plain data for the state dump."""
         return {
             "shards_in_force": self._layout,
             "shards_declared": self._shards(),
--- a/wagtailtrestle/ledger/nonces.py
+++ b/wagtailtrestle/ledger/nonces.py
@@ -1,7 +1,7 @@
 """States of the claims made by this incarnation of this router.
 
 Only the router that holds a claim knows whether its request was dispatched. It answers
-other routers' queries for that, and a nonce that was once refused stays refused.
+other routers' queries about that, and a nonce that was once refused stays refused.
 """
 
 import asyncio
--- a/wagtailtrestle/ledger/record.py
+++ b/wagtailtrestle/ledger/record.py
@@ -44,7 +44,8 @@
         Wall clock of the writer, seconds.
     state : ClaimState
     status, content_type, body
-        The recorded answer; ``body`` is ``None`` when it was too large to keep.
+        The recorded answer; ``body`` is ``None`` if there is none yet, it was too large to keep or it was dropped
+        to free space.
     """
 
     __slots__ = ("nonce", "entry", "incarnation", "digest", "claimed_at", "state", "status", "content_type", "body")
--- a/wagtailtrestle/ledger/shard.py
+++ b/wagtailtrestle/ledger/shard.py
@@ -135,7 +135,7 @@
         self._contents = None
 
     async def close(self):
-        """Stop writing; waiting claims are answered ``unavailable``."""
+        """Stop writing; waiting claims are answered ``unavailable``, waiting settlements ``False``."""
         if self._task is not None:
             self._task.cancel()
             await asyncio.gather(self._task, return_exceptions=True)
@@ -143,7 +143,7 @@
         self._pending = []
 
     def dump(self):
-        """Return the state as a plain dict."""
+        """Plain data for the state dump."""
         contents = self._contents
         return {
             "shard": self._shard,
