--- a/wagtailtrestle/ledger/record.py
+++ b/wagtailtrestle/ledger/record.py
@@ -211,7 +211,7 @@
             claimed_at=round(now, 1),
             state=ClaimState.CLAIMED,
         )
-        if not takes_over and not self._make_room(new_record.size()):
+        if not takes_over and not self._free_space(new_record.size()):
             return ClaimAnswer(result=str(ClaimResult.UNAVAILABLE), detail="this part of the ledger is full")
         self._put(request.key, new_record)
         return new_record.answer(ClaimResult.WON)
@@ -227,7 +227,7 @@
             self._drop_bodies(BODIES_LIMIT_BYTES)
         return True
 
-    def _make_room(self, size):
+    def _free_space(self, size):
         # Claims are never dropped to free space, since their keys could run twice. Recorded bodies
         # are: a re-send without one is answered that the outcome is unknown.
         if self.size + size > SHARD_LIMIT_BYTES:
