--- a/wagtailtrestle/peers/routes.py
+++ b/wagtailtrestle/peers/routes.py
@@ -45,11 +45,11 @@
         """Queue a message; ``False`` if there is no path to the peer now."""
         if not self.needs_relay(peer):
             return self._peers.send(peer, message, cell=cell)
-        helper = self._choose_relay(peer)
-        if helper is None:
+        relay = self._choose_relay(peer)
+        if relay is None:
             return False
         item = encode(message, cell=cell).SerializeToString()
-        return self._peers.send(helper, Relayed(source=self._name, target=peer, item=item))
+        return self._peers.send(relay, Relayed(source=self._name, target=peer, item=item))
 
     def _choose_relay(self, target):
         """Choose a connected router, rotating each second, as any one may be unable to reach the target too."""
