--- a/wagtailtrestle/engines/state.py
+++ b/wagtailtrestle/engines/state.py
@@ -400,9 +400,9 @@
         serves_one_request = self._kept_for is not None or self._alone_runs > 0
         self.free_slots = 0 if serves_one_request else self._cap_by_rate_limit(self.limit - self.running)
 
-    def _cap_by_rate_limit(self, slots):
+    def _cap_by_rate_limit(self, places):
         available_requests = self.rate_limit.available_requests()
-        return max(0, slots if available_requests is None else min(slots, available_requests))
+        return max(0, places if available_requests is None else min(places, available_requests))
 
     def _accounted_runs_at(self, at):
         """Runs of live entries that were on the engine at that time, by the grants recorded here."""
