--- a/wagtailtrestle/engines/health.py
+++ b/wagtailtrestle/engines/health.py
@@ -205,7 +205,7 @@
             or self.slowdowns[-1][0] - self.slowdowns[0][0] < MIN_SAMPLE_SPAN_S
         ):
             return None
-        slowdowns = sorted(ratio for _, ratio in self.slowdowns)
+        slowdowns = sorted(rate for _, rate in self.slowdowns)
         return slowdowns[int(SLOWDOWN_QUANTILE * len(slowdowns))]
 
     def set_share(self, share, now):
