--- a/wagtailtrestle/peers/pending_queries.py
+++ b/wagtailtrestle/peers/pending_queries.py
@@ -36,7 +36,7 @@
         if expected_peer != peer or answer.done():
             return
         if message is None or type(message) is NoAnswer:
-            message = PeerUnreachable(peer=peer, detail="the peer has no answer to this query")
+            message = PeerUnreachable(peer=peer, detail="the peer has no answer to this question")
         answer.set_result(message)
 
     def fail(self, peer, detail):
