--- a/tests/test_spec_replay.py
+++ b/tests/test_spec_replay.py
@@ -133,7 +133,7 @@
                 on_simulated_clock(replay.run())
                 self.assertEqual(replay.monitor.violations, [])
                 self.assertEqual(replay.monitor.broken(), [])
-                answers.add(replay.monitor.read("told[0]"))
+                answers.add(replay.monitor.read("reported[0]"))
         self.assertEqual(answers, {"nothing", "no", "unknown", "answer"})
 
 
@@ -174,8 +174,8 @@
                 on_simulated_clock(replay.run())
                 self.assertEqual(replay.monitor.violations, [])
                 self.assertEqual(replay.monitor.broken(), [])
-                for operator, told in replay.told.items():
-                    self.assertEqual(told, replay.monitor.read(f"told[{operator}]"))
+                for operator, reported in replay.reported.items():
+                    self.assertEqual(reported, replay.monitor.read(f"reported[{operator}]"))
                 followed |= {action.partition("(")[0] for action in replay.monitor.taken}
         self.assertLessEqual({"applied_unheard", "delayed", "late_lands", "conflict", "read_back_own"}, followed)
         self.assertLessEqual({"sent_again_applied", "sent_again_unheard"}, followed)
--- a/tests/utils/configuring_replay.py
+++ b/tests/utils/configuring_replay.py
@@ -30,7 +30,7 @@
     "unavailable": "unavailable",
     "give_up": "unavailable",
 }
-TOLD_BY_OUTCOME = {Applied: "applied", ApplyConflict: "conflict", ApplyNotDone: "not_done"}
+REPORT_BY_OUTCOME = {Applied: "applied", ApplyConflict: "conflict", ApplyNotDone: "not_done"}
 STEP_S = 0.05
 SETTLE_S = 60.0
 
@@ -114,7 +114,7 @@
 
     def __init__(self, *, specification, trace):
         self.monitor = Monitor(specification)
-        self.told = {}
+        self.reported = {}
         self._trace = trace
         table = MemoryStore().table
         self._stores = [OperatorStore(table=table, operator=operator, monitor=self.monitor) for operator in OPERATORS]
@@ -149,11 +149,11 @@
     async def _apply(self, operator):
         store = self._stores[operator]
         outcome = await apply(store=store, text="text", apply_id=f"o{operator}", clock=lambda: 0.0)
-        self.told[operator] = TOLD_BY_OUTCOME.get(type(outcome), "unknown")
+        self.reported[operator] = REPORT_BY_OUTCOME.get(type(outcome), "unknown")
         if self.monitor.read(f"apply[{operator}]") == "unsettled":
             again = ["sent_again_own", "sent_again_conflict"] if store.refused_again else []
             names = {"applied": ["read_back_own"], "conflict": ["read_back_other"], "unknown": ["give_up"]}
-            names = [*names.get(self.told[operator], ["told"]), *again]
+            names = [*names.get(self.reported[operator], ["reported"]), *again]
             self.monitor.take_first(*(f"{name}(operator={operator})" for name in names))
 
 
--- a/tests/utils/dispatch_replay.py
+++ b/tests/utils/dispatch_replay.py
@@ -113,9 +113,9 @@
         else:
             self.monitor.take("cut(send=0)")
         expected = {"no": "release", "answer": "finish", "unknown": "finish_unknown"}
-        told = "answer" if isinstance(answer, AnswerWhole) else self.monitor.read("told[0]")
-        if self.claims.ends != [expected[told]]:
-            self.monitor.violations.append(f"the caller was told {told} but the ledger received {self.claims.ends}")
+        reported = "answer" if isinstance(answer, AnswerWhole) else self.monitor.read("reported[0]")
+        if self.claims.ends != [expected[reported]]:
+            self.monitor.violations.append(f"the caller was told {reported} but the ledger received {self.claims.ends}")
 
     @property
     def dispatches(self):
--- a/wagtailtrestle/cli/operate.py
+++ b/wagtailtrestle/cli/operate.py
@@ -160,7 +160,9 @@
     other = parse_declaration(accepted.text, file=base)
     if isinstance(other, DeclarationFaults):
         environment.print_error(faults_text(other.faults))
-        environment.print_error(f"{base} was accepted, but this version of {PROGRAM} can't read it: use a newer version.")
+        environment.print_error(
+            f"{base} was accepted, but this version of {PROGRAM} can't read it: use a newer version."
+        )
         return ExitStatus.CHECK_FAILED
     return _print_difference(environment, other, declaration, base=base)
 
--- a/wagtailtrestle/spec/claims.py
+++ b/wagtailtrestle/spec/claims.py
@@ -9,7 +9,7 @@
 import z3
 
 from wagtailtrestle.spec.claims_proof import lemmas
-from wagtailtrestle.spec.claims_terms import NOBODY, REQUEST, ROUTERS, RUNS, TOLD, UNREAD
+from wagtailtrestle.spec.claims_terms import NOBODY, REPORTED, REQUEST, ROUTERS, RUNS, UNREAD
 from wagtailtrestle.spec.language import (
     FALSE,
     TRUE,
@@ -98,7 +98,7 @@
         for send in self.sends:
             self.declare(REQUEST, "request", send, initial=REQUEST["queued"])
             self.declare(RUNS, "runs", send, initial=RUNS["none"])
-            self.declare(TOLD, "told", send, initial=TOLD["nothing"])
+            self.declare(REPORTED, "reported", send, initial=REPORTED["nothing"])
             self.declare(self.nonce, "knows", send, initial=self.nonce[NOBODY])
             self.declare(self.nonce, "replaces", send, initial=self.nonce[NOBODY])
             self.declare(TRUTH, "won", send, initial=FALSE)
@@ -142,7 +142,7 @@
     def _entry_actions(self, send):
         v = self.v
         request, runs = variable_name("request", send), variable_name("runs", send)
-        told, release = variable_name("told", send), variable_name("release", send)
+        reported, release = variable_name("reported", send), variable_name("release", send)
         is_in = {name: v("request", send) == REQUEST[name] for name in REQUEST.names}
         # Only a claim that still waits for its answer may be won by that answer.
         may_win = is_in["claiming"]
@@ -150,7 +150,7 @@
             may_win = z3.Or(may_win, is_in["refused"])
         self.act("win", [may_win, v("won", send)], {request: REQUEST["running"]}, send=send)
         knows_nobody = v("knows", send) == self.nonce[NOBODY]
-        refuse = {request: REQUEST["refused"], told: TOLD["no"], release: TRUE}
+        refuse = {request: REQUEST["refused"], reported: REPORTED["no"], release: TRUE}
         if self.keeps("proof"):
             self.act("give_up", [is_in["claiming"], knows_nobody], refuse, send=send)
         else:
@@ -159,7 +159,7 @@
         self.act(
             "stop_waiting",
             [is_in["claiming"], z3.Not(knows_nobody)],
-            {request: REQUEST["refused"], told: TOLD["unknown"]},
+            {request: REQUEST["refused"], reported: REPORTED["unknown"]},
             send=send,
         )
         self.act("refuse", [is_in["running"]], refuse, send=send)
@@ -167,16 +167,21 @@
         self.act("dispatch", [is_in["running"]], {request: REQUEST["dispatched"], runs: more}, send=send)
         self.act("dispatch_unheard", [is_in["running"]], {request: REQUEST["dispatched"]}, send=send)
         ran = v("runs", send) != RUNS["none"]
-        self.act("finish", [is_in["dispatched"], ran], {request: REQUEST["finished"], told: TOLD["answer"]}, send=send)
+        self.act(
+            "finish",
+            [is_in["dispatched"], ran],
+            {request: REQUEST["finished"], reported: REPORTED["answer"]},
+            send=send,
+        )
         recorded = variable_name("recorded", send)
         self.act("record", [is_in["finished"], z3.Not(v("recorded", send))], {recorded: TRUE}, send=send)
-        cut = {request: REQUEST["unknown"], told: TOLD["unknown"]}
+        cut = {request: REQUEST["unknown"], reported: REPORTED["unknown"]}
         if not self.keeps("one_dispatch"):
             cut = {request: REQUEST["running"]}
         elif not self.keeps("truth_after_dispatch"):
-            cut = {request: REQUEST["unknown"], told: TOLD["no"]}
+            cut = {request: REQUEST["unknown"], reported: REPORTED["no"]}
         elif not self.keeps("release_of_refused_only"):
-            cut = {request: REQUEST["unknown"], told: TOLD["unknown"], release: TRUE}
+            cut = {request: REQUEST["unknown"], reported: REPORTED["unknown"], release: TRUE}
         self.act("cut", [is_in["dispatched"]], cut, send=send)
 
     def _ask(self, send, writer):
@@ -194,7 +199,7 @@
     def _inquire(self, send, other):
         """The re-send queries the router of the send that holds the key for its outcome."""
         v = self.v
-        request, told = variable_name("request", send), variable_name("told", send)
+        request, reported = variable_name("request", send), variable_name("reported", send)
         waits = [v("request", send) == REQUEST["claiming"], v("knows", send) == self.n(other)]
         state = v("request", other)
         may_replace = [state == REQUEST["refused"]]
@@ -206,11 +211,11 @@
             may_replace.append(TRUE)
         learned = {variable_name("replaces", send): self.n(other), variable_name("knows", send): self.nonce[NOBODY]}
         self.act("hear_refused", [*waits, any_of(may_replace)], learned, send=send, other=other)
-        given = {request: REQUEST["refused"], told: TOLD["answer"]}
+        given = {request: REQUEST["refused"], reported: REPORTED["answer"]}
         self.act("hear_finished", [*waits, state == REQUEST["finished"]], given, send=send, other=other)
         self.act("read_recorded", [*waits, v("recorded", other)], given, send=send, other=other)
         lost = z3.Or(state == REQUEST["unknown"], state == REQUEST["gone"])
-        given = {request: REQUEST["refused"], told: TOLD["unknown"]}
+        given = {request: REQUEST["refused"], reported: REPORTED["unknown"]}
         self.act("hear_unknown", [*waits, lost], given, send=send, other=other)
 
     # Actions of one writer of the shard.
@@ -313,34 +318,38 @@
         v = self.v
         ran = [v("runs", send) != RUNS["none"] for send in self.sends]
         once = [v("runs", send) != RUNS["more"] for send in self.sends]
-        accurate = [z3.Implies(v("told", send) == TOLD["no"], v("runs", send) == RUNS["none"]) for send in self.sends]
+        accurate = [
+            z3.Implies(v("reported", send) == REPORTED["no"], v("runs", send) == RUNS["none"]) for send in self.sends
+        ]
         return {
             ONCE: z3.And(at_most_one(ran), *once),
             REPORTED_NOT_RUN: all_of(accurate),
-            ANSWER_OF_RUN: all_of(z3.Implies(v("told", send) == TOLD["answer"], any_of(ran)) for send in self.sends),
+            ANSWER_OF_RUN: all_of(
+                z3.Implies(v("reported", send) == REPORTED["answer"], any_of(ran)) for send in self.sends
+            ),
         }
 
     def _witnesses(self):
         v = self.v
         taken_over = z3.And(v("replaces", 1) == self.n(0), v("request", 1) == REQUEST["finished"])
         waited = z3.And(
-            v("request", 0) == REQUEST["finished"], v("told", 1) == TOLD["answer"], v("runs", 1) == RUNS["none"]
+            v("request", 0) == REQUEST["finished"], v("reported", 1) == REPORTED["answer"], v("runs", 1) == RUNS["none"]
         )
         crashed = z3.And(
-            v("request", 0) == REQUEST["gone"], v("runs", 0) == RUNS["one"], v("told", 1) == TOLD["unknown"]
+            v("request", 0) == REQUEST["gone"], v("runs", 0) == RUNS["one"], v("reported", 1) == REPORTED["unknown"]
         )
-        lost = z3.And(v("late", 0), v("told", 0) == TOLD["no"])
+        lost = z3.And(v("late", 0), v("reported", 0) == REPORTED["no"])
         return {
             "a refused claim is taken over and run": taken_over,
             "a re-send gets the first one's answer": waited,
-            "the first one's router died, the re-send is told unknown": crashed,
-            "a write is still under way when its send is told no": lost,
+            "the first one's router died, the re-send is reported as unknown": crashed,
+            "a write is still under way when its send is reported as not run": lost,
         }
 
     def _limits(self):
         v = self.v
         ran_elsewhere = [
-            z3.And(v("told", send) == TOLD["no"], v("runs", other) != RUNS["none"])
+            z3.And(v("reported", send) == REPORTED["no"], v("runs", other) != RUNS["none"])
             for send in self.sends
             for other in self.sends
             if other != send
--- a/wagtailtrestle/spec/claims_proof.py
+++ b/wagtailtrestle/spec/claims_proof.py
@@ -6,7 +6,7 @@
 
 import z3
 
-from wagtailtrestle.spec.claims_terms import NOBODY, REQUEST, RUNS, TOLD, UNREAD
+from wagtailtrestle.spec.claims_terms import NOBODY, REPORTED, REQUEST, RUNS, UNREAD
 from wagtailtrestle.spec.language import any_of
 
 
@@ -26,7 +26,7 @@
             z3.Implies(ran, z3.And(holds[send], z3.Or(may_run, state == REQUEST["gone"]))),
             z3.Implies(z3.Or(state == REQUEST["running"], state == REQUEST["claiming"]), z3.Not(ran)),
             z3.Implies(v("release", send), z3.Or(refused, z3.And(state == REQUEST["gone"], z3.Not(ran)))),
-            z3.Implies(v("told", send) == TOLD["no"], z3.Or(refused, state == REQUEST["gone"])),
+            z3.Implies(v("reported", send) == REPORTED["no"], z3.Or(refused, state == REQUEST["gone"])),
             z3.Implies(state == REQUEST["queued"], _never_asked(spec, send)),
             # Once in the store a nonce stays there until it is refused.
             z3.Implies(z3.Or(v("won", send), *_was_stored(spec, send)), z3.Or(holds[send], _never_runs(spec, send))),
--- a/wagtailtrestle/spec/claims_terms.py
+++ b/wagtailtrestle/spec/claims_terms.py
@@ -9,5 +9,5 @@
 # queued, dispatched, finished, refused and unknown are as in RequestState, claiming and running as
 # in NonceState; gone means that the router of the send died.
 REQUEST = Domain("queued", "claiming", "running", "dispatched", "finished", "refused", "unknown", "gone")
-TOLD = Domain("nothing", "no", "unknown", "answer")
+REPORTED = Domain("nothing", "no", "unknown", "answer")
 RUNS = Domain("none", "one", "more")
--- a/wagtailtrestle/spec/configuring.py
+++ b/wagtailtrestle/spec/configuring.py
@@ -25,7 +25,7 @@
 NOBODY = "nobody"
 OWNER = Domain(NOBODY, "o0", "o1")
 APPLY = Domain("idle", "read", "sent", "unsettled", "ended")
-TOLD = Domain("nothing", "applied", "conflict", "not_done", "unknown")
+REPORTED = Domain("nothing", "applied", "conflict", "not_done", "unknown")
 
 ACCURATE_ANSWER = "an operator is told the truth"
 ONLY_UP = "the accepted generation never goes down"
@@ -74,7 +74,7 @@
         for operator in OPERATORS:
             self.declare(APPLY, "apply", operator, initial=APPLY["idle"])
             self.declare(self.generation, "base", operator, initial=self.g(0))
-            self.declare(TOLD, "told", operator, initial=TOLD["nothing"])
+            self.declare(REPORTED, "reported", operator, initial=REPORTED["nothing"])
             self.declare(TRUTH, "late", operator, initial=FALSE)
         for router in ROUTERS:
             self.declare(self.generation, "in_force", router, initial=self.g(0))
@@ -105,7 +105,7 @@
 
     def _operator_actions(self, operator):
         v = self.v
-        apply, told = variable_name("apply", operator), variable_name("told", operator)
+        apply, reported = variable_name("apply", operator), variable_name("reported", operator)
         late = variable_name("late", operator)
         is_in = {name: v("apply", operator) == APPLY[name] for name in APPLY.names}
         has_next_generation = v("accepted") != self.g(self.numbers[-1])
@@ -118,18 +118,18 @@
         self.act("send", [is_in["read"]], {apply: APPLY["sent"]}, operator=operator)
         in_time = self._in_time(operator)
         put = self._put(operator)
-        applied = {apply: APPLY["ended"], told: TOLD["applied"]}
+        applied = {apply: APPLY["ended"], reported: REPORTED["applied"]}
         unsettled = {apply: APPLY["unsettled"]}
         if not self.keeps("lost_answer_is_not_done"):
-            unsettled = {apply: APPLY["ended"], told: TOLD["not_done"]}
+            unsettled = {apply: APPLY["ended"], reported: REPORTED["not_done"]}
         if not self.keeps("lost_answer_is_not_success"):
             unsettled = applied
         self.act("applied", [is_in["sent"], in_time], {**put, **applied}, operator=operator)
         self.act("applied_unheard", [is_in["sent"], in_time], {**put, **unsettled}, operator=operator)
-        conflict = {apply: APPLY["ended"], told: TOLD["conflict"]}
+        conflict = {apply: APPLY["ended"], reported: REPORTED["conflict"]}
         self.act("conflict", [is_in["sent"], z3.Not(in_time)], conflict, operator=operator)
         self.act("delayed", [is_in["sent"]], {**unsettled, late: TRUE}, operator=operator)
-        not_done = {apply: APPLY["ended"], told: TOLD["not_done"]}
+        not_done = {apply: APPLY["ended"], reported: REPORTED["not_done"]}
         self.act("unavailable", [is_in["sent"]], not_done, operator=operator)
         self.act("late_lands", [v("late", operator), in_time], {**put, late: FALSE}, operator=operator)
         self.act("late_refused", [v("late", operator), z3.Not(in_time)], {late: FALSE}, operator=operator)
@@ -137,14 +137,14 @@
 
     def _settle(self, operator, unsettled, in_time, put):
         """After a lost answer the operator reads back the stored id, and sends the same update again."""
-        apply, told = variable_name("apply", operator), variable_name("told", operator)
+        apply, reported = variable_name("apply", operator), variable_name("reported", operator)
         mine, others = self._owned_by_self(operator), self._owned_by_others(operator)
-        applied = {apply: APPLY["ended"], told: TOLD["applied"]}
-        conflict = {apply: APPLY["ended"], told: TOLD["conflict"]}
+        applied = {apply: APPLY["ended"], reported: REPORTED["applied"]}
+        conflict = {apply: APPLY["ended"], reported: REPORTED["conflict"]}
         self.act("read_back_own", [unsettled, mine], applied, operator=operator)
         self.act("read_back_other", [unsettled, others], conflict, operator=operator)
         if not self.keeps("sent_again"):
-            not_done = {apply: APPLY["ended"], told: TOLD["not_done"]}
+            not_done = {apply: APPLY["ended"], reported: REPORTED["not_done"]}
             self.act("read_back_none", [unsettled, z3.Not(mine), z3.Not(others)], not_done, operator=operator)
         self.act("sent_again_applied", [unsettled, in_time], {**put, **applied}, operator=operator)
         self.act("sent_again_unheard", [unsettled, in_time], put, operator=operator)
@@ -153,7 +153,7 @@
             self.act("sent_again_conflict", [unsettled, z3.Not(in_time), others], conflict, operator=operator)
         else:
             self.act("sent_again_conflict", [unsettled, z3.Not(in_time)], conflict, operator=operator)
-        unknown = {apply: APPLY["ended"], told: TOLD["unknown"]}
+        unknown = {apply: APPLY["ended"], reported: REPORTED["unknown"]}
         self.act("give_up", [unsettled], unknown, operator=operator)
 
     def _in_time(self, operator):
@@ -242,11 +242,11 @@
         v = self.v
         accurate = []
         for operator in OPERATORS:
-            told = v("told", operator)
+            reported = v("reported", operator)
             never = z3.And(self._never_made(operator), z3.Not(z3.And(v("late", operator), self._in_time(operator))))
-            not_applied = z3.Or(told == TOLD["conflict"], told == TOLD["not_done"])
+            not_applied = z3.Or(reported == REPORTED["conflict"], reported == REPORTED["not_done"])
             accurate += [
-                z3.Implies(told == TOLD["applied"], self._owned_by_self(operator)),
+                z3.Implies(reported == REPORTED["applied"], self._owned_by_self(operator)),
                 z3.Implies(not_applied, never),
             ]
         accepted = [
@@ -283,15 +283,15 @@
         state = v("apply", operator)
         begun = z3.Or(state == APPLY["idle"], state == APPLY["read"], state == APPLY["sent"])
         unmade = self._never_made(operator)
-        told = v("told", operator)
+        reported = v("reported", operator)
         elsewhere = all_of(
             z3.Implies(v("owner", number) == OWNER[f"o{operator}"], v("base", operator) == self.g(number - 1))
             for number in self.numbers[1:]
         )
         return [
-            z3.Implies(begun, z3.And(unmade, z3.Not(v("late", operator)), told == TOLD["nothing"])),
-            z3.Implies(state == APPLY["unsettled"], told == TOLD["nothing"]),
-            z3.Implies(told != TOLD["nothing"], state == APPLY["ended"]),
+            z3.Implies(begun, z3.And(unmade, z3.Not(v("late", operator)), reported == REPORTED["nothing"])),
+            z3.Implies(state == APPLY["unsettled"], reported == REPORTED["nothing"]),
+            z3.Implies(reported != REPORTED["nothing"], state == APPLY["ended"]),
             z3.Implies(state != APPLY["idle"], elsewhere),
             z3.Implies(state != APPLY["idle"], z3.ULE(v("base", operator), v("accepted"))),
             v("base", operator) != self.g(self.numbers[-1]),
@@ -299,8 +299,10 @@
 
     def _witnesses(self):
         v = self.v
-        both = z3.And(v("told", 0) == TOLD["applied"], v("told", 1) == TOLD["applied"])
-        settled = z3.And(v("late", 0), v("told", 0) == TOLD["conflict"], v("told", 1) == TOLD["applied"])
+        both = z3.And(v("reported", 0) == REPORTED["applied"], v("reported", 1) == REPORTED["applied"])
+        settled = z3.And(
+            v("late", 0), v("reported", 0) == REPORTED["conflict"], v("reported", 1) == REPORTED["applied"]
+        )
         forced = z3.And(v("in_force", 0) == self.g(2), v("in_force", 1) == self.g(1))
         return {
             "two operators apply one after the other": both,
--- a/wagtailtrestle/spec/freshness.py
+++ b/wagtailtrestle/spec/freshness.py
@@ -72,8 +72,8 @@
             self.declare(TRUTH, "read_tells", router, initial=FALSE)
             self.declare(ASK, "ask", router, initial=ASK["idle"])
             self.declare(TICKS, "asked_for", router, initial=TICKS["t0"])
-            self.declare(TRUTH, "told", router, initial=FALSE)
-            self.declare(TICKS, "told_age", router, initial=TICKS["t0"])
+            self.declare(TRUTH, "reported", router, initial=FALSE)
+            self.declare(TICKS, "reported_age", router, initial=TICKS["t0"])
 
     def specification(self):
         self.act("revoke", [z3.Not(self.v("revoked"))], {"revoked": TRUE, "since": TICKS["t0"]})
@@ -130,18 +130,18 @@
         self.act("ask", [v("ask", router) == ASK["idle"]], asked, router=router)
         answered = {
             ask: ASK["answered"],
-            variable_name("told", router): v("knows", peer),
-            variable_name("told_age", router): v("age", peer) if self.keeps("age_is_relayed") else TICKS["t0"],
+            variable_name("reported", router): v("knows", peer),
+            variable_name("reported_age", router): v("age", peer) if self.keeps("age_is_relayed") else TICKS["t0"],
         }
         self.act("answer", [v("ask", router) == ASK["asked"]], answered, router=router)
         self.act("take", [v("ask", router) == ASK["answered"]], self._accepted_report(router), router=router)
 
     def _accepted_report(self, router):
         v = self.v
-        age = v("told_age", router)
+        age = v("reported_age", router)
         if self.keeps("way_counts"):
             age = _sum(age, v("asked_for", router))
-        is_same = v("told", router) == v("knows", router)
+        is_same = v("reported", router) == v("knows", router)
         believed = is_same if self.keeps("same_knowledge_only") else TRUE
         younger = _younger(v("age", router), age)
         return {
@@ -186,8 +186,10 @@
             lemmas.append(self._includes_revocation(v("knows", router), v("age", router)))
             reading = self._includes_revocation(v("read_tells", router), v("read_for", router))
             lemmas.append(z3.Implies(v("read", router) == READ["answered"], reading))
-            told = self._includes_revocation(v("told", router), _sum(v("told_age", router), v("asked_for", router)))
-            lemmas.append(z3.Implies(v("ask", router) == ASK["answered"], told))
+            reported = self._includes_revocation(
+                v("reported", router), _sum(v("reported_age", router), v("asked_for", router))
+            )
+            lemmas.append(z3.Implies(v("ask", router) == ASK["answered"], reported))
         return lemmas
 
     def _witnesses(self):
