--- a/tests/test_spec_replay.py
+++ b/tests/test_spec_replay.py
@@ -149,7 +149,7 @@
                 self.assertEqual(replay.monitor.broken(), [])
                 followed |= {action for action in replay.monitor.taken if "scheduler=s0" in action}
         done = {action.partition("(")[0] for action in followed}
-        self.assertLessEqual({"hold_ask", "grant", "grant_again", "preempt", "refuse", "expire", "free_place"}, done)
+        self.assertLessEqual({"hold_ask", "grant", "grant_again", "preempt", "refuse", "expire", "free_slot"}, done)
 
     def test_an_entry_does_only_what_the_specification_allows(self):
         followed = set()
--- a/tests/utils/scheduling_replay.py
+++ b/tests/utils/scheduling_replay.py
@@ -76,7 +76,7 @@
         match step.verb:
             case "hold_ask" | "refuse" | "grant_again":
                 self._deliver_ask(request)
-            case "free_place":
+            case "free_slot":
                 self._deliver_returned(request)
             case "preempt":
                 self.cell.advance(MIDDLE_S)
@@ -118,7 +118,7 @@
     def _deliver_returned(self, request):
         if self.monitor.read(f"returned[{SCHEDULER},{request}]") == NEVER_SENT:
             return
-        self.monitor.take(f"free_place(scheduler={SCHEDULER}, request={request})")
+        self.monitor.take(f"free_slot(scheduler={SCHEDULER}, request={request})")
         if self.monitor.read(f"view[{request}]") == SCHEDULER:
             self.cell.receive(finished(request, result="RunCancelled"))
         else:
--- a/wagtailtrestle/spec/scheduling.py
+++ b/wagtailtrestle/spec/scheduling.py
@@ -41,9 +41,9 @@
 NOT_REPEATED = "a request that may not be repeated is dispatched once"
 TIER_ORDER = "a higher tier is not refused while the scheduler knows lower repeatable work"
 EXPIRY = "no wait ends while known lower repeatable work runs that was not told to yield"
-GRANT_ORDER = "a place goes to the highest tier that waits"
-RETURNED = "while views agree no place is kept for a request that is over"
-CAPACITY = "while views agree the place holds one run"
+GRANT_ORDER = "a slot goes to the highest tier that waits"
+RETURNED = "while views agree no slot is kept for a request that is over"
+CAPACITY = "while views agree the slot holds one run"
 
 SAFEGUARDS = {
     "queued_only": Safeguard(rule="a grant is taken by an entry only for a request that waits", breaks=ONE_RUN),
@@ -61,7 +61,7 @@
     "exact_account": Safeguard(
         rule="a scheduler places runs only in slots that are free in its account", breaks=CAPACITY
     ),
-    "place_until_ended": Safeguard(
+    "slot_until_ended": Safeguard(
         rule="a slot is free when its run has ended, not when the run was preempted", breaks=CAPACITY
     ),
     "ended_asks": Safeguard(rule="a late duplicate of a settled request message is not served again", breaks=RETURNED),
@@ -217,7 +217,7 @@
             variable_name("ended", scheduler, request): z3.If(z3.ULT(ended, returned), returned, ended),
             variable_name("returned", scheduler, request): ATTEMPT["a0"],
         }
-        self.act("free_place", [returned != ATTEMPT["a0"]], freed, scheduler=scheduler, request=request)
+        self.act("free_slot", [returned != ATTEMPT["a0"]], freed, scheduler=scheduler, request=request)
 
     def _scheduler_decides(self, scheduler, request):
         v = self.v
@@ -274,7 +274,7 @@
         v = self.v
         granted = v("held", scheduler, request) == HELD["granted"]
         preempt = {variable_name("preempt", scheduler, request): v("held_attempt", scheduler, request)}
-        if not self.keeps("place_until_ended"):
+        if not self.keeps("slot_until_ended"):
             preempt[variable_name("held", scheduler, request)] = HELD["none"]
         self.act("preempt", [granted, higher_waits], preempt, scheduler=scheduler, request=request)
 
@@ -337,7 +337,7 @@
         v = self.v
         running = [v("runs", request) != COUNT["none"] for request in REQUESTS]
         return {
-            "the place holds one run also while views differ": at_most_one(running),
+            "the slot holds one run also while views differ": at_most_one(running),
             "a higher tier is not refused while lower work runs that the scheduler does not know": z3.Not(
                 v("shed_unseen")
             ),
