--- a/wagtailtrestle/platform/store.py
+++ b/wagtailtrestle/platform/store.py
@@ -183,9 +183,7 @@
             return _with_epoch(answer, StoreAbsent())
         case status if status in NOT_APPLIED_STATUSES:
             return _unavailable(answer)
-    return (
-        _with_epoch(answer, StoreUnknown(detail=describe_answer(answer))) if answer.was_sent else _unavailable(answer)
-    )
+    return _with_epoch(answer, StoreUnknown(detail=describe_answer(answer))) if answer.was_sent else _unavailable(answer)
 
 
 def _event(kind, event):
