--- a/tests/utils/ledger_replay.py
+++ b/tests/utils/ledger_replay.py
@@ -28,7 +28,7 @@
     "write_delayed": "delayed",
     "write_unavailable": "unavailable",
 }
-DELIVERY_VERBS = ("win", "answer_held", "hear_refused", "hear_finished", "hear_unknown", "read_recorded")
+DELIVERY_VERBS = ("win", "answer_held", "receive_refused", "receive_finished", "receive_unknown", "read_recorded")
 STEP_S = 0.05
 SETTLE_S = 60.0
 OPEN_GATE_TURNS = 1000
@@ -180,9 +180,9 @@
             for _ in range(OPEN_GATE_TURNS):
                 store.reads.put_nowait("turn")
                 store.outcomes.put_nowait("done")
-        for heard in self._deliveries:
+        for delivery in self._deliveries:
             for _ in range(OPEN_GATE_TURNS):
-                heard.put_nowait("turn")
+                delivery.put_nowait("turn")
 
     # Steps of the trace.
 
@@ -231,10 +231,10 @@
                 names = [f"give_up(send={send})"]
             case ClaimFinished():
                 names = [
-                    f"{verb}(send={send}, other={o})" for verb in ("read_recorded", "hear_finished") for o in others
+                    f"{verb}(send={send}, other={o})" for verb in ("read_recorded", "receive_finished") for o in others
                 ]
             case _:
-                names = [f"hear_unknown(send={send}, other={other})" for other in others]
+                names = [f"receive_unknown(send={send}, other={other})" for other in others]
                 names.append(f"stop_waiting(send={send})")
         self.monitor.take_first(*names)
 
@@ -308,8 +308,8 @@
         if not isinstance(message, NonceAsk) or answer.state != NonceState.REFUSED:
             return
         other = _send(message.nonce)
-        heard = [f"hear_refused(send={send}, other={other})" for send in self._sends if send % ROUTERS == router]
-        for action in heard:
+        actions = [f"receive_refused(send={send}, other={other})" for send in self._sends if send % ROUTERS == router]
+        for action in actions:
             if self.monitor.allows(action):
                 self.monitor.take(action)
 
--- a/wagtailtrestle/spec/claims.py
+++ b/wagtailtrestle/spec/claims.py
@@ -210,13 +210,13 @@
         if not self.keeps("takeover_of_refused_only"):
             may_replace.append(TRUE)
         learned = {variable_name("replaces", send): self.n(other), variable_name("knows", send): self.nonce[NOBODY]}
-        self.act("hear_refused", [*waits, any_of(may_replace)], learned, send=send, other=other)
+        self.act("receive_refused", [*waits, any_of(may_replace)], learned, send=send, other=other)
         given = {request: REQUEST["refused"], reported: REPORTED["answer"]}
-        self.act("hear_finished", [*waits, state == REQUEST["finished"]], given, send=send, other=other)
+        self.act("receive_finished", [*waits, state == REQUEST["finished"]], given, send=send, other=other)
         self.act("read_recorded", [*waits, v("recorded", other)], given, send=send, other=other)
         lost = z3.Or(state == REQUEST["unknown"], state == REQUEST["gone"])
         given = {request: REQUEST["refused"], reported: REPORTED["unknown"]}
-        self.act("hear_unknown", [*waits, lost], given, send=send, other=other)
+        self.act("receive_unknown", [*waits, lost], given, send=send, other=other)
 
     # Actions of one writer of the shard.
 
