--- a/tests/utils/dispatch_replay.py
+++ b/tests/utils/dispatch_replay.py
@@ -98,7 +98,7 @@
         if not start.attach and not isinstance(outcome, RunNotSent):
             # Bytes were sent, so the run is known to have begun only if the engine reported it.
             began = isinstance(outcome, RunDone) or getattr(outcome, "reached", False)
-            self.monitor.take("dispatch(send=0)" if began else "dispatch_unheard(send=0)")
+            self.monitor.take("dispatch(send=0)" if began else "dispatch_without_run(send=0)")
         entry.post("n0", RunEnded(run_id=start.run_id, outcome=outcome, duration_s=0.1))
 
     def _report_answer(self):
--- a/tests/utils/ledger_replay.py
+++ b/tests/utils/ledger_replay.py
@@ -202,7 +202,7 @@
                 await self._stores[parameters["writer"]].land()
             case "give_up" | "stop_waiting":
                 self._cancel(send)
-            case "refuse" | "dispatch" | "dispatch_unheard" | "finish" | "cut":
+            case "refuse" | "dispatch" | "dispatch_without_run" | "finish" | "cut":
                 self._end(step.action, step.verb, send)
             case "crash":
                 await self._crash(parameters["router"])
--- a/wagtailtrestle/spec/claims.py
+++ b/wagtailtrestle/spec/claims.py
@@ -165,7 +165,7 @@
         self.act("refuse", [is_in["running"]], refuse, send=send)
         more = z3.If(v("runs", send) == RUNS["none"], RUNS["one"], RUNS["more"])
         self.act("dispatch", [is_in["running"]], {request: REQUEST["dispatched"], runs: more}, send=send)
-        self.act("dispatch_unheard", [is_in["running"]], {request: REQUEST["dispatched"]}, send=send)
+        self.act("dispatch_without_run", [is_in["running"]], {request: REQUEST["dispatched"]}, send=send)
         ran = v("runs", send) != RUNS["none"]
         self.act(
             "finish",
