--- a/tests/test_spec_replay.py
+++ b/tests/test_spec_replay.py
@@ -177,8 +177,8 @@
                 for operator, reported in replay.reported.items():
                     self.assertEqual(reported, replay.monitor.read(f"reported[{operator}]"))
                 followed |= {action.partition("(")[0] for action in replay.monitor.taken}
-        self.assertLessEqual({"applied_unheard", "delayed", "late_lands", "conflict", "read_back_own"}, followed)
-        self.assertLessEqual({"sent_again_applied", "sent_again_unheard"}, followed)
+        self.assertLessEqual({"applied_answer_lost", "delayed", "late_lands", "conflict", "read_back_own"}, followed)
+        self.assertLessEqual({"sent_again_applied", "sent_again_answer_lost"}, followed)
 
     def test_configuration_does_only_what_the_specification_allows(self):
         followed = set()
--- a/tests/utils/configuring_replay.py
+++ b/tests/utils/configuring_replay.py
@@ -24,8 +24,8 @@
     "sent_again_applied": "done",
     "sent_again_own": "done",
     "sent_again_conflict": "done",
-    "applied_unheard": "unheard",
-    "sent_again_unheard": "unheard",
+    "applied_answer_lost": "answer_lost",
+    "sent_again_answer_lost": "answer_lost",
     "delayed": "delayed",
     "unavailable": "unavailable",
     "give_up": "unavailable",
@@ -102,8 +102,8 @@
         return self._report_done(first, scripted, outcome)
 
     def _report_done(self, first, scripted, outcome):
-        if scripted == "unheard":
-            self.take("applied_unheard" if first else "sent_again_unheard")
+        if scripted == "answer_lost":
+            self.take("applied_answer_lost" if first else "sent_again_answer_lost")
             return StoreUnknown(detail="scripted")
         self.take("applied" if first else "sent_again_applied")
         return outcome
--- a/tests/utils/ledger_replay.py
+++ b/tests/utils/ledger_replay.py
@@ -24,7 +24,7 @@
 SCRIPT_BY_VERB = {
     "write_done": "done",
     "write_conflict": "done",
-    "write_done_unheard": "unheard",
+    "write_done_answer_lost": "answer_lost",
     "write_delayed": "delayed",
     "write_unavailable": "unavailable",
 }
@@ -106,8 +106,8 @@
         if not isinstance(outcome, StoreDone):
             self._take("write_conflict")
             return outcome
-        self._take("write_done_unheard" if scripted == "unheard" else "write_done")
-        return StoreUnknown(detail="scripted") if scripted == "unheard" else outcome
+        self._take("write_done_answer_lost" if scripted == "answer_lost" else "write_done")
+        return StoreUnknown(detail="scripted") if scripted == "answer_lost" else outcome
 
     def _delay(self, write):
         if self._monitor.read(f"writing[{self._router}]"):
--- a/wagtailtrestle/spec/claims.py
+++ b/wagtailtrestle/spec/claims.py
@@ -270,9 +270,9 @@
         idle = {writing: FALSE}
         known = {**idle, snapshot: v("value", writer), fresh: TRUE}
         unknown = {**idle, snapshot: self.snapshot[UNREAD], fresh: FALSE}
-        unheard = unknown if self.keeps("read_back") else {**idle, snapshot: v("value", writer)}
+        answer_lost = unknown if self.keeps("read_back") else {**idle, snapshot: v("value", writer)}
         self.act("write_done", [v("writing", writer), in_time], {**applied, **known}, writer=writer)
-        self.act("write_done_unheard", [v("writing", writer), in_time], {**applied, **unheard}, writer=writer)
+        self.act("write_done_answer_lost", [v("writing", writer), in_time], {**applied, **answer_lost}, writer=writer)
         # Claims of other keys change the version too, so a conflict is possible at any time.
         self.act("write_conflict", [v("writing", writer)], unknown, writer=writer)
         self.act("write_unavailable", [v("writing", writer)], idle, writer=writer)
@@ -282,7 +282,7 @@
             variable_name("late_fresh", writer): v("fresh", writer),
         }
         free = [v("writing", writer), z3.Not(v("late", writer))]
-        self.act("write_delayed", free, {**unheard, **delayed}, writer=writer)
+        self.act("write_delayed", free, {**answer_lost, **delayed}, writer=writer)
         in_time = v("late_fresh", writer) if self.keeps("conditional_update") else TRUE
         landed = {"past": v("holder"), "holder": v("late_value", writer), **self._new_version()}
         self.act("late_write_lands", [v("late", writer), in_time], {**landed, late: FALSE}, writer=writer)
--- a/wagtailtrestle/spec/configuring.py
+++ b/wagtailtrestle/spec/configuring.py
@@ -125,7 +125,7 @@
         if not self.keeps("lost_answer_is_not_success"):
             unsettled = applied
         self.act("applied", [is_in["sent"], in_time], {**put, **applied}, operator=operator)
-        self.act("applied_unheard", [is_in["sent"], in_time], {**put, **unsettled}, operator=operator)
+        self.act("applied_answer_lost", [is_in["sent"], in_time], {**put, **unsettled}, operator=operator)
         conflict = {apply: APPLY["ended"], reported: REPORTED["conflict"]}
         self.act("conflict", [is_in["sent"], z3.Not(in_time)], conflict, operator=operator)
         self.act("delayed", [is_in["sent"]], {**unsettled, late: TRUE}, operator=operator)
@@ -147,7 +147,7 @@
             not_done = {apply: APPLY["ended"], reported: REPORTED["not_done"]}
             self.act("read_back_none", [unsettled, z3.Not(mine), z3.Not(others)], not_done, operator=operator)
         self.act("sent_again_applied", [unsettled, in_time], {**put, **applied}, operator=operator)
-        self.act("sent_again_unheard", [unsettled, in_time], put, operator=operator)
+        self.act("sent_again_answer_lost", [unsettled, in_time], put, operator=operator)
         if self.keeps("own_id"):
             self.act("sent_again_own", [unsettled, z3.Not(in_time), mine], applied, operator=operator)
             self.act("sent_again_conflict", [unsettled, z3.Not(in_time), others], conflict, operator=operator)
