--- a/wagtailtrestle/spec/configuring.py
+++ b/wagtailtrestle/spec/configuring.py
@@ -214,8 +214,8 @@
             self.act("begin_confirmed", [z3.Not(began), newest], start, router=router)
         for peer in ROUTERS:
             if peer != router:
-                heard = [z3.Not(began), v("in_force", peer) != self.g(0)]
-                self.act("begin_by_peer", heard, self._adopt(router, v("in_force", peer)), router=router, peer=peer)
+                may_begin = [z3.Not(began), v("in_force", peer) != self.g(0)]
+                self.act("begin_by_peer", may_begin, self._adopt(router, v("in_force", peer)), router=router, peer=peer)
         self.act("restart", [began], {variable_name("in_force", router): self.g(0)}, router=router)
 
     def _adopt(self, router, generation):
