--- a/tests/utils/configuring_replay.py
+++ b/tests/utils/configuring_replay.py
@@ -28,7 +28,7 @@
     "sent_again_answer_lost": "answer_lost",
     "delayed": "delayed",
     "unavailable": "unavailable",
-    "give_up": "unavailable",
+    "abandon": "unavailable",
 }
 REPORT_BY_OUTCOME = {Applied: "applied", ApplyConflict: "conflict", ApplyNotDone: "not_done"}
 STEP_S = 0.05
@@ -152,7 +152,7 @@
         self.reported[operator] = REPORT_BY_OUTCOME.get(type(outcome), "unknown")
         if self.monitor.read(f"apply[{operator}]") == "unsettled":
             again = ["sent_again_own", "sent_again_conflict"] if store.refused_again else []
-            names = {"applied": ["read_back_own"], "conflict": ["read_back_other"], "unknown": ["give_up"]}
+            names = {"applied": ["read_back_own"], "conflict": ["read_back_other"], "unknown": ["abandon"]}
             names = [*names.get(self.reported[operator], ["reported"]), *again]
             self.monitor.take_first(*(f"{name}(operator={operator})" for name in names))
 
--- a/tests/utils/ledger_replay.py
+++ b/tests/utils/ledger_replay.py
@@ -200,7 +200,7 @@
                 self._claim(send, parameters["writer"])
             case "late_write_lands" | "late_write_refused":
                 await self._stores[parameters["writer"]].land()
-            case "give_up" | "stop_waiting":
+            case "abandon" | "stop_waiting":
                 self._cancel(send)
             case "refuse" | "dispatch" | "dispatch_without_run" | "finish" | "cut":
                 self._end(step.action, step.verb, send)
@@ -218,7 +218,7 @@
             outcome = await ledger.claim(team="t", key="k", body_digest="d", nonce=_nonce(send), wait_s=20.0)
         except asyncio.CancelledError:
             if ledger is self._ledgers[send % ROUTERS]:
-                self.monitor.take_first(f"give_up(send={send})", f"stop_waiting(send={send})")
+                self.monitor.take_first(f"abandon(send={send})", f"stop_waiting(send={send})")
             raise
         self._report_outcome(send, outcome)
 
@@ -228,7 +228,7 @@
             case ClaimWon():
                 names = [f"win(send={send})"]
             case ClaimUnavailable():
-                names = [f"give_up(send={send})"]
+                names = [f"abandon(send={send})"]
             case ClaimFinished():
                 names = [
                     f"{verb}(send={send}, other={o})" for verb in ("read_recorded", "receive_finished") for o in others
--- a/tests/utils/resumption_replay.py
+++ b/tests/utils/resumption_replay.py
@@ -47,7 +47,7 @@
                     self._flying[engine] = event_bytes(number)
                 case "break_off_torn":
                     self._flying[engine] = TORN
-                case "give_up" | "take_cut" | "take_end":
+                case "abandon" | "take_cut" | "take_end":
                     self._active = None
                 case "take" | "drop" | "take_again" | "take_beyond" | "refuse_gap" | "take_torn":
                     self._arrive(engine)
--- a/wagtailtrestle/spec/claims.py
+++ b/wagtailtrestle/spec/claims.py
@@ -33,7 +33,7 @@
     "read(writer=0)",
     "write_claim(writer=0, send=0)",
     "write_done(writer=0)",
-    "give_up(send=0)",
+    "abandon(send=0)",
 )
 
 SAFEGUARDS = {
@@ -152,10 +152,10 @@
         knows_nobody = v("knows", send) == self.nonce[NOBODY]
         refuse = {request: REQUEST["refused"], reported: REPORTED["no"], release: TRUE}
         if self.keeps("proof"):
-            self.act("give_up", [is_in["claiming"], knows_nobody], refuse, send=send)
+            self.act("abandon", [is_in["claiming"], knows_nobody], refuse, send=send)
         else:
             # Without proof, a claim that got no answer in time is assumed to be in the store.
-            self.act("give_up", [is_in["claiming"], knows_nobody], {request: REQUEST["running"]}, send=send)
+            self.act("abandon", [is_in["claiming"], knows_nobody], {request: REQUEST["running"]}, send=send)
         self.act(
             "stop_waiting",
             [is_in["claiming"], z3.Not(knows_nobody)],
--- a/wagtailtrestle/spec/configuring.py
+++ b/wagtailtrestle/spec/configuring.py
@@ -154,7 +154,7 @@
         else:
             self.act("sent_again_conflict", [unsettled, z3.Not(in_time)], conflict, operator=operator)
         unknown = {apply: APPLY["ended"], reported: REPORTED["unknown"]}
-        self.act("give_up", [unsettled], unknown, operator=operator)
+        self.act("abandon", [unsettled], unknown, operator=operator)
 
     def _in_time(self, operator):
         if not self.keeps("conditional_update"):
--- a/wagtailtrestle/spec/resumption.py
+++ b/wagtailtrestle/spec/resumption.py
@@ -142,7 +142,7 @@
         torn = {**flown, "active": ACTIVE[NOBODY], "passed_torn": z3.Or(v("passed_torn"), passed)}
         self.act("take_torn", [*here, flying == FLYING["torn"]], torn, engine=engine)
         # No event arrived in time: the run is abandoned, although the engine may still be running it.
-        self.act("give_up", [is_active], {"active": ACTIVE[NOBODY]}, engine=engine)
+        self.act("abandon", [is_active], {"active": ACTIVE[NOBODY]}, engine=engine)
         cut = {"active": ACTIVE[NOBODY]}
         if not self.keeps("cut_is_no_end"):
             cut |= {"is_complete": TRUE, "ended_early": z3.Or(v("ended_early"), z3.Not(is_whole))}
@@ -164,8 +164,8 @@
             self.act("take_again", [*guards, had_before], twice, engine=engine, event=number)
         beyond = [*guards, z3.Not(follows), z3.Not(had_before)]
         if self.keeps("gap_ends_run"):
-            given_up = {**flown, "active": ACTIVE[NOBODY], variable_name("goes", engine): FALSE}
-            self.act("refuse_gap", beyond, given_up, engine=engine, event=number)
+            abandoned = {**flown, "active": ACTIVE[NOBODY], variable_name("goes", engine): FALSE}
+            self.act("refuse_gap", beyond, abandoned, engine=engine, event=number)
         else:
             skipped = {**flown, "had": event, "out_of_order": TRUE}
             self.act("take_beyond", beyond, skipped, engine=engine, event=number)
