--- a/tests/utils/ledger_replay.py
+++ b/tests/utils/ledger_replay.py
@@ -353,4 +353,4 @@
         """Return the nonce that is in the store."""
         outcome = self._table.get(kind=LEDGER_KIND, name="shard-000")
         records = outcome.value["claims"] if isinstance(outcome, StoreDone) else {}
-        return records[KEY][0] if KEY in records else "nobody"
+        return records[KEY][0] if KEY in records else "none"
--- a/wagtailtrestle/spec/claims.py
+++ b/wagtailtrestle/spec/claims.py
@@ -9,7 +9,7 @@
 import z3
 
 from wagtailtrestle.spec.claims_proof import lemmas
-from wagtailtrestle.spec.claims_terms import NOBODY, REPORTED, REQUEST, ROUTERS, RUNS, UNREAD
+from wagtailtrestle.spec.claims_terms import NONE, REPORTED, REQUEST, ROUTERS, RUNS, UNREAD
 from wagtailtrestle.spec.language import (
     FALSE,
     TRUE,
@@ -79,8 +79,8 @@
         super().__init__(safeguards=SAFEGUARDS, without=without)
         self.sends = range(sends)
         self.routers = range(ROUTERS)
-        self.nonce = Domain(NOBODY, *(f"n{send}" for send in self.sends))
-        self.snapshot = Domain(NOBODY, *(f"n{send}" for send in self.sends), UNREAD)
+        self.nonce = Domain(NONE, *(f"n{send}" for send in self.sends))
+        self.snapshot = Domain(NONE, *(f"n{send}" for send in self.sends), UNREAD)
         self._declare()
 
     def n(self, send):
@@ -93,14 +93,14 @@
         return send % ROUTERS
 
     def _declare(self):
-        self.declare(self.snapshot, "holder", initial=self.snapshot[NOBODY])
-        self.declare(self.snapshot, "past", initial=self.snapshot[NOBODY])
+        self.declare(self.snapshot, "holder", initial=self.snapshot[NONE])
+        self.declare(self.snapshot, "past", initial=self.snapshot[NONE])
         for send in self.sends:
             self.declare(REQUEST, "request", send, initial=REQUEST["queued"])
             self.declare(RUNS, "runs", send, initial=RUNS["none"])
             self.declare(REPORTED, "reported", send, initial=REPORTED["nothing"])
-            self.declare(self.nonce, "knows", send, initial=self.nonce[NOBODY])
-            self.declare(self.nonce, "replaces", send, initial=self.nonce[NOBODY])
+            self.declare(self.nonce, "knows", send, initial=self.nonce[NONE])
+            self.declare(self.nonce, "replaces", send, initial=self.nonce[NONE])
             self.declare(TRUTH, "won", send, initial=FALSE)
             self.declare(TRUTH, "release", send, initial=FALSE)
             self.declare(TRUTH, "recorded", send, initial=FALSE)
@@ -110,9 +110,9 @@
             self.declare(self.snapshot, "snapshot", writer, initial=self.snapshot[UNREAD])
             self.declare(TRUTH, "fresh", writer, initial=FALSE)
             self.declare(TRUTH, "writing", writer, initial=FALSE)
-            self.declare(self.snapshot, "value", writer, initial=self.snapshot[NOBODY])
+            self.declare(self.snapshot, "value", writer, initial=self.snapshot[NONE])
             self.declare(TRUTH, "late", writer, initial=FALSE)
-            self.declare(self.snapshot, "late_value", writer, initial=self.snapshot[NOBODY])
+            self.declare(self.snapshot, "late_value", writer, initial=self.snapshot[NONE])
             self.declare(TRUTH, "late_fresh", writer, initial=FALSE)
 
     def specification(self):
@@ -149,16 +149,16 @@
         if not self.keeps("refused_is_final"):
             may_win = z3.Or(may_win, is_in["refused"])
         self.act("win", [may_win, v("won", send)], {request: REQUEST["running"]}, send=send)
-        knows_nobody = v("knows", send) == self.nonce[NOBODY]
+        knows_none = v("knows", send) == self.nonce[NONE]
         refuse = {request: REQUEST["refused"], reported: REPORTED["no"], release: TRUE}
         if self.keeps("proof"):
-            self.act("abandon", [is_in["claiming"], knows_nobody], refuse, send=send)
+            self.act("abandon", [is_in["claiming"], knows_none], refuse, send=send)
         else:
             # Without proof, a claim that got no answer in time is assumed to be in the store.
-            self.act("abandon", [is_in["claiming"], knows_nobody], {request: REQUEST["running"]}, send=send)
+            self.act("abandon", [is_in["claiming"], knows_none], {request: REQUEST["running"]}, send=send)
         self.act(
             "stop_waiting",
-            [is_in["claiming"], z3.Not(knows_nobody)],
+            [is_in["claiming"], z3.Not(knows_none)],
             {request: REQUEST["refused"], reported: REPORTED["unknown"]},
             send=send,
         )
@@ -209,7 +209,7 @@
             may_replace.append(state == REQUEST["claiming"])
         if not self.keeps("takeover_of_refused_only"):
             may_replace.append(TRUE)
-        learned = {variable_name("replaces", send): self.n(other), variable_name("knows", send): self.nonce[NOBODY]}
+        learned = {variable_name("replaces", send): self.n(other), variable_name("knows", send): self.nonce[NONE]}
         self.act("receive_refused", [*waits, any_of(may_replace)], learned, send=send, other=other)
         given = {request: REQUEST["refused"], reported: REPORTED["answer"]}
         self.act("receive_finished", [*waits, state == REQUEST["finished"]], given, send=send, other=other)
@@ -236,16 +236,16 @@
         asked, snapshot = v("asked", send, writer), v("snapshot", writer)
         idle = z3.Not(v("writing", writer))
         writing, value = variable_name("writing", writer), variable_name("value", writer)
-        free = snapshot == self.snapshot[NOBODY]
+        free = snapshot == self.snapshot[NONE]
         replaced = [z3.And(snapshot == self.s(other), v("replaces", send) == self.n(other)) for other in self.sends]
         # One write may release a refused claim and make the next one.
         replaced += [z3.And(snapshot == self.s(other), v("release", other)) for other in self.sends]
         if not self.keeps("takeover_names_nonce"):
-            replaces_any = v("replaces", send) != self.nonce[NOBODY]
+            replaces_any = v("replaces", send) != self.nonce[NONE]
             replaced = [z3.And(replaces_any, snapshot != self.snapshot[UNREAD], snapshot != self.s(send))]
         put = {writing: TRUE, value: self.s(send)}
         self.act("write_claim", [idle, asked, z3.Or(free, *replaced)], put, writer=writer, send=send)
-        remove = {writing: TRUE, value: self.snapshot[NOBODY]}
+        remove = {writing: TRUE, value: self.snapshot[NONE]}
         self.act(
             "write_release", [idle, v("release", send), snapshot == self.s(send)], remove, writer=writer, send=send
         )
--- a/wagtailtrestle/spec/claims_proof.py
+++ b/wagtailtrestle/spec/claims_proof.py
@@ -6,7 +6,7 @@
 
 import z3
 
-from wagtailtrestle.spec.claims_terms import NOBODY, REPORTED, REQUEST, RUNS, UNREAD
+from wagtailtrestle.spec.claims_terms import NONE, REPORTED, REQUEST, RUNS, UNREAD
 from wagtailtrestle.spec.language import any_of
 
 
@@ -75,7 +75,7 @@
 
 
 def _replaceable(spec, place):
-    free = place == spec.snapshot[NOBODY]
+    free = place == spec.snapshot[NONE]
     return z3.Or(free, *(z3.And(_holds_nonce(spec, place, send), _never_runs(spec, send)) for send in spec.sends))
 
 
--- a/wagtailtrestle/spec/claims_terms.py
+++ b/wagtailtrestle/spec/claims_terms.py
@@ -3,7 +3,7 @@
 from wagtailtrestle.spec.language import Domain
 
 ROUTERS = 2
-NOBODY = "nobody"
+NONE = "none"
 UNREAD = "unread"
 
 # queued, dispatched, finished, refused and unknown are as in RequestState, claiming and running as
--- a/wagtailtrestle/spec/configuring.py
+++ b/wagtailtrestle/spec/configuring.py
@@ -22,8 +22,8 @@
 
 OPERATORS = range(2)
 ROUTERS = range(2)
-NOBODY = "nobody"
-OWNER = Domain(NOBODY, "o0", "o1")
+NONE = "none"
+OWNER = Domain(NONE, "o0", "o1")
 APPLY = Domain("idle", "read", "sent", "unsettled", "ended")
 REPORTED = Domain("nothing", "applied", "conflict", "not_done", "unknown")
 
@@ -70,7 +70,7 @@
         self.declare(self.generation, "accepted", initial=self.g(0))
         self.declare(self.generation, "highest_accepted", initial=self.g(0))
         for number in self.numbers[1:]:
-            self.declare(OWNER, "owner", number, initial=OWNER[NOBODY])
+            self.declare(OWNER, "owner", number, initial=OWNER[NONE])
         for operator in OPERATORS:
             self.declare(APPLY, "apply", operator, initial=APPLY["idle"])
             self.declare(self.generation, "base", operator, initial=self.g(0))
@@ -177,7 +177,7 @@
         return self._owned_by(operator, lambda owner: owner == OWNER[f"o{operator}"])
 
     def _owned_by_others(self, operator):
-        return self._owned_by(operator, lambda owner: z3.And(owner != OWNER[f"o{operator}"], owner != OWNER[NOBODY]))
+        return self._owned_by(operator, lambda owner: z3.And(owner != OWNER[f"o{operator}"], owner != OWNER[NONE]))
 
     def _owned_by(self, operator, wanted):
         v = self.v
@@ -250,7 +250,7 @@
                 z3.Implies(not_applied, never),
             ]
         accepted = [
-            z3.Implies(v("in_force", router) == self.g(number), v("owner", number) != OWNER[NOBODY])
+            z3.Implies(v("in_force", router) == self.g(number), v("owner", number) != OWNER[NONE])
             for router in ROUTERS
             for number in self.numbers[1:]
         ]
@@ -270,7 +270,7 @@
         lemmas = []
         for number in self.numbers[1:]:
             reached = z3.ULE(self.g(number), v("accepted"))
-            lemmas.append(reached == (v("owner", number) != OWNER[NOBODY]))
+            lemmas.append(reached == (v("owner", number) != OWNER[NONE]))
         for router in ROUTERS:
             lemmas.append(z3.ULE(v("in_force", router), v("reached", router)))
             lemmas.append(z3.ULE(v("reached", router), v("accepted")))
--- a/wagtailtrestle/spec/resumption.py
+++ b/wagtailtrestle/spec/resumption.py
@@ -23,8 +23,8 @@
 EVENTS = 3
 COUNT = Domain("c0", "c1", "c2", "c3", "c4")
 """A number of events; one more than ``EVENTS`` stands for the end of the stream."""
-NOBODY = "nobody"
-ACTIVE = Domain(NOBODY, "e0", "e1")
+NONE = "none"
+ACTIVE = Domain(NONE, "e0", "e1")
 FLYING = Domain("nothing", "c1", "c2", "c3", "end", "torn")
 """What is in transit from an engine: an event by its number, the end, or a truncated event."""
 RUNS = Domain("none", "one", "more")
@@ -57,14 +57,14 @@
         super().__init__(safeguards=SAFEGUARDS, without=without)
         self.declare(TRUTH, "repeatable", initial=TRUE)
         self.declare(RUNS, "runs", initial=RUNS["none"])
-        self.declare(ACTIVE, "active", initial=ACTIVE[NOBODY])
+        self.declare(ACTIVE, "active", initial=ACTIVE[NONE])
         self.declare(COUNT, "had", initial=COUNT["c0"])
         self.declare(TRUTH, "is_complete", initial=FALSE)
         self.declare(TRUTH, "out_of_order", initial=FALSE)
         self.declare(TRUTH, "passed_torn", initial=FALSE)
         self.declare(TRUTH, "ended_early", initial=FALSE)
         self.declare(TRUTH, "joined", initial=FALSE)
-        self.declare(ACTIVE, "last_from", initial=ACTIVE[NOBODY])
+        self.declare(ACTIVE, "last_from", initial=ACTIVE[NONE])
         self.declare(TRUTH, "was_resumed", initial=FALSE)
         for engine in ENGINES:
             self.declare(TRUTH, "goes", engine, initial=FALSE)
@@ -98,7 +98,7 @@
         v = self.v
         goes, following = variable_name("goes", engine), variable_name("next", engine)
         flying = variable_name("flying", engine)
-        idle = [v("active") == ACTIVE[NOBODY], z3.Not(v("is_complete")), z3.Not(v("goes", engine))]
+        idle = [v("active") == ACTIVE[NONE], z3.Not(v("is_complete")), z3.Not(v("goes", engine))]
         may_run = z3.Or(v("repeatable"), v("runs") == RUNS["none"]) if self.keeps("repeatable_only") else TRUE
         runs = z3.If(v("runs") == RUNS["none"], RUNS["one"], RUNS["more"])
         begun = {"active": ACTIVE[f"e{engine}"], "runs": runs, goes: TRUE}
@@ -133,17 +133,17 @@
         is_whole = v("had") == COUNT[f"c{EVENTS}"]
         ended = {
             **flown,
-            "active": ACTIVE[NOBODY],
+            "active": ACTIVE[NONE],
             "is_complete": TRUE,
             "ended_early": z3.Or(v("ended_early"), z3.Not(is_whole)),
         }
         self.act("take_end", [*here, flying == FLYING["end"]], ended, engine=engine)
         passed = FALSE if self.keeps("torn_kept_back") else TRUE
-        torn = {**flown, "active": ACTIVE[NOBODY], "passed_torn": z3.Or(v("passed_torn"), passed)}
+        torn = {**flown, "active": ACTIVE[NONE], "passed_torn": z3.Or(v("passed_torn"), passed)}
         self.act("take_torn", [*here, flying == FLYING["torn"]], torn, engine=engine)
         # No event arrived in time: the run is abandoned, although the engine may still be running it.
-        self.act("abandon", [is_active], {"active": ACTIVE[NOBODY]}, engine=engine)
-        cut = {"active": ACTIVE[NOBODY]}
+        self.act("abandon", [is_active], {"active": ACTIVE[NONE]}, engine=engine)
+        cut = {"active": ACTIVE[NONE]}
         if not self.keeps("cut_is_no_end"):
             cut |= {"is_complete": TRUE, "ended_early": z3.Or(v("ended_early"), z3.Not(is_whole))}
         silent = [is_active, z3.Not(v("goes", engine)), flying == FLYING["nothing"]]
@@ -164,7 +164,7 @@
             self.act("take_again", [*guards, had_before], twice, engine=engine, event=number)
         beyond = [*guards, z3.Not(follows), z3.Not(had_before)]
         if self.keeps("gap_ends_run"):
-            abandoned = {**flown, "active": ACTIVE[NOBODY], variable_name("goes", engine): FALSE}
+            abandoned = {**flown, "active": ACTIVE[NONE], variable_name("goes", engine): FALSE}
             self.act("refuse_gap", beyond, abandoned, engine=engine, event=number)
         else:
             skipped = {**flown, "had": event, "out_of_order": TRUE}
@@ -181,7 +181,7 @@
     def _lemmas(self):
         v = self.v
         is_whole = v("had") == COUNT[f"c{EVENTS}"]
-        lemmas = [z3.Implies(v("is_complete"), v("active") == ACTIVE[NOBODY])]
+        lemmas = [z3.Implies(v("is_complete"), v("active") == ACTIVE[NONE])]
         for engine in ENGINES:
             is_active = v("active") == ACTIVE[f"e{engine}"]
             flying, following = v("flying", engine), v("next", engine)
