--- a/tests/test_spec_replay.py
+++ b/tests/test_spec_replay.py
@@ -210,10 +210,10 @@
     def test_what_is_believed_of_an_engine_follows_every_teller(self):
         # The declaration and the list set and remove their marks of a leaving engine in every order. While
         # either mark is set, the engine gets no work; once neither is set, it must get work again.
-        for tellers in itertools.product(("declared", "listed"), repeat=4):
-            with self.subTest(tellers=tellers):
+        for sources in itertools.product(("declared", "listed"), repeat=4):
+            with self.subTest(sources=sources):
                 replay = DrainReplay(specification=draining.specification(), trace=None)
-                expected, believed = on_simulated_clock(replay.toggle(tellers))
+                expected, believed = on_simulated_clock(replay.toggle(sources))
                 self.assertEqual(believed, expected)
 
 
--- a/tests/utils/draining_replay.py
+++ b/tests/utils/draining_replay.py
@@ -70,15 +70,15 @@
             self._report_drained()
         await self._entry.close()
 
-    async def toggle(self, tellers):
-        """Let tellers toggle their marks of the engine in turn; return the expected and the actual leaving states."""
+    async def toggle(self, sources):
+        """Let sources toggle their marks of the engine in turn; return the expected and the actual leaving states."""
         self._entry, _ = make_entry(loop=asyncio.get_running_loop(), declaration=self._declaration)
         self._schedulers = self._new_schedulers()
         self._schedulers.deliver(CELL, ask("first"))
         expected, believed = [], []
-        for teller in tellers:
-            verb = "unmark" if self.monitor.read(f"{teller}_leaving") else "mark"
-            self._follow(Step(action=f"{teller}_{verb}()", state={}))
+        for source in sources:
+            verb = "unmark" if self.monitor.read(f"{source}_leaving") else "mark"
+            self._follow(Step(action=f"{source}_{verb}()", state={}))
             expected.append(self.monitor.read("believed_leaving"))
             believed.append(self._schedulers.dump()[CELL]["engines"][LEAVER]["leaving"])
         return expected, believed
--- a/wagtailtrestle/spec/draining.py
+++ b/wagtailtrestle/spec/draining.py
@@ -1,7 +1,7 @@
 """Drain and leaving: no new work on a leaving engine, and no request in flight is cut.
 
 One router drains while another keeps serving; requests alternate between them. One engine is
-marked as leaving by two sources (tellers) that may disagree temporarily: the declaration and
+marked as leaving by two sources that may disagree temporarily: the declaration and
 the platform's list, which lags.
 """
 
@@ -28,14 +28,14 @@
 REQUEST = Domain("absent", "queued", "dispatched", "finished", "refused", "cut")
 PLACE = Domain("nowhere", *ENGINES)
 
-NO_NEW_WORK = "no grant on an engine that any teller marks as leaving"
+NO_NEW_WORK = "no grant on an engine that any source marks as leaving"
 NOTHING_CUT = "nothing in flight is cut"
 NO_GRANT_AFTER_HANDOVER = "a draining router grants nothing"
 REFUSED_NOT_RUN = "what a closing router refuses was not run"
 
 SAFEGUARDS = {
     "leaving_checked": Safeguard(rule="a grant goes only to an engine that is not leaving", breaks=NO_NEW_WORK),
-    "any_teller": Safeguard(rule="a mark stays until the teller that set it has taken it back", breaks=NO_NEW_WORK),
+    "any_source": Safeguard(rule="a mark stays until the source that set it has taken it back", breaks=NO_NEW_WORK),
     "waits_for_flight": Safeguard(rule="a router exits only after its last request has ended", breaks=NOTHING_CUT),
     "intake_closed_first": Safeguard(
         rule="intake is closed before the router checks whether requests are in flight", breaks=NOTHING_CUT
@@ -75,7 +75,7 @@
         return request % 2 == 0
 
     def specification(self):
-        self._teller_actions()
+        self._source_actions()
         self._router_actions()
         for request in self.requests:
             self._request_actions(request)
@@ -89,15 +89,15 @@
             witnesses_by_name=self._witnesses(),
         )
 
-    def _teller_actions(self):
+    def _source_actions(self):
         v = self.v
-        for teller in ("declared_leaving", "listed_leaving"):
-            other = "listed_leaving" if teller == "declared_leaving" else "declared_leaving"
+        for source in ("declared_leaving", "listed_leaving"):
+            other = "listed_leaving" if source == "declared_leaving" else "declared_leaving"
             # Without the safeguard the last report wins.
-            unmarked = v(other) if self.keeps("any_teller") else FALSE
-            name = teller.partition("_")[0]
-            self.act(f"{name}_mark", [z3.Not(v(teller))], {teller: TRUE, "believed_leaving": TRUE})
-            self.act(f"{name}_unmark", [v(teller)], {teller: FALSE, "believed_leaving": unmarked})
+            unmarked = v(other) if self.keeps("any_source") else FALSE
+            name = source.partition("_")[0]
+            self.act(f"{name}_mark", [z3.Not(v(source))], {source: TRUE, "believed_leaving": TRUE})
+            self.act(f"{name}_unmark", [v(source)], {source: FALSE, "believed_leaving": unmarked})
 
     def _router_actions(self):
         v = self.v
