--- a/wagtailtrestle/spec/scheduling.py
+++ b/wagtailtrestle/spec/scheduling.py
@@ -80,7 +80,7 @@
         super().__init__(safeguards=SAFEGUARDS, without=without)
         self.declare(TRUTH, "views_differed", initial=FALSE)
         self.declare(TRUTH, "shed", initial=FALSE)
-        self.declare(TRUTH, "passed_over", initial=FALSE)
+        self.declare(TRUTH, "higher_tier_skipped", initial=FALSE)
         self.declare(TRUTH, "shed_unseen", initial=FALSE)
         self.declare(TRUTH, "expired_early", initial=FALSE)
         for request in REQUESTS:
@@ -233,7 +233,7 @@
         grant = {
             variable_name("held", scheduler, request): HELD["granted"],
             variable_name("granted", scheduler, request): v("held_attempt", scheduler, request),
-            "passed_over": z3.Or(v("passed_over"), higher_waits),
+            "higher_tier_skipped": z3.Or(v("higher_tier_skipped"), higher_waits),
         }
         self.act("grant", guards, grant, scheduler=scheduler, request=request)
         self._expire(scheduler, request)
@@ -317,7 +317,7 @@
             NOT_REPEATED: v("dispatches", FIXED) != COUNT["more"],
             TIER_ORDER: z3.Not(v("shed")),
             EXPIRY: z3.Not(v("expired_early")),
-            GRANT_ORDER: z3.Not(v("passed_over")),
+            GRANT_ORDER: z3.Not(v("higher_tier_skipped")),
             CAPACITY: z3.Or(v("views_differed"), at_most_one(running)),
             RETURNED: z3.Or(v("views_differed"), all_of(returned)),
         }
