--- a/wagtailtrestle/spec/freshness.py
+++ b/wagtailtrestle/spec/freshness.py
@@ -37,7 +37,9 @@
     "read_counts_from_its_start": Safeguard(
         rule="a read proves what held when it began, however late its answer arrives", breaks=NOTHING_LATE
     ),
-    "way_counts": Safeguard(rule="the transit time of a router's report counts towards its age", breaks=NOTHING_LATE),
+    "transit_counts": Safeguard(
+        rule="the transit time of a router's report counts towards its age", breaks=NOTHING_LATE
+    ),
     "age_is_relayed": Safeguard(
         rule="a router's report is as old as the proof that it is based on", breaks=NOTHING_LATE
     ),
@@ -139,7 +141,7 @@
     def _accepted_report(self, router):
         v = self.v
         age = v("reported_age", router)
-        if self.keeps("way_counts"):
+        if self.keeps("transit_counts"):
             age = _sum(age, v("asked_for", router))
         is_same = v("reported", router) == v("knows", router)
         believed = is_same if self.keeps("same_knowledge_only") else TRUE
