--- a/wagtailtrestle/spec/freshness.py
+++ b/wagtailtrestle/spec/freshness.py
@@ -71,7 +71,7 @@
             self.declare(TRUTH, "has_read", router, initial=FALSE)
             self.declare(READ, "read", router, initial=READ["idle"])
             self.declare(TICKS, "read_for", router, initial=TICKS["t0"])
-            self.declare(TRUTH, "read_tells", router, initial=FALSE)
+            self.declare(TRUTH, "read_revoked", router, initial=FALSE)
             self.declare(ASK, "ask", router, initial=ASK["idle"])
             self.declare(TICKS, "asked_for", router, initial=TICKS["t0"])
             self.declare(TRUTH, "reported", router, initial=FALSE)
@@ -113,12 +113,12 @@
         begun = {read: READ["begun"], variable_name("read_for", router): TICKS["t0"]}
         self.act("begin_read", [v("read", router) == READ["idle"]], begun, router=router)
         # The answer carries what held when the store answered, and may arrive much later.
-        answered = {read: READ["answered"], variable_name("read_tells", router): v("revoked")}
+        answered = {read: READ["answered"], variable_name("read_revoked", router): v("revoked")}
         self.act("answer_read", [v("read", router) == READ["begun"]], answered, router=router)
         proved = v("read_for", router) if self.keeps("read_counts_from_its_start") else TICKS["t0"]
         ended = {
             read: READ["idle"],
-            variable_name("knows", router): z3.Or(v("knows", router), v("read_tells", router)),
+            variable_name("knows", router): z3.Or(v("knows", router), v("read_revoked", router)),
             variable_name("age", router): _younger(v("age", router), proved),
             variable_name("has_read", router): TRUE,
         }
@@ -186,7 +186,7 @@
         lemmas = []
         for router in ROUTERS:
             lemmas.append(self._includes_revocation(v("knows", router), v("age", router)))
-            reading = self._includes_revocation(v("read_tells", router), v("read_for", router))
+            reading = self._includes_revocation(v("read_revoked", router), v("read_for", router))
             lemmas.append(z3.Implies(v("read", router) == READ["answered"], reading))
             reported = self._includes_revocation(
                 v("reported", router), _sum(v("reported_age", router), v("asked_for", router))
