--- a/tests/utils/draining_replay.py
+++ b/tests/utils/draining_replay.py
@@ -105,7 +105,7 @@
                 self._schedulers.stop_granting()
             case "hand_over":
                 self._hand_over()
-            case "shut_intake":
+            case "close_intake":
                 self._drained = asyncio.ensure_future(self._entry.drained())
             case "arrive":
                 self._arrive(request)
--- a/wagtailtrestle/spec/draining.py
+++ b/wagtailtrestle/spec/draining.py
@@ -103,7 +103,7 @@
         v = self.v
         is_in = {name: v("router") == ROUTER[name] for name in ROUTER.names}
         self.act("drain", [is_in["serving"]], {"router": ROUTER["draining"]})
-        self.act("shut_intake", [is_in["draining"]], {"router": ROUTER["closing"]})
+        self.act("close_intake", [is_in["draining"]], {"router": ROUTER["closing"]})
         # The other routers learn of the drain later and then take the cell over.
         self.act("hand_over", [z3.Not(is_in["serving"]), v("scheduler_here")], {"scheduler_here": FALSE})
         empty = all_of(z3.Not(self._in_flight(request)) for request in self.requests if self.entered_here(request))
