--- a/wagtailtrestle/spec/resumption.py
+++ b/wagtailtrestle/spec/resumption.py
@@ -25,7 +25,7 @@
 """A number of events; one more than ``EVENTS`` stands for the end of the stream."""
 NONE = "none"
 ACTIVE = Domain(NONE, "e0", "e1")
-FLYING = Domain("nothing", "c1", "c2", "c3", "end", "torn")
+IN_TRANSIT = Domain("nothing", "c1", "c2", "c3", "end", "torn")
 """What is in transit from an engine: an event by its number, the end, or a truncated event."""
 RUNS = Domain("none", "one", "more")
 
@@ -70,7 +70,7 @@
             self.declare(TRUTH, "goes", engine, initial=FALSE)
             self.declare(COUNT, "start", engine, initial=COUNT["c0"])
             self.declare(COUNT, "next", engine, initial=COUNT["c1"])
-            self.declare(FLYING, "flying", engine, initial=FLYING["nothing"])
+            self.declare(IN_TRANSIT, "in_transit", engine, initial=IN_TRANSIT["nothing"])
 
     def specification(self):
         unbegun = self.v("runs") == RUNS["none"]
@@ -97,77 +97,77 @@
     def _engine_actions(self, engine):
         v = self.v
         goes, following = variable_name("goes", engine), variable_name("next", engine)
-        flying = variable_name("flying", engine)
+        in_transit = variable_name("in_transit", engine)
         idle = [v("active") == ACTIVE[NONE], z3.Not(v("is_complete")), z3.Not(v("goes", engine))]
         may_run = z3.Or(v("repeatable"), v("runs") == RUNS["none"]) if self.keeps("repeatable_only") else TRUE
         runs = z3.If(v("runs") == RUNS["none"], RUNS["one"], RUNS["more"])
         begun = {"active": ACTIVE[f"e{engine}"], "runs": runs, goes: TRUE}
         begun["was_resumed"] = z3.Or(v("was_resumed"), v("had") != COUNT["c0"])
         # A new run uses a new connection, on which nothing of an earlier run arrives.
-        begun[flying] = FLYING["nothing"]
+        begun[in_transit] = IN_TRANSIT["nothing"]
         begun[variable_name("start", engine)] = v("had")
         self.act("resume", [*idle, may_run], {**begun, following: v("had") + 1}, engine=engine)
         self.act("run_from_first", [*idle, may_run], {**begun, following: COUNT["c1"]}, engine=engine)
-        sends = [v("goes", engine), v("flying", engine) == FLYING["nothing"]]
-        sent = {flying: self._event(v("next", engine)), following: v("next", engine) + 1}
+        sends = [v("goes", engine), v("in_transit", engine) == IN_TRANSIT["nothing"]]
+        sent = {in_transit: self._event(v("next", engine)), following: v("next", engine) + 1}
         self.act("send", [*sends, z3.ULE(v("next", engine), COUNT[f"c{EVENTS}"])], sent, engine=engine)
         is_over = v("next", engine) == COUNT[f"c{EVENTS + 1}"]
-        self.act("send_end", [*sends, is_over], {flying: FLYING["end"], goes: FALSE}, engine=engine)
+        self.act("send_end", [*sends, is_over], {in_transit: IN_TRANSIT["end"], goes: FALSE}, engine=engine)
         # A faulty engine skips an event. The first and the last are excluded because that cannot be
         # detected: a stream may begin at any number, and its length is not known in advance.
         is_between = z3.And(v("next", engine) != COUNT["c1"], z3.ULT(v("next", engine), COUNT[f"c{EVENTS}"]))
         skips = [v("goes", engine), is_between]
         self.act("skip", skips, {following: v("next", engine) + 1}, engine=engine)
         self.act("break_off", [v("goes", engine)], {goes: FALSE}, engine=engine)
-        torn = {goes: FALSE, flying: FLYING["torn"]}
+        torn = {goes: FALSE, in_transit: IN_TRANSIT["torn"]}
         self.act("break_off_torn", [*sends], torn, engine=engine)
 
     def _receive_actions(self, engine):
         v = self.v
         is_active = v("active") == ACTIVE[f"e{engine}"]
         here = [is_active] if self.keeps("present_run_only") else []
-        flown = {variable_name("flying", engine): FLYING["nothing"]}
-        flying = v("flying", engine)
+        received = {variable_name("in_transit", engine): IN_TRANSIT["nothing"]}
+        in_transit = v("in_transit", engine)
         for number in range(1, EVENTS + 1):
-            self._receive_event(engine, number, [*here, flying == FLYING[f"c{number}"]], flown)
+            self._receive_event(engine, number, [*here, in_transit == IN_TRANSIT[f"c{number}"]], received)
         is_whole = v("had") == COUNT[f"c{EVENTS}"]
         ended = {
-            **flown,
+            **received,
             "active": ACTIVE[NONE],
             "is_complete": TRUE,
             "ended_early": z3.Or(v("ended_early"), z3.Not(is_whole)),
         }
-        self.act("take_end", [*here, flying == FLYING["end"]], ended, engine=engine)
+        self.act("take_end", [*here, in_transit == IN_TRANSIT["end"]], ended, engine=engine)
         passed = FALSE if self.keeps("torn_kept_back") else TRUE
-        torn = {**flown, "active": ACTIVE[NONE], "passed_torn": z3.Or(v("passed_torn"), passed)}
-        self.act("take_torn", [*here, flying == FLYING["torn"]], torn, engine=engine)
+        torn = {**received, "active": ACTIVE[NONE], "passed_torn": z3.Or(v("passed_torn"), passed)}
+        self.act("take_torn", [*here, in_transit == IN_TRANSIT["torn"]], torn, engine=engine)
         # No event arrived in time: the run is abandoned, although the engine may still be running it.
         self.act("abandon", [is_active], {"active": ACTIVE[NONE]}, engine=engine)
         cut = {"active": ACTIVE[NONE]}
         if not self.keeps("cut_is_no_end"):
             cut |= {"is_complete": TRUE, "ended_early": z3.Or(v("ended_early"), z3.Not(is_whole))}
-        silent = [is_active, z3.Not(v("goes", engine)), flying == FLYING["nothing"]]
+        silent = [is_active, z3.Not(v("goes", engine)), in_transit == IN_TRANSIT["nothing"]]
         self.act("take_cut", silent, cut, engine=engine)
 
-    def _receive_event(self, engine, number, guards, flown):
+    def _receive_event(self, engine, number, guards, received):
         v = self.v
         event = COUNT[f"c{number}"]
         follows = v("had") + 1 == event
         had_before = z3.ULE(event, v("had"))
         joined = z3.Or(v("joined"), z3.Not(self._continues(engine)))
-        passed = {**flown, "had": event, "last_from": ACTIVE[f"e{engine}"], "joined": joined}
+        passed = {**received, "had": event, "last_from": ACTIVE[f"e{engine}"], "joined": joined}
         self.act("take", [*guards, follows], passed, engine=engine, event=number)
         if self.keeps("had_before_dropped"):
-            self.act("drop", [*guards, had_before], flown, engine=engine, event=number)
+            self.act("drop", [*guards, had_before], received, engine=engine, event=number)
         else:
-            twice = {**flown, "out_of_order": TRUE}
+            twice = {**received, "out_of_order": TRUE}
             self.act("take_again", [*guards, had_before], twice, engine=engine, event=number)
         beyond = [*guards, z3.Not(follows), z3.Not(had_before)]
         if self.keeps("gap_ends_run"):
-            abandoned = {**flown, "active": ACTIVE[NONE], variable_name("goes", engine): FALSE}
+            abandoned = {**received, "active": ACTIVE[NONE], variable_name("goes", engine): FALSE}
             self.act("refuse_gap", beyond, abandoned, engine=engine, event=number)
         else:
-            skipped = {**flown, "had": event, "out_of_order": TRUE}
+            skipped = {**received, "had": event, "out_of_order": TRUE}
             self.act("take_beyond", beyond, skipped, engine=engine, event=number)
 
     def _continues(self, engine):
@@ -176,7 +176,7 @@
 
     def _event(self, number):
         """Convert a count to the event in transit with that number; both domains encode numbers alike."""
-        return z3.ZeroExt(FLYING.sort.size() - number.size(), number)
+        return z3.ZeroExt(IN_TRANSIT.sort.size() - number.size(), number)
 
     def _lemmas(self):
         v = self.v
@@ -184,13 +184,13 @@
         lemmas = [z3.Implies(v("is_complete"), v("active") == ACTIVE[NONE])]
         for engine in ENGINES:
             is_active = v("active") == ACTIVE[f"e{engine}"]
-            flying, following = v("flying", engine), v("next", engine)
+            in_transit, following = v("in_transit", engine), v("next", engine)
             lemmas.append(z3.Implies(is_active, self._continues(engine)))
-            sent_all = z3.And(following == COUNT[f"c{EVENTS + 1}"], flying == FLYING["nothing"])
+            sent_all = z3.And(following == COUNT[f"c{EVENTS + 1}"], in_transit == IN_TRANSIT["nothing"])
             lemmas.append(z3.Implies(z3.And(is_active, sent_all), is_whole))
-            lemmas.append(z3.Implies(z3.And(is_active, flying == FLYING["end"]), is_whole))
-            last_flies = flying == FLYING[f"c{EVENTS}"]
-            at_end = z3.Or(sent_all, last_flies, _is_over(flying))
+            lemmas.append(z3.Implies(z3.And(is_active, in_transit == IN_TRANSIT["end"]), is_whole))
+            last_in_transit = in_transit == IN_TRANSIT[f"c{EVENTS}"]
+            at_end = z3.Or(sent_all, last_in_transit, _is_over(in_transit))
             lemmas.append(z3.Implies(following == COUNT[f"c{EVENTS + 1}"], at_end))
             lemmas.append(z3.And(following != COUNT["c0"], z3.ULE(v("start", engine), COUNT[f"c{EVENTS}"])))
         lemmas.append(z3.ULE(v("had"), COUNT[f"c{EVENTS}"]))
@@ -199,13 +199,13 @@
     def _witnesses(self):
         v = self.v
         complete_after_resumption = z3.And(v("is_complete"), v("was_resumed"))
-        late = z3.And(v("active") == ACTIVE["e1"], v("flying", 0) == FLYING["c2"], v("had") == COUNT["c1"])
+        late = z3.And(v("active") == ACTIVE["e1"], v("in_transit", 0) == IN_TRANSIT["c2"], v("had") == COUNT["c1"])
         return {
             "a stream of two runs is complete": complete_after_resumption,
             "an event of an earlier run arrives late": late,
         }
 
 
-def _is_over(flying):
+def _is_over(in_transit):
     """Whether only the end or a truncated event is in transit from a run."""
-    return z3.Or(flying == FLYING["end"], flying == FLYING["torn"])
+    return z3.Or(in_transit == IN_TRANSIT["end"], in_transit == IN_TRANSIT["torn"])
