--- a/wagtailtrestle/spec/resumption.py
+++ b/wagtailtrestle/spec/resumption.py
@@ -67,7 +67,7 @@
         self.declare(ACTIVE, "last_from", initial=ACTIVE[NONE])
         self.declare(TRUTH, "was_resumed", initial=FALSE)
         for engine in ENGINES:
-            self.declare(TRUTH, "goes", engine, initial=FALSE)
+            self.declare(TRUTH, "is_running", engine, initial=FALSE)
             self.declare(COUNT, "start", engine, initial=COUNT["c0"])
             self.declare(COUNT, "next", engine, initial=COUNT["c1"])
             self.declare(IN_TRANSIT, "in_transit", engine, initial=IN_TRANSIT["nothing"])
@@ -96,30 +96,30 @@
 
     def _engine_actions(self, engine):
         v = self.v
-        goes, following = variable_name("goes", engine), variable_name("next", engine)
+        is_running, following = variable_name("is_running", engine), variable_name("next", engine)
         in_transit = variable_name("in_transit", engine)
-        idle = [v("active") == ACTIVE[NONE], z3.Not(v("is_complete")), z3.Not(v("goes", engine))]
+        idle = [v("active") == ACTIVE[NONE], z3.Not(v("is_complete")), z3.Not(v("is_running", engine))]
         may_run = z3.Or(v("repeatable"), v("runs") == RUNS["none"]) if self.keeps("repeatable_only") else TRUE
         runs = z3.If(v("runs") == RUNS["none"], RUNS["one"], RUNS["more"])
-        begun = {"active": ACTIVE[f"e{engine}"], "runs": runs, goes: TRUE}
+        begun = {"active": ACTIVE[f"e{engine}"], "runs": runs, is_running: TRUE}
         begun["was_resumed"] = z3.Or(v("was_resumed"), v("had") != COUNT["c0"])
         # A new run uses a new connection, on which nothing of an earlier run arrives.
         begun[in_transit] = IN_TRANSIT["nothing"]
         begun[variable_name("start", engine)] = v("had")
         self.act("resume", [*idle, may_run], {**begun, following: v("had") + 1}, engine=engine)
         self.act("run_from_first", [*idle, may_run], {**begun, following: COUNT["c1"]}, engine=engine)
-        sends = [v("goes", engine), v("in_transit", engine) == IN_TRANSIT["nothing"]]
+        sends = [v("is_running", engine), v("in_transit", engine) == IN_TRANSIT["nothing"]]
         sent = {in_transit: self._event(v("next", engine)), following: v("next", engine) + 1}
         self.act("send", [*sends, z3.ULE(v("next", engine), COUNT[f"c{EVENTS}"])], sent, engine=engine)
         is_over = v("next", engine) == COUNT[f"c{EVENTS + 1}"]
-        self.act("send_end", [*sends, is_over], {in_transit: IN_TRANSIT["end"], goes: FALSE}, engine=engine)
+        self.act("send_end", [*sends, is_over], {in_transit: IN_TRANSIT["end"], is_running: FALSE}, engine=engine)
         # A faulty engine skips an event. The first and the last are excluded because that cannot be
         # detected: a stream may begin at any number, and its length is not known in advance.
         is_between = z3.And(v("next", engine) != COUNT["c1"], z3.ULT(v("next", engine), COUNT[f"c{EVENTS}"]))
-        skips = [v("goes", engine), is_between]
+        skips = [v("is_running", engine), is_between]
         self.act("skip", skips, {following: v("next", engine) + 1}, engine=engine)
-        self.act("break_off", [v("goes", engine)], {goes: FALSE}, engine=engine)
-        torn = {goes: FALSE, in_transit: IN_TRANSIT["torn"]}
+        self.act("break_off", [v("is_running", engine)], {is_running: FALSE}, engine=engine)
+        torn = {is_running: FALSE, in_transit: IN_TRANSIT["torn"]}
         self.act("break_off_torn", [*sends], torn, engine=engine)
 
     def _receive_actions(self, engine):
@@ -146,7 +146,7 @@
         cut = {"active": ACTIVE[NONE]}
         if not self.keeps("cut_is_no_end"):
             cut |= {"is_complete": TRUE, "ended_early": z3.Or(v("ended_early"), z3.Not(is_whole))}
-        silent = [is_active, z3.Not(v("goes", engine)), in_transit == IN_TRANSIT["nothing"]]
+        silent = [is_active, z3.Not(v("is_running", engine)), in_transit == IN_TRANSIT["nothing"]]
         self.act("take_cut", silent, cut, engine=engine)
 
     def _receive_event(self, engine, number, guards, received):
@@ -164,7 +164,7 @@
             self.act("take_again", [*guards, had_before], twice, engine=engine, event=number)
         beyond = [*guards, z3.Not(follows), z3.Not(had_before)]
         if self.keeps("gap_ends_run"):
-            abandoned = {**received, "active": ACTIVE[NONE], variable_name("goes", engine): FALSE}
+            abandoned = {**received, "active": ACTIVE[NONE], variable_name("is_running", engine): FALSE}
             self.act("refuse_gap", beyond, abandoned, engine=engine, event=number)
         else:
             skipped = {**received, "had": event, "out_of_order": TRUE}
