--- a/tests/utils/resumption_replay.py
+++ b/tests/utils/resumption_replay.py
@@ -33,7 +33,7 @@
         self._trace = trace
         self._active = None
         self._splitter = None
-        self._flying = dict.fromkeys(ENGINES, b"")
+        self._in_transit = dict.fromkeys(ENGINES, b"")
 
     def run(self):
         """Follow the trace."""
@@ -44,9 +44,9 @@
                     self._begin(engine)
                 case "send":
                     number = int(before.state[f"next[{engine}]"].removeprefix("c"))
-                    self._flying[engine] = event_bytes(number)
+                    self._in_transit[engine] = event_bytes(number)
                 case "break_off_torn":
-                    self._flying[engine] = TORN
+                    self._in_transit[engine] = TORN
                 case "abandon" | "take_cut" | "take_end":
                     self._active = None
                 case "take" | "drop" | "take_again" | "take_beyond" | "refuse_gap" | "take_torn":
@@ -61,11 +61,11 @@
     def _begin(self, engine):
         had = self.numbers()
         self._active = engine
-        self._flying[engine] = b""
+        self._in_transit[engine] = b""
         self._splitter = EventSplitter(after_id=had[-1] if had else None)
 
     def _arrive(self, engine):
-        data, self._flying[engine] = self._flying[engine], b""
+        data, self._in_transit[engine] = self._in_transit[engine], b""
         # Each run has its own connection, which is closed and no longer read once the run is abandoned.
         if engine != self._active:
             return
