--- a/wagtailtrestle/spec/scheduling.py
+++ b/wagtailtrestle/spec/scheduling.py
@@ -175,7 +175,7 @@
         answers = [queued, v("refused", scheduler, request) == attempt]
         refused = {variable_name("state", request): STATE["refused"]}
         self.act("take_refusal", answers, refused, scheduler=scheduler, request=request)
-        told = [state == STATE["dispatched"], v("preempt", scheduler, request) == attempt]
+        preempted = [state == STATE["dispatched"], v("preempt", scheduler, request) == attempt]
         has_next_attempt = attempt != ATTEMPT[LAST_ATTEMPT]
         may_yield = request in REPEATABLE or not self.keeps("preempt_repeatable_only")
         again = {
@@ -185,7 +185,7 @@
             **self._release_slot(request),
         }
         if may_yield:
-            self.act("take_preempt", [*told, has_next_attempt], again, scheduler=scheduler, request=request)
+            self.act("take_preempt", [*preempted, has_next_attempt], again, scheduler=scheduler, request=request)
 
     # Actions of the scheduler.
 
