--- a/wagtailtrestle/spec/freshness.py
+++ b/wagtailtrestle/spec/freshness.py
@@ -196,11 +196,11 @@
 
     def _witnesses(self):
         v = self.v
-        by_word_alone = z3.And(z3.Not(v("has_read", 0)), z3.ULT(v("age", 0), TICKS[f"t{LIMIT}"]))
+        by_report_alone = z3.And(z3.Not(v("has_read", 0)), z3.ULT(v("age", 0), TICKS[f"t{LIMIT}"]))
         learned = z3.And(v("revoked"), v("knows", 0), v("knows", 1))
         aged = all_of([v("has_read", 0), v("age", 0) == _max_ticks(), z3.Not(v("knows", 0))])
         return {
-            "a router that never reads goes on by another's word": by_word_alone,
+            "a router that never reads goes on by another's word": by_report_alone,
             "both routers learn that the key was revoked": learned,
             "a router that hears nothing for long uses no key": aged,
         }
