--- a/wagtailtrestle/spec/claims.py
+++ b/wagtailtrestle/spec/claims.py
@@ -341,9 +341,9 @@
         lost = z3.And(v("late", 0), v("reported", 0) == REPORTED["no"])
         return {
             "a refused claim is taken over and run": taken_over,
-            "a re-send gets the first one's answer": waited,
-            "the first one's router died, the re-send is reported as unknown": crashed,
-            "a write is still under way when its send is reported as not run": lost,
+            "a re-send gets the answer of the first send": waited,
+            "the router of the first send crashed, the re-send is reported as unknown": crashed,
+            "a write is still in progress when its send is reported as not run": lost,
         }
 
     def _limits(self):
--- a/wagtailtrestle/spec/claims_proof.py
+++ b/wagtailtrestle/spec/claims_proof.py
@@ -68,7 +68,7 @@
 
 
 def _never_runs(spec, send):
-    """Whether the send never ran and never will: it was refused, or its router died."""
+    """Whether the send never ran and never will: it was refused, or its router crashed."""
     state = spec.v("request", send)
     never_ran = spec.v("runs", send) == RUNS["none"]
     return z3.And(never_ran, z3.Or(state == REQUEST["refused"], state == REQUEST["gone"]))
--- a/wagtailtrestle/spec/configuring.py
+++ b/wagtailtrestle/spec/configuring.py
@@ -29,8 +29,8 @@
 
 ACCURATE_ANSWER = "an operator is told the truth"
 ONLY_UP = "the accepted generation never goes down"
-NO_REVERT = "a router never goes back within its life"
-NO_REVERT_OVER_RESTART = "a confirmed start is never behind an earlier life"
+NO_REVERT = "a router never reverts to a lower generation while it runs"
+NO_REVERT_OVER_RESTART = "a confirmed start is never behind a generation from before the restart"
 ACCEPTED_ONLY = "only an accepted generation is in force"
 
 SAFEGUARDS = {
@@ -307,7 +307,7 @@
         return {
             "two operators apply one after the other": both,
             "a delayed update is settled as a conflict": settled,
-            "routers differ for a moment": forced,
+            "routers differ temporarily": forced,
         }
 
     def _limits(self):
--- a/wagtailtrestle/spec/draining.py
+++ b/wagtailtrestle/spec/draining.py
@@ -35,14 +35,14 @@
 
 SAFEGUARDS = {
     "leaving_checked": Safeguard(rule="a grant goes only to an engine that is not leaving", breaks=NO_NEW_WORK),
-    "any_source": Safeguard(rule="a mark stays until the source that set it has taken it back", breaks=NO_NEW_WORK),
+    "any_source": Safeguard(rule="a mark stays until the source that set it has withdrawn it", breaks=NO_NEW_WORK),
     "waits_for_flight": Safeguard(rule="a router exits only after its last request has ended", breaks=NOTHING_CUT),
     "intake_closed_first": Safeguard(
         rule="intake is closed before the router checks whether requests are in flight", breaks=NOTHING_CUT
     ),
     "stops_granting": Safeguard(rule="a draining router's scheduler stops granting", breaks=NO_GRANT_AFTER_HANDOVER),
     "refused_unrun": Safeguard(
-        rule="a closing router refuses only requests that it has not taken on", breaks=REFUSED_NOT_RUN
+        rule="a closing router refuses only requests that it has not accepted", breaks=REFUSED_NOT_RUN
     ),
 }
 
@@ -202,8 +202,8 @@
         spared = z3.And(v("believed_leaving"), v("engine", 0) == PLACE[STAYER], v("engine", 1) == PLACE[LEAVER])
         refused = v("request", 0) == REQUEST["refused"]
         return {
-            "a request that came during the grace runs": late,
+            "a request that arrived while the router drained runs": late,
             "a drained router ends after its request": moved,
-            "a run goes on on a leaving engine while new work goes elsewhere": spared,
+            "a run continues on a leaving engine while new work goes to another": spared,
             "a closing router refuses": refused,
         }
--- a/wagtailtrestle/spec/freshness.py
+++ b/wagtailtrestle/spec/freshness.py
@@ -28,7 +28,7 @@
 READ = Domain("idle", "begun", "answered")
 ASK = Domain("idle", "asked", "answered")
 
-NOTHING_LATE = "a revoked key runs nothing after the limit"
+NOTHING_LATE = "a revoked key admits no run after the limit"
 
 SAFEGUARDS = {
     "limit_checked": Safeguard(
@@ -92,7 +92,7 @@
             properties_by_name={NOTHING_LATE: z3.Not(self.v("ran_late"))},
             lemmas=self._lemmas(),
             witnesses_by_name=self._witnesses(),
-            limits_by_name={"a revoked key runs nothing from then on": z3.Not(self.v("ran_after_end"))},
+            limits_by_name={"a revoked key admits no run from its revocation on": z3.Not(self.v("ran_after_end"))},
         )
 
     def _time_actions(self):
@@ -200,9 +200,9 @@
         learned = z3.And(v("revoked"), v("knows", 0), v("knows", 1))
         aged = all_of([v("has_read", 0), v("age", 0) == _max_ticks(), z3.Not(v("knows", 0))])
         return {
-            "a router that never reads goes on by another's word": by_report_alone,
+            "a router that never reads continues on another router's report": by_report_alone,
             "both routers learn that the key was revoked": learned,
-            "a router that hears nothing for long uses no key": aged,
+            "a router that receives no proof for a long time uses no key": aged,
         }
 
 
--- a/wagtailtrestle/spec/resumption.py
+++ b/wagtailtrestle/spec/resumption.py
@@ -29,9 +29,9 @@
 """What is in transit from an engine: an event by its number, the end, or a truncated event."""
 RUNS = Domain("none", "one", "more")
 
-IN_ORDER = "each event comes once and in order"
-NOT_JOINED = "a run goes on only from what it was told that the caller has"
-WHOLE_ONLY = "no piece of an event is passed on"
+IN_ORDER = "each event is passed on once and in order"
+NOT_JOINED = "a run continues only from the last event that it was told the caller has"
+WHOLE_ONLY = "no truncated event is passed on"
 COMPLETE = "a stream that ends as complete has its last event"
 ONCE = "a request that may not be repeated runs once"
 
--- a/wagtailtrestle/spec/scheduling.py
+++ b/wagtailtrestle/spec/scheduling.py
@@ -40,7 +40,7 @@
 ONE_RUN = "a request has one run at a time, and none once it is refused"
 NOT_REPEATED = "a request that may not be repeated is dispatched once"
 TIER_ORDER = "a higher tier is not refused while the scheduler knows lower repeatable work"
-EXPIRY = "no wait ends while known lower repeatable work runs that was not told to yield"
+EXPIRY = "no wait ends while known lower repeatable work runs that was not asked to yield"
 GRANT_ORDER = "a slot goes to the highest tier that waits"
 RETURNED = "while views agree no slot is kept for a request that is over"
 CAPACITY = "while views agree the slot holds one run"
@@ -328,7 +328,7 @@
         doubled = z3.And(v("held", "s0", LOW) == HELD["granted"], v("held", "s1", LOW) == HELD["granted"])
         shed = v("state", LOW) == STATE["refused"]
         return {
-            "a low run is taken back for a high tier and runs again": preempted,
+            "a low-tier run is preempted for a high tier and runs again": preempted,
             "two schedulers grant the same request": doubled,
             "a low tier is refused": shed,
         }
