--- a/wagtailtrestle/measure/one_run.py
+++ b/wagtailtrestle/measure/one_run.py
@@ -16,7 +16,7 @@
 from wagtailtrestle.measure.platform_store import MeasuredLedgers, MeasuredStore, is_keyed
 from wagtailtrestle.measure.run_parts import RunSetting
 from wagtailtrestle.measure.tally import tally, tally_keyed
-from wagtailtrestle.measure.workload import Drawing
+from wagtailtrestle.measure.workload import ArrivalGenerator
 from wagtailtrestle.record import record
 
 ROUTERS = ("r1", "r2", "r3", "r4")
@@ -160,12 +160,12 @@
     def arrivals(self):
         """Draw the arrivals of the run, which are the same at each call."""
         spec = self._spec
-        cost_s = self._drawing(MEAN_SEED).mean(lambda arrival: fleet_cost_s(self.speed_by_name, arrival))
-        return self._drawing(spec.seed).arrivals(rate=spec.load / cost_s, duration_s=spec.duration_s)
+        cost_s = self._arrival_generator(MEAN_SEED).mean(lambda arrival: fleet_cost_s(self.speed_by_name, arrival))
+        return self._arrival_generator(spec.seed).arrivals(rate=spec.load / cost_s, duration_s=spec.duration_s)
 
-    def _drawing(self, seed):
+    def _arrival_generator(self, seed):
         teams = self.setting.declaration.teams_by_name
-        return Drawing(service=self.setting.service, teams_by_name=teams, seed=seed)
+        return ArrivalGenerator(service=self.setting.service, teams_by_name=teams, seed=seed)
 
     def _inject_fault(self, routers, engines_by_name):
         match self._spec.scenario:
@@ -206,7 +206,7 @@
             self.speed_by_name,
             self.setting.declared_engines[0].name,
             STRAGGLE_FACTOR,
-            lambda speed: self._drawing(MEAN_SEED).mean(speed.cost_s),
+            lambda speed: self._arrival_generator(MEAN_SEED).mean(speed.cost_s),
         )
         slow_share = (spec.duration_s * (1.0 - FAULT_AT)) / (spec.duration_s - self._warm_up_s)
         return 1.0 - min(1.0, slow_share) * (1.0 - left)
--- a/wagtailtrestle/measure/workload.py
+++ b/wagtailtrestle/measure/workload.py
@@ -185,7 +185,7 @@
     return changed
 
 
-class Drawing:
+class ArrivalGenerator:
     """Draws the arrivals of one service.
 
     Parameters
