--- a/wagtailtrestle/measure/cluster.py
+++ b/wagtailtrestle/measure/cluster.py
@@ -38,7 +38,7 @@
         self._loop = loop
         self._callers_by_router = {name: {} for name in setting.routers}
         self._entry_by_name = {name: self._entry(name) for name in setting.routers}
-        self._host = setting.routers[0]
+        self._scheduler_router = setting.routers[0]
         self._scheduler = self._new_scheduler()
 
     @property
@@ -75,13 +75,13 @@
         for caller in self._callers_by_router.pop(router).values():
             caller.disconnect()
         self._loop.create_task(entry.close())
-        if router == self._host:
+        if router == self._scheduler_router:
             self._scheduler.stop_granting()
             self._scheduler = None
         self._loop.call_later(DETECTION_S, self._on_death_detected, router)
 
     def _send_to_scheduler(self, router, message):
-        delay_s = 0.0 if router == self._host else NETWORK_S
+        delay_s = 0.0 if router == self._scheduler_router else NETWORK_S
         self._loop.call_later(delay_s, self._receive, message)
 
     def _receive(self, message):
@@ -91,7 +91,7 @@
     def _send_to_entry(self, entry_name, message):
         if entry_name not in self._entry_by_name:
             return False
-        delay_s = 0.0 if entry_name == self._host else NETWORK_S
+        delay_s = 0.0 if entry_name == self._scheduler_router else NETWORK_S
         self._loop.call_later(delay_s, self._deliver, entry_name, message)
         return True
 
@@ -101,8 +101,8 @@
             entry.on_scheduler_message(message)
 
     def _on_death_detected(self, router):
-        if router == self._host:
-            self._host = next(iter(self._entry_by_name))
+        if router == self._scheduler_router:
+            self._scheduler_router = next(iter(self._entry_by_name))
             self._scheduler = self._new_scheduler()
             for entry in self._entry_by_name.values():
                 self._loop.call_later(NETWORK_S, self._receive, entry.register(self._setting.cell))
