--- a/wagtailtrestle/measure/plain_services.py
+++ b/wagtailtrestle/measure/plain_services.py
@@ -95,9 +95,9 @@
 
 def _document(case):
     document = slowed_document(case.language)
-    whole = yaml.safe_load((EXAMPLES / f"{EXAMPLE_BY_SERVICE[case.language]}.yaml").read_text())
-    document["services"] += [each for each in whole["services"] if each["name"] == case.service]
-    for engine in whole["engines"]:
+    example = yaml.safe_load((EXAMPLES / f"{EXAMPLE_BY_SERVICE[case.language]}.yaml").read_text())
+    document["services"] += [each for each in example["services"] if each["name"] == case.service]
+    for engine in example["engines"]:
         if engine["service"] == case.service:
             slowed = {"slots": SLOTS, "step_ms": engine["step_ms"] * case.time_scale}
             document["engines"].append({**engine, **slowed})
