--- a/wagtailtrestle/measure/fleet.py
+++ b/wagtailtrestle/measure/fleet.py
@@ -36,10 +36,10 @@
 
 def true_speeds(declared_engines, *, seed):
     """Return speeds by engine name: each declared speed times a factor drawn from ``MIN_SPEED`` to ``MAX_SPEED``."""
-    draw = random.Random(f"speeds {seed}")
+    rng = random.Random(f"speeds {seed}")
     speed_by_name = {}
     for engine in declared_engines:
-        slowdown = 1.0 / draw.uniform(MIN_SPEED, MAX_SPEED)
+        slowdown = 1.0 / rng.uniform(MIN_SPEED, MAX_SPEED)
         step_s = engine.step_ms / 1000.0 * slowdown
         speed_by_name[engine.name] = TrueSpeed(
             slots=engine.slots,
--- a/wagtailtrestle/measure/plain_services.py
+++ b/wagtailtrestle/measure/plain_services.py
@@ -105,17 +105,17 @@
 
 
 def _plain_plan(case, document):
-    draw = random.Random(f"{case.service} {SEED}")
+    rng = random.Random(f"{case.service} {SEED}")
     engines = [engine for engine in document["engines"] if engine["service"] == case.service]
     capacity = sum(engine["slots"] / engine["step_ms"] * 1000.0 for engine in engines)
     (service,) = [each for each in document["services"] if each["name"] == case.service]
     routes_by_name = {route["name"]: route for route in service["routes"]}
     plan = []
     for name, load in case.load_by_route.items():
-        at_s = draw.expovariate(load * capacity)
+        at_s = rng.expovariate(load * capacity)
         while at_s < DURATION_S:
             plan.append(_plain_request(case, routes_by_name[name], at_s, f"plain-{len(plan)}"))
-            at_s += draw.expovariate(load * capacity)
+            at_s += rng.expovariate(load * capacity)
     return plan
 
 
