--- a/wagtailtrestle/measure/real_processes.py
+++ b/wagtailtrestle/measure/real_processes.py
@@ -179,8 +179,8 @@
 def _prompt(arrival):
     """Return text of the arrival's length; equal prefix blocks of two arrivals give equal text."""
     text = "".join(f"{block:016x}" * (CHARACTERS_PER_BLOCK // 16) for block in arrival.prefix_blocks)
-    rest = arrival.prompt_tokens * BYTES_PER_TOKEN - len(text)
-    return text + (f"{arrival.number:08x}" * (rest // 8 + 1))[:rest]
+    padding = arrival.prompt_tokens * BYTES_PER_TOKEN - len(text)
+    return text + (f"{arrival.number:08x}" * (padding // 8 + 1))[:padding]
 
 
 def _print(service, load, on, figures):
