--- a/wagtailtrestle/measure/workload.py
+++ b/wagtailtrestle/measure/workload.py
@@ -261,5 +261,5 @@
     def _new_blocks(self, tokens):
         return tuple(self._random.getrandbits(BLOCK_BITS) for _ in range(tokens // BLOCK_TOKENS))
 
-    def _length(self, median, sigma, minimum, most):
-        return int(min(max(median * math.exp(self._random.gauss(0.0, sigma)), minimum), most))
+    def _length(self, median, sigma, minimum, maximum):
+        return int(min(max(median * math.exp(self._random.gauss(0.0, sigma)), minimum), maximum))
