--- a/wagtailtrestle/measure/configuration_delay.py
+++ b/wagtailtrestle/measure/configuration_delay.py
@@ -44,14 +44,14 @@
     def __init__(self, *, url):
         self.url = url
         self.stores = [HttpObjectStore(url=url) for _ in range(KEEPERS)]
-        self.moments = []
+        self.in_force_times = []
         self.keepers = [self._make_keeper(store) for store in self.stores]
 
     def _make_keeper(self, store):
         return Configuration(
             store=store,
             parse=_parse,
-            on_change=lambda in_force: self.moments.append(time.monotonic()),
+            on_change=lambda in_force: self.in_force_times.append(time.monotonic()),
             query_peers=_no_peers,
         )
 
@@ -69,7 +69,7 @@
 
     async def delay_s(self, number):
         """Apply once; return the time until the last keeper has it in force, or ``None`` if over ``WAIT_S``."""
-        self.moments.clear()
+        self.in_force_times.clear()
         operator = HttpObjectStore(url=self.url)
         operator.start()
         outcome = await apply(store=operator, text=str(number), apply_id=f"apply-{number}", clock=time.time)
@@ -77,11 +77,11 @@
         operator.close()
         if not isinstance(outcome, Applied):
             return None
-        while len(self.moments) < KEEPERS:
+        while len(self.in_force_times) < KEEPERS:
             if time.monotonic() - accepted > WAIT_S:
                 return None
             await asyncio.sleep(0.001)
-        return max(max(self.moments) - accepted, 0.0)
+        return max(max(self.in_force_times) - accepted, 0.0)
 
 
 async def measure(url):
