--- a/wagtailtrestle/measure/workload.py
+++ b/wagtailtrestle/measure/workload.py
@@ -186,7 +186,7 @@
 
 
 class ArrivalGenerator:
-    """Draws the arrivals of one service.
+    """Generates the arrivals of one service from a seed.
 
     Parameters
     ----------
@@ -205,7 +205,7 @@
         self._recent_by_team = {}
 
     def arrivals(self, *, rate, duration_s):
-        """Draw Poisson arrivals of ``rate`` a second over ``duration_s``."""
+        """Generate Poisson arrivals of ``rate`` requests per second over ``duration_s``."""
         drawn = []
         at_s = self._random.expovariate(rate)
         while at_s < duration_s:
--- a/wagtailtrestle/slopes/control.py
+++ b/wagtailtrestle/slopes/control.py
@@ -133,7 +133,7 @@
     )
     _print("batches per request, both sides", costs, lambda cost: cost.batches)
     _print("messages per request, both sides", costs, lambda cost: cost.items)
-    _print("median wait for a place, ms", costs, lambda cost: cost.wait_ms)
+    _print("median wait for a slot, ms", costs, lambda cost: cost.wait_ms)
 
 
 def main(*rates):
