--- a/tests/test_spec_replay.py
+++ b/tests/test_spec_replay.py
@@ -55,7 +55,7 @@
     "revoke()",
     "tick()",
     "tick()",
-    "ask(router=0)",
+    "query(router=0)",
     "answer(router=0)",
     "take(router=0)",
     "tick()",
--- a/tests/utils/freshness_replay.py
+++ b/tests/utils/freshness_replay.py
@@ -192,8 +192,8 @@
                 router.store.answer(WITH_KEY if self._revoked_at is None else WITHOUT_KEY)
             case "end_read":
                 router.store.deliver()
-            case "ask":
-                router.begin("ask", router.source._is_confirmed_by_reader())
+            case "query":
+                router.begin("query", router.source._is_confirmed_by_reader())
             case "answer":
                 router.report = peer.answer_query()
             case "take":
--- a/wagtailtrestle/spec/freshness.py
+++ b/wagtailtrestle/spec/freshness.py
@@ -26,7 +26,7 @@
 TICKS = Domain(*(f"t{number}" for number in range(LIMIT + 2)))
 """A saturating count of ticks: the last value stands for all higher ones."""
 READ = Domain("idle", "begun", "answered")
-ASK = Domain("idle", "asked", "answered")
+QUERY = Domain("idle", "sent", "answered")
 
 NOTHING_LATE = "a revoked key admits no run after the limit"
 
@@ -72,8 +72,8 @@
             self.declare(READ, "read", router, initial=READ["idle"])
             self.declare(TICKS, "read_for", router, initial=TICKS["t0"])
             self.declare(TRUTH, "read_revoked", router, initial=FALSE)
-            self.declare(ASK, "ask", router, initial=ASK["idle"])
-            self.declare(TICKS, "asked_for", router, initial=TICKS["t0"])
+            self.declare(QUERY, "query", router, initial=QUERY["idle"])
+            self.declare(TICKS, "query_age", router, initial=TICKS["t0"])
             self.declare(TRUTH, "reported", router, initial=FALSE)
             self.declare(TICKS, "reported_age", router, initial=TICKS["t0"])
 
@@ -82,7 +82,7 @@
         self._time_actions()
         for router in ROUTERS:
             self._read_actions(router)
-            self._ask_actions(router)
+            self._query_actions(router)
             self._key_actions(router)
         return Specification(
             name="relayed freshness",
@@ -98,7 +98,7 @@
     def _time_actions(self):
         changes = {"since": self._older("since")}
         for router in ROUTERS:
-            for name in ("age", "read_for", "asked_for"):
+            for name in ("age", "read_for", "query_age"):
                 changes[variable_name(name, router)] = self._older(name, router)
         self.act("tick", [], changes)
         if not self.keeps("pauses_count"):
@@ -124,30 +124,30 @@
         }
         self.act("end_read", [v("read", router) == READ["answered"]], ended, router=router)
 
-    def _ask_actions(self, router):
+    def _query_actions(self, router):
         v = self.v
         peer = 1 - router
-        ask = variable_name("ask", router)
-        asked = {ask: ASK["asked"], variable_name("asked_for", router): TICKS["t0"]}
-        self.act("ask", [v("ask", router) == ASK["idle"]], asked, router=router)
+        query = variable_name("query", router)
+        sent = {query: QUERY["sent"], variable_name("query_age", router): TICKS["t0"]}
+        self.act("query", [v("query", router) == QUERY["idle"]], sent, router=router)
         answered = {
-            ask: ASK["answered"],
+            query: QUERY["answered"],
             variable_name("reported", router): v("knows", peer),
             variable_name("reported_age", router): v("age", peer) if self.keeps("age_is_relayed") else TICKS["t0"],
         }
-        self.act("answer", [v("ask", router) == ASK["asked"]], answered, router=router)
-        self.act("take", [v("ask", router) == ASK["answered"]], self._accepted_report(router), router=router)
+        self.act("answer", [v("query", router) == QUERY["sent"]], answered, router=router)
+        self.act("take", [v("query", router) == QUERY["answered"]], self._accepted_report(router), router=router)
 
     def _accepted_report(self, router):
         v = self.v
         age = v("reported_age", router)
         if self.keeps("transit_counts"):
-            age = _sum(age, v("asked_for", router))
+            age = _sum(age, v("query_age", router))
         is_same = v("reported", router) == v("knows", router)
         believed = is_same if self.keeps("same_knowledge_only") else TRUE
         younger = _younger(v("age", router), age)
         return {
-            variable_name("ask", router): ASK["idle"],
+            variable_name("query", router): QUERY["idle"],
             variable_name("age", router): z3.If(believed, younger, v("age", router)),
         }
 
@@ -167,7 +167,7 @@
             variable_name("knows", router): FALSE,
             variable_name("has_read", router): FALSE,
             variable_name("read", router): READ["idle"],
-            variable_name("ask", router): ASK["idle"],
+            variable_name("query", router): QUERY["idle"],
         }
         if self.keeps("restart_forgets"):
             fresh_start[variable_name("age", router)] = _max_ticks()
@@ -189,9 +189,9 @@
             reading = self._includes_revocation(v("read_revoked", router), v("read_for", router))
             lemmas.append(z3.Implies(v("read", router) == READ["answered"], reading))
             reported = self._includes_revocation(
-                v("reported", router), _sum(v("reported_age", router), v("asked_for", router))
+                v("reported", router), _sum(v("reported_age", router), v("query_age", router))
             )
-            lemmas.append(z3.Implies(v("ask", router) == ASK["answered"], reported))
+            lemmas.append(z3.Implies(v("query", router) == QUERY["answered"], reported))
         return lemmas
 
     def _witnesses(self):
