--- a/tests/test_spec_replay.py
+++ b/tests/test_spec_replay.py
@@ -57,7 +57,7 @@
     "tick()",
     "query(router=0)",
     "answer(router=0)",
-    "take(router=0)",
+    "accept(router=0)",
     "tick()",
 )
 ENTRY_SAFEGUARDS = ("queued_only", "attempt", "preempt_repeatable_only")
--- a/tests/utils/freshness_replay.py
+++ b/tests/utils/freshness_replay.py
@@ -173,7 +173,7 @@
                 for _ in range(LOOP_ITERATIONS):
                     await asyncio.sleep(0)
                 after = [router.source.confirmed_at for router in self._routers]
-                self.proved_by_report += step.verb == "take" and after != before
+                self.proved_by_report += step.verb == "accept" and after != before
                 self._check_key_use(step)
         for router in self._routers:
             await router.close()
@@ -196,7 +196,7 @@
                 router.begin("query", router.source._is_confirmed_by_reader())
             case "answer":
                 router.report = peer.answer_query()
-            case "take":
+            case "accept":
                 router.deliver_report()
             case "restart":
                 await router.close()
--- a/wagtailtrestle/spec/freshness.py
+++ b/wagtailtrestle/spec/freshness.py
@@ -136,7 +136,7 @@
             variable_name("reported_age", router): v("age", peer) if self.keeps("age_is_relayed") else TICKS["t0"],
         }
         self.act("answer", [v("query", router) == QUERY["sent"]], answered, router=router)
-        self.act("take", [v("query", router) == QUERY["answered"]], self._accepted_report(router), router=router)
+        self.act("accept", [v("query", router) == QUERY["answered"]], self._accepted_report(router), router=router)
 
     def _accepted_report(self, router):
         v = self.v
