--- a/tests/utils/draining_replay.py
+++ b/tests/utils/draining_replay.py
@@ -10,7 +10,7 @@
 from wagtailtrestle.contracts.messages import Granted
 from wagtailtrestle.contracts.outcomes import RunDone
 from wagtailtrestle.spec.checker import Step
-from wagtailtrestle.spec.draining import ENGINES, LEAVER
+from wagtailtrestle.spec.draining import ENGINES, LEAVING
 from wagtailtrestle.spec.monitor import Monitor
 
 CELL = "asistente"
@@ -20,7 +20,7 @@
 def declaration(*, leaving):
     """Declare one language service on two engines, one of which may be leaving."""
     engines = {name: engine(name, slots=4) for name in ENGINES}
-    engines[LEAVER].leaving = leaving
+    engines[LEAVING].leaving = leaving
     route = Route(name="chat", method="POST", path="/v1/chat/completions", tier="t0", deadline_ms=1, repeatable=True)
     service = Service(name=CELL, kind=LANGUAGE, routes_by_name={"chat": route})
     return Declaration(
@@ -80,7 +80,7 @@
             verb = "unmark" if self.monitor.read(f"{source}_leaving") else "mark"
             self._follow(Step(action=f"{source}_{verb}()", state={}))
             expected.append(self.monitor.read("believed_leaving"))
-            believed.append(self._schedulers.dump()[CELL]["engines"][LEAVER]["leaving"])
+            believed.append(self._schedulers.dump()[CELL]["engines"][LEAVING]["leaving"])
         return expected, believed
 
     def _new_schedulers(self):
@@ -99,7 +99,7 @@
                 self._declaration = declaration(leaving=step.verb == "declared_mark")
                 self._schedulers.set_declaration(self._declaration)
             case "listed_mark" | "listed_unmark":
-                self._listed = frozenset({LEAVER} if step.verb == "listed_mark" else ())
+                self._listed = frozenset({LEAVING} if step.verb == "listed_mark" else ())
                 self._schedulers.set_leaving(self._listed)
             case "drain":
                 self._schedulers.stop_granting()
--- a/wagtailtrestle/spec/draining.py
+++ b/wagtailtrestle/spec/draining.py
@@ -20,8 +20,8 @@
     variable_name,
 )
 
-LEAVER, STAYER = "leaver", "stayer"
-ENGINES = (LEAVER, STAYER)
+LEAVING, STAYING = "leaving", "staying"
+ENGINES = (LEAVING, STAYING)
 # draining: the balancer may still send requests; closing: intake is closed; drained: no request
 # was seen in flight; ended: the process has exited.
 ROUTER = Domain("serving", "draining", "closing", "drained", "ended")
@@ -63,7 +63,7 @@
         self.declare(TRUTH, "declared_leaving", initial=FALSE)
         self.declare(TRUTH, "listed_leaving", initial=FALSE)
         self.declare(TRUTH, "believed_leaving", initial=FALSE)
-        self.declare(TRUTH, "granted_to_leaver", initial=FALSE)
+        self.declare(TRUTH, "granted_to_leaving", initial=FALSE)
         self.declare(TRUTH, "granted_after_handover", initial=FALSE)
         for request in self.requests:
             self.declare(REQUEST, "request", request, initial=REQUEST["absent"])
@@ -147,20 +147,20 @@
         """The scheduler grants and the entry dispatches; requests of a draining router are granted by another."""
         v = self.v
         state = v("request", request)
-        on_leaver = place == LEAVER
+        on_leaving = place == LEAVING
         guards = [state == REQUEST["queued"]]
-        if on_leaver and self.keeps("leaving_checked"):
+        if on_leaving and self.keeps("leaving_checked"):
             guards.append(z3.Not(v("believed_leaving")))
         drains = v("router") != ROUTER["serving"]
         here = z3.And(v("scheduler_here"), drains)
         if self.keeps("stops_granting"):
             guards.append(z3.Not(here))
-        marked = z3.Or(v("declared_leaving"), v("listed_leaving")) if on_leaver else FALSE
+        marked = z3.Or(v("declared_leaving"), v("listed_leaving")) if on_leaving else FALSE
         changes = {
             variable_name("request", request): REQUEST["dispatched"],
             variable_name("engine", request): PLACE[place],
             variable_name("ran", request): TRUE,
-            "granted_to_leaver": z3.Or(v("granted_to_leaver"), marked),
+            "granted_to_leaving": z3.Or(v("granted_to_leaving"), marked),
             "granted_after_handover": z3.Or(v("granted_after_handover"), here),
         }
         self.act("grant", guards, changes, request=request, engine=place)
@@ -172,7 +172,7 @@
     def _properties(self):
         v = self.v
         return {
-            NO_NEW_WORK: z3.Not(v("granted_to_leaver")),
+            NO_NEW_WORK: z3.Not(v("granted_to_leaving")),
             NOTHING_CUT: all_of(v("request", request) != REQUEST["cut"] for request in self.requests),
             NO_GRANT_AFTER_HANDOVER: z3.Not(v("granted_after_handover")),
             REFUSED_NOT_RUN: all_of(
@@ -199,7 +199,7 @@
         v = self.v
         late = z3.And(v("router") == ROUTER["draining"], v("request", 0) == REQUEST["dispatched"])
         moved = z3.And(v("router") == ROUTER["ended"], v("request", 0) == REQUEST["finished"])
-        spared = z3.And(v("believed_leaving"), v("engine", 0) == PLACE[STAYER], v("engine", 1) == PLACE[LEAVER])
+        spared = z3.And(v("believed_leaving"), v("engine", 0) == PLACE[STAYING], v("engine", 1) == PLACE[LEAVING])
         refused = v("request", 0) == REQUEST["refused"]
         return {
             "a request that arrived while the router drained runs": late,
