--- a/wagtailtrestle/spec/draining.py
+++ b/wagtailtrestle/spec/draining.py
@@ -26,7 +26,7 @@
 # was seen in flight; ended: the process has exited.
 ROUTER = Domain("serving", "draining", "closing", "drained", "ended")
 REQUEST = Domain("absent", "queued", "dispatched", "finished", "refused", "cut")
-PLACE = Domain("nowhere", *ENGINES)
+ENGINE = Domain("none", *ENGINES)
 
 NO_NEW_WORK = "no grant on an engine that any source marks as leaving"
 NOTHING_CUT = "nothing in flight is cut"
@@ -67,7 +67,7 @@
         self.declare(TRUTH, "granted_after_handover", initial=FALSE)
         for request in self.requests:
             self.declare(REQUEST, "request", request, initial=REQUEST["absent"])
-            self.declare(PLACE, "engine", request, initial=PLACE["nowhere"])
+            self.declare(ENGINE, "engine", request, initial=ENGINE["none"])
             self.declare(TRUTH, "ran", request, initial=FALSE)
 
     def entered_here(self, request):
@@ -127,10 +127,10 @@
         if not self.keeps("refused_unrun"):
             arriving = z3.Or(arriving, state == REQUEST["dispatched"])
         self.act("refuse", [arriving, refuses], {name: REQUEST["refused"]}, request=request)
-        for place in ENGINES:
-            self._grant(request, place)
+        for target in ENGINES:
+            self._grant(request, target)
         running = state == REQUEST["dispatched"]
-        finished = {name: REQUEST["finished"], engine: PLACE["nowhere"]}
+        finished = {name: REQUEST["finished"], engine: ENGINE["none"]}
         self.act("finish", [running], finished, request=request)
 
     def _intake(self, request):
@@ -143,11 +143,11 @@
             return open_, closing
         return z3.Or(open_, router == ROUTER["drained"]), closing
 
-    def _grant(self, request, place):
+    def _grant(self, request, target):
         """The scheduler grants and the entry dispatches; requests of a draining router are granted by another."""
         v = self.v
         state = v("request", request)
-        on_leaving = place == LEAVING
+        on_leaving = target == LEAVING
         guards = [state == REQUEST["queued"]]
         if on_leaving and self.keeps("leaving_checked"):
             guards.append(z3.Not(v("believed_leaving")))
@@ -158,12 +158,12 @@
         marked = z3.Or(v("declared_leaving"), v("listed_leaving")) if on_leaving else FALSE
         changes = {
             variable_name("request", request): REQUEST["dispatched"],
-            variable_name("engine", request): PLACE[place],
+            variable_name("engine", request): ENGINE[target],
             variable_name("ran", request): TRUE,
             "granted_to_leaving": z3.Or(v("granted_to_leaving"), marked),
             "granted_after_handover": z3.Or(v("granted_after_handover"), here),
         }
-        self.act("grant", guards, changes, request=request, engine=place)
+        self.act("grant", guards, changes, request=request, engine=target)
 
     def _in_flight(self, request):
         state = self.v("request", request)
@@ -199,7 +199,7 @@
         v = self.v
         late = z3.And(v("router") == ROUTER["draining"], v("request", 0) == REQUEST["dispatched"])
         moved = z3.And(v("router") == ROUTER["ended"], v("request", 0) == REQUEST["finished"])
-        spared = z3.And(v("believed_leaving"), v("engine", 0) == PLACE[STAYING], v("engine", 1) == PLACE[LEAVING])
+        spared = z3.And(v("believed_leaving"), v("engine", 0) == ENGINE[STAYING], v("engine", 1) == ENGINE[LEAVING])
         refused = v("request", 0) == REQUEST["refused"]
         return {
             "a request that arrived while the router drained runs": late,
