--- a/wagtailtrestle/spec/claims_proof.py
+++ b/wagtailtrestle/spec/claims_proof.py
@@ -54,8 +54,8 @@
     ]
 
 
-def _holds_nonce(spec, place, send):
-    return place == spec.s(send)
+def _holds_nonce(spec, content, send):
+    return content == spec.s(send)
 
 
 def _was_stored(spec, send):
@@ -74,9 +74,9 @@
     return z3.And(never_ran, z3.Or(state == REQUEST["refused"], state == REQUEST["gone"]))
 
 
-def _replaceable(spec, place):
-    free = place == spec.snapshot[NONE]
-    return z3.Or(free, *(z3.And(_holds_nonce(spec, place, send), _never_runs(spec, send)) for send in spec.sends))
+def _replaceable(spec, content):
+    free = content == spec.snapshot[NONE]
+    return z3.Or(free, *(z3.And(_holds_nonce(spec, content, send), _never_runs(spec, send)) for send in spec.sends))
 
 
 def _never_asked(spec, send):
