--- a/tests/utils/scheduling_replay.py
+++ b/tests/utils/scheduling_replay.py
@@ -326,9 +326,9 @@
 
     def _differences(self):
         for request in REQUESTS:
-            real, told = self._real(request), self._expected(request)
-            if real != told:
-                yield f"{request} is {real}, the specification expects {told}"
+            real, expected = self._real(request), self._expected(request)
+            if real != expected:
+                yield f"{request} is {real}, the specification expects {expected}"
 
     def _real(self, request):
         caller, task = self._callers[request], self._entry.tasks_by_id.get(request)
