--- a/wagtailtrestle/spec/resumption.py
+++ b/wagtailtrestle/spec/resumption.py
@@ -37,7 +37,7 @@
 
 SAFEGUARDS = {
     "present_run_only": Safeguard(rule="only events of the current run are passed on", breaks=NOT_JOINED),
-    "had_before_dropped": Safeguard(rule="an event that the caller already has is dropped", breaks=IN_ORDER),
+    "duplicate_dropped": Safeguard(rule="an event that the caller already has is dropped", breaks=IN_ORDER),
     "gap_ends_run": Safeguard(rule="an event that doesn't follow the last one ends its run", breaks=IN_ORDER),
     "torn_kept_back": Safeguard(rule="an event is passed on only when it is complete", breaks=WHOLE_ONLY),
     "cut_is_no_end": Safeguard(rule="a run that breaks off does not end the stream", breaks=COMPLETE),
@@ -157,7 +157,7 @@
         joined = z3.Or(v("joined"), z3.Not(self._continues(engine)))
         passed = {**received, "had": event, "last_from": ACTIVE[f"e{engine}"], "joined": joined}
         self.act("take", [*guards, follows], passed, engine=engine, event=number)
-        if self.keeps("had_before_dropped"):
+        if self.keeps("duplicate_dropped"):
             self.act("drop", [*guards, had_before], received, engine=engine, event=number)
         else:
             twice = {**received, "out_of_order": TRUE}
