--- a/wagtailtrestle/spec/resumption.py
+++ b/wagtailtrestle/spec/resumption.py
@@ -39,7 +39,7 @@
     "present_run_only": Safeguard(rule="only events of the current run are passed on", breaks=NOT_JOINED),
     "duplicate_dropped": Safeguard(rule="an event that the caller already has is dropped", breaks=IN_ORDER),
     "gap_ends_run": Safeguard(rule="an event that doesn't follow the last one ends its run", breaks=IN_ORDER),
-    "torn_kept_back": Safeguard(rule="an event is passed on only when it is complete", breaks=WHOLE_ONLY),
+    "torn_discarded": Safeguard(rule="an event is passed on only when it is complete", breaks=WHOLE_ONLY),
     "cut_is_no_end": Safeguard(rule="a run that breaks off does not end the stream", breaks=COMPLETE),
     "repeatable_only": Safeguard(rule="only a request that may be repeated is resumed", breaks=ONCE),
 }
@@ -138,7 +138,7 @@
             "ended_early": z3.Or(v("ended_early"), z3.Not(is_whole)),
         }
         self.act("take_end", [*here, in_transit == IN_TRANSIT["end"]], ended, engine=engine)
-        passed = FALSE if self.keeps("torn_kept_back") else TRUE
+        passed = FALSE if self.keeps("torn_discarded") else TRUE
         torn = {**received, "active": ACTIVE[NONE], "passed_torn": z3.Or(v("passed_torn"), passed)}
         self.act("take_torn", [*here, in_transit == IN_TRANSIT["torn"]], torn, engine=engine)
         # No event arrived in time: the run is abandoned, although the engine may still be running it.
