--- a/wagtailtrestle/spec/resumption.py
+++ b/wagtailtrestle/spec/resumption.py
@@ -36,7 +36,7 @@
 ONCE = "a request that may not be repeated runs once"
 
 SAFEGUARDS = {
-    "present_run_only": Safeguard(rule="only events of the current run are passed on", breaks=NOT_JOINED),
+    "current_run_only": Safeguard(rule="only events of the current run are passed on", breaks=NOT_JOINED),
     "duplicate_dropped": Safeguard(rule="an event that the caller already has is dropped", breaks=IN_ORDER),
     "gap_ends_run": Safeguard(rule="an event that doesn't follow the last one ends its run", breaks=IN_ORDER),
     "torn_discarded": Safeguard(rule="an event is passed on only when it is complete", breaks=WHOLE_ONLY),
@@ -125,7 +125,7 @@
     def _receive_actions(self, engine):
         v = self.v
         is_active = v("active") == ACTIVE[f"e{engine}"]
-        here = [is_active] if self.keeps("present_run_only") else []
+        here = [is_active] if self.keeps("current_run_only") else []
         received = {variable_name("in_transit", engine): IN_TRANSIT["nothing"]}
         in_transit = v("in_transit", engine)
         for number in range(1, EVENTS + 1):
