--- a/wagtailtrestle/spec/resumption.py
+++ b/wagtailtrestle/spec/resumption.py
@@ -31,7 +31,7 @@
 
 IN_ORDER = "each event is passed on once and in order"
 NOT_JOINED = "a run continues only from the last event that it was told the caller has"
-WHOLE_ONLY = "no truncated event is passed on"
+COMPLETE_ONLY = "no truncated event is passed on"
 COMPLETE = "a stream that ends as complete has its last event"
 ONCE = "a request that may not be repeated runs once"
 
@@ -39,7 +39,7 @@
     "current_run_only": Safeguard(rule="only events of the current run are passed on", breaks=NOT_JOINED),
     "duplicate_dropped": Safeguard(rule="an event that the caller already has is dropped", breaks=IN_ORDER),
     "gap_ends_run": Safeguard(rule="an event that doesn't follow the last one ends its run", breaks=IN_ORDER),
-    "torn_discarded": Safeguard(rule="an event is passed on only when it is complete", breaks=WHOLE_ONLY),
+    "torn_discarded": Safeguard(rule="an event is passed on only when it is complete", breaks=COMPLETE_ONLY),
     "cut_is_no_end": Safeguard(rule="a run that breaks off does not end the stream", breaks=COMPLETE),
     "repeatable_only": Safeguard(rule="only a request that may be repeated is resumed", breaks=ONCE),
 }
@@ -86,7 +86,7 @@
             properties_by_name={
                 IN_ORDER: z3.Not(self.v("out_of_order")),
                 NOT_JOINED: z3.Not(self.v("joined")),
-                WHOLE_ONLY: z3.Not(self.v("passed_torn")),
+                COMPLETE_ONLY: z3.Not(self.v("passed_torn")),
                 COMPLETE: z3.Not(self.v("ended_early")),
                 ONCE: z3.Or(self.v("repeatable"), self.v("runs") != RUNS["more"]),
             },
