--- a/wagtailtrestle/spec/claims.py
+++ b/wagtailtrestle/spec/claims.py
@@ -149,16 +149,16 @@
         if not self.keeps("refused_is_final"):
             may_win = z3.Or(may_win, is_in["refused"])
         self.act("win", [may_win, v("won", send)], {request: REQUEST["running"]}, send=send)
-        knows_none = v("knows", send) == self.nonce[NONE]
+        no_holder_known = v("knows", send) == self.nonce[NONE]
         refuse = {request: REQUEST["refused"], reported: REPORTED["no"], release: TRUE}
         if self.keeps("proof"):
-            self.act("abandon", [is_in["claiming"], knows_none], refuse, send=send)
+            self.act("abandon", [is_in["claiming"], no_holder_known], refuse, send=send)
         else:
             # Without proof, a claim that got no answer in time is assumed to be in the store.
-            self.act("abandon", [is_in["claiming"], knows_none], {request: REQUEST["running"]}, send=send)
+            self.act("abandon", [is_in["claiming"], no_holder_known], {request: REQUEST["running"]}, send=send)
         self.act(
             "stop_waiting",
-            [is_in["claiming"], z3.Not(knows_none)],
+            [is_in["claiming"], z3.Not(no_holder_known)],
             {request: REQUEST["refused"], reported: REPORTED["unknown"]},
             send=send,
         )
