--- a/wagtailtrestle/spec/scheduling_proof.py
+++ b/wagtailtrestle/spec/scheduling_proof.py
@@ -43,7 +43,7 @@
         z3.Implies(z3.Or(granted == attempt, is_granted), this_granted),
         (refused == attempt) == (ended == attempt),
     )
-    coming_back = z3.And(
+    returning = z3.And(
         returned == attempt - 1,
         is_granted,
         held_attempt == attempt - 1,
@@ -58,7 +58,7 @@
     )
     is_refused = z3.And(returned == none, nothing_held, ended == attempt, refused == attempt)
     phase_by_state = {"dispatched": runs, "finished": finished, "refused": is_refused}
-    phase_by_state["queued"] = z3.If(returned == none, ahead, coming_back)
+    phase_by_state["queued"] = z3.If(returned == none, ahead, returning)
     phases = [z3.Implies(state == STATE[name], phase) for name, phase in phase_by_state.items()]
     messages = ("ask", "granted", "refused", "returned", "ended", "preempt")
     bounds = [z3.ULE(v(message, "s0", request), attempt) for message in messages]
