--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -15,7 +15,7 @@
 from wagtailtrestle.contracts.outcomes import StoreAbsent, StoreConflict, StoreDone, StoreUnavailable, StoreUnknown
 from wagtailtrestle.membership.vm_list import VMList
 from wagtailtrestle.standins.object_table import ObjectTable
-from wagtailtrestle.standins.platform import PlatformStandIn
+from wagtailtrestle.standins.platform import PlatformStandin
 from wagtailtrestle.standins.platform_settings import PlatformSettings, parse_platform_settings
 from wagtailtrestle.store.object_store_http import HttpObjectStore
 
@@ -30,7 +30,7 @@
 class PlatformHttpTests(unittest.IsolatedAsyncioTestCase):
     def setUp(self):
         settings = PlatformSettings(host="127.0.0.1", port=0, threads=16, vm_list_lag_s=0.0, vms=VM_ITEMS)
-        self.platform = PlatformStandIn(settings=settings)
+        self.platform = PlatformStandin(settings=settings)
         self.platform.start()
         self.addCleanup(self.platform.close)
         self.url = f"http://{self.platform.address}"
--- a/wagtailtrestle/standins/platform.py
+++ b/wagtailtrestle/standins/platform.py
@@ -75,7 +75,7 @@
         return environ
 
 
-class PlatformStandIn:
+class PlatformStandin:
     """HTTP server around one :class:`ObjectTable`.
 
     Parameters
@@ -358,4 +358,4 @@
         for problem in settings:
             print(f"{settings_path}: {problem}", file=sys.stderr)
         raise SystemExit(USAGE_STATUS)
-    run_until_signal(PlatformStandIn(settings=settings))
+    run_until_signal(PlatformStandin(settings=settings))
