--- a/wagtailtrestle/measure/report.py
+++ b/wagtailtrestle/measure/report.py
@@ -11,7 +11,16 @@
 class Row:
     """Means, extremes and totals of the runs of one group."""
 
-    __slots__ = ("key", "goodput", "min_goodput", "wasted", "max_wasted", "in_time_by_tier", "duplicates", "lies")
+    __slots__ = (
+        "key",
+        "goodput",
+        "min_goodput",
+        "wasted",
+        "max_wasted",
+        "in_time_by_tier",
+        "duplicates",
+        "false_refusals",
+    )
 
     def __init__(self, *, key, results):
         self.key = key
@@ -21,7 +30,7 @@
         self.wasted = sum(result["wasted_prefill"] for result in results) / len(results)
         self.max_wasted = max(result["wasted_prefill"] for result in results)
         self.duplicates = sum(result["duplicates"] for result in results)
-        self.lies = sum(result["lies"] for result in results)
+        self.false_refusals = sum(result["lies"] for result in results)
         self.in_time_by_tier = _in_time(results)
 
 
@@ -98,7 +107,9 @@
     lines.append(
         _line("duplicate dispatches of non-repeatable requests", sum(r.duplicates for r in ours), 0, is_maximum=True)
     )
-    lines.append(_line("refusals said not to have run that did", sum(row.lies for row in ours), 0, is_maximum=True))
+    lines.append(
+        _line("refusals said not to have run that did", sum(row.false_refusals for row in ours), 0, is_maximum=True)
+    )
     return lines
 
 
--- a/wagtailtrestle/measure/tally.py
+++ b/wagtailtrestle/measure/tally.py
@@ -41,7 +41,7 @@
         for run in engine.run_by_id.values():
             runs_by_request_id.setdefault(run.request_id, []).append(run.batch_run)
     start_s, end_s = window
-    prefill = wasted = duplicates = lies = 0
+    prefill = wasted = duplicates = false_refusals = 0
     tally_by_tier = {name: TierTally() for name in tier_names.values()}
     done_s = offered_s = 0.0
     reasons = {}
@@ -49,7 +49,7 @@
         arrival = caller.arrival
         runs = runs_by_request_id.get(caller.request_id, ())
         in_time = caller.answered_at is not None and caller.answered_at <= arrival.at_s + arrival.kind.deadline_s
-        lies += bool(caller.refusal and caller.refusal.executed is Executed.NO and runs)
+        false_refusals += bool(caller.refusal and caller.refusal.executed is Executed.NO and runs)
         duplicates += len(runs) > 1 and not repeatable_of[arrival.kind.route]
         computed = sum(run.prefill_tokens for run in runs)
         prefill += computed
@@ -71,7 +71,7 @@
         "prefill_tokens": prefill,
         "wasted_prefill": wasted / prefill if prefill else 0.0,
         "duplicates": duplicates,
-        "lies": lies,
+        "lies": false_refusals,
         "unsettled": sum(not caller.settled for caller in callers),
         "busy_s": busy,
         "refusals": reasons,
