--- a/tests/test_spec_replay.py
+++ b/tests/test_spec_replay.py
@@ -55,9 +55,9 @@
     "revoke()",
     "tick()",
     "tick()",
-    "ask(router=0)",
+    "query(router=0)",
     "answer(router=0)",
-    "take(router=0)",
+    "accept(router=0)",
     "tick()",
 )
 ENTRY_SAFEGUARDS = ("queued_only", "attempt", "preempt_repeatable_only")
@@ -133,7 +133,7 @@
                 on_simulated_clock(replay.run())
                 self.assertEqual(replay.monitor.violations, [])
                 self.assertEqual(replay.monitor.broken(), [])
-                answers.add(replay.monitor.read("told[0]"))
+                answers.add(replay.monitor.read("reported[0]"))
         self.assertEqual(answers, {"nothing", "no", "unknown", "answer"})
 
 
@@ -149,7 +149,7 @@
                 self.assertEqual(replay.monitor.broken(), [])
                 followed |= {action for action in replay.monitor.taken if "scheduler=s0" in action}
         done = {action.partition("(")[0] for action in followed}
-        self.assertLessEqual({"hold_ask", "grant", "grant_again", "preempt", "refuse", "expire", "free_place"}, done)
+        self.assertLessEqual({"hold_ask", "grant", "grant_again", "preempt", "refuse", "expire", "free_slot"}, done)
 
     def test_an_entry_does_only_what_the_specification_allows(self):
         followed = set()
@@ -175,10 +175,10 @@
                 self.assertEqual(replay.monitor.violations, [])
                 self.assertEqual(replay.monitor.broken(), [])
                 for operator, reported in replay.reported.items():
-                    self.assertEqual(reported, replay.monitor.read(f"told[{operator}]"))
+                    self.assertEqual(reported, replay.monitor.read(f"reported[{operator}]"))
                 followed |= {action.partition("(")[0] for action in replay.monitor.taken}
-        self.assertLessEqual({"applied_unheard", "delayed", "late_lands", "conflict", "read_back_own"}, followed)
-        self.assertLessEqual({"sent_again_applied", "sent_again_unheard"}, followed)
+        self.assertLessEqual({"applied_answer_lost", "delayed", "late_lands", "conflict", "read_back_own"}, followed)
+        self.assertLessEqual({"sent_again_applied", "sent_again_answer_lost"}, followed)
 
     def test_configuration_does_only_what_the_specification_allows(self):
         followed = set()
--- a/tests/utils/configuring_replay.py
+++ b/tests/utils/configuring_replay.py
@@ -24,11 +24,11 @@
     "sent_again_applied": "done",
     "sent_again_own": "done",
     "sent_again_conflict": "done",
-    "applied_unheard": "unheard",
-    "sent_again_unheard": "unheard",
+    "applied_answer_lost": "answer_lost",
+    "sent_again_answer_lost": "answer_lost",
     "delayed": "delayed",
     "unavailable": "unavailable",
-    "give_up": "unavailable",
+    "abandon": "unavailable",
 }
 REPORT_BY_OUTCOME = {Applied: "applied", ApplyConflict: "conflict", ApplyNotDone: "not_done"}
 STEP_S = 0.05
@@ -102,8 +102,8 @@
         return self._report_done(first, scripted, outcome)
 
     def _report_done(self, first, scripted, outcome):
-        if scripted == "unheard":
-            self.take("applied_unheard" if first else "sent_again_unheard")
+        if scripted == "answer_lost":
+            self.take("applied_answer_lost" if first else "sent_again_answer_lost")
             return StoreUnknown(detail="scripted")
         self.take("applied" if first else "sent_again_applied")
         return outcome
@@ -152,8 +152,8 @@
         self.reported[operator] = REPORT_BY_OUTCOME.get(type(outcome), "unknown")
         if self.monitor.read(f"apply[{operator}]") == "unsettled":
             again = ["sent_again_own", "sent_again_conflict"] if store.refused_again else []
-            names = {"applied": ["read_back_own"], "conflict": ["read_back_other"], "unknown": ["give_up"]}
-            names = [*names.get(self.reported[operator], ["told"]), *again]
+            names = {"applied": ["read_back_own"], "conflict": ["read_back_other"], "unknown": ["abandon"]}
+            names = [*names.get(self.reported[operator], ["reported"]), *again]
             self.monitor.take_first(*(f"{name}(operator={operator})" for name in names))
 
 
--- a/tests/utils/dispatch_replay.py
+++ b/tests/utils/dispatch_replay.py
@@ -98,7 +98,7 @@
         if not start.attach and not isinstance(outcome, RunNotSent):
             # Bytes were sent, so the run is known to have begun only if the engine reported it.
             began = isinstance(outcome, RunDone) or getattr(outcome, "reached", False)
-            self.monitor.take("dispatch(send=0)" if began else "dispatch_unheard(send=0)")
+            self.monitor.take("dispatch(send=0)" if began else "dispatch_without_run(send=0)")
         entry.post("n0", RunEnded(run_id=start.run_id, outcome=outcome, duration_s=0.1))
 
     def _report_answer(self):
@@ -113,7 +113,7 @@
         else:
             self.monitor.take("cut(send=0)")
         expected = {"no": "release", "answer": "finish", "unknown": "finish_unknown"}
-        reported = "answer" if isinstance(answer, AnswerWhole) else self.monitor.read("told[0]")
+        reported = "answer" if isinstance(answer, AnswerWhole) else self.monitor.read("reported[0]")
         if self.claims.ends != [expected[reported]]:
             self.monitor.violations.append(f"the caller was told {reported} but the ledger received {self.claims.ends}")
 
--- a/tests/utils/ledger_replay.py
+++ b/tests/utils/ledger_replay.py
@@ -24,11 +24,11 @@
 SCRIPT_BY_VERB = {
     "write_done": "done",
     "write_conflict": "done",
-    "write_done_unheard": "unheard",
+    "write_done_answer_lost": "answer_lost",
     "write_delayed": "delayed",
     "write_unavailable": "unavailable",
 }
-DELIVERY_VERBS = ("win", "answer_held", "hear_refused", "hear_finished", "hear_unknown", "read_recorded")
+DELIVERY_VERBS = ("win", "answer_held", "receive_refused", "receive_finished", "receive_unknown", "read_recorded")
 STEP_S = 0.05
 SETTLE_S = 60.0
 OPEN_GATE_TURNS = 1000
@@ -106,8 +106,8 @@
         if not isinstance(outcome, StoreDone):
             self._take("write_conflict")
             return outcome
-        self._take("write_done_unheard" if scripted == "unheard" else "write_done")
-        return StoreUnknown(detail="scripted") if scripted == "unheard" else outcome
+        self._take("write_done_answer_lost" if scripted == "answer_lost" else "write_done")
+        return StoreUnknown(detail="scripted") if scripted == "answer_lost" else outcome
 
     def _delay(self, write):
         if self._monitor.read(f"writing[{self._router}]"):
@@ -200,9 +200,9 @@
                 self._claim(send, parameters["writer"])
             case "late_write_lands" | "late_write_refused":
                 await self._stores[parameters["writer"]].land()
-            case "give_up" | "stop_waiting":
+            case "abandon" | "stop_waiting":
                 self._cancel(send)
-            case "refuse" | "dispatch" | "dispatch_unheard" | "finish" | "cut":
+            case "refuse" | "dispatch" | "dispatch_without_run" | "finish" | "cut":
                 self._end(step.action, step.verb, send)
             case "crash":
                 await self._crash(parameters["router"])
@@ -218,7 +218,7 @@
             outcome = await ledger.claim(team="t", key="k", body_digest="d", nonce=_nonce(send), wait_s=20.0)
         except asyncio.CancelledError:
             if ledger is self._ledgers[send % ROUTERS]:
-                self.monitor.take_first(f"give_up(send={send})", f"stop_waiting(send={send})")
+                self.monitor.take_first(f"abandon(send={send})", f"stop_waiting(send={send})")
             raise
         self._report_outcome(send, outcome)
 
@@ -228,13 +228,13 @@
             case ClaimWon():
                 names = [f"win(send={send})"]
             case ClaimUnavailable():
-                names = [f"give_up(send={send})"]
+                names = [f"abandon(send={send})"]
             case ClaimFinished():
                 names = [
-                    f"{verb}(send={send}, other={o})" for verb in ("read_recorded", "hear_finished") for o in others
+                    f"{verb}(send={send}, other={o})" for verb in ("read_recorded", "receive_finished") for o in others
                 ]
             case _:
-                names = [f"hear_unknown(send={send}, other={other})" for other in others]
+                names = [f"receive_unknown(send={send}, other={other})" for other in others]
                 names.append(f"stop_waiting(send={send})")
         self.monitor.take_first(*names)
 
@@ -308,7 +308,7 @@
         if not isinstance(message, NonceAsk) or answer.state != NonceState.REFUSED:
             return
         other = _send(message.nonce)
-        actions = [f"hear_refused(send={send}, other={other})" for send in self._sends if send % ROUTERS == router]
+        actions = [f"receive_refused(send={send}, other={other})" for send in self._sends if send % ROUTERS == router]
         for action in actions:
             if self.monitor.allows(action):
                 self.monitor.take(action)
@@ -353,4 +353,4 @@
         """Return the nonce that is in the store."""
         outcome = self._table.get(kind=LEDGER_KIND, name="shard-000")
         records = outcome.value["claims"] if isinstance(outcome, StoreDone) else {}
-        return records[KEY][0] if KEY in records else "nobody"
+        return records[KEY][0] if KEY in records else "none"
--- a/wagtailtrestle/measure/plain_services.py
+++ b/wagtailtrestle/measure/plain_services.py
@@ -95,9 +95,9 @@
 
 def _document(case):
     document = slowed_document(case.language)
-    whole = yaml.safe_load((EXAMPLES / f"{EXAMPLE_BY_SERVICE[case.language]}.yaml").read_text())
-    document["services"] += [each for each in whole["services"] if each["name"] == case.service]
-    for engine in whole["engines"]:
+    example = yaml.safe_load((EXAMPLES / f"{EXAMPLE_BY_SERVICE[case.language]}.yaml").read_text())
+    document["services"] += [each for each in example["services"] if each["name"] == case.service]
+    for engine in example["engines"]:
         if engine["service"] == case.service:
             slowed = {"slots": SLOTS, "step_ms": engine["step_ms"] * case.time_scale}
             document["engines"].append({**engine, **slowed})
@@ -105,17 +105,17 @@
 
 
 def _plain_plan(case, document):
-    draw = random.Random(f"{case.service} {SEED}")
+    rng = random.Random(f"{case.service} {SEED}")
     engines = [engine for engine in document["engines"] if engine["service"] == case.service]
     capacity = sum(engine["slots"] / engine["step_ms"] * 1000.0 for engine in engines)
     (service,) = [each for each in document["services"] if each["name"] == case.service]
     routes_by_name = {route["name"]: route for route in service["routes"]}
     plan = []
     for name, load in case.load_by_route.items():
-        at_s = draw.expovariate(load * capacity)
+        at_s = rng.expovariate(load * capacity)
         while at_s < DURATION_S:
             plan.append(_plain_request(case, routes_by_name[name], at_s, f"plain-{len(plan)}"))
-            at_s += draw.expovariate(load * capacity)
+            at_s += rng.expovariate(load * capacity)
     return plan
 
 
--- a/wagtailtrestle/measure/workload.py
+++ b/wagtailtrestle/measure/workload.py
@@ -185,8 +185,8 @@
     return changed
 
 
-class Drawing:
-    """Draws the arrivals of one service.
+class ArrivalGenerator:
+    """Generates the arrivals of one service from a seed.
 
     Parameters
     ----------
@@ -205,7 +205,7 @@
         self._recent_by_team = {}
 
     def arrivals(self, *, rate, duration_s):
-        """Draw Poisson arrivals of ``rate`` a second over ``duration_s``."""
+        """Generate Poisson arrivals of ``rate`` requests per second over ``duration_s``."""
         drawn = []
         at_s = self._random.expovariate(rate)
         while at_s < duration_s:
@@ -261,5 +261,5 @@
     def _new_blocks(self, tokens):
         return tuple(self._random.getrandbits(BLOCK_BITS) for _ in range(tokens // BLOCK_TOKENS))
 
-    def _length(self, median, sigma, minimum, most):
-        return int(min(max(median * math.exp(self._random.gauss(0.0, sigma)), minimum), most))
+    def _length(self, median, sigma, minimum, maximum):
+        return int(min(max(median * math.exp(self._random.gauss(0.0, sigma)), minimum), maximum))
--- a/wagtailtrestle/spec/claims.py
+++ b/wagtailtrestle/spec/claims.py
@@ -9,7 +9,7 @@
 import z3
 
 from wagtailtrestle.spec.claims_proof import lemmas
-from wagtailtrestle.spec.claims_terms import NOBODY, REQUEST, ROUTERS, RUNS, TOLD, UNREAD
+from wagtailtrestle.spec.claims_terms import NONE, REPORTED, REQUEST, ROUTERS, RUNS, UNREAD
 from wagtailtrestle.spec.language import (
     FALSE,
     TRUE,
@@ -33,7 +33,7 @@
     "read(writer=0)",
     "write_claim(writer=0, send=0)",
     "write_done(writer=0)",
-    "give_up(send=0)",
+    "abandon(send=0)",
 )
 
 SAFEGUARDS = {
@@ -79,8 +79,8 @@
         super().__init__(safeguards=SAFEGUARDS, without=without)
         self.sends = range(sends)
         self.routers = range(ROUTERS)
-        self.nonce = Domain(NOBODY, *(f"n{send}" for send in self.sends))
-        self.snapshot = Domain(NOBODY, *(f"n{send}" for send in self.sends), UNREAD)
+        self.nonce = Domain(NONE, *(f"n{send}" for send in self.sends))
+        self.snapshot = Domain(NONE, *(f"n{send}" for send in self.sends), UNREAD)
         self._declare()
 
     def n(self, send):
@@ -93,14 +93,14 @@
         return send % ROUTERS
 
     def _declare(self):
-        self.declare(self.snapshot, "holder", initial=self.snapshot[NOBODY])
-        self.declare(self.snapshot, "past", initial=self.snapshot[NOBODY])
+        self.declare(self.snapshot, "holder", initial=self.snapshot[NONE])
+        self.declare(self.snapshot, "past", initial=self.snapshot[NONE])
         for send in self.sends:
             self.declare(REQUEST, "request", send, initial=REQUEST["queued"])
             self.declare(RUNS, "runs", send, initial=RUNS["none"])
-            self.declare(TOLD, "told", send, initial=TOLD["nothing"])
-            self.declare(self.nonce, "knows", send, initial=self.nonce[NOBODY])
-            self.declare(self.nonce, "replaces", send, initial=self.nonce[NOBODY])
+            self.declare(REPORTED, "reported", send, initial=REPORTED["nothing"])
+            self.declare(self.nonce, "knows", send, initial=self.nonce[NONE])
+            self.declare(self.nonce, "replaces", send, initial=self.nonce[NONE])
             self.declare(TRUTH, "won", send, initial=FALSE)
             self.declare(TRUTH, "release", send, initial=FALSE)
             self.declare(TRUTH, "recorded", send, initial=FALSE)
@@ -110,9 +110,9 @@
             self.declare(self.snapshot, "snapshot", writer, initial=self.snapshot[UNREAD])
             self.declare(TRUTH, "fresh", writer, initial=FALSE)
             self.declare(TRUTH, "writing", writer, initial=FALSE)
-            self.declare(self.snapshot, "value", writer, initial=self.snapshot[NOBODY])
+            self.declare(self.snapshot, "value", writer, initial=self.snapshot[NONE])
             self.declare(TRUTH, "late", writer, initial=FALSE)
-            self.declare(self.snapshot, "late_value", writer, initial=self.snapshot[NOBODY])
+            self.declare(self.snapshot, "late_value", writer, initial=self.snapshot[NONE])
             self.declare(TRUTH, "late_fresh", writer, initial=FALSE)
 
     def specification(self):
@@ -142,41 +142,46 @@
     def _entry_actions(self, send):
         v = self.v
         request, runs = variable_name("request", send), variable_name("runs", send)
-        told, release = variable_name("told", send), variable_name("release", send)
+        reported, release = variable_name("reported", send), variable_name("release", send)
         is_in = {name: v("request", send) == REQUEST[name] for name in REQUEST.names}
         # Only a claim that still waits for its answer may be won by that answer.
         may_win = is_in["claiming"]
         if not self.keeps("refused_is_final"):
             may_win = z3.Or(may_win, is_in["refused"])
         self.act("win", [may_win, v("won", send)], {request: REQUEST["running"]}, send=send)
-        knows_nobody = v("knows", send) == self.nonce[NOBODY]
-        refuse = {request: REQUEST["refused"], told: TOLD["no"], release: TRUE}
+        no_holder_known = v("knows", send) == self.nonce[NONE]
+        refuse = {request: REQUEST["refused"], reported: REPORTED["no"], release: TRUE}
         if self.keeps("proof"):
-            self.act("give_up", [is_in["claiming"], knows_nobody], refuse, send=send)
+            self.act("abandon", [is_in["claiming"], no_holder_known], refuse, send=send)
         else:
             # Without proof, a claim that got no answer in time is assumed to be in the store.
-            self.act("give_up", [is_in["claiming"], knows_nobody], {request: REQUEST["running"]}, send=send)
+            self.act("abandon", [is_in["claiming"], no_holder_known], {request: REQUEST["running"]}, send=send)
         self.act(
             "stop_waiting",
-            [is_in["claiming"], z3.Not(knows_nobody)],
-            {request: REQUEST["refused"], told: TOLD["unknown"]},
+            [is_in["claiming"], z3.Not(no_holder_known)],
+            {request: REQUEST["refused"], reported: REPORTED["unknown"]},
             send=send,
         )
         self.act("refuse", [is_in["running"]], refuse, send=send)
         more = z3.If(v("runs", send) == RUNS["none"], RUNS["one"], RUNS["more"])
         self.act("dispatch", [is_in["running"]], {request: REQUEST["dispatched"], runs: more}, send=send)
-        self.act("dispatch_unheard", [is_in["running"]], {request: REQUEST["dispatched"]}, send=send)
+        self.act("dispatch_without_run", [is_in["running"]], {request: REQUEST["dispatched"]}, send=send)
         ran = v("runs", send) != RUNS["none"]
-        self.act("finish", [is_in["dispatched"], ran], {request: REQUEST["finished"], told: TOLD["answer"]}, send=send)
+        self.act(
+            "finish",
+            [is_in["dispatched"], ran],
+            {request: REQUEST["finished"], reported: REPORTED["answer"]},
+            send=send,
+        )
         recorded = variable_name("recorded", send)
         self.act("record", [is_in["finished"], z3.Not(v("recorded", send))], {recorded: TRUE}, send=send)
-        cut = {request: REQUEST["unknown"], told: TOLD["unknown"]}
+        cut = {request: REQUEST["unknown"], reported: REPORTED["unknown"]}
         if not self.keeps("one_dispatch"):
             cut = {request: REQUEST["running"]}
         elif not self.keeps("truth_after_dispatch"):
-            cut = {request: REQUEST["unknown"], told: TOLD["no"]}
+            cut = {request: REQUEST["unknown"], reported: REPORTED["no"]}
         elif not self.keeps("release_of_refused_only"):
-            cut = {request: REQUEST["unknown"], told: TOLD["unknown"], release: TRUE}
+            cut = {request: REQUEST["unknown"], reported: REPORTED["unknown"], release: TRUE}
         self.act("cut", [is_in["dispatched"]], cut, send=send)
 
     def _ask(self, send, writer):
@@ -194,7 +199,7 @@
     def _inquire(self, send, other):
         """The re-send queries the router of the send that holds the key for its outcome."""
         v = self.v
-        request, told = variable_name("request", send), variable_name("told", send)
+        request, reported = variable_name("request", send), variable_name("reported", send)
         waits = [v("request", send) == REQUEST["claiming"], v("knows", send) == self.n(other)]
         state = v("request", other)
         may_replace = [state == REQUEST["refused"]]
@@ -204,14 +209,14 @@
             may_replace.append(state == REQUEST["claiming"])
         if not self.keeps("takeover_of_refused_only"):
             may_replace.append(TRUE)
-        learned = {variable_name("replaces", send): self.n(other), variable_name("knows", send): self.nonce[NOBODY]}
-        self.act("hear_refused", [*waits, any_of(may_replace)], learned, send=send, other=other)
-        given = {request: REQUEST["refused"], told: TOLD["answer"]}
-        self.act("hear_finished", [*waits, state == REQUEST["finished"]], given, send=send, other=other)
+        learned = {variable_name("replaces", send): self.n(other), variable_name("knows", send): self.nonce[NONE]}
+        self.act("receive_refused", [*waits, any_of(may_replace)], learned, send=send, other=other)
+        given = {request: REQUEST["refused"], reported: REPORTED["answer"]}
+        self.act("receive_finished", [*waits, state == REQUEST["finished"]], given, send=send, other=other)
         self.act("read_recorded", [*waits, v("recorded", other)], given, send=send, other=other)
         lost = z3.Or(state == REQUEST["unknown"], state == REQUEST["gone"])
-        given = {request: REQUEST["refused"], told: TOLD["unknown"]}
-        self.act("hear_unknown", [*waits, lost], given, send=send, other=other)
+        given = {request: REQUEST["refused"], reported: REPORTED["unknown"]}
+        self.act("receive_unknown", [*waits, lost], given, send=send, other=other)
 
     # Actions of one writer of the shard.
 
@@ -231,16 +236,16 @@
         asked, snapshot = v("asked", send, writer), v("snapshot", writer)
         idle = z3.Not(v("writing", writer))
         writing, value = variable_name("writing", writer), variable_name("value", writer)
-        free = snapshot == self.snapshot[NOBODY]
+        free = snapshot == self.snapshot[NONE]
         replaced = [z3.And(snapshot == self.s(other), v("replaces", send) == self.n(other)) for other in self.sends]
         # One write may release a refused claim and make the next one.
         replaced += [z3.And(snapshot == self.s(other), v("release", other)) for other in self.sends]
         if not self.keeps("takeover_names_nonce"):
-            replaces_any = v("replaces", send) != self.nonce[NOBODY]
+            replaces_any = v("replaces", send) != self.nonce[NONE]
             replaced = [z3.And(replaces_any, snapshot != self.snapshot[UNREAD], snapshot != self.s(send))]
         put = {writing: TRUE, value: self.s(send)}
         self.act("write_claim", [idle, asked, z3.Or(free, *replaced)], put, writer=writer, send=send)
-        remove = {writing: TRUE, value: self.snapshot[NOBODY]}
+        remove = {writing: TRUE, value: self.snapshot[NONE]}
         self.act(
             "write_release", [idle, v("release", send), snapshot == self.s(send)], remove, writer=writer, send=send
         )
@@ -265,9 +270,9 @@
         idle = {writing: FALSE}
         known = {**idle, snapshot: v("value", writer), fresh: TRUE}
         unknown = {**idle, snapshot: self.snapshot[UNREAD], fresh: FALSE}
-        unheard = unknown if self.keeps("read_back") else {**idle, snapshot: v("value", writer)}
+        answer_lost = unknown if self.keeps("read_back") else {**idle, snapshot: v("value", writer)}
         self.act("write_done", [v("writing", writer), in_time], {**applied, **known}, writer=writer)
-        self.act("write_done_unheard", [v("writing", writer), in_time], {**applied, **unheard}, writer=writer)
+        self.act("write_done_answer_lost", [v("writing", writer), in_time], {**applied, **answer_lost}, writer=writer)
         # Claims of other keys change the version too, so a conflict is possible at any time.
         self.act("write_conflict", [v("writing", writer)], unknown, writer=writer)
         self.act("write_unavailable", [v("writing", writer)], idle, writer=writer)
@@ -277,7 +282,7 @@
             variable_name("late_fresh", writer): v("fresh", writer),
         }
         free = [v("writing", writer), z3.Not(v("late", writer))]
-        self.act("write_delayed", free, {**unheard, **delayed}, writer=writer)
+        self.act("write_delayed", free, {**answer_lost, **delayed}, writer=writer)
         in_time = v("late_fresh", writer) if self.keeps("conditional_update") else TRUE
         landed = {"past": v("holder"), "holder": v("late_value", writer), **self._new_version()}
         self.act("late_write_lands", [v("late", writer), in_time], {**landed, late: FALSE}, writer=writer)
@@ -313,34 +318,38 @@
         v = self.v
         ran = [v("runs", send) != RUNS["none"] for send in self.sends]
         once = [v("runs", send) != RUNS["more"] for send in self.sends]
-        accurate = [z3.Implies(v("told", send) == TOLD["no"], v("runs", send) == RUNS["none"]) for send in self.sends]
+        accurate = [
+            z3.Implies(v("reported", send) == REPORTED["no"], v("runs", send) == RUNS["none"]) for send in self.sends
+        ]
         return {
             ONCE: z3.And(at_most_one(ran), *once),
             REPORTED_NOT_RUN: all_of(accurate),
-            ANSWER_OF_RUN: all_of(z3.Implies(v("told", send) == TOLD["answer"], any_of(ran)) for send in self.sends),
+            ANSWER_OF_RUN: all_of(
+                z3.Implies(v("reported", send) == REPORTED["answer"], any_of(ran)) for send in self.sends
+            ),
         }
 
     def _witnesses(self):
         v = self.v
         taken_over = z3.And(v("replaces", 1) == self.n(0), v("request", 1) == REQUEST["finished"])
         waited = z3.And(
-            v("request", 0) == REQUEST["finished"], v("told", 1) == TOLD["answer"], v("runs", 1) == RUNS["none"]
+            v("request", 0) == REQUEST["finished"], v("reported", 1) == REPORTED["answer"], v("runs", 1) == RUNS["none"]
         )
         crashed = z3.And(
-            v("request", 0) == REQUEST["gone"], v("runs", 0) == RUNS["one"], v("told", 1) == TOLD["unknown"]
+            v("request", 0) == REQUEST["gone"], v("runs", 0) == RUNS["one"], v("reported", 1) == REPORTED["unknown"]
         )
-        lost = z3.And(v("late", 0), v("told", 0) == TOLD["no"])
+        lost = z3.And(v("late", 0), v("reported", 0) == REPORTED["no"])
         return {
             "a refused claim is taken over and run": taken_over,
-            "a re-send gets the first one's answer": waited,
-            "the first one's router died, the re-send is told unknown": crashed,
-            "a write is still under way when its send is told no": lost,
+            "a re-send gets the answer of the first send": waited,
+            "the router of the first send crashed, the re-send is reported as unknown": crashed,
+            "a write is still in progress when its send is reported as not run": lost,
         }
 
     def _limits(self):
         v = self.v
         ran_elsewhere = [
-            z3.And(v("told", send) == TOLD["no"], v("runs", other) != RUNS["none"])
+            z3.And(v("reported", send) == REPORTED["no"], v("runs", other) != RUNS["none"])
             for send in self.sends
             for other in self.sends
             if other != send
--- a/wagtailtrestle/spec/claims_terms.py
+++ b/wagtailtrestle/spec/claims_terms.py
@@ -3,11 +3,11 @@
 from wagtailtrestle.spec.language import Domain
 
 ROUTERS = 2
-NOBODY = "nobody"
+NONE = "none"
 UNREAD = "unread"
 
 # queued, dispatched, finished, refused and unknown are as in RequestState, claiming and running as
-# in NonceState; gone means that the router of the send died.
+# in NonceState; gone means that the router of the send crashed.
 REQUEST = Domain("queued", "claiming", "running", "dispatched", "finished", "refused", "unknown", "gone")
-TOLD = Domain("nothing", "no", "unknown", "answer")
+REPORTED = Domain("nothing", "no", "unknown", "answer")
 RUNS = Domain("none", "one", "more")
--- a/wagtailtrestle/spec/freshness.py
+++ b/wagtailtrestle/spec/freshness.py
@@ -26,9 +26,9 @@
 TICKS = Domain(*(f"t{number}" for number in range(LIMIT + 2)))
 """A saturating count of ticks: the last value stands for all higher ones."""
 READ = Domain("idle", "begun", "answered")
-ASK = Domain("idle", "asked", "answered")
+QUERY = Domain("idle", "sent", "answered")
 
-NOTHING_LATE = "a revoked key runs nothing after the limit"
+NOTHING_LATE = "a revoked key admits no run after the limit"
 
 SAFEGUARDS = {
     "limit_checked": Safeguard(
@@ -37,7 +37,9 @@
     "read_counts_from_its_start": Safeguard(
         rule="a read proves what held when it began, however late its answer arrives", breaks=NOTHING_LATE
     ),
-    "way_counts": Safeguard(rule="the transit time of a router's report counts towards its age", breaks=NOTHING_LATE),
+    "transit_counts": Safeguard(
+        rule="the transit time of a router's report counts towards its age", breaks=NOTHING_LATE
+    ),
     "age_is_relayed": Safeguard(
         rule="a router's report is as old as the proof that it is based on", breaks=NOTHING_LATE
     ),
@@ -69,18 +71,18 @@
             self.declare(TRUTH, "has_read", router, initial=FALSE)
             self.declare(READ, "read", router, initial=READ["idle"])
             self.declare(TICKS, "read_for", router, initial=TICKS["t0"])
-            self.declare(TRUTH, "read_tells", router, initial=FALSE)
-            self.declare(ASK, "ask", router, initial=ASK["idle"])
-            self.declare(TICKS, "asked_for", router, initial=TICKS["t0"])
-            self.declare(TRUTH, "told", router, initial=FALSE)
-            self.declare(TICKS, "told_age", router, initial=TICKS["t0"])
+            self.declare(TRUTH, "read_revoked", router, initial=FALSE)
+            self.declare(QUERY, "query", router, initial=QUERY["idle"])
+            self.declare(TICKS, "query_age", router, initial=TICKS["t0"])
+            self.declare(TRUTH, "reported", router, initial=FALSE)
+            self.declare(TICKS, "reported_age", router, initial=TICKS["t0"])
 
     def specification(self):
         self.act("revoke", [z3.Not(self.v("revoked"))], {"revoked": TRUE, "since": TICKS["t0"]})
         self._time_actions()
         for router in ROUTERS:
             self._read_actions(router)
-            self._ask_actions(router)
+            self._query_actions(router)
             self._key_actions(router)
         return Specification(
             name="relayed freshness",
@@ -90,13 +92,13 @@
             properties_by_name={NOTHING_LATE: z3.Not(self.v("ran_late"))},
             lemmas=self._lemmas(),
             witnesses_by_name=self._witnesses(),
-            limits_by_name={"a revoked key runs nothing from then on": z3.Not(self.v("ran_after_end"))},
+            limits_by_name={"a revoked key admits no run from its revocation on": z3.Not(self.v("ran_after_end"))},
         )
 
     def _time_actions(self):
         changes = {"since": self._older("since")}
         for router in ROUTERS:
-            for name in ("age", "read_for", "asked_for"):
+            for name in ("age", "read_for", "query_age"):
                 changes[variable_name(name, router)] = self._older(name, router)
         self.act("tick", [], changes)
         if not self.keeps("pauses_count"):
@@ -111,41 +113,41 @@
         begun = {read: READ["begun"], variable_name("read_for", router): TICKS["t0"]}
         self.act("begin_read", [v("read", router) == READ["idle"]], begun, router=router)
         # The answer carries what held when the store answered, and may arrive much later.
-        answered = {read: READ["answered"], variable_name("read_tells", router): v("revoked")}
+        answered = {read: READ["answered"], variable_name("read_revoked", router): v("revoked")}
         self.act("answer_read", [v("read", router) == READ["begun"]], answered, router=router)
         proved = v("read_for", router) if self.keeps("read_counts_from_its_start") else TICKS["t0"]
         ended = {
             read: READ["idle"],
-            variable_name("knows", router): z3.Or(v("knows", router), v("read_tells", router)),
+            variable_name("knows", router): z3.Or(v("knows", router), v("read_revoked", router)),
             variable_name("age", router): _younger(v("age", router), proved),
             variable_name("has_read", router): TRUE,
         }
         self.act("end_read", [v("read", router) == READ["answered"]], ended, router=router)
 
-    def _ask_actions(self, router):
+    def _query_actions(self, router):
         v = self.v
         peer = 1 - router
-        ask = variable_name("ask", router)
-        asked = {ask: ASK["asked"], variable_name("asked_for", router): TICKS["t0"]}
-        self.act("ask", [v("ask", router) == ASK["idle"]], asked, router=router)
+        query = variable_name("query", router)
+        sent = {query: QUERY["sent"], variable_name("query_age", router): TICKS["t0"]}
+        self.act("query", [v("query", router) == QUERY["idle"]], sent, router=router)
         answered = {
-            ask: ASK["answered"],
-            variable_name("told", router): v("knows", peer),
-            variable_name("told_age", router): v("age", peer) if self.keeps("age_is_relayed") else TICKS["t0"],
+            query: QUERY["answered"],
+            variable_name("reported", router): v("knows", peer),
+            variable_name("reported_age", router): v("age", peer) if self.keeps("age_is_relayed") else TICKS["t0"],
         }
-        self.act("answer", [v("ask", router) == ASK["asked"]], answered, router=router)
-        self.act("take", [v("ask", router) == ASK["answered"]], self._accepted_report(router), router=router)
+        self.act("answer", [v("query", router) == QUERY["sent"]], answered, router=router)
+        self.act("accept", [v("query", router) == QUERY["answered"]], self._accepted_report(router), router=router)
 
     def _accepted_report(self, router):
         v = self.v
-        age = v("told_age", router)
-        if self.keeps("way_counts"):
-            age = _sum(age, v("asked_for", router))
-        is_same = v("told", router) == v("knows", router)
+        age = v("reported_age", router)
+        if self.keeps("transit_counts"):
+            age = _sum(age, v("query_age", router))
+        is_same = v("reported", router) == v("knows", router)
         believed = is_same if self.keeps("same_knowledge_only") else TRUE
         younger = _younger(v("age", router), age)
         return {
-            variable_name("ask", router): ASK["idle"],
+            variable_name("query", router): QUERY["idle"],
             variable_name("age", router): z3.If(believed, younger, v("age", router)),
         }
 
@@ -165,7 +167,7 @@
             variable_name("knows", router): FALSE,
             variable_name("has_read", router): FALSE,
             variable_name("read", router): READ["idle"],
-            variable_name("ask", router): ASK["idle"],
+            variable_name("query", router): QUERY["idle"],
         }
         if self.keeps("restart_forgets"):
             fresh_start[variable_name("age", router)] = _max_ticks()
@@ -184,21 +186,23 @@
         lemmas = []
         for router in ROUTERS:
             lemmas.append(self._includes_revocation(v("knows", router), v("age", router)))
-            reading = self._includes_revocation(v("read_tells", router), v("read_for", router))
+            reading = self._includes_revocation(v("read_revoked", router), v("read_for", router))
             lemmas.append(z3.Implies(v("read", router) == READ["answered"], reading))
-            told = self._includes_revocation(v("told", router), _sum(v("told_age", router), v("asked_for", router)))
-            lemmas.append(z3.Implies(v("ask", router) == ASK["answered"], told))
+            reported = self._includes_revocation(
+                v("reported", router), _sum(v("reported_age", router), v("query_age", router))
+            )
+            lemmas.append(z3.Implies(v("query", router) == QUERY["answered"], reported))
         return lemmas
 
     def _witnesses(self):
         v = self.v
-        by_word_alone = z3.And(z3.Not(v("has_read", 0)), z3.ULT(v("age", 0), TICKS[f"t{LIMIT}"]))
+        by_report_alone = z3.And(z3.Not(v("has_read", 0)), z3.ULT(v("age", 0), TICKS[f"t{LIMIT}"]))
         learned = z3.And(v("revoked"), v("knows", 0), v("knows", 1))
         aged = all_of([v("has_read", 0), v("age", 0) == _max_ticks(), z3.Not(v("knows", 0))])
         return {
-            "a router that never reads goes on by another's word": by_word_alone,
+            "a router that never reads continues on another router's report": by_report_alone,
             "both routers learn that the key was revoked": learned,
-            "a router that hears nothing for long uses no key": aged,
+            "a router that receives no proof for a long time uses no key": aged,
         }
 
 
--- a/wagtailtrestle/spec/resumption.py
+++ b/wagtailtrestle/spec/resumption.py
@@ -23,23 +23,23 @@
 EVENTS = 3
 COUNT = Domain("c0", "c1", "c2", "c3", "c4")
 """A number of events; one more than ``EVENTS`` stands for the end of the stream."""
-NOBODY = "nobody"
-ACTIVE = Domain(NOBODY, "e0", "e1")
-FLYING = Domain("nothing", "c1", "c2", "c3", "end", "torn")
+NONE = "none"
+ACTIVE = Domain(NONE, "e0", "e1")
+IN_TRANSIT = Domain("nothing", "c1", "c2", "c3", "end", "torn")
 """What is in transit from an engine: an event by its number, the end, or a truncated event."""
 RUNS = Domain("none", "one", "more")
 
-IN_ORDER = "each event comes once and in order"
-NOT_JOINED = "a run goes on only from what it was told that the caller has"
-WHOLE_ONLY = "no piece of an event is passed on"
+IN_ORDER = "each event is passed on once and in order"
+NOT_JOINED = "a run continues only from the last event that it was told the caller has"
+COMPLETE_ONLY = "no truncated event is passed on"
 COMPLETE = "a stream that ends as complete has its last event"
 ONCE = "a request that may not be repeated runs once"
 
 SAFEGUARDS = {
-    "present_run_only": Safeguard(rule="only events of the current run are passed on", breaks=NOT_JOINED),
-    "had_before_dropped": Safeguard(rule="an event that the caller already has is dropped", breaks=IN_ORDER),
+    "current_run_only": Safeguard(rule="only events of the current run are passed on", breaks=NOT_JOINED),
+    "duplicate_dropped": Safeguard(rule="an event that the caller already has is dropped", breaks=IN_ORDER),
     "gap_ends_run": Safeguard(rule="an event that doesn't follow the last one ends its run", breaks=IN_ORDER),
-    "torn_kept_back": Safeguard(rule="an event is passed on only when it is complete", breaks=WHOLE_ONLY),
+    "torn_discarded": Safeguard(rule="an event is passed on only when it is complete", breaks=COMPLETE_ONLY),
     "cut_is_no_end": Safeguard(rule="a run that breaks off does not end the stream", breaks=COMPLETE),
     "repeatable_only": Safeguard(rule="only a request that may be repeated is resumed", breaks=ONCE),
 }
@@ -57,20 +57,20 @@
         super().__init__(safeguards=SAFEGUARDS, without=without)
         self.declare(TRUTH, "repeatable", initial=TRUE)
         self.declare(RUNS, "runs", initial=RUNS["none"])
-        self.declare(ACTIVE, "active", initial=ACTIVE[NOBODY])
+        self.declare(ACTIVE, "active", initial=ACTIVE[NONE])
         self.declare(COUNT, "had", initial=COUNT["c0"])
         self.declare(TRUTH, "is_complete", initial=FALSE)
         self.declare(TRUTH, "out_of_order", initial=FALSE)
         self.declare(TRUTH, "passed_torn", initial=FALSE)
         self.declare(TRUTH, "ended_early", initial=FALSE)
         self.declare(TRUTH, "joined", initial=FALSE)
-        self.declare(ACTIVE, "last_from", initial=ACTIVE[NOBODY])
+        self.declare(ACTIVE, "last_from", initial=ACTIVE[NONE])
         self.declare(TRUTH, "was_resumed", initial=FALSE)
         for engine in ENGINES:
-            self.declare(TRUTH, "goes", engine, initial=FALSE)
+            self.declare(TRUTH, "is_running", engine, initial=FALSE)
             self.declare(COUNT, "start", engine, initial=COUNT["c0"])
             self.declare(COUNT, "next", engine, initial=COUNT["c1"])
-            self.declare(FLYING, "flying", engine, initial=FLYING["nothing"])
+            self.declare(IN_TRANSIT, "in_transit", engine, initial=IN_TRANSIT["nothing"])
 
     def specification(self):
         unbegun = self.v("runs") == RUNS["none"]
@@ -86,7 +86,7 @@
             properties_by_name={
                 IN_ORDER: z3.Not(self.v("out_of_order")),
                 NOT_JOINED: z3.Not(self.v("joined")),
-                WHOLE_ONLY: z3.Not(self.v("passed_torn")),
+                COMPLETE_ONLY: z3.Not(self.v("passed_torn")),
                 COMPLETE: z3.Not(self.v("ended_early")),
                 ONCE: z3.Or(self.v("repeatable"), self.v("runs") != RUNS["more"]),
             },
@@ -96,78 +96,78 @@
 
     def _engine_actions(self, engine):
         v = self.v
-        goes, following = variable_name("goes", engine), variable_name("next", engine)
-        flying = variable_name("flying", engine)
-        idle = [v("active") == ACTIVE[NOBODY], z3.Not(v("is_complete")), z3.Not(v("goes", engine))]
+        is_running, following = variable_name("is_running", engine), variable_name("next", engine)
+        in_transit = variable_name("in_transit", engine)
+        idle = [v("active") == ACTIVE[NONE], z3.Not(v("is_complete")), z3.Not(v("is_running", engine))]
         may_run = z3.Or(v("repeatable"), v("runs") == RUNS["none"]) if self.keeps("repeatable_only") else TRUE
         runs = z3.If(v("runs") == RUNS["none"], RUNS["one"], RUNS["more"])
-        begun = {"active": ACTIVE[f"e{engine}"], "runs": runs, goes: TRUE}
+        begun = {"active": ACTIVE[f"e{engine}"], "runs": runs, is_running: TRUE}
         begun["was_resumed"] = z3.Or(v("was_resumed"), v("had") != COUNT["c0"])
         # A new run uses a new connection, on which nothing of an earlier run arrives.
-        begun[flying] = FLYING["nothing"]
+        begun[in_transit] = IN_TRANSIT["nothing"]
         begun[variable_name("start", engine)] = v("had")
         self.act("resume", [*idle, may_run], {**begun, following: v("had") + 1}, engine=engine)
         self.act("run_from_first", [*idle, may_run], {**begun, following: COUNT["c1"]}, engine=engine)
-        sends = [v("goes", engine), v("flying", engine) == FLYING["nothing"]]
-        sent = {flying: self._event(v("next", engine)), following: v("next", engine) + 1}
+        sends = [v("is_running", engine), v("in_transit", engine) == IN_TRANSIT["nothing"]]
+        sent = {in_transit: self._event(v("next", engine)), following: v("next", engine) + 1}
         self.act("send", [*sends, z3.ULE(v("next", engine), COUNT[f"c{EVENTS}"])], sent, engine=engine)
         is_over = v("next", engine) == COUNT[f"c{EVENTS + 1}"]
-        self.act("send_end", [*sends, is_over], {flying: FLYING["end"], goes: FALSE}, engine=engine)
+        self.act("send_end", [*sends, is_over], {in_transit: IN_TRANSIT["end"], is_running: FALSE}, engine=engine)
         # A faulty engine skips an event. The first and the last are excluded because that cannot be
         # detected: a stream may begin at any number, and its length is not known in advance.
         is_between = z3.And(v("next", engine) != COUNT["c1"], z3.ULT(v("next", engine), COUNT[f"c{EVENTS}"]))
-        skips = [v("goes", engine), is_between]
+        skips = [v("is_running", engine), is_between]
         self.act("skip", skips, {following: v("next", engine) + 1}, engine=engine)
-        self.act("break_off", [v("goes", engine)], {goes: FALSE}, engine=engine)
-        torn = {goes: FALSE, flying: FLYING["torn"]}
+        self.act("break_off", [v("is_running", engine)], {is_running: FALSE}, engine=engine)
+        torn = {is_running: FALSE, in_transit: IN_TRANSIT["torn"]}
         self.act("break_off_torn", [*sends], torn, engine=engine)
 
     def _receive_actions(self, engine):
         v = self.v
         is_active = v("active") == ACTIVE[f"e{engine}"]
-        here = [is_active] if self.keeps("present_run_only") else []
-        flown = {variable_name("flying", engine): FLYING["nothing"]}
-        flying = v("flying", engine)
+        here = [is_active] if self.keeps("current_run_only") else []
+        received = {variable_name("in_transit", engine): IN_TRANSIT["nothing"]}
+        in_transit = v("in_transit", engine)
         for number in range(1, EVENTS + 1):
-            self._receive_event(engine, number, [*here, flying == FLYING[f"c{number}"]], flown)
+            self._receive_event(engine, number, [*here, in_transit == IN_TRANSIT[f"c{number}"]], received)
         is_whole = v("had") == COUNT[f"c{EVENTS}"]
         ended = {
-            **flown,
-            "active": ACTIVE[NOBODY],
+            **received,
+            "active": ACTIVE[NONE],
             "is_complete": TRUE,
             "ended_early": z3.Or(v("ended_early"), z3.Not(is_whole)),
         }
-        self.act("take_end", [*here, flying == FLYING["end"]], ended, engine=engine)
-        passed = FALSE if self.keeps("torn_kept_back") else TRUE
-        torn = {**flown, "active": ACTIVE[NOBODY], "passed_torn": z3.Or(v("passed_torn"), passed)}
-        self.act("take_torn", [*here, flying == FLYING["torn"]], torn, engine=engine)
+        self.act("take_end", [*here, in_transit == IN_TRANSIT["end"]], ended, engine=engine)
+        passed = FALSE if self.keeps("torn_discarded") else TRUE
+        torn = {**received, "active": ACTIVE[NONE], "passed_torn": z3.Or(v("passed_torn"), passed)}
+        self.act("take_torn", [*here, in_transit == IN_TRANSIT["torn"]], torn, engine=engine)
         # No event arrived in time: the run is abandoned, although the engine may still be running it.
-        self.act("give_up", [is_active], {"active": ACTIVE[NOBODY]}, engine=engine)
-        cut = {"active": ACTIVE[NOBODY]}
+        self.act("abandon", [is_active], {"active": ACTIVE[NONE]}, engine=engine)
+        cut = {"active": ACTIVE[NONE]}
         if not self.keeps("cut_is_no_end"):
             cut |= {"is_complete": TRUE, "ended_early": z3.Or(v("ended_early"), z3.Not(is_whole))}
-        silent = [is_active, z3.Not(v("goes", engine)), flying == FLYING["nothing"]]
+        silent = [is_active, z3.Not(v("is_running", engine)), in_transit == IN_TRANSIT["nothing"]]
         self.act("take_cut", silent, cut, engine=engine)
 
-    def _receive_event(self, engine, number, guards, flown):
+    def _receive_event(self, engine, number, guards, received):
         v = self.v
         event = COUNT[f"c{number}"]
         follows = v("had") + 1 == event
         had_before = z3.ULE(event, v("had"))
         joined = z3.Or(v("joined"), z3.Not(self._continues(engine)))
-        passed = {**flown, "had": event, "last_from": ACTIVE[f"e{engine}"], "joined": joined}
+        passed = {**received, "had": event, "last_from": ACTIVE[f"e{engine}"], "joined": joined}
         self.act("take", [*guards, follows], passed, engine=engine, event=number)
-        if self.keeps("had_before_dropped"):
-            self.act("drop", [*guards, had_before], flown, engine=engine, event=number)
+        if self.keeps("duplicate_dropped"):
+            self.act("drop", [*guards, had_before], received, engine=engine, event=number)
         else:
-            twice = {**flown, "out_of_order": TRUE}
+            twice = {**received, "out_of_order": TRUE}
             self.act("take_again", [*guards, had_before], twice, engine=engine, event=number)
         beyond = [*guards, z3.Not(follows), z3.Not(had_before)]
         if self.keeps("gap_ends_run"):
-            given_up = {**flown, "active": ACTIVE[NOBODY], variable_name("goes", engine): FALSE}
-            self.act("refuse_gap", beyond, given_up, engine=engine, event=number)
+            abandoned = {**received, "active": ACTIVE[NONE], variable_name("is_running", engine): FALSE}
+            self.act("refuse_gap", beyond, abandoned, engine=engine, event=number)
         else:
-            skipped = {**flown, "had": event, "out_of_order": TRUE}
+            skipped = {**received, "had": event, "out_of_order": TRUE}
             self.act("take_beyond", beyond, skipped, engine=engine, event=number)
 
     def _continues(self, engine):
@@ -176,21 +176,21 @@
 
     def _event(self, number):
         """Convert a count to the event in transit with that number; both domains encode numbers alike."""
-        return z3.ZeroExt(FLYING.sort.size() - number.size(), number)
+        return z3.ZeroExt(IN_TRANSIT.sort.size() - number.size(), number)
 
     def _lemmas(self):
         v = self.v
         is_whole = v("had") == COUNT[f"c{EVENTS}"]
-        lemmas = [z3.Implies(v("is_complete"), v("active") == ACTIVE[NOBODY])]
+        lemmas = [z3.Implies(v("is_complete"), v("active") == ACTIVE[NONE])]
         for engine in ENGINES:
             is_active = v("active") == ACTIVE[f"e{engine}"]
-            flying, following = v("flying", engine), v("next", engine)
+            in_transit, following = v("in_transit", engine), v("next", engine)
             lemmas.append(z3.Implies(is_active, self._continues(engine)))
-            sent_all = z3.And(following == COUNT[f"c{EVENTS + 1}"], flying == FLYING["nothing"])
+            sent_all = z3.And(following == COUNT[f"c{EVENTS + 1}"], in_transit == IN_TRANSIT["nothing"])
             lemmas.append(z3.Implies(z3.And(is_active, sent_all), is_whole))
-            lemmas.append(z3.Implies(z3.And(is_active, flying == FLYING["end"]), is_whole))
-            last_flies = flying == FLYING[f"c{EVENTS}"]
-            at_end = z3.Or(sent_all, last_flies, _is_over(flying))
+            lemmas.append(z3.Implies(z3.And(is_active, in_transit == IN_TRANSIT["end"]), is_whole))
+            last_in_transit = in_transit == IN_TRANSIT[f"c{EVENTS}"]
+            at_end = z3.Or(sent_all, last_in_transit, _is_over(in_transit))
             lemmas.append(z3.Implies(following == COUNT[f"c{EVENTS + 1}"], at_end))
             lemmas.append(z3.And(following != COUNT["c0"], z3.ULE(v("start", engine), COUNT[f"c{EVENTS}"])))
         lemmas.append(z3.ULE(v("had"), COUNT[f"c{EVENTS}"]))
@@ -199,13 +199,13 @@
     def _witnesses(self):
         v = self.v
         complete_after_resumption = z3.And(v("is_complete"), v("was_resumed"))
-        late = z3.And(v("active") == ACTIVE["e1"], v("flying", 0) == FLYING["c2"], v("had") == COUNT["c1"])
+        late = z3.And(v("active") == ACTIVE["e1"], v("in_transit", 0) == IN_TRANSIT["c2"], v("had") == COUNT["c1"])
         return {
             "a stream of two runs is complete": complete_after_resumption,
             "an event of an earlier run arrives late": late,
         }
 
 
-def _is_over(flying):
+def _is_over(in_transit):
     """Whether only the end or a truncated event is in transit from a run."""
-    return z3.Or(flying == FLYING["end"], flying == FLYING["torn"])
+    return z3.Or(in_transit == IN_TRANSIT["end"], in_transit == IN_TRANSIT["torn"])
--- a/wagtailtrestle/spec/scheduling.py
+++ b/wagtailtrestle/spec/scheduling.py
@@ -40,10 +40,10 @@
 ONE_RUN = "a request has one run at a time, and none once it is refused"
 NOT_REPEATED = "a request that may not be repeated is dispatched once"
 TIER_ORDER = "a higher tier is not refused while the scheduler knows lower repeatable work"
-EXPIRY = "no wait ends while known lower repeatable work runs that was not told to yield"
-GRANT_ORDER = "a place goes to the highest tier that waits"
-RETURNED = "while views agree no place is kept for a request that is over"
-CAPACITY = "while views agree the place holds one run"
+EXPIRY = "no wait ends while known lower repeatable work runs that was not asked to yield"
+GRANT_ORDER = "a slot goes to the highest tier that waits"
+RETURNED = "while views agree no slot is kept for a request that is over"
+CAPACITY = "while views agree the slot holds one run"
 
 SAFEGUARDS = {
     "queued_only": Safeguard(rule="a grant is taken by an entry only for a request that waits", breaks=ONE_RUN),
@@ -61,7 +61,7 @@
     "exact_account": Safeguard(
         rule="a scheduler places runs only in slots that are free in its account", breaks=CAPACITY
     ),
-    "place_until_ended": Safeguard(
+    "slot_until_ended": Safeguard(
         rule="a slot is free when its run has ended, not when the run was preempted", breaks=CAPACITY
     ),
     "ended_asks": Safeguard(rule="a late duplicate of a settled request message is not served again", breaks=RETURNED),
@@ -80,7 +80,7 @@
         super().__init__(safeguards=SAFEGUARDS, without=without)
         self.declare(TRUTH, "views_differed", initial=FALSE)
         self.declare(TRUTH, "shed", initial=FALSE)
-        self.declare(TRUTH, "passed_over", initial=FALSE)
+        self.declare(TRUTH, "higher_tier_skipped", initial=FALSE)
         self.declare(TRUTH, "shed_unseen", initial=FALSE)
         self.declare(TRUTH, "expired_early", initial=FALSE)
         for request in REQUESTS:
@@ -175,7 +175,7 @@
         answers = [queued, v("refused", scheduler, request) == attempt]
         refused = {variable_name("state", request): STATE["refused"]}
         self.act("take_refusal", answers, refused, scheduler=scheduler, request=request)
-        told = [state == STATE["dispatched"], v("preempt", scheduler, request) == attempt]
+        preempted = [state == STATE["dispatched"], v("preempt", scheduler, request) == attempt]
         has_next_attempt = attempt != ATTEMPT[LAST_ATTEMPT]
         may_yield = request in REPEATABLE or not self.keeps("preempt_repeatable_only")
         again = {
@@ -185,7 +185,7 @@
             **self._release_slot(request),
         }
         if may_yield:
-            self.act("take_preempt", [*told, has_next_attempt], again, scheduler=scheduler, request=request)
+            self.act("take_preempt", [*preempted, has_next_attempt], again, scheduler=scheduler, request=request)
 
     # Actions of the scheduler.
 
@@ -217,7 +217,7 @@
             variable_name("ended", scheduler, request): z3.If(z3.ULT(ended, returned), returned, ended),
             variable_name("returned", scheduler, request): ATTEMPT["a0"],
         }
-        self.act("free_place", [returned != ATTEMPT["a0"]], freed, scheduler=scheduler, request=request)
+        self.act("free_slot", [returned != ATTEMPT["a0"]], freed, scheduler=scheduler, request=request)
 
     def _scheduler_decides(self, scheduler, request):
         v = self.v
@@ -233,7 +233,7 @@
         grant = {
             variable_name("held", scheduler, request): HELD["granted"],
             variable_name("granted", scheduler, request): v("held_attempt", scheduler, request),
-            "passed_over": z3.Or(v("passed_over"), higher_waits),
+            "higher_tier_skipped": z3.Or(v("higher_tier_skipped"), higher_waits),
         }
         self.act("grant", guards, grant, scheduler=scheduler, request=request)
         self._expire(scheduler, request)
@@ -274,7 +274,7 @@
         v = self.v
         granted = v("held", scheduler, request) == HELD["granted"]
         preempt = {variable_name("preempt", scheduler, request): v("held_attempt", scheduler, request)}
-        if not self.keeps("place_until_ended"):
+        if not self.keeps("slot_until_ended"):
             preempt[variable_name("held", scheduler, request)] = HELD["none"]
         self.act("preempt", [granted, higher_waits], preempt, scheduler=scheduler, request=request)
 
@@ -317,7 +317,7 @@
             NOT_REPEATED: v("dispatches", FIXED) != COUNT["more"],
             TIER_ORDER: z3.Not(v("shed")),
             EXPIRY: z3.Not(v("expired_early")),
-            GRANT_ORDER: z3.Not(v("passed_over")),
+            GRANT_ORDER: z3.Not(v("higher_tier_skipped")),
             CAPACITY: z3.Or(v("views_differed"), at_most_one(running)),
             RETURNED: z3.Or(v("views_differed"), all_of(returned)),
         }
@@ -328,7 +328,7 @@
         doubled = z3.And(v("held", "s0", LOW) == HELD["granted"], v("held", "s1", LOW) == HELD["granted"])
         shed = v("state", LOW) == STATE["refused"]
         return {
-            "a low run is taken back for a high tier and runs again": preempted,
+            "a low-tier run is preempted for a high tier and runs again": preempted,
             "two schedulers grant the same request": doubled,
             "a low tier is refused": shed,
         }
@@ -337,7 +337,7 @@
         v = self.v
         running = [v("runs", request) != COUNT["none"] for request in REQUESTS]
         return {
-            "the place holds one run also while views differ": at_most_one(running),
+            "the slot holds one run also while views differ": at_most_one(running),
             "a higher tier is not refused while lower work runs that the scheduler does not know": z3.Not(
                 v("shed_unseen")
             ),
